--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -8,7 +8,6 @@
 	"io"
 	"net"
 	"net/http"
-	"os"
 	"slices"
 	"sync"
 	"sync/atomic"
@@ -51,7 +50,7 @@
 }
 
 // callerCounts tell, for the log, what became of connections.
-type callerCounts struct{ Accepted, LetGo, Crowded, TurnedAway int }
+type callerCounts struct{ Accepted, AcceptFailed, LetGo, Crowded, TurnedAway int }
 
 // activity is what a connection does, and since when.
 type activity struct {
@@ -382,6 +381,9 @@
 	return errors.ErrUnsupported
 }
 
+// longAgo is a deadline that ends a wait at once, whatever becomes of the wall clock.
+var longAgo = time.Now().Add(-time.Hour)
+
 // letGo has the connection closed unless a request has begun on it, be it one that nobody has read yet: the
 // close would be a reset, and the client could ask only once more.
 func (c *callerConn) letGo() bool {
@@ -389,7 +391,7 @@
 	defer c.mu.Unlock()
 	if !c.begun && !spokenOrClosed(c.Conn) {
 		c.leaving = true
-		c.Conn.SetReadDeadline(time.Unix(1, 0))
+		c.Conn.SetReadDeadline(longAgo)
 	}
 	return c.leaving
 }
@@ -399,7 +401,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.leaving, c.cut = true, true
-	c.Conn.SetReadDeadline(time.Unix(1, 0))
+	c.Conn.SetReadDeadline(longAgo)
 }
 
 func (c *callerConn) isCut() bool {
@@ -414,53 +416,6 @@
 	return c.begun
 }
 
-// callerListener makes callerConns.
-type callerListener struct {
-	net.Listener
-	callers  *callers
-	shutting atomic.Bool
-}
-
-// deadlines are what a listener needs to be shut without a loss.
-type deadlines interface{ SetDeadline(time.Time) error }
-
-// shutWait is for how long nobody may be found waiting before the listener is closed.
-const shutWait = 20 * time.Millisecond
-
-// shut has whoever waits to be accepted accepted, and then closes: the kernel resets those that are left,
-// and a request may be whole on them already.
-func (l *callerListener) shut() {
-	l.shutting.Store(true)
-	if d, ok := l.Listener.(deadlines); !ok || d.SetDeadline(time.Unix(1, 0)) != nil {
-		l.Listener.Close()
-	}
-}
-
-// Accept never lets the node run out of descriptors, for then net/http would accept nobody for a while:
-// beyond the hard limit whoever came last is closed unheard.
-func (l *callerListener) Accept() (net.Conn, error) {
-	for {
-		last := l.shutting.Load()
-		if last { // a deadline in the past would keep it from looking
-			l.Listener.(deadlines).SetDeadline(time.Now().Add(shutWait))
-		}
-		c, err := l.Listener.Accept()
-		switch {
-		case errors.Is(err, os.ErrDeadlineExceeded) && last:
-			l.Listener.Close()
-			return nil, net.ErrClosed
-		case errors.Is(err, os.ErrDeadlineExceeded):
-			continue
-		case err != nil:
-			return nil, err // as it is: net/http looks at its kind
-		case l.callers.full():
-			c.Close()
-			continue
-		}
-		return &callerConn{Conn: c, callers: l.callers}, nil
-	}
-}
-
 type connKey struct{}
 
 // withConn has a request's context tell its connection.
@@ -499,6 +454,13 @@
 	s.makeRoom()
 }
 
+// acceptFailed counts a failed accept.
+func (s *callers) acceptFailed() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.counts.AcceptFailed++
+}
+
 // move notes what a connection does from now on. The caller holds mu.
 func (s *callers) move(c *callerConn, p phase) {
 	if c.going {
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -7,7 +7,6 @@
 	"io"
 	"log/slog"
 	"math"
-	"net"
 	"net/http"
 	"strconv"
 	"strings"
@@ -302,30 +301,29 @@
 // then each answer closes its connection. It returns once all are gone, or with an error when ctx ends.
 // http.Server.Shutdown would wait for seconds on connections that never sent a request, past SIGKILL,
 // and close idle ones under a request just read.
-func (f *frontend) drain(ctx context.Context, ln *callerListener, served <-chan error, e ending) error {
+func (f *frontend) drain(ctx context.Context, ln *callerListener, served <-chan struct{}, e ending) error {
 	begin := f.clock.now()
+	passed := func(at time.Duration) bool { return f.clock.now()-begin >= at }
 	f.draining.Store(true)
 	sleep(ctx, e.accept)
 	ln.shut()
-	select {
-	case err := <-served:
-		if !errors.Is(err, net.ErrClosed) {
-			return err
-		}
-	case <-ctx.Done():
-	}
-	for ctx.Err() == nil && f.clock.now()-begin < e.serve && f.callers.held() > 0 {
+	defer ln.Close()
+	for ctx.Err() == nil && !passed(e.serve) && (!hasEnded(served) || f.callers.held() > 0) {
 		sleep(ctx, drainStep)
 	}
 	f.closing.Store(true)
-	for told := false; f.callers.letQuietGo() > 0; sleep(ctx, drainStep) {
-		if ctx.Err() != nil {
+	for told := false; ; sleep(ctx, drainStep) {
+		accepting := !hasEnded(served) // asked first: whoever was accepted is counted below
+		left := f.callers.letQuietGo()
+		switch {
+		case !accepting && left == 0:
+			return nil
+		case ctx.Err() != nil:
 			return fmt.Errorf("callers are left: %w", ctx.Err())
-		}
-		if !told && f.clock.now()-begin >= e.last {
+		case !told && passed(e.last):
+			ln.Close() // it is still open only if accept fails on end
 			f.post(lastCall{})
 			told = true
 		}
 	}
-	return nil
 }
--- /dev/null
+++ b/internal/node/listener_test.go
@@ -0,0 +1,193 @@
+package node
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"os"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// failingListener fails accepts as the system would, for as long as fail returns an error.
+type failingListener struct {
+	*net.TCPListener
+	fail func() error
+}
+
+func (l failingListener) Accept() (net.Conn, error) {
+	if err := l.fail(); err != nil {
+		return nil, &net.OpError{Op: "accept", Net: "tcp", Addr: l.Addr(), Err: os.NewSyscallError("accept4", err)}
+	}
+	return l.TCPListener.Accept()
+}
+
+// failing returns an error so many times, and then none.
+func failing(err error, times int32) func() error {
+	var left atomic.Int32
+	left.Store(times)
+	return func() error {
+		if left.Add(-1) >= 0 {
+			return err
+		}
+		return nil
+	}
+}
+
+// acceptErrors are what accept may fail with though its listener is sound, and one that nobody knows.
+var acceptErrors = []error{syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.ENETUNREACH, syscall.EHOSTUNREACH,
+	syscall.ENETDOWN, syscall.EPERM, syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.EINTR,
+	syscall.ETIMEDOUT, errors.New("an unknown error")}
+
+// A failed accept is tried again: the node serves on.
+func TestFailedAcceptDoesNotEndTheNode(t *testing.T) {
+	for _, cause := range acceptErrors {
+		t.Run(cause.Error(), func(t *testing.T) {
+			t.Parallel()
+			s := newServer(t, echo)
+			n, stop := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+				n.ending, n.drainMost = ending{serve: time.Millisecond, last: limit}, 2*limit
+				n.listener = failingListener{n.listener.(*net.TCPListener), failing(cause, 3)}
+			})
+			c := dial(t, n)
+			c.get("r")
+			c.want(t, 200, "for r")
+			if err := stop(); err != nil {
+				t.Error(err)
+			}
+		})
+	}
+}
+
+// Failed accepts while the node drains neither cut off a request that is in flight nor lose one that waits
+// in the listener's queue.
+func TestFailedAcceptWhileDrainingLosesNoRequest(t *testing.T) {
+	for _, cause := range acceptErrors {
+		t.Run(cause.Error(), func(t *testing.T) {
+			t.Parallel()
+			got, answer := make(chan struct{}, 2), make(chan struct{})
+			s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+				got <- struct{}{}
+				<-answer
+				return echo(c, r, body)
+			})
+			draining, resume := make(chan struct{}), make(chan struct{})
+			fail := failing(cause, 3)
+			n, stop := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+				n.ending, n.drainMost = ending{serve: time.Millisecond, last: limit}, 2*limit
+				n.listener = failingListener{n.listener.(*net.TCPListener), func() error {
+					if !n.frontend.draining.Load() {
+						return nil
+					}
+					select {
+					case <-resume:
+					default:
+						close(draining)
+						<-resume
+					}
+					return fail()
+				}}
+			})
+			held := dial(t, n)
+			held.get("held")
+			wait(t, got, "the attempt")
+			end := make(chan error, 1)
+			go func() { end <- stop() }()
+			wait(t, draining, "an accept after the listener was shut")
+			queued := dial(t, n)
+			queued.get("queued")
+			close(resume)
+			wait(t, got, "the attempt for the queued request")
+			close(answer)
+			held.want(t, 200, "for held")
+			queued.want(t, 200, "for queued")
+			if err := wait(t, end, "the node's end"); err != nil {
+				t.Error(err)
+			}
+		})
+	}
+}
+
+// Where accept fails on end, the node ends in order all the same, whether or not it waits for the next try.
+func TestNodeEndsThoughAcceptFailsOnEnd(t *testing.T) {
+	for _, inService := range []bool{true, false} {
+		t.Run(fmt.Sprint("in service=", inService), func(t *testing.T) {
+			t.Parallel()
+			got := make(chan struct{}, 1)
+			s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+				got <- struct{}{}
+				c.Read(make([]byte, 1)) // until the node closes
+				return false
+			})
+			var failing atomic.Bool
+			failed := make(chan struct{}, 1)
+			n, stop := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+				n.ending, n.drainMost = ending{serve: time.Millisecond, last: 100 * time.Millisecond}, 2*limit
+				n.listener = failingListener{n.listener.(*net.TCPListener), func() error {
+					if !failing.Load() {
+						return nil
+					}
+					select {
+					case failed <- struct{}{}:
+					default:
+					}
+					return syscall.EMFILE
+				}}
+			})
+			held := dial(t, n)
+			held.send("POST", "/note/k", "held", "x", "60")
+			wait(t, got, "the attempt")
+			failing.Store(true)
+			if inService {
+				dial(t, n) // ends the accept that waits
+				wait(t, failed, "a failed accept")
+			}
+			end := make(chan error, 1)
+			go func() { end <- stop() }()
+			held.want(t, http.StatusBadGateway, "") // at the last call
+			if err := wait(t, end, "the node's end"); err != nil {
+				t.Error(err)
+			}
+		})
+	}
+}
+
+// Failed accepts are counted for the traffic line, and logged at a bounded rate.
+func TestFailedAcceptsAreCountedAndLoggedNowAndThen(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	s := newCallers(newClock(), 10, 10, 16<<20, func() int { return 0 })
+	var log bytes.Buffer
+	l := newCallerListener(failingListener{ln.(*net.TCPListener), failing(syscall.ENOBUFS, 6)}, s,
+		slog.New(slog.NewTextHandler(&log, nil)))
+	defer l.Close()
+	theirs, err := net.Dial("tcp", ln.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer theirs.Close()
+	begin := time.Now()
+	c, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	c.Close()
+	most := 1 + int(time.Since(begin)/acceptLogInterval)
+	if lines := bytes.Count(log.Bytes(), []byte("\n")); lines < 1 || lines > most {
+		t.Errorf("%d lines, want 1 to %d:\n%s", lines, most, log.String())
+	}
+	if counts, _ := s.report(); counts.AcceptFailed != 6 {
+		t.Errorf("%d failures counted, want 6", counts.AcceptFailed)
+	}
+	l.Close()
+	if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
+		t.Errorf("after the close: %v", err)
+	}
+}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -102,7 +102,7 @@
 	n.frontend = newFrontend(clock, callers, &l.rules, l.post, l.ready.Load, log)
 	l.sockets = func() []any {
 		c, held := callers.report()
-		return []any{"callers", held, "accepted", c.Accepted, "let_go", c.LetGo, "crowded", c.Crowded,
+		return []any{"callers", held, "accepted", c.Accepted, "accept_failed", c.AcceptFailed, "let_go", c.LetGo, "crowded", c.Crowded,
 			"turned_away", c.TurnedAway, "servers", n.backend.connections()}
 	}
 	l.start = func(a *attempt) {
@@ -216,12 +216,16 @@
 	} else {
 		go n.discovery.ask(inner)
 	}
-	gone := make(chan error, 1)
-	ln := &callerListener{Listener: n.listener, callers: n.frontend.callers}
-	go func() { gone <- n.frontend.server.Serve(ln) }()
+	var serveErr error
+	gone := make(chan struct{})
+	ln := newCallerListener(n.listener, n.frontend.callers, n.log)
+	go func() {
+		defer close(gone)
+		serveErr = n.frontend.server.Serve(ln)
+	}()
 	select {
-	case err := <-gone:
-		return fmt.Errorf("node: %w", err)
+	case <-gone:
+		return fmt.Errorf("node: %w", serveErr)
 	case <-ctx.Done():
 	}
 	n.log.Info("draining")
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -847,7 +847,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { theirs.Close() })
-		c, err := (&callerListener{Listener: ln, callers: f}).Accept()
+		c, err := newCallerListener(ln, f, testLog()).Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -911,7 +911,7 @@
 	}
 	defer theirs.Close()
 	f := newCallers(newClock(), 2, 10, 16<<20, func() int { return 1 })
-	nc, err := (&callerListener{Listener: ln, callers: f}).Accept()
+	nc, err := newCallerListener(ln, f, testLog()).Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
