--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -8,6 +8,7 @@
 	"io"
 	"net"
 	"net/http"
+	"os"
 	"slices"
 	"sync"
 	"sync/atomic"
@@ -266,9 +267,9 @@
 	}
 }
 
-// came notes what a read brought.
+// came notes what a read brought. Only os.ErrDeadlineExceeded is the node's own deadline: ETIMEDOUT, a
+// Timeout() as well, is a connection that is broken.
 func (c *callerConn) came(n int, err error) {
-	var late net.Error
 	switch {
 	case n > 0:
 		c.mu.Lock()
@@ -276,7 +277,7 @@
 		c.mu.Unlock()
 	case errors.Is(err, io.EOF):
 		c.depart(halfClosed)
-	case err != nil && !(errors.As(err, &late) && late.Timeout()):
+	case err != nil && !errors.Is(err, os.ErrDeadlineExceeded):
 		c.depart(gone)
 	}
 }
