--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -516,10 +516,18 @@
 
 // peek looks into the kernel's buffer of a connection: whether its other side has said something that
 // was not read yet, or has closed.
-func peek(fd uintptr) bool {
+func peek(fd uintptr) bool { return peekBy(syscall.Recvfrom, fd) }
+
+// peekBy is peek by a given recvfrom. An interrupted call says nothing of the connection and is made again:
+// the runtime's poller tells of a change only once, so that what is missed here would be waited for in vain.
+func peekBy(recv func(fd int, p []byte, flags int) (int, syscall.Sockaddr, error), fd uintptr) bool {
 	var one [1]byte
-	_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-	return err != syscall.EAGAIN && err != syscall.EINTR
+	for {
+		_, _, err := recv(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		if err != syscall.EINTR {
+			return err != syscall.EAGAIN
+		}
+	}
 }
 
 // awaitBytes waits until a connection has bytes to read, has been closed by either side, or has failed.
