--- /dev/null
+++ b/internal/node/shutdown_test.go
@@ -0,0 +1,225 @@
+package node
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// recordingConns keeps what the node reads of each downstream connection, by its remote address.
+type recordingConns struct {
+	*net.TCPListener
+	mu   *sync.Mutex
+	read map[string]*bytes.Buffer
+}
+
+func recordReads(n *Node) recordingConns {
+	l := recordingConns{n.listener.(*net.TCPListener), &sync.Mutex{}, map[string]*bytes.Buffer{}}
+	n.listener = l
+	return l
+}
+
+type recordingConn struct {
+	*net.TCPConn
+	of   recordingConns
+	read *bytes.Buffer
+}
+
+func (l recordingConns) Accept() (net.Conn, error) {
+	c, err := l.AcceptTCP()
+	if err != nil {
+		return nil, err
+	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	read := &bytes.Buffer{}
+	l.read[c.RemoteAddr().String()] = read
+	return recordingConn{c, l, read}, nil
+}
+
+func (c recordingConn) Read(p []byte) (int, error) {
+	n, err := c.TCPConn.Read(p)
+	c.of.mu.Lock()
+	defer c.of.mu.Unlock()
+	c.read.Write(p[:n])
+	return n, err
+}
+
+// complete is how many requests the node has read to their last byte on a connection.
+func (l recordingConns) complete(remote string) (requests int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	read := l.read[remote]
+	if read == nil {
+		return 0 // never accepted
+	}
+	br := bufio.NewReader(bytes.NewReader(read.Bytes()))
+	for {
+		r, err := http.ReadRequest(br)
+		if err != nil {
+			return requests
+		}
+		if _, err := io.Copy(io.Discard, r.Body); err != nil {
+			return requests
+		}
+		requests++
+	}
+}
+
+// measureStalls sums up how late this process's own timers are, until it is asked for the sum: so long no
+// bound in time can hold that the process keeps to.
+func measureStalls() (sum func() time.Duration) {
+	const step = 5 * time.Millisecond
+	var late atomic.Int64
+	stop := make(chan struct{})
+	go func() {
+		for !hasEnded(stop) {
+			begin := time.Now()
+			time.Sleep(step)
+			if over := time.Since(begin) - step; over > step {
+				late.Add(int64(over))
+			}
+		}
+	}()
+	return func() time.Duration {
+		close(stop)
+		return time.Duration(late.Load())
+	}
+}
+
+// Whatever the deadlines of the classes, a node that is told to end answers each request that it has read
+// before the kill that the protocol announces, and has ended by then: though clients send on their connections
+// for as long as these stay open, and though servers hang all the time, fail at once, or never accept.
+func TestEveryRequestIsAnsweredBeforeTheKill(t *testing.T) {
+	for _, deadlines := range [][]time.Duration{{200 * time.Millisecond}, {450 * time.Millisecond}, {time.Second},
+		{10 * time.Second}, {200 * time.Millisecond, 10 * time.Second}} {
+		for _, mayCancel := range []bool{true, false} {
+			t.Run(fmt.Sprint(deadlines, " mayCancel=", mayCancel), func(t *testing.T) {
+				t.Parallel()
+				endUnderLoad(t, deadlines, mayCancel)
+			})
+		}
+	}
+}
+
+// killAt is when the protocol has a node killed, from the moment that it was told to end.
+func killAt(longest time.Duration) time.Duration {
+	return min(longest, 3*time.Second) + 700*time.Millisecond
+}
+
+func endUnderLoad(t *testing.T, deadlines []time.Duration, mayCancel bool) {
+	hangs := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+		io.Copy(io.Discard, c) // never answers
+		return false
+	})
+	fails := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+		_, err := io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
+		return err == nil
+	})
+	mute := closedPort(t)
+	cfg := testConfig(whole(entry("s1", hangs.addr(), "in_service"), entry("s2", fails.addr(), "in_service"),
+		entry("s3", mute, "in_service")))
+	cfg.Settings.MayCancel = mayCancel
+	longest := time.Duration(0)
+	for i := range cfg.Settings.Classes {
+		c, deadline := &cfg.Settings.Classes[i], deadlines[i%len(deadlines)]
+		c.Deadline, c.Aim, c.Window = deadline, deadline/2, deadline
+		longest = max(longest, deadline)
+	}
+	var reads recordingConns
+	n, stop := startNode(t, cfg, func(n *Node) {
+		reads = recordReads(n)
+		through := n.backend.dial
+		n.backend.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+			if address == mute {
+				<-ctx.Done()
+				return nil, ctx.Err()
+			}
+			return through(ctx, network, address)
+		}
+	})
+	var clients []*persistentClient
+	for i := range 12 {
+		class := cfg.Settings.Classes[i%len(cfg.Settings.Classes)]
+		clients = append(clients, &persistentClient{caller: dial(t, n), name: fmt.Sprint("c", i), class: class.Name,
+			deadline: class.Deadline})
+	}
+	var running, sent sync.WaitGroup
+	for _, c := range clients {
+		running.Add(1)
+		sent.Add(1)
+		go func() {
+			defer running.Done()
+			c.run(sent.Done)
+		}()
+	}
+	sent.Wait()
+	stalls := measureStalls()
+	begin := time.Now()
+	if err := stop(); err != nil {
+		t.Error(err)
+	}
+	ended := time.Since(begin)
+	running.Wait()
+	late := stalls()
+	t.Logf("ended after %v; timers late by %v in all", ended, late)
+	if most := killAt(longest); ended > most+late {
+		t.Errorf("the node ended after %v, and was to be killed after %v", ended, most)
+	}
+	for _, c := range clients {
+		if read := reads.complete(c.LocalAddr().String()); read != c.answers {
+			t.Errorf("%s: %d requests were read and %d answered", c.name, read, c.answers)
+		}
+		if c.slowest > late {
+			t.Errorf("%s: an answer came %v after its time and the half second that may go by", c.name, c.slowest)
+		}
+	}
+}
+
+// persistentClient sends one request after another on one connection for as long as that stays open.
+type persistentClient struct {
+	*caller
+	name, class string
+	deadline    time.Duration
+	answers     int
+	slowest     time.Duration // how long after its time and half a second the latest answer came, if one did
+}
+
+func (c *persistentClient) run(sent func()) {
+	method, key := "POST", ""
+	switch c.class {
+	case "view":
+		method = "GET"
+	case "keyed":
+		key = "Idempotency-Key: k\r\n"
+	}
+	for i := 0; ; i++ {
+		begin := time.Now()
+		fmt.Fprintf(c, "%s /%s/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: %s-%d\r\nX-Deadline: %f\r\n%sContent-Length: 0\r\n\r\n",
+			method, c.class, c.name, i, c.deadline.Seconds(), key)
+		if i == 0 {
+			sent()
+		}
+		r, err := http.ReadResponse(c.br, nil)
+		if err == nil {
+			_, err = io.Copy(io.Discard, r.Body)
+		}
+		if err != nil {
+			return
+		}
+		c.answers++
+		c.slowest = max(c.slowest, time.Since(begin)-c.deadline-500*time.Millisecond)
+		if r.Close {
+			return
+		}
+	}
+}
+
