--- /dev/null
+++ b/internal/node/answer_test.go
@@ -0,0 +1,192 @@
+package node
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+	"unsafe"
+
+	"balancer"
+)
+
+// The end of the connection completes an answer without a length only if the server closed it: a reset, the
+// node's own close and a body that is too long do not. Its connection is never used again.
+func TestAnswersWithoutALength(t *testing.T) {
+	const plain, old = "HTTP/1.1 200 OK\r\n\r\nok", "HTTP/1.0 200 OK\r\n\r\nok"
+	longest := strings.Repeat("x", maxBody)
+	head := "HTTP/1.1 200 OK\r\nX-Pad: " + strings.Repeat("p", maxAnswer-28) + "\r\n\r\n"
+	if len(head) != maxAnswer {
+		t.Fatalf("the longest head has %d bytes, want %d", len(head), maxAnswer)
+	}
+	for _, c := range []struct {
+		name, answer, end string
+		want              balancer.Ending
+		body              string
+	}{
+		{"closed", plain, "close", balancer.Success, "ok"},
+		{"closed as said", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nok", "close", balancer.Success, "ok"},
+		{"closed after 100", "HTTP/1.1 100 Continue\r\n\r\n" + plain, "close", balancer.Success, "ok"},
+		{"closed, no body", "HTTP/1.1 200 OK\r\n\r\n", "close", balancer.Success, ""},
+		{"closed, HTTP/1.0", old, "close", balancer.Success, "ok"},
+		{"closed, HTTP/1.0 that keeps alive", "HTTP/1.0 200 OK\r\nConnection: keep-alive\r\n\r\nok", "close", balancer.Success, "ok"},
+		{"closed, the longest", head + longest, "close", balancer.Success, longest},
+		{"closed, too long", plain + longest, "close", balancer.Broken, ""},
+		{"closed, chunks in HTTP/1.0", "HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", "close", balancer.Broken, ""},
+		{"closed, a coding in HTTP/1.0", "HTTP/1.0 200 OK\r\ntransfer-encoding: gzip\r\n\r\nok", "close", balancer.Broken, ""},
+		{"closed, another coding", "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nok", "close", balancer.Broken, ""},
+		{"closed, an empty length", "HTTP/1.1 200 OK\r\nContent-Length: \r\n\r\nok", "close", balancer.Broken, ""},
+		{"closed, a length that is no number", "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\nok", "close", balancer.Broken, ""},
+		{"closed in the head", "HTTP/1.1 200 OK\r\n", "close", balancer.Broken, ""},
+		{"closed in the version", "HTTP/1", "close", balancer.Broken, ""},
+		{"closed, an error", "HTTP/1.1 500 Internal Server Error\r\n\r\n", "close", balancer.Failure, ""},
+		{"closed, said not to have run", "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\n\r\n", "close", balancer.Failure, ""},
+		{"reset", plain, "reset", balancer.Broken, ""},
+		{"reset, HTTP/1.0", old, "reset", balancer.Broken, ""},
+		{"reset, no body", "HTTP/1.1 200 OK\r\n\r\n", "reset", balancer.Broken, ""},
+		{"without end", strings.Repeat(plain, maxBody/len("ok")), "open", balancer.Broken, ""},
+		{"open until the time is over", plain, "time-out", balancer.TimedOut, ""},
+		{"open until it is called off", plain, "cancel", balancer.Withdrawn, ""},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			answered := make(chan struct{})
+			s := newServer(t, func(conn net.Conn, r *http.Request, body string) bool {
+				io.WriteString(conn, c.answer)
+				close(answered)
+				switch c.end {
+				case "close":
+				case "reset":
+					conn.(*net.TCPConn).SetLinger(0)
+				default:
+					io.Copy(io.Discard, conn) // until the node closes
+				}
+				return false
+			})
+			b := testBackend(10)
+			a := testAttempt(b, s.addr())
+			switch c.end {
+			case "time-out":
+				a.deadline = a.sent + 200*time.Millisecond
+			case "cancel":
+				go func() { <-answered; a.cancel() }()
+			}
+			if r := run(t, b, a); r.ending != c.want || string(r.body) != c.body {
+				t.Errorf("ending %d, a body of %d bytes; want %d, %d", r.ending, len(r.body), c.want, len(c.body))
+			}
+			if n := b.connections(); n != 0 || len(b.idle) != 0 {
+				t.Errorf("%d connections are open, %d hosts have idle ones", n, len(b.idle))
+			}
+		})
+	}
+}
+
+// The caller gets the body unchanged, and is told of a failure where the end was a reset.
+func TestAnswerWithoutALengthIsForwarded(t *testing.T) {
+	s := newServer(t, func(conn net.Conn, r *http.Request, body string) bool {
+		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Type: a/b\r\n\r\nfor %s\r\n\x00", r.Header.Get("X-Request-Id"))
+		if r.Header.Get("X-Request-Id") == "reset" {
+			conn.(*net.TCPConn).SetLinger(0)
+		}
+		return false
+	})
+	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), nil)
+	c := dial(t, n)
+	for i := range 3 {
+		id := fmt.Sprint("n", i)
+		c.send("POST", "/note/k", id, "x", "60")
+		r, body := c.answer(t)
+		if want := "for " + id + "\r\n\x00"; r.StatusCode != 200 || body != want || r.Header.Get("Content-Type") != "a/b" {
+			t.Errorf("got %d %q, %v; want 200 %q", r.StatusCode, body, r.Header, want)
+		}
+	}
+	c.send("POST", "/note/k", "reset", "x", "60")
+	c.want(t, http.StatusBadGateway, "")
+	if s.seen() != 4 || s.opened() != 4 {
+		t.Errorf("%d requests on %d connections, want 4 on 4", s.seen(), s.opened())
+	}
+}
+
+// lateWriteConn has the last byte of a request written after the connection was reset under it, reads no
+// more before that, and lets the writer know only once the reader has come to an end.
+type lateWriteConn struct {
+	*net.TCPConn
+	read  chan struct{} // closed once something was read
+	reset func()        // resets the connection, and returns once this side knows
+	wrote chan struct{} // closed after the last write
+	ended func()        // returns once the reader has come to an end
+	once  sync.Once
+}
+
+func (c *lateWriteConn) Read(p []byte) (int, error) {
+	select {
+	case <-c.read:
+		<-c.wrote
+	default:
+	}
+	n, err := c.TCPConn.Read(p)
+	c.once.Do(func() { close(c.read) })
+	return n, err
+}
+
+func (c *lateWriteConn) Write(p []byte) (int, error) {
+	sent, err := c.TCPConn.Write(p[:len(p)-1])
+	if err == nil {
+		<-c.read
+		c.reset()
+		_, err = c.TCPConn.Write(p[len(p)-1:])
+	}
+	close(c.wrote)
+	c.ended()
+	return sent, err
+}
+
+// tcpClosed says that the system has ended a connection, as by a reset; unlike a read it leaves the error there.
+func tcpClosed(nc net.Conn) (is bool) {
+	rawConn(nc).Control(func(fd uintptr) {
+		var info [256]byte // struct tcp_info: the state is its first byte
+		size := uint32(len(info))
+		syscall.Syscall6(syscall.SYS_GETSOCKOPT, fd, syscall.IPPROTO_TCP, syscall.TCP_INFO,
+			uintptr(unsafe.Pointer(&info)), uintptr(unsafe.Pointer(&size)), 0)
+		is = info[0] == 7 // TCP_CLOSE
+	})
+	return is
+}
+
+// The system tells of a reset once. If a write was told, the next read finds what looks like the end of an
+// answer without a length: the part that came is no success.
+func TestResetToldToTheWriteIsNoEnd(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	nc, err := net.Dial("tcp", ln.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	server, err := ln.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	c := &lateWriteConn{TCPConn: nc.(*net.TCPConn), read: make(chan struct{}), wrote: make(chan struct{})}
+	c.reset = func() {
+		server.(*net.TCPConn).SetLinger(0)
+		server.Close()
+		until(t, "the reset to arrive", func() bool { return tcpClosed(nc) })
+	}
+	go func() {
+		server.Read(make([]byte, 1))
+		io.WriteString(server, "HTTP/1.1 200 OK\r\n\r\nhal")
+	}()
+	b := testBackend(10)
+	c.ended = func() { until(t, "the reader's end", func() bool { return b.connections() == 0 }) }
+	b.adopt(c, testHost(b, ln.Addr().String()))
+	if r := run(t, b, testAttempt(b, ln.Addr().String())); r.ending != balancer.Unreachable || b.connections() != 0 {
+		t.Errorf("ending %d, body %q, %d open; want %d", r.ending, r.body, b.connections(), balancer.Unreachable)
+	}
+}
