--- a/balancer.go
+++ b/balancer.go
@@ -182,7 +182,8 @@
 		Effort   time.Duration // work expected of it, by the client's hint; 0: not told
 		Repeat   bool          // the client marked it as a repeat
 	}
-	// Outcome ends one attempt. Ended: the request has its final answer.
+	// Outcome ends one attempt. Ended: the request has its final answer. HeldUp: trouble of the host's own
+	// kept the attempt from beginning for a while, so that its ending and its time tell nothing of the server.
 	Outcome struct {
 		ID      string
 		Attempt int
@@ -190,6 +191,7 @@
 		Ending  Ending
 		Latency time.Duration
 		Ended   bool
+		HeldUp  bool
 		Load    *Load
 	}
 	// Started says that a streamed answer has begun: the attempt is the client's from here on.
--- /dev/null
+++ b/heldup_test.go
@@ -0,0 +1,75 @@
+package balancer
+
+import (
+	"fmt"
+	"maps"
+	"testing"
+	"time"
+)
+
+// An attempt that the host itself held up tells nothing of its server, nor of the crowd at all of them,
+// however it ended and however long that took.
+func TestHeldUpAttemptsTellNothing(t *testing.T) {
+	for _, e := range []Ending{Success, Failure, Overloaded, TimedOut, Unreachable, Broken, Withdrawn, Void} {
+		b := newBalancer(t, nil)
+		b.Handle(0, ServerList{Full: true, Servers: servers(10)})
+		traffic(b, 200, "get", func(string) Ending { return Success })
+		now, before := b.now, *b // what follows reads its figures only
+		known, failing := map[string]server{}, *b.classes["get"].learned
+		for id, s := range b.servers {
+			known[id] = withoutSends(*s)
+		}
+		for i := range 50 {
+			id := fmt.Sprint("held-", i)
+			sent := sends(b.Handle(now, Request{ID: id, Class: "pay", Deadline: now + time.Second}))
+			if len(sent) != 1 {
+				t.Fatalf("ending %d: %d sends", e, len(sent))
+			}
+			now += 400 * msec
+			b.Handle(now, Outcome{ID: id, Server: sent[0].Server, Ending: e, Latency: 400 * msec, Ended: true, HeldUp: true})
+		}
+		if b.errors != before.errors || b.window != before.window || b.crowding != before.crowding || b.lastOK != before.lastOK {
+			t.Errorf("ending %d: errors %v, window %v, crowding %v; had %v, %v, %v", e,
+				b.errors, b.window, b.crowding, before.errors, before.window, before.crowding)
+		}
+		if now := *b.classes["get"].learned; now.mean != failing.mean || now.failing != failing.failing {
+			t.Errorf("ending %d: mean %v, failing %v; had %v, %v", e, now.mean, now.failing, failing.mean, failing.failing)
+		}
+		for id, s := range b.servers {
+			if is := withoutSends(*s); fmt.Sprint(is) != fmt.Sprint(known[id]) {
+				t.Errorf("ending %d: %s is %+v, was %+v", e, id, is, known[id])
+			}
+		}
+	}
+}
+
+// withoutSends is a server but for what a send alone changes.
+func withoutSends(s server) server {
+	s.calls, s.open, s.out, s.pooled, s.credit = 0, nil, false, false, credit{}
+	s.failing = maps.Clone(s.failing)
+	return s
+}
+
+// An attempt that never left the host costs no server anything: the one that follows is free, but counts
+// against the most that a request may have.
+func TestVoidCostsNoRetryBudget(t *testing.T) {
+	b := newBalancer(t, func(s *Settings) { s.MaxAttempts = 4 })
+	b.Handle(0, ServerList{Full: true, Servers: servers(10)})
+	b.tokens = 0.05
+	sent := sends(b.Handle(0, Request{ID: "r", Class: "get", Deadline: time.Second}))
+	for n := 0; len(sent) > 0; n++ {
+		if n == 4 {
+			t.Fatal("more attempts than allowed")
+		}
+		if b.tokens != 0.05 {
+			t.Errorf("attempt %d: the budget is %v", n, b.tokens)
+		}
+		acts := b.Handle(0, Outcome{ID: "r", Attempt: n, Server: sent[0].Server, Ending: Void})
+		if sent = sends(acts); len(sent) == 0 && n != 3 {
+			t.Errorf("%d attempts, want 4", n+1)
+		}
+	}
+	if b.requests["r"] != nil {
+		t.Error("the request has no answer")
+	}
+}
--- a/policy.go
+++ b/policy.go
@@ -169,6 +169,7 @@
 	cell   int
 	ended  bool
 	unsent bool // proven never to have run
+	void   bool // nor to have asked anything of a server
 }
 
 // New returns a Balancer that knows no servers yet. The error names the setting at fault.
@@ -486,15 +487,18 @@
 	a := r.attempts[e.Attempt]
 	a.ended = true
 	a.unsent = e.Ending == Overloaded || e.Ending == Unreachable || e.Ending == Void
+	a.void = e.Ending == Void
 	r.out--
 	b.inFlight--
 	a.srv.calls--
 	// A hung server's waits tell nothing of how crowded the others are.
-	if !b.unresponsive(a.srv) {
+	if !e.HeldUp && !b.unresponsive(a.srv) {
 		b.steer(r, e)
 	}
 	a.srv.open = slices.DeleteFunc(a.srv.open, func(o *attempt) bool { return o == a })
-	b.judge(a, e)
+	if !e.HeldUp {
+		b.judge(a, e)
+	}
 	if !a.srv.listed && a.srv.calls == 0 && b.servers[a.srv.ID] == a.srv {
 		delete(b.servers, a.srv.ID)
 	}
@@ -826,7 +830,10 @@
 func (b *Balancer) further(r *request) {
 	left := float64(b.useless(r) - b.now)
 	cost := 1.0
-	if r.attempts[len(r.attempts)-1].unsent {
+	switch last := r.attempts[len(r.attempts)-1]; {
+	case last.void:
+		cost = 0
+	case last.unsent:
 		cost = unsentCost
 	}
 	if b.maySendAgain(r) && b.tokens >= cost && left >= r.class.mean/2 {
