--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -42,6 +42,7 @@
 	before         time.Duration // it must not begin later: the servers discard its repeats no longer; 0: no such time
 	begun          bool          // a byte of it may have been written. Guarded by call.mu
 	ended          bool          // and its result is passed on
+	heldUp         bool          // local trouble kept it from beginning for a while; read once it has ended
 	kept           bool          // it goes on until its caller is known to be gone
 }
 
@@ -94,7 +95,7 @@
 // send some requests again by itself, and does not tell whether the last byte was written.
 type backend struct {
 	clock clock
-	dial  func(ctx context.Context, network, address string) (net.Conn, error)
+	dial  dialFunc
 	most  int        // connections open or being opened
 	left  func() int // for how many callers leave descriptors
 
@@ -164,9 +165,9 @@
 			fresh bool
 			err   error
 		)
-		c, fresh, err = b.connect(ctx, a.to, waiter)
+		c, fresh, err = b.connect(ctx, a, waiter)
 		switch {
-		case errors.Is(err, errNoRoom):
+		case errors.Is(err, errNoRoom), isLocalTrouble(err):
 			return result{ending: balancer.Void}
 		case err != nil && errors.Is(a.ctx.Err(), context.Canceled):
 			return result{ending: balancer.Withdrawn}
@@ -243,27 +244,6 @@
 	return text.Bytes(), nil
 }
 
-// connect takes a rested idle connection, or opens a fresh one.
-func (b *backend) connect(ctx context.Context, to host, waiter chan reply) (c *conn, fresh bool, err error) {
-	c, err = b.take(to, waiter)
-	if c != nil || err != nil {
-		return c, false, err
-	}
-	nc, err := b.dial(ctx, "tcp", to.endpoint)
-	if err != nil {
-		b.mu.Lock()
-		b.open--
-		b.mu.Unlock()
-		for _, own := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL} {
-			if errors.Is(err, own) {
-				err = errors.Join(errNoRoom, err)
-			}
-		}
-		return nil, true, fmt.Errorf("connect: %w", err)
-	}
-	return b.watch(nc, to, waiter), true, nil
-}
-
 // watch starts the reader of a connection that an attempt is about to use.
 func (b *backend) watch(nc net.Conn, to host, waiter chan reply) *conn {
 	in := &bounded{Reader: nc}
--- /dev/null
+++ b/internal/node/dial.go
@@ -0,0 +1,103 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"syscall"
+	"time"
+)
+
+// dialFunc opens a connection, as net.Dialer.DialContext does.
+type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
+
+// Backoff between dials that failed by local trouble: short, as a request waits for them, and long enough not
+// to spin while the trouble lasts.
+const (
+	redialFirst = 5 * time.Millisecond
+	redialMost  = 40 * time.Millisecond
+)
+
+// localTroubles are the errors of socket and connect that tell of this machine and not of the one that is
+// dialled. All others, such as ECONNREFUSED, ECONNRESET, EHOSTUNREACH, ETIMEDOUT and a connection that does
+// not come up in time, are the other side's.
+var localTroubles = []error{
+	syscall.EMFILE,        // the process has no descriptor left
+	syscall.ENFILE,        // the machine has no descriptor left
+	syscall.ENOBUFS,       // the kernel has no buffer left
+	syscall.ENOMEM,        // the kernel has no memory left
+	syscall.EADDRNOTAVAIL, // no local port is free
+	syscall.EADDRINUSE,    // the local port was taken meanwhile
+	syscall.EAGAIN,        // no local port or routing entry is free
+	syscall.ENETUNREACH,   // the machine has no route, as while an interface is set up anew
+	syscall.ENETDOWN,      // the machine's interface is down
+	syscall.EPERM,         // the machine's packet filter rejects it
+	syscall.EACCES,        // the machine's security policy rejects it
+	syscall.EINTR,         // a signal came
+}
+
+// isLocalTrouble says that a connection could not be opened for a reason of this machine's own.
+func isLocalTrouble(err error) bool {
+	for _, trouble := range localTroubles {
+		if errors.Is(err, trouble) {
+			return true
+		}
+	}
+	return false
+}
+
+// retryLocalTrouble dials until that succeeds or fails by the other side's doing, and until mayWait rejects the
+// next backoff or ctx ends. It says whether local trouble held up the dial whose error it returns.
+func retryLocalTrouble(ctx context.Context, mayWait func(time.Duration) bool, dial func() error) (heldUp bool, err error) {
+	for wait := redialFirst; ; wait = min(2*wait, redialMost) {
+		err = dial()
+		if !isLocalTrouble(err) {
+			return heldUp, err
+		}
+		heldUp = true
+		if !mayWait(wait) {
+			return heldUp, err
+		}
+		sleep(ctx, wait)
+		if ctx.Err() != nil {
+			return heldUp, err
+		}
+	}
+}
+
+// connect takes a rested idle connection, or opens a fresh one. Local trouble is waited out for as long as the
+// attempt may begin.
+func (b *backend) connect(ctx context.Context, a *attempt, waiter chan reply) (c *conn, fresh bool, err error) {
+	mayWait := func(wait time.Duration) bool { return b.mayBeginIn(a, wait) }
+	heldUp, err := retryLocalTrouble(ctx, mayWait, func() error {
+		c, fresh, err = b.connectOnce(ctx, a.to, waiter)
+		return err
+	})
+	a.heldUp = a.heldUp || heldUp
+	return c, fresh, err
+}
+
+// mayBeginIn says that an attempt has time left after a wait, and that its server is still to be used.
+func (b *backend) mayBeginIn(a *attempt, wait time.Duration) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	begin := b.clock.now() + wait
+	return begin < a.deadline && (a.before == 0 || begin < a.before) && b.serves(a.to)
+}
+
+// connectOnce does so with one dial at most.
+func (b *backend) connectOnce(ctx context.Context, to host, waiter chan reply) (c *conn, fresh bool, err error) {
+	c, err = b.take(to, waiter)
+	if c != nil || err != nil {
+		return c, false, err
+	}
+	nc, err := b.dial(ctx, "tcp", to.endpoint)
+	if err != nil {
+		b.mu.Lock()
+		b.open--
+		b.mu.Unlock()
+		return nil, true, fmt.Errorf("connect: %w", err)
+	}
+	return b.watch(nc, to, waiter), true, nil
+}
--- /dev/null
+++ b/internal/node/dial_test.go
@@ -0,0 +1,195 @@
+package node
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"balancer"
+)
+
+// dialError is what net.Dialer gives for a failed system call.
+func dialError(call string, err error) error {
+	return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError(call, err)}
+}
+
+// failingDial fails so many times and dials from then on. It counts all dials.
+type failingDial struct {
+	err   error
+	times int32
+	dials atomic.Int32
+}
+
+func (f *failingDial) dial(ctx context.Context, network, address string) (net.Conn, error) {
+	if f.dials.Add(1) <= f.times {
+		return nil, f.err
+	}
+	return (&net.Dialer{}).DialContext(ctx, network, address)
+}
+
+var localErrnos = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
+	syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN, syscall.ENETUNREACH, syscall.ENETDOWN,
+	syscall.EPERM, syscall.EACCES, syscall.EINTR}
+
+// A connection that can't be opened for a moment by trouble of this machine's own is dialled again, and its
+// request is served by its server, which gets it once.
+func TestLocalTroubleForAMomentFailsNothing(t *testing.T) {
+	for _, errno := range localErrnos {
+		t.Run(errno.Error(), func(t *testing.T) {
+			t.Parallel()
+			s := newServer(t, echo)
+			f := &failingDial{err: dialError("connect", errno), times: 3}
+			n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) { n.backend.dial = f.dial })
+			c := dial(t, n)
+			c.send("POST", "/note/k", "r", "x", "60")
+			c.want(t, 200, "for r")
+			if s.seen() != 1 || f.dials.Load() != 4 || n.backend.connections() != 1 {
+				t.Errorf("%d requests at the server after %d dials, %d connections open", s.seen(), f.dials.Load(), n.backend.connections())
+			}
+		})
+	}
+}
+
+// Local trouble that lasts ends an attempt as Void, never run, before its time is over; an error that tells of
+// the server ends it at once. What the module is told says whether the node itself held the attempt up.
+func TestFailedDials(t *testing.T) {
+	local, refused := dialError("socket", syscall.EMFILE), dialError("connect", syscall.ECONNREFUSED)
+	for _, c := range []struct {
+		name   string
+		err    error
+		times  int32
+		during func(*backend, *attempt) // after the first failure
+		want   balancer.Ending
+		heldUp bool
+	}{
+		{"served", nil, 0, nil, balancer.Success, false},
+		{"local for a moment", local, 2, nil, balancer.Success, true},
+		{"local for long", local, 1e6, func(b *backend, a *attempt) { a.deadline = b.clock.now() + 150*time.Millisecond }, balancer.Void, true},
+		{"local until it must not begin", local, 1e6, func(b *backend, a *attempt) { a.before = b.clock.now() + 150*time.Millisecond }, balancer.Void, true},
+		{"local until its server is gone", local, 1e6, func(b *backend, a *attempt) { b.servers(nil, true) }, balancer.Void, true},
+		{"local until it is called off", local, 1e6, func(b *backend, a *attempt) { a.cancel() }, balancer.Void, true},
+		{"refused", refused, 1e6, nil, balancer.Unreachable, false},
+		{"no way to the host", dialError("connect", syscall.EHOSTUNREACH), 1e6, nil, balancer.Unreachable, false},
+		{"timed out", dialError("connect", syscall.ETIMEDOUT), 1e6, nil, balancer.Unreachable, false},
+		{"reset", dialError("connect", syscall.ECONNRESET), 1e6, nil, balancer.Unreachable, false},
+		{"not up in time", &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}, 1e6, nil, balancer.Unreachable, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := newServer(t, echo)
+			b := testBackend(10)
+			a := testAttempt(b, s.addr())
+			f := &failingDial{err: c.err, times: c.times}
+			b.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+				nc, err := f.dial(ctx, network, address)
+				if c.during != nil && f.dials.Load() == 1 {
+					c.during(b, a)
+				}
+				return nc, err
+			}
+			r := run(t, b, a)
+			if r.ending != c.want || a.heldUp != c.heldUp {
+				t.Errorf("ending %d, held up %v; want %d, %v", r.ending, a.heldUp, c.want, c.heldUp)
+			}
+			served := 0
+			if c.want == balancer.Success {
+				served = 1
+			}
+			if b.connections() != served || s.seen() != served {
+				t.Errorf("%d connections are open, the server got %d requests", b.connections(), s.seen())
+			}
+			// 5, 10, 20 and 40 ms, and 40 ms each from then on: a wait may be longer, but never shorter.
+			if got := f.dials.Load(); got > 7 || c.want == balancer.Unreachable && got != 1 {
+				t.Errorf("%d dials", got)
+			}
+		})
+	}
+}
+
+// What discovery tells is not missed for local trouble: a push watch's call is dialled again at once, and where
+// lists are asked for the module is not told of a failure, which it would wait after.
+func TestLocalTroubleIsNoSilenceOfDiscovery(t *testing.T) {
+	for _, asked := range []bool{false, true} {
+		for _, times := range []int32{3, 1e6} {
+			t.Run(fmt.Sprint("asked=", asked, " times=", times), func(t *testing.T) {
+				ag := newAgent(t)
+				ag.tell(false, whole(entry("s1", "127.0.0.1:1", "in_service")))
+				cfg := testConfig("")
+				cfg.Discovery, cfg.Settings.AskDiscovery = ag.Addr().String(), asked
+				events, waits := make(chan event, 10), make(chan time.Duration, 10)
+				d := newDiscovery(cfg, -1, func(e event) { events <- e }, testLog())
+				d.first = limit
+				d.after = func(wait time.Duration) <-chan time.Time {
+					waits <- wait
+					return time.After(wait)
+				}
+				f := &failingDial{err: dialError("connect", syscall.ENETUNREACH), times: times}
+				d.place().dial = f.dial
+				ctx, cancel := context.WithCancel(context.Background())
+				defer cancel()
+				if asked {
+					go d.ask(ctx)
+					d.subscribe()
+				} else {
+					go d.push(ctx)
+				}
+				if times > 3 { // it lasts: neither told of as a failure nor a hot loop
+					for range 2 {
+						if wait := wait(t, waits, "a wait"); wait != probeInterval {
+							t.Errorf("waits for %v, want %v", wait, probeInterval)
+						}
+					}
+					if len(events) != 0 {
+						t.Errorf("told of %#v", <-events)
+					}
+					return
+				}
+				if l, ok := wait(t, events, "the list").(listNews); !ok || len(l.list.targets) != 1 {
+					t.Errorf("got %#v", l)
+				}
+				if len(waits) != 0 {
+					t.Errorf("waited for %v", <-waits)
+				}
+			})
+		}
+	}
+}
+
+// drippingConn gets one byte with each read, and has the system take few with each write.
+type drippingConn struct{ *net.TCPConn }
+
+func (c drippingConn) Read(p []byte) (int, error) { return c.TCPConn.Read(p[:min(1, len(p))]) }
+
+// However few bytes a read or write moves, requests and answers go through complete and unchanged.
+func TestShortReadsAndWritesLoseNothing(t *testing.T) {
+	long := strings.Repeat("\x00\r\n0\r\n", maxBody/8)
+	for name, head := range map[string]string{
+		"length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(long)), "close": "HTTP/1.1 200 OK\r\n\r\n"} {
+		t.Run(name, func(t *testing.T) {
+			s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+				io.WriteString(c, head+body)
+				return name == "length"
+			})
+			b := testBackend(10)
+			b.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+				nc, err := (&net.Dialer{}).DialContext(ctx, network, address)
+				if err != nil {
+					return nil, err
+				}
+				return drippingConn{nc.(*net.TCPConn)}, nc.(*net.TCPConn).SetWriteBuffer(1)
+			}
+			a := testAttempt(b, s.addr())
+			a.call.body = []byte(long)
+			if r := run(t, b, a); r.ending != balancer.Success || string(r.body) != long {
+				t.Errorf("ending %d, a body of %d bytes, want %d", r.ending, len(r.body), len(long))
+			}
+		})
+	}
+}
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -127,17 +127,31 @@
 	leave  context.CancelFunc
 	addr   string
 	client *http.Client
+	dial   dialFunc
 	rev    int64 // the version held; -1: none, so the whole list is asked for
 }
 
 func newPlace(addr string, rev int64) *place {
-	p := &place{addr: addr, rev: rev,
-		client: &http.Client{Transport: &http.Transport{DisableCompression: true,
-			MaxConnsPerHost: agentConns, DialContext: (&net.Dialer{Timeout: agentDial}).DialContext}}}
+	p := &place{addr: addr, rev: rev, dial: (&net.Dialer{}).DialContext}
+	p.client = &http.Client{Transport: &http.Transport{DisableCompression: true,
+		MaxConnsPerHost: agentConns, DialContext: p.connect}}
 	p.ctx, p.leave = context.WithCancel(context.Background())
 	return p
 }
 
+// connect opens a connection to the agent within agentDial, be it dialled once or several times.
+func (p *place) connect(ctx context.Context, network, address string) (nc net.Conn, err error) {
+	ctx, cancel := context.WithTimeout(ctx, agentDial)
+	defer cancel()
+	end, _ := ctx.Deadline()
+	mayWait := func(wait time.Duration) bool { return time.Until(end) > wait }
+	_, err = retryLocalTrouble(ctx, mayWait, func() error {
+		nc, err = p.dial(ctx, network, address)
+		return err
+	})
+	return nc, err
+}
+
 func newDiscovery(cfg Config, rev int64, post func(event), log *slog.Logger) *discovery {
 	d := &discovery{post: post, log: log, at: newPlace(cfg.Discovery, rev), wanted: make(chan struct{}, 1),
 		hold: askHold, grace: askGrace, first: firstWait, after: time.After}
@@ -244,16 +258,22 @@
 		}
 		for ctx.Err() == nil {
 			p := d.place()
-			if _, err := d.watch(ctx, p, false); err != nil && p.ctx.Err() == nil {
-				if ctx.Err() == nil {
-					d.log.Warn("the subscription failed", "error", err)
-					d.post(listFailed{})
-				}
-				select {
-				case <-ctx.Done():
-				case <-p.ctx.Done():
-				case <-d.after(probeInterval):
-				}
+			_, err := d.watch(ctx, p, false)
+			if err == nil || p.ctx.Err() != nil {
+				continue
+			}
+			// The call of a node that could not dial never came to discovery: the module need not wait.
+			failed := !isLocalTrouble(err)
+			if failed && ctx.Err() == nil {
+				d.log.Warn("the subscription failed", "error", err)
+				d.post(listFailed{})
+			}
+			select {
+			case <-ctx.Done():
+			case <-p.ctx.Done():
+			case <-d.after(probeInterval):
+			}
+			if failed {
 				break
 			}
 		}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -344,7 +344,7 @@
 		l.answer(p, answer{kind: served, body: r.body, header: r.contentType})
 	}
 	l.handle(r.at, balancer.Outcome{ID: a.call.id, Attempt: a.n, Server: a.to.server, Ending: r.ending,
-		Latency: r.at - a.sent, Ended: p.answered})
+		Latency: r.at - a.sent, Ended: p.answered, HeldUp: a.heldUp})
 	if p.departed != present {
 		l.answerUnlessBegun(p)
 	}
