--- a/internal/node/dial_test.go
+++ b/internal/node/dial_test.go
@@ -76,6 +76,14 @@
 		{"local until it must not begin", local, 1e6, func(b *backend, a *attempt) { a.before = b.clock.now() + 150*time.Millisecond }, balancer.Void, true},
 		{"local until its server is gone", local, 1e6, func(b *backend, a *attempt) { b.servers(nil, true) }, balancer.Void, true},
 		{"local until it is called off", local, 1e6, func(b *backend, a *attempt) { a.cancel() }, balancer.Void, true},
+		{"local until a connection is idle", local, 1e6, func(b *backend, a *attempt) {
+			nc, err := net.Dial("tcp", a.to.endpoint)
+			if err != nil {
+				t.Error(err)
+				return
+			}
+			b.adopt(nc, a.to)
+		}, balancer.Success, true},
 		{"refused", refused, 1e6, nil, balancer.Unreachable, false},
 		{"no way to the host", dialError("connect", syscall.EHOSTUNREACH), 1e6, nil, balancer.Unreachable, false},
 		{"timed out", dialError("connect", syscall.ETIMEDOUT), 1e6, nil, balancer.Unreachable, false},
--- /dev/null
+++ b/internal/node/trouble_test.go
@@ -0,0 +1,210 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// answerSlack is how long after its time a request must have its final answer.
+const answerSlack = 500 * time.Millisecond
+
+// troubleDeadline is the time of each request.
+const troubleDeadline = 400 * time.Millisecond
+
+// watchStalls adds up, until the test ends, by how much this machine holds the test's process up: by how much
+// timers that are due are late. What the machine takes from the node is no fault of the node's.
+func watchStalls(t *testing.T) (sum func() time.Duration) {
+	const step, usual = 5 * time.Millisecond, 10 * time.Millisecond
+	var total atomic.Int64
+	ctx, stop := context.WithCancel(context.Background())
+	t.Cleanup(stop)
+	go func() {
+		for ctx.Err() == nil {
+			begin := time.Now()
+			time.Sleep(step)
+			if late := time.Since(begin) - step; late > usual {
+				total.Add(int64(late))
+			}
+		}
+	}()
+	return func() time.Duration { return time.Duration(total.Load()) }
+}
+
+// trouble is what a node of TestTroubleFreesNoRequestOfItsAnswer meets.
+type trouble struct {
+	name      string
+	servers   func(*testing.T) []string // endpoints
+	discovery string                    // "refused" or "silent", with no list from before; "": the list from before will do
+	crowd     int                       // connections of other clients that say nothing or half a request
+	dial      error                     // what each dial of the node's fails with
+}
+
+func silentServer(t *testing.T) []string {
+	return []string{newServer(t, func(c net.Conn, _ *http.Request, _ string) bool {
+		io.Copy(io.Discard, c)
+		return false
+	}).addr()}
+}
+
+func resettingServer(t *testing.T) []string {
+	return []string{newServer(t, func(c net.Conn, _ *http.Request, _ string) bool {
+		c.(*net.TCPConn).SetLinger(0)
+		return false
+	}).addr()}
+}
+
+// endlessServer begins an answer without a length, and never ends it.
+func endlessServer(t *testing.T) []string {
+	return []string{newServer(t, func(c net.Conn, _ *http.Request, _ string) bool {
+		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nhal")
+		io.Copy(io.Discard, c)
+		return false
+	}).addr()}
+}
+
+func badServers(t *testing.T) (all []string) {
+	for _, some := range []func(*testing.T) []string{silentServer, resettingServer, endlessServer} {
+		all = append(all, some(t)...)
+	}
+	return append(all, closedPort(t), neverUp(t))
+}
+
+// Trouble at servers, at discovery or with other clients frees no request of its final answer: whatever its
+// status, it is there half a second after the request's time at the latest.
+func TestTroubleFreesNoRequestOfItsAnswer(t *testing.T) {
+	none := func(*testing.T) []string { return nil }
+	for _, c := range []trouble{
+		{name: "servers gone", servers: func(t *testing.T) []string { return []string{closedPort(t), closedPort(t)} }},
+		{name: "servers hung", servers: silentServer},
+		{name: "servers that never accept", servers: func(t *testing.T) []string { return []string{neverUp(t)} }},
+		{name: "servers that reset", servers: resettingServer},
+		{name: "answers without end", servers: endlessServer},
+		{name: "an empty list", servers: none},
+		{name: "discovery refuses", servers: none, discovery: "refused"},
+		{name: "discovery is silent", servers: none, discovery: "silent"},
+		{name: "no dial succeeds", servers: silentServer, dial: dialError("socket", syscall.EMFILE)},
+		{name: "descriptors full", servers: silentServer, crowd: 100},
+		{name: "discovery is silent, descriptors full", servers: none, discovery: "silent", crowd: 100},
+		{name: "all at once", servers: badServers, discovery: "refused", crowd: 100},
+		{name: "all at once, and no dial succeeds", servers: badServers, crowd: 100, dial: dialError("connect", syscall.ENETUNREACH)},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
+			c.play(t)
+		})
+	}
+}
+
+func (c trouble) play(t *testing.T) {
+	n := c.startNode(t)
+	stalled := watchStalls(t)
+	ended := make(chan error, 6)
+	for i := range cap(ended) {
+		good, answered := dial(t, n), make(chan struct{})
+		go func() {
+			ended <- ask(good, fmt.Sprint("good-", i), stalled)
+			close(answered)
+		}()
+		if c.crowd > 0 {
+			untilTaken(t, n, good, answered)
+		}
+	}
+	for i := range c.crowd {
+		bad := dial(t, n)
+		io.WriteString(bad, []string{"", "GET /view/k HTTP/1.1\r\nX-"}[i%2])
+	}
+	for range cap(ended) {
+		if err := wait(t, ended, "a final answer"); err != nil {
+			t.Error(err)
+		}
+	}
+	if c.crowd > 0 { // new connections may be shut unread then
+		until(t, "an answer on a new connection", func() bool {
+			err := ask(dial(t, n), "late", stalled)
+			if errors.Is(err, errLateAnswer) {
+				t.Error(err)
+			}
+			return err == nil
+		})
+	}
+}
+
+// untilTaken waits until the node has read a caller's request, or has answered it.
+func untilTaken(t *testing.T, n *Node, c *caller, answered <-chan struct{}) {
+	t.Helper()
+	until(t, "the request to be read", func() bool {
+		select {
+		case <-answered:
+			return true
+		default:
+		}
+		n.frontend.callers.mu.Lock()
+		defer n.frontend.callers.mu.Unlock()
+		for conn := range n.frontend.callers.conns {
+			if conn.RemoteAddr().String() == c.LocalAddr().String() {
+				return conn.phase == open
+			}
+		}
+		return false
+	})
+}
+
+var errLateAnswer = errors.New("the final answer comes late")
+
+// ask sends one request, and says what is wrong with how it is answered.
+func ask(c *caller, id string, stalled func() time.Duration) error {
+	begin, before := time.Now(), stalled()
+	if id[len(id)-1]%2 == 0 {
+		c.send("POST", "/note/k", id, "", fmt.Sprint(troubleDeadline.Seconds()))
+	} else {
+		c.send("GET", "/view/k", id, "", fmt.Sprint(troubleDeadline.Seconds()))
+	}
+	r, err := http.ReadResponse(c.br, nil)
+	if err == nil {
+		_, err = io.Copy(io.Discard, r.Body)
+	}
+	if err != nil {
+		return fmt.Errorf("%s: no answer: %w", id, err)
+	}
+	if took, held := time.Since(begin), stalled()-before; took > troubleDeadline+answerSlack+held {
+		return fmt.Errorf("%s: %w: %d after %v, with %v held up by the machine", id, errLateAnswer, r.StatusCode, took, held)
+	}
+	return nil
+}
+
+// startNode starts a node in that trouble.
+func (c trouble) startNode(t *testing.T) *Node {
+	var entries []string
+	for i, endpoint := range c.servers(t) {
+		entries = append(entries, entry(fmt.Sprint("s", i), endpoint, "in_service"))
+	}
+	cfg := testConfig(whole(entries...))
+	cfg.Sockets = leastSockets
+	for i := range cfg.Settings.Classes {
+		cfg.Settings.Classes[i].Deadline, cfg.Settings.Classes[i].Aim = troubleDeadline, troubleDeadline/2
+	}
+	first := time.Duration(0)
+	switch c.discovery {
+	case "refused":
+		cfg.Discovery = closedPort(t)
+	case "silent":
+		ag := newAgent(t)
+		ag.tell(true, "")
+		cfg.Discovery, first = ag.Addr().String(), firstWait
+	}
+	n, _ := startNode(t, cfg, func(n *Node) {
+		n.discovery.first = first
+		if c.dial != nil {
+			n.backend.dial = func(context.Context, string, string) (net.Conn, error) { return nil, c.dial }
+		}
+	})
+	return n
+}
