--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -49,7 +49,7 @@
 // one has left, must not be met over its predecessor's connections.
 type host struct {
 	server, endpoint string
-	boot             time.Duration
+	bootMS           float64
 }
 
 // result is how an attempt ended.
--- /dev/null
+++ b/internal/node/boottime_test.go
@@ -0,0 +1,300 @@
+package node
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"balancer"
+)
+
+// machine is the clocks of a machine: time goes by on both, and the wall clock can be set.
+type machine struct{ elapsed, unix time.Duration }
+
+func newMachine() *machine { return &machine{unix: 1_800_000_000 * time.Second} }
+
+func (m *machine) clock() clock {
+	return clock{elapsed: func() time.Duration { return m.elapsed }, unix: func() time.Duration { return m.unix }}
+}
+
+func (m *machine) pass(d time.Duration) { m.elapsed, m.unix = m.elapsed+d, m.unix+d }
+
+// bootMS is the wall clock as a server that starts now reports it.
+func (m *machine) bootMS() int64 { return m.unix.Milliseconds() }
+
+// bootLoop is the loop of a node with these clocks, which has heard no list yet.
+func bootLoop(t testing.TB, m *machine, push bool) *loop {
+	t.Helper()
+	cfg := testConfig("")
+	cfg.Settings.ColdFrom, cfg.Settings.WarmAfter = 0.12, 24*time.Second
+	cfg.Settings.FallMultiple, cfg.Settings.FallFor = 2, time.Second
+	b, err := balancer.New(cfg.Settings, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	l := newLoop(b, m.clock(), testLog())
+	l.rules.Store(newRules(1, cfg.Settings))
+	l.servers, l.subscribe, l.push = func([]target, bool) {}, func() {}, push
+	return l
+}
+
+// bootEntry is a server in service that reports a start.
+func bootEntry(uid string, bootMS int64) string {
+	return strings.Replace(entry(uid, "127.0.0.1:1", "in_service"), `"boot_ms":0`, fmt.Sprintf(`"boot_ms":%d`, bootMS), 1)
+}
+
+func bootList(t testing.TB, full bool, entries ...string) list {
+	t.Helper()
+	l, err := parseList([]byte(fmt.Sprintf(`{"rev":9,"all":%v,"targets":[%s]}`, full, strings.Join(entries, ","))))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return l
+}
+
+// untouched is a server that never restarts.
+var untouched = entry("other", "127.0.0.1:2", "in_service")
+
+// steps of the wall clock, and there and back.
+var steps = [][]time.Duration{{0}, {time.Second}, {-time.Second}, {time.Minute}, {-time.Minute}, {time.Hour},
+	{-time.Hour}, {time.Hour, -time.Hour}, {-time.Hour, time.Hour}, {-time.Minute, time.Minute, time.Hour}}
+
+// A server's start is known in the node's own time, however the wall clock is set before it, between it and the
+// list that tells of it, or after that, and the same list again changes nothing.
+func TestStartsAreKnownThoughTheClockIsSet(t *testing.T) {
+	const late = 500 * time.Millisecond // from the start to the list that tells of it
+	for _, moment := range []string{"before the start", "before the list", "after the list"} {
+		for _, full := range []bool{true, false} {
+			for _, push := range []bool{true, false} {
+				for _, steps := range steps {
+					m := newMachine()
+					l := bootLoop(t, m, push)
+					set := func(when string) {
+						for _, d := range steps {
+							if when == moment {
+								m.unix += d
+							}
+							m.pass(10 * time.Millisecond)
+						}
+					}
+					l.take(listNews{bootList(t, true, untouched, bootEntry("s", m.bootMS()-1e6))})
+					m.pass(10 * time.Second)
+					set("before the start")
+					started, news := l.clock.now(), []string{bootEntry("s", m.bootMS())}
+					if full {
+						news = append(news, untouched)
+					}
+					set("before the list")
+					m.pass(late)
+					l.take(listNews{bootList(t, full, news...)})
+					name := fmt.Sprintf("set by %v %s; pushed: %v; full list: %v", steps, moment, push, full)
+					if got := l.listed["s"].Boot; got != started {
+						t.Errorf("%s: started at %v, taken for %v", name, started, got)
+					}
+					for range 3 {
+						set("after the list")
+						m.pass(time.Second)
+						l.take(listNews{bootList(t, full, news...)})
+						if got := l.listed["s"].Boot; got != started {
+							t.Errorf("%s: started at %v, taken for %v when it is told again", name, started, got)
+						}
+					}
+				}
+			}
+		}
+	}
+}
+
+// Where what was seen of the clocks leaves the start open, the node goes by what it knows, and else by the
+// youngest that the server can be.
+func TestStartsThatAreInDoubtAreTakenForLate(t *testing.T) {
+	hour := time.Hour.Milliseconds()
+	for _, c := range []struct {
+		name string
+		do   func(m *machine, l *loop) // s1 starts in it or before
+		want time.Duration             // after the process's start; negative: long before
+	}{
+		{"in the future", func(m *machine, l *loop) {
+			m.pass(2 * time.Second)
+			l.take(listNews{bootList(t, true, bootEntry("s1", m.bootMS()+hour))})
+		}, 2 * time.Second},
+		{"beyond all times", func(m *machine, l *loop) {
+			m.pass(2 * time.Second)
+			l.take(listNews{bootList(t, true, bootEntry("s1", 1e13))})
+		}, 2 * time.Second},
+		{"a moment in the future is now, though another offset makes it an hour ago", func(m *machine, l *loop) {
+			m.unix -= time.Hour
+			m.pass(2 * time.Second)
+			l.take(listNews{bootList(t, true, bootEntry("s1", m.bootMS()+50))})
+		}, 2 * time.Second},
+		{"before the process, and before the clock was set back", func(m *machine, l *loop) {
+			boot := m.bootMS() - 20_000
+			m.unix -= time.Hour
+			m.pass(2 * time.Second)
+			l.take(listNews{bootList(t, true, bootEntry("s1", boot))})
+		}, -20 * time.Second},
+		{"either of two times, as the clock was set back by less than its age", func(m *machine, l *loop) {
+			boot := m.bootMS() - 20_000
+			m.unix -= 5 * time.Second
+			m.pass(2 * time.Second)
+			l.take(listNews{bootList(t, true, bootEntry("s1", boot))})
+		}, -15 * time.Second},
+		{"in the list that the node last had", func(m *machine, l *loop) {
+			l.known = bootList(t, true, bootEntry("s1", m.bootMS()-3000))
+			l.take(discoverySilent{})
+			m.unix += time.Hour
+			m.pass(2 * time.Second)
+			l.take(listNews{bootList(t, true, bootEntry("s1", m.bootMS()-3000-2000-hour))})
+		}, -3 * time.Second},
+		{"before the process, whose clock was off at its start", func(m *machine, l *loop) {
+			boot := m.bootMS() - 3000
+			m.unix += time.Hour // it is right from now on
+			m.pass(2 * time.Second)
+			l.take(listNews{bootList(t, true, bootEntry("s1", boot+hour))})
+		}, -3 * time.Second},
+		{"since the list before, under a clock that the node never saw", func(m *machine, l *loop) {
+			l.take(listNews{bootList(t, true, bootEntry("s1", 0))})
+			m.pass(time.Second)
+			l.take(listNews{bootList(t, false, bootEntry("s2", 0))})
+			m.pass(time.Second)
+			l.take(listNews{bootList(t, false, bootEntry("s1", m.bootMS()-hour))})
+		}, time.Second},
+		{"since a watch told that nothing had changed", func(m *machine, l *loop) {
+			l.take(listNews{bootList(t, true, bootEntry("s1", 0))})
+			m.pass(time.Second)
+			l.take(listConfirmed{})
+			m.pass(time.Second)
+			l.take(listNews{bootList(t, false, bootEntry("s1", m.bootMS()-hour))})
+		}, time.Second},
+		{"new in the list: it may have run all the while", func(m *machine, l *loop) {
+			l.take(listNews{bootList(t, true, bootEntry("s2", 0))})
+			m.pass(2 * time.Second)
+			l.take(listNews{bootList(t, false, bootEntry("s1", m.bootMS()-10_000))})
+		}, -8 * time.Second},
+		{"since the list that the node last had, which may be old", func(m *machine, l *loop) {
+			l.known = bootList(t, true, bootEntry("s1", 0))
+			l.take(discoverySilent{})
+			m.pass(2 * time.Second)
+			l.take(listNews{bootList(t, true, bootEntry("s1", m.bootMS()-10_000))})
+		}, -8 * time.Second},
+	} {
+		m := newMachine()
+		l := bootLoop(t, m, true)
+		c.do(m, l)
+		if got := l.listed["s1"].Boot - processStart; got != c.want {
+			t.Errorf("%s: taken to have started at %v, want %v", c.name, got, c.want)
+		}
+	}
+}
+
+// Two starts of a server are two to the module, also when both can only be said to be of this moment: it has
+// to forget what it learned of the first.
+func TestEachStartHasATimeOfItsOwn(t *testing.T) {
+	m := newMachine()
+	l := bootLoop(t, m, true)
+	seen := map[time.Duration]bool{}
+	for i := range int64(4) {
+		l.take(listNews{bootList(t, true, bootEntry("s", m.bootMS()+1e6*(i+1)))})
+		seen[l.listed["s"].Boot] = true
+	}
+	if len(seen) != 4 {
+		t.Errorf("four starts have %d times", len(seen))
+	}
+}
+
+// Offsets that were seen are bounded, however often the clock is set, and slewing it is no step.
+func TestOffsetsAreBounded(t *testing.T) {
+	m := newMachine()
+	b := newBootClock(m.clock())
+	for range 1000 {
+		m.pass(time.Second)
+		m.unix += offsetTolerance / 2
+		b.observe()
+	}
+	if len(b.offsets) != 1 {
+		t.Errorf("a clock that is slewed has %d offsets", len(b.offsets))
+	}
+	for i := range 1000 {
+		m.unix += time.Duration(i) * time.Second
+		b.observe()
+	}
+	if len(b.offsets) != maxOffsets {
+		t.Errorf("%d offsets are kept, want %d", len(b.offsets), maxOffsets)
+	}
+}
+
+// timedEnd is when an attempt ends.
+type timedEnd struct {
+	at      time.Duration
+	attempt *attempt
+}
+
+// traffic drives a loop by the clocks of its machine: a request every 5 ms, each served after 4 ms.
+type traffic struct {
+	loop *loop
+	m    *machine
+	ends []timedEnd
+	sent int
+}
+
+func newTraffic(l *loop, m *machine) *traffic {
+	d := &traffic{loop: l, m: m}
+	l.start = func(a *attempt) {
+		d.ends = append(d.ends, timedEnd{l.clock.now() + 4*time.Millisecond, a})
+		d.sent++
+	}
+	return d
+}
+
+// run counts the requests that are sent in each of some seconds.
+func (d *traffic) run(seconds int) (counts []int) {
+	for range seconds {
+		d.sent = 0
+		for range 200 {
+			d.step()
+		}
+		counts = append(counts, d.sent)
+	}
+	return counts
+}
+
+func (d *traffic) step() {
+	now := d.loop.clock.now()
+	for len(d.ends) > 0 && d.ends[0].at <= now {
+		end := d.ends[0]
+		d.ends = d.ends[1:]
+		d.loop.take(ended{end.attempt, result{ending: balancer.Success, at: now}})
+	}
+	d.loop.ring()
+	d.loop.take(arrived{&call{id: fmt.Sprint(now), class: "view", at: now, deadline: now + time.Second, revision: 1,
+		answer: make(chan answer, 1)}})
+	d.m.pass(5 * time.Millisecond)
+}
+
+// A server that restarts in a running node's list is warmed up alike, whatever the wall clock does meanwhile.
+func TestRestartedServerIsWarmedUpWhateverTheClockSays(t *testing.T) {
+	restart := func(before, after time.Duration) []int {
+		m := newMachine()
+		l := bootLoop(t, m, true)
+		l.take(listNews{bootList(t, true, bootEntry("s", 0))})
+		d := newTraffic(l, m)
+		d.run(5)
+		m.unix += before
+		news := bootList(t, true, bootEntry("s", m.bootMS()))
+		m.unix += after
+		l.take(listNews{news})
+		return d.run(8)
+	}
+	want := restart(0, 0)
+	t.Logf("requests in each second of the restarted server, clock not set: %v", want)
+	for _, d := range []time.Duration{time.Second, -time.Second, time.Minute, -time.Minute, time.Hour, -time.Hour} {
+		if got := restart(d, 0); !slices.Equal(got, want) {
+			t.Errorf("clock set by %v before the start: %v", d, got)
+		}
+		if got := restart(0, d); !slices.Equal(got, want) {
+			t.Errorf("clock set by %v after the start: %v", d, got)
+		}
+	}
+}
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -51,13 +51,14 @@
 	targets []target
 }
 
-// target is an entry of a list: the module's view of a server, and where it listens.
+// target is an entry of a list: the module's view of a server, where it listens, and when it last started.
 type target struct {
-	balancer.Server
-	endpoint string
+	balancer.Server // its Boot is set by the loop
+	endpoint        string
+	bootMS          float64 // as listed: Unix time in milliseconds; 0: long ago
 }
 
-func (t target) host() host { return host{t.ID, t.endpoint, t.Boot} }
+func (t target) host() host { return host{t.ID, t.endpoint, t.bootMS} }
 
 var states = map[string]balancer.ServerState{
 	"in_service": balancer.Ready, "terminating": balancer.Draining, "terminated": balancer.Gone,
@@ -101,8 +102,8 @@
 			return list{}, fmt.Errorf("list: targets[%d]: capacity_hint, boot_ms or pod_group is out of range", i)
 		}
 		seen[t.UID] = true
-		l.targets = append(l.targets, target{endpoint: t.Endpoint, Server: balancer.Server{ID: t.UID,
-			Zone: t.Zone, Cell: int(t.Cell), State: state, Size: t.Size, Boot: millis(t.Boot)}})
+		l.targets = append(l.targets, target{endpoint: t.Endpoint, bootMS: t.Boot, Server: balancer.Server{ID: t.UID,
+			Zone: t.Zone, Cell: int(t.Cell), State: state, Size: t.Size}})
 	}
 	return l, nil
 }
@@ -322,12 +323,18 @@
 	}
 	p.rev = l.rev
 	if !l.full && len(l.targets) == 0 {
-		return nil // a hold that ended without news
+		d.postFrom(p, listConfirmed{}) // a hold that ended without news
+		return nil
 	}
+	d.postFrom(p, listNews{list: l})
+	return nil
+}
+
+// postFrom posts what a place told, unless the watch has moved elsewhere.
+func (d *discovery) postFrom(p *place, e event) {
 	if p.ctx.Err() == nil {
-		d.post(listNews{list: l})
+		d.post(e)
 	}
-	return nil
 }
 
 // sleep waits for a while or until ctx ends.
--- a/internal/node/edge_test.go
+++ b/internal/node/edge_test.go
@@ -5,7 +5,6 @@
 	"io"
 	"net"
 	"testing"
-	"time"
 
 	"balancer"
 )
@@ -49,7 +48,7 @@
 // What happens while a connection comes up is heeded at the first byte.
 func TestNothingIsBegunThatBecamePointlessWhileTheConnectionCameUp(t *testing.T) {
 	now := func(b *backend, h host, change func(*target)) {
-		e := target{Server: balancer.Server{ID: h.server, State: balancer.Ready, Boot: h.boot}, endpoint: h.endpoint}
+		e := target{Server: balancer.Server{ID: h.server, State: balancer.Ready}, endpoint: h.endpoint, bootMS: h.bootMS}
 		change(&e)
 		b.servers([]target{e}, false)
 	}
@@ -61,7 +60,7 @@
 		{"drains", func(b *backend, a *attempt) { now(b, a.to, func(e *target) { e.State = balancer.Draining }) }, balancer.Void},
 		{"gone", func(b *backend, a *attempt) { now(b, a.to, func(e *target) { e.State = balancer.Gone }) }, balancer.Void},
 		{"left out of a whole list", func(b *backend, a *attempt) { b.servers(nil, true) }, balancer.Void},
-		{"started anew", func(b *backend, a *attempt) { now(b, a.to, func(e *target) { e.Boot = time.Hour }) }, balancer.Void},
+		{"started anew", func(b *backend, a *attempt) { now(b, a.to, func(e *target) { e.bootMS = 1 }) }, balancer.Void},
 		{"moved", func(b *backend, a *attempt) { now(b, a.to, func(e *target) { e.endpoint = "127.0.0.1:2" }) }, balancer.Void},
 		{"its caller left", func(b *backend, a *attempt) { a.call.depart() }, balancer.Void},
 		{"called off", func(b *backend, a *attempt) { a.cancel() }, balancer.Withdrawn},
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -11,18 +11,23 @@
 	"balancer"
 )
 
-// clock tells Unix time, moved by the monotonic clock: it compares with boot_ms and never jumps.
+// processStart is the clock time of the process's start. Servers that started up to that long before it have
+// positive times, too.
+const processStart = 365 * 24 * time.Hour
+
+// clock tells the node's time, which is monotonic: setting the machine's clock does not move it.
 type clock struct {
-	start time.Time
-	base  time.Duration
+	elapsed func() time.Duration // monotonic time since the process's start
+	unix    func() time.Duration // Unix time by the machine's clock, which may be set at any moment
 }
 
 func newClock() clock {
-	now := time.Now()
-	return clock{start: now, base: time.Duration(now.UnixNano())}
+	start := time.Now()
+	return clock{elapsed: func() time.Duration { return time.Since(start) },
+		unix: func() time.Duration { return time.Duration(time.Now().UnixNano()) }}
 }
 
-func (c clock) now() time.Duration { return c.base + time.Since(c.start) }
+func (c clock) now() time.Duration { return processStart + c.elapsed() }
 
 // until is how long it is to a clock time.
 func (c clock) until(at time.Duration) time.Duration { return at - c.now() }
@@ -103,6 +108,7 @@
 		result  result
 	}
 	listNews        struct{ list list }
+	listConfirmed   struct{} // discovery has answered that nothing has changed
 	listFailed      struct{}
 	discoverySilent struct{} // discovery says nothing: the list that the node last had must do
 	newSettings     struct {
@@ -169,6 +175,7 @@
 	pending map[string]*pending
 	alarms  alarms
 	listed  map[string]target
+	boots   *bootClock
 	known   list        // as the node last had it; of use only if discovery says nothing
 	heard   bool        // the list is as new as it can be had
 	ready   atomic.Bool // a listed server may be sent to
@@ -177,7 +184,7 @@
 
 func newLoop(b *balancer.Balancer, c clock, log *slog.Logger) *loop {
 	return &loop{clock: c, balancer: b, sockets: func() []any { return nil }, events: make(chan event, 1024), log: log,
-		pending: map[string]*pending{}, listed: map[string]target{}}
+		pending: map[string]*pending{}, listed: map[string]target{}, boots: newBootClock(c)}
 }
 
 func (l *loop) post(e event) { l.events <- e }
@@ -266,6 +273,8 @@
 			l.useCachedList()
 		}
 		l.takeList(e.list, false)
+	case listConfirmed:
+		l.boots.confirm()
 	case listFailed:
 		l.handle(l.clock.now(), balancer.ListFailed{})
 	case discoverySilent:
@@ -379,6 +388,10 @@
 func (l *loop) takeList(news list, cached bool) {
 	l.heard = true
 	defer l.tellReady()
+	l.convertBoots(news.targets)
+	if !cached {
+		defer l.boots.confirm()
+	}
 	if !cached && l.push && l.holds(news) {
 		return
 	}
@@ -398,6 +411,16 @@
 	l.handle(l.clock.now(), e)
 }
 
+// convertBoots sets the clock time of each entry's start, as it was converted when its boot_ms was first seen.
+func (l *loop) convertBoots(targets []target) {
+	l.boots.observe()
+	for i := range targets {
+		t := &targets[i]
+		held, isHeld := l.listed[t.ID]
+		t.Boot = l.boots.started(t.bootMS, held, isHeld)
+	}
+}
+
 // tellReady notes whether callers may be sent here.
 func (l *loop) tellReady() {
 	ready := false
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -10,6 +10,7 @@
 	"net"
 	"net/http"
 	"os"
+	"reflect"
 	"strings"
 	"sync"
 	"testing"
@@ -592,7 +593,7 @@
 	c.want(t, 200, "for r")
 }
 
-// A watch that ends without news is no news: the module would take it for a change.
+// A watch that ends without news is no news, which the module would take for a change: it only confirms the list.
 func TestWatchWithoutNewsTellsNothing(t *testing.T) {
 	ag := newAgent(t)
 	events := make(chan event, 10)
@@ -601,15 +602,18 @@
 	d := newDiscovery(cfg, 1, func(e event) { events <- e }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for i, c := range []struct {
 		text string
-		want int
-	}{{`{"rev":%d,"all":false,"targets":[]}`, 0}, {whole(), 1},
-		{`{"rev":%d,"all":false,"targets":[` + entry("s1", "127.0.0.1:1", "in_service") + `]}`, 2}} {
+		want event
+	}{{`{"rev":%d,"all":false,"targets":[]}`, listConfirmed{}}, {whole(), listNews{}},
+		{`{"rev":%d,"all":false,"targets":[` + entry("s1", "127.0.0.1:1", "in_service") + `]}`, listNews{}}} {
 		ag.tell(false, c.text)
 		if _, err := d.watch(t.Context(), d.place(), false); err != nil {
 			t.Fatal(err)
 		}
-		if len(events) != c.want || d.place().rev != int64(ag.rev) {
-			t.Errorf("call %d: %d events at rev %d, want %d at %d", i, len(events), d.place().rev, c.want, ag.rev)
+		if len(events) != 1 || d.place().rev != int64(ag.rev) {
+			t.Fatalf("call %d: %d events at rev %d, want 1 at %d", i, len(events), d.place().rev, ag.rev)
+		}
+		if got, want := reflect.TypeOf(<-events), reflect.TypeOf(c.want); got != want {
+			t.Errorf("call %d: posted %v, want %v", i, got, want)
 		}
 	}
 }
