--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -540,24 +540,40 @@
 	return is || err != nil
 }
 
-// servers follows the list: idle connections to a server that left, drains or started anew are closed.
+// servers follows the list: idle connections to a server that left, drains or started anew are closed. Of a
+// list of changes, only the entries that it names are looked at.
 func (b *backend) servers(targets []target, full bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	named := map[string]bool{}
 	for _, t := range targets {
-		named[t.ID] = true
-		old, known := b.seen[t.ID]
+		b.follow(t)
+	}
+	if full {
+		b.dropUnnamed(targets)
+	}
+}
+
+// follow takes over one entry of the list. The caller holds mu.
+func (b *backend) follow(t target) {
+	old, known := b.seen[t.ID]
+	if known && (t.State != balancer.Ready || t.host() != old.host()) {
+		b.dropIdle(old.host())
+	}
+	if t.State == balancer.Gone {
+		delete(b.seen, t.ID)
+	} else {
 		b.seen[t.ID] = t
-		if known && (t.State != balancer.Ready || t.host() != old.host()) {
-			b.dropIdle(old.host())
-		}
-		if t.State == balancer.Gone {
-			delete(b.seen, t.ID)
-		}
+	}
+}
+
+// dropUnnamed forgets the servers that a complete list does not name. The caller holds mu.
+func (b *backend) dropUnnamed(targets []target) {
+	named := make(map[string]bool, len(targets))
+	for _, t := range targets {
+		named[t.ID] = true
 	}
 	for id, t := range b.seen {
-		if full && !named[id] {
+		if !named[id] {
 			b.dropIdle(t.host())
 			delete(b.seen, id)
 		}
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -2,20 +2,14 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
-	"io"
 	"log/slog"
-	"math"
 	"net"
 	"net/http"
-	"net/netip"
 	"net/url"
 	"strconv"
 	"sync"
 	"time"
-
-	"balancer"
 )
 
 // Times of a watch. The worst that they make of a call that was lost comes to less than toldLatest: from the
@@ -38,76 +32,12 @@
 	probeInterval = 100 * time.Millisecond // from a failure that came at once to the next call
 	firstWait     = time.Second            // that a new process waits for the list before it counts as ready
 	toldLatest    = 6 * time.Second        // after which a change counts as told, heard or not
-	maxList       = 4 << 20
+	maxList       = 4 << 20                // bytes of a list; one of 3,200 servers that is indented has about 1 MB
 	// A connection that never comes up holds its place among those to the agent until its dial is given up.
 	agentDial  = 2 * probeWait
 	agentConns = 8
 )
 
-// list is discovery's news: the whole list, or the entries that changed.
-type list struct {
-	rev     int64
-	full    bool
-	targets []target
-}
-
-// target is an entry of a list: the module's view of a server, where it listens, and when it last started.
-type target struct {
-	balancer.Server // its Boot is set by the loop
-	endpoint        string
-	bootMS          float64 // as listed: Unix time in milliseconds; 0: long ago
-}
-
-func (t target) host() host { return host{t.ID, t.endpoint, t.bootMS} }
-
-var states = map[string]balancer.ServerState{
-	"in_service": balancer.Ready, "terminating": balancer.Draining, "terminated": balancer.Gone,
-}
-
-// parseList reads a list. A malformed one is dropped whole: half a list would look like the rest
-// had gone.
-func parseList(text []byte) (list, error) {
-	var f struct {
-		Rev     *int64 `json:"rev"`
-		All     *bool  `json:"all"`
-		Targets []struct {
-			UID      string  `json:"uid"`
-			Endpoint string  `json:"endpoint"`
-			Zone     string  `json:"az"`
-			Cell     float64 `json:"pod_group"`
-			State    string  `json:"state"`
-			Size     float64 `json:"capacity_hint"`
-			Boot     float64 `json:"boot_ms"`
-		} `json:"targets"`
-	}
-	if err := json.Unmarshal(text, &f); err != nil {
-		return list{}, fmt.Errorf("list: %w", err)
-	}
-	if f.Rev == nil || f.All == nil {
-		return list{}, fmt.Errorf("list: rev or all is missing")
-	}
-	l := list{rev: *f.Rev, full: *f.All}
-	seen := map[string]bool{}
-	for i, t := range f.Targets {
-		state, ok := states[t.State]
-		_, err := netip.ParseAddrPort(t.Endpoint)
-		switch {
-		case t.UID == "" || seen[t.UID]:
-			return list{}, fmt.Errorf("list: targets[%d]: uid %q is empty or comes twice", i, t.UID)
-		case !ok:
-			return list{}, fmt.Errorf("list: targets[%d]: unknown state %q", i, t.State)
-		case err != nil && state != balancer.Gone:
-			return list{}, fmt.Errorf("list: targets[%d]: %w", i, err)
-		case !(t.Size >= 0 && t.Size <= 1e12) || !(t.Boot >= 0 && t.Boot <= 1e13) || !(math.Abs(t.Cell) <= 1e9):
-			return list{}, fmt.Errorf("list: targets[%d]: capacity_hint, boot_ms or pod_group is out of range", i)
-		}
-		seen[t.UID] = true
-		l.targets = append(l.targets, target{endpoint: t.Endpoint, bootMS: t.Boot, Server: balancer.Server{ID: t.UID,
-			Zone: t.Zone, Cell: int(t.Cell), State: state, Size: t.Size}})
-	}
-	return l, nil
-}
-
 // discovery follows the list of servers and posts its changes.
 type discovery struct {
 	post   func(event)
@@ -309,11 +239,11 @@
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("watch: status %d", resp.StatusCode)
 	}
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxList))
-	if err != nil {
-		return fmt.Errorf("watch: %w", err)
+	body := newListBody(resp.Body)
+	l, err := readList(body)
+	if body.err != nil {
+		return fmt.Errorf("watch: %w", body.err)
 	}
-	l, err := parseList(text)
 	if err == nil && !l.full && l.rev < p.rev {
 		err = fmt.Errorf("list: rev %d comes after %d", l.rev, p.rev)
 	}
--- /dev/null
+++ b/internal/node/listparser_test.go
@@ -0,0 +1,268 @@
+package node
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"reflect"
+	"runtime"
+	"strings"
+	"testing"
+
+	"balancer"
+)
+
+// unmarshalList reads a list with json.Unmarshal, as the parser is to read it.
+func unmarshalList(text []byte) (list, error) {
+	var f struct {
+		Rev     *int64      `json:"rev"`
+		All     *bool       `json:"all"`
+		Targets []listEntry `json:"targets"`
+	}
+	if err := json.Unmarshal(text, &f); err != nil {
+		return list{}, err
+	}
+	if f.Rev == nil || f.All == nil {
+		return list{}, errors.New("rev or all is missing")
+	}
+	l := list{rev: *f.Rev, full: *f.All}
+	seen := map[string]bool{}
+	for _, e := range f.Targets {
+		t, err := e.target()
+		if err != nil || seen[t.ID] {
+			return list{}, fmt.Errorf("uid %q: %w", t.ID, err)
+		}
+		seen[t.ID] = true
+		l.targets = append(l.targets, t)
+	}
+	return l, nil
+}
+
+// A list is read as json.Unmarshal reads it, and dropped where that fails: in any form, cut at any byte, with any
+// byte another one.
+func TestListsAreReadAsUnmarshalReadsThem(t *testing.T) {
+	s1, s2 := bootEntry("s1", 1.8e12), entry("s2", "[::1]:80", "terminating")
+	gone := `{"uid":"s3","state":"terminated"}`
+	good := []string{
+		`{"rev":3,"all":true,"targets":[]}`, `{"rev":3,"all":false,"targets":null}`, `{"all":false,"rev":-3}`,
+		`{"targets":[` + s1 + `,` + s2 + `],"all":true,"rev":3}`,
+		` { "REV" : 3 , "All":true, "tarGets" : [ ` + s1 + ` , ` + gone + `] } ` + "\n",
+		`{"rev":3,"all":true,"more":{"a":[1,{"b":null}],"rev":4},"x":"}]","targets":[` + gone + `]}`,
+		`{"rev":3,"rev":4,"all":false,"all":true}`, `{"\u0072ev":3,"all":true,"targets":[]}`,
+		`{"rev":3,"all":true,"targets":[{"UID":"s1","State":"in_service","endpoint":"1.2.3.4:5","weight":{"a":[]}}]}`,
+	}
+	bad := []string{"", "null", "[]", "3", `"rev"`, `{"rev":null,"all":true}`, `{"rev":3,"all":null}`, `{"rev":"3","all":true}`,
+		`{"rev":3.5,"all":true}`, `{"rev":3,"all":1}`, `{"rev":3,"all":true,"targets":{}}`, `{"rev":3,"all":true,"targets":3}`,
+		`{"rev":3,"all":true,"targets":[null]}`, `{"rev":3,"all":true,"targets":[[]]}`, `{"rev":3,"all":true,"targets":["s1"]}`,
+		`{"rev":3,"all":true,"targets":[` + s1 + `,` + s1 + `]}`, `{"rev":3,"all":true,"targets":[` + s1 + `,]}`,
+		`{"rev":3,"all":true,"targets":[` + s1 + ` ` + s2 + `]}`, `{"rev":3,"all":true,"targets":[` + s1 + `}}`,
+		`{"rev":3,"all":true,}`, `{"rev":3,"all":true}{}`, `{"rev":3,"all":true}x`, `{"rev":3,"all":true},`, `{"rev" 3,"all":true}`,
+		`{"rev":3 "all":true}`, `{"rev":99999999999999999999,"all":true}`, `{"rev":3,"all":true,"targets":[{"uid":3}]}`}
+	same := func(text []byte) error {
+		want, wantErr := unmarshalList(text)
+		got, err := parseList(text)
+		if (err == nil) != (wantErr == nil) || !reflect.DeepEqual(got, want) {
+			t.Errorf("%s\ngot  %v, %v\nwant %v, %v", text, got, err, want, wantErr)
+		}
+		return err
+	}
+	for _, text := range bad {
+		if same([]byte(text)) == nil {
+			t.Errorf("%s is taken", text)
+		}
+	}
+	for _, text := range good {
+		if err := same([]byte(text)); err != nil {
+			t.Errorf("%s: %v", text, err)
+		}
+		for i := range text {
+			same([]byte(text[:i]))
+			same([]byte(text[:i] + text[i+1:]))
+			for _, other := range []byte(" \x00{}[],:\"\\0ne\xff") {
+				changed := []byte(text)
+				changed[i] = other
+				same(changed)
+			}
+		}
+	}
+}
+
+// manyServers is a complete list of servers, each with the same note beside what a node reads.
+func manyServers(servers int, note string, indented bool) string {
+	entries := make([]string, servers)
+	for i := range entries {
+		entries[i] = fmt.Sprintf(`{"uid":"s-%08x","endpoint":"10.1.%d.%d:7070","az":"zone-a","model":"m2","note":%q,`+
+			`"pod_group":3,"state":"in_service","capacity_hint":1.0,"boot_ms":1800000000000}`, i, i/256, i%256, note)
+	}
+	text := strings.Replace(whole(entries...), "%d", "7", 1)
+	if indented {
+		var b bytes.Buffer
+		json.Indent(&b, []byte(text), "", "        ")
+		text = b.String()
+	}
+	return text
+}
+
+// Lists of the largest fleet are taken, indented or not; beyond the bound they are dropped.
+func TestListsOfTheLargestFleetFit(t *testing.T) {
+	for _, c := range []struct {
+		name, text string
+		want       int
+	}{
+		{"compact", manyServers(3200, "", false), 3200},
+		{"indented", manyServers(3200, "", true), 3200},
+		{"of the most bytes", strings.Repeat(" ", maxList-len(manyServers(3200, "", false))) + manyServers(3200, "", false), 3200},
+		{"of a byte too many", manyServers(1, "", false) + strings.Repeat(" ", maxList+1-len(manyServers(1, "", false))), 0},
+		{"endless", manyServers(3200, strings.Repeat("x", 2000), false), 0},
+	} {
+		ag := newAgent(t)
+		ag.tell(false, c.text)
+		var got []target
+		cfg := testConfig("")
+		cfg.Discovery = ag.Addr().String()
+		d := newDiscovery(cfg, -1, func(e event) { got = e.(listNews).list.targets }, testLog())
+		if _, err := d.watch(t.Context(), d.place(), false); (err == nil) != (c.want > 0) || len(got) != c.want {
+			t.Errorf("%s: %d servers, %v, want %d", c.name, len(got), err, c.want)
+		}
+		if held := d.place().rev >= 0; held != (c.want > 0) {
+			t.Errorf("%s: rev %d is held", c.name, d.place().rev)
+		}
+	}
+}
+
+// An answer whose connection breaks tells nothing, so the watch goes on from the version that is held; after one
+// that came to its end and is malformed, the complete list is asked for.
+func TestOnlyAMalformedListHasTheCompleteOneAskedFor(t *testing.T) {
+	for _, c := range []struct {
+		name, answer string
+		want         int64
+	}{
+		{"broken", "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n" + `{"rev":8,"all":true,"targets":[`, 7},
+		{"broken after the list", "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n" + `{"rev":8,"all":true,"targets":[]}`, 7},
+		{"broken in a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20\r\n" + `{"rev":8,"all"`, 7},
+		{"cut", "HTTP/1.1 200 OK\r\nContent-Length: 31\r\n\r\n" + `{"rev":8,"all":true,"targets":[`, -1},
+	} {
+		agent := newServer(t, func(conn net.Conn, _ *http.Request, _ string) bool {
+			io.WriteString(conn, c.answer)
+			return false
+		})
+		cfg := testConfig("")
+		cfg.Discovery, cfg.Settings.AskDiscovery = agent.addr(), true
+		d := newDiscovery(cfg, 7, func(e event) { t.Errorf("%s: posted %v", c.name, e) }, testLog())
+		if _, err := d.watch(t.Context(), d.place(), false); err == nil || d.place().rev != c.want {
+			t.Errorf("%s: %v; rev %d is held, want %d", c.name, err, d.place().rev, c.want)
+		}
+	}
+}
+
+// The text of a list is not held beside its entries: what is allocated depends on what is kept of it.
+func TestListsAreReadWithoutACopyOfTheText(t *testing.T) {
+	const servers = 3200
+	text := manyServers(servers, strings.Repeat("x", 1000), false)
+	var before, after runtime.MemStats
+	runtime.ReadMemStats(&before)
+	l, err := readList(newListBody(strings.NewReader(text)))
+	runtime.ReadMemStats(&after)
+	if err != nil || len(l.targets) != servers {
+		t.Fatalf("%d servers, %v", len(l.targets), err)
+	}
+	if got := after.TotalAlloc - before.TotalAlloc; got > uint64(len(text)) {
+		t.Errorf("%d bytes were allocated for a list of %d", got, len(text))
+	}
+}
+
+// A node is ready while a server that it may send to is listed, however the lists came.
+func TestReadinessFollowsTheLists(t *testing.T) {
+	rng := rand.New(rand.NewPCG(1, 2))
+	l := bootLoop(t, newMachine(), true)
+	for i := range 500 {
+		full := rng.IntN(10) == 0
+		var entries []string
+		for s := range 3 {
+			state := []string{"in_service", "terminating", "terminated", ""}[rng.IntN(4)]
+			if state != "" && !(full && state == "terminated") {
+				entries = append(entries, entry(fmt.Sprint("s", s), "127.0.0.1:1", state))
+			}
+		}
+		l.take(listNews{bootList(t, full, entries...)})
+		want := false
+		for _, held := range l.listed {
+			want = want || held.State == balancer.Ready
+		}
+		if got := l.ready.Load(); got != want {
+			t.Fatalf("list %d: ready: %v, want %v with %v", i, got, want, l.listed)
+		}
+	}
+}
+
+// The list that a node last had is long, and of no use once a list was heard.
+func TestTheKnownListIsNotKept(t *testing.T) {
+	cfg := testConfig(whole(entry("s1", "127.0.0.1:1", "in_service")))
+	n, err := New(cfg, testLog())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer n.listener.Close()
+	n.Reload(cfg)
+	n.loop.take(listNews{bootList(t, true, entry("s2", "127.0.0.1:1", "in_service"))})
+	if n.cfg.Known != nil || n.loop.known.targets != nil {
+		t.Errorf("%s and %v are kept", n.cfg.Known, n.loop.known)
+	}
+}
+
+func BenchmarkReadList(b *testing.B) {
+	for _, indented := range []bool{false, true} {
+		text := manyServers(3200, "", indented)
+		b.Run(fmt.Sprintf("servers=3200,indented=%v", indented), func(b *testing.B) {
+			b.ReportAllocs()
+			for b.Loop() {
+				if _, err := readList(newListBody(strings.NewReader(text))); err != nil {
+					b.Fatal(err)
+				}
+			}
+		})
+	}
+}
+
+// BenchmarkListChange is the node's own part of a change of one entry.
+func BenchmarkListChange(b *testing.B) {
+	for _, servers := range []int{100, 1600, 3200} {
+		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
+			l, back := bootLoop(b, newMachine(), true), testBackend(10)
+			all := parsed(b, manyServers(servers, "", false))
+			l.convertBoots(all.targets)
+			l.apply(all)
+			back.servers(all.targets, true)
+			var changes [2]list
+			for i, state := range []balancer.ServerState{balancer.Draining, balancer.Ready} {
+				changed := all.targets[servers/2]
+				changed.State = state
+				changes[i] = list{rev: 8, targets: []target{changed}}
+			}
+			b.ReportAllocs()
+			for i := 0; b.Loop(); i++ {
+				news := changes[i%2]
+				l.convertBoots(news.targets)
+				if l.holds(news) {
+					b.Fatal("no change")
+				}
+				l.apply(news)
+				back.servers(news.targets, false)
+			}
+		})
+	}
+}
+
+func parsed(tb testing.TB, text string) list {
+	tb.Helper()
+	l, err := parseList([]byte(text))
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return l
+}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -176,10 +176,12 @@
 	alarms  alarms
 	listed  map[string]target
 	boots   *bootClock
-	known   list        // as the node last had it; of use only if discovery says nothing
+	known   list        // as the node last had it; of use, and kept, only until a list is heard
 	heard   bool        // the list is as new as it can be had
 	ready   atomic.Bool // a listed server may be sent to
 	stats   stats
+
+	readyServers int // how many of listed are ready
 }
 
 func newLoop(b *balancer.Balancer, c clock, log *slog.Logger) *loop {
@@ -386,8 +388,7 @@
 // discovery has moved, is not passed on where lists are pushed: the module takes each list for a change
 // and cuts its pool anew, so telling it of nothing would move requests and open connections for nothing.
 func (l *loop) takeList(news list, cached bool) {
-	l.heard = true
-	defer l.tellReady()
+	l.heard, l.known = true, list{}
 	l.convertBoots(news.targets)
 	if !cached {
 		defer l.boots.confirm()
@@ -395,20 +396,10 @@
 	if !cached && l.push && l.holds(news) {
 		return
 	}
-	if news.full {
-		clear(l.listed)
-	}
-	e := balancer.ServerList{Full: news.full, Cached: cached}
-	for _, t := range news.targets {
-		e.Servers = append(e.Servers, t.Server)
-		if t.State == balancer.Gone {
-			delete(l.listed, t.ID)
-		} else {
-			l.listed[t.ID] = t
-		}
-	}
+	e := balancer.ServerList{Full: news.full, Cached: cached, Servers: l.apply(news)}
 	l.servers(news.targets, news.full)
 	l.handle(l.clock.now(), e)
+	l.ready.Store(l.readyServers > 0)
 }
 
 // convertBoots sets the clock time of each entry's start, as it was converted when its boot_ms was first seen.
@@ -421,13 +412,33 @@
 	}
 }
 
-// tellReady notes whether callers may be sent here.
-func (l *loop) tellReady() {
-	ready := false
-	for _, t := range l.listed {
-		ready = ready || t.State == balancer.Ready
+// apply takes over the entries of a list, and returns them as the module is to be told of them.
+func (l *loop) apply(news list) []balancer.Server {
+	if news.full {
+		clear(l.listed)
+		l.readyServers = 0
+	}
+	servers := make([]balancer.Server, len(news.targets))
+	for i, t := range news.targets {
+		servers[i] = t.Server
+		l.applyEntry(t)
+	}
+	return servers
+}
+
+// applyEntry takes over an entry of a list.
+func (l *loop) applyEntry(t target) {
+	if old, ok := l.listed[t.ID]; ok && old.State == balancer.Ready {
+		l.readyServers--
+	}
+	if t.State == balancer.Gone {
+		delete(l.listed, t.ID)
+		return
+	}
+	l.listed[t.ID] = t
+	if t.State == balancer.Ready {
+		l.readyServers++
 	}
-	l.ready.Store(ready)
 }
 
 // holds says that a list tells nothing new.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -114,6 +114,7 @@
 	}
 	l.servers, l.push = n.backend.servers, n.push
 	known, err := parseList(cfg.Known)
+	n.cfg.Known = nil // it is parsed, and long
 	rev := int64(-1)
 	if err != nil {
 		log.Warn("the known list is dropped", "error", err)
@@ -156,6 +157,7 @@
 	}
 	cfg.Listen, cfg.Sockets, cfg.MemoryMB = n.cfg.Listen, n.cfg.Sockets, n.cfg.MemoryMB
 	cfg.Settings.AskDiscovery = n.cfg.Settings.AskDiscovery
+	cfg.Known = nil // of use at a start alone
 	changed, same := changes(n.cfg, cfg), reflect.DeepEqual(n.cfg.Settings, cfg.Settings)
 	n.revision++
 	log := n.log.With("revision", n.revision, "changed", changed)
