--- a/admission.go
+++ b/admission.go
@@ -16,7 +16,7 @@
 	if r.repeat {
 		calls *= 2
 	}
-	return len(b.ready) == 0 || b.set.Tier == 0 && calls >= b.window*b.windowShare(r)
+	return b.ready.len() == 0 || b.set.Tier == 0 && calls >= b.window*b.windowShare(r)
 }
 
 // windowShare is the part of the window that a request may fill, by its value against the others': the more
@@ -34,7 +34,7 @@
 
 // fairServers is how many servers there are for each copy of this tier.
 func (b *Balancer) fairServers() float64 {
-	return float64(len(b.ready)) / float64(max(1, b.set.Balancers))
+	return float64(b.ready.len()) / float64(max(1, b.set.Balancers))
 }
 
 // target is the latency that admission steers to, a little under half way in ratio between a class's
--- /dev/null
+++ b/endpoints_bench_test.go
@@ -0,0 +1,123 @@
+package balancer_test
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"balancer"
+)
+
+// benchmarkSizes are lengths of an endpoint list: the usual one, sixteen times that, and the longest.
+var benchmarkSizes = []int{100, 1600, 3200}
+
+// benchmarkBalancer returns a node of a later tier whose complete list names n servers of three zones.
+func benchmarkBalancer(bench *testing.B, n int) *balancer.Balancer {
+	bench.Helper()
+	b, err := balancer.New(balancer.Settings{
+		Classes: []balancer.Class{{Name: "read", Effect: balancer.Safe, Aim: time.Second,
+			Deadline: 2 * time.Second, Worth: 1}},
+		Balancers: max(20, n/20), Index: 7, Tier: 1, Zone: "z1", Zones: 3, MaxAttempts: 3, MayCancel: true,
+		Tick: time.Millisecond, ColdFrom: 0.12, WarmAfter: 24 * time.Second, FallMultiple: 2, FallFor: time.Second,
+	}, 1)
+	if err != nil {
+		bench.Fatal(err)
+	}
+	var list []balancer.Server
+	for i := range n {
+		list = append(list, benchmarkServer("old", i, 0))
+	}
+	b.Handle(0, balancer.ServerList{Full: true, Servers: list})
+	return b
+}
+
+func benchmarkServer(kind string, i int, boot time.Duration) balancer.Server {
+	return balancer.Server{ID: fmt.Sprintf("%04d-%s", i, kind), Zone: fmt.Sprint("z", i%3), Size: 1, Boot: boot}
+}
+
+// replaceServer tells the node that a server has gone and that another is there: two changes of one entry.
+func replaceServer(b *balancer.Balancer, now time.Duration, old, new balancer.Server) {
+	old.State = balancer.Gone
+	b.Handle(now, balancer.ServerList{Servers: []balancer.Server{old}})
+	b.Handle(now, balancer.ServerList{Servers: []balancer.Server{new}})
+}
+
+// serveRequest plays a request, and its answer a tenth of a second later.
+func serveRequest(b *balancer.Balancer, now time.Duration, id string) {
+	for _, a := range b.Handle(now, balancer.Request{ID: id, Class: "read", Deadline: now + 2*time.Second}) {
+		if s, ok := a.(balancer.Send); ok {
+			b.Handle(now+100*time.Millisecond,
+				balancer.Outcome{ID: id, Server: s.Server, Ending: balancer.Success, Ended: true})
+		}
+	}
+}
+
+// BenchmarkListChange plays changes of one entry of the list, a server that leaves or one that joins, with a
+// request after each, whose pool is cut anew.
+func BenchmarkListChange(bench *testing.B) {
+	for _, n := range benchmarkSizes {
+		for _, requests := range []bool{false, true} {
+			bench.Run(fmt.Sprintf("servers=%d/requests=%t", n, requests), func(bench *testing.B) {
+				b := benchmarkBalancer(bench, n)
+				bench.ReportAllocs()
+				for i := 0; bench.Loop(); i++ {
+					now := time.Duration(i+1) * 200 * time.Millisecond
+					s := benchmarkServer("old", i/2%n, 0)
+					if i%2 == 0 {
+						s.State = balancer.Gone
+					}
+					b.Handle(now, balancer.ServerList{Servers: []balancer.Server{s}})
+					if requests {
+						serveRequest(b, now, fmt.Sprint(i))
+					}
+				}
+			})
+		}
+	}
+}
+
+// BenchmarkCompleteList plays complete lists, all alike.
+func BenchmarkCompleteList(bench *testing.B) {
+	for _, n := range benchmarkSizes {
+		bench.Run(fmt.Sprintf("servers=%d", n), func(bench *testing.B) {
+			b := benchmarkBalancer(bench, n)
+			var list []balancer.Server
+			for i := range n {
+				list = append(list, benchmarkServer("old", i, 0))
+			}
+			bench.ReportAllocs()
+			for i := 0; bench.Loop(); i++ {
+				b.Handle(time.Duration(i+1)*time.Millisecond, balancer.ServerList{Full: true, Servers: list})
+			}
+		})
+	}
+}
+
+// BenchmarkRollingReplacement replaces six in ten servers within 7 s, one entry a change, while 30 requests a
+// second come, as many at each length of the list. An operation is all of that.
+func BenchmarkRollingReplacement(bench *testing.B) {
+	for _, n := range benchmarkSizes {
+		bench.Run(fmt.Sprintf("servers=%d", n), func(bench *testing.B) {
+			bench.ReportAllocs()
+			for bench.Loop() {
+				bench.StopTimer()
+				b := benchmarkBalancer(bench, n)
+				bench.StartTimer()
+				playReplacement(b, n)
+			}
+		})
+	}
+}
+
+func playReplacement(b *balancer.Balancer, n int) {
+	const first, span, every = time.Second, 7 * time.Second, time.Second / 30
+	replaced := n * 6 / 10
+	next := 0
+	for i := range int(span / every) {
+		now := first + time.Duration(i)*every
+		for ; next < replaced && first+span*time.Duration(next)/time.Duration(replaced) <= now; next++ {
+			replaceServer(b, now, benchmarkServer("old", next, 0), benchmarkServer("new", next, now))
+		}
+		serveRequest(b, now, fmt.Sprint(i))
+	}
+}
--- a/policy.go
+++ b/policy.go
@@ -62,11 +62,11 @@
 	now      time.Duration
 	out      []Action
 	servers  map[string]*server
-	ready    []*server // ready servers in the shared order
-	whole    groups    // the two groups of the design
-	pool     groups    // the part of each that this node draws from
-	width    int       // servers in the pool
-	busy     float64   // calls in flight, averaged over sends
+	ready    endpointSet // the ready servers
+	whole    groups      // the two groups of the design
+	pool     groups      // the part of each that this node draws from
+	width    int         // servers in the pool
+	busy     float64     // calls in flight, averaged over sends
 	requests map[string]*request
 	held     []*request
 	classes  map[string]*class
@@ -255,36 +255,15 @@
 
 // ---- Discovery ----
 
-// takeList applies news of the servers. A new boot time resets what is known of a server.
+// takeList applies an update of the endpoint list and cuts the two groups anew.
 func (b *Balancer) takeList(e ServerList) {
 	if e.Full {
-		for _, s := range b.servers {
-			s.listed = false
-		}
-	}
-	for _, n := range e.Servers {
-		s := b.servers[n.ID]
-		if s == nil {
-			s = &server{failing: map[*learned]fading{}}
-			b.servers[n.ID] = s
-		} else if s.Boot != n.Boot {
-			*s = server{calls: s.calls, open: s.open, failing: map[*learned]fading{}}
-		}
-		s.Server = n
-		s.listed = n.State != Gone
-	}
-	b.ready = b.ready[:0]
-	for id, s := range b.servers {
-		if !s.listed && s.calls == 0 {
-			delete(b.servers, id)
-		} else if s.listed && s.State == Ready {
-			b.ready = append(b.ready, s)
-		}
+		b.replaceServers(e.Servers)
+	} else {
+		b.changeServers(e.Servers)
 	}
-	// The shared order: every copy sorts by id, which all see alike.
-	sort.Slice(b.ready, func(i, j int) bool { return b.ready[i].ID < b.ready[j].ID })
-	cut := int(math.Ceil(alpha * float64(len(b.ready))))
-	b.whole = groups{b.ready[:cut], b.ready[cut:]}
+	cut := int(math.Ceil(alpha * float64(b.ready.len())))
+	b.whole = groups{b.ready.all[:cut], b.ready.all[cut:]}
 	b.width = 0
 	if b.window == 0 {
 		b.window, b.opening = windowFloor*b.fairServers(), true
@@ -450,7 +429,7 @@
 // then almost until the deadline.
 func (b *Balancer) holdUntil(r *request) time.Duration {
 	last := r.deadline - 2*b.set.Tick
-	if len(b.ready) == 0 {
+	if b.ready.len() == 0 {
 		return last
 	}
 	aim := r.class.Aim
@@ -577,37 +556,34 @@
 // later, and until then each node would have to learn of each of its servers by calls that hang, at
 // every tier that a request passes. It hurts where a zone's nodes ask for more than its servers carry.
 func (b *Balancer) fitPool() {
-	n := float64(len(b.ready))
+	n := float64(b.ready.len())
 	want := max(poolLeast, poolPerCall*b.busy, poolOverlap*b.fairServers())
 	if b.width > 0 && want <= float64(b.width) && want > float64(b.width)/3 {
 		return
 	}
 	b.width = int(math.Ceil(min(1.25*want, n)))
-	part := func(group []*server) []*server {
-		size := int(math.Ceil(float64(b.width) * float64(len(group)) / max(n, 1)))
-		return slices.Concat(b.run(group, true), b.run(group, false))[:min(size, len(group))]
-	}
-	b.pool = groups{part(b.whole.left), part(b.whole.right)}
-	for _, s := range b.ready {
-		s.pooled = false
-	}
-	for _, s := range slices.Concat(b.pool.left, b.pool.right) {
-		s.pooled = true
-	}
+	left, right := b.ready.split(len(b.whole.left))
+	b.pool = groups{b.poolPart(left), b.poolPart(right)}
+	b.ready.markPool(b.pool)
 	b.creditGrowth.known = false
 }
 
-// run lists a group's servers of the node's own zone, or the others, from the node's place on. The copies
+// poolPart takes a group's part of the pool, the servers of the node's own zone first.
+func (b *Balancer) poolPart(group zoneSplit) []*server {
+	all := len(group.own) + len(group.others)
+	size := math.Ceil(float64(b.width) * float64(all) / float64(max(b.ready.len(), 1)))
+	part := make([]*server, 0, min(int(size), all))
+	return b.fill(b.fill(part, group.own), group.others)
+}
+
+// fill appends servers from the node's place on, around the end, as long as the part has capacity. The copies
 // of one zone may be numbered in a row: a place that goes round as often as there are zones spreads them.
-func (b *Balancer) run(group []*server, own bool) []*server {
-	var some []*server
-	for _, s := range group {
-		if (s.Zone == b.set.Zone) == own {
-			some = append(some, s)
-		}
+func (b *Balancer) fill(part, from []*server) []*server {
+	start := b.set.Index * max(1, b.set.Zones) * len(from) / max(1, b.set.Balancers)
+	for i := range min(len(from), cap(part)-len(part)) {
+		part = append(part, from[(start+i)%len(from)])
 	}
-	start := b.set.Index * max(1, b.set.Zones) * len(some) / max(1, b.set.Balancers) % max(1, len(some))
-	return slices.Concat(some[start:], some[:start])
+	return part
 }
 
 // ---- Eligibility ----
@@ -646,7 +622,7 @@
 			sick = append(sick, s)
 		}
 	}
-	most := int(mostOut * (1 - b.shed) * float64(len(b.ready)))
+	most := int(mostOut * (1 - b.shed) * float64(b.ready.len()))
 	if len(sick) > most {
 		sort.SliceStable(sick, func(i, j int) bool { return sick[i].streak > sick[j].streak })
 		for _, s := range sick[most:] {
@@ -718,6 +694,9 @@
 // serves ends each run of bad endings; one that lets most time out holds its part of the window. Where all
 // fail alike none is an outlier: no cap is needed. It hurts where a few unlucky endings are all that's known.
 func (b *Balancer) isOutlier(s *server, c *class) bool {
+	if len(s.failing) == 0 { // nothing has failed there, as for most servers of a long list
+		return false
+	}
 	good := 1.0
 	for _, k := range []*class{c, b.classes[""]} { // that one stands for all together
 		good = min(good, (1-b.failing(s, k.learned, c))/(1-k.failing))
@@ -748,6 +727,9 @@
 	took := max(1, float64(b.now-a.sent)) // a coarse clock may show none, and its logarithm no server
 	late, bad := took > c.mean+tailSpread*c.dev, false
 	if now, tells := map[Ending]float64{Success: 0, Failure: 1, TimedOut: 1}[e.Ending]; tells {
+		if s.failing == nil {
+			s.failing = map[*learned]fading{}
+		}
 		for _, k := range []*class{c, b.classes[""]} {
 			share := b.failing(s, k.learned, c)
 			s.failing[k.learned] = fading{share + failMemory*(now-share), b.now}
--- a/policy_test.go
+++ b/policy_test.go
@@ -120,8 +120,8 @@
 		b.Handle(0, ServerList{Servers: l[i : i+1]})
 	}
 	for i := range l {
-		if a.ready[i].ID != b.ready[i].ID {
-			t.Fatalf("order differs at %d: %s, %s", i, a.ready[i].ID, b.ready[i].ID)
+		if a.ready.all[i].ID != b.ready.all[i].ID {
+			t.Fatalf("order differs at %d: %s, %s", i, a.ready.all[i].ID, b.ready.all[i].ID)
 		}
 	}
 }
@@ -343,13 +343,13 @@
 	}{{0, 4}, {0.5, 2}, {0.9, 0}} {
 		b := newBalancer(t, nil)
 		b.Handle(msec, ServerList{Full: true, Servers: servers(20)})
-		for _, s := range b.ready[:10] {
+		for _, s := range b.ready.all[:10] {
 			s.until = time.Minute
 		}
 		b.shed = c.shed
 		out := 0
 		b.ruleOut(b.whole, &request{class: b.classes["get"]}, true)
-		for _, s := range b.ready {
+		for _, s := range b.ready.all {
 			if s.out {
 				out++
 			}
--- a/reconfigure.go
+++ b/reconfigure.go
@@ -12,6 +12,7 @@
 func (b *Balancer) take(set Settings) {
 	old := b.classes
 	b.set, b.classes, b.order = set, map[string]*class{}, nil
+	b.ready.setZone(set.Zone)
 	odd := slices.MaxFunc(set.Classes, func(a, b Class) int { return cmp.Compare(a.Deadline, b.Deadline) })
 	unknown := Class{Aim: odd.Aim, Deadline: odd.Deadline, Worth: odd.Worth} // unsafe
 	for _, c := range append(slices.Clone(set.Classes), unknown) {
--- a/scale_test.go
+++ b/scale_test.go
@@ -22,7 +22,7 @@
 		if len(sends(acts)) != 1 {
 			t.Fatalf("copy %d: a request led to %v", i, acts)
 		}
-		for _, s := range b.ready {
+		for _, s := range b.ready.all {
 			if s.pooled {
 				pooled[s.ID]++
 			}
--- a/slowstart.go
+++ b/slowstart.go
@@ -151,7 +151,7 @@
 	asked := 1 / every / float64(max(1, b.width)) * (1 - b.warmCapacity.seconds/b.ramp())
 	b.creditGrowth = creditGrowth{at: b.now, known: true,
 		each:   max(b.warmCapacity.rate(window), b.coldCapacity.rate(window), asked),
-		copies: max(1, float64(b.set.Balancers)*float64(b.width)/float64(max(1, len(b.ready))))}
+		copies: max(1, float64(b.set.Balancers)*float64(b.width)/float64(max(1, b.ready.len())))}
 }
 
 // creditRate is how fast the credit of a cold server grows, in requests of mean work a second: by this copy's
@@ -191,10 +191,8 @@
 
 // creditAgain is when held calls are to be looked at again, since credit grows with time alone.
 func (b *Balancer) creditAgain() time.Duration {
-	for _, s := range b.ready {
-		if b.limited() && b.warmth(s) < 1 {
-			return b.now + b.set.FallFor/(2*lateWindow)
-		}
+	if s := b.ready.youngest(); s != nil && b.limited() && b.warmth(s) < 1 {
+		return b.now + b.set.FallFor/(2*lateWindow)
 	}
 	return math.MaxInt64
 }
