--- a/slowstart.go
+++ b/slowstart.go
@@ -109,8 +109,10 @@
 // part of the rate that all copies together may have, from a random debt, or all would send their first
 // request at once; what is not used soon is lost, or it would come at once from all when traffic rises.
 type credit struct {
-	left float64
-	at   time.Duration // when it was brought up to date; 0: never
+	left  float64
+	at    time.Duration // when it was brought up to date; 0: never
+	rate  float64       // at which it grows, by the growth of that number
+	round int
 }
 
 // limited says that the settings tell what pushes a cold server over.
@@ -123,7 +125,7 @@
 	}
 	rate := b.creditRate(s)
 	if s.credit.at == 0 {
-		s.credit = credit{-b.rng.Float64(), b.now}
+		s.credit.left, s.credit.at = -b.rng.Float64(), b.now
 	}
 	most := rate * (b.set.FallFor.Seconds()/lateWindow + unused*b.interval.Seconds())
 	s.credit.left = min(most, s.credit.left+rate*(b.now-s.credit.at).Seconds())
@@ -133,6 +135,7 @@
 
 // creditGrowth is what the growth of credit goes by, the same for all cold servers at one time.
 type creditGrowth struct {
+	round  int // counts the times that it was brought up to date
 	at     time.Duration
 	known  bool
 	each   float64 // own good answers a second that a warm server bears
@@ -149,15 +152,23 @@
 	b.observeCapacity(nil)
 	window, every := b.set.FallFor.Seconds(), max(b.interval.Seconds(), 1e-9)
 	asked := 1 / every / float64(max(1, b.width)) * (1 - b.warmCapacity.seconds/b.ramp())
-	b.creditGrowth = creditGrowth{at: b.now, known: true,
+	b.creditGrowth = creditGrowth{round: b.creditGrowth.round + 1, at: b.now, known: true,
 		each:   max(b.warmCapacity.rate(window), b.coldCapacity.rate(window), asked),
 		copies: max(1, float64(b.set.Balancers)*float64(b.width)/float64(max(1, b.ready.len())))}
 }
 
-// creditRate is how fast the credit of a cold server grows, in requests of mean work a second: by this copy's
-// part of what all may send it.
+// creditRate is how fast the credit of a cold server grows now. One request asks for it many times.
 func (b *Balancer) creditRate(s *server) float64 {
 	b.updateCreditGrowth()
+	if s.credit.round != b.creditGrowth.round {
+		s.credit.rate, s.credit.round = b.newCreditRate(s), b.creditGrowth.round
+	}
+	return s.credit.rate
+}
+
+// newCreditRate works it out, in requests of mean work a second: this copy's part of what all may send the
+// server.
+func (b *Balancer) newCreditRate(s *server) float64 {
 	window, warmth := b.set.FallFor.Seconds(), b.warmth(s)
 	copies, most := float64(max(1, b.set.Balancers)), outside
 	if s.pooled {
