--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -108,6 +108,7 @@
 	departed departure
 	looked   chan struct{} // closed once the watch beside the request has read all that had come
 	turned   chan struct{} // gets one when departed changes
+	requests requestScanner
 
 	callers  *callers
 	activity // guarded by callers.mu
@@ -145,10 +146,34 @@
 		return n, nil
 	}
 	n, err := c.Conn.Read(p)
+	c.scan(p[:n])
 	c.came(n, err)
 	return n, err
 }
 
+// scan follows the framing of what was just read from the kernel.
+func (c *callerConn) scan(p []byte) {
+	at := c.callers.clock.now()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.requests.feed(p, at)
+}
+
+// takeHead returns what is known of the request that net/http has just read the head of, or the error in
+// its framing.
+func (c *callerConn) takeHead(r *http.Request) (requestHead, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.requests.take(r)
+}
+
+// bodyError is the error in the framing of the body that net/http has just read.
+func (c *callerConn) bodyError() error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.requests.bodyError()
+}
+
 // startWatch tells whether a request waits. If so, no wait for another is left to be ended: neither
 // this connection's being let go nor what was seen beside an earlier request holds any longer.
 func (c *callerConn) startWatch() bool {
@@ -184,6 +209,7 @@
 			return errUnwatched
 		}
 		n, err := c.Conn.Read(into)
+		c.scan(into[:n])
 		c.keep(n)
 		c.came(n, err)
 		switch {
--- /dev/null
+++ b/internal/node/chunked_test.go
@@ -0,0 +1,162 @@
+package node
+
+import (
+	"crypto/sha256"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+)
+
+// chunkedHead is the head of a POST whose body comes in chunks.
+func chunkedHead(id string) string {
+	return "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + id + "\r\nX-Deadline: 60\r\nTransfer-Encoding: chunked\r\n\r\n"
+}
+
+// framingServer answers with how a request was framed, and with a sum of its body.
+func framingServer(t *testing.T) *fakeServer {
+	return newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+		return reply200(c, framed(r.Method, r.ContentLength, body, r.TransferEncoding, r.Trailer))
+	})
+}
+
+func framed(method string, length int64, body string, coding []string, trailer http.Header) string {
+	return fmt.Sprintf("%s %d %x %v %v", method, length, sha256.Sum256([]byte(body)), coding, trailer)
+}
+
+// A body in chunks is forwarded with its length, without extensions and trailers, and what the client sends
+// behind it is the next request.
+func TestBodiesInChunksAreForwardedWithALength(t *testing.T) {
+	s := framingServer(t)
+	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), nil)
+	full := strings.Repeat("b", maxBody)
+	for _, c := range []struct{ name, chunks, body string }{
+		{"one chunk", "2\r\nok\r\n0\r\n\r\n", "ok"},
+		{"several chunks", "1\r\no\r\n0001\r\nk\r\nA\r\n0123456789\r\na\r\n0123456789\r\n000\r\n\r\n", "ok01234567890123456789"},
+		{"none", "0\r\n\r\n", ""},
+		{"extensions", "2;a=b;c=\"d\"\r\nok\r\n0;" + strings.Repeat("x", 4000) + "\r\n\r\n", "ok"},
+		{"trailers", "2\r\nok\r\n0\r\nA: b\r\nContent-Length: 7\r\nX-Request-Id: other\r\n\r\n", "ok"},
+		{"line ends and a head inside", "31\r\n\r\n0\r\n\r\nGET /view/k HTTP/1.1\r\nX-Request-Id: no\r\n\r\n\r\n0\r\n\r\n",
+			"\r\n0\r\n\r\nGET /view/k HTTP/1.1\r\nX-Request-Id: no\r\n\r\n"},
+		{"the longest body", "10000\r\n" + full + "\r\n0\r\n\r\n", full},
+		{"the longest body in small chunks", strings.Repeat("10\r\n0123456789abcdef\r\n", maxBody/16) + "0\r\n\r\n",
+			strings.Repeat("0123456789abcdef", maxBody/16)},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			want := framed("POST", int64(len(c.body)), c.body, nil, nil)
+			one := dial(t, n)
+			go io.WriteString(one, chunkedHead("whole-"+c.name)+c.chunks+requestText("behind-"+c.name))
+			one.want(t, 200, want)
+			one.want(t, 200, framed("GET", 0, "", nil, nil))
+			expect := dial(t, n)
+			io.WriteString(expect, strings.Replace(chunkedHead("expect-"+c.name), "\r\n\r\n", "\r\nExpect: 100-continue\r\n\r\n", 1))
+			if r, _ := expect.answer(t); r.StatusCode != http.StatusContinue {
+				t.Fatalf("got %d, want 100", r.StatusCode)
+			}
+			go io.WriteString(expect, c.chunks)
+			expect.want(t, 200, want)
+		})
+	}
+	c := dial(t, n)
+	io.WriteString(c, "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: get\r\nX-Deadline: 60\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
+	c.want(t, 200, framed("GET", 0, "", nil, nil))
+}
+
+// Whatever is wrong with the framing of a request is answered with an error and ends its connection: nothing
+// of it is forwarded, and nothing that stands in its body or behind it.
+func TestFramingErrorsEndTheConnection(t *testing.T) {
+	s := framingServer(t)
+	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), nil)
+	const start = "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: bad\r\nX-Deadline: 60\r\n"
+	chunks := strings.TrimSuffix(start, "\r\n") + "\r\nTransfer-Encoding: chunked\r\n\r\n"
+	old := strings.Replace(start, "HTTP/1.1", "HTTP/1.0", 1) + "Connection: keep-alive\r\n"
+	hidden := requestText("hidden")
+	for _, c := range []struct {
+		name, text string
+		status     int
+	}{
+		{"a length before the coding", start + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
+		{"a length behind the coding", start + "transfer-encoding: Chunked\r\ncontent-length: 5\r\n\r\n0\r\n\r\n", 400},
+		{"a length of 0 and the coding", start + "Content-Length: 0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
+		{"two lengths and the coding", start + "Content-Length: 5\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
+		{"a coding on HTTP/1.0", old + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
+		{"a length and a coding on HTTP/1.0", old + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
+		{"two lengths", start + "Content-Length: 2\r\nContent-Length: 3\r\n\r\nabc", 400},
+		{"a folded length", start + "Content-Length:\r\n 2\r\n\r\nok", 400},
+		{"a length that goes on", start + "Content-Length: 2\r\n 0\r\n\r\nok", 400},
+		{"a length that goes on empty", start + "Content-Length: 2\r\n\t\r\n\r\nok", 400},
+		{"a folded coding", start + "Transfer-Encoding:\r\n chunked\r\n\r\n0\r\n\r\n", 400},
+		{"a coding that goes on empty", start + "Transfer-Encoding: chunked\r\n \r\n\r\n0\r\n\r\n", 501},
+		{"a coding that goes on", start + "Transfer-Encoding: chunked\r\n ,gzip\r\n\r\n0\r\n\r\n", 501},
+		{"another coding", start + "Transfer-Encoding: gzip\r\n\r\n0\r\n\r\n", 501},
+		{"no coding", start + "Transfer-Encoding:\r\n\r\n0\r\n\r\n", 501},
+		{"identity", start + "Transfer-Encoding: identity\r\n\r\n0\r\n\r\n", 501},
+		{"a second coding", start + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n", 501},
+		{"a doubled coding", start + "Transfer-Encoding: chunked, chunked\r\n\r\n0\r\n\r\n", 501},
+		{"a doubled coding in two lines", start + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 501},
+		{"a blank before the colon", start + "Transfer-Encoding : chunked\r\n\r\n0\r\n\r\n", 400},
+		{"a size with a sign", chunks + "+2\r\nok\r\n0\r\n\r\n", 400},
+		{"a negative size", chunks + "-2\r\nok\r\n0\r\n\r\n", 400},
+		{"a size with 0x", chunks + "0x2\r\nok\r\n0\r\n\r\n", 400},
+		{"a size that is no number", chunks + "g\r\nok\r\n0\r\n\r\n", 400},
+		{"a blank before a size", chunks + " 2\r\nok\r\n0\r\n\r\n", 400},
+		{"a blank behind a size", chunks + "2 \r\nok\r\n0\r\n\r\n", 400},
+		{"a tab behind the last size", chunks + "2\r\nok\r\n0\t\r\n\r\n", 400},
+		{"a blank before an extension", chunks + "2 ;a\r\nok\r\n0\r\n\r\n", 400},
+		{"an empty size", chunks + "\r\nok\r\n0\r\n\r\n", 400},
+		{"an extension without a size", chunks + ";a\r\nok\r\n0\r\n\r\n", 400},
+		{"a size that overflows", chunks + "10000000000000002\r\nok\r\n0\r\n\r\n", 400},
+		{"a size that is only digits long", chunks + "00000000000000002\r\nok\r\n0\r\n\r\n", 400},
+		{"a size that ends by LF", chunks + "2\nok\r\n0\r\n\r\n", 400},
+		{"CR in an extension", chunks + "2;a\rb\r\nok\r\n0\r\n\r\n", 400},
+		{"an extension too long", chunks + "2;" + strings.Repeat("x", 4096) + "\r\nok\r\n0\r\n\r\n", 400},
+		{"extensions too long together", chunks + strings.Repeat("1;"+strings.Repeat("x", 1000)+"\r\no\r\n", 20) + "0\r\n\r\n", 400},
+		{"a chunk too long for its size", chunks + "2\r\nokay\r\n0\r\n\r\n", 400},
+		{"a chunk that ends by LF", chunks + "2\r\nok\n0\r\n\r\n", 400},
+		{"a chunk that ends by CR", chunks + "2\r\nok\rX0\r\n\r\n", 400},
+		{"a trailer that ends by LF", chunks + "2\r\nok\r\n0\r\nA: b\n\n" + hidden, 400},
+		{"trailers that end by LF", chunks + "2\r\nok\r\n0\r\nA: b\r\n\n" + hidden, 400},
+		{"a trailer without a colon", chunks + "2\r\nok\r\n0\r\nA\r\n\r\n", 400},
+		{"trailers too long", chunks + "2\r\nok\r\n0\r\n" + strings.Repeat("A: b\r\n", 1000) + "\r\n", 400},
+		{"one byte too many", chunks + "10001\r\n" + strings.Repeat("b", maxBody+1), 413},
+		{"too many chunks", chunks + strings.Repeat("100\r\n"+strings.Repeat("b", 256)+"\r\n", 260), 413},
+		{"GET with a body in chunks", "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: bad\r\nX-Deadline: 60\r\n" +
+			"Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", 400},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
+			alone := dial(t, n)
+			go io.WriteString(alone, c.text+hidden)
+			alone.want(t, c.status, "")
+			closed(t, alone.br, "a connection whose framing is broken")
+			behind := dial(t, n)
+			go io.WriteString(behind, requestText("good-"+c.name)+c.text+hidden)
+			behind.want(t, 200, framed("GET", 0, "", nil, nil))
+			behind.want(t, c.status, "")
+			closed(t, behind.br, "a connection whose framing is broken")
+		})
+	}
+	t.Run("chunks without end", func(t *testing.T) {
+		t.Parallel()
+		endless := dial(t, n)
+		io.WriteString(endless, chunks)
+		go func() {
+			for _, err := io.WriteString(endless, "1\r\nb\r\n"); err == nil; {
+				_, err = io.WriteString(endless, strings.Repeat("1\r\nb\r\n", 1000))
+			}
+		}()
+		endless.want(t, 413, "")
+		closed(t, endless.br, "a connection with an endless body")
+	})
+	t.Cleanup(func() {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		for _, id := range s.requests {
+			if !strings.HasPrefix(id, "good-") {
+				t.Errorf("%s was forwarded", id)
+			}
+		}
+	})
+}
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -110,12 +110,16 @@
 	// Whatever is answered before the request has been read whole closes the connection: cheap, and
 	// net/http would otherwise wait for the rest of a body.
 	w.Header().Set("Connection", "close")
+	conn := connOf(r.Context())
+	if _, err := conn.takeHead(r); err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
+	}
 	if path, _, _ := strings.Cut(r.RequestURI, "?"); path == "/health/ready" {
 		f.health(w, r)
 		return
 	}
-	conn := connOf(r.Context())
-	c, err := f.readCall(w, r)
+	c, err := f.readCall(r, conn)
 	if err != nil {
 		status := http.StatusBadRequest
 		var no *rejected
@@ -178,26 +182,44 @@
 
 func (r *rejected) Error() string { return r.reason }
 
-// readCall reads a request whole and checks what the node and the servers rely on. What it turns away
-// here has been sent to no server.
-func (f *frontend) readCall(w http.ResponseWriter, r *http.Request) (*call, error) {
+// readCall reads a complete request and checks what the node and the servers rely on. What it rejects here
+// has been forwarded to no server.
+func (f *frontend) readCall(r *http.Request, conn *callerConn) (*call, error) {
 	c := &call{method: r.Method, target: r.RequestURI, id: r.Header.Get("X-Request-Id"),
 		key: r.Header.Get("Idempotency-Key"), contentType: r.Header.Get("Content-Type"),
 		answer: make(chan answer, 1)}
 	if err := f.check(c, r); err != nil {
 		return nil, err
 	}
-	if r.ContentLength > 0 {
-		var err error
-		if c.body, err = io.ReadAll(r.Body); err != nil {
-			return nil, &rejected{http.StatusBadRequest, "the body is not whole"}
-		}
+	if err := c.readBody(r, conn); err != nil {
+		return nil, err
 	}
 	c.at = f.clock.now()
 	c.deadline += c.at
 	return c, nil
 }
 
+// readBody reads the body, with a length or in chunks, whose trailers are dropped.
+func (c *call) readBody(r *http.Request, conn *callerConn) error {
+	if r.ContentLength == 0 {
+		return nil
+	}
+	var err error
+	c.body, err = io.ReadAll(io.LimitReader(r.Body, maxBody+1))
+	framing := conn.bodyError()
+	switch {
+	case len(c.body) > maxBody:
+		return &rejected{http.StatusRequestEntityTooLarge, "the body is too long"}
+	case framing != nil:
+		return &rejected{http.StatusBadRequest, framing.Error()}
+	case err != nil:
+		return &rejected{http.StatusBadRequest, "the body is not complete"}
+	case len(c.body) > 0 && c.method == http.MethodGet:
+		return &rejected{http.StatusBadRequest, "GET has no body"}
+	}
+	return nil
+}
+
 // check tells what is wrong with a request's head, and fills in its class and how long it may take. A
 // class that does not exist would be sent on as an unsafe one, only for the servers to turn it away,
 // and the module would take that for their ill health.
@@ -210,10 +232,6 @@
 	switch {
 	case c.method != http.MethodGet && c.method != http.MethodPost:
 		return &rejected{http.StatusMethodNotAllowed, "only GET and POST are served"}
-	case len(r.TransferEncoding) > 0:
-		// net/http drops a Content-Length beside it, so a request hidden in the body would pass on
-		// unseen. The protocol has lengths only.
-		return &rejected{http.StatusLengthRequired, "a body needs a Content-Length and no transfer coding"}
 	case !strings.HasPrefix(path, "/"):
 		return &rejected{http.StatusNotFound, "the path names no class"}
 	case keyed > 1 || keyed == 1 && c.key == "":
--- /dev/null
+++ b/internal/node/requestscanner_test.go
@@ -0,0 +1,138 @@
+package node
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+)
+
+// scanned is all that a scanner says of some bytes, fed in pieces of a size (0: at once).
+func scanned(text string, size int) *requestScanner {
+	s := &requestScanner{}
+	if size == 0 {
+		size = max(1, len(text))
+	}
+	for part := range slices.Chunk([]byte(text), size) {
+		s.feed(part, 0)
+	}
+	return s
+}
+
+// readByHTTP reads requests as the server of net/http does, until one can't be read; an error in a body
+// leaves its head in the list.
+func readByHTTP(text string) (requests []*http.Request) {
+	br := bufio.NewReader(strings.NewReader(text))
+	for {
+		if len(requests) > 0 && requests[len(requests)-1].Method == http.MethodPost {
+			blank, _ := br.Peek(maxBlankBytes)
+			br.Discard(len(blank) - len(strings.TrimLeft(string(blank), "\r\n")))
+		}
+		r, err := http.ReadRequest(br)
+		if err != nil {
+			return requests
+		}
+		requests = append(requests, r)
+		if _, err := io.Copy(io.Discard, r.Body); err != nil {
+			return requests
+		}
+	}
+}
+
+// checkScanner compares what the scanner says of the same bytes in pieces of several sizes, and with what
+// net/http reads where both go on.
+func checkScanner(t *testing.T, text string) {
+	t.Helper()
+	want := scanned(text, 0)
+	for _, size := range []int{1, 2, 3, 7, 64} {
+		got := scanned(text, size)
+		if !slices.Equal(got.heads, want.heads) || !errors.Is(got.err, want.err) || got.ofBody != want.ofBody ||
+			got.state != want.state {
+			t.Fatalf("in pieces of %d: %+v, at once: %+v", size, got, want)
+		}
+	}
+	for _, r := range readByHTTP(text) {
+		if len(want.heads) == 0 {
+			break
+		}
+		if _, err := want.take(r); err != nil {
+			t.Fatalf("net/http reads %s %s with length %d elsewhere: %v", r.Method, r.RequestURI, r.ContentLength, err)
+		}
+	}
+}
+
+// scannerTexts are streams of requests, and how many of them the scanner accepts.
+var scannerTexts = []struct {
+	text  string
+	heads int
+	err   error
+}{
+	{"", 0, nil},
+	{"GET /a HTTP/1.1\r\nHost: h\r\n\r\n", 1, nil},
+	{"GET /a HTTP/1.1\nHost: h\n\nGET /b HTTP/1.0\r\n\r\n", 2, nil},
+	{"GET /a HTTP/1.1\r\nX: a\r\n b\r\n\t\r\nY:\r\n\r\nGET /b HTTP/1.1\r\n\r\n", 2, nil},
+	{"POST /a HTTP/1.1\r\ncontent-LENGTH: \t3 \r\n\r\nabcPOST /b HTTP/1.1\r\nContent-Length: 0\r\n\r\nG", 2, nil},
+	{"POST /a HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\na\r\n\r\nGET /b HTTP/1.1\r\n\r\n", 2, nil},
+	{"POST /a HTTP/1.1\r\nContent-Length: 1\r\n\r\na\r\n\r\n\r\nGET /b HTTP/1.1\r\n\r\n", 1, errRequestLine},
+	{"GET /a HTTP/1.1\r\n\r\n\r\nGET /b HTTP/1.1\r\n\r\n", 1, errRequestLine},
+	{"POST /a HTTP/1.1\r\nTransfer-Encoding: CHUNKED\r\n\r\n3;x\r\n\r\n0\r\n0\r\nA: b\r\n\r\n\r\n\r\nGET /b HTTP/1.1\r\n\r\n", 2, nil},
+	{"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nPOST /b HTTP/1.1\r\nContent-Length: 2\r\n\r\na", 2, nil},
+	{"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2 \r\nok\r\n0\r\n\r\n", 1, errChunkSize},
+	{"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok0\r\n\r\n", 1, errChunkEnd},
+	{"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nA: b\n\nGET /b HTTP/1.1\r\n\r\n", 1, errTrailer},
+	{"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n0\r\n\r\n", 0, errTwoLengths},
+	{"POST /a HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 0, errCodingTooEarly},
+	{"POST /a HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n", 0, errCoding},
+	{"POST /a HTTP/1.1\r\nContent-Length:\r\n 1\r\n\r\na", 0, errContentLength},
+	{"POST /a HTTP/1.1\r\nContent-Length: 1\r\n \r\n\r\na", 0, errFoldedFraming},
+	{"POST /a HTTP/1.1\r\n Content-Length: 1\r\n\r\na", 0, errFieldLine},
+	{"POST /a HTTP/1.1\r\nContent-Length: 1" + strings.Repeat(" ", maxFieldKept) + "\r\n\r\na", 0, errContentLength},
+	{"GET /a HTTP/1.1\r\n" + strings.Repeat("N", maxFieldKept) + ": v\r\n\r\n", 1, nil},
+	{"GET /" + strings.Repeat("a", maxRequestLine) + " HTTP/1.1\r\n\r\n", 0, errRequestLine},
+	{"GET /a HTTP/2.0\r\n\r\n", 0, errRequestLine},
+	{strings.Repeat("GET /a HTTP/1.1\r\n\r\n", maxHeadsAhead+1), maxHeadsAhead, errTooManyAhead},
+}
+
+func TestScannerFollowsRequestsHoweverTheyArrive(t *testing.T) {
+	for _, c := range scannerTexts {
+		t.Run(fmt.Sprintf("%.60q", c.text), func(t *testing.T) {
+			s := scanned(c.text, 0)
+			if len(s.heads) != c.heads || s.err != c.err {
+				t.Errorf("%d heads and %v, want %d and %v", len(s.heads), s.err, c.heads, c.err)
+			}
+			checkScanner(t, c.text)
+		})
+	}
+}
+
+func FuzzScannerAgreesWithHTTP(f *testing.F) {
+	for _, c := range scannerTexts {
+		f.Add(c.text)
+	}
+	f.Fuzz(checkScanner)
+}
+
+// Each request's clock starts with its own first byte: not with line ends before it, and not with the end of
+// the one before.
+func TestScannerNotesTheFirstByteOfEachRequest(t *testing.T) {
+	s := &requestScanner{}
+	for i, part := range []string{"P", "OST /a HTTP/1.1\r\nContent-Le", "ngth: 1\r\n\r", "\n", "a", "\r\n",
+		"GET /b HTTP/1.1\r\n\r\nG", "ET /c HTTP/1.1\r\n\r\n"} {
+		s.feed([]byte(part), time.Duration(i+1))
+	}
+	var got []time.Duration
+	for _, h := range s.heads {
+		got = append(got, h.firstByte)
+	}
+	if want := []time.Duration{1, 7, 7}; !slices.Equal(got, want) || s.err != nil {
+		t.Errorf("first bytes at %v, %v; want %v", got, s.err, want)
+	}
+	if s.line != nil || s.midRequest() {
+		t.Errorf("an idle connection holds %d bytes", cap(s.line))
+	}
+}
