--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -103,6 +103,7 @@
 	cut      bool      // leaving, whatever still comes
 	deadline time.Time // as net/http wants it
 	serving  bool      // a request's head is read, and it is not answered
+	complete bool      // and its body is read to the end as well
 	ahead    []byte    // what came meanwhile, to be read once that is answered
 	kept     int       // bytes reserved for ahead
 	departed departure
@@ -149,12 +150,14 @@
 	return n, err
 }
 
-// startWatch tells whether a request waits. If so, no wait for another is left to be ended: neither
-// this connection's being let go nor what was seen beside an earlier request holds any longer.
+// startWatch tells whether a request waits. If so, it is complete, for net/http watches only behind a body's
+// end, and no wait for another is left to be ended: neither this connection's being let go or cut off nor what
+// was seen beside an earlier request holds any longer.
 func (c *callerConn) startWatch() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.serving {
+		c.complete, c.cut = true, false
 		c.hear()
 	}
 	return c.serving
@@ -258,7 +261,7 @@
 func (c *callerConn) serve() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.serving, c.looked = true, make(chan struct{})
+	c.serving, c.complete, c.looked = true, false, make(chan struct{})
 	if c.turned == nil {
 		c.turned = make(chan struct{}, 1)
 	}
@@ -348,7 +351,7 @@
 func (c *callerConn) Write(p []byte) (int, error) {
 	if !bytes.HasPrefix(p, []byte("HTTP/1.1 1")) {
 		c.mu.Lock()
-		c.begun, c.serving = len(c.ahead) > 0, false
+		c.begun, c.serving, c.complete = len(c.ahead) > 0, false, false
 		c.mu.Unlock()
 	}
 	return c.Conn.Write(p)
@@ -394,18 +397,17 @@
 	return c.leaving
 }
 
-// cutOff ends the wait for the rest of a request.
-func (c *callerConn) cutOff() {
+// cutOff ends the wait for the rest of a request, unless it is complete: then nothing is waited for, and a
+// deadline in the past would end the watch for its caller's leaving.
+func (c *callerConn) cutOff() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
+	if c.complete {
+		return false
+	}
 	c.leaving, c.cut = true, true
 	c.Conn.SetReadDeadline(time.Unix(1, 0))
-}
-
-func (c *callerConn) isCut() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.cut
+	return true
 }
 
 func (c *callerConn) hasBegun() bool {
@@ -523,13 +525,14 @@
 }
 
 // open notes that a connection's request goes to the module, unless as many are there as servers'
-// connections are kept for, or this one was to be cut off: its caller would seem to have gone. That there
-// are too many connections is no reason: others' silence must not cost a good caller its answer.
+// connections are kept for. That there are too many connections is no reason: others' silence must not cost
+// a good caller its answer. If its connection was to be let go, another goes in its place.
 func (s *callers) open(c *callerConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.move(c, open)
-	if s.opened > s.room/2 || c.isCut() {
+	s.makeRoom()
+	if s.opened > s.room/2 {
 		s.counts.Crowded++
 		return false
 	}
@@ -617,7 +620,7 @@
 	case c.phase == lingering:
 		c.Close()
 	case c.phase == reading || c.phase == silent && c.hasBegun():
-		c.cutOff()
+		gone = c.cutOff()
 	default:
 		gone = c.letGo()
 	}
--- a/internal/node/callers_test.go
+++ b/internal/node/callers_test.go
@@ -1,8 +1,10 @@
 package node
 
 import (
+	"bytes"
 	"fmt"
 	"io"
+	"net"
 	"net/http"
 	"runtime"
 	"testing"
@@ -20,17 +22,25 @@
 		n.frontend.callers.grace = graces{idle: limit}
 	})
 	const body = "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: half\r\nX-Deadline: 60\r\nContent-Length: 9\r\n\r\nhal"
+	// served wants an answer, and returns the connection to go on with: the node may end this one with the answer.
+	served := func(c *caller, id string) *caller {
+		c.get(id)
+		r, got := c.answer(t)
+		if r.StatusCode != http.StatusOK || got != "for "+id {
+			t.Fatalf("got %d %q, want %d for %s", r.StatusCode, got, http.StatusOK, id)
+		}
+		if r.Close {
+			return dial(t, n)
+		}
+		return c
+	}
 	good := dial(t, n)
 	for i := range 600 {
 		bad := dial(t, n)
 		io.WriteString(bad, []string{"", "GET /view/k HT", "GET /view/k HTTP/1.1\r\nX-", body}[i%4])
 		if i%20 == 0 {
-			good.get(fmt.Sprint("good-", i))
-			good.want(t, http.StatusOK, fmt.Sprint("for good-", i))
-			fresh := dial(t, n)
-			fresh.get(fmt.Sprint("fresh-", i))
-			fresh.want(t, http.StatusOK, fmt.Sprint("for fresh-", i))
-			fresh.Close()
+			good = served(good, fmt.Sprint("good-", i))
+			served(dial(t, n), fmt.Sprint("fresh-", i)).Close()
 		}
 	}
 	until(t, "the rest to be let go", func() bool {
@@ -40,6 +50,106 @@
 	})
 }
 
+// A complete request is served, though its connection is chosen to make room in the moment in which its head has
+// been read, or while it waits in its handler: a silent one goes in its place, and its caller's leaving is still
+// seen. Half a request is cut off instead.
+func TestCompleteRequestIsServedThoughRoomIsMade(t *testing.T) {
+	for _, moment := range []string{"head read", "watched"} {
+		for _, method := range []string{"GET", "POST"} {
+			for _, id := range []string{"served", "leaving"} {
+				t.Run(fmt.Sprint(moment, " ", method, " ", id), func(t *testing.T) {
+					t.Parallel()
+					completeWhileRoomIsMade(t, moment, method, id)
+				})
+			}
+		}
+	}
+	t.Run("half a request", func(t *testing.T) {
+		t.Parallel()
+		half := dial(t, startCrowdedNode(t, newServer(t, echo), "head read"))
+		io.WriteString(half, "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: half\r\nX-Deadline: 60\r\n"+
+			"Content-Length: 9\r\n\r\nhal")
+		half.want(t, http.StatusBadRequest, "")
+	})
+}
+
+func completeWhileRoomIsMade(t *testing.T, moment, method, id string) {
+	got, ended := make(chan struct{}), make(chan struct{})
+	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+		if r.Header.Get("X-Request-Id") == "served" {
+			return echo(c, r, body)
+		}
+		close(got)
+		c.Read(make([]byte, 1)) // returns when the node closes
+		close(ended)
+		return false
+	})
+	n := startCrowdedNode(t, s, moment)
+	c := dial(t, n)
+	if method == http.MethodPost {
+		c.send(method, "/note/k", id, "body", "60")
+	} else {
+		c.get(id)
+	}
+	if id == "leaving" {
+		wait(t, got, "the attempt")
+		c.Close()
+		wait(t, ended, "the end of the attempt")
+		return
+	}
+	if r, body := c.answer(t); r.StatusCode != http.StatusOK || body != "for served" || r.Close {
+		t.Fatalf("got %d %q, closing %v, want it served and the connection kept", r.StatusCode, body, r.Close)
+	}
+	until(t, "a silent connection to go", func() bool { return n.frontend.callers.held() == crowdedMost })
+}
+
+// crowdedMost is how many connections startCrowdedNode's node may hold, and holds silent ones.
+const crowdedMost = 5
+
+// startCrowdedNode starts a node that has no place for one more connection, and that makes room at the given
+// moment of a request: first at the expense of those that it takes for half ones.
+func startCrowdedNode(t *testing.T, s *fakeServer, moment string) *Node {
+	t.Helper()
+	cfg := testConfig(whole(entry("s1", s.addr(), "in_service")))
+	cfg.Sockets = reserved + crowdedMost + 1 // one is kept for the server
+	for i := range cfg.Settings.Classes {
+		cfg.Settings.Classes[i].Aim = 2 * limit // no attempt ends by itself while a test waits
+	}
+	n, _ := startNode(t, cfg, func(n *Node) {
+		f := n.frontend
+		f.server.ReadTimeout = 2 * limit // what is cut off is cut off to make room
+		f.callers.grace = graces{lingering: limit, silent: limit, half: limit, idle: limit}
+		makeRoom := func() {
+			f.callers.mu.Lock()
+			defer f.callers.mu.Unlock()
+			f.callers.grace = graces{lingering: limit, idle: limit}
+			f.callers.makeRoom()
+		}
+		if moment == "head read" {
+			f.server.ConnState = func(c net.Conn, state http.ConnState) {
+				if f.callers.track(c, state); state == http.StateActive {
+					makeRoom()
+				}
+			}
+			return
+		}
+		f.server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			if r.Body != http.NoBody { // the watch begins behind the body's end
+				body, _ := io.ReadAll(r.Body)
+				r.Body = io.NopCloser(bytes.NewReader(body))
+			}
+			connOf(r.Context()).settle()
+			makeRoom()
+			f.ServeHTTP(w, r)
+		})
+	})
+	for range crowdedMost {
+		dial(t, n)
+	}
+	until(t, "the silent connections to be held", func() bool { return n.frontend.callers.held() == crowdedMost })
+	return n
+}
+
 // Silent and half-spoken connections end by themselves, and so do those that ask no more.
 func TestConnectionsWithoutARequestEnd(t *testing.T) {
 	s := newServer(t, echo)
