--- a/slowstart.go
+++ b/slowstart.go
@@ -13,6 +13,7 @@
 	bestKept   = 8.0 // times as long as what servers bear is remembered, it is at their best
 	lightPart  = 6.0 // times its warmth, of the mean effort, that a cold server takes at most
 	rarity     = 9.0 // exponent of the chance that what comes to a cold server in a window pushes it over
+	smallCount = 30  // requests in a window from which what pushes a cold server over is counted more strictly
 	outside    = 0.1 // calls in a window that copies together send a cold server that is not in their pools
 	unused     = 2.0 // mean times between own calls, beyond a part of a window, after which credit is lost
 	lateWindow = 4   // that part of a window, and the times in it that held calls look for credit, halved
@@ -173,18 +174,27 @@
 	copies, most := float64(max(1, b.set.Balancers)), outside
 	if s.pooled {
 		copies = b.creditGrowth.copies
-		most = max(most, safeMean(b.set.FallMultiple*warmth*b.creditGrowth.each*copies*window))
+		most = max(most, safeMean(fallLimit(b.set.FallMultiple*warmth*b.creditGrowth.each*copies*window)))
 	}
 	return most / copies / window
 }
 
-// safeMean is what may come in a window on average for hardly any window to go over N + 2 x root of N + 2
-// requests of mean work, where a cold server falls. A count with the mean m is more than l with a chance of
-// at most exp(l - m - l x log(l/m)) (Chernoff's bound), which is solved for m by substitution, from below.
-func safeMean(n float64) (m float64) {
-	l := n + 2*math.Sqrt(n) + 2
-	for range 24 {
-		m = l * math.Exp((m-rarity)/l-1)
+// fallLimit is how many requests of mean work in a window a cold server surely bears, by an estimate n of
+// what the settings allow it then. It falls at more than n + 2 x root of n + 2, and under 30 at more than
+// n + 3 x root of n + 3. That rule steps down at 30, from 49 to 43, and the estimate may be a little low: one
+// just under 30 counts on no more than what holds at 30, so that the limit nowhere shrinks as n grows.
+func fallLimit(n float64) float64 {
+	wide := max(n, smallCount)
+	return min(n+3*math.Sqrt(n)+3, wide+2*math.Sqrt(wide)+2)
+}
+
+// safeMean is what may come in a window on average for hardly any window to go over the limit l of requests
+// of mean work. A count with the mean m is more than l with a chance of at most exp(l - m - l x log(l/m))
+// (Chernoff's bound), which is solved for m by Newton's method: from below, so it is safe wherever it ends.
+func safeMean(l float64) (m float64) {
+	for range 8 {
+		bound := l * math.Exp((m-rarity)/l-1)
+		m += (bound - m) / (1 - bound/l)
 	}
 	return m
 }
