--- a/slowstart.go
+++ b/slowstart.go
@@ -13,7 +13,7 @@
 	bestKept   = 8.0 // times as long as what servers bear is remembered, it is at their best
 	lightPart  = 6.0 // times its warmth, of the mean effort, that a cold server takes at most
 	rarity     = 9.0 // exponent of the chance that what comes to a cold server in a window pushes it over
-	smallCount = 30  // requests in a window from which what pushes a cold server over is counted more strictly
+	smallCount = 30  // requests in a window from which a cold server bears fewer beyond what it is allowed
 	outside    = 0.1 // calls in a window that copies together send a cold server that is not in their pools
 	unused     = 2.0 // mean times between own calls, beyond a part of a window, after which credit is lost
 	lateWindow = 4   // that part of a window, and the times in it that held calls look for credit, halved
