--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -256,30 +256,32 @@
 			return
 		case <-d.wanted:
 		}
-		for ctx.Err() == nil {
-			p := d.place()
-			_, err := d.watch(ctx, p, false)
-			if err == nil || p.ctx.Err() != nil {
-				continue
-			}
-			// The call of a node that could not dial never came to discovery: the module need not wait.
-			failed := !isLocalTrouble(err)
-			if failed && ctx.Err() == nil {
-				d.log.Warn("the subscription failed", "error", err)
-				d.post(listFailed{})
-			}
-			select {
-			case <-ctx.Done():
-			case <-p.ctx.Done():
-			case <-d.after(probeInterval):
-			}
-			if failed {
-				break
-			}
+		for d.askOnce(ctx) {
 		}
 	}
 }
 
+// askOnce makes one call, and tells whether another is to follow unasked. A call that failed by local trouble
+// never came to discovery: the module need not wait after it, and is not told.
+func (d *discovery) askOnce(ctx context.Context) (again bool) {
+	p := d.place()
+	_, err := d.watch(ctx, p, false)
+	if err == nil || p.ctx.Err() != nil || ctx.Err() != nil {
+		return ctx.Err() == nil
+	}
+	again = isLocalTrouble(err)
+	d.log.Warn("the subscription failed", "error", err)
+	if !again {
+		d.post(listFailed{})
+	}
+	select {
+	case <-ctx.Done():
+	case <-p.ctx.Done():
+	case <-d.after(probeInterval):
+	}
+	return again && ctx.Err() == nil
+}
+
 // watch makes one call and posts what it tells. In doubt, the agent is probed beside it: once it answers
 // that, the call is known to be lost and is dropped, and answers is set.
 func (d *discovery) watch(ctx context.Context, p *place, doubt bool) (answers bool, err error) {
