--- a/balancer.go
+++ b/balancer.go
@@ -176,11 +176,14 @@
 	ListFailed struct{}
 	// Request is a client's request; the Balancer owes it one final answer by Deadline.
 	Request struct {
-		ID       string
-		Class    string
-		Deadline time.Duration // clock time
-		Effort   time.Duration // work expected of it, by the client's hint; 0: not told
-		Repeat   bool          // the client marked it as a repeat
+		ID    string
+		Class string
+		// FirstByte is the clock time when its first byte came, from which its client counts the time up to
+		// Deadline; 0: now.
+		FirstByte time.Duration
+		Deadline  time.Duration // clock time
+		Effort    time.Duration // work expected of it, by the client's hint; 0: not told
+		Repeat    bool          // the client marked it as a repeat
 	}
 	// Outcome ends one attempt. Ended: the request has its final answer.
 	Outcome struct {
--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -11,7 +11,7 @@
 	"net/http"
 	"net/url"
 	"slices"
-	"strconv"
+	"strings"
 	"sync"
 	"syscall"
 	"time"
@@ -174,8 +174,11 @@
 	var (
 		c      *conn
 		waiter chan reply
-		text   []byte
 	)
+	text, wait, err := encode(a)
+	if err != nil || b.waitToTell(a) == 0 {
+		return result{ending: balancer.Void}
+	}
 	for {
 		waiter = make(chan reply, 1)
 		var (
@@ -191,10 +194,6 @@
 		case err != nil:
 			return result{ending: balancer.Unreachable}
 		}
-		if text, err = encode(a, b.clock.until(a.deadline)); err != nil {
-			b.giveUp(c, waiter)
-			return result{ending: balancer.Void}
-		}
 		may := b.begin(ctx, c, waiter, a)
 		if may == mayWrite {
 			break
@@ -211,6 +210,11 @@
 	// A timed-out or cancelled attempt closes its connection, which ends the wait below.
 	stop := context.AfterFunc(ctx, func() { b.giveUp(c, waiter) })
 	defer stop()
+	// The last thing before the write, so that no wait for a connection or a lock makes it too long.
+	if !putWait(wait, b.waitToTell(a)) {
+		b.giveUp(c, waiter)
+		return result{ending: balancer.Void}
+	}
 	sent, err := c.Write(text)
 	if err != nil {
 		b.giveUp(c, waiter)
@@ -232,12 +236,13 @@
 	return result{ending: balancer.Broken}
 }
 
-// encode writes the request to a server. Method, target, body, id and idempotency key go on as they came.
-func encode(a *attempt, left time.Duration) ([]byte, error) {
+// encode writes the request to a server. Method, target, body, id and idempotency key pass through unchanged.
+// wait is the part of text that holds the value of X-Deadline, to be filled in by putWait.
+func encode(a *attempt) (text, wait []byte, err error) {
 	h := http.Header{
 		"User-Agent":   {""}, // none
 		"X-Request-Id": {a.call.id},
-		"X-Deadline":   {strconv.FormatFloat(max(left, time.Millisecond).Seconds(), 'f', 6, 64)},
+		"X-Deadline":   {strings.Repeat("0", waitWidth)},
 	}
 	if a.call.key != "" {
 		h["Idempotency-Key"] = []string{a.call.key}
@@ -250,13 +255,16 @@
 	if len(a.call.body) > 0 {
 		r.Body = io.NopCloser(bytes.NewReader(a.call.body))
 	}
-	// The whole request in one write: what Write returns tells whether its last byte left.
-	var text bytes.Buffer
-	text.Grow(512 + len(a.call.body))
-	if err := r.Write(&text); err != nil {
-		return nil, fmt.Errorf("request: %w", err)
+	// The complete request in one write: what Write returns tells whether its last byte left.
+	var buf bytes.Buffer
+	buf.Grow(512 + len(a.call.body))
+	if err := r.Write(&buf); err != nil {
+		return nil, nil, fmt.Errorf("request: %w", err)
 	}
-	return text.Bytes(), nil
+	text = buf.Bytes()
+	const field = "\r\nX-Deadline: " // no value before it can hold a line end
+	at := bytes.Index(text, []byte(field)) + len(field)
+	return text, text[at : at+waitWidth], nil
 }
 
 // connect takes a rested idle connection, or opens a fresh one.
@@ -308,7 +316,7 @@
 	if c.waiter != waiter {
 		return another
 	}
-	overdue := a.before > 0 && b.clock.now() >= a.before
+	overdue := a.before > 0 && b.clock.now() >= a.before || b.waitToTell(a) == 0
 	switch {
 	case spokenOrClosed(c.Conn):
 		c.waiter = nil
--- a/internal/node/edge_test.go
+++ b/internal/node/edge_test.go
@@ -66,6 +66,7 @@
 		{"its caller left", func(b *backend, a *attempt) { a.call.depart() }, balancer.Void},
 		{"called off", func(b *backend, a *attempt) { a.cancel() }, balancer.Withdrawn},
 		{"repeats are discarded no longer", func(b *backend, a *attempt) { a.before = b.clock.now() }, balancer.Void},
+		{"its time is over", func(b *backend, a *attempt) { a.deadline = b.clock.now() }, balancer.Void},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			addr, came := sink(t)
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -111,7 +111,8 @@
 	// net/http would otherwise wait for the rest of a body.
 	w.Header().Set("Connection", "close")
 	conn := connOf(r.Context())
-	if _, err := conn.takeHead(r); err != nil {
+	head, err := conn.takeHead(r)
+	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -119,7 +120,7 @@
 		f.health(w, r)
 		return
 	}
-	c, err := f.readCall(r, conn)
+	c, err := f.readCall(r, conn, head)
 	if err != nil {
 		status := http.StatusBadRequest
 		var no *rejected
@@ -183,11 +184,11 @@
 func (r *rejected) Error() string { return r.reason }
 
 // readCall reads a complete request and checks what the node and the servers rely on. What it rejects here
-// has been forwarded to no server.
-func (f *frontend) readCall(r *http.Request, conn *callerConn) (*call, error) {
+// has been forwarded to no server. The time that the client waits runs from the request's first byte.
+func (f *frontend) readCall(r *http.Request, conn *callerConn, head requestHead) (*call, error) {
 	c := &call{method: r.Method, target: r.RequestURI, id: r.Header.Get("X-Request-Id"),
 		key: r.Header.Get("Idempotency-Key"), contentType: r.Header.Get("Content-Type"),
-		answer: make(chan answer, 1)}
+		firstByte: head.firstByte, answer: make(chan answer, 1)}
 	if err := f.check(c, r); err != nil {
 		return nil, err
 	}
@@ -195,7 +196,7 @@
 		return nil, err
 	}
 	c.at = f.clock.now()
-	c.deadline += c.at
+	c.deadline += c.firstByte
 	return c, nil
 }
 
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -32,7 +32,9 @@
 	id, class, method, target, key string
 	contentType                    string
 	body                           []byte
-	at, deadline                   time.Duration
+	firstByte                      time.Duration // clock time when its first byte was read; 0: at
+	at                             time.Duration // clock time when it was complete
+	deadline                       time.Duration // clock time until which the client waits
 	effort                         time.Duration // hinted; 0: not told
 	revision                       int           // of the rules that it was checked against
 	answer                         chan answer   // takes one answer without blocking
@@ -240,8 +242,8 @@
 		}
 		l.stats.Requests++
 		l.pending[e.call.id] = &pending{call: e.call}
-		l.handle(e.call.at, balancer.Request{ID: e.call.id, Class: e.call.class, Deadline: e.call.deadline,
-			Effort: e.call.effort})
+		l.handle(e.call.at, balancer.Request{ID: e.call.id, Class: e.call.class, FirstByte: e.call.firstByte,
+			Deadline: e.call.deadline, Effort: e.call.effort})
 	case callerGone:
 		l.lag(e.at)
 		if p := l.pending[e.call.id]; p != nil && p.call == e.call && !p.answered {
@@ -451,7 +453,7 @@
 	p := l.pending[s.ID]
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &attempt{ctx: ctx, cancel: cancel, call: p.call, n: len(p.attempts),
-		to: l.listed[s.Server].host(), sent: l.now, deadline: l.now + s.Timeout, before: s.Before}
+		to: l.listed[s.Server].host(), sent: l.now, deadline: min(l.now+s.Timeout, p.call.deadline), before: s.Before}
 	p.attempts = append(p.attempts, a)
 	p.out++
 	l.stats.Sends++
--- a/policy.go
+++ b/policy.go
@@ -329,7 +329,7 @@
 	b.requests[e.ID] = r
 	b.interval += time.Duration(memory * float64(min(b.now-b.asked, b.set.WarmAfter)-b.interval))
 	b.asked = b.now
-	b.backdate(r)
+	b.backdate(r, e.FirstByte)
 	for _, k := range b.order {
 		k.arrive *= 0.99
 		k.serve *= 0.99
@@ -345,9 +345,14 @@
 // backdate finds when the client first asked. Most tries of a class are given the same time, a share of
 // its deadline; one that is given another has all that its earlier tries left: less than the share, or
 // more where no try is to follow. What is usual is a vote, so that no odd caller decides it for all. It
-// would hurt callers in the minority where those of one class are given different times.
-func (b *Balancer) backdate(r *request) {
-	c, left := r.class, float64(r.deadline-b.now)
+// would hurt callers in the minority where those of one class are given different times. The time given runs
+// from the first byte (0: now), so that a request that is written slowly is not taken for an odd one.
+func (b *Balancer) backdate(r *request, firstByte time.Duration) {
+	began := b.now
+	if firstByte > 0 {
+		began = min(b.now, firstByte)
+	}
+	c, left := r.class, float64(r.deadline-began)
 	switch {
 	case b.set.Tier > 0:
 	case math.Abs(left-c.usual) <= sameTry*c.usual:
@@ -357,7 +362,7 @@
 	default:
 		c.votes--
 		r.arrived = min(b.now, r.deadline-c.Deadline)
-		r.repeat = r.repeat || b.now-r.arrived > c.Aim/2
+		r.repeat = r.repeat || began-r.arrived > c.Aim/2
 	}
 }
 
--- a/policy_test.go
+++ b/policy_test.go
@@ -335,6 +335,30 @@
 	}
 }
 
+// A request that its client writes slowly is no odd one among those that are given the same time, and an odd
+// one is a repeat only if it is so by its first byte.
+func TestSlowlyWrittenRequestIsNoRepeat(t *testing.T) {
+	b := newBalancer(t, nil)
+	b.Handle(time.Second, Request{ID: "first", Class: "get", Deadline: 2500 * msec})
+	for _, c := range []struct {
+		id                    string
+		now, firstByte, given time.Duration
+		repeat                bool
+		arrived               time.Duration
+	}{
+		{"slow", 5 * time.Second, 4400 * msec, 1500 * msec, false, 5 * time.Second},
+		{"slow and odd", 6 * time.Second, 5500 * msec, 1300 * msec, false, 5300 * msec},
+		{"slow repeat", 7 * time.Second, 6950 * msec, 900 * msec, true, 6350 * msec},
+		{"first byte after now", 8 * time.Second, 9 * time.Second, 500 * msec, false, 8 * time.Second},
+	} {
+		b.Handle(c.now, Request{ID: c.id, Class: "get", FirstByte: c.firstByte, Deadline: c.firstByte + c.given})
+		if r := b.requests[c.id]; r == nil || r.repeat != c.repeat || r.arrived != c.arrived {
+			t.Errorf("%s: %+v", c.id, r)
+		}
+		b.classes["get"].votes = 1
+	}
+}
+
 // In overload every server is missed: the more is shed, the fewer may be ruled out for their health.
 func TestSheddingLeavesMoreServersIn(t *testing.T) {
 	for _, c := range []struct {
