--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -109,6 +109,8 @@
 	looked   chan struct{} // closed once the watch beside the request has read all that had come
 	turned   chan struct{} // gets one when departed changes
 	requests requestScanner
+	timeout  time.Duration // for reading the rest of a request that has begun; 0: none
+	readBy   time.Time     // when that ends; zero while no request is being read
 
 	callers  *callers
 	activity // guarded by callers.mu
@@ -145,6 +147,7 @@
 	if n := c.takeAhead(p); n > 0 {
 		return n, nil
 	}
+	c.limitReading()
 	n, err := c.Conn.Read(p)
 	c.scan(p[:n])
 	c.came(n, err)
@@ -174,6 +177,18 @@
 	return c.requests.bodyError()
 }
 
+// limitReading bounds the time for the rest of a request: net/http waits for its first four bytes as long
+// as for a request that has not begun.
+func (c *callerConn) limitReading() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.timeout <= 0 || !c.readBy.IsZero() || !c.requests.midRequest() {
+		return
+	}
+	c.readBy = time.Now().Add(c.timeout)
+	c.setReadDeadline(c.deadline)
+}
+
 // startWatch tells whether a request waits. If so, no wait for another is left to be ended: neither
 // this connection's being let go nor what was seen beside an earlier request holds any longer.
 func (c *callerConn) startWatch() bool {
@@ -391,6 +406,18 @@
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
+	if t.IsZero() { // net/http and the frontend set none once a request is read
+		c.readBy = time.Time{}
+	}
+	return c.setReadDeadline(t)
+}
+
+// setReadDeadline sets the deadline for reading, or the end of the time for the request that is being read
+// if that is sooner. The caller holds mu.
+func (c *callerConn) setReadDeadline(t time.Time) error {
+	if !c.readBy.IsZero() && (t.IsZero() || c.readBy.Before(t)) {
+		t = c.readBy
+	}
 	c.deadline = t
 	if c.leaving {
 		return nil
@@ -443,8 +470,9 @@
 // callerListener makes callerConns.
 type callerListener struct {
 	net.Listener
-	callers  *callers
-	shutting atomic.Bool
+	callers     *callers
+	readTimeout time.Duration // for reading the rest of a request that has begun; 0: none
+	shutting    atomic.Bool
 }
 
 // deadlines are what a listener needs to be shut without a loss.
@@ -483,7 +511,7 @@
 			c.Close()
 			continue
 		}
-		return &callerConn{Conn: c, callers: l.callers}, nil
+		return &callerConn{Conn: c, callers: l.callers, timeout: l.readTimeout}, nil
 	}
 }
 
--- a/internal/node/callers_test.go
+++ b/internal/node/callers_test.go
@@ -61,6 +61,50 @@
 	closed(t, c.br, "a connection that asks no more")
 }
 
+// A client that stops in the middle of a request and stays gets an error or a close within the time for
+// reading a request, also if it has sent too little to be told from one that rests.
+func TestClientsThatStopInTheMiddleOfARequestEnd(t *testing.T) {
+	s := newServer(t, echo)
+	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+		n.frontend.server.ReadTimeout = 300 * time.Millisecond
+		n.frontend.server.IdleTimeout = 10 * limit
+	})
+	const post = "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: half\r\nX-Deadline: 60\r\n"
+	for _, half := range []string{"G", "GE", "GET", "GET /view", "GET /view/k HTTP/1.1\r\n", "\r\nP",
+		post + "Content-Length: 4\r\n\r\n", post + "Content-Length: 4\r\n\r\nbod",
+		post + "Expect: 100-continue\r\nContent-Length: 4\r\n\r\n",
+		post + "Transfer-Encoding: chunked\r\n\r\n", post + "Transfer-Encoding: chunked\r\n\r\n2",
+		post + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n"} {
+		for _, when := range []string{"first", "after an answer", "behind a request"} {
+			t.Run(fmt.Sprintf("%s %.20q %d", when, half, len(half)), func(t *testing.T) {
+				t.Parallel()
+				c := dial(t, n)
+				good := "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: good-" + t.Name() +
+					"\r\nX-Deadline: 60\r\nContent-Length: 0\r\n\r\n"
+				switch when {
+				case "after an answer":
+					io.WriteString(c, good)
+					c.want(t, http.StatusOK, "")
+					io.WriteString(c, half)
+				case "behind a request":
+					io.WriteString(c, good+half)
+					c.want(t, http.StatusOK, "")
+				default:
+					io.WriteString(c, half)
+				}
+				end := make(chan error, 1)
+				go func() {
+					_, err := io.Copy(io.Discard, c.br)
+					end <- err
+				}()
+				if err := wait(t, end, "the end"); err != nil {
+					t.Errorf("the connection ended by %v", err)
+				}
+			})
+		}
+	}
+}
+
 // Callers, requests and servers that are ever new leave nothing behind.
 func TestStateStaysBounded(t *testing.T) {
 	s := newServer(t, echo)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -217,7 +217,8 @@
 		go n.discovery.ask(inner)
 	}
 	gone := make(chan error, 1)
-	ln := &callerListener{Listener: n.listener, callers: n.frontend.callers}
+	ln := &callerListener{Listener: n.listener, callers: n.frontend.callers,
+		readTimeout: n.frontend.server.ReadTimeout}
 	go func() { gone <- n.frontend.server.Serve(ln) }()
 	select {
 	case err := <-gone:
