--- /dev/null
+++ b/internal/wire/corpus_test.go
@@ -0,0 +1,219 @@
+package wire
+
+import (
+	"bytes"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"balancer"
+)
+
+var updateGolden = flag.Bool("update", false, "rewrite testdata/decoded.golden from the present decoder")
+
+// fullSettings names every key that the module's settings are read from.
+const fullSettings = `{"balancers":12,"me":3.0,"zone":"north","localities":["north","east"],"tier":1,` +
+	`"blend":{"whole":0.7,"worst-class":0.3},"registry-mode":"on_request","tick-ms":2.5,` +
+	`"limits":{"cancelling":true,"max-attempts":4,"max-retry-after-ms":1500.5,"retry-after":true},` +
+	`"rules":{"ask-within-ms":800,"cold-from":0.25,"warm-after-ms":9000,"fall-multiple":1.5,"fall-ms":400},` +
+	`"lanes":[{"name":"get","effect":"read_like","target-ms":200.25,"deadline-ms":900,"late-share":0.5,"worth":2},` +
+	`{"name":"pay","effect":"idempotency_key","key-scope":"zone","window-ms":700,"deadline-ms":1200},` +
+	`{"name":"put","effect":"idempotency_key","key-scope":"all"},{"name":"set","effect":"idempotency_key","key-scope":"cell"},` +
+	`{"name":"post","effect":"non_idempotent","key-scope":"odd"}],"unknown":{"key":[1]}}`
+
+const inInstance = "sync\t1\nabout\t7\n" // a batch begins, and its events are those of instance 7
+
+// corpus holds an input for each message, each form of a field and each error of the decoder.
+var corpus = []struct{ name, input string }{
+	{"empty input", ""},
+	{"empty batches", "sync\t8412.25\neob\n\r\nsync\t8413\r\neob\r\n"},
+	{"two instances", "sync\t-5\nabout\t0\nring\tsweep\nabout\t5\nring\tr:1\neob\nsync\t6\nabout\t5\nring\tr:2\neob\n"},
+	{"hello", inInstance + "hello\t18446744073709551615\t" + fullSettings + "\neob\n"},
+	{"hello, negative seed, tab in the settings", inInstance + "hello\t-3\t{\"zone\":\t\"a\"}\neob\n"},
+	{"hello, counts that are none", inInstance +
+		`hello	1	{"balancers":-1,"me":1.5,"tier":3e9,"limits":{"max-retry-after-ms":9},"lanes":[{"effect":"?"}]}` + "\neob\n"},
+	{"crash", inInstance + "crash_now\neob\n"},
+	{"lists", inInstance + "list\t0\t3\nitem\ts:1\tz\tk\t4\t2\t1.5\t6100.5\nitem\ts:2\tz\tk\t5\t0\t-\t-\nitem\ts:3\tz\tk\t6\t1\n" +
+		"announce\t0\t0\t41\nlist\t15\t0\nannounce\t1\t15\t42\nannounce\t2\t0\t43\nlist\t0\t1\nitem\ts:4\tz\tk\t-1\t2\t0\t0\n" +
+		"announce\t2\t0\t44\nannounce\t1\t9\t44\nannounce\t3\t-\t-\neob\n"},
+	{"requests", inInstance + "job_in\tid\t8652.25\t-\tget\t3\t-\t12.0\njob_in\tid2\t90\t7\tget\t2\tacme\t12.0\n" +
+		"job_in\tid3\t90\t7\tget\t5\tacme\t-\njob_in\tid4\t90\t7\tget\neob\n"},
+	{"outcomes", inInstance + "outcome\tid\ts:1\t18.5\t1\t0\tsuccess\tbusy_reqs:3,odd:1\n" +
+		"outcome\tid\ts:1\t18.5\t0\t1\tfailure\tsvc_ms:2.25\noutcome\tid\ts:1\t0\t0\t2\toverloaded\t-\n" +
+		"outcome\tid\ts:1\t0\t0\t3\ttimed_out\noutcome\tid\ts:1\t0\t0\t4\tunreachable\t-\noutcome\tid\ts:1\t0\t0\t5\tbroken\t-\n" +
+		"outcome\tid\ts:1\t0\t0\t6\twithdrawn\t-\noutcome\tid\ts:1\t0\t0\t7\tvoid\t-\neob\n"},
+	{"other events", inInstance + "timed_out_client\tid\nflowing\tid\ts:1\t9.25\t2\nchecked\tx\nmail\ty\neob\n"},
+
+	{"message outside a batch", "\neob\n"},
+	{"unknown message outside a batch", strings.Repeat("x", 50) + "\n"},
+	{"sync inside a batch", "sync\t1\nsync\t2\n"},
+	{"event before any about", "sync\t1\nring\ta\n"},
+	{"event before any about of its batch", inInstance + "eob\nsync\t2\nhello\t1\t{}\n"},
+	{"unknown message", inInstance + "huh\t1\n"},
+	{"input ends after a batch began", "sync\t1\n"},
+	{"input ends inside a line", inInstance + "ring\ta"},
+	{"input ends inside the first line", "sync"},
+	{"sync without a time", "sync\n"},
+	{"sync, no time", "sync\tx\n"},
+	{"sync, not a number", "sync\tNaN\n"},
+	{"sync, too large", "sync\t1e13\n"},
+	{"about without a number", "sync\t1\nabout\t-\n"},
+	{"about, no number", "sync\t1\nabout\t1.5\n"},
+	{"about, negative", "sync\t1\nabout\t-2\n"},
+	{"hello without settings", inInstance + "hello\t5\n"},
+	{"hello, no seed", inInstance + "hello\tx\t{}\n"},
+	{"hello, settings that do not parse", inInstance + "hello\t5\t{bad\n"},
+	{"hello, settings of a wrong type", inInstance + `hello	5	{"tick-ms":"2"}` + "\n"},
+	{"list, no number", "sync\t1\nlist\tx\t1\n"},
+	{"list number out of range", "sync\t1\nlist\t16\t0\n"},
+	{"list length out of range", "sync\t1\nlist\t0\t-1\n"},
+	{"list is cut off", "sync\t1\nlist\t0\t2\nitem\ta\tz\tk\t4\t2\n"},
+	{"list is cut off inside a line", "sync\t1\nlist\t0\t2\nitem\ta\tz\tk\t4\t2\nitem"},
+	{"list holds another message", "sync\t1\nlist\t0\t2\nitem\ta\tz\tk\t4\t2\neob\n"},
+	{"item without a cell", "sync\t1\nlist\t0\t1\nitem\ta\tb\n"},
+	{"item, no state", "sync\t1\nlist\t0\t1\nitem\ta\tz\tk\t4\t3\n"},
+	{"item, no size", "sync\t1\nlist\t0\t1\nitem\ta\tz\tk\t4\t2\t-1\n"},
+	{"item, no start time", "sync\t1\nlist\t0\t1\nitem\ta\tz\tk\t4\t2\t1\tx\n"},
+	{"announce, no mode", inInstance + "announce\t9\t0\t0\n"},
+	{"announce without a mode", inInstance + "announce\n"},
+	{"announce, no list", inInstance + "announce\t1\t16\t0\n"},
+	{"announce, negative list", inInstance + "announce\t1\t-1\t0\n"},
+	{"job_in without a deadline", inInstance + "job_in\ta\n"},
+	{"job_in without a class", inInstance + "job_in\ta\t1\t-\t-\t0\n"},
+	{"job_in, no bits", inInstance + "job_in\ta\t1\t-\tget\tx\n"},
+	{"job_in, no effort", inInstance + "job_in\ta\t1\t-\tget\t1\t-\tx\n"},
+	{"outcome, no ending", inInstance + "outcome\tid\ts:1\t0\t0\t0\tlost\t-\n"},
+	{"outcome, no load report", inInstance + "outcome\tid\ts:1\t0\t0\t0\tsuccess\tbusy_reqs\n"},
+	{"outcome, attempt is no number", inInstance + "outcome\tid\ts:1\t0\t0\tx\tsuccess\t-\n"},
+	{"ring without a token", inInstance + "ring\t\n"},
+	{"timed_out_client without an id", inInstance + "timed_out_client\n"},
+	{"flowing without an attempt", inInstance + "flowing\tid\ts:1\t9.25\n"},
+}
+
+// TestCorpusDecodesAsRecorded compares all messages and errors of the corpus with the recorded ones. The
+// records were first made by the decoder as it was before it was split into files.
+func TestCorpusDecodesAsRecorded(t *testing.T) {
+	var got bytes.Buffer
+	for _, entry := range corpus {
+		fmt.Fprintf(&got, "# %s\n", entry.name)
+		messages, err := all(t, entry.input)
+		for _, m := range messages {
+			fmt.Fprintf(&got, "%d %s %s\n", m.Kind, eventName(m.Event), render(reflect.ValueOf(m)))
+		}
+		if err != nil {
+			fmt.Fprintf(&got, "error: %v\n", err)
+		}
+	}
+	path := filepath.Join("testdata", "decoded.golden")
+	if *updateGolden {
+		if err := os.WriteFile(path, got.Bytes(), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	gotLines, wantLines := strings.Split(got.String(), "\n"), strings.Split(string(want), "\n")
+	for i := range max(len(gotLines), len(wantLines)) {
+		if i >= len(gotLines) || i >= len(wantLines) || gotLines[i] != wantLines[i] {
+			t.Fatalf("line %d of %s differs from:\n%s", i+1, path, strings.Join(gotLines[min(i, len(gotLines)):], "\n"))
+		}
+	}
+}
+
+// eventName names an event in words that stay when the module's types are renamed.
+func eventName(e balancer.Event) string {
+	switch e.(type) {
+	case nil:
+		return "no event"
+	case balancer.ServerList:
+		return "endpoint list"
+	case balancer.ListFailed:
+		return "list failed"
+	case balancer.Request:
+		return "request"
+	case balancer.Timer:
+		return "timer"
+	case balancer.Outcome:
+		return "attempt ended"
+	case balancer.ClientGone:
+		return "client gone"
+	case balancer.Started:
+		return "stream started"
+	}
+	return "unexpected event"
+}
+
+// render writes all values inside v in the order of their fields, without names of types, fields or constants.
+// A struct that is zero is {}.
+func render(v reflect.Value) string {
+	switch v.Kind() {
+	case reflect.Struct:
+		if v.IsZero() {
+			return "{}"
+		}
+		parts := make([]string, v.NumField())
+		for i := range parts {
+			parts[i] = render(v.Field(i))
+		}
+		return "{" + strings.Join(parts, " ") + "}"
+	case reflect.Slice:
+		parts := make([]string, v.Len())
+		for i := range parts {
+			parts[i] = render(v.Index(i))
+		}
+		return "[" + strings.Join(parts, " ") + "]"
+	case reflect.Pointer, reflect.Interface:
+		if v.IsNil() {
+			return "nil"
+		}
+		return render(v.Elem())
+	case reflect.String:
+		return fmt.Sprintf("%q", v.String())
+	case reflect.Bool:
+		return fmt.Sprint(v.Bool())
+	case reflect.Float64:
+		return fmt.Sprint(v.Float())
+	case reflect.Uint64:
+		return fmt.Sprint(v.Uint())
+	}
+	return fmt.Sprint(v.Int())
+}
+
+// Each action is one line of the reply, under the line that names its instance.
+func TestRepliesAreEncodedByteForByte(t *testing.T) {
+	var out bytes.Buffer
+	e := NewEncoder(&out)
+	reply := func(instance int, actions ...balancer.Action) {
+		for _, a := range actions {
+			e.Action(instance, a)
+		}
+	}
+	flush := func() {
+		if err := e.Flush(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	flush()
+	reply(0, balancer.Subscribe{}, balancer.Fail{ID: "a"}, balancer.Wake{At: 8912250 * time.Microsecond, Token: "r:a"})
+	reply(3, balancer.Send{ID: "b", Server: "10.0.0.1:7", Timeout: 1}, balancer.Send{ID: "c", Server: "s"},
+		balancer.Cancel{ID: "b", Attempt: 2}, balancer.Refuse{ID: "d", RetryAfter: 1234567 * time.Nanosecond})
+	flush()
+	reply(3, balancer.Send{ID: "e", Server: "s", Timeout: -time.Millisecond, Before: 5})
+	reply(0, balancer.Refuse{ID: "f"})
+	reply(3, balancer.Wake{At: 1e18, Token: "t"})
+	flush()
+	const want = "yield\n" +
+		"instance\t0\nsubscribe\t1\nreport_failure\ta\nremind\t8912.25\tr:a\n" +
+		"instance\t3\nforward\tb\t10.0.0.1:7\t0.000001\nforward\tc\ts\t0\nretract\tb\t2\nturn_away\td\t1.234567\nyield\n" +
+		"instance\t3\nforward\te\ts\t-1\ninstance\t0\nturn_away\tf\t0\ninstance\t3\nremind\t1000000000000\tt\nyield\n"
+	if out.String() != want {
+		t.Fatalf("got  %q\nwant %q", out.String(), want)
+	}
+}
