--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"balancer"
-	"balancer/internal/wire"
+	"balancer/internal/settings"
 )
 
 // Config is what a node is told at its start.
@@ -84,7 +84,7 @@
 	if err := json.Unmarshal(f.Settings, &s); err != nil {
 		return Config{}, fmt.Errorf("config: settings: %w", err)
 	}
-	set, err := wire.ParseSettings(f.Settings)
+	set, err := settings.Parse(f.Settings)
 	if err != nil {
 		return Config{}, fmt.Errorf("config: %w", err)
 	}
--- /dev/null
+++ b/internal/settings/example_test.go
@@ -0,0 +1,25 @@
+package settings_test
+
+import (
+	"fmt"
+
+	"balancer/internal/settings"
+)
+
+func ExampleParse() {
+	s, err := settings.Parse([]byte(`{
+		"zone": "north",
+		"localities": ["north", "east"],
+		"tick-ms": 2.5,
+		"lanes": [{"name": "get", "effect": "read_like", "target-ms": 200, "deadline-ms": 900}]
+	}`))
+	if err != nil {
+		fmt.Println(err)
+		return
+	}
+	fmt.Println(s.Zone, s.Zones, s.Tick)
+	fmt.Println(s.Classes[0].Name, s.Classes[0].Deadline)
+	// Output:
+	// north 2 2.5ms
+	// get 900ms
+}
--- /dev/null
+++ b/internal/settings/settings.go
@@ -0,0 +1,139 @@
+// Package settings reads the settings object, which the simulator sends to each instance and which a node
+// finds in its configuration file, into the settings of the balancer module.
+package settings
+
+import (
+	"encoding/json"
+	"fmt"
+	"math"
+	"time"
+
+	"balancer"
+)
+
+// Parse reads the settings object, in JSON. Times in it are milliseconds. Keys that it does not know are
+// ignored; an effect that it does not know is not idempotent, and a key scope that it does not know is the
+// narrowest. A count that is negative, too large or not an integer becomes -1, which balancer.New rejects
+// together with all else that is out of range. The error wraps that of encoding/json.
+func Parse(text []byte) (balancer.Settings, error) {
+	var d document
+	if err := json.Unmarshal(text, &d); err != nil {
+		return balancer.Settings{}, fmt.Errorf("settings: %w", err)
+	}
+	return d.settings(), nil
+}
+
+// Milliseconds converts a time in milliseconds, as the settings and the simulator write it, and rounds it to
+// the nanosecond.
+func Milliseconds(ms float64) time.Duration {
+	return time.Duration(math.Round(ms * float64(time.Millisecond)))
+}
+
+// document mirrors the keys of the settings object that the module uses.
+type document struct {
+	Replicas     float64  `json:"balancers"`
+	ReplicaIndex float64  `json:"me"`
+	Zone         string   `json:"zone"`
+	Zones        []string `json:"localities"`
+	Weights      struct {
+		Total      float64 `json:"whole"`
+		WorstClass float64 `json:"worst-class"`
+	} `json:"blend"`
+	Classes []classDocument `json:"lanes"`
+	Limits  struct {
+		AllowCancel     bool    `json:"cancelling"`
+		MaxAttempts     float64 `json:"max-attempts"`
+		MaxRetryAfter   float64 `json:"max-retry-after-ms"`
+		AllowRetryAfter bool    `json:"retry-after"`
+	} `json:"limits"`
+	RegistryMode string `json:"registry-mode"`
+	Rules        struct {
+		PollWithin        float64 `json:"ask-within-ms"`
+		SlowStartFloor    float64 `json:"cold-from"`
+		SlowStartDuration float64 `json:"warm-after-ms"`
+		OverloadMultiple  float64 `json:"fall-multiple"`
+		OverloadWindow    float64 `json:"fall-ms"`
+	} `json:"rules"`
+	Tick float64 `json:"tick-ms"`
+	Tier float64 `json:"tier"`
+}
+
+// classDocument mirrors the keys of one class of requests.
+type classDocument struct {
+	Name             string  `json:"name"`
+	Effect           string  `json:"effect"`
+	KeyScope         string  `json:"key-scope"`
+	DedupWindow      float64 `json:"window-ms"`
+	LatencyObjective float64 `json:"target-ms"`
+	Deadline         float64 `json:"deadline-ms"`
+	LateValue        float64 `json:"late-share"`
+	PriorityWeight   float64 `json:"worth"`
+}
+
+// registryModePoll is the registry mode in which the endpoint list comes only to who asks for it.
+const registryModePoll = "on_request"
+
+func (d *document) settings() balancer.Settings {
+	s := balancer.Settings{
+		Balancers:    count(d.Replicas),
+		Index:        count(d.ReplicaIndex),
+		Tier:         count(d.Tier),
+		Zone:         d.Zone,
+		Zones:        len(d.Zones),
+		WholeWeight:  d.Weights.Total,
+		ClassWeight:  d.Weights.WorstClass,
+		MaxAttempts:  count(d.Limits.MaxAttempts),
+		MayCancel:    d.Limits.AllowCancel,
+		AskDiscovery: d.RegistryMode == registryModePoll,
+		AskWithin:    Milliseconds(d.Rules.PollWithin),
+		Tick:         Milliseconds(d.Tick),
+		ColdFrom:     d.Rules.SlowStartFloor,
+		WarmAfter:    Milliseconds(d.Rules.SlowStartDuration),
+		FallMultiple: d.Rules.OverloadMultiple,
+		FallFor:      Milliseconds(d.Rules.OverloadWindow),
+	}
+	if d.Limits.AllowRetryAfter {
+		s.MaxRetryAfter = Milliseconds(d.Limits.MaxRetryAfter)
+	}
+	for _, c := range d.Classes {
+		s.Classes = append(s.Classes, c.class())
+	}
+	return s
+}
+
+// effects holds the effects that allow a repeat. The zero Effect, for all others, allows none.
+var effects = map[string]balancer.Effect{
+	"read_like":       balancer.Safe,
+	"idempotency_key": balancer.Keyed,
+}
+
+// scopes holds the scopes of idempotency keys. The zero Scope, for all others, is the narrowest.
+var scopes = map[string]balancer.Scope{
+	"all":  balancer.ScopeAll,
+	"zone": balancer.ScopeZone,
+	"cell": balancer.ScopeCell,
+}
+
+func (c classDocument) class() balancer.Class {
+	return balancer.Class{
+		Name:      c.Name,
+		Effect:    effects[c.Effect],
+		Scope:     scopes[c.KeyScope],
+		Window:    Milliseconds(c.DedupWindow),
+		Aim:       Milliseconds(c.LatencyObjective),
+		Deadline:  Milliseconds(c.Deadline),
+		LateShare: c.LateValue,
+		Worth:     c.PriorityWeight,
+	}
+}
+
+// outOfRange stands for a number that counts nothing. No count of the module's settings may be negative.
+const outOfRange = -1
+
+// count converts a number that counts something, written with or without decimals: 2 or 2.0.
+func count(v float64) int {
+	if v != math.Trunc(v) || !(v >= 0 && v <= math.MaxInt32) { // NaN fails too
+		return outOfRange
+	}
+	return int(v)
+}
--- /dev/null
+++ b/internal/settings/settings_test.go
@@ -0,0 +1,69 @@
+package settings
+
+import (
+	"encoding/json"
+	"errors"
+	"reflect"
+	"testing"
+	"time"
+
+	"balancer"
+)
+
+func TestUnknownEffectIsNotIdempotent(t *testing.T) {
+	s, err := Parse([]byte(`{"lanes":[{"name":"a","effect":"odd"},{"name":"b","effect":"read_like"}],"new":1,
+		"zone":"east","localities":["north","east"]}`))
+	if err != nil || s.Zone != "east" || s.Zones != 2 || s.Classes[0].Effect != balancer.Unsafe || s.Classes[1].Effect != balancer.Safe {
+		t.Fatalf("got %+v, %v", s, err)
+	}
+}
+
+func TestEachKeyIsRead(t *testing.T) {
+	got, err := Parse([]byte(`{"balancers":12,"me":3.0,"zone":"north","localities":["north","east"],"tier":1,
+		"blend":{"whole":0.7,"worst-class":0.3},"registry-mode":"on_request","tick-ms":2.5,
+		"limits":{"cancelling":true,"max-attempts":4,"max-retry-after-ms":1500.5,"retry-after":true},
+		"rules":{"ask-within-ms":800,"cold-from":0.25,"warm-after-ms":9000,"fall-multiple":1.5,"fall-ms":400},
+		"lanes":[{"name":"pay","effect":"idempotency_key","key-scope":"zone","window-ms":700,"target-ms":200.25,
+			"deadline-ms":1200,"late-share":0.5,"worth":2}]}`))
+	want := balancer.Settings{
+		Balancers: 12, Index: 3, Tier: 1, Zone: "north", Zones: 2, WholeWeight: 0.7, ClassWeight: 0.3,
+		MaxAttempts: 4, MayCancel: true, AskDiscovery: true, AskWithin: 800 * time.Millisecond,
+		Tick: 2500 * time.Microsecond, MaxRetryAfter: 1500500 * time.Microsecond,
+		ColdFrom: 0.25, WarmAfter: 9 * time.Second, FallMultiple: 1.5, FallFor: 400 * time.Millisecond,
+		Classes: []balancer.Class{{
+			Name: "pay", Effect: balancer.Keyed, Scope: balancer.ScopeZone, Window: 700 * time.Millisecond,
+			Aim: 200250 * time.Microsecond, Deadline: 1200 * time.Millisecond, LateShare: 0.5, Worth: 2,
+		}},
+	}
+	if err != nil || !reflect.DeepEqual(got, want) {
+		t.Fatalf("got  %+v, %v\nwant %+v", got, err, want)
+	}
+}
+
+// Each case is a number that counts nothing. Validate names the setting then.
+func TestCountOutOfRangeIsRejectedByTheModule(t *testing.T) {
+	for _, text := range []string{"-1", "1.5", "3e9"} {
+		s, err := Parse([]byte(`{"me":` + text + `,"lanes":[{"name":"a","target-ms":1,"deadline-ms":1}]}`))
+		if err != nil || s.Index != outOfRange || s.Validate() == nil {
+			t.Errorf("%s: got %d, %v, and the settings are valid: %v", text, s.Index, err, s.Validate())
+		}
+	}
+}
+
+func TestRetryAfterIsNotAdvisedWhereItIsNotAllowed(t *testing.T) {
+	s, err := Parse([]byte(`{"limits":{"max-retry-after-ms":9}}`))
+	if err != nil || s.MaxRetryAfter != 0 {
+		t.Errorf("got %v, %v", s.MaxRetryAfter, err)
+	}
+}
+
+func TestErrorsWrapThoseOfJSON(t *testing.T) {
+	var syntax *json.SyntaxError
+	if _, err := Parse([]byte("{bad")); !errors.As(err, &syntax) {
+		t.Errorf("bad syntax: got %v", err)
+	}
+	var wrongType *json.UnmarshalTypeError
+	if _, err := Parse([]byte(`{"limits":{"max-attempts":"4"}}`)); !errors.As(err, &wrongType) || wrongType.Field != "limits.max-attempts" {
+		t.Errorf("wrong type: got %v", err)
+	}
+}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -4,7 +4,6 @@
 
 import (
 	"bufio"
-	"encoding/json"
 	"fmt"
 	"io"
 	"math"
@@ -13,6 +12,7 @@
 	"time"
 
 	"balancer"
+	"balancer/internal/settings"
 )
 
 // Kind tells what a Message carries.
@@ -131,7 +131,7 @@
 		f.parts[0] = seed
 		m.Seed = f.seed(0)
 		if f.err == nil {
-			m.Settings, f.err = ParseSettings([]byte(text))
+			m.Settings, f.err = settings.Parse([]byte(text))
 		}
 	case "announce":
 		mode := f.num(0)
@@ -285,7 +285,7 @@
 		f.fail(i, "is no time in milliseconds")
 		return 0
 	}
-	return fromMS(v)
+	return settings.Milliseconds(v)
 }
 
 func (f *fields) optMS(i int) time.Duration {
@@ -328,7 +328,7 @@
 		case "busy_reqs":
 			l.Busy = v
 		case "svc_ms":
-			l.Service = fromMS(v)
+			l.Service = settings.Milliseconds(v)
 		}
 	}
 	return l
@@ -341,90 +341,6 @@
 	return strconv.Quote(s)
 }
 
-func fromMS(v float64) time.Duration { return time.Duration(math.Round(v * 1e6)) }
-
-// profile mirrors the settings object on the wire.
-type profile struct {
-	Balancers float64  `json:"balancers"`
-	Index     float64  `json:"me"`
-	Zone      string   `json:"zone"`
-	Zones     []string `json:"localities"`
-	Blend     struct {
-		Whole      float64 `json:"whole"`
-		WorstClass float64 `json:"worst-class"`
-	} `json:"blend"`
-	Lanes []struct {
-		Deadline  float64 `json:"deadline-ms"`
-		Effect    string  `json:"effect"`
-		Scope     string  `json:"key-scope"`
-		LateShare float64 `json:"late-share"`
-		Name      string  `json:"name"`
-		Target    float64 `json:"target-ms"`
-		Window    float64 `json:"window-ms"`
-		Worth     float64 `json:"worth"`
-	} `json:"lanes"`
-	Limits struct {
-		Cancelling    bool    `json:"cancelling"`
-		MaxAttempts   float64 `json:"max-attempts"`
-		MaxRetryAfter float64 `json:"max-retry-after-ms"`
-		RetryAfter    bool    `json:"retry-after"`
-	} `json:"limits"`
-	Registry string `json:"registry-mode"`
-	Rules    struct {
-		AskWithin float64 `json:"ask-within-ms"`
-		ColdFrom  float64 `json:"cold-from"`
-		WarmAfter float64 `json:"warm-after-ms"`
-		Multiple  float64 `json:"fall-multiple"`
-		FallFor   float64 `json:"fall-ms"`
-	} `json:"rules"`
-	Tick float64 `json:"tick-ms"`
-	Tier float64 `json:"tier"`
-}
-
-var scopes = map[string]balancer.Scope{
-	"all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell,
-}
-
-var effects = map[string]balancer.Effect{
-	"read_like": balancer.Safe, "idempotency_key": balancer.Keyed,
-}
-
-// ParseSettings reads the settings object. Keys it does not know are ignored, an effect it does
-// not know is Unsafe and a scope it does not know is the narrowest.
-func ParseSettings(text []byte) (balancer.Settings, error) {
-	var p profile
-	if err := json.Unmarshal(text, &p); err != nil {
-		return balancer.Settings{}, fmt.Errorf("settings: %w", err)
-	}
-	s := balancer.Settings{
-		Balancers: whole(p.Balancers), Index: whole(p.Index), Tier: whole(p.Tier), Zone: p.Zone, Zones: len(p.Zones),
-		WholeWeight: p.Blend.Whole, ClassWeight: p.Blend.WorstClass,
-		MaxAttempts:  whole(p.Limits.MaxAttempts),
-		MayCancel:    p.Limits.Cancelling,
-		AskDiscovery: p.Registry == "on_request", AskWithin: fromMS(p.Rules.AskWithin),
-		Tick: fromMS(p.Tick), ColdFrom: p.Rules.ColdFrom, WarmAfter: fromMS(p.Rules.WarmAfter),
-		FallMultiple: p.Rules.Multiple, FallFor: fromMS(p.Rules.FallFor),
-	}
-	if p.Limits.RetryAfter {
-		s.MaxRetryAfter = fromMS(p.Limits.MaxRetryAfter)
-	}
-	for _, l := range p.Lanes {
-		s.Classes = append(s.Classes, balancer.Class{Name: l.Name, Effect: effects[l.Effect],
-			Scope: scopes[l.Scope], Window: fromMS(l.Window), Aim: fromMS(l.Target),
-			Deadline: fromMS(l.Deadline), LateShare: l.LateShare, Worth: l.Worth})
-	}
-	return s, nil
-}
-
-// whole takes a number that counts something, however it is written: 2 or 2.0. What counts nothing is -1,
-// which is out of range everywhere.
-func whole(v float64) int {
-	if v != math.Trunc(v) || !(v >= 0 && v <= math.MaxInt32) {
-		return -1
-	}
-	return int(v)
-}
-
 // Encoder writes replies.
 type Encoder struct {
 	w        *bufio.Writer
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -69,14 +69,6 @@
 	}
 }
 
-func TestUnknownEffectIsUnsafe(t *testing.T) {
-	s, err := ParseSettings([]byte(`{"lanes":[{"name":"a","effect":"odd"},{"name":"b","effect":"read_like"}],"new":1,
-		"zone":"east","localities":["north","east"]}`))
-	if err != nil || s.Zone != "east" || s.Zones != 2 || s.Classes[0].Effect != balancer.Unsafe || s.Classes[1].Effect != balancer.Safe {
-		t.Fatalf("got %+v, %v", s, err)
-	}
-}
-
 func TestEncode(t *testing.T) {
 	var out bytes.Buffer
 	e := NewEncoder(&out)
