--- a/cmd/balancer-sim/main.go
+++ b/cmd/balancer-sim/main.go
@@ -1,9 +1,11 @@
-// Command balancer-sim hosts Balancers on the simulator's wire: batches of events on standard
-// input, one reply for each on standard output.
+// Command balancer-sim runs Balancers inside the simulator: it reads batches of events from standard input
+// and writes one reply for each to standard output, in the protocol of package wire. It ends with exit code 0
+// when the input ends between two batches, and with 1 and a line on standard error when the input breaks the
+// protocol, when settings are out of range, or when a reply cannot be written.
 package main
 
 import (
-	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -20,45 +22,53 @@
 	}
 }
 
-// run serves batches until the input ends. A reply is written whole or not at all.
+// run answers batches until the input ends. A reply is written completely or not at all.
 func run(in io.Reader, out io.Writer) error {
-	dec := wire.NewDecoder(in)
-	var reply bytes.Buffer
-	enc := wire.NewEncoder(&reply)
-	hosted := map[int]*balancer.Balancer{}
-	var now time.Duration
+	decoder := wire.NewDecoder(in)
+	h := host{encoder: wire.NewEncoder(out), balancers: map[int]*balancer.Balancer{}}
 	for {
-		m, err := dec.Next()
-		if err == io.EOF {
+		m, err := decoder.Next()
+		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		switch m.Kind {
-		case wire.Sync:
-			now = m.Now
-		case wire.Hello:
-			b, err := balancer.New(m.Settings, m.Seed)
-			if err != nil {
-				return fmt.Errorf("instance %d: %w", m.Instance, err)
-			}
-			hosted[m.Instance] = b
-		case wire.Stop:
-			delete(hosted, m.Instance)
-		case wire.Event:
-			if b := hosted[m.Instance]; b != nil {
-				for _, a := range b.Handle(now, m.Event) {
-					enc.Action(m.Instance, a)
-				}
-			}
-		case wire.End:
-			if err := enc.Flush(); err != nil {
-				return err
-			}
-			if _, err := reply.WriteTo(out); err != nil {
-				return err
+		if err := h.handle(m); err != nil {
+			return err
+		}
+	}
+}
+
+// host keeps one Balancer for each running instance. The instances share nothing but the clock of the batch.
+type host struct {
+	encoder   *wire.Encoder
+	balancers map[int]*balancer.Balancer // by the number of the instance
+	now       time.Duration
+}
+
+// handle carries out one message. A message for an instance that is not running is ignored.
+func (h *host) handle(m wire.Message) error {
+	switch m.Kind {
+	case wire.BatchStart:
+		h.now = m.Now
+	case wire.InstanceStart:
+		b, err := balancer.New(m.Settings, m.Seed)
+		if err != nil {
+			return fmt.Errorf("instance %d: %w", m.Instance, err)
+		}
+		h.balancers[m.Instance] = b
+	case wire.InstanceStop:
+		delete(h.balancers, m.Instance)
+	case wire.InstanceEvent:
+		if b := h.balancers[m.Instance]; b != nil {
+			for _, action := range b.Handle(h.now, m.Event) {
+				h.encoder.Action(m.Instance, action)
 			}
 		}
+	case wire.Ignored:
+	case wire.BatchEnd:
+		return h.encoder.Flush()
 	}
+	return nil
 }
--- /dev/null
+++ b/internal/wire/decoder_test.go
@@ -0,0 +1,148 @@
+package wire
+
+import (
+	"encoding/json"
+	"errors"
+	"io"
+	"reflect"
+	"strings"
+	"testing"
+	"testing/iotest"
+	"time"
+
+	"balancer"
+)
+
+const sample = "sync\t8412.25\nabout\t3\nlist\t0\t1\nitem\ts:1\tz\tk\t4\t2\t1.5\t6100.5\nannounce\t2\t0\t41\n" +
+	"job_in\tid\t8652.25\t-\tget\t3\t-\t12.0\noutcome\tid\ts:1\t18.5\t1\t0\tsuccess\tbusy_reqs:3,odd:1\neob\n"
+
+// all decodes an input to its end or its first error.
+func all(t *testing.T, text string) ([]Message, error) {
+	t.Helper()
+	d := NewDecoder(strings.NewReader(text))
+	var l []Message
+	for {
+		m, err := d.Next()
+		if err == io.EOF {
+			return l, nil
+		}
+		if err != nil {
+			return l, err
+		}
+		l = append(l, m)
+	}
+}
+
+func TestDecode(t *testing.T) {
+	l, err := all(t, sample)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := []Message{
+		{Kind: BatchStart, Instance: -1, Now: 8412250 * time.Microsecond},
+		{Kind: InstanceEvent, Instance: 3, Event: balancer.ServerList{Full: true, Cached: true,
+			Servers: []balancer.Server{{ID: "s:1", Zone: "z", Cell: 4, Size: 1.5, Boot: 6100500 * time.Microsecond}}}},
+		{Kind: InstanceEvent, Instance: 3, Event: balancer.Request{ID: "id", Class: "get", Repeat: true,
+			Deadline: 8652250 * time.Microsecond, Effort: 12 * time.Millisecond}},
+		{Kind: InstanceEvent, Instance: 3, Event: balancer.Outcome{ID: "id", Server: "s:1", Ended: true,
+			Latency: 18500 * time.Microsecond, Load: &balancer.Load{Busy: 3, Service: -1}}},
+		{Kind: BatchEnd, Instance: 3},
+	}
+	if !reflect.DeepEqual(l, want) {
+		t.Fatalf("got %+v\nwant %+v", l, want)
+	}
+}
+
+// Each row is an input that breaks the protocol. The error says where, by its fields and in its text, and can
+// be compared with the one that the row wants.
+func TestBadInputIsNamed(t *testing.T) {
+	for _, tt := range []struct {
+		name, input string
+		want        ParseError
+		wantText    string
+	}{
+		{"message outside a batch", "eob\n",
+			ParseError{Line: 1, Message: "eob", Err: ErrOutsideBatch}, "line 1: \"eob\" outside a batch"},
+		{"batch inside a batch", "sync\t1\nsync\t2\n",
+			ParseError{Line: 2, Message: "sync", Err: ErrNestedBatch}, "line 2: sync inside a batch"},
+		{"no time", "sync\tx\n",
+			ParseError{Line: 1, Message: "sync", Field: 1, Err: ErrInvalidValue}, "line 1: sync: value 1 is not a time in milliseconds"},
+		{"no instance", "sync\t1\nhuh\t1\n",
+			ParseError{Line: 2, Message: "huh", Err: ErrNoInstance}, "line 2: \"huh\" before any about"},
+		{"unknown message", "sync\t1\nabout\t1\nhuh\t1\n",
+			ParseError{Line: 3, Message: "huh", Err: ErrUnknownMessage}, "line 3: unknown message \"huh\""},
+		{"value is missing", "sync\t1\nabout\t1\njob_in\ta\n",
+			ParseError{Line: 3, Message: "job_in", Field: 2, Err: ErrMissingValue}, "line 3: job_in: value 2 is missing"},
+		{"value of an item is missing", "sync\t1\nlist\t0\t2\nitem\ta\tb\n",
+			ParseError{Line: 3, Message: "item", Field: 4, Err: ErrMissingValue}, "line 3: item: value 4 is missing"},
+		{"list number out of range", "sync\t1\nlist\t77\t2\n",
+			ParseError{Line: 2, Message: "list", Field: 1, Err: ErrInvalidValue}, "line 2: list: value 1 is out of range"},
+		{"list with another message", "sync\t1\nlist\t0\t1\neob\n",
+			ParseError{Line: 3, Message: "eob", Err: ErrIncompleteList}, "want item 1 of 1, got \"eob\""},
+		{"input ends inside a list", "sync\t1\nlist\t0\t1\n",
+			ParseError{Line: 3, Message: "list", Err: ErrIncompleteList}, "ends after 0 of 1 items: input ends inside a batch"},
+		{"input ends inside a batch", "sync\t1\n",
+			ParseError{Line: 2, Err: ErrTruncated}, "line 2: input ends inside a batch"},
+		{"input ends inside a line", "sync\t1\nabout\t1\nannounce\t9\t0\t0",
+			ParseError{Line: 3, Err: ErrTruncated}, "line 3: input ends inside a batch"},
+		{"no settings", "sync\t1\nabout\t1\nhello\t5\n",
+			ParseError{Line: 3, Message: "hello", Field: 2, Err: ErrMissingValue}, "line 3: hello: value 2 is missing"},
+	} {
+		t.Run(tt.name, func(t *testing.T) {
+			_, err := all(t, tt.input)
+			var got *ParseError
+			if !errors.As(err, &got) {
+				t.Fatalf("got %v, want a *ParseError", err)
+			}
+			if got.Line != tt.want.Line || got.Message != tt.want.Message || got.Field != tt.want.Field || !errors.Is(err, tt.want.Err) {
+				t.Errorf("got %+v, want %+v", *got, tt.want)
+			}
+			if !strings.Contains(err.Error(), tt.wantText) {
+				t.Errorf("got %q, want %q in it", err, tt.wantText)
+			}
+		})
+	}
+}
+
+func TestBadSettingsAreNamed(t *testing.T) {
+	_, err := all(t, "sync\t1\nabout\t1\nhello\t5\t{bad\n")
+	var syntax *json.SyntaxError
+	if !errors.As(err, &syntax) || !strings.HasPrefix(err.Error(), "line 3: hello: settings: ") {
+		t.Errorf("got %v", err)
+	}
+}
+
+func TestErrorOfTheReaderIsWrapped(t *testing.T) {
+	broken := errors.New("broken")
+	for name, input := range map[string]string{"in a batch": "sync\t1\n", "in a list": "sync\t1\nlist\t0\t1\n"} {
+		d := NewDecoder(io.MultiReader(strings.NewReader(input), iotest.ErrReader(broken)))
+		if _, err := d.Next(); err != nil {
+			t.Fatal(err)
+		}
+		_, err := d.Next()
+		if !errors.Is(err, broken) || errors.Is(err, ErrTruncated) {
+			t.Errorf("%s: got %v", name, err)
+		}
+	}
+}
+
+func TestKindsHaveNames(t *testing.T) {
+	for kind, want := range map[Kind]string{BatchStart: "batch start", BatchEnd: "batch end", -1: "Kind(-1)", BatchEnd + 1: "Kind(6)"} {
+		if got := kind.String(); got != want {
+			t.Errorf("got %q, want %q", got, want)
+		}
+	}
+}
+
+func FuzzDecode(f *testing.F) {
+	f.Add(sample)
+	f.Add("sync\t1\nabout\t0\ncrash_now\neob\n")
+	f.Fuzz(func(t *testing.T, text string) {
+		d := NewDecoder(strings.NewReader(text))
+		for range 1000 {
+			if _, err := d.Next(); err != nil {
+				return
+			}
+		}
+	})
+}
--- /dev/null
+++ b/internal/wire/encoder.go
@@ -0,0 +1,72 @@
+package wire
+
+import (
+	"fmt"
+	"io"
+	"strconv"
+	"time"
+
+	"balancer"
+)
+
+// Encoder writes replies. It keeps a reply until Flush, so that each is written completely or not at all.
+type Encoder struct {
+	writer   io.Writer
+	reply    []byte
+	instance int // that the actions added last are of
+}
+
+// NewEncoder returns an Encoder that writes to w.
+func NewEncoder(w io.Writer) *Encoder {
+	return &Encoder{writer: w, instance: noInstance}
+}
+
+// Action adds one action of an instance to the reply.
+func (e *Encoder) Action(instance int, action balancer.Action) {
+	if instance != e.instance {
+		e.addLine("instance", strconv.Itoa(instance))
+		e.instance = instance
+	}
+	switch a := action.(type) {
+	case balancer.Send:
+		e.addLine("forward", a.ID, a.Server, milliseconds(a.Timeout))
+	case balancer.Cancel:
+		e.addLine("retract", a.ID, strconv.Itoa(a.Attempt))
+	case balancer.Refuse:
+		e.addLine("turn_away", a.ID, milliseconds(a.RetryAfter))
+	case balancer.Fail:
+		e.addLine("report_failure", a.ID)
+	case balancer.Wake:
+		e.addLine("remind", milliseconds(a.At), a.Token)
+	case balancer.Subscribe:
+		e.addLine("subscribe", "1")
+	}
+}
+
+// Flush ends the reply and writes it with one call of the writer, whose error it returns. The next action
+// begins another reply.
+func (e *Encoder) Flush() error {
+	e.addLine("yield")
+	_, err := e.writer.Write(e.reply)
+	e.reply = e.reply[:0]
+	e.instance = noInstance
+	if err != nil {
+		return fmt.Errorf("write a reply: %w", err)
+	}
+	return nil
+}
+
+// addLine adds one line to the reply: a name and its values, with tabs between them.
+func (e *Encoder) addLine(name string, values ...string) {
+	e.reply = append(e.reply, name...)
+	for _, v := range values {
+		e.reply = append(e.reply, '\t')
+		e.reply = append(e.reply, v...)
+	}
+	e.reply = append(e.reply, '\n')
+}
+
+// milliseconds writes a time in milliseconds, with as many decimals as it needs.
+func milliseconds(d time.Duration) string {
+	return strconv.FormatFloat(float64(d)/float64(time.Millisecond), 'f', -1, 64)
+}
--- /dev/null
+++ b/internal/wire/events.go
@@ -0,0 +1,140 @@
+package wire
+
+import (
+	"fmt"
+	"strings"
+
+	"balancer"
+	"balancer/internal/settings"
+)
+
+// decodeEvent decodes a message that carries an event for an instance. The comment of each function below
+// gives the message's values in their order.
+func (d *Decoder) decodeEvent(f *fields) balancer.Event {
+	switch f.message {
+	case "announce":
+		return d.decodeListUpdate(f)
+	case "job_in":
+		return decodeRequest(f)
+	case "outcome":
+		return decodeOutcome(f)
+	case "flowing":
+		return decodeStreamStarted(f)
+	case "timed_out_client":
+		return balancer.ClientGone{ID: f.text(0)}
+	case "ring":
+		return balancer.Timer{Token: f.text(0)}
+	}
+	f.failMessage(fmt.Errorf("%w %s", ErrUnknownMessage, quote(f.message)))
+	return nil
+}
+
+// The modes of an announce message.
+const (
+	modeChanges  = 0 // the list holds changed entries alone
+	modeComplete = 1
+	modeCached   = 2 // complete, but as the instance last had it before a restart
+	modeFailed   = 3 // a subscription failed; there is no list
+)
+
+// decodeListUpdate decodes announce MODE LIST VERSION.
+func (d *Decoder) decodeListUpdate(f *fields) balancer.Event {
+	mode := f.integer(0)
+	switch mode {
+	case modeFailed:
+		return balancer.ListFailed{}
+	case modeChanges, modeComplete, modeCached:
+	default:
+		f.fail(0, invalidValue("is not a mode"))
+		return nil
+	}
+	number := f.integer(1)
+	if number < 0 || number >= listCount {
+		f.fail(1, errListNumber)
+		return nil
+	}
+	return balancer.ServerList{Full: mode != modeChanges, Cached: mode == modeCached, Servers: d.lists[number]}
+}
+
+// The bits of a request's state.
+const (
+	bitCostHint    = 1 << 0 // the expected work is valid
+	bitClientRetry = 1 << 1 // the client marked the request as a retry
+)
+
+// decodeRequest decodes job_in ID DEADLINE ITEM CLASS BITS TENANT WORK. The deadline is a clock time.
+func decodeRequest(f *fields) balancer.Event {
+	r := balancer.Request{ID: f.text(0), Deadline: f.time(1), Class: f.text(3)}
+	bits := f.optionalInteger(4)
+	r.Repeat = bits&bitClientRetry != 0
+	if bits&bitCostHint != 0 {
+		r.Effort = f.optionalTime(6)
+	}
+	return r
+}
+
+// decodeOutcome decodes outcome ID SERVER LATENCY ANSWERED ATTEMPT RESULT LOAD.
+func decodeOutcome(f *fields) balancer.Event {
+	return balancer.Outcome{
+		ID:      f.text(0),
+		Server:  f.text(1),
+		Latency: f.time(2),
+		Ended:   f.text(3) == "1",
+		Attempt: f.integer(4),
+		Ending:  decodeResult(f, 5),
+		Load:    decodeLoad(f, 6),
+	}
+}
+
+// attemptResults holds the module's name of each result of an attempt.
+var attemptResults = map[string]balancer.Ending{
+	"success":     balancer.Success,
+	"failure":     balancer.Failure,
+	"overloaded":  balancer.Overloaded,
+	"timed_out":   balancer.TimedOut,
+	"unreachable": balancer.Unreachable,
+	"broken":      balancer.Broken,
+	"withdrawn":   balancer.Withdrawn,
+	"void":        balancer.Void,
+}
+
+func decodeResult(f *fields, position int) balancer.Ending {
+	result, ok := attemptResults[f.text(position)]
+	if !ok {
+		f.fail(position, invalidValue("is not the result of an attempt"))
+	}
+	return result
+}
+
+// notReported is the value of a part that a load report lacks.
+const notReported = -1
+
+// decodeLoad decodes a load report, of pairs NAME:VALUE with commas between them. It ignores names that it
+// does not know, and returns nil if there is no report.
+func decodeLoad(f *fields, position int) *balancer.Load {
+	text := f.optionalText(position)
+	if text == "" {
+		return nil
+	}
+	load := &balancer.Load{Busy: notReported, Service: notReported}
+	for pair := range strings.SplitSeq(text, ",") {
+		name, number, _ := strings.Cut(pair, ":")
+		v, ok := parseNumber(number)
+		if !ok {
+			f.fail(position, invalidValue("is not a load report"))
+			return nil
+		}
+		switch name {
+		case "busy_reqs":
+			load.Busy = v
+		case "svc_ms":
+			load.Service = settings.Milliseconds(v)
+		}
+	}
+	return load
+}
+
+// decodeStreamStarted decodes flowing ID SERVER LATENCY ATTEMPT.
+func decodeStreamStarted(f *fields) balancer.Event {
+	return balancer.Started{ID: f.text(0), Attempt: f.integer(3)}
+}
