--- a/cmd/balancer-sim/main_test.go
+++ b/cmd/balancer-sim/main_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestRunStopsAtBadInputWithoutHalfAReply(t *testing.T) {
+func TestRunStopsAtBadInputWithoutAPartialReply(t *testing.T) {
 	for _, bad := range []string{"nonsense\n", "sync\t2\nabout\t0\njob_in\n", "sync\t2\nabout\t0\nhello\t7\t{}\neob\n"} {
 		var out bytes.Buffer
 		err := run(strings.NewReader("sync\t1\neob\n"+bad), &out)
@@ -35,9 +35,9 @@
 	}
 }
 
-// A killed instance forgets all: what comes after its fresh start for an old request is ignored,
-// and with an empty list a new request is held.
-func TestKillAndFreshStart(t *testing.T) {
+// A killed instance loses its state: what comes after its restart for an earlier request is ignored,
+// and with an empty endpoint list a new request waits until shortly before its deadline.
+func TestKilledInstanceRestartsWithoutState(t *testing.T) {
 	list := "list\t0\t1\nitem\ts:1\tz\tk\t0\t2\t1\t0\nannounce\t2\t0\t1\n"
 	in := "sync\t2\nabout\t0\n" + hello + "\n" + list + "job_in\told\t900\t-\tget\t0\t-\t-\neob\n" +
 		"sync\t4\nabout\t0\ncrash_now\n" + hello + "\nlist\t1\t0\nannounce\t2\t1\t1\n" +
