--- a/internal/servermodel/server_test.go
+++ b/internal/servermodel/server_test.go
@@ -8,8 +8,8 @@
 
 // drain finishes all calls and tells when the last one ended.
 func drain(s *Server) (ids []int, last time.Duration) {
-	for at, any := s.Next(); any; at, any = s.Next() {
-		ids, last = append(ids, s.Finish(at)...), at
+	for at, any := s.NextCompletion(); any; at, any = s.NextCompletion() {
+		ids, last = append(ids, s.Complete(at)...), at
 	}
 	return ids, last
 }
@@ -23,9 +23,9 @@
 
 // Two calls on one core share it, and the wait elsewhere takes no part of it.
 func TestCallsShareTheCores(t *testing.T) {
-	s := New(Settings{Cores: 1, Speed: 2, Slots: 4}, 0, false)
+	s := New(Settings{Cores: 1, Speed: 2, ConcurrencyLimit: 4}, 0, false)
 	s.Offer(0, Call{ID: 1, Work: 200 * time.Millisecond})
-	s.Offer(0, Call{ID: 2, Work: 200 * time.Millisecond, Elsewhere: time.Second})
+	s.Offer(0, Call{ID: 2, Work: 200 * time.Millisecond, OffCPU: time.Second})
 	ids, last := drain(s)
 	if !slices.Equal(ids, []int{1, 2}) {
 		t.Errorf("finished %v", ids)
@@ -35,7 +35,7 @@
 
 // A call beyond the slots waits, and one beyond the queue is not taken.
 func TestFullServerTakesNoMore(t *testing.T) {
-	s := New(Settings{Cores: 2, Speed: 1, Slots: 2, Queue: 1}, 0, false)
+	s := New(Settings{Cores: 2, Speed: 1, ConcurrencyLimit: 2, QueueLimit: 1}, 0, false)
 	for id, want := range []bool{true, true, true, false} {
 		if got := s.Offer(0, Call{ID: id, Work: 100 * time.Millisecond}); got != want {
 			t.Errorf("call %d taken: %v, want %v", id, got, want)
@@ -50,7 +50,7 @@
 
 // A cold server has a part of its speed, and all of it after some calls.
 func TestColdServerWarmsByCalls(t *testing.T) {
-	s := New(Settings{Cores: 1, Speed: 1, Slots: 1, ColdFrom: 0.5, WarmCalls: 2}, 0, true)
+	s := New(Settings{Cores: 1, Speed: 1, ConcurrencyLimit: 1, SlowStartFloor: 0.5, SlowStartCalls: 2}, 0, true)
 	now := time.Duration(0)
 	for i, want := range []time.Duration{200, 134, 100, 100} {
 		s.Offer(now, Call{ID: i, Work: 100 * time.Millisecond})
@@ -62,12 +62,12 @@
 
 // A server crowded for long enough stays slow, though less crowded, until it has rested.
 func TestCrowdedServerStaysSlowUntilItHasRested(t *testing.T) {
-	s := New(Settings{Cores: 4, Speed: 1, Slots: 10, DegradeAt: 4, DegradeAfter: time.Second, DegradeSlower: 2,
+	s := New(Settings{Cores: 4, Speed: 1, ConcurrencyLimit: 10, DegradeAt: 4, DegradeAfter: time.Second, DegradeFactor: 2,
 		RecoverBelow: 0.5, RecoverAfter: 3 * time.Second}, 0, false)
 	for id := range 4 {
 		s.Offer(0, Call{ID: id, Work: 1500 * time.Millisecond})
 	}
-	s.Finish(900 * time.Millisecond)
+	s.Complete(900 * time.Millisecond)
 	if s.Degraded() {
 		t.Error("degraded before it was crowded for long enough")
 	}
@@ -76,17 +76,17 @@
 	s.Offer(last, Call{ID: 9, Work: time.Second})
 	_, last = drain(s)
 	near(t, "a call on the idle server ended", last, 4*time.Second)
-	if s.Finish(4900 * time.Millisecond); !s.Degraded() {
+	if s.Complete(4900 * time.Millisecond); !s.Degraded() {
 		t.Error("recovered before it had rested for long enough")
 	}
-	if s.Finish(5100 * time.Millisecond); s.Degraded() {
+	if s.Complete(5100 * time.Millisecond); s.Degraded() {
 		t.Error("not recovered after its rest")
 	}
 }
 
 // Contention makes calls beyond the knee cost more than their share.
 func TestContentionBeyondTheKnee(t *testing.T) {
-	s := New(Settings{Cores: 2, Speed: 1, Slots: 10, Knee: 2, Contention: 1}, 0, false)
+	s := New(Settings{Cores: 2, Speed: 1, ConcurrencyLimit: 10, Knee: 2, Contention: 1}, 0, false)
 	for id := range 4 {
 		s.Offer(0, Call{ID: id, Work: 100 * time.Millisecond})
 	}
--- a/recovery_test.go
+++ b/recovery_test.go
@@ -263,7 +263,7 @@
 	r.count++
 	id := r.count
 	r.finish(s)
-	offered := servermodel.Call{ID: id, Work: time.Duration(work), Elsewhere: time.Duration(float64(q.work) * below)}
+	offered := servermodel.Call{ID: id, Work: time.Duration(work), OffCPU: time.Duration(float64(q.work) * below)}
 	if !s.model.Offer(r.now, offered) {
 		r.in(msec, func() { r.end(call, Overloaded) })
 		return
@@ -275,7 +275,7 @@
 
 // finish takes what a server has finished, and plans when to look at it again.
 func (r *outageRun) finish(s *outageServer) {
-	for _, id := range s.model.Finish(r.now) {
+	for _, id := range s.model.Complete(r.now) {
 		call := r.calls[id]
 		delete(r.calls, id)
 		r.end(call, Success)
@@ -286,7 +286,7 @@
 func (r *outageRun) plan(s *outageServer) {
 	s.version++
 	version := s.version
-	if at, any := s.model.Next(); any {
+	if at, any := s.model.NextCompletion(); any {
 		r.in(at-r.now, func() {
 			if s.version == version {
 				r.finish(s)
@@ -318,8 +318,8 @@
 // shopsOutage is a deployment whose servers have few slots and a short queue, and stay slow after a crowd.
 func shopsOutage() outage {
 	return outage{nodes: 46, servers: 84, work: 75 * msec, elsewhere: 3.2, load: 0.55,
-		model: servermodel.Settings{Cores: 2, Speed: 0.85, Slots: 13, Queue: 2, ColdFrom: 0.35, WarmCalls: 60,
-			Knee: 4, Contention: 0.6, DegradeAt: 8.6, DegradeAfter: 2400 * msec, DegradeSlower: 2.5,
+		model: servermodel.Settings{Cores: 2, Speed: 0.85, ConcurrencyLimit: 13, QueueLimit: 2, SlowStartFloor: 0.35, SlowStartCalls: 60,
+			Knee: 4, Contention: 0.6, DegradeAt: 8.6, DegradeAfter: 2400 * msec, DegradeFactor: 2.5,
 			RecoverBelow: 0.37, RecoverAfter: 2500 * msec},
 		set: Settings{Classes: []Class{
 			{Name: "search", Effect: Safe, Scope: ScopeAll, Aim: 850 * msec, Deadline: 2180 * msec, Worth: 1,
@@ -335,7 +335,7 @@
 func galleryOutage() outage {
 	o := shopsOutage()
 	o.nodes, o.servers, o.work, o.elsewhere = 48, 60, 150*msec, 2
-	o.model = servermodel.Settings{Cores: 3, Speed: 1.1, Slots: 50, Queue: 60, ColdFrom: 0.2, WarmCalls: 300}
+	o.model = servermodel.Settings{Cores: 3, Speed: 1.1, ConcurrencyLimit: 50, QueueLimit: 60, SlowStartFloor: 0.2, SlowStartCalls: 300}
 	o.set.MaxAttempts = 6
 	o.set.Classes = []Class{
 		{Name: "favourite", Effect: Keyed, Scope: ScopeZone, Window: 5 * time.Second, Aim: 1200 * msec,
