--- a/internal/servermodel/server.go
+++ b/internal/servermodel/server.go
@@ -13,13 +13,13 @@
 
 // Settings describe a server. Zero values switch a feature off.
 type Settings struct {
-	Cores int     // calls that are worked on at full speed
-	Speed float64 // work done in a second by a core, in seconds of work
+	Cores            int     // calls that are worked on at full speed
+	Speed            float64 // work done in a second by a core, in seconds of work
 	ConcurrencyLimit int     // calls held at once, in work and waiting elsewhere
-	QueueLimit int     // calls held beyond that, until a slot is free
+	QueueLimit       int     // calls held beyond that, until a slot is free
 
 	// A cold server begins at the part ColdFrom of its speed and has all of it after WarmCalls calls.
-	SlowStartFloor  float64
+	SlowStartFloor float64
 	SlowStartCalls int
 
 	// Each call in work beyond Knee costs the part Contention of a core's speed, as with a shared lock.
@@ -37,29 +37,29 @@
 
 // Call is a call offered to a server.
 type Call struct {
-	ID        int
-	Work      time.Duration // time on an idle core of speed 1
+	ID     int
+	Work   time.Duration // time on an idle core of speed 1
 	OffCPU time.Duration // wait after the work, which needs no core
 }
 
 // Server is the state of one server. Its methods take the time now, which must not go back.
 type Server struct {
-	settings      Settings
-	now      time.Duration
-	running  []*pending
-	blocked  []*pending
+	settings  Settings
+	now       time.Duration
+	running   []*pending
+	blocked   []*pending
 	queued    []*pending
-	completed     int // calls that were finished since the start
-	degraded bool
-	since    time.Duration // since when it is crowded, or, once degraded, nearly idle; negative: it is not
-	slowStart     bool
+	completed int // calls that were finished since the start
+	degraded  bool
+	since     time.Duration // since when it is crowded, or, once degraded, nearly idle; negative: it is not
+	slowStart bool
 }
 
 // held is a call that the server holds.
 type pending struct {
-	call Call
-	remaining float64       // work, in seconds
-	blockedUntil  time.Duration // of the wait elsewhere
+	call         Call
+	remaining    float64       // work, in seconds
+	blockedUntil time.Duration // of the wait elsewhere
 }
 
 // New returns a server that starts at the time now, cold if so told.
