--- a/internal/servermodel/server.go
+++ b/internal/servermodel/server.go
@@ -1,9 +1,3 @@
-// Package servermodel is a queueing model of one server, for simulations: it has no I/O and no clock of
-// its own. A server holds a bounded number of calls. Those that need its cores share them equally
-// (processor sharing); the others wait for something elsewhere and hold only their place. The model knows
-// the failure modes that make overload last: a limited queue, cold starts, slowdown under contention, and
-// metastable degradation, where a server that was crowded for a while stays slow until it has been nearly
-// idle for a while. It does not notice that a caller has given up: the work goes on.
 package servermodel
 
 import (
@@ -11,198 +5,157 @@
 	"time"
 )
 
-// Settings describe a server. Zero values switch a feature off.
-type Settings struct {
-	Cores            int     // calls that are worked on at full speed
-	Speed            float64 // work done in a second by a core, in seconds of work
-	ConcurrencyLimit int     // calls held at once, in work and waiting elsewhere
-	QueueLimit       int     // calls held beyond that, until a slot is free
-
-	// A cold server begins at the part ColdFrom of its speed and has all of it after WarmCalls calls.
-	SlowStartFloor float64
-	SlowStartCalls int
-
-	// Each call in work beyond Knee costs the part Contention of a core's speed, as with a shared lock.
-	Knee       int
-	Contention float64
-
-	// A server that holds DegradeAt calls or more for DegradeAfter is slower by the factor DegradeSlower,
-	// until it has held at most the part RecoverBelow of DegradeAt for RecoverAfter.
-	DegradeAt     float64
-	DegradeAfter  time.Duration
-	DegradeFactor float64
-	RecoverBelow  float64
-	RecoverAfter  time.Duration
-}
-
 // Call is a call offered to a server.
 type Call struct {
 	ID     int
 	Work   time.Duration // time on an idle core of speed 1
-	OffCPU time.Duration // wait after the work, which needs no core
+	OffCPU time.Duration // time after the work for which the call is blocked and needs no core
 }
 
-// Server is the state of one server. Its methods take the time now, which must not go back.
+// Server is the state of one server, a queue with processor sharing. Its methods take the time now, which must
+// not go back.
 type Server struct {
-	settings  Settings
-	now       time.Duration
-	running   []*pending
-	blocked   []*pending
-	queued    []*pending
-	completed int // calls that were finished since the start
-	degraded  bool
-	since     time.Duration // since when it is crowded, or, once degraded, nearly idle; negative: it is not
-	slowStart bool
+	settings    Settings
+	now         time.Duration
+	running     []*pending // share the cores
+	blocked     []*pending // have done their work and wait off the CPU
+	queued      []*pending // wait until one of the others ends
+	completed   int        // calls since the start
+	slowStart   bool
+	degradation degradation
 }
 
-// held is a call that the server holds.
+// pending is a call that was accepted and is not complete.
 type pending struct {
 	call         Call
 	remaining    float64       // work, in seconds
-	blockedUntil time.Duration // of the wait elsewhere
+	blockedUntil time.Duration // set once the work is done
 }
 
-// New returns a server that starts at the time now, cold if so told.
-func New(settings Settings, now time.Duration, cold bool) *Server {
-	return &Server{settings: settings, now: now, slowStart: cold, since: -1}
+// New returns a server that starts at the time now, in slow start or at its full speed.
+func New(settings Settings, now time.Duration, slowStart bool) *Server {
+	s := &Server{settings: settings, now: now, slowStart: slowStart}
+	s.degradation = degradation{settings: &s.settings, since: notHolding}
+	return s
 }
 
-// Held is how many calls the server holds.
-func (s *Server) InFlight() int { return len(s.running) + len(s.blocked) + len(s.queued) }
+// InFlight is how many calls the server has accepted and not completed, queued ones included.
+func (s *Server) InFlight() int { return s.active() + len(s.queued) }
 
-// Degraded says that the server is slow until it has rested.
-func (s *Server) Degraded() bool { return s.degraded }
+// active is how many calls count towards the concurrency limit.
+func (s *Server) active() int { return len(s.running) + len(s.blocked) }
 
-// Offer hands the server a call, which it takes unless it is full.
-func (s *Server) Offer(now time.Duration, c Call) bool {
+// Degraded says that the server is slow until it has been nearly idle for a while.
+func (s *Server) Degraded() bool { return s.degradation.degraded }
+
+// Offer offers a call to the server, and says whether the server accepts it. It rejects the call if its queue
+// is full.
+func (s *Server) Offer(now time.Duration, c Call) (accepted bool) {
 	s.advance(now)
 	if s.InFlight() >= s.settings.ConcurrencyLimit+s.settings.QueueLimit {
 		return false
 	}
-	h := &pending{call: c, remaining: c.Work.Seconds()}
-	if len(s.running)+len(s.blocked) < s.settings.ConcurrencyLimit {
-		s.running = append(s.running, h)
+	p := &pending{call: c, remaining: c.Work.Seconds()}
+	if s.active() < s.settings.ConcurrencyLimit {
+		s.running = append(s.running, p)
 	} else {
-		s.queued = append(s.queued, h)
+		s.queued = append(s.queued, p)
 	}
-	s.watchCrowd()
+	s.degradation.observe(s.now, s.InFlight())
 	return true
 }
 
-// Next is when the server is next to be asked for finished calls, if it holds any.
-func (s *Server) NextCompletion() (at time.Duration, any bool) {
+// NextCompletion is when to call Complete next, if the server has calls in flight. No call completes before; one
+// may have done its work then and be blocked.
+func (s *Server) NextCompletion() (at time.Duration, found bool) {
 	at = s.nextWorkDone()
-	for _, h := range s.blocked {
-		at = min(at, h.blockedUntil)
+	for _, p := range s.blocked {
+		at = min(at, p.blockedUntil)
 	}
-	return at, at < math.MaxInt64
+	return at, at < never
 }
 
-// workEnds is when the work of a call ends next, if nothing changes until then.
+// nextWorkDone is when a call has done its work next, if nothing changes until then.
 func (s *Server) nextWorkDone() time.Duration {
-	at := time.Duration(math.MaxInt64)
+	at := never
 	rate := s.callRate()
-	for _, h := range s.running {
-		at = min(at, s.now+time.Duration(math.Ceil(h.remaining/rate*float64(time.Second))))
+	for _, p := range s.running {
+		at = min(at, s.now+time.Duration(math.Ceil(p.remaining/rate*float64(time.Second))))
 	}
 	return at
 }
 
-// Finish brings the server up to now and returns the calls that have been finished.
+// Complete brings the server up to now and returns the calls that have completed since the last time.
 func (s *Server) Complete(now time.Duration) (ids []int) {
 	s.advance(now)
-	kept := s.blocked[:0]
-	for _, h := range s.blocked {
-		if h.blockedUntil <= now {
-			ids = append(ids, h.call.ID)
+	remaining := s.blocked[:0]
+	for _, p := range s.blocked {
+		if p.blockedUntil <= now {
+			ids = append(ids, p.call.ID)
 			s.completed++
 		} else {
-			kept = append(kept, h)
+			remaining = append(remaining, p)
 		}
 	}
-	s.blocked = kept
-	for len(s.queued) > 0 && len(s.running)+len(s.blocked) < s.settings.ConcurrencyLimit {
+	s.blocked = remaining
+	for len(s.queued) > 0 && s.active() < s.settings.ConcurrencyLimit {
 		s.running = append(s.running, s.queued[0])
 		s.queued = s.queued[1:]
 	}
-	s.watchCrowd()
+	s.degradation.observe(s.now, s.InFlight())
 	return ids
 }
 
-// rate is the work that each call in work gets done in a second.
+// callRate is the work that each running call gets done in a second, in seconds of work.
 func (s *Server) callRate() float64 {
-	n := float64(len(s.running))
-	speed := s.settings.Speed * s.SlowStartFraction() * min(1, float64(s.settings.Cores)/max(1, n))
-	if over := n - float64(s.settings.Knee); s.settings.Knee > 0 && over > 0 {
-		speed /= 1 + s.settings.Contention*over/float64(s.settings.Cores)
+	running := float64(len(s.running))
+	cores := float64(s.settings.Cores)
+	rate := s.settings.Speed * s.SlowStartFraction() * min(1, cores/max(1, running))
+	if over := running - float64(s.settings.Knee); s.settings.Knee > 0 && over > 0 {
+		rate /= 1 + s.settings.Contention*over/cores
 	}
-	if s.degraded {
-		speed /= s.settings.DegradeFactor
+	if s.Degraded() {
+		rate /= s.settings.DegradeFactor
 	}
-	return speed
+	return rate
 }
 
-// Warmth is the part of its speed that the server has.
+// SlowStartFraction is the share of its speed that the server has now, 1 after its slow start.
 func (s *Server) SlowStartFraction() float64 {
 	if !s.slowStart || s.settings.SlowStartCalls == 0 {
 		return 1
 	}
-	return min(1, s.settings.SlowStartFloor+(1-s.settings.SlowStartFloor)*float64(s.completed)/float64(s.settings.SlowStartCalls))
+	floor := s.settings.SlowStartFloor
+	return min(1, floor+(1-floor)*float64(s.completed)/float64(s.settings.SlowStartCalls))
 }
 
-// roundingError is the work that may be left of a call that has ended, in seconds.
+// workTolerance is the work that counts as none, in seconds: rounding may leave so much of a call.
 const workTolerance = 1e-8
 
-// advance does the work up to now.
+// advance does the work up to now, in steps within which no rate changes. A step takes at least a nanosecond,
+// so that rounding cannot stop the time.
 func (s *Server) advance(now time.Duration) {
 	for s.now < now {
-		until := min(now, max(s.now+1, min(s.nextWorkDone(), s.changeAt())))
-		did := s.callRate() * (until - s.now).Seconds()
-		s.now = until
-		kept := s.running[:0]
-		for _, h := range s.running {
-			if h.remaining -= did; h.remaining > workTolerance {
-				kept = append(kept, h)
-				continue
-			}
-			h.blockedUntil = until + h.call.OffCPU
-			s.blocked = append(s.blocked, h)
-		}
-		s.running = kept
-		s.changeIfDue()
+		next := min(s.nextWorkDone(), s.degradation.nextChange())
+		until := min(now, max(s.now+1, next))
+		s.work(until)
+		s.degradation.changeIfDue(s.now, s.InFlight())
 	}
 }
 
-// watchCrowd notes since when the server is crowded or nearly idle.
-func (s *Server) watchCrowd() {
-	if s.settings.DegradeAt == 0 {
-		return
-	}
-	n := float64(s.InFlight())
-	counts := !s.degraded && n >= s.settings.DegradeAt || s.degraded && n <= s.settings.RecoverBelow*s.settings.DegradeAt
-	switch {
-	case !counts:
-		s.since = -1
-	case s.since < 0:
-		s.since = s.now
-	}
-}
-
-// changeAt is when the server degrades or recovers if nothing changes until then.
-func (s *Server) changeAt() time.Duration {
-	if s.since < 0 {
-		return math.MaxInt64
-	}
-	if s.degraded {
-		return s.since + s.settings.RecoverAfter
-	}
-	return s.since + s.settings.DegradeAfter
-}
-
-func (s *Server) changeIfDue() {
-	if s.changeAt() <= s.now {
-		s.degraded = !s.degraded
-		s.since = -1
-		s.watchCrowd()
+// work lets the running calls work until a time, at their present rate, and blocks those that have done theirs.
+func (s *Server) work(until time.Duration) {
+	done := s.callRate() * (until - s.now).Seconds()
+	s.now = until
+	running := s.running[:0]
+	for _, p := range s.running {
+		p.remaining -= done
+		if p.remaining > workTolerance {
+			running = append(running, p)
+			continue
+		}
+		p.blockedUntil = until + p.call.OffCPU
+		s.blocked = append(s.blocked, p)
 	}
+	s.running = running
 }
--- a/internal/servermodel/trace_test.go
+++ b/internal/servermodel/trace_test.go
@@ -51,7 +51,7 @@
 			pause = 4 * time.Millisecond
 		}
 		now += time.Duration(rng.ExpFloat64() * float64(pause))
-		for at, any := s.NextCompletion(); any && at <= now; at, any = s.NextCompletion() {
+		for at, found := s.NextCompletion(); found && at <= now; at, found = s.NextCompletion() {
 			show(at, s.Complete(at))
 		}
 		call := Call{ID: id, Work: time.Duration(rng.ExpFloat64() * float64(30*time.Millisecond))}
