--- a/internal/wire/corpus_test.go
+++ b/internal/wire/corpus_test.go
@@ -100,7 +100,7 @@
 	var got bytes.Buffer
 	for _, entry := range corpus {
 		fmt.Fprintf(&got, "# %s\n", entry.name)
-		messages, err := all(t, entry.input)
+		messages, err := decodeAll(t, entry.input)
 		for _, m := range messages {
 			fmt.Fprintf(&got, "%d %s %s\n", m.Kind, eventName(m.Event), render(reflect.ValueOf(m)))
 		}
--- a/internal/wire/decoder_test.go
+++ b/internal/wire/decoder_test.go
@@ -13,28 +13,28 @@
 	"balancer"
 )
 
-const sample = "sync\t8412.25\nabout\t3\nlist\t0\t1\nitem\ts:1\tz\tk\t4\t2\t1.5\t6100.5\nannounce\t2\t0\t41\n" +
+const sampleBatch = "sync\t8412.25\nabout\t3\nlist\t0\t1\nitem\ts:1\tz\tk\t4\t2\t1.5\t6100.5\nannounce\t2\t0\t41\n" +
 	"job_in\tid\t8652.25\t-\tget\t3\t-\t12.0\noutcome\tid\ts:1\t18.5\t1\t0\tsuccess\tbusy_reqs:3,odd:1\neob\n"
 
-// all decodes an input to its end or its first error.
-func all(t *testing.T, text string) ([]Message, error) {
+// decodeAll decodes an input to its end or its first error.
+func decodeAll(t *testing.T, text string) ([]Message, error) {
 	t.Helper()
 	d := NewDecoder(strings.NewReader(text))
-	var l []Message
+	var messages []Message
 	for {
 		m, err := d.Next()
-		if err == io.EOF {
-			return l, nil
+		if errors.Is(err, io.EOF) {
+			return messages, nil
 		}
 		if err != nil {
-			return l, err
+			return messages, err
 		}
-		l = append(l, m)
+		messages = append(messages, m)
 	}
 }
 
 func TestDecode(t *testing.T) {
-	l, err := all(t, sample)
+	got, err := decodeAll(t, sampleBatch)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,8 +48,8 @@
 			Latency: 18500 * time.Microsecond, Load: &balancer.Load{Busy: 3, Service: -1}}},
 		{Kind: BatchEnd, Instance: 3},
 	}
-	if !reflect.DeepEqual(l, want) {
-		t.Fatalf("got %+v\nwant %+v", l, want)
+	if !reflect.DeepEqual(got, want) {
+		t.Fatalf("got %+v\nwant %+v", got, want)
 	}
 }
 
@@ -89,7 +89,7 @@
 			ParseError{Line: 3, Message: "hello", Field: 2, Err: ErrMissingValue}, "line 3: hello: value 2 is missing"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			_, err := all(t, tt.input)
+			_, err := decodeAll(t, tt.input)
 			var got *ParseError
 			if !errors.As(err, &got) {
 				t.Fatalf("got %v, want a *ParseError", err)
@@ -105,7 +105,7 @@
 }
 
 func TestBadSettingsAreNamed(t *testing.T) {
-	_, err := all(t, "sync\t1\nabout\t1\nhello\t5\t{bad\n")
+	_, err := decodeAll(t, "sync\t1\nabout\t1\nhello\t5\t{bad\n")
 	var syntax *json.SyntaxError
 	if !errors.As(err, &syntax) || !strings.HasPrefix(err.Error(), "line 3: hello: settings: ") {
 		t.Errorf("got %v", err)
@@ -135,7 +135,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(sample)
+	f.Add(sampleBatch)
 	f.Add("sync\t1\nabout\t0\ncrash_now\neob\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		d := NewDecoder(strings.NewReader(text))
