--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -110,6 +110,8 @@
 	looked   chan struct{} // closed once the watch beside the request has read all that had come
 	turned   chan struct{} // gets one when departed changes
 	requests requestScanner
+	timeout  time.Duration // for reading the rest of a request that has begun; 0: none
+	readBy   time.Time     // when that ends; zero while no request is being read
 
 	callers  *callers
 	activity // guarded by callers.mu
@@ -146,6 +148,7 @@
 	if n := c.takeAhead(p); n > 0 {
 		return n, nil
 	}
+	c.limitReading()
 	n, err := c.Conn.Read(p)
 	c.scan(p[:n])
 	c.came(n, err)
@@ -175,6 +178,18 @@
 	return c.requests.bodyError()
 }
 
+// limitReading bounds the time for the rest of a request: net/http waits for its first four bytes as long
+// as for a request that has not begun.
+func (c *callerConn) limitReading() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.timeout <= 0 || !c.readBy.IsZero() || !c.requests.midRequest() {
+		return
+	}
+	c.readBy = time.Now().Add(c.timeout)
+	c.setReadDeadline(c.deadline)
+}
+
 // startWatch tells whether a request waits. If so, it is complete, for net/http watches only behind a body's
 // end, and no wait for another is left to be ended: neither this connection's being let go or cut off nor what
 // was seen beside an earlier request holds any longer.
@@ -394,6 +409,18 @@
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
+	if t.IsZero() { // net/http and the frontend set none once a request is read
+		c.readBy = time.Time{}
+	}
+	return c.setReadDeadline(t)
+}
+
+// setReadDeadline sets the deadline for reading, or the end of the time for the request that is being read
+// if that is sooner. The caller holds mu.
+func (c *callerConn) setReadDeadline(t time.Time) error {
+	if !c.readBy.IsZero() && (t.IsZero() || c.readBy.Before(t)) {
+		t = c.readBy
+	}
 	c.deadline = t
 	if c.leaving {
 		return nil
