--- a/internal/node/broken_test.go
+++ b/internal/node/broken_test.go
@@ -29,8 +29,11 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &breakableConn{nc, l.cause, make(chan struct{}), make(chan struct{}, 10)}
-	l.accepted <- c
+	c := &breakableConn{nc, l.cause, make(chan struct{}), make(chan struct{}, 1)}
+	select {
+	case l.accepted <- c:
+	default: // the test breaks the first ones only
+	}
 	return c, nil
 }
 
@@ -62,7 +65,10 @@
 // Read ends without an error once the connection is broken: there is something to read, the error.
 func (r breakableRaw) Read(ready func(uintptr) bool) error {
 	err := r.RawConn.Read(ready)
-	r.of.woken <- struct{}{}
+	select {
+	case r.of.woken <- struct{}{}:
+	default:
+	}
 	if hasEnded(r.of.broken) {
 		return nil
 	}
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -11,6 +11,7 @@
 	"sync/atomic"
 	"syscall"
 	"testing"
+	"time"
 )
 
 // A request whose client leaves while it waits is not sent on: neither while the module holds it nor while
@@ -134,24 +135,31 @@
 	return text[:size]
 }
 
-// However much a caller sends ahead of an answer, once it has closed or reset its connection no attempt
-// begins for it, nor for what it sent ahead: wherever its request is just then.
+// However much a caller sends ahead of an answer, once it has closed or reset its connection, or that has
+// broken, no attempt begins for it, nor for what it sent ahead: wherever its request is just then.
 func TestNothingBeginsForACallerThatLeftBehindManyBytes(t *testing.T) {
-	for _, where := range []string{"held", "dial", "retry", "busy loop"} {
+	for _, where := range []string{"held", "dial", "retry", "busy loop", "in flight"} {
 		for _, ahead := range []int{0, 100, 3000, 8192, 20000, 60000, 2 * aheadEach} {
-			for _, reset := range []bool{false, true} {
-				t.Run(fmt.Sprint(where, " ", ahead, " reset=", reset), func(t *testing.T) {
-					t.Parallel()
-					leaveBehind(t, where, ahead, reset)
-				})
+			for _, how := range []string{"close", "reset", "break"} {
+				for _, mayCancel := range []bool{true, false} {
+					t.Run(fmt.Sprint(where, " ", ahead, " ", how, " mayCancel=", mayCancel), func(t *testing.T) {
+						t.Parallel()
+						leaveBehind(t, where, ahead, how, mayCancel)
+					})
+				}
 			}
 		}
 	}
 }
 
-func leaveBehind(t *testing.T, where string, ahead int, reset bool) {
+func leaveBehind(t *testing.T, where string, ahead int, how string, mayCancel bool) {
+	got, answer := make(chan struct{}, 1), make(chan struct{})
 	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		if r.Header.Get("X-Request-Id") == "leaving" {
+			if where == "in flight" {
+				got <- struct{}{}
+				<-answer
+			}
 			_, err := io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 			return err == nil
 		}
@@ -163,7 +171,13 @@
 	}
 	var dials heldDial
 	stopped, resume := make(chan struct{}), make(chan struct{})
-	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), state), entry("s2", s.addr(), state))), func(n *Node) {
+	cfg := testConfig(whole(entry("s1", s.addr(), state), entry("s2", s.addr(), state)))
+	cfg.Settings.MayCancel = mayCancel
+	conns := breakableConns{cause: syscall.ETIMEDOUT, accepted: make(chan *breakableConn, 2)}
+	n, _ := startNode(t, cfg, func(n *Node) {
+		n.ending, n.drainMost = ending{serve: time.Millisecond, last: limit}, 2*limit // as short as it can be
+		conns.TCPListener = n.listener.(*net.TCPListener)
+		n.listener = conns
 		switch where {
 		case "dial":
 			dials = holdDials(n.backend)
@@ -206,6 +220,9 @@
 	case "dial", "retry":
 		c.get("leaving")
 		wait(t, dials.up, "the connection")
+	case "in flight":
+		c.get("leaving")
+		wait(t, got, "the attempt")
 	case "busy loop":
 		until(t, "the first list to be taken", n.loop.ready.Load)
 		news := list(2, "in_service").(listNews)
@@ -223,10 +240,15 @@
 	if ahead <= aheadEach {
 		until(t, "the bytes to be read", func() bool { return readAhead(n) == ahead })
 	}
-	if reset {
+	switch how {
+	case "break":
+		wait(t, conns.accepted, "the downstream connection").breakNow()
+	case "reset":
 		c.Conn.(*net.TCPConn).SetLinger(0)
+		fallthrough
+	case "close":
+		c.Close()
 	}
-	c.Close()
 	if where == "busy loop" {
 		until(t, "the leaving to be queued", func() bool { return len(n.loop.events) >= 2 })
 		close(resume)
@@ -237,9 +259,11 @@
 		n.loop.post(list(2, "in_service"))
 	case "dial", "retry":
 		close(dials.through)
+	case "in flight":
+		close(answer) // it fails, and is not retried
 	}
 	seen := map[string]int{"other": 1}
-	if where == "retry" {
+	if where == "retry" || where == "in flight" {
 		seen["leaving"] = 1 // begun before its caller left
 	}
 	nothingOfTheLeavers(t, n, s, seen)
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -222,4 +222,3 @@
 		}
 	}
 }
-
