--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -397,12 +397,16 @@
 	return c.leaving
 }
 
-// cutOff ends the wait for the rest of a request.
-func (c *callerConn) cutOff() {
+// cutOff ends the wait for the rest of a request, unless more of it has come that nobody has read yet: it may
+// be complete.
+func (c *callerConn) cutOff() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leaving, c.cut = true, true
-	c.Conn.SetReadDeadline(longAgo)
+	if !spokenOrClosed(c.Conn) {
+		c.leaving, c.cut = true, true
+		c.Conn.SetReadDeadline(longAgo)
+	}
+	return c.cut
 }
 
 func (c *callerConn) isCut() bool {
@@ -580,7 +584,7 @@
 	case c.phase == lingering:
 		c.Close()
 	case c.phase == reading || c.phase == silent && c.hasBegun():
-		c.cutOff()
+		gone = c.cutOff()
 	default:
 		gone = c.letGo()
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -933,6 +933,48 @@
 	}
 }
 
+// The rest of a request that lies in the kernel unread keeps the connection, though its first part came so long
+// ago that it would be cut off.
+func TestCuttingOffSparesWhatNobodyHasRead(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	theirs, err := net.Dial("tcp", ln.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer theirs.Close()
+	f := newCallers(newClock(), 2, 10, 16<<20, func() int { return 2 })
+	f.grace.half = 0
+	nc, err := newCallerListener(ln, f, testLog()).Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer nc.Close()
+	c := nc.(*callerConn)
+	io.WriteString(theirs, "GET")
+	if text := make([]byte, 3); !readsWhole(c, text) {
+		t.Fatal("the first part is not read")
+	}
+	io.WriteString(theirs, " /v")
+	until(t, "the rest to arrive", func() bool { return spokenOrClosed(c.Conn) })
+	f.track(c, http.StateNew) // one too many
+	other, _ := net.Pipe()
+	f.track(&callerConn{Conn: other, callers: f}, http.StateNew)
+	if c.going || c.isCut() {
+		t.Error("cut off with the rest of a request unread")
+	}
+	if text := make([]byte, 3); !readsWhole(c, text) || string(text) != " /v" {
+		t.Errorf("read %q", text)
+	}
+	f.track(&callerConn{Conn: other, callers: f}, http.StateNew)
+	if !c.going || !c.isCut() {
+		t.Error("not cut off once all is read")
+	}
+}
+
 func readsWhole(r io.Reader, p []byte) bool {
 	_, err := io.ReadFull(r, p)
 	return err == nil
