--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -103,11 +103,15 @@
 	cut      bool      // leaving, whatever still comes
 	deadline time.Time // as net/http wants it
 	serving  bool      // a request's head is read, and it is not answered
+	complete bool      // and its body is read to the end as well
 	ahead    []byte    // what came meanwhile, to be read once that is answered
 	kept     int       // bytes reserved for ahead
 	departed departure
 	looked   chan struct{} // closed once the watch beside the request has read all that had come
 	turned   chan struct{} // gets one when departed changes
+	requests requestScanner
+	timeout  time.Duration // for reading the rest of a request that has begun; 0: none
+	readBy   time.Time     // when that ends; zero while no request is being read
 
 	callers  *callers
 	activity // guarded by callers.mu
@@ -144,17 +148,56 @@
 	if n := c.takeAhead(p); n > 0 {
 		return n, nil
 	}
+	c.limitReading()
 	n, err := c.Conn.Read(p)
+	c.scan(p[:n])
 	c.came(n, err)
 	return n, err
 }
 
-// startWatch tells whether a request waits. If so, no wait for another is left to be ended: neither
-// this connection's being let go nor what was seen beside an earlier request holds any longer.
+// scan follows the framing of what was just read from the kernel.
+func (c *callerConn) scan(p []byte) {
+	at := c.callers.clock.now()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.requests.feed(p, at)
+}
+
+// takeHead returns what is known of the request that net/http has just read the head of, or the error in
+// its framing.
+func (c *callerConn) takeHead(r *http.Request) (requestHead, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.requests.take(r)
+}
+
+// bodyError is the error in the framing of the body that net/http has just read.
+func (c *callerConn) bodyError() error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.requests.bodyError()
+}
+
+// limitReading bounds the time for the rest of a request: net/http waits for its first four bytes as long
+// as for a request that has not begun.
+func (c *callerConn) limitReading() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.timeout <= 0 || !c.readBy.IsZero() || !c.requests.midRequest() {
+		return
+	}
+	c.readBy = time.Now().Add(c.timeout)
+	c.setReadDeadline(c.deadline)
+}
+
+// startWatch tells whether a request waits. If so, it is complete, for net/http watches only behind a body's
+// end, and no wait for another is left to be ended: neither this connection's being let go or cut off nor what
+// was seen beside an earlier request holds any longer.
 func (c *callerConn) startWatch() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.serving {
+		c.complete, c.cut = true, false
 		c.hear()
 	}
 	return c.serving
@@ -184,6 +227,7 @@
 			return errUnwatched
 		}
 		n, err := c.Conn.Read(into)
+		c.scan(into[:n])
 		c.keep(n)
 		c.came(n, err)
 		switch {
@@ -258,7 +302,7 @@
 func (c *callerConn) serve() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.serving, c.looked = true, make(chan struct{})
+	c.serving, c.complete, c.looked = true, false, make(chan struct{})
 	if c.turned == nil {
 		c.turned = make(chan struct{}, 1)
 	}
@@ -348,7 +392,7 @@
 func (c *callerConn) Write(p []byte) (int, error) {
 	if !bytes.HasPrefix(p, []byte("HTTP/1.1 1")) {
 		c.mu.Lock()
-		c.begun, c.serving = len(c.ahead) > 0, false
+		c.begun, c.serving, c.complete = len(c.ahead) > 0, false, false
 		c.mu.Unlock()
 	}
 	return c.Conn.Write(p)
@@ -365,6 +409,18 @@
 func (c *callerConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
+	if t.IsZero() { // net/http and the frontend set none once a request is read
+		c.readBy = time.Time{}
+	}
+	return c.setReadDeadline(t)
+}
+
+// setReadDeadline sets the deadline for reading, or the end of the time for the request that is being read
+// if that is sooner. The caller holds mu.
+func (c *callerConn) setReadDeadline(t time.Time) error {
+	if !c.readBy.IsZero() && (t.IsZero() || c.readBy.Before(t)) {
+		t = c.readBy
+	}
 	c.deadline = t
 	if c.leaving {
 		return nil
@@ -397,22 +453,18 @@
 	return c.leaving
 }
 
-// cutOff ends the wait for the rest of a request, unless more of it has come that nobody has read yet: it may
-// be complete.
+// cutOff ends the wait for the rest of a request, unless it is complete: then nothing is waited for, and a
+// deadline in the past would end the watch for its caller's leaving. Nor does it if more has come that nobody
+// has read yet: it may be the rest.
 func (c *callerConn) cutOff() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !spokenOrClosed(c.Conn) {
-		c.leaving, c.cut = true, true
-		c.Conn.SetReadDeadline(longAgo)
+	if c.complete || spokenOrClosed(c.Conn) {
+		return false
 	}
-	return c.cut
-}
-
-func (c *callerConn) isCut() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.cut
+	c.leaving, c.cut = true, true
+	c.Conn.SetReadDeadline(longAgo)
+	return true
 }
 
 func (c *callerConn) hasBegun() bool {
@@ -490,13 +542,14 @@
 }
 
 // open notes that a connection's request goes to the module, unless as many are there as servers'
-// connections are kept for, or this one was to be cut off: its caller would seem to have gone. That there
-// are too many connections is no reason: others' silence must not cost a good caller its answer.
+// connections are kept for. That there are too many connections is no reason: others' silence must not cost
+// a good caller its answer. If its connection was to be let go, another goes in its place.
 func (s *callers) open(c *callerConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.move(c, open)
-	if s.opened > s.room/2 || c.isCut() {
+	s.makeRoom()
+	if s.opened > s.room/2 {
 		s.counts.Crowded++
 		return false
 	}
