--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -178,8 +178,8 @@
 	return c.requests.bodyError()
 }
 
-// limitReading bounds the time for the rest of a request: net/http waits for its first four bytes as long
-// as for a request that has not begun.
+// limitReading gives the rest of a request its own time: net/http waits for its first four bytes as long as
+// for a request that has not begun, and counts a connection's first request from the connection's start.
 func (c *callerConn) limitReading() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -415,10 +415,11 @@
 	return c.setReadDeadline(t)
 }
 
-// setReadDeadline sets the deadline for reading, or the end of the time for the request that is being read
-// if that is sooner. The caller holds mu.
+// setReadDeadline sets the deadline for reading, or the end of the time for the request that is being read:
+// one that has begun shortly before its connection would time out has the same time as others. The caller
+// holds mu.
 func (c *callerConn) setReadDeadline(t time.Time) error {
-	if !c.readBy.IsZero() && (t.IsZero() || c.readBy.Before(t)) {
+	if !c.readBy.IsZero() {
 		t = c.readBy
 	}
 	c.deadline = t
--- a/internal/node/callers_test.go
+++ b/internal/node/callers_test.go
@@ -245,3 +245,38 @@
 			runtime.NumGoroutine() <= before+5
 	})
 }
+
+// A request whose first bytes came just before its connection would have timed out, idle or new, has the time
+// for the rest that every request has.
+func TestRequestBegunBeforeATimeoutIsReadToItsEnd(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	for _, first := range []string{"G", "GET", "GET /view/k HTTP/1.1\r\nHo",
+		"POST /note/k HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\n"} {
+		theirs, err := net.Dial("tcp", ln.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer theirs.Close()
+		l := newCallerListener(ln, newCallers(newClock(), 10, 10, 16<<20, func() int { return 0 }), testLog())
+		l.readTimeout = 2 * limit
+		ours, err := l.Accept()
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer ours.Close()
+		ours.SetReadDeadline(time.Now().Add(limit))
+		io.WriteString(theirs, first)
+		if text := make([]byte, len(first)); !readsWhole(ours, text) {
+			t.Fatalf("%q is not read", first)
+		}
+		ours.SetReadDeadline(time.Now()) // as net/http set it before the first bytes came
+		io.WriteString(theirs, "rest")
+		if text := make([]byte, 4); !readsWhole(ours, text) || string(text) != "rest" {
+			t.Errorf("%q: the rest is not read", first)
+		}
+	}
+}
