--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -108,6 +108,7 @@
 	kept     int       // bytes reserved for ahead
 	departed departure
 	looked   chan struct{} // closed once the watch beside the request has read all that had come
+	watched  chan struct{} // closed once that watch has ended
 	turned   chan struct{} // gets one when departed changes
 	requests requestScanner
 	timeout  time.Duration // for reading the rest of a request that has begun; 0: none
@@ -215,6 +216,7 @@
 // watch reads whatever the caller sends ahead, so that no close or reset can hide behind it, until the
 // deadline for reading, a reset, or the bound. After a close it waits for a reset.
 func (c *callerConn) watch() error {
+	defer close(c.watched)
 	defer c.look()
 	for {
 		if err := c.awaitUnread(); err != nil {
@@ -298,11 +300,22 @@
 	return c.departure()
 }
 
+// endWatch ends the watch beside a request, which settle has seen at work: what comes from now on stays
+// unread. It tells whether another request, or a part of one, was read behind this one.
+func (c *callerConn) endWatch() (another bool) {
+	c.Conn.SetReadDeadline(longAgo)
+	<-c.watched
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.requests.anotherBegun()
+}
+
 // serve notes that a request's head is read.
 func (c *callerConn) serve() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.serving, c.complete, c.looked = true, false, make(chan struct{})
+	c.serving, c.complete = true, false
+	c.looked, c.watched = make(chan struct{}), make(chan struct{})
 	if c.turned == nil {
 		c.turned = make(chan struct{}, 1)
 	}
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -131,13 +131,11 @@
 	}
 	rc := http.NewResponseController(w)
 	rc.SetReadDeadline(time.Time{}) // it was for reading the request
-	if !f.closing.Load() {
-		w.Header().Del("Connection")
-	}
+	w.Header().Del("Connection")
 	// A caller that has left, or whose leaving can't be seen, has nothing begun for it: what it sent ahead
 	// is refused in turn. One that has only stopped sending may read that.
 	if conn.settle() != present || !f.callers.open(conn) {
-		f.write(w, answer{kind: refused, retryAfter: f.rules.Load().advice})
+		f.write(w, conn, answer{kind: refused, retryAfter: f.rules.Load().advice})
 		return
 	}
 	f.post(arrived{c})
@@ -146,7 +144,7 @@
 		w.Header().Set("Connection", "close")
 		a.kind = failed // net/http would make a 200 of silence
 	}
-	f.write(w, a)
+	f.write(w, conn, a)
 }
 
 // await waits for the answer to a call, or for its caller to be gone: then nobody reads one. The mark on
@@ -281,11 +279,12 @@
 	return time.Duration(us * 1e3)
 }
 
-// write gives the answer to the caller.
-func (f *frontend) write(w http.ResponseWriter, a answer) {
+// write gives the answer to the caller. A connection that is to be closed stays open as long as more requests
+// were read on it, which would get no answer.
+func (f *frontend) write(w http.ResponseWriter, conn *callerConn, a answer) {
 	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	h := w.Header()
-	if f.callers.overLimit() || f.closing.Load() {
+	if (f.callers.overLimit() || f.closing.Load()) && !conn.endWatch() {
 		h.Set("Connection", "close")
 	}
 	switch a.kind {
--- a/internal/node/requestscanner.go
+++ b/internal/node/requestscanner.go
@@ -119,6 +119,9 @@
 // midRequest says that a request has begun and is not complete.
 func (s *requestScanner) midRequest() bool { return s.err == nil && s.state != betweenRequests }
 
+// anotherBegun says that a request behind those that were taken has begun.
+func (s *requestScanner) anotherBegun() bool { return len(s.heads) > 0 || s.midRequest() }
+
 // take returns the next head, which must be the one that net/http has read.
 func (s *requestScanner) take(r *http.Request) (requestHead, error) {
 	if len(s.heads) == 0 {
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -222,3 +222,51 @@
 		}
 	}
 }
+
+// Requests that were read behind another one are answered, though the connection is to be closed with the
+// answer to the first: because the node ends, or for want of descriptors. The last answer closes it.
+func TestRequestsReadBehindTheLastAreAnswered(t *testing.T) {
+	for _, why := range []string{"the node ends", "too many connections"} {
+		for _, pieces := range []int{1, 2} {
+			t.Run(fmt.Sprint(why, " pieces=", pieces), func(t *testing.T) {
+				t.Parallel()
+				got, answer := make(chan struct{}, 3), make(chan struct{})
+				s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+					got <- struct{}{}
+					<-answer
+					return echo(c, r, body)
+				})
+				var reads recordingConns
+				n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+					reads = recordReads(n)
+				})
+				c := dial(t, n)
+				more := requestText("second") + requestText("third")
+				if pieces == 1 {
+					io.WriteString(c, requestText("first")+more)
+				} else {
+					c.get("first")
+				}
+				wait(t, got, "the attempt")
+				if pieces == 2 {
+					io.WriteString(c, more)
+				}
+				until(t, "all to be read", func() bool { return reads.complete(c.LocalAddr().String()) == 3 })
+				if why == "the node ends" {
+					n.frontend.closing.Store(true)
+				} else {
+					n.frontend.callers.mu.Lock()
+					n.frontend.callers.room, n.frontend.callers.least = 1, 1
+					n.frontend.callers.mu.Unlock()
+				}
+				close(answer)
+				for i := range 3 {
+					if r, body := c.answer(t); r.Close != (i == 2) {
+						t.Errorf("answer %d: %d %q, close %v", i, r.StatusCode, body, r.Close)
+					}
+				}
+				closed(t, c.br, "the connection after the last answer")
+			})
+		}
+	}
+}
