--- a/internal/node/broken_test.go
+++ b/internal/node/broken_test.go
@@ -45,11 +45,14 @@
 	c.TCPConn.SetReadDeadline(longAgo)
 }
 
-func (c *breakableConn) Read(p []byte) (int, error) {
-	if hasEnded(c.broken) {
-		return 0, &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: os.NewSyscallError("read", c.cause)}
+func (c *breakableConn) Read(p []byte) (n int, err error) {
+	if !hasEnded(c.broken) {
+		n, err = c.TCPConn.Read(p)
 	}
-	return c.TCPConn.Read(p)
+	if n == 0 && hasEnded(c.broken) { // maybe while it read: breakNow's deadline is not the node's
+		err = &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: os.NewSyscallError("read", c.cause)}
+	}
+	return n, err
 }
 
 func (c *breakableConn) SyscallConn() (syscall.RawConn, error) {
