--- a/internal/node/callers_test.go
+++ b/internal/node/callers_test.go
@@ -110,11 +110,8 @@
 // moment of a request: first at the expense of those that it takes for half ones.
 func startCrowdedNode(t *testing.T, s *fakeServer, moment string) *Node {
 	t.Helper()
-	cfg := testConfig(whole(entry("s1", s.addr(), "in_service")))
+	cfg := withLongAims(testConfig(whole(entry("s1", s.addr(), "in_service"))))
 	cfg.Sockets = reserved + crowdedMost + 1 // one is kept for the server
-	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].Aim = 2 * limit // no attempt ends by itself while a test waits
-	}
 	n, _ := startNode(t, cfg, func(n *Node) {
 		f := n.frontend
 		f.server.ReadTimeout = 2 * limit // what is cut off is cut off to make room
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -208,6 +208,16 @@
 				class("keyed", balancer.Keyed)}}}
 }
 
+// withLongAims has no attempt of a configuration end by itself while a test waits for something else to end it.
+func withLongAims(cfg Config) Config {
+	return with(cfg, func(classes []balancer.Class) []balancer.Class {
+		for i := range classes {
+			classes[i].Aim = 2 * limit
+		}
+		return classes
+	})
+}
+
 // startNode runs a node until the test ends, or until the returned function is called.
 func startNode(t *testing.T, cfg Config, change func(*Node)) (n *Node, stop func() error) {
 	t.Helper()
@@ -389,7 +399,7 @@
 		})
 		return answers && echo(c, r, body)
 	})
-	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), nil)
+	n, _ := startNode(t, withLongAims(testConfig(whole(entry("s1", s.addr(), "in_service")))), nil)
 	c := dial(t, n)
 	c.send("POST", "/note/k", "leaving", "x", "60")
 	wait(t, got, "the attempt")
