--- a/cmd/fleetscale/main.go
+++ b/cmd/fleetscale/main.go
@@ -129,7 +129,7 @@
 	}
 	text = append(text, '\n')
 	if to != "" {
-		if err := os.WriteFile(to, text, 0o644); err != nil {
+		if err := reportFiles.write(to, text); err != nil {
 			return fmt.Errorf("report: %w", err)
 		}
 		return nil
