--- a/cmd/fleetscale/main.go
+++ b/cmd/fleetscale/main.go
@@ -51,10 +51,19 @@
 	return err
 }
 
+type growth struct {
+	fleet.GrowthArgs `embed:""`
+	output           `embed:""`
+}
+
+// Validate checks the days. Kong calls it.
+func (g growth) Validate() error { return g.Check() }
+
 type commands struct {
-	Run   single `cmd:"" default:"withargs" help:"Make one run, which measures one point."`
-	Sweep sweep  `cmd:"" help:"Make runs in a row that differ in one argument, and fit slopes."`
-	Child struct {
+	Run    single `cmd:"" default:"withargs" help:"Make one run, which measures one point."`
+	Sweep  sweep  `cmd:"" help:"Make runs in a row that differ in one argument, and fit slopes."`
+	Growth growth `cmd:"" help:"Play the same day at the usual size and at many times the servers, and judge what a node needs more. Exits with an error if a row is over its limit."`
+	Child  struct {
 		Role string `arg:""`
 	} `cmd:"" hidden:""`
 }
@@ -95,6 +104,9 @@
 	return 0
 }
 
+// report is what a command writes: a table for a reader, and JSON.
+type report interface{ Table(io.Writer) error }
+
 // measure makes the runs and writes the report. SIGINT and SIGTERM end it.
 func measure(command string, c commands, args []string, stdout, stderr io.Writer) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
@@ -104,37 +116,47 @@
 		return fmt.Errorf("its own program: %w", err)
 	}
 	runner := fleet.Runner{Self: []string{self, "child"}, Log: slog.New(slog.NewTextHandler(stderr, nil))}
-	var report fleet.Report
-	to := c.Run.JSON
-	if command == "sweep" {
-		to = c.Sweep.JSON
-		report, err = runner.Sweep(ctx, c.Sweep.Args, c.Sweep.Over, c.Sweep.Values)
-	} else {
-		report.Points = make([]fleet.Point, 1)
-		report.Points[0], err = runner.Run(ctx, c.Run.Args)
+	switch command {
+	case "sweep":
+		result, err := runner.Sweep(ctx, c.Sweep.Args, c.Sweep.Over, c.Sweep.Values)
+		result.Command = fleet.Command(args)
+		return finish(ctx, result, err, c.Sweep.JSON, stdout)
+	case "growth":
+		result, err := runner.Growth(ctx, c.Growth.GrowthArgs)
+		result.Command = fleet.Command(args)
+		if err := finish(ctx, result, err, c.Growth.JSON, stdout); err != nil {
+			return err
+		}
+		return result.Err()
+	default:
+		point, err := runner.Run(ctx, c.Run.Args)
+		result := fleet.Report{Command: fleet.Command(args), Points: []fleet.Point{point}}
+		return finish(ctx, result, err, c.Run.JSON, stdout)
 	}
+}
+
+// finish writes the report of runs that ended without an error, as JSON to the file named, or to standard output.
+func finish(ctx context.Context, result report, err error, file string, stdout io.Writer) error {
 	if ctx.Err() != nil {
 		return errors.New("ended by a signal")
 	}
 	if err != nil {
 		return err
 	}
-	report.Command = fleet.Command(args)
-	text, err := json.MarshalIndent(report, "", " ")
+	text, err := json.MarshalIndent(result, "", " ")
 	if err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
-	if err := report.Table(stdout); err != nil {
+	text = append(text, '\n')
+	if err := result.Table(stdout); err != nil {
 		return err
 	}
-	text = append(text, '\n')
-	if to != "" {
-		if err := reportFiles.write(to, text); err != nil {
-			return fmt.Errorf("report: %w", err)
-		}
-		return nil
+	if file != "" {
+		err = reportFiles.write(file, text)
+	} else {
+		_, err = stdout.Write(text)
 	}
-	if _, err := stdout.Write(text); err != nil {
+	if err != nil {
 		return fmt.Errorf("report: %w", err)
 	}
 	return nil
--- a/cmd/fleetscale/main_test.go
+++ b/cmd/fleetscale/main_test.go
@@ -56,6 +56,15 @@
 		{"--nodes 5 --changes=-3", "--changes"},
 		{"--nodes 5 --colour red", "--colour"},
 		{"--nodes 5 more", "more"},
+		{"growth --servers 201", "--servers 201 times --factor 16 is more than 3200"},
+		{"growth --servers 5", "--servers must be from 10 to 3200"},
+		{"growth --factor 1", "--factor must be from 2 to 16"},
+		{"growth --real 0", "--real must be from 1"},
+		{"growth --real 5 --fleet 4", "--fleet must be from 5 to 900"},
+		{"growth --rate NaN", "--rate must be from 1"},
+		{"growth --for 2m", "--for must be from 1s to 1m"},
+		{"growth --service 2s", "--service must be from 0s"},
+		{"growth --mode told", "--mode"},
 		{"sweep --nodes 5", "--over"},
 		{"sweep --nodes 5 --over seeds --values 1,2", "--over"},
 		{"sweep --nodes 5 --over servers --values 10", "--values"},
@@ -122,6 +131,34 @@
 	}
 }
 
+// A growth run prints the rows and writes the report, whether or not a row is over its limit on this machine.
+func TestGrowthReport(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "report.json")
+	cmd := command("growth", "--servers", "10", "--factor", "2", "--real", "1", "--for", "1s", "--json", file)
+	var stdout, stderr bytes.Buffer
+	cmd.Stdout, cmd.Stderr = &stdout, &stderr
+	err := cmd.Run()
+	text, readErr := os.ReadFile(file)
+	if readErr != nil {
+		t.Fatalf("%v, %v: %s", err, readErr, stderr.String())
+	}
+	var report fleet.GrowthReport
+	if err := json.Unmarshal(text, &report); err != nil {
+		t.Fatalf("%v: %s", err, text)
+	}
+	if over := report.Err(); (over == nil) != (err == nil) || over != nil && !strings.Contains(stderr.String(), over.Error()) {
+		t.Errorf("the run: %v, %s; its rows: %v", err, stderr.String(), over)
+	}
+	for _, row := range report.Rows {
+		if !strings.Contains(stdout.String(), row.What) {
+			t.Errorf("no row %q in %s", row.What, stdout.String())
+		}
+	}
+	if len(report.Rows) != 6 || !strings.HasPrefix(report.Command, "fleetscale growth --servers 10") {
+		t.Errorf("report %+v", report)
+	}
+}
+
 // SIGTERM and SIGINT end a run and all its children; so does its own sudden death.
 func TestSignalsLeaveNoChildren(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "balancer")
--- a/internal/fleet/child.go
+++ b/internal/fleet/child.go
@@ -20,6 +20,7 @@
 	roleRegistry = "registry"
 	roleHollows  = "hollows"
 	roleServers  = "servers"
+	roleListed   = "listed-servers"
 )
 
 // serviceName is what a child's service goes by, whatever its role.
@@ -37,7 +38,7 @@
 // Child plays the part of a child process: it does what its parent asks for on standard input, until that
 // is closed.
 func Child(role string) error {
-	host, ok := map[string]any{roleRegistry: &RegistryHost{}, roleHollows: &Hollows{}, roleServers: &Servers{}}[role]
+	host, ok := map[string]any{roleRegistry: &RegistryHost{}, roleHollows: &Hollows{}, roleServers: &Servers{}, roleListed: &ListedServers{}}[role]
 	if !ok {
 		return fmt.Errorf("child: no role %q", role)
 	}
--- /dev/null
+++ b/internal/fleet/growth.go
@@ -0,0 +1,283 @@
+package fleet
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"runtime"
+	"sync"
+	"time"
+)
+
+// descriptorsEvery is how often the nodes' descriptors are counted.
+const descriptorsEvery = 50 * time.Millisecond
+
+// Growth plays the same day at the usual size and at the large one with real nodes, and judges what a node needs
+// more. It ends within its bound, with its children gone.
+func (r Runner) Growth(ctx context.Context, args GrowthArgs) (report GrowthReport, err error) {
+	if err := args.Check(); err != nil {
+		return report, err
+	}
+	ctx, cancel := context.WithTimeout(ctx, args.bound()-2*endWait)
+	defer cancel()
+	dir, err := os.MkdirTemp("", "fleetscale")
+	if err != nil {
+		return report, fmt.Errorf("growth: %w", err)
+	}
+	defer os.RemoveAll(dir)
+	report.Args, report.Machine = args, Machine{runtime.NumCPU(), runtime.Version(), loadAverage()}
+	if args.Program == "" {
+		if args.Program, err = build(ctx, dir); err != nil {
+			return report, err
+		}
+	}
+	if report.Usual, err = r.playDay(ctx, dir, args, args.usual()); err != nil {
+		return report, err
+	}
+	if report.Large, err = r.playDay(ctx, dir, args, args.large()); err != nil {
+		return report, err
+	}
+	for _, limit := range growthLimits {
+		report.Rows = append(report.Rows, limit.row(report.Usual, report.Large))
+	}
+	return report, nil
+}
+
+// playDay plays one day and ends all that it started.
+func (r Runner) playDay(ctx context.Context, dir string, args GrowthArgs, size growthSize) (GrowthFigures, error) {
+	d := &growthDay{Runner: r, args: args, size: size, dir: dir, caller: newCaller()}
+	defer d.stop()
+	if err := d.start(ctx); err != nil {
+		return GrowthFigures{}, err
+	}
+	r.Log.Info("playing a day", "servers", size.servers, "for", args.For)
+	figures, err := d.play(ctx)
+	if err != nil {
+		return GrowthFigures{}, fmt.Errorf("day of %d servers: %w", size.servers, err)
+	}
+	return figures, nil
+}
+
+// growthDay is one day under way.
+type growthDay struct {
+	Runner
+	args      GrowthArgs
+	size      growthSize
+	dir       string
+	registry  *child
+	servers   *child
+	endpoints []string // of all servers of the day
+	nodes     []*realNode
+	caller    *caller
+}
+
+// start brings up the servers, the registry and the nodes, until all nodes are ready.
+func (d *growthDay) start(ctx context.Context) (err error) {
+	if d.servers, err = startChild(d.Self, roleListed); err != nil {
+		return err
+	}
+	spec := ListedServersSpec{d.size.servers + replaced(d.size.servers), d.args.Service, d.args.Seed}
+	if err := d.servers.ask(ctx, "Start", spec, &d.endpoints); err != nil {
+		return err
+	}
+	if d.registry, err = startChild(d.Self, roleRegistry); err != nil {
+		return err
+	}
+	list := RegistrySpec{Services: [][]Target{nil}, Addresses: make([]int, d.args.Real)}
+	for i := range d.size.servers {
+		list.Services[0] = append(list.Services[0], d.target(i))
+	}
+	var addresses []string
+	if err := d.registry.ask(ctx, "Start", list, &addresses); err != nil {
+		return err
+	}
+	return d.startNodes(ctx, addresses)
+}
+
+// startNodes starts the nodes, each with a registry address of its own.
+func (d *growthDay) startNodes(ctx context.Context, addresses []string) error {
+	ctx, cancel := context.WithTimeout(ctx, startWait)
+	defer cancel()
+	for i, address := range addresses {
+		n, err := startReal(ctx, d.args.Program, d.dir, NodeSpec{Name: fmt.Sprintf("n%d", i), Index: i, Copies: d.size.nodes,
+			Listen: "127.0.0.1:0", Discovery: address, Asked: d.args.Mode == "asked", Seed: d.args.Seed + uint64(i)})
+		if err != nil {
+			return err
+		}
+		d.nodes = append(d.nodes, n)
+	}
+	for _, n := range d.nodes {
+		if err := n.ready(ctx); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// target is a server's entry while it is in service. The first servers booted long ago.
+func (d *growthDay) target(i int) Target {
+	return Target{UID: fmt.Sprintf("s-%d", i), Endpoint: d.endpoints[i], Zone: zones[i%len(zones)], Model: "m1",
+		Cell: i % 10, State: inService, Capacity: d.size.capacity}
+}
+
+// stop ends all that the day started.
+func (d *growthDay) stop() {
+	for _, n := range d.nodes {
+		n.stop()
+	}
+	for _, c := range []*child{d.servers, d.registry} {
+		if c != nil {
+			c.stop()
+		}
+	}
+	d.caller.close()
+}
+
+// play makes the calls and the events of the day, and measures. The first error ends all of it.
+func (d *growthDay) play(ctx context.Context) (f GrowthFigures, err error) {
+	f = GrowthFigures{Servers: d.size.servers, FleetNodes: d.size.nodes, Capacity: d.size.capacity}
+	busy, err := machineBusy()
+	if err != nil {
+		return f, err
+	}
+	begun := time.Now()
+	running, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	var wg sync.WaitGroup
+	wg.Add(2)
+	go func() {
+		defer wg.Done()
+		if err := d.playEvents(running, &f); err != nil {
+			cancel(err)
+		}
+	}()
+	watching, watched := context.WithCancel(running)
+	var descriptors []int
+	go func() {
+		defer wg.Done()
+		descriptors = d.watchDescriptors(watching)
+	}()
+	f.Calls = d.makeCalls(running)
+	watched()
+	wg.Wait()
+	if err := context.Cause(running); err != nil {
+		return f, err
+	}
+	after, err := machineBusy()
+	if err != nil {
+		return f, err
+	}
+	f.Busy = cores(after-busy, begun, time.Now())
+	for _, n := range descriptors {
+		f.Descriptors += float64(n) / float64(len(d.nodes))
+	}
+	return f, d.readFigures(ctx, &f)
+}
+
+// makeCalls calls each node for the length of the day, and waits for the answers.
+func (d *growthDay) makeCalls(ctx context.Context) Tally {
+	calls := &traveller{caller: d.caller, name: "day", rate: d.args.Rate, seed: d.args.Seed, late: newLatencies(),
+		latency: newLatencies()}
+	for _, n := range d.nodes {
+		calls.heads = append(calls.heads, n.address)
+	}
+	calls.play(ctx, d.args.For)
+	return calls.way().Tally
+}
+
+// playEvents makes the day's events at their times, and notes how many changes they were and how late they came.
+func (d *growthDay) playEvents(ctx context.Context, f *GrowthFigures) error {
+	begun := time.Now()
+	var latest time.Duration
+	for _, e := range planDay(d.size.servers, d.args.For, d.args.Seed) {
+		pause(ctx, time.Until(begun.Add(e.at)))
+		if ctx.Err() != nil {
+			return nil
+		}
+		latest = max(latest, time.Since(begun)-e.at)
+		if err := d.make(ctx, e); err != nil {
+			return err
+		}
+		if e.kind == listServer || e.kind == drainServer || e.kind == removeServer {
+			f.Changes++
+		}
+	}
+	f.LateMS = ms(latest)
+	return nil
+}
+
+// make makes one event.
+func (d *growthDay) make(ctx context.Context, e dayEvent) error {
+	switch e.kind {
+	case closeServer:
+		return d.servers.ask(ctx, "Close", e.server, &struct{}{})
+	case breakWatches:
+		return d.registry.ask(ctx, "BreakWatches", struct{}{}, &struct{}{})
+	}
+	entry := d.target(e.server)
+	switch e.kind {
+	case listServer:
+		entry.BootMS = time.Now().UnixMilli()
+	case drainServer:
+		entry.State = terminating
+	case removeServer:
+		entry.State = terminated
+	}
+	return d.registry.ask(ctx, "Change", ChangeSpec{0, []Target{entry}}, &Changed{})
+}
+
+// watchDescriptors samples the nodes' open descriptors until ctx ends, and returns the most of each.
+func (d *growthDay) watchDescriptors(ctx context.Context) []int {
+	most := make([]int, len(d.nodes))
+	for ctx.Err() == nil {
+		for i, n := range d.nodes {
+			if open, err := Descriptors(n.cmd.Process.Pid); err == nil { // a node that ended is found at the end
+				most[i] = max(most[i], open)
+			}
+		}
+		pause(ctx, descriptorsEvery)
+	}
+	return most
+}
+
+// errNoCallServed says that a day has nothing to compare.
+var errNoCallServed = errors.New("no call was served")
+
+// readFigures reads what the nodes used and what the stand-ins counted.
+func (d *growthDay) readFigures(ctx context.Context, f *GrowthFigures) error {
+	if f.Calls.Served == 0 {
+		return errNoCallServed
+	}
+	f.Served = float64(f.Calls.Served) / float64(f.Calls.Offered)
+	nodes := float64(len(d.nodes))
+	for _, n := range d.nodes {
+		if !n.alive() {
+			return fmt.Errorf("%s has ended", n.spec.Name)
+		}
+		used, err := UsageOf(n.cmd.Process.Pid)
+		if err != nil {
+			return err
+		}
+		peak, err := PeakMemory(n.cmd.Process.Pid)
+		if err != nil {
+			return err
+		}
+		f.CPUSeconds += used.CPU.Seconds() / nodes
+		f.PeakMemory += float64(peak) / nodes
+	}
+	var connections int64
+	if err := d.servers.ask(ctx, "Accepted", struct{}{}, &connections); err != nil {
+		return err
+	}
+	var counted Counted
+	if err := d.registry.ask(ctx, "Traffic", struct{}{}, &counted); err != nil {
+		return err
+	}
+	f.Connections = float64(connections) / nodes
+	for _, bucket := range counted.Buckets {
+		f.ListBytes += float64(bucket.Out) / nodes
+		f.ListCalls += float64(bucket.Calls) / nodes
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/fleet/growthargs.go
@@ -0,0 +1,75 @@
+package fleet
+
+import (
+	"fmt"
+	"time"
+)
+
+// Bounds of a growth run.
+const (
+	mostListed      = 3200 // servers
+	mostFleet       = 900  // nodes that the settings tell
+	mostGrowthNodes = 50   // real nodes
+	mostGrowthRate  = 300  // calls a second at a node
+	mostGrowthFor   = time.Minute
+)
+
+// GrowthArgs are what a growth run is asked to do.
+type GrowthArgs struct {
+	Servers int           `help:"Servers listed at the usual size." default:"200" json:"servers"`
+	Factor  int           `help:"How many times as many servers the large size has." default:"16" json:"factor"`
+	Real    int           `help:"Real nodes that are played, one process each." default:"4" json:"real"`
+	Fleet   int           `help:"Nodes that the settings tell at the usual size; at the large size as many times more as --factor says, 900 at most." default:"300" json:"fleet"`
+	Mode    string        `help:"Whether lists are ${enum}." enum:"pushed,asked" default:"pushed" json:"mode"`
+	Rate    float64       `help:"Calls a second at each node." default:"30" json:"rate"`
+	Service time.Duration `help:"Mean time that a server takes for a request, drawn anew for each." default:"5ms" json:"service"`
+	Seed    uint64        `help:"Seed of all that is drawn." default:"1" json:"seed"`
+	For     time.Duration `help:"Length of each day." default:"20s" json:"for"`
+	Program string        `help:"The nodes' program; built by go build where none is named." type:"path" json:"program,omitempty"`
+}
+
+// Check names the first argument at fault.
+func (a GrowthArgs) Check() error {
+	for _, one := range []struct {
+		name               string
+		value, least, most float64
+	}{
+		{"servers", float64(a.Servers), 10, mostListed}, {"factor", float64(a.Factor), 2, 16},
+		{"real", float64(a.Real), 1, mostGrowthNodes}, {"fleet", float64(a.Fleet), float64(a.Real), mostFleet},
+		{"rate", a.Rate, 1, mostGrowthRate},
+	} {
+		if !(one.value >= one.least && one.value <= one.most) {
+			return fmt.Errorf("--%s must be from %v to %v, not %v", one.name, one.least, one.most, one.value)
+		}
+	}
+	switch {
+	case a.Servers*a.Factor > mostListed:
+		return fmt.Errorf("--servers %d times --factor %d is more than %d", a.Servers, a.Factor, mostListed)
+	case a.For < time.Second || a.For > mostGrowthFor:
+		return fmt.Errorf("--for must be from 1s to %v, not %v", mostGrowthFor, a.For)
+	case a.Service < 0 || a.Service > time.Second:
+		return fmt.Errorf("--service must be from 0s to 1s, not %v", a.Service)
+	}
+	return nil
+}
+
+// bound is how long both days may take in all.
+func (a GrowthArgs) bound() time.Duration { return 2*a.For + Margin }
+
+// growthSize is the size of the fleet on one day.
+type growthSize struct {
+	servers  int
+	nodes    int     // of the fleet, as the settings tell
+	capacity float64 // of each server; 1 at the usual size
+}
+
+func (a GrowthArgs) usual() growthSize {
+	return growthSize{servers: a.Servers, nodes: a.Fleet, capacity: 1}
+}
+
+// large keeps the capacity of all servers together, counted for each node, as it is at the usual size.
+func (a GrowthArgs) large() growthSize {
+	size := growthSize{servers: a.Servers * a.Factor, nodes: min(a.Fleet*a.Factor, mostFleet)}
+	size.capacity = float64(size.nodes) / float64(a.Fleet) / float64(a.Factor)
+	return size
+}
--- /dev/null
+++ b/internal/fleet/growthlimits.go
@@ -0,0 +1,131 @@
+package fleet
+
+import (
+	"fmt"
+	"io"
+	"strings"
+	"text/tabwriter"
+)
+
+// GrowthFigures are what a node needed in the mean over one day, from the start of its process on.
+type GrowthFigures struct {
+	Servers     int     `json:"servers"`
+	FleetNodes  int     `json:"fleet_nodes"` // as the settings tell
+	Capacity    float64 `json:"capacity_hint"`
+	CPUSeconds  float64 `json:"cpu_s"`
+	PeakMemory  float64 `json:"peak_memory_bytes"`
+	Descriptors float64 `json:"descriptors"` // the most at once, by samples
+	Connections float64 `json:"connections_made"`
+	ListBytes   float64 `json:"list_bytes"` // TCP payload, with the heads of the answers and the first list
+	ListCalls   float64 `json:"list_calls"` // at the registry; one may bring many changes
+	Served      float64 `json:"served_share"`
+	Calls       Tally   `json:"calls"`
+	Changes     int     `json:"changes"`            // of one entry each
+	LateMS      float64 `json:"latest_event_ms"`    // how far the day's events fell behind its plan at most
+	Busy        float64 `json:"machine_cores_busy"` // by all programs on the machine
+}
+
+// growthLimit says how far a figure may grow. The limit at the large size is factor times the figure at the
+// usual size, plus base, plus perThousand for each thousand servers.
+type growthLimit struct {
+	what                      string
+	unit                      float64 // what the row is counted in
+	factor, base, perThousand float64
+	least                     bool // the figure must not fall under the limit
+	of                        func(GrowthFigures) float64
+}
+
+// Units of the rows.
+const (
+	kilobyte = 1e3
+	megabyte = 1e6
+)
+
+// growthLimits are the rows of the standing test, section "More than these days".
+var growthLimits = []growthLimit{
+	{what: "CPU seconds", unit: 1, factor: 1.4, base: 0.02, perThousand: 0.03,
+		of: func(f GrowthFigures) float64 { return f.CPUSeconds }},
+	{what: "peak memory, MB", unit: megabyte, factor: 1.5, base: 8, perThousand: 4,
+		of: func(f GrowthFigures) float64 { return f.PeakMemory }},
+	{what: "descriptors", unit: 1, factor: 2, base: 40,
+		of: func(f GrowthFigures) float64 { return f.Descriptors }},
+	{what: "connections made to servers", unit: 1, factor: 2.5, base: 40,
+		of: func(f GrowthFigures) float64 { return f.Connections }},
+	{what: "bytes of lists, KB", unit: kilobyte, factor: 2, base: 64, perThousand: 500,
+		of: func(f GrowthFigures) float64 { return f.ListBytes }},
+	{what: "share served", unit: 1, factor: 0.85, least: true,
+		of: func(f GrowthFigures) float64 { return f.Served }},
+}
+
+// GrowthRow compares a figure at both sizes with its limit.
+type GrowthRow struct {
+	What   string  `json:"what"`
+	Usual  float64 `json:"usual"`
+	Large  float64 `json:"large"`
+	Limit  float64 `json:"limit"`
+	Within bool    `json:"within"`
+}
+
+// row judges a figure.
+func (l growthLimit) row(usual, large GrowthFigures) GrowthRow {
+	r := GrowthRow{What: l.what, Usual: l.of(usual) / l.unit, Large: l.of(large) / l.unit}
+	r.Limit = l.factor*r.Usual + l.base + l.perThousand*float64(large.Servers)/1000
+	if l.least {
+		r.Within = r.Large >= r.Limit
+	} else {
+		r.Within = r.Large <= r.Limit
+	}
+	return r
+}
+
+// GrowthReport is what a growth run writes as JSON.
+type GrowthReport struct {
+	Command string        `json:"command"`
+	Args    GrowthArgs    `json:"args"`
+	Machine Machine       `json:"machine"`
+	Usual   GrowthFigures `json:"usual"`
+	Large   GrowthFigures `json:"large"`
+	Rows    []GrowthRow   `json:"rows"`
+}
+
+// OverLimitError says that a node needs more at the large size than the limits allow.
+type OverLimitError struct{ Rows []string }
+
+func (e *OverLimitError) Error() string { return "over the limit: " + strings.Join(e.Rows, "; ") }
+
+// Err is an OverLimitError if a row is over its limit.
+func (r GrowthReport) Err() error {
+	var over []string
+	for _, row := range r.Rows {
+		if !row.Within {
+			over = append(over, row.What)
+		}
+	}
+	if over == nil {
+		return nil
+	}
+	return &OverLimitError{over}
+}
+
+// Table writes the rows for a reader.
+func (r GrowthReport) Table(out io.Writer) error {
+	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	fmt.Fprintf(w, "machine\t%d cores, %s, load before %s\n", r.Machine.Cores, r.Machine.Go, r.Machine.Load)
+	for _, f := range []GrowthFigures{r.Usual, r.Large} {
+		fmt.Fprintf(w, "%d servers\tfleet of %d nodes, capacity of a server %.4g, %d changes (latest %.0f ms behind) in %.0f calls for lists a node, "+
+			"%d calls: %d served, %d refused, %d failed; %.1f cores of the machine in use\n", f.Servers, f.FleetNodes, f.Capacity,
+			f.Changes, f.LateMS, f.ListCalls, f.Calls.Offered, f.Calls.Served, f.Calls.Refused, f.Calls.Failed, f.Busy)
+	}
+	if err := w.Flush(); err != nil {
+		return fmt.Errorf("table: %w", err)
+	}
+	fmt.Fprintf(w, "a node in the mean\tusual\tlarge\tlimit\t\n")
+	for _, row := range r.Rows {
+		fmt.Fprintf(w, "%s\t%.4g\t%.4g\t%.4g\t%s\n", row.What, row.Usual, row.Large, row.Limit,
+			map[bool]string{true: "within", false: "over"}[row.Within])
+	}
+	if err := w.Flush(); err != nil {
+		return fmt.Errorf("table: %w", err)
+	}
+	return nil
+}
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -6,6 +6,7 @@
 	"os"
 	"path/filepath"
 	"strconv"
+	"strings"
 	"time"
 )
 
@@ -58,3 +59,30 @@
 	u.CPU = max(u.CPU-tick, exact)
 	return u, nil
 }
+
+// PeakMemory is the most memory that a process has held so far, in bytes.
+func PeakMemory(pid int) (int64, error) {
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
+	if err != nil {
+		return 0, fmt.Errorf("peak memory: %w", err)
+	}
+	for line := range strings.Lines(string(text)) {
+		if kilobytes, found := strings.CutPrefix(line, "VmHWM:"); found {
+			n, err := strconv.ParseInt(strings.TrimSuffix(strings.TrimSpace(kilobytes), " kB"), 10, 64)
+			if err != nil {
+				return 0, fmt.Errorf("peak memory: %w", err)
+			}
+			return n << 10, nil
+		}
+	}
+	return 0, fmt.Errorf("peak memory: /proc/%d/status has none", pid)
+}
+
+// Descriptors is how many file descriptors a process has open.
+func Descriptors(pid int) (int, error) {
+	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
+	if err != nil {
+		return 0, fmt.Errorf("descriptors: %w", err)
+	}
+	return len(entries), nil
+}
--- a/internal/fleet/registry.go
+++ b/internal/fleet/registry.go
@@ -1,6 +1,7 @@
 package fleet
 
 import (
+	"context"
 	"errors"
 	"fmt"
 	"net"
@@ -23,12 +24,13 @@
 	mu      sync.Mutex
 	down    chan struct{} // closed while the registry is silent
 	silent  bool
+	broken  chan struct{} // closed, and replaced, when the open watches are broken
 	servers []*http.Server
 }
 
 // NewRegistry holds a list for each service.
 func NewRegistry(services [][]Target) *Registry {
-	r := &Registry{Traffic: NewSeries(), down: make(chan struct{})}
+	r := &Registry{Traffic: NewSeries(), down: make(chan struct{}), broken: make(chan struct{})}
 	for _, targets := range services {
 		r.lists = append(r.lists, newList(targets))
 	}
@@ -83,6 +85,33 @@
 	return r.down
 }
 
+// errBroken says that the connection of a watch is to be closed without an answer.
+var errBroken = errors.New("the watch is broken")
+
+// BreakWatches closes the connections of all open watches without an answer.
+func (r *Registry) BreakWatches() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	close(r.broken)
+	r.broken = make(chan struct{})
+}
+
+// watchContext ends with its parent, or by errBroken when the open watches are broken.
+func (r *Registry) watchContext(parent context.Context) (context.Context, context.CancelFunc) {
+	ctx, cancel := context.WithCancelCause(parent)
+	r.mu.Lock()
+	broken := r.broken
+	r.mu.Unlock()
+	go func() {
+		select {
+		case <-broken:
+			cancel(errBroken)
+		case <-ctx.Done():
+		}
+	}()
+	return ctx, func() { cancel(nil) }
+}
+
 // Close ends all addresses.
 func (r *Registry) Close() error {
 	r.mu.Lock()
@@ -106,13 +135,17 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	body, err := l.wait(q.Context(), from, hold, r.silence())
+	ctx, cancel := r.watchContext(q.Context())
+	defer cancel()
+	body, err := l.wait(ctx, from, hold, r.silence())
 	switch {
 	case err == nil:
 		w.Header().Set("Content-Type", "application/json")
 		w.Write(body)
 	case errors.Is(err, errSilent):
 		<-q.Context().Done()
+	case errors.Is(context.Cause(ctx), errBroken):
+		panic(http.ErrAbortHandler) // closes the connection
 	case q.Context().Err() == nil:
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 	}
--- a/internal/fleet/registry_test.go
+++ b/internal/fleet/registry_test.go
@@ -170,6 +170,32 @@
 	}
 }
 
+// A broken watch ends without an answer; the next one is answered.
+func TestBreakWatches(t *testing.T) {
+	r, address := newTestRegistry(t, targets(2))
+	ended := make(chan error, 1)
+	go func() {
+		_, err := tryTell(context.Background(), address, "?from=1&hold_ms=60000")
+		ended <- err
+	}()
+	var err error
+	for over := false; !over; {
+		r.BreakWatches() // before the watch is there it breaks none
+		select {
+		case err = <-ended:
+			over = true
+		case <-time.After(time.Millisecond):
+		}
+	}
+	if err == nil {
+		t.Error("a broken watch was answered")
+	}
+	makeChange(t, r, targets(2)[0])
+	if a := tell(t, address, "?from=1&hold_ms=60000"); a.Rev != 2 || len(a.Targets) != 1 {
+		t.Errorf("after the break: %+v", a)
+	}
+}
+
 func calls(r *Registry) (n int64) {
 	for _, b := range r.Traffic.Counted().Buckets {
 		n += b.Calls
--- a/internal/fleet/registryhost.go
+++ b/internal/fleet/registryhost.go
@@ -56,6 +56,12 @@
 	return nil
 }
 
+// BreakWatches closes the connections of all open watches without an answer.
+func (h *RegistryHost) BreakWatches(struct{}, *struct{}) error {
+	h.registry.BreakWatches()
+	return nil
+}
+
 // Traffic tells what passed.
 func (h *RegistryHost) Traffic(_ struct{}, counted *Counted) error {
 	*counted = h.registry.Traffic.Counted()
