--- a/internal/fleet/growth.go
+++ b/internal/fleet/growth.go
@@ -186,47 +186,6 @@
 	return calls.way().Tally
 }
 
-// playEvents makes the day's events at their times, and notes how many changes they were and how late they came.
-func (d *growthDay) playEvents(ctx context.Context, f *GrowthFigures) error {
-	begun := time.Now()
-	var latest time.Duration
-	for _, e := range planDay(d.size.servers, d.args.For, d.args.Seed) {
-		pause(ctx, time.Until(begun.Add(e.at)))
-		if ctx.Err() != nil {
-			return nil
-		}
-		latest = max(latest, time.Since(begun)-e.at)
-		if err := d.make(ctx, e); err != nil {
-			return err
-		}
-		if e.kind == listServer || e.kind == drainServer || e.kind == removeServer {
-			f.Changes++
-		}
-	}
-	f.LateMS = ms(latest)
-	return nil
-}
-
-// make makes one event.
-func (d *growthDay) make(ctx context.Context, e dayEvent) error {
-	switch e.kind {
-	case closeServer:
-		return d.servers.ask(ctx, "Close", e.server, &struct{}{})
-	case breakWatches:
-		return d.registry.ask(ctx, "BreakWatches", struct{}{}, &struct{}{})
-	}
-	entry := d.target(e.server)
-	switch e.kind {
-	case listServer:
-		entry.BootMS = time.Now().UnixMilli()
-	case drainServer:
-		entry.State = terminating
-	case removeServer:
-		entry.State = terminated
-	}
-	return d.registry.ask(ctx, "Change", ChangeSpec{0, []Target{entry}}, &Changed{})
-}
-
 // watchDescriptors samples the nodes' open descriptors until ctx ends, and returns the most of each.
 func (d *growthDay) watchDescriptors(ctx context.Context) []int {
 	most := make([]int, len(d.nodes))
@@ -276,7 +235,8 @@
 	}
 	f.Connections = float64(connections) / nodes
 	for _, bucket := range counted.Buckets {
-		f.ListBytes += float64(bucket.Out) / nodes
+		f.ListBytes += float64(bucket.Lists) / nodes
+		f.ListPayload += float64(bucket.Out) / nodes
 		f.ListCalls += float64(bucket.Calls) / nodes
 	}
 	return nil
--- a/internal/fleet/growth_test.go
+++ b/internal/fleet/growth_test.go
@@ -134,6 +134,18 @@
 	}
 }
 
+func TestDueEvents(t *testing.T) {
+	plan := []dayEvent{{at: 1}, {at: 3}, {at: 3}, {at: 4}}
+	for at, want := range []int{0, 1, 1, 3, 4, 4} {
+		if got := dueEvents(plan, time.Duration(at)); got != want {
+			t.Errorf("at %d: %d events are due, want %d", at, got, want)
+		}
+	}
+	if dueEvents(nil, 1) != 0 {
+		t.Error("events of no plan are due")
+	}
+}
+
 // Connections are counted once each, and a server that ends closes those it has.
 func TestListedServersCountConnections(t *testing.T) {
 	var h ListedServers
@@ -152,17 +164,17 @@
 	if err := h.Accepted(struct{}{}, &accepted); err != nil || accepted != 2 {
 		t.Errorf("%v: %d connections accepted, want 2", err, accepted)
 	}
-	if err := h.Close(0, nil); err != nil {
+	if err := h.Close([]int{0}, nil); err != nil {
 		t.Fatal(err)
 	}
 	if conn, err := net.Dial("tcp", endpoints[0]); err == nil {
 		conn.Close()
 		t.Error("a server that has ended accepts")
 	}
-	if err := errors.Join(h.Close(1, nil), h.Close(1, nil)); err != nil {
+	if err := h.Close([]int{0, 1}, nil); err != nil {
 		t.Error(err)
 	}
-	if h.Close(2, nil) == nil || h.Close(-1, nil) == nil || h.Start(ListedServersSpec{Count: 1}, &endpoints) == nil {
+	if h.Close([]int{2}, nil) == nil || h.Close([]int{-1}, nil) == nil || h.Start(ListedServersSpec{Count: 1}, &endpoints) == nil {
 		t.Error("a server that isn't there is ended, or the servers start twice")
 	}
 }
@@ -185,7 +197,7 @@
 			servers := []int{20, 40}[i]
 			if f.Servers != servers || f.Changes != 3*replaced(servers) || f.Calls.Answered() != f.Calls.Offered || f.Calls.Offered < 10 ||
 				f.Calls.Served < 1 || f.CPUSeconds <= 0 || f.PeakMemory < 1e6 || f.Descriptors < 3 || f.Connections < 1 ||
-				f.ListBytes < float64(servers)*100 || f.ListCalls < 1 {
+				f.ListBytes < float64(servers)*100 || f.ListPayload <= f.ListBytes || f.ListCalls < 1 {
 				t.Errorf("%s: %+v", mode, f)
 			}
 		}
--- a/internal/fleet/growthlimits.go
+++ b/internal/fleet/growthlimits.go
@@ -16,8 +16,9 @@
 	PeakMemory  float64 `json:"peak_memory_bytes"`
 	Descriptors float64 `json:"descriptors"` // the most at once, by samples
 	Connections float64 `json:"connections_made"`
-	ListBytes   float64 `json:"list_bytes"` // TCP payload, with the heads of the answers and the first list
-	ListCalls   float64 `json:"list_calls"` // at the registry; one may bring many changes
+	ListBytes   float64 `json:"list_bytes"`         // with the first list, without the heads of HTTP
+	ListPayload float64 `json:"list_payload_bytes"` // the same with them
+	ListCalls   float64 `json:"list_calls"`         // at the registry; one may bring many changes
 	Served      float64 `json:"served_share"`
 	Calls       Tally   `json:"calls"`
 	Changes     int     `json:"changes"`            // of one entry each
@@ -112,9 +113,9 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(w, "machine\t%d cores, %s, load before %s\n", r.Machine.Cores, r.Machine.Go, r.Machine.Load)
 	for _, f := range []GrowthFigures{r.Usual, r.Large} {
-		fmt.Fprintf(w, "%d servers\tfleet of %d nodes, capacity of a server %.4g, %d changes (latest %.0f ms behind) in %.0f calls for lists a node, "+
-			"%d calls: %d served, %d refused, %d failed; %.1f cores of the machine in use\n", f.Servers, f.FleetNodes, f.Capacity,
-			f.Changes, f.LateMS, f.ListCalls, f.Calls.Offered, f.Calls.Served, f.Calls.Refused, f.Calls.Failed, f.Busy)
+		fmt.Fprintf(w, "%d servers\tfleet of %d nodes, capacity of a server %.4g, %d changes (latest %.0f ms behind) in %.0f calls for lists a node (%.4g KB with "+
+			"the heads of HTTP), %d calls: %d served, %d refused, %d failed; %.1f cores of the machine in use\n", f.Servers, f.FleetNodes, f.Capacity,
+			f.Changes, f.LateMS, f.ListCalls, f.ListPayload/kilobyte, f.Calls.Offered, f.Calls.Served, f.Calls.Refused, f.Calls.Failed, f.Busy)
 	}
 	if err := w.Flush(); err != nil {
 		return fmt.Errorf("table: %w", err)
--- a/internal/fleet/growthplan.go
+++ b/internal/fleet/growthplan.go
@@ -39,6 +39,17 @@
 	server int // the servers listed first, then those that replace some of them
 }
 
+// dueEvents is how many of the events of a plan are due at a time.
+func dueEvents(plan []dayEvent, at time.Duration) int {
+	n, _ := slices.BinarySearchFunc(plan, at, func(e dayEvent, at time.Duration) int {
+		if e.at <= at {
+			return -1
+		}
+		return 1
+	})
+	return n
+}
+
 // replaced is how many of so many servers a day replaces.
 func replaced(servers int) int { return int(replacedShare * float64(servers)) }
 
@@ -49,10 +60,11 @@
 	var events []dayEvent
 	count := replaced(servers)
 	for i, old := range rand.New(rand.NewPCG(seed, uint64(servers))).Perm(servers)[:count] {
-		at := share(replaceBegins + replaceTakes*float64(i)/float64(count))
-		events = append(events, dayEvent{at, listServer, servers + i}, dayEvent{at, drainServer, old},
-			dayEvent{at + share(drainTakes), removeServer, old},
-			dayEvent{at + share(drainTakes+closeAfter), closeServer, old})
+		listed := share(replaceBegins + replaceTakes*float64(i)/float64(count))
+		drains := share(replaceBegins + replaceTakes*(float64(i)+0.5)/float64(count))
+		events = append(events, dayEvent{listed, listServer, servers + i}, dayEvent{drains, drainServer, old},
+			dayEvent{drains + share(drainTakes), removeServer, old},
+			dayEvent{drains + share(drainTakes+closeAfter), closeServer, old})
 	}
 	for _, at := range breaks {
 		events = append(events, dayEvent{at: share(at), kind: breakWatches})
--- a/internal/fleet/list.go
+++ b/internal/fleet/list.go
@@ -80,7 +80,7 @@
 		l.changes = append(l.changes, change{l.rev, t})
 	}
 	if extra := len(l.changes) - keptChanges; extra > 0 {
-		l.changes = append([]change(nil), l.changes[extra:]...)
+		l.changes = l.changes[extra:] // append drops them once it needs more memory
 	}
 	clear(l.answers)
 	close(l.newer)
--- a/internal/fleet/listedservers.go
+++ b/internal/fleet/listedservers.go
@@ -51,13 +51,15 @@
 	}
 }
 
-// Close ends one server: its listener and its connections.
-func (h *ListedServers) Close(i int, _ *struct{}) error {
-	if i < 0 || i >= len(h.servers) {
-		return fmt.Errorf("listed servers: no server %d", i)
-	}
-	if err := h.servers[i].Close(); err != nil {
-		return fmt.Errorf("listed servers: %w", err)
+// Close ends servers: their listeners and their connections.
+func (h *ListedServers) Close(servers []int, _ *struct{}) error {
+	for _, i := range servers {
+		if i < 0 || i >= len(h.servers) {
+			return fmt.Errorf("listed servers: no server %d", i)
+		}
+		if err := h.servers[i].Close(); err != nil {
+			return fmt.Errorf("listed servers: %w", err)
+		}
 	}
 	return nil
 }
--- a/internal/fleet/registry.go
+++ b/internal/fleet/registry.go
@@ -141,7 +141,8 @@
 	switch {
 	case err == nil:
 		w.Header().Set("Content-Type", "application/json")
-		w.Write(body)
+		n, _ := w.Write(body) // whose connection is broken asks again
+		r.Traffic.Add(Traffic{Lists: int64(n)})
 	case errors.Is(err, errSilent):
 		<-q.Context().Done()
 	case errors.Is(context.Cause(ctx), errBroken):
--- a/internal/fleet/registryhost.go
+++ b/internal/fleet/registryhost.go
@@ -49,6 +49,16 @@
 	return err
 }
 
+// ChangeInTurn makes new versions one after another, in the order given.
+func (h *RegistryHost) ChangeInTurn(specs []ChangeSpec, _ *struct{}) error {
+	for _, spec := range specs {
+		if _, err := h.registry.Change(spec.Service, spec.Targets); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
 // Silence begins or ends a silence, and tells when.
 func (h *RegistryHost) Silence(on bool, atNS *int64) error {
 	*atNS = time.Now().UnixNano()
--- a/internal/fleet/series.go
+++ b/internal/fleet/series.go
@@ -8,12 +8,14 @@
 // BucketWidth is short enough for a peak to show, and long enough for a mean to fill.
 const BucketWidth = 100 * time.Millisecond
 
-// Traffic is what passed at a stand-in: new connections, calls, and bytes of TCP payload each way.
+// Traffic is what passed at a stand-in: new connections, calls, and bytes of TCP payload each way. Lists are the
+// bytes of the lists in it, without the heads of HTTP.
 type Traffic struct {
 	Conns int64 `json:"conns"`
 	Calls int64 `json:"calls"`
 	In    int64 `json:"bytes_in"`
 	Out   int64 `json:"bytes_out"`
+	Lists int64 `json:"bytes_of_lists"`
 }
 
 func (t *Traffic) add(u Traffic) {
@@ -21,6 +23,7 @@
 	t.Calls += u.Calls
 	t.In += u.In
 	t.Out += u.Out
+	t.Lists += u.Lists
 }
 
 // Series counts traffic in buckets of BucketWidth, so that a peak can be compared with the mean.
