--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -42,6 +42,7 @@
 	before         time.Duration // it must not begin later: the servers discard its repeats no longer; 0: no such time
 	begun          bool          // a byte of it may have been written. Guarded by call.mu
 	ended          bool          // and its result is passed on
+	heldUp         bool          // local trouble kept it from beginning for a while; read once it has ended
 	kept           bool          // it goes on until its caller is known to be gone
 }
 
@@ -49,7 +50,7 @@
 // one has left, must not be met over its predecessor's connections.
 type host struct {
 	server, endpoint string
-	boot             time.Duration
+	bootMS           float64
 }
 
 // result is how an attempt ended.
@@ -60,10 +61,11 @@
 	contentType string
 }
 
-// reply is what came back on a connection: an answer read whole, or why there is none.
+// reply is what came back on a connection: a complete answer, or why there is none.
 type reply struct {
 	result
-	err error
+	endedByClose bool // nothing but the end of the connection told that it is complete
+	err          error
 }
 
 // conn is a connection to a server. Its reader watches it for as long as it is open, so that one
@@ -89,30 +91,11 @@
 	written // whole
 )
 
-// errTooLong ends an answer that is longer than one may be, be it by its head or by what comes before it.
-var errTooLong = errors.New("the answer is too long")
-
-// bounded reads up to a number of bytes that its reader sets anew for each answer. Neither http.ReadResponse
-// nor io.ReadAll has a bound of its own: one endless head would fill the memory.
-type bounded struct {
-	io.Reader
-	left int
-}
-
-func (b *bounded) Read(p []byte) (int, error) {
-	if b.left <= 0 {
-		return 0, errTooLong
-	}
-	n, err := b.Reader.Read(p[:min(len(p), b.left)])
-	b.left -= n
-	return n, err
-}
-
 // backend runs attempts over pools of kept connections, the last used first of those that have rested. http.Transport would
 // send some requests again by itself, and does not tell whether the last byte was written.
 type backend struct {
 	clock clock
-	dial  func(ctx context.Context, network, address string) (net.Conn, error)
+	dial  dialFunc
 	most  int        // connections open or being opened
 	left  func() int // for how many callers leave descriptors
 
@@ -182,9 +165,9 @@
 			fresh bool
 			err   error
 		)
-		c, fresh, err = b.connect(ctx, a.to, waiter)
+		c, fresh, err = b.connect(ctx, a, waiter)
 		switch {
-		case errors.Is(err, errNoRoom):
+		case errors.Is(err, errNoRoom), isLocalTrouble(err):
 			return result{ending: balancer.Void}
 		case err != nil && errors.Is(a.ctx.Err(), context.Canceled):
 			return result{ending: balancer.Withdrawn}
@@ -219,7 +202,9 @@
 	}
 	got := <-waiter
 	switch {
-	case got.err == nil:
+	// The system tells of a reset once, to the write or to the read: after a failed write, what the reader
+	// took for the end of the connection may have been a reset.
+	case got.err == nil && !(got.endedByClose && err != nil):
 		return got.result
 	case errors.Is(a.ctx.Err(), context.Canceled):
 		return result{ending: balancer.Withdrawn}
@@ -259,27 +244,6 @@
 	return text.Bytes(), nil
 }
 
-// connect takes a rested idle connection, or opens a fresh one.
-func (b *backend) connect(ctx context.Context, to host, waiter chan reply) (c *conn, fresh bool, err error) {
-	c, err = b.take(to, waiter)
-	if c != nil || err != nil {
-		return c, false, err
-	}
-	nc, err := b.dial(ctx, "tcp", to.endpoint)
-	if err != nil {
-		b.mu.Lock()
-		b.open--
-		b.mu.Unlock()
-		for _, own := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL} {
-			if errors.Is(err, own) {
-				err = errors.Join(errNoRoom, err)
-			}
-		}
-		return nil, true, fmt.Errorf("connect: %w", err)
-	}
-	return b.watch(nc, to, waiter), true, nil
-}
-
 // watch starts the reader of a connection that an attempt is about to use.
 func (b *backend) watch(nc net.Conn, to host, waiter chan reply) *conn {
 	in := &bounded{Reader: nc}
@@ -459,51 +423,6 @@
 
 var errUnasked = errors.New("the server spoke or closed before it was asked")
 
-// errCut says that an answer is not whole, or can't be told to be.
-var errCut = errors.New("the answer is not whole")
-
-// readAnswer reads one answer, and tells whether the connection is of further use. Only a whole 200 is a
-// success. What can't be read may have run. An answer is good even if more follows that belongs to none,
-// but then the next answer could not be told from that.
-func (b *backend) readAnswer(c *conn) (reply, bool) {
-	c.in.left = maxAnswer
-	resp, err := http.ReadResponse(c.br, nil)
-	for err == nil && resp.StatusCode < 200 {
-		resp, err = http.ReadResponse(c.br, nil)
-	}
-	if err != nil {
-		return reply{err: fmt.Errorf("answer: %w", err)}, false
-	}
-	ok := resp.StatusCode == http.StatusOK
-	// Without a length the end of the connection ends the body, be it whole or cut.
-	framed := (resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0) && resp.ContentLength <= maxBody
-	if ok && !framed {
-		return reply{err: errCut}, false
-	}
-	var body []byte
-	if framed {
-		c.in.left += maxBody
-		body, err = io.ReadAll(io.LimitReader(resp.Body, maxBody+1))
-		if err == nil && len(body) > maxBody {
-			err = errTooLong
-		}
-		if ok && err != nil {
-			return reply{err: errors.Join(errCut, err)}, false
-		}
-	}
-	r := reply{result: result{at: b.clock.now()}}
-	switch {
-	case ok:
-		r.ending, r.body, r.contentType = balancer.Success, body, resp.Header.Get("Content-Type")
-	case (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
-		resp.Header.Get("X-Not-Run") == "1" && framed && err == nil:
-		r.ending = balancer.Overloaded // only a whole answer proves that it never ran
-	default:
-		r.ending = balancer.Failure
-	}
-	return r, err == nil && framed && !resp.Close && c.br.Buffered() == 0
-}
-
 // rawConn is the connection below the runtime's, or nil if there is none.
 func rawConn(nc net.Conn) syscall.RawConn {
 	if sc, ok := nc.(syscall.Conn); ok {
@@ -516,10 +435,18 @@
 
 // peek looks into the kernel's buffer of a connection: whether its other side has said something that
 // was not read yet, or has closed.
-func peek(fd uintptr) bool {
+func peek(fd uintptr) bool { return peekBy(syscall.Recvfrom, fd) }
+
+// peekBy is peek by a given recvfrom. An interrupted call says nothing of the connection and is made again:
+// the runtime's poller tells of a change only once, so that what is missed here would be waited for in vain.
+func peekBy(recv func(fd int, p []byte, flags int) (int, syscall.Sockaddr, error), fd uintptr) bool {
 	var one [1]byte
-	_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-	return err != syscall.EAGAIN && err != syscall.EINTR
+	for {
+		_, _, err := recv(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		if err != syscall.EINTR {
+			return err != syscall.EAGAIN
+		}
+	}
 }
 
 // awaitBytes waits until a connection has bytes to read, has been closed by either side, or has failed.
@@ -540,24 +467,40 @@
 	return is || err != nil
 }
 
-// servers follows the list: idle connections to a server that left, drains or started anew are closed.
+// servers follows the list: idle connections to a server that left, drains or started anew are closed. Of a
+// list of changes, only the entries that it names are looked at.
 func (b *backend) servers(targets []target, full bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	named := map[string]bool{}
 	for _, t := range targets {
-		named[t.ID] = true
-		old, known := b.seen[t.ID]
+		b.follow(t)
+	}
+	if full {
+		b.dropUnnamed(targets)
+	}
+}
+
+// follow takes over one entry of the list. The caller holds mu.
+func (b *backend) follow(t target) {
+	old, known := b.seen[t.ID]
+	if known && (t.State != balancer.Ready || t.host() != old.host()) {
+		b.dropIdle(old.host())
+	}
+	if t.State == balancer.Gone {
+		delete(b.seen, t.ID)
+	} else {
 		b.seen[t.ID] = t
-		if known && (t.State != balancer.Ready || t.host() != old.host()) {
-			b.dropIdle(old.host())
-		}
-		if t.State == balancer.Gone {
-			delete(b.seen, t.ID)
-		}
+	}
+}
+
+// dropUnnamed forgets the servers that a complete list does not name. The caller holds mu.
+func (b *backend) dropUnnamed(targets []target) {
+	named := make(map[string]bool, len(targets))
+	for _, t := range targets {
+		named[t.ID] = true
 	}
 	for id, t := range b.seen {
-		if full && !named[id] {
+		if !named[id] {
 			b.dropIdle(t.host())
 			delete(b.seen, id)
 		}
--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -51,7 +51,7 @@
 }
 
 // callerCounts tell, for the log, what became of connections.
-type callerCounts struct{ Accepted, LetGo, Crowded, TurnedAway int }
+type callerCounts struct{ Accepted, AcceptFailed, LetGo, Crowded, TurnedAway int }
 
 // activity is what a connection does, and since when.
 type activity struct {
@@ -103,11 +103,13 @@
 	cut      bool      // leaving, whatever still comes
 	deadline time.Time // as net/http wants it
 	serving  bool      // a request's head is read, and it is not answered
+	complete bool      // and its body is read to the end as well
 	ahead    []byte    // what came meanwhile, to be read once that is answered
 	kept     int       // bytes reserved for ahead
 	departed departure
 	looked   chan struct{} // closed once the watch beside the request has read all that had come
 	turned   chan struct{} // gets one when departed changes
+	requests requestScanner
 
 	callers  *callers
 	activity // guarded by callers.mu
@@ -145,16 +147,42 @@
 		return n, nil
 	}
 	n, err := c.Conn.Read(p)
+	c.scan(p[:n])
 	c.came(n, err)
 	return n, err
 }
 
-// startWatch tells whether a request waits. If so, no wait for another is left to be ended: neither
-// this connection's being let go nor what was seen beside an earlier request holds any longer.
+// scan follows the framing of what was just read from the kernel.
+func (c *callerConn) scan(p []byte) {
+	at := c.callers.clock.now()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.requests.feed(p, at)
+}
+
+// takeHead returns what is known of the request that net/http has just read the head of, or the error in
+// its framing.
+func (c *callerConn) takeHead(r *http.Request) (requestHead, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.requests.take(r)
+}
+
+// bodyError is the error in the framing of the body that net/http has just read.
+func (c *callerConn) bodyError() error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.requests.bodyError()
+}
+
+// startWatch tells whether a request waits. If so, it is complete, for net/http watches only behind a body's
+// end, and no wait for another is left to be ended: neither this connection's being let go or cut off nor what
+// was seen beside an earlier request holds any longer.
 func (c *callerConn) startWatch() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.serving {
+		c.complete, c.cut = true, false
 		c.hear()
 	}
 	return c.serving
@@ -184,6 +212,7 @@
 			return errUnwatched
 		}
 		n, err := c.Conn.Read(into)
+		c.scan(into[:n])
 		c.keep(n)
 		c.came(n, err)
 		switch {
@@ -258,7 +287,7 @@
 func (c *callerConn) serve() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.serving, c.looked = true, make(chan struct{})
+	c.serving, c.complete, c.looked = true, false, make(chan struct{})
 	if c.turned == nil {
 		c.turned = make(chan struct{}, 1)
 	}
@@ -267,9 +296,9 @@
 	}
 }
 
-// came notes what a read brought.
+// came notes what a read brought. Only os.ErrDeadlineExceeded is the node's own deadline: ETIMEDOUT, a
+// Timeout() as well, is a connection that is broken.
 func (c *callerConn) came(n int, err error) {
-	var late net.Error
 	switch {
 	case n > 0:
 		c.mu.Lock()
@@ -277,7 +306,7 @@
 		c.mu.Unlock()
 	case errors.Is(err, io.EOF):
 		c.depart(halfClosed)
-	case err != nil && !(errors.As(err, &late) && late.Timeout()):
+	case err != nil && !errors.Is(err, os.ErrDeadlineExceeded):
 		c.depart(gone)
 	}
 }
@@ -348,7 +377,7 @@
 func (c *callerConn) Write(p []byte) (int, error) {
 	if !bytes.HasPrefix(p, []byte("HTTP/1.1 1")) {
 		c.mu.Lock()
-		c.begun, c.serving = len(c.ahead) > 0, false
+		c.begun, c.serving, c.complete = len(c.ahead) > 0, false, false
 		c.mu.Unlock()
 	}
 	return c.Conn.Write(p)
@@ -382,6 +411,9 @@
 	return errors.ErrUnsupported
 }
 
+// longAgo is a deadline that ends a wait at once, whatever becomes of the wall clock.
+var longAgo = time.Now().Add(-time.Hour)
+
 // letGo has the connection closed unless a request has begun on it, be it one that nobody has read yet: the
 // close would be a reset, and the client could ask only once more.
 func (c *callerConn) letGo() bool {
@@ -389,23 +421,22 @@
 	defer c.mu.Unlock()
 	if !c.begun && !spokenOrClosed(c.Conn) {
 		c.leaving = true
-		c.Conn.SetReadDeadline(time.Unix(1, 0))
+		c.Conn.SetReadDeadline(longAgo)
 	}
 	return c.leaving
 }
 
-// cutOff ends the wait for the rest of a request.
-func (c *callerConn) cutOff() {
+// cutOff ends the wait for the rest of a request, unless it is complete: then nothing is waited for, and a
+// deadline in the past would end the watch for its caller's leaving.
+func (c *callerConn) cutOff() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
+	if c.complete {
+		return false
+	}
 	c.leaving, c.cut = true, true
-	c.Conn.SetReadDeadline(time.Unix(1, 0))
-}
-
-func (c *callerConn) isCut() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.cut
+	c.Conn.SetReadDeadline(longAgo)
+	return true
 }
 
 func (c *callerConn) hasBegun() bool {
@@ -414,53 +445,6 @@
 	return c.begun
 }
 
-// callerListener makes callerConns.
-type callerListener struct {
-	net.Listener
-	callers  *callers
-	shutting atomic.Bool
-}
-
-// deadlines are what a listener needs to be shut without a loss.
-type deadlines interface{ SetDeadline(time.Time) error }
-
-// shutWait is for how long nobody may be found waiting before the listener is closed.
-const shutWait = 20 * time.Millisecond
-
-// shut has whoever waits to be accepted accepted, and then closes: the kernel resets those that are left,
-// and a request may be whole on them already.
-func (l *callerListener) shut() {
-	l.shutting.Store(true)
-	if d, ok := l.Listener.(deadlines); !ok || d.SetDeadline(time.Unix(1, 0)) != nil {
-		l.Listener.Close()
-	}
-}
-
-// Accept never lets the node run out of descriptors, for then net/http would accept nobody for a while:
-// beyond the hard limit whoever came last is closed unheard.
-func (l *callerListener) Accept() (net.Conn, error) {
-	for {
-		last := l.shutting.Load()
-		if last { // a deadline in the past would keep it from looking
-			l.Listener.(deadlines).SetDeadline(time.Now().Add(shutWait))
-		}
-		c, err := l.Listener.Accept()
-		switch {
-		case errors.Is(err, os.ErrDeadlineExceeded) && last:
-			l.Listener.Close()
-			return nil, net.ErrClosed
-		case errors.Is(err, os.ErrDeadlineExceeded):
-			continue
-		case err != nil:
-			return nil, err // as it is: net/http looks at its kind
-		case l.callers.full():
-			c.Close()
-			continue
-		}
-		return &callerConn{Conn: c, callers: l.callers}, nil
-	}
-}
-
 type connKey struct{}
 
 // withConn has a request's context tell its connection.
@@ -499,6 +483,13 @@
 	s.makeRoom()
 }
 
+// acceptFailed counts a failed accept.
+func (s *callers) acceptFailed() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.counts.AcceptFailed++
+}
+
 // move notes what a connection does from now on. The caller holds mu.
 func (s *callers) move(c *callerConn, p phase) {
 	if c.going {
@@ -523,13 +514,14 @@
 }
 
 // open notes that a connection's request goes to the module, unless as many are there as servers'
-// connections are kept for, or this one was to be cut off: its caller would seem to have gone. That there
-// are too many connections is no reason: others' silence must not cost a good caller its answer.
+// connections are kept for. That there are too many connections is no reason: others' silence must not cost
+// a good caller its answer. If its connection was to be let go, another goes in its place.
 func (s *callers) open(c *callerConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.move(c, open)
-	if s.opened > s.room/2 || c.isCut() {
+	s.makeRoom()
+	if s.opened > s.room/2 {
 		s.counts.Crowded++
 		return false
 	}
@@ -617,7 +609,7 @@
 	case c.phase == lingering:
 		c.Close()
 	case c.phase == reading || c.phase == silent && c.hasBegun():
-		c.cutOff()
+		gone = c.cutOff()
 	default:
 		gone = c.letGo()
 	}
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -2,20 +2,14 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
-	"io"
 	"log/slog"
-	"math"
 	"net"
 	"net/http"
-	"net/netip"
 	"net/url"
 	"strconv"
 	"sync"
 	"time"
-
-	"balancer"
 )
 
 // Times of a watch. The worst that they make of a call that was lost comes to less than toldLatest: from the
@@ -38,75 +32,12 @@
 	probeInterval = 100 * time.Millisecond // from a failure that came at once to the next call
 	firstWait     = time.Second            // that a new process waits for the list before it counts as ready
 	toldLatest    = 6 * time.Second        // after which a change counts as told, heard or not
-	maxList       = 4 << 20
+	maxList       = 4 << 20                // bytes of a list; one of 3,200 servers that is indented has about 1 MB
 	// A connection that never comes up holds its place among those to the agent until its dial is given up.
 	agentDial  = 2 * probeWait
 	agentConns = 8
 )
 
-// list is discovery's news: the whole list, or the entries that changed.
-type list struct {
-	rev     int64
-	full    bool
-	targets []target
-}
-
-// target is an entry of a list: the module's view of a server, and where it listens.
-type target struct {
-	balancer.Server
-	endpoint string
-}
-
-func (t target) host() host { return host{t.ID, t.endpoint, t.Boot} }
-
-var states = map[string]balancer.ServerState{
-	"in_service": balancer.Ready, "terminating": balancer.Draining, "terminated": balancer.Gone,
-}
-
-// parseList reads a list. A malformed one is dropped whole: half a list would look like the rest
-// had gone.
-func parseList(text []byte) (list, error) {
-	var f struct {
-		Rev     *int64 `json:"rev"`
-		All     *bool  `json:"all"`
-		Targets []struct {
-			UID      string  `json:"uid"`
-			Endpoint string  `json:"endpoint"`
-			Zone     string  `json:"az"`
-			Cell     float64 `json:"pod_group"`
-			State    string  `json:"state"`
-			Size     float64 `json:"capacity_hint"`
-			Boot     float64 `json:"boot_ms"`
-		} `json:"targets"`
-	}
-	if err := json.Unmarshal(text, &f); err != nil {
-		return list{}, fmt.Errorf("list: %w", err)
-	}
-	if f.Rev == nil || f.All == nil {
-		return list{}, fmt.Errorf("list: rev or all is missing")
-	}
-	l := list{rev: *f.Rev, full: *f.All}
-	seen := map[string]bool{}
-	for i, t := range f.Targets {
-		state, ok := states[t.State]
-		_, err := netip.ParseAddrPort(t.Endpoint)
-		switch {
-		case t.UID == "" || seen[t.UID]:
-			return list{}, fmt.Errorf("list: targets[%d]: uid %q is empty or comes twice", i, t.UID)
-		case !ok:
-			return list{}, fmt.Errorf("list: targets[%d]: unknown state %q", i, t.State)
-		case err != nil && state != balancer.Gone:
-			return list{}, fmt.Errorf("list: targets[%d]: %w", i, err)
-		case !(t.Size >= 0 && t.Size <= 1e12) || !(t.Boot >= 0 && t.Boot <= 1e13) || !(math.Abs(t.Cell) <= 1e9):
-			return list{}, fmt.Errorf("list: targets[%d]: capacity_hint, boot_ms or pod_group is out of range", i)
-		}
-		seen[t.UID] = true
-		l.targets = append(l.targets, target{endpoint: t.Endpoint, Server: balancer.Server{ID: t.UID,
-			Zone: t.Zone, Cell: int(t.Cell), State: state, Size: t.Size, Boot: millis(t.Boot)}})
-	}
-	return l, nil
-}
-
 // discovery follows the list of servers and posts its changes.
 type discovery struct {
 	post   func(event)
@@ -127,17 +58,31 @@
 	leave  context.CancelFunc
 	addr   string
 	client *http.Client
+	dial   dialFunc
 	rev    int64 // the version held; -1: none, so the whole list is asked for
 }
 
 func newPlace(addr string, rev int64) *place {
-	p := &place{addr: addr, rev: rev,
-		client: &http.Client{Transport: &http.Transport{DisableCompression: true,
-			MaxConnsPerHost: agentConns, DialContext: (&net.Dialer{Timeout: agentDial}).DialContext}}}
+	p := &place{addr: addr, rev: rev, dial: (&net.Dialer{}).DialContext}
+	p.client = &http.Client{Transport: &http.Transport{DisableCompression: true,
+		MaxConnsPerHost: agentConns, DialContext: p.connect}}
 	p.ctx, p.leave = context.WithCancel(context.Background())
 	return p
 }
 
+// connect opens a connection to the agent within agentDial, be it dialled once or several times.
+func (p *place) connect(ctx context.Context, network, address string) (nc net.Conn, err error) {
+	ctx, cancel := context.WithTimeout(ctx, agentDial)
+	defer cancel()
+	end, _ := ctx.Deadline()
+	mayWait := func(wait time.Duration) bool { return time.Until(end) > wait }
+	_, err = retryLocalTrouble(ctx, mayWait, func() error {
+		nc, err = p.dial(ctx, network, address)
+		return err
+	})
+	return nc, err
+}
+
 func newDiscovery(cfg Config, rev int64, post func(event), log *slog.Logger) *discovery {
 	d := &discovery{post: post, log: log, at: newPlace(cfg.Discovery, rev), wanted: make(chan struct{}, 1),
 		hold: askHold, grace: askGrace, first: firstWait, after: time.After}
@@ -242,24 +187,32 @@
 			return
 		case <-d.wanted:
 		}
-		for ctx.Err() == nil {
-			p := d.place()
-			if _, err := d.watch(ctx, p, false); err != nil && p.ctx.Err() == nil {
-				if ctx.Err() == nil {
-					d.log.Warn("the subscription failed", "error", err)
-					d.post(listFailed{})
-				}
-				select {
-				case <-ctx.Done():
-				case <-p.ctx.Done():
-				case <-d.after(probeInterval):
-				}
-				break
-			}
+		for d.askOnce(ctx) {
 		}
 	}
 }
 
+// askOnce makes one call, and tells whether another is to follow unasked. A call that failed by local trouble
+// never came to discovery: the module need not wait after it, and is not told.
+func (d *discovery) askOnce(ctx context.Context) (again bool) {
+	p := d.place()
+	_, err := d.watch(ctx, p, false)
+	if err == nil || p.ctx.Err() != nil || ctx.Err() != nil {
+		return ctx.Err() == nil
+	}
+	again = isLocalTrouble(err)
+	d.log.Warn("the subscription failed", "error", err)
+	if !again {
+		d.post(listFailed{})
+	}
+	select {
+	case <-ctx.Done():
+	case <-p.ctx.Done():
+	case <-d.after(probeInterval):
+	}
+	return again && ctx.Err() == nil
+}
+
 // watch makes one call and posts what it tells. In doubt, the agent is probed beside it: once it answers
 // that, the call is known to be lost and is dropped, and answers is set.
 func (d *discovery) watch(ctx context.Context, p *place, doubt bool) (answers bool, err error) {
@@ -308,11 +261,11 @@
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("watch: status %d", resp.StatusCode)
 	}
-	text, err := io.ReadAll(io.LimitReader(resp.Body, maxList))
-	if err != nil {
-		return fmt.Errorf("watch: %w", err)
+	body := newListBody(resp.Body)
+	l, err := readList(body)
+	if body.err != nil {
+		return fmt.Errorf("watch: %w", body.err)
 	}
-	l, err := parseList(text)
 	if err == nil && !l.full && l.rev < p.rev {
 		err = fmt.Errorf("list: rev %d comes after %d", l.rev, p.rev)
 	}
@@ -322,12 +275,18 @@
 	}
 	p.rev = l.rev
 	if !l.full && len(l.targets) == 0 {
-		return nil // a hold that ended without news
+		d.postFrom(p, listConfirmed{}) // a hold that ended without news
+		return nil
 	}
+	d.postFrom(p, listNews{list: l})
+	return nil
+}
+
+// postFrom posts what a place told, unless the watch has moved elsewhere.
+func (d *discovery) postFrom(p *place, e event) {
 	if p.ctx.Err() == nil {
-		d.post(listNews{list: l})
+		d.post(e)
 	}
-	return nil
 }
 
 // sleep waits for a while or until ctx ends.
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -11,18 +11,23 @@
 	"balancer"
 )
 
-// clock tells Unix time, moved by the monotonic clock: it compares with boot_ms and never jumps.
+// processStart is the clock time of the process's start. Servers that started up to that long before it have
+// positive times, too.
+const processStart = 365 * 24 * time.Hour
+
+// clock tells the node's time, which is monotonic: setting the machine's clock does not move it.
 type clock struct {
-	start time.Time
-	base  time.Duration
+	elapsed func() time.Duration // monotonic time since the process's start
+	unix    func() time.Duration // Unix time by the machine's clock, which may be set at any moment
 }
 
 func newClock() clock {
-	now := time.Now()
-	return clock{start: now, base: time.Duration(now.UnixNano())}
+	start := time.Now()
+	return clock{elapsed: func() time.Duration { return time.Since(start) },
+		unix: func() time.Duration { return time.Duration(time.Now().UnixNano()) }}
 }
 
-func (c clock) now() time.Duration { return c.base + time.Since(c.start) }
+func (c clock) now() time.Duration { return processStart + c.elapsed() }
 
 // until is how long it is to a clock time.
 func (c clock) until(at time.Duration) time.Duration { return at - c.now() }
@@ -103,6 +108,7 @@
 		result  result
 	}
 	listNews        struct{ list list }
+	listConfirmed   struct{} // discovery has answered that nothing has changed
 	listFailed      struct{}
 	discoverySilent struct{} // discovery says nothing: the list that the node last had must do
 	newSettings     struct {
@@ -169,15 +175,18 @@
 	pending map[string]*pending
 	alarms  alarms
 	listed  map[string]target
-	known   list        // as the node last had it; of use only if discovery says nothing
+	boots   *bootClock
+	known   list        // as the node last had it; of use, and kept, only until a list is heard
 	heard   bool        // the list is as new as it can be had
 	ready   atomic.Bool // a listed server may be sent to
 	stats   stats
+
+	readyServers int // how many of listed are ready
 }
 
 func newLoop(b *balancer.Balancer, c clock, log *slog.Logger) *loop {
 	return &loop{clock: c, balancer: b, sockets: func() []any { return nil }, events: make(chan event, 1024), log: log,
-		pending: map[string]*pending{}, listed: map[string]target{}}
+		pending: map[string]*pending{}, listed: map[string]target{}, boots: newBootClock(c)}
 }
 
 func (l *loop) post(e event) { l.events <- e }
@@ -266,6 +275,8 @@
 			l.useCachedList()
 		}
 		l.takeList(e.list, false)
+	case listConfirmed:
+		l.boots.confirm()
 	case listFailed:
 		l.handle(l.clock.now(), balancer.ListFailed{})
 	case discoverySilent:
@@ -344,7 +355,7 @@
 		l.answer(p, answer{kind: served, body: r.body, header: r.contentType})
 	}
 	l.handle(r.at, balancer.Outcome{ID: a.call.id, Attempt: a.n, Server: a.to.server, Ending: r.ending,
-		Latency: r.at - a.sent, Ended: p.answered})
+		Latency: r.at - a.sent, Ended: p.answered, HeldUp: a.heldUp})
 	if p.departed != present {
 		l.answerUnlessBegun(p)
 	}
@@ -377,34 +388,57 @@
 // discovery has moved, is not passed on where lists are pushed: the module takes each list for a change
 // and cuts its pool anew, so telling it of nothing would move requests and open connections for nothing.
 func (l *loop) takeList(news list, cached bool) {
-	l.heard = true
-	defer l.tellReady()
+	l.heard, l.known = true, list{}
+	l.convertBoots(news.targets)
+	if !cached {
+		defer l.boots.confirm()
+	}
 	if !cached && l.push && l.holds(news) {
 		return
 	}
+	e := balancer.ServerList{Full: news.full, Cached: cached, Servers: l.apply(news)}
+	l.servers(news.targets, news.full)
+	l.handle(l.clock.now(), e)
+	l.ready.Store(l.readyServers > 0)
+}
+
+// convertBoots sets the clock time of each entry's start, as it was converted when its boot_ms was first seen.
+func (l *loop) convertBoots(targets []target) {
+	l.boots.observe()
+	for i := range targets {
+		t := &targets[i]
+		held, isHeld := l.listed[t.ID]
+		t.Boot = l.boots.started(t.bootMS, held, isHeld)
+	}
+}
+
+// apply takes over the entries of a list, and returns them as the module is to be told of them.
+func (l *loop) apply(news list) []balancer.Server {
 	if news.full {
 		clear(l.listed)
+		l.readyServers = 0
 	}
-	e := balancer.ServerList{Full: news.full, Cached: cached}
-	for _, t := range news.targets {
-		e.Servers = append(e.Servers, t.Server)
-		if t.State == balancer.Gone {
-			delete(l.listed, t.ID)
-		} else {
-			l.listed[t.ID] = t
-		}
+	servers := make([]balancer.Server, len(news.targets))
+	for i, t := range news.targets {
+		servers[i] = t.Server
+		l.applyEntry(t)
 	}
-	l.servers(news.targets, news.full)
-	l.handle(l.clock.now(), e)
+	return servers
 }
 
-// tellReady notes whether callers may be sent here.
-func (l *loop) tellReady() {
-	ready := false
-	for _, t := range l.listed {
-		ready = ready || t.State == balancer.Ready
+// applyEntry takes over an entry of a list.
+func (l *loop) applyEntry(t target) {
+	if old, ok := l.listed[t.ID]; ok && old.State == balancer.Ready {
+		l.readyServers--
+	}
+	if t.State == balancer.Gone {
+		delete(l.listed, t.ID)
+		return
+	}
+	l.listed[t.ID] = t
+	if t.State == balancer.Ready {
+		l.readyServers++
 	}
-	l.ready.Store(ready)
 }
 
 // holds says that a list tells nothing new.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -102,7 +102,7 @@
 	n.frontend = newFrontend(clock, callers, &l.rules, l.post, l.ready.Load, log)
 	l.sockets = func() []any {
 		c, held := callers.report()
-		return []any{"callers", held, "accepted", c.Accepted, "let_go", c.LetGo, "crowded", c.Crowded,
+		return []any{"callers", held, "accepted", c.Accepted, "accept_failed", c.AcceptFailed, "let_go", c.LetGo, "crowded", c.Crowded,
 			"turned_away", c.TurnedAway, "servers", n.backend.connections()}
 	}
 	l.start = func(a *attempt) {
@@ -114,6 +114,7 @@
 	}
 	l.servers, l.push = n.backend.servers, n.push
 	known, err := parseList(cfg.Known)
+	n.cfg.Known = nil // it is parsed, and long
 	rev := int64(-1)
 	if err != nil {
 		log.Warn("the known list is dropped", "error", err)
@@ -156,6 +157,7 @@
 	}
 	cfg.Listen, cfg.Sockets, cfg.MemoryMB = n.cfg.Listen, n.cfg.Sockets, n.cfg.MemoryMB
 	cfg.Settings.AskDiscovery = n.cfg.Settings.AskDiscovery
+	cfg.Known = nil // of use at a start alone
 	changed, same := changes(n.cfg, cfg), reflect.DeepEqual(n.cfg.Settings, cfg.Settings)
 	n.revision++
 	log := n.log.With("revision", n.revision, "changed", changed)
@@ -216,12 +218,16 @@
 	} else {
 		go n.discovery.ask(inner)
 	}
-	gone := make(chan error, 1)
-	ln := &callerListener{Listener: n.listener, callers: n.frontend.callers}
-	go func() { gone <- n.frontend.server.Serve(ln) }()
+	var serveErr error
+	gone := make(chan struct{})
+	ln := newCallerListener(n.listener, n.frontend.callers, n.log)
+	go func() {
+		defer close(gone)
+		serveErr = n.frontend.server.Serve(ln)
+	}()
 	select {
-	case err := <-gone:
-		return fmt.Errorf("node: %w", err)
+	case <-gone:
+		return fmt.Errorf("node: %w", serveErr)
 	case <-ctx.Done():
 	}
 	n.log.Info("draining")
