--- /dev/null
+++ b/internal/fleet/runchanges.go
@@ -0,0 +1,85 @@
+package fleet
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"sync"
+	"time"
+)
+
+// change makes a new version of a list and notes it.
+func (r *run) change(ctx context.Context, l *rotation, targets []Target, group string) error {
+	var changed Changed
+	if err := r.registry.ask(ctx, "Change", ChangeSpec{l.service, targets}, &changed); err != nil {
+		return err
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.silent { // it is told at the return only
+		return nil
+	}
+	if l.service < r.args.Services && r.args.Nodes > 0 {
+		r.changes = append(r.changes, ListChange{group, l.service, changed.Rev, changed.AtNS})
+	}
+	return nil
+}
+
+// rotate changes the lists in turn, evenly over the time, until ctx ends or the time is over.
+func (r *run) rotate(ctx context.Context, length time.Duration) error {
+	every := time.Duration(float64(time.Minute) / (r.args.Changes * float64(len(r.lists))))
+	start := time.Now()
+	for i := 0; ; i++ {
+		at := every/2 + time.Duration(i)*every
+		if at >= length {
+			return nil
+		}
+		pause(ctx, time.Until(start.Add(at)))
+		if ctx.Err() != nil {
+			return nil
+		}
+		l := r.lists[i%len(r.lists)]
+		if news := l.next(); news != nil {
+			if err := r.change(ctx, l, news, groupChange); err != nil {
+				return err
+			}
+		}
+	}
+}
+
+// reconfigure changes the real nodes' configuration evenly over the run, at least once.
+func (r *run) reconfigure(ctx context.Context, c *Configs) error {
+	every := time.Duration(float64(time.Minute) / r.args.Configs)
+	first := min(every, r.args.For) / 2
+	start := time.Now()
+	took := newLatencies()
+	var wg sync.WaitGroup
+	var mu sync.Mutex
+	var errs []error
+	for at := first; at < r.args.For; at += every {
+		pause(ctx, time.Until(start.Add(at)))
+		if ctx.Err() != nil {
+			break
+		}
+		c.Changes++
+		class := fmt.Sprintf("added-%d", c.Changes)
+		// One change is followed while the next is made. The nodes' files are this goroutine's own.
+		wait, err := r.addClass(ctx, class, took)
+		if err != nil {
+			errs = append(errs, err)
+			break
+		}
+		c.Sent += len(r.real)
+		wg.Add(1)
+		go func() {
+			defer wg.Done()
+			n := wait()
+			mu.Lock()
+			defer mu.Unlock()
+			c.InForce += n
+		}()
+	}
+	wg.Wait()
+	c.NotInForce, c.Took = c.Sent-c.InForce, took.quantiles()
+	return errors.Join(errs...)
+}
--- /dev/null
+++ b/internal/fleet/runfigures.go
@@ -0,0 +1,99 @@
+package fleet
+
+import (
+	"context"
+	"time"
+)
+
+// usage reads what processes have used.
+type usage struct {
+	at       time.Time
+	busy     time.Duration
+	hollows  Usage
+	registry Usage
+	real     []Usage
+}
+
+func (r *run) usage() (u usage, err error) {
+	if u.busy, err = machineBusy(); err != nil {
+		return u, err
+	}
+	if u.registry, err = UsageOf(r.registry.pid()); err != nil {
+		return u, err
+	}
+	if r.hollows != nil {
+		if u.hollows, err = UsageOf(r.hollows.pid()); err != nil {
+			return u, err
+		}
+	}
+	for _, n := range r.real {
+		one, err := UsageOf(n.cmd.Process.Pid)
+		if err != nil && n.alive() {
+			return u, err
+		}
+		u.real = append(u.real, one)
+	}
+	u.at = time.Now()
+	return u, nil
+}
+
+// cores is how many processor cores were in use between two readings.
+func cores(used time.Duration, from, to time.Time) float64 {
+	return used.Seconds() / to.Sub(from).Seconds()
+}
+
+// fill notes what the processes used and what passed at the registry. realCores is what the real nodes used
+// while calls went through them; nil: there were none.
+func (r *run) fill(p *Point, before, after usage, realCores []float64, counted Counted) {
+	sum, peak, seconds := counted.Between(before.at, after.at)
+	p.Seconds = after.at.Sub(before.at).Seconds()
+	p.Busy = cores(after.busy-before.busy, before.at, after.at)
+	per := func(n int64) float64 { return float64(n) / seconds }
+	p.Registry = RegistryFigures{Open: counted.Open, Conns: per(sum.Conns), Calls: per(sum.Calls), BytesIn: per(sum.In),
+		BytesOut: per(sum.Out), Peak: float64(peak) / BucketWidth.Seconds(),
+		Cores: cores(after.registry.CPU-before.registry.CPU, before.at, after.at), RSS: after.registry.RSS}
+	nodes := r.args.Nodes + r.args.Real
+	p.PerNode = PerNode{nodes, per(sum.Out) / float64(nodes), per(sum.In) / float64(nodes)}
+	if len(r.real) == 0 {
+		return
+	}
+	f := &RealFigures{Nodes: len(r.real)}
+	for i, n := range r.real {
+		if n.alive() {
+			f.Alive++
+		}
+		used := cores(after.real[i].CPU-before.real[i].CPU, before.at, after.at)
+		if realCores != nil {
+			used = realCores[i]
+		}
+		f.CoresMean += used / float64(len(r.real))
+		f.CoresMax = max(f.CoresMax, used)
+		f.RSSMean += float64(after.real[i].RSS) / float64(len(r.real))
+		f.RSSMax = max(f.RSSMax, after.real[i].RSS)
+	}
+	p.Real = f
+}
+
+func (r *run) hollowFigures(ctx context.Context, p *Point, before, after usage, started HollowStart) error {
+	r.mu.Lock()
+	changes := r.changes
+	r.mu.Unlock()
+	var report HollowReport
+	if err := r.hollows.ask(ctx, "Report", changes, &report); err != nil {
+		return err
+	}
+	n := float64(r.args.Nodes)
+	h := &HollowFigures{Nodes: r.args.Nodes, ReadyMS: ms(started.Took),
+		CoresNode: cores(after.hollows.CPU-before.hollows.CPU, before.at, after.at) / n,
+		HeapNode:  float64(started.HeapBytes) / n, HeapAfter: float64(report.HeapBytes) / n, StackNode: float64(started.StackMem) / n, RSS: after.hollows.RSS,
+		Late: report.Late, Latency: report.Latency, Kept: report.Late.P99 <= keptWithin,
+		InForce: report.InForce, Warnings: report.Warnings}
+	for _, t := range report.Phases {
+		h.Calls.add(t)
+	}
+	if r.args.Storm != "none" {
+		h.StormCalls = &report.Phases[inStorm]
+	}
+	p.Hollow = h
+	return nil
+}
