--- a/internal/servermodel/server.go
+++ b/internal/servermodel/server.go
@@ -1,9 +1,11 @@
-// Package servermodel is a queueing model of one server, for simulations: it has no I/O and no clock of
-// its own. A server holds a bounded number of calls. Those that need its cores share them equally
-// (processor sharing); the others wait for something elsewhere and hold only their place. The model knows
-// the failure modes that make overload last: a limited queue, cold starts, slowdown under contention, and
-// metastable degradation, where a server that was crowded for a while stays slow until it has been nearly
-// idle for a while. It does not notice that a caller has given up: the work goes on.
+// Package servermodel is a queueing model of one server, for simulations in tests. Only tests import it (the
+// recovery tests of the root package); no program does.
+//
+// The model does no I/O and has no clock: its caller passes the time in. A server holds a bounded number of calls.
+// Calls that need its cores share them equally (processor sharing); the others wait for something elsewhere and
+// only occupy a slot. The model covers the causes of lasting overload: a limited queue, slow start, contention,
+// and metastable degradation, where a server that was overloaded for a while stays slow until it has been nearly
+// idle for a while. A server does not notice that a client has given up: it finishes the work.
 package servermodel
 
 import (
