--- a/internal/node/listener.go
+++ b/internal/node/listener.go
@@ -30,6 +30,8 @@
 	callers *callers
 	log     *slog.Logger
 
+	readTimeout time.Duration // for reading the rest of a request that has begun; 0: none
+
 	shutOnce, closeOnce sync.Once
 	shutting, closed    chan struct{}
 
@@ -76,7 +78,7 @@
 			c.Close()
 		case err == nil:
 			l.backoff = 0
-			return &callerConn{Conn: c, callers: l.callers}, nil
+			return &callerConn{Conn: c, callers: l.callers, timeout: l.readTimeout}, nil
 		case errors.Is(err, net.ErrClosed):
 			return nil, net.ErrClosed
 		case errors.Is(err, os.ErrDeadlineExceeded) && last:
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -221,6 +221,7 @@
 	var serveErr error
 	gone := make(chan struct{})
 	ln := newCallerListener(n.listener, n.frontend.callers, n.log)
+	ln.readTimeout = n.frontend.server.ReadTimeout
 	go func() {
 		defer close(gone)
 		serveErr = n.frontend.server.Serve(ln)
