--- a/admission.go
+++ b/admission.go
@@ -34,7 +34,7 @@
 
 // fairServers is how many servers there are for each copy of this tier.
 func (b *Balancer) fairServers() float64 {
-	return float64(b.ready.len()) / float64(max(1, b.set.Balancers))
+	return float64(b.ready.len()) / float64(max(1, b.set.Replicas))
 }
 
 // target is the latency that admission steers to, a little under half way in ratio between a class's
@@ -43,21 +43,21 @@
 // The more is shed, the surer it is that some servers choke: then leaner is better, but never so lean
 // that only an empty server meets it, or the shedding would keep itself up.
 func (c *class) target(shed float64) float64 {
-	lean := (1 - leanness*shed) * targetShare * math.Sqrt(c.base*float64(c.Aim))
-	return min(float64(c.Aim), max(targetLeast*c.base, lean))
+	lean := (1 - leanness*shed) * targetShare * math.Sqrt(c.base*float64(c.LatencyObjective))
+	return min(float64(c.LatencyObjective), max(targetLeast*c.base, lean))
 }
 
 // steer moves the window so that latencies stay at their target: crowded servers choke and stay slow,
 // so the crowd must wait or be refused here. Slow answers shrink it and good ones open it alike. Once answers
 // are slow on average the window's unused room is given up at once: a step an answer would leave it open
 // until the servers are full, as the answers that tell come late by then.
-func (b *Balancer) steer(r *request, e Outcome) {
-	tells := e.Ending == Success || e.Ending == TimedOut || e.Ending == Overloaded || e.Ending == Unreachable
+func (b *Balancer) steer(r *request, e AttemptEnded) {
+	tells := e.Result == Success || e.Result == TimedOut || e.Result == Rejected || e.Result == ConnectFailed
 	if b.set.Tier > 0 || !tells {
 		return
 	}
 	over := min(mostOver, float64(b.now-r.attempts[e.Attempt].sent)/r.class.target(b.shed))
-	if e.Ending != Success {
+	if e.Result != Success {
 		over = mostOver
 	}
 	b.crowding += memory * (over - b.crowding)
@@ -65,7 +65,7 @@
 		b.opening = false
 		b.window = min(b.window, b.busy+1)
 	}
-	if e.Ending == Overloaded {
+	if e.Result == Rejected {
 		b.cutWindow(r.class)
 	}
 	b.window = max(b.window+b.windowStep(over), 1, windowFloor*b.fairServers())
@@ -107,17 +107,17 @@
 	var total float64
 	worst := c
 	for _, k := range b.order {
-		total += k.Worth * k.arrive
+		total += k.PriorityWeight * k.arrive
 		if k.arrive > 1 && k.serve*worst.arrive < worst.serve*k.arrive {
 			worst = k
 		}
 	}
-	v := b.set.WholeWeight * c.Worth / max(total, 1e-9)
+	v := b.set.TotalWeight * c.PriorityWeight / max(total, 1e-9)
 	if worst == c {
-		v += b.set.ClassWeight / max(c.arrive, 1e-9)
+		v += b.set.WorstClassWeight / max(c.arrive, 1e-9)
 	}
 	if r.repeat { // its aim runs from the client's first try and is mostly over
-		v *= c.LateShare
+		v *= c.LateValue
 	}
 	return v / c.mean
 }
--- a/cmd/balancer/reload_test.go
+++ b/cmd/balancer/reload_test.go
@@ -131,7 +131,7 @@
 	}
 	p.hup(t, strings.Replace(config(0, ""), `"target-ms":20000`, `"target-ms":-1`, 1))
 	eventually(t, "the bad file to be named", func() bool {
-		return strings.Contains(p.said(), "the old one stays") && strings.Contains(p.said(), "Aim")
+		return strings.Contains(p.said(), "the old one stays") && strings.Contains(p.said(), "LatencyObjective")
 	})
 	p.hup(t, config(1, "last"))
 	c := client{address: address, name: "last"}
--- a/endpoints.go
+++ b/endpoints.go
@@ -6,7 +6,7 @@
 func (s *server) isReady() bool { return s.listed && s.State == Ready }
 
 // changeServers applies the changed entries of the endpoint list, one by one.
-func (b *Balancer) changeServers(entries []Server) {
+func (b *Balancer) changeServers(entries []Endpoint) {
 	for _, entry := range entries {
 		b.changeServer(entry)
 	}
@@ -18,10 +18,10 @@
 }
 
 // changeServer applies a changed entry, and moves its server in the set of ready ones where it has to.
-func (b *Balancer) changeServer(entry Server) {
+func (b *Balancer) changeServer(entry Endpoint) {
 	s := b.servers[entry.ID]
 	wasReady := s != nil && s.isReady()
-	stays := wasReady && s.State == entry.State && s.Zone == entry.Zone && s.Boot == entry.Boot
+	stays := wasReady && s.State == entry.State && s.Zone == entry.Zone && s.StartedAt == entry.StartedAt
 	if wasReady && !stays {
 		b.ready.remove(s)
 	}
@@ -32,7 +32,7 @@
 }
 
 // replaceServers applies a complete endpoint list: a server that it does not name is gone.
-func (b *Balancer) replaceServers(entries []Server) {
+func (b *Balancer) replaceServers(entries []Endpoint) {
 	for _, s := range b.servers {
 		s.listed = false
 	}
@@ -52,16 +52,16 @@
 }
 
 // update takes over an entry of the endpoint list. A new boot time resets what is known of the server.
-func (b *Balancer) update(entry Server) *server {
+func (b *Balancer) update(entry Endpoint) *server {
 	s := b.servers[entry.ID]
 	if s == nil {
 		s = &server{}
 		b.servers[entry.ID] = s
-	} else if s.Boot != entry.Boot {
+	} else if s.StartedAt != entry.StartedAt {
 		*s = server{calls: s.calls, open: s.open}
 	}
-	s.Server = entry
-	s.listed = entry.State != Gone
+	s.Endpoint = entry
+	s.listed = entry.State != Removed
 	return s
 }
 
--- a/endpoints_bench_test.go
+++ b/endpoints_bench_test.go
@@ -15,31 +15,31 @@
 func benchmarkBalancer(bench *testing.B, n int) *balancer.Balancer {
 	bench.Helper()
 	b, err := balancer.New(balancer.Settings{
-		Classes: []balancer.Class{{Name: "read", Effect: balancer.Safe, Aim: time.Second,
-			Deadline: 2 * time.Second, Worth: 1}},
-		Balancers: max(20, n/20), Index: 7, Tier: 1, Zone: "z1", Zones: 3, MaxAttempts: 3, MayCancel: true,
-		Tick: time.Millisecond, ColdFrom: 0.12, WarmAfter: 24 * time.Second, FallMultiple: 2, FallFor: time.Second,
+		Classes: []balancer.Class{{Name: "read", Effect: balancer.Idempotent, LatencyObjective: time.Second,
+			Deadline: 2 * time.Second, PriorityWeight: 1}},
+		Replicas: max(20, n/20), ReplicaIndex: 7, Tier: 1, Zone: "z1", ZoneCount: 3, MaxAttempts: 3, AllowCancel: true,
+		Tick: time.Millisecond, SlowStartFloor: 0.12, SlowStartDuration: 24 * time.Second, OverloadMultiple: 2, OverloadWindow: time.Second,
 	}, 1)
 	if err != nil {
 		bench.Fatal(err)
 	}
-	var list []balancer.Server
+	var list []balancer.Endpoint
 	for i := range n {
 		list = append(list, benchmarkServer("old", i, 0))
 	}
-	b.Handle(0, balancer.ServerList{Full: true, Servers: list})
+	b.Handle(0, balancer.EndpointUpdate{Complete: true, Endpoints: list})
 	return b
 }
 
-func benchmarkServer(kind string, i int, boot time.Duration) balancer.Server {
-	return balancer.Server{ID: fmt.Sprintf("%04d-%s", i, kind), Zone: fmt.Sprint("z", i%3), Size: 1, Boot: boot}
+func benchmarkServer(kind string, i int, boot time.Duration) balancer.Endpoint {
+	return balancer.Endpoint{ID: fmt.Sprintf("%04d-%s", i, kind), Zone: fmt.Sprint("z", i%3), Capacity: 1, StartedAt: boot}
 }
 
 // replaceServer tells the node that a server has gone and that another is there: two changes of one entry.
-func replaceServer(b *balancer.Balancer, now time.Duration, old, new balancer.Server) {
-	old.State = balancer.Gone
-	b.Handle(now, balancer.ServerList{Servers: []balancer.Server{old}})
-	b.Handle(now, balancer.ServerList{Servers: []balancer.Server{new}})
+func replaceServer(b *balancer.Balancer, now time.Duration, old, new balancer.Endpoint) {
+	old.State = balancer.Removed
+	b.Handle(now, balancer.EndpointUpdate{Endpoints: []balancer.Endpoint{old}})
+	b.Handle(now, balancer.EndpointUpdate{Endpoints: []balancer.Endpoint{new}})
 }
 
 // serveRequest plays a request, and its answer a tenth of a second later.
@@ -47,7 +47,7 @@
 	for _, a := range b.Handle(now, balancer.Request{ID: id, Class: "read", Deadline: now + 2*time.Second}) {
 		if s, ok := a.(balancer.Send); ok {
 			b.Handle(now+100*time.Millisecond,
-				balancer.Outcome{ID: id, Server: s.Server, Ending: balancer.Success, Ended: true})
+				balancer.AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: balancer.Success, Answered: true})
 		}
 	}
 }
@@ -64,9 +64,9 @@
 					now := time.Duration(i+1) * 200 * time.Millisecond
 					s := benchmarkServer("old", i/2%n, 0)
 					if i%2 == 0 {
-						s.State = balancer.Gone
+						s.State = balancer.Removed
 					}
-					b.Handle(now, balancer.ServerList{Servers: []balancer.Server{s}})
+					b.Handle(now, balancer.EndpointUpdate{Endpoints: []balancer.Endpoint{s}})
 					if requests {
 						serveRequest(b, now, fmt.Sprint(i))
 					}
@@ -81,13 +81,13 @@
 	for _, n := range benchmarkSizes {
 		bench.Run(fmt.Sprintf("servers=%d", n), func(bench *testing.B) {
 			b := benchmarkBalancer(bench, n)
-			var list []balancer.Server
+			var list []balancer.Endpoint
 			for i := range n {
 				list = append(list, benchmarkServer("old", i, 0))
 			}
 			bench.ReportAllocs()
 			for i := 0; bench.Loop(); i++ {
-				b.Handle(time.Duration(i+1)*time.Millisecond, balancer.ServerList{Full: true, Servers: list})
+				b.Handle(time.Duration(i+1)*time.Millisecond, balancer.EndpointUpdate{Complete: true, Endpoints: list})
 			}
 		})
 	}
--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -14,27 +14,27 @@
 // listReference builds groups and pools from scratch for each list, in the plain way: sort all ready servers,
 // cut them in two, take the own zone's servers and then the others', each from the node's place on.
 type listReference struct {
-	listed map[string]Server
+	listed map[string]Endpoint
 }
 
-func (l *listReference) apply(e ServerList) {
-	if e.Full {
+func (l *listReference) apply(e EndpointUpdate) {
+	if e.Complete {
 		clear(l.listed)
 	}
-	for _, s := range e.Servers {
-		if l.listed[s.ID] = s; s.State == Gone {
+	for _, s := range e.Endpoints {
+		if l.listed[s.ID] = s; s.State == Removed {
 			delete(l.listed, s.ID)
 		}
 	}
 }
 
-func (l *listReference) ready() (ready []Server) {
+func (l *listReference) ready() (ready []Endpoint) {
 	for s := range maps.Values(l.listed) {
 		if s.State == Ready {
 			ready = append(ready, s)
 		}
 	}
-	slices.SortFunc(ready, func(s, o Server) int { return cmp.Compare(s.ID, o.ID) })
+	slices.SortFunc(ready, func(s, o Endpoint) int { return cmp.Compare(s.ID, o.ID) })
 	return ready
 }
 
@@ -42,7 +42,7 @@
 func (l *listReference) groups(set Settings, width int) (groups, pools [2][]string) {
 	ready := l.ready()
 	cut := int(math.Ceil(alpha * float64(len(ready))))
-	for i, group := range [][]Server{ready[:cut], ready[cut:]} {
+	for i, group := range [][]Endpoint{ready[:cut], ready[cut:]} {
 		for _, s := range group {
 			groups[i] = append(groups[i], s.ID)
 		}
@@ -53,14 +53,14 @@
 	return groups, pools
 }
 
-func (l *listReference) rotated(set Settings, group []Server, own bool) []string {
+func (l *listReference) rotated(set Settings, group []Endpoint, own bool) []string {
 	var ids []string
 	for _, s := range group {
 		if (s.Zone == set.Zone) == own {
 			ids = append(ids, s.ID)
 		}
 	}
-	start := set.Index * max(1, set.Zones) * len(ids) / max(1, set.Balancers) % max(1, len(ids))
+	start := set.ReplicaIndex * max(1, set.ZoneCount) * len(ids) / max(1, set.Replicas) % max(1, len(ids))
 	return slices.Concat(ids[start:], ids[:start])
 }
 
@@ -83,56 +83,56 @@
 	history []string
 }
 
-func (r *listRun) randomServer() Server {
+func (r *listRun) randomServer() Endpoint {
 	if len(r.ref.listed) > 0 && r.rng.IntN(4) > 0 {
 		known := slices.Sorted(maps.Keys(r.ref.listed))
 		return r.ref.listed[known[r.rng.IntN(len(known))]]
 	}
-	return Server{ID: fmt.Sprintf("s%02d", r.rng.IntN(60)), Zone: fmt.Sprint("z", r.rng.IntN(3)), Size: 1,
-		Boot: time.Duration(r.rng.IntN(2)) * r.now}
+	return Endpoint{ID: fmt.Sprintf("s%02d", r.rng.IntN(60)), Zone: fmt.Sprint("z", r.rng.IntN(3)), Capacity: 1,
+		StartedAt: time.Duration(r.rng.IntN(2)) * r.now}
 }
 
 // randomEntry changes a server in one way, or leaves it as it is.
-func (r *listRun) randomEntry() Server {
+func (r *listRun) randomEntry() Endpoint {
 	s := r.randomServer()
 	switch r.rng.IntN(8) {
 	case 0, 1:
-		s.State = Gone
+		s.State = Removed
 	case 2:
 		s.State = Draining
 	case 3:
 		s.State = Ready
 	case 4:
-		s.Boot = r.now - time.Duration(r.rng.IntN(3))*time.Second
+		s.StartedAt = r.now - time.Duration(r.rng.IntN(3))*time.Second
 	case 5:
 		s.Zone = fmt.Sprint("z", r.rng.IntN(3))
 	case 6:
-		s.Size, s.Cell = r.rng.Float64(), r.rng.IntN(3)
+		s.Capacity, s.Cell = r.rng.Float64(), r.rng.IntN(3)
 	}
 	return s
 }
 
 // randomList is a change of few entries, some of which name a server twice, or a complete list in any order.
-func (r *listRun) randomList() ServerList {
-	list := ServerList{Full: r.rng.IntN(12) == 0}
-	if list.Full {
+func (r *listRun) randomList() EndpointUpdate {
+	list := EndpointUpdate{Complete: r.rng.IntN(12) == 0}
+	if list.Complete {
 		for _, s := range r.ref.listed {
 			if r.rng.IntN(8) > 0 {
-				list.Servers = append(list.Servers, s)
+				list.Endpoints = append(list.Endpoints, s)
 			}
 		}
-		slices.SortFunc(list.Servers, func(s, o Server) int { return cmp.Compare(s.ID, o.ID) })
-		r.rng.Shuffle(len(list.Servers), func(i, j int) {
-			list.Servers[i], list.Servers[j] = list.Servers[j], list.Servers[i]
+		slices.SortFunc(list.Endpoints, func(s, o Endpoint) int { return cmp.Compare(s.ID, o.ID) })
+		r.rng.Shuffle(len(list.Endpoints), func(i, j int) {
+			list.Endpoints[i], list.Endpoints[j] = list.Endpoints[j], list.Endpoints[i]
 		})
 	}
 	for range 1 + r.rng.IntN(3) {
-		list.Servers = append(list.Servers, r.randomEntry())
+		list.Endpoints = append(list.Endpoints, r.randomEntry())
 	}
 	if r.rng.IntN(4) == 0 {
-		again := list.Servers[r.rng.IntN(len(list.Servers))]
-		again.State = ServerState(r.rng.IntN(3))
-		list.Servers = append(list.Servers, again)
+		again := list.Endpoints[r.rng.IntN(len(list.Endpoints))]
+		again.State = EndpointState(r.rng.IntN(3))
+		list.Endpoints = append(list.Endpoints, again)
 	}
 	return list
 }
@@ -143,9 +143,9 @@
 	case 0:
 		set.Zone = fmt.Sprint("z", r.rng.IntN(4)) // one of them has no server
 	case 1:
-		set.Index = r.rng.IntN(100)
+		set.ReplicaIndex = r.rng.IntN(100)
 	case 2:
-		set.Balancers, set.Zones = r.rng.IntN(30), r.rng.IntN(4)
+		set.Replicas, set.ZoneCount = r.rng.IntN(30), r.rng.IntN(4)
 	}
 	return set
 }
@@ -166,7 +166,7 @@
 		e = Request{ID: fmt.Sprint(r.ids), Class: "get", Deadline: r.now + time.Second}
 	default:
 		i := r.rng.IntN(len(r.open))
-		e = Outcome{ID: r.open[i].ID, Server: r.open[i].Server, Ending: Success, Ended: true}
+		e = AttemptEnded{ID: r.open[i].ID, Endpoint: r.open[i].Endpoint, Result: Success, Answered: true}
 		r.open = slices.Delete(r.open, i, i+1)
 	}
 	r.history = append(r.history, fmt.Sprintf("%v %+v", r.now, e))
@@ -190,8 +190,8 @@
 	}
 	known, cold := slices.Collect(maps.Keys(r.ref.listed)), false
 	for id, s := range r.b.servers {
-		if s.listed && s.Server != r.ref.listed[id] {
-			r.fail("server", s.Server, r.ref.listed[id])
+		if s.listed && s.Endpoint != r.ref.listed[id] {
+			r.fail("server", s.Endpoint, r.ref.listed[id])
 		}
 		cold = cold || s.listed && s.State == Ready && r.b.warmth(s) < 1
 		if !s.listed && s.calls > 0 {
@@ -220,10 +220,10 @@
 func TestListChangesFollowThePlainConstruction(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			r := listRun{T: t, rng: rand.New(rand.NewPCG(seed, 5)), now: time.Hour, ref: listReference{map[string]Server{}}}
+			r := listRun{T: t, rng: rand.New(rand.NewPCG(seed, 5)), now: time.Hour, ref: listReference{map[string]Endpoint{}}}
 			r.b = newBalancer(t, func(s *Settings) {
-				s.Tier, s.Zone, s.Zones, s.Balancers, s.Index = 1, "z1", 3, 9, 4
-				s.ColdFrom, s.WarmAfter, s.FallMultiple, s.FallFor = 0.2, 2*time.Second, 2, time.Second
+				s.Tier, s.Zone, s.ZoneCount, s.Replicas, s.ReplicaIndex = 1, "z1", 3, 9, 4
+				s.SlowStartFloor, s.SlowStartDuration, s.OverloadMultiple, s.OverloadWindow = 0.2, 2*time.Second, 2, time.Second
 			})
 			for range 400 {
 				r.step()
@@ -238,11 +238,11 @@
 func TestListChangeCostsLittleInALongList(t *testing.T) {
 	const short, long, most = 100, 3200, 10
 	costs := map[int]time.Duration{short: math.MaxInt64, long: math.MaxInt64}
-	nodes, lists := map[int]*Balancer{}, map[int][]Server{}
+	nodes, lists := map[int]*Balancer{}, map[int][]Endpoint{}
 	for n := range costs {
 		lists[n] = longList(n)
-		nodes[n] = newBalancer(t, func(s *Settings) { s.Tier, s.Balancers = 1, 10 })
-		nodes[n].Handle(0, ServerList{Full: true, Servers: lists[n]})
+		nodes[n] = newBalancer(t, func(s *Settings) { s.Tier, s.Replicas = 1, 10 })
+		nodes[n].Handle(0, EndpointUpdate{Complete: true, Endpoints: lists[n]})
 	}
 	for sample := range 300 {
 		for n, b := range nodes {
@@ -256,20 +256,20 @@
 	}
 }
 
-func longList(n int) (list []Server) {
+func longList(n int) (list []Endpoint) {
 	for i := range n {
-		list = append(list, Server{ID: fmt.Sprintf("s%04d", i), Zone: fmt.Sprint("z", i%3)})
+		list = append(list, Endpoint{ID: fmt.Sprintf("s%04d", i), Zone: fmt.Sprint("z", i%3)})
 	}
 	return list
 }
 
 // listChangeCost is how long one of a few changes takes, in which a server leaves and comes back.
-func listChangeCost(b *Balancer, s Server) time.Duration {
+func listChangeCost(b *Balancer, s Endpoint) time.Duration {
 	const changes = 6
 	begin := time.Now()
 	for i := range changes {
-		s.State = []ServerState{Gone, Ready}[i%2]
-		b.Handle(0, ServerList{Servers: []Server{s}})
+		s.State = []EndpointState{Removed, Ready}[i%2]
+		b.Handle(0, EndpointUpdate{Endpoints: []Endpoint{s}})
 	}
 	return time.Since(begin) / changes
 }
--- a/endpointset.go
+++ b/endpointset.go
@@ -39,7 +39,7 @@
 	if s.pooled {
 		e.pooled = append(e.pooled, s)
 	}
-	if e.newest != nil && s.Boot > e.newest.Boot {
+	if e.newest != nil && s.StartedAt > e.newest.StartedAt {
 		e.newest = s
 	}
 }
@@ -112,7 +112,7 @@
 // youngest returns the server that was started last, the one that has warmed up least; nil: there is none.
 func (e *endpointSet) youngest() *server {
 	if e.newest == nil && len(e.all) > 0 {
-		e.newest = slices.MaxFunc(e.all, func(s, o *server) int { return cmp.Compare(s.Boot, o.Boot) })
+		e.newest = slices.MaxFunc(e.all, func(s, o *server) int { return cmp.Compare(s.StartedAt, o.StartedAt) })
 	}
 	return e.newest
 }
--- a/example_test.go
+++ b/example_test.go
@@ -11,16 +11,16 @@
 // One Balancer driven by hand: a list, a request, an attempt that never ran, and its answer.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
-		Classes: []balancer.Class{{Name: "read", Effect: balancer.Safe, Scope: balancer.ScopeAll,
-			Aim: 200 * time.Millisecond, Deadline: time.Second, Worth: 1}},
-		Balancers: 1, MaxAttempts: 3, Tick: time.Millisecond,
-		ColdFrom: 0.2, WarmAfter: 10 * time.Second,
+		Classes: []balancer.Class{{Name: "read", Effect: balancer.Idempotent, Scope: balancer.ScopeAll,
+			LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1}},
+		Replicas: 1, MaxAttempts: 3, Tick: time.Millisecond,
+		SlowStartFloor: 0.2, SlowStartDuration: 10 * time.Second,
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	b.Handle(0, balancer.ServerList{Full: true, Servers: []balancer.Server{{ID: "a:80"}, {ID: "b:80"}}})
+	b.Handle(0, balancer.EndpointUpdate{Complete: true, Endpoints: []balancer.Endpoint{{ID: "a:80"}, {ID: "b:80"}}})
 
 	now := 5 * time.Millisecond
 	acts := b.Handle(now, balancer.Request{ID: "r1", Class: "read", Deadline: now + time.Second})
@@ -28,14 +28,14 @@
 	fmt.Println("sent", first.ID, "with a time-out of", first.Timeout)
 
 	now += 3 * time.Millisecond
-	acts = b.Handle(now, balancer.Outcome{ID: "r1", Attempt: 0, Server: first.Server,
-		Ending: balancer.Unreachable, Latency: 3 * time.Millisecond})
+	acts = b.Handle(now, balancer.AttemptEnded{ID: "r1", Attempt: 0, Endpoint: first.Endpoint,
+		Result: balancer.ConnectFailed, Latency: 3 * time.Millisecond})
 	second := acts[0].(balancer.Send)
-	fmt.Println("sent again to another server:", second.Server != first.Server)
+	fmt.Println("sent again to another server:", second.Endpoint != first.Endpoint)
 
 	now += 20 * time.Millisecond
-	acts = b.Handle(now, balancer.Outcome{ID: "r1", Attempt: 1, Server: second.Server,
-		Ending: balancer.Success, Latency: 20 * time.Millisecond, Ended: true})
+	acts = b.Handle(now, balancer.AttemptEnded{ID: "r1", Attempt: 1, Endpoint: second.Endpoint,
+		Result: balancer.Success, Latency: 20 * time.Millisecond, Answered: true})
 	fmt.Println("left to do:", len(acts))
 	// Output:
 	// sent r1 with a time-out of 198ms
@@ -52,22 +52,22 @@
 // benchmarkHandle plays a request and its answer at one of 100 copies.
 func benchmarkHandle(bench *testing.B, n int) {
 	b, err := balancer.New(balancer.Settings{
-		Classes: []balancer.Class{{Name: "read", Effect: balancer.Safe, Aim: time.Second,
-			Deadline: time.Second, Worth: 1}},
-		Balancers: 100, MaxAttempts: 3, Tick: time.Millisecond,
+		Classes: []balancer.Class{{Name: "read", Effect: balancer.Idempotent, LatencyObjective: time.Second,
+			Deadline: time.Second, PriorityWeight: 1}},
+		Replicas: 100, MaxAttempts: 3, Tick: time.Millisecond,
 	}, 1)
 	if err != nil {
 		bench.Fatal(err)
 	}
-	var list []balancer.Server
+	var list []balancer.Endpoint
 	for i := range n {
-		list = append(list, balancer.Server{ID: fmt.Sprint("s", i)})
+		list = append(list, balancer.Endpoint{ID: fmt.Sprint("s", i)})
 	}
-	b.Handle(0, balancer.ServerList{Full: true, Servers: list})
+	b.Handle(0, balancer.EndpointUpdate{Complete: true, Endpoints: list})
 	bench.ReportAllocs()
 	for i := 0; bench.Loop(); i++ {
 		now, id := time.Duration(i)*time.Millisecond, fmt.Sprint(i)
 		s := b.Handle(now, balancer.Request{ID: id, Class: "read", Deadline: now + time.Second})[0].(balancer.Send)
-		b.Handle(now, balancer.Outcome{ID: id, Server: s.Server, Ending: balancer.Success, Ended: true})
+		b.Handle(now, balancer.AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: balancer.Success, Answered: true})
 	}
 }
--- a/heldup_test.go
+++ b/heldup_test.go
@@ -10,10 +10,10 @@
 // An attempt that the host itself held up tells nothing of its server, nor of the crowd at all of them,
 // however it ended and however long that took.
 func TestHeldUpAttemptsTellNothing(t *testing.T) {
-	for _, e := range []Ending{Success, Failure, Overloaded, TimedOut, Unreachable, Broken, Withdrawn, Void} {
+	for _, e := range []AttemptResult{Success, ServerError, Rejected, TimedOut, ConnectFailed, ConnectionLost, Cancelled, NotSent} {
 		b := newBalancer(t, nil)
-		b.Handle(0, ServerList{Full: true, Servers: servers(10)})
-		traffic(b, 200, "get", func(string) Ending { return Success })
+		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
+		traffic(b, 200, "get", func(string) AttemptResult { return Success })
 		now, before := b.now, *b // what follows reads its figures only
 		known, failing := map[string]server{}, *b.classes["get"].learned
 		for id, s := range b.servers {
@@ -26,7 +26,7 @@
 				t.Fatalf("ending %d: %d sends", e, len(sent))
 			}
 			now += 400 * msec
-			b.Handle(now, Outcome{ID: id, Server: sent[0].Server, Ending: e, Latency: 400 * msec, Ended: true, HeldUp: true})
+			b.Handle(now, AttemptEnded{ID: id, Endpoint: sent[0].Endpoint, Result: e, Latency: 400 * msec, Answered: true, HeldUp: true})
 		}
 		if b.errors != before.errors || b.window != before.window || b.crowding != before.crowding || b.lastOK != before.lastOK {
 			t.Errorf("ending %d: errors %v, window %v, crowding %v; had %v, %v, %v", e,
@@ -54,7 +54,7 @@
 // against the most that a request may have.
 func TestVoidCostsNoRetryBudget(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.MaxAttempts = 4 })
-	b.Handle(0, ServerList{Full: true, Servers: servers(10)})
+	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 	b.tokens = 0.05
 	sent := sends(b.Handle(0, Request{ID: "r", Class: "get", Deadline: time.Second}))
 	for n := 0; len(sent) > 0; n++ {
@@ -64,7 +64,7 @@
 		if b.tokens != 0.05 {
 			t.Errorf("attempt %d: the budget is %v", n, b.tokens)
 		}
-		acts := b.Handle(0, Outcome{ID: "r", Attempt: n, Server: sent[0].Server, Ending: Void})
+		acts := b.Handle(0, AttemptEnded{ID: "r", Attempt: n, Endpoint: sent[0].Endpoint, Result: NotSent})
 		if sent = sends(acts); len(sent) == 0 && n != 3 {
 			t.Errorf("%d attempts, want 4", n+1)
 		}
--- a/internal/fleet/hollows.go
+++ b/internal/fleet/hollows.go
@@ -178,7 +178,7 @@
 		}
 		one := &hollow{}
 		draws := rand.New(rand.NewPCG(spec.Seed, uint64(i)))
-		if one.Hollow, err = node.NewHollow(cfg, log, func(string) (time.Duration, balancer.Ending) {
+		if one.Hollow, err = node.NewHollow(cfg, log, func(string) (time.Duration, balancer.AttemptResult) {
 			return time.Duration(draws.ExpFloat64() * float64(spec.Service)), balancer.Success // the loop alone draws
 		}, func(rev int64, at time.Time) {
 			one.mu.Lock()
--- a/internal/node/answer.go
+++ b/internal/node/answer.go
@@ -78,9 +78,9 @@
 	case ok:
 		r.ending, r.body, r.contentType = balancer.Success, body, resp.Header.Get("Content-Type")
 	case provesNotRun(resp) && framing == byLength && err == nil:
-		r.ending = balancer.Overloaded // only a complete answer proves that it never ran
+		r.ending = balancer.Rejected // only a complete answer proves that it never ran
 	default:
-		r.ending = balancer.Failure
+		r.ending = balancer.ServerError
 	}
 	return r, err == nil && framing == byLength && !resp.Close && c.br.Buffered() == 0
 }
--- a/internal/node/answer_test.go
+++ b/internal/node/answer_test.go
@@ -26,7 +26,7 @@
 	}
 	for _, c := range []struct {
 		name, answer, end string
-		want              balancer.Ending
+		want              balancer.AttemptResult
 		body              string
 	}{
 		{"closed", plain, "close", balancer.Success, "ok"},
@@ -36,22 +36,22 @@
 		{"closed, HTTP/1.0", old, "close", balancer.Success, "ok"},
 		{"closed, HTTP/1.0 that keeps alive", "HTTP/1.0 200 OK\r\nConnection: keep-alive\r\n\r\nok", "close", balancer.Success, "ok"},
 		{"closed, the longest", head + longest, "close", balancer.Success, longest},
-		{"closed, too long", plain + longest, "close", balancer.Broken, ""},
-		{"closed, chunks in HTTP/1.0", "HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", "close", balancer.Broken, ""},
-		{"closed, a coding in HTTP/1.0", "HTTP/1.0 200 OK\r\ntransfer-encoding: gzip\r\n\r\nok", "close", balancer.Broken, ""},
-		{"closed, another coding", "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nok", "close", balancer.Broken, ""},
-		{"closed, an empty length", "HTTP/1.1 200 OK\r\nContent-Length: \r\n\r\nok", "close", balancer.Broken, ""},
-		{"closed, a length that is no number", "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\nok", "close", balancer.Broken, ""},
-		{"closed in the head", "HTTP/1.1 200 OK\r\n", "close", balancer.Broken, ""},
-		{"closed in the version", "HTTP/1", "close", balancer.Broken, ""},
-		{"closed, an error", "HTTP/1.1 500 Internal Server Error\r\n\r\n", "close", balancer.Failure, ""},
-		{"closed, said not to have run", "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\n\r\n", "close", balancer.Failure, ""},
-		{"reset", plain, "reset", balancer.Broken, ""},
-		{"reset, HTTP/1.0", old, "reset", balancer.Broken, ""},
-		{"reset, no body", "HTTP/1.1 200 OK\r\n\r\n", "reset", balancer.Broken, ""},
-		{"without end", strings.Repeat(plain, maxBody/len("ok")), "open", balancer.Broken, ""},
+		{"closed, too long", plain + longest, "close", balancer.ConnectionLost, ""},
+		{"closed, chunks in HTTP/1.0", "HTTP/1.0 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", "close", balancer.ConnectionLost, ""},
+		{"closed, a coding in HTTP/1.0", "HTTP/1.0 200 OK\r\ntransfer-encoding: gzip\r\n\r\nok", "close", balancer.ConnectionLost, ""},
+		{"closed, another coding", "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip\r\n\r\nok", "close", balancer.ConnectionLost, ""},
+		{"closed, an empty length", "HTTP/1.1 200 OK\r\nContent-Length: \r\n\r\nok", "close", balancer.ConnectionLost, ""},
+		{"closed, a length that is no number", "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\nok", "close", balancer.ConnectionLost, ""},
+		{"closed in the head", "HTTP/1.1 200 OK\r\n", "close", balancer.ConnectionLost, ""},
+		{"closed in the version", "HTTP/1", "close", balancer.ConnectionLost, ""},
+		{"closed, an error", "HTTP/1.1 500 Internal Server Error\r\n\r\n", "close", balancer.ServerError, ""},
+		{"closed, said not to have run", "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\n\r\n", "close", balancer.ServerError, ""},
+		{"reset", plain, "reset", balancer.ConnectionLost, ""},
+		{"reset, HTTP/1.0", old, "reset", balancer.ConnectionLost, ""},
+		{"reset, no body", "HTTP/1.1 200 OK\r\n\r\n", "reset", balancer.ConnectionLost, ""},
+		{"without end", strings.Repeat(plain, maxBody/len("ok")), "open", balancer.ConnectionLost, ""},
 		{"open until the time is over", plain, "time-out", balancer.TimedOut, ""},
-		{"open until it is called off", plain, "cancel", balancer.Withdrawn, ""},
+		{"open until it is called off", plain, "cancel", balancer.Cancelled, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			answered := make(chan struct{})
@@ -186,7 +186,7 @@
 	b := testBackend(10)
 	c.ended = func() { until(t, "the reader's end", func() bool { return b.connections() == 0 }) }
 	b.adopt(c, testHost(b, ln.Addr().String()))
-	if r := run(t, b, testAttempt(b, ln.Addr().String())); r.ending != balancer.Unreachable || b.connections() != 0 {
-		t.Errorf("ending %d, body %q, %d open; want %d", r.ending, r.body, b.connections(), balancer.Unreachable)
+	if r := run(t, b, testAttempt(b, ln.Addr().String())); r.ending != balancer.ConnectFailed || b.connections() != 0 {
+		t.Errorf("ending %d, body %q, %d open; want %d", r.ending, r.body, b.connections(), balancer.ConnectFailed)
 	}
 }
--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -55,7 +55,7 @@
 
 // result is how an attempt ended.
 type result struct {
-	ending      balancer.Ending
+	ending      balancer.AttemptResult
 	at          time.Duration // when: for an answer, when its last byte was read
 	body        []byte
 	contentType string
@@ -160,7 +160,7 @@
 	)
 	text, wait, err := encode(a)
 	if err != nil || b.waitToTell(a) == 0 {
-		return result{ending: balancer.Void}
+		return result{ending: balancer.NotSent}
 	}
 	for {
 		waiter = make(chan reply, 1)
@@ -171,11 +171,11 @@
 		c, fresh, err = b.connect(ctx, a, waiter)
 		switch {
 		case errors.Is(err, errNoRoom), isLocalTrouble(err):
-			return result{ending: balancer.Void}
+			return result{ending: balancer.NotSent}
 		case err != nil && errors.Is(a.ctx.Err(), context.Canceled):
-			return result{ending: balancer.Withdrawn}
+			return result{ending: balancer.Cancelled}
 		case err != nil:
-			return result{ending: balancer.Unreachable}
+			return result{ending: balancer.ConnectFailed}
 		}
 		may := b.begin(ctx, c, waiter, a)
 		if may == mayWrite {
@@ -183,11 +183,11 @@
 		}
 		switch {
 		case errors.Is(a.ctx.Err(), context.Canceled):
-			return result{ending: balancer.Withdrawn}
+			return result{ending: balancer.Cancelled}
 		case may == mayNot:
-			return result{ending: balancer.Void}
+			return result{ending: balancer.NotSent}
 		case fresh || ctx.Err() != nil:
-			return result{ending: balancer.Unreachable}
+			return result{ending: balancer.ConnectFailed}
 		}
 	}
 	// A timed-out or cancelled attempt closes its connection, which ends the wait below.
@@ -196,7 +196,7 @@
 	// The last thing before the write, so that no wait for a connection or a lock makes it too long.
 	if !putWait(wait, b.waitToTell(a)) {
 		b.giveUp(c, waiter)
-		return result{ending: balancer.Void}
+		return result{ending: balancer.NotSent}
 	}
 	sent, err := c.Write(text)
 	if err != nil {
@@ -211,14 +211,14 @@
 	case got.err == nil && !(got.endedByClose && err != nil):
 		return got.result
 	case errors.Is(a.ctx.Err(), context.Canceled):
-		return result{ending: balancer.Withdrawn}
+		return result{ending: balancer.Cancelled}
 	case sent < len(text):
 		// The server never got the last byte, so it has not begun: sending again is harmless.
-		return result{ending: balancer.Unreachable}
+		return result{ending: balancer.ConnectFailed}
 	case ctx.Err() != nil:
 		return result{ending: balancer.TimedOut}
 	}
-	return result{ending: balancer.Broken}
+	return result{ending: balancer.ConnectionLost}
 }
 
 // encode writes the request to a server. Method, target, body, id and idempotency key pass through unchanged.
@@ -494,7 +494,7 @@
 	if known && (t.State != balancer.Ready || t.host() != old.host()) {
 		b.dropIdle(old.host())
 	}
-	if t.State == balancer.Gone {
+	if t.State == balancer.Removed {
 		delete(b.seen, t.ID)
 	} else {
 		b.seen[t.ID] = t
--- a/internal/node/backend_test.go
+++ b/internal/node/backend_test.go
@@ -24,7 +24,7 @@
 
 // testHost has the backend know a server that is named by its endpoint.
 func testHost(b *backend, endpoint string) host {
-	t := target{Server: balancer.Server{ID: endpoint, State: balancer.Ready}, endpoint: endpoint}
+	t := target{Endpoint: balancer.Endpoint{ID: endpoint, State: balancer.Ready}, endpoint: endpoint}
 	b.servers([]target{t}, false)
 	return t.host()
 }
@@ -48,43 +48,43 @@
 func TestEndings(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string // "-": the server breaks the connection
-		want         balancer.Ending
+		want         balancer.AttemptResult
 		keeps        bool
 	}{
 		{"served", "200 OK\r\nContent-Length: 2\r\n\r\nok", balancer.Success, true},
 		{"served in chunks", "200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", balancer.Success, true},
 		{"served and closed", "200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok", balancer.Success, false},
 		{"served after 100", "100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", balancer.Success, true},
-		{"error", "500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
-		{"turned away", "503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", balancer.Overloaded, true},
-		{"turned away as over", "504 Gateway Timeout\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", balancer.Overloaded, true},
-		{"503 that may have run", "503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
-		{"504 that may have run", "504 Gateway Timeout\r\nX-Not-Run: 0\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
-		{"500 with the mark", "500 Internal Server Error\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", balancer.Failure, true},
-		{"turned away, the answer cut", "503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 9\r\n\r\ncut", balancer.Failure, false},
-		{"turned away without a length", "503 Service Unavailable\r\nX-Not-Run: 1\r\n\r\nno", balancer.Failure, false},
-		{"turned away with 3 GB", "503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 3000000000\r\n\r\nand so on", balancer.Failure, false},
-		{"turned away in spoilt chunks", "503 Service Unavailable\r\nX-Not-Run: 1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", balancer.Failure, false},
-		{"reset", "-", balancer.Broken, false},
-		{"cut head", "200 OK\r\nContent-Le", balancer.Broken, false},
-		{"cut body", "200 OK\r\nContent-Length: 9\r\n\r\nok", balancer.Broken, false},
-		{"cut chunks", "200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", balancer.Broken, false},
-		{"too long", fmt.Sprintf("200 OK\r\nContent-Length: %d\r\n\r\n%s", maxBody+1, strings.Repeat("x", maxBody+1)), balancer.Broken, false},
-		{"said to be too long", "200 OK\r\nContent-Length: 3000000000\r\n\r\nand so on", balancer.Broken, false},
-		{"an error said to be too long", "500 Internal Server Error\r\nContent-Length: 3000000000\r\n\r\nand so on", balancer.Failure, false},
-		{"a head too long", "200 OK\r\n" + strings.Repeat("X-Pad: pppp\r\n", maxAnswer/10), balancer.Broken, false},
-		{"a line too long", "200 OK\r\nX-Pad: " + strings.Repeat("p", 2*maxAnswer), balancer.Broken, false},
-		{"1xx without end", strings.Repeat("102 Processing\r\n\r\nHTTP/1.1 ", maxAnswer/20), balancer.Broken, false},
-		{"two lengths", "200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", balancer.Broken, false},
-		{"a negative length", "200 OK\r\nContent-Length: -2\r\n\r\nok", balancer.Broken, false},
-		{"no status", "OK 200\r\nContent-Length: 2\r\n\r\nok", balancer.Broken, false},
-		{"a line with no colon", "200 OK\r\nno colon\r\nContent-Length: 2\r\n\r\nok", balancer.Broken, false},
-		{"spoilt chunks", "200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\nzz\r\nok\r\n0\r\n\r\n", balancer.Broken, false},
+		{"error", "500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", balancer.ServerError, true},
+		{"turned away", "503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", balancer.Rejected, true},
+		{"turned away as over", "504 Gateway Timeout\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", balancer.Rejected, true},
+		{"503 that may have run", "503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", balancer.ServerError, true},
+		{"504 that may have run", "504 Gateway Timeout\r\nX-Not-Run: 0\r\nContent-Length: 0\r\n\r\n", balancer.ServerError, true},
+		{"500 with the mark", "500 Internal Server Error\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", balancer.ServerError, true},
+		{"turned away, the answer cut", "503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 9\r\n\r\ncut", balancer.ServerError, false},
+		{"turned away without a length", "503 Service Unavailable\r\nX-Not-Run: 1\r\n\r\nno", balancer.ServerError, false},
+		{"turned away with 3 GB", "503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 3000000000\r\n\r\nand so on", balancer.ServerError, false},
+		{"turned away in spoilt chunks", "503 Service Unavailable\r\nX-Not-Run: 1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", balancer.ServerError, false},
+		{"reset", "-", balancer.ConnectionLost, false},
+		{"cut head", "200 OK\r\nContent-Le", balancer.ConnectionLost, false},
+		{"cut body", "200 OK\r\nContent-Length: 9\r\n\r\nok", balancer.ConnectionLost, false},
+		{"cut chunks", "200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", balancer.ConnectionLost, false},
+		{"too long", fmt.Sprintf("200 OK\r\nContent-Length: %d\r\n\r\n%s", maxBody+1, strings.Repeat("x", maxBody+1)), balancer.ConnectionLost, false},
+		{"said to be too long", "200 OK\r\nContent-Length: 3000000000\r\n\r\nand so on", balancer.ConnectionLost, false},
+		{"an error said to be too long", "500 Internal Server Error\r\nContent-Length: 3000000000\r\n\r\nand so on", balancer.ServerError, false},
+		{"a head too long", "200 OK\r\n" + strings.Repeat("X-Pad: pppp\r\n", maxAnswer/10), balancer.ConnectionLost, false},
+		{"a line too long", "200 OK\r\nX-Pad: " + strings.Repeat("p", 2*maxAnswer), balancer.ConnectionLost, false},
+		{"1xx without end", strings.Repeat("102 Processing\r\n\r\nHTTP/1.1 ", maxAnswer/20), balancer.ConnectionLost, false},
+		{"two lengths", "200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", balancer.ConnectionLost, false},
+		{"a negative length", "200 OK\r\nContent-Length: -2\r\n\r\nok", balancer.ConnectionLost, false},
+		{"no status", "OK 200\r\nContent-Length: 2\r\n\r\nok", balancer.ConnectionLost, false},
+		{"a line with no colon", "200 OK\r\nno colon\r\nContent-Length: 2\r\n\r\nok", balancer.ConnectionLost, false},
+		{"spoilt chunks", "200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\nzz\r\nok\r\n0\r\n\r\n", balancer.ConnectionLost, false},
 		{"served, and noise behind", "200 OK\r\nContent-Length: 2\r\n\r\nok\xff\x00noise\r\n\r\n", balancer.Success, false},
 		{"served twice", "200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno", balancer.Success, false},
 		{"served with a spoilt report", "200 OK\r\nX-Load: %%%\r\nX-Load: =,=\r\nContent-Length: 2\r\n\r\nok", balancer.Success, true},
 		{"served after hints", "103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", balancer.Success, true},
-		{"no HTTP", "what?\r\n\r\n", balancer.Broken, false},
+		{"no HTTP", "what?\r\n\r\n", balancer.ConnectionLost, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newServer(t, func(conn net.Conn, r *http.Request, body string) bool {
@@ -115,7 +115,7 @@
 
 func TestRefusedConnectionIsUnreachable(t *testing.T) {
 	b := testBackend(10)
-	if r := run(t, b, testAttempt(b, closedPort(t))); r.ending != balancer.Unreachable || b.open != 0 {
+	if r := run(t, b, testAttempt(b, closedPort(t))); r.ending != balancer.ConnectFailed || b.open != 0 {
 		t.Errorf("ending %d, %d open", r.ending, b.open)
 	}
 }
@@ -153,7 +153,7 @@
 	addr := neverUp(t)
 	b := testBackend(10)
 	b.dial = (&net.Dialer{Timeout: 50 * time.Millisecond}).DialContext
-	if r := run(t, b, testAttempt(b, addr)); r.ending != balancer.Unreachable || b.open != 0 {
+	if r := run(t, b, testAttempt(b, addr)); r.ending != balancer.ConnectFailed || b.open != 0 {
 		t.Errorf("ending %d, %d open", r.ending, b.open)
 	}
 }
@@ -177,7 +177,7 @@
 	}
 	b := testBackend(10)
 	b.adopt(halfConn{nc}, testHost(b, s.addr()))
-	if r := run(t, b, testAttempt(b, s.addr())); r.ending != balancer.Unreachable || b.open != 0 {
+	if r := run(t, b, testAttempt(b, s.addr())); r.ending != balancer.ConnectFailed || b.open != 0 {
 		t.Errorf("ending %d, %d open", r.ending, b.open)
 	}
 	if s.seen() != 0 {
@@ -266,7 +266,7 @@
 }
 
 func TestTimedOutAndCancelledAttemptsCloseTheirConnection(t *testing.T) {
-	for _, want := range []balancer.Ending{balancer.TimedOut, balancer.Withdrawn} {
+	for _, want := range []balancer.AttemptResult{balancer.TimedOut, balancer.Cancelled} {
 		got, gone := make(chan struct{}), make(chan struct{})
 		s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
 			close(got)
@@ -303,7 +303,7 @@
 	end := make(chan result, 1)
 	go func() { end <- b.run(testAttempt(b, two.addr())) }()
 	wait(t, got, "the attempt that took the idle one's place")
-	if r := run(t, b, testAttempt(b, one.addr())); r.ending != balancer.Void {
+	if r := run(t, b, testAttempt(b, one.addr())); r.ending != balancer.NotSent {
 		t.Errorf("with no descriptor left: ending %d, want Void", r.ending)
 	}
 	close(hold)
--- a/internal/node/boottime.go
+++ b/internal/node/boottime.go
@@ -67,13 +67,13 @@
 func (b *bootClock) started(bootMS float64, held target, isHeld bool) time.Duration {
 	switch {
 	case isHeld && held.bootMS == bootMS:
-		return held.Boot
+		return held.StartedAt
 	case bootMS == 0:
 		return 0
 	}
 	at := max(1, b.convert(bootMS))
 	if isHeld {
-		at = max(at, b.currentAt, held.Boot+1) // + 1: another life has another time
+		at = max(at, b.currentAt, held.StartedAt+1) // + 1: another life has another time
 	}
 	return at
 }
--- a/internal/node/boottime_test.go
+++ b/internal/node/boottime_test.go
@@ -28,8 +28,8 @@
 func bootLoop(t testing.TB, m *machine, push bool) *loop {
 	t.Helper()
 	cfg := testConfig("")
-	cfg.Settings.ColdFrom, cfg.Settings.WarmAfter = 0.12, 24*time.Second
-	cfg.Settings.FallMultiple, cfg.Settings.FallFor = 2, time.Second
+	cfg.Settings.SlowStartFloor, cfg.Settings.SlowStartDuration = 0.12, 24*time.Second
+	cfg.Settings.OverloadMultiple, cfg.Settings.OverloadWindow = 2, time.Second
 	b, err := balancer.New(cfg.Settings, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -90,14 +90,14 @@
 					m.pass(late)
 					l.take(listNews{bootList(t, full, news...)})
 					name := fmt.Sprintf("set by %v %s; pushed: %v; full list: %v", steps, moment, push, full)
-					if got := l.listed["s"].Boot; got != started {
+					if got := l.listed["s"].StartedAt; got != started {
 						t.Errorf("%s: started at %v, taken for %v", name, started, got)
 					}
 					for range 3 {
 						set("after the list")
 						m.pass(time.Second)
 						l.take(listNews{bootList(t, full, news...)})
-						if got := l.listed["s"].Boot; got != started {
+						if got := l.listed["s"].StartedAt; got != started {
 							t.Errorf("%s: started at %v, taken for %v when it is told again", name, started, got)
 						}
 					}
@@ -183,7 +183,7 @@
 		m := newMachine()
 		l := bootLoop(t, m, true)
 		c.do(m, l)
-		if got := l.listed["s1"].Boot - processStart; got != c.want {
+		if got := l.listed["s1"].StartedAt - processStart; got != c.want {
 			t.Errorf("%s: taken to have started at %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -197,7 +197,7 @@
 	seen := map[time.Duration]bool{}
 	for i := range int64(4) {
 		l.take(listNews{bootList(t, true, bootEntry("s", m.bootMS()+1e6*(i+1)))})
-		seen[l.listed["s"].Boot] = true
+		seen[l.listed["s"].StartedAt] = true
 	}
 	if len(seen) != 4 {
 		t.Errorf("four starts have %d times", len(seen))
--- a/internal/node/broken_test.go
+++ b/internal/node/broken_test.go
@@ -111,7 +111,7 @@
 	conns := breakableConns{cause: cause, accepted: make(chan *breakableConn, 2)}
 	cfg := testConfig(whole(entry("s1", s.addr(), "in_service")))
 	for i := range cfg.Settings.Classes { // no attempt times out before the test gives up
-		cfg.Settings.Classes[i].Aim, cfg.Settings.Classes[i].Deadline = 4*limit, 4*limit
+		cfg.Settings.Classes[i].LatencyObjective, cfg.Settings.Classes[i].Deadline = 4*limit, 4*limit
 	}
 	n, _ := startNode(t, cfg, func(n *Node) {
 		conns.TCPListener = n.listener.(*net.TCPListener)
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -64,7 +64,7 @@
 		{`"max-attempts":4`, `"max-attempts":1e300`, "MaxAttempts"},
 		{`"sockets":1024`, `"sockets":1e300`, "sockets"},
 		{`"tick-ms":5`, `"tick-ms":5,"balancers":-1`, "Balancers"},
-		{`"target-ms":500`, `"target-ms":-1`, "Aim"},
+		{`"target-ms":500`, `"target-ms":-1`, "LatencyObjective"},
 		{`"name":"n3"`, `"name":3`, "name"},
 		{`{"name":"n3"`, `"name":"n3"`, "config"},
 	} {
--- a/internal/node/dial_test.go
+++ b/internal/node/dial_test.go
@@ -67,15 +67,15 @@
 		err    error
 		times  int32
 		during func(*backend, *attempt) // after the first failure
-		want   balancer.Ending
+		want   balancer.AttemptResult
 		heldUp bool
 	}{
 		{"served", nil, 0, nil, balancer.Success, false},
 		{"local for a moment", local, 2, nil, balancer.Success, true},
-		{"local for long", local, 1e6, func(b *backend, a *attempt) { a.deadline = b.clock.now() + 150*time.Millisecond }, balancer.Void, true},
-		{"local until it must not begin", local, 1e6, func(b *backend, a *attempt) { a.before = b.clock.now() + 150*time.Millisecond }, balancer.Void, true},
-		{"local until its server is gone", local, 1e6, func(b *backend, a *attempt) { b.servers(nil, true) }, balancer.Void, true},
-		{"local until it is called off", local, 1e6, func(b *backend, a *attempt) { a.cancel() }, balancer.Void, true},
+		{"local for long", local, 1e6, func(b *backend, a *attempt) { a.deadline = b.clock.now() + 150*time.Millisecond }, balancer.NotSent, true},
+		{"local until it must not begin", local, 1e6, func(b *backend, a *attempt) { a.before = b.clock.now() + 150*time.Millisecond }, balancer.NotSent, true},
+		{"local until its server is gone", local, 1e6, func(b *backend, a *attempt) { b.servers(nil, true) }, balancer.NotSent, true},
+		{"local until it is called off", local, 1e6, func(b *backend, a *attempt) { a.cancel() }, balancer.NotSent, true},
 		{"local until a connection is idle", local, 1e6, func(b *backend, a *attempt) {
 			nc, err := net.Dial("tcp", a.to.endpoint)
 			if err != nil {
@@ -84,11 +84,11 @@
 			}
 			b.adopt(nc, a.to)
 		}, balancer.Success, true},
-		{"refused", refused, 1e6, nil, balancer.Unreachable, false},
-		{"no way to the host", dialError("connect", syscall.EHOSTUNREACH), 1e6, nil, balancer.Unreachable, false},
-		{"timed out", dialError("connect", syscall.ETIMEDOUT), 1e6, nil, balancer.Unreachable, false},
-		{"reset", dialError("connect", syscall.ECONNRESET), 1e6, nil, balancer.Unreachable, false},
-		{"not up in time", &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}, 1e6, nil, balancer.Unreachable, false},
+		{"refused", refused, 1e6, nil, balancer.ConnectFailed, false},
+		{"no way to the host", dialError("connect", syscall.EHOSTUNREACH), 1e6, nil, balancer.ConnectFailed, false},
+		{"timed out", dialError("connect", syscall.ETIMEDOUT), 1e6, nil, balancer.ConnectFailed, false},
+		{"reset", dialError("connect", syscall.ECONNRESET), 1e6, nil, balancer.ConnectFailed, false},
+		{"not up in time", &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}, 1e6, nil, balancer.ConnectFailed, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newServer(t, echo)
@@ -114,7 +114,7 @@
 				t.Errorf("%d connections are open, the server got %d requests", b.connections(), s.seen())
 			}
 			// 5, 10, 20 and 40 ms, and 40 ms each from then on: a wait may be longer, but never shorter.
-			if got := f.dials.Load(); got > 7 || c.want == balancer.Unreachable && got != 1 {
+			if got := f.dials.Load(); got > 7 || c.want == balancer.ConnectFailed && got != 1 {
 				t.Errorf("%d dials", got)
 			}
 		})
@@ -130,7 +130,7 @@
 				ag := newAgent(t)
 				ag.tell(false, whole(entry("s1", "127.0.0.1:1", "in_service")))
 				cfg := testConfig("")
-				cfg.Discovery, cfg.Settings.AskDiscovery = ag.Addr().String(), asked
+				cfg.Discovery, cfg.Settings.PollDiscovery = ag.Addr().String(), asked
 				events, waits := make(chan event, 10), make(chan time.Duration, 10)
 				d := newDiscovery(cfg, -1, func(e event) { events <- e }, testLog())
 				d.first = limit
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -90,7 +90,7 @@
 func newDiscovery(cfg Config, rev int64, post func(event), log *slog.Logger) *discovery {
 	d := &discovery{post: post, log: log, at: newPlace(cfg.Discovery, rev), wanted: make(chan struct{}, 1),
 		hold: askHold, grace: askGrace, first: firstWait, after: time.After}
-	if !cfg.Settings.AskDiscovery {
+	if !cfg.Settings.PollDiscovery {
 		d.hold, d.grace = pushHold, pushGrace
 		// The agent may hold more than the node last had, from the process's first moment on; and the
 		// version that the node had may be of another place. So the whole list is asked for.
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -147,7 +147,7 @@
 	ag.tell(false, whole(entry("s1", "127.0.0.1:1", "in_service")))
 	events := make(chan event, 10)
 	cfg := testConfig("")
-	cfg.Settings.AskDiscovery = true
+	cfg.Settings.PollDiscovery = true
 	d := newDiscovery(cfg, 7, func(e event) { events <- e }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -166,7 +166,7 @@
 func TestAskingWaitsNoLongerThanNewsMay(t *testing.T) {
 	for seed := range uint64(20) {
 		cfg := testConfig(whole())
-		cfg.Settings.AskDiscovery, cfg.Settings.AskWithin, cfg.Seed = true, time.Hour, seed
+		cfg.Settings.PollDiscovery, cfg.Settings.PollWithin, cfg.Seed = true, time.Hour, seed
 		n, err := New(cfg, testLog())
 		if err != nil {
 			t.Fatal(err)
@@ -189,7 +189,7 @@
 	for _, within := range []time.Duration{0, time.Millisecond, time.Hour} {
 		t.Run(fmt.Sprint(within), func(t *testing.T) {
 			cfg := testConfig(whole())
-			cfg.Discovery, cfg.Settings.AskDiscovery, cfg.Settings.AskWithin = closedPort(t), true, within
+			cfg.Discovery, cfg.Settings.PollDiscovery, cfg.Settings.PollWithin = closedPort(t), true, within
 			dials, waits := make(chan struct{}, 1000), make(chan time.Duration, 1000)
 			clock := make(chan time.Time)
 			n, _ := startNode(t, cfg, func(n *Node) {
@@ -233,7 +233,7 @@
 		for _, asked := range []bool{false, true} {
 			for failures := range 6 {
 				cfg := testConfig(whole())
-				cfg.Settings.AskDiscovery, cfg.Settings.AskWithin = asked, within
+				cfg.Settings.PollDiscovery, cfg.Settings.PollWithin = asked, within
 				n, err := New(cfg, testLog())
 				if err != nil {
 					t.Fatal(err)
@@ -286,7 +286,7 @@
 			go agent.Serve(ln)
 			t.Cleanup(func() { agent.Close() })
 			cfg := testConfig(whole())
-			cfg.Discovery, cfg.Settings.AskDiscovery = ln.Addr().String(), asked
+			cfg.Discovery, cfg.Settings.PollDiscovery = ln.Addr().String(), asked
 			begun := time.Now()
 			n, _ := startNode(t, cfg, func(n *Node) { n.discovery.hold, n.discovery.first = 100*limit, 100*limit })
 			for range calls {
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -16,7 +16,7 @@
 			cfg := testConfig("")
 			for i := range cfg.Settings.Classes {
 				cfg.Settings.Classes[i].Deadline = deadline * time.Millisecond / time.Duration(i+1)
-				cfg.Settings.Classes[i].Aim = max(1, cfg.Settings.Classes[i].Deadline/part)
+				cfg.Settings.Classes[i].LatencyObjective = max(1, cfg.Settings.Classes[i].Deadline/part)
 			}
 			e, most := endingOf(cfg), drainMost(cfg)
 			kill := min(deadline*time.Millisecond, 3*time.Second) + 700*time.Millisecond
--- a/internal/node/edge_test.go
+++ b/internal/node/edge_test.go
@@ -48,24 +48,24 @@
 // What happens while a connection comes up is heeded at the first byte.
 func TestNothingIsBegunThatBecamePointlessWhileTheConnectionCameUp(t *testing.T) {
 	now := func(b *backend, h host, change func(*target)) {
-		e := target{Server: balancer.Server{ID: h.server, State: balancer.Ready}, endpoint: h.endpoint, bootMS: h.bootMS}
+		e := target{Endpoint: balancer.Endpoint{ID: h.server, State: balancer.Ready}, endpoint: h.endpoint, bootMS: h.bootMS}
 		change(&e)
 		b.servers([]target{e}, false)
 	}
 	for _, c := range []struct {
 		name string
 		do   func(*backend, *attempt)
-		want balancer.Ending
+		want balancer.AttemptResult
 	}{
-		{"drains", func(b *backend, a *attempt) { now(b, a.to, func(e *target) { e.State = balancer.Draining }) }, balancer.Void},
-		{"gone", func(b *backend, a *attempt) { now(b, a.to, func(e *target) { e.State = balancer.Gone }) }, balancer.Void},
-		{"left out of a whole list", func(b *backend, a *attempt) { b.servers(nil, true) }, balancer.Void},
-		{"started anew", func(b *backend, a *attempt) { now(b, a.to, func(e *target) { e.bootMS = 1 }) }, balancer.Void},
-		{"moved", func(b *backend, a *attempt) { now(b, a.to, func(e *target) { e.endpoint = "127.0.0.1:2" }) }, balancer.Void},
-		{"its caller left", func(b *backend, a *attempt) { a.call.depart() }, balancer.Void},
-		{"called off", func(b *backend, a *attempt) { a.cancel() }, balancer.Withdrawn},
-		{"repeats are discarded no longer", func(b *backend, a *attempt) { a.before = b.clock.now() }, balancer.Void},
-		{"its time is over", func(b *backend, a *attempt) { a.deadline = b.clock.now() }, balancer.Void},
+		{"drains", func(b *backend, a *attempt) { now(b, a.to, func(e *target) { e.State = balancer.Draining }) }, balancer.NotSent},
+		{"gone", func(b *backend, a *attempt) { now(b, a.to, func(e *target) { e.State = balancer.Removed }) }, balancer.NotSent},
+		{"left out of a whole list", func(b *backend, a *attempt) { b.servers(nil, true) }, balancer.NotSent},
+		{"started anew", func(b *backend, a *attempt) { now(b, a.to, func(e *target) { e.bootMS = 1 }) }, balancer.NotSent},
+		{"moved", func(b *backend, a *attempt) { now(b, a.to, func(e *target) { e.endpoint = "127.0.0.1:2" }) }, balancer.NotSent},
+		{"its caller left", func(b *backend, a *attempt) { a.call.depart() }, balancer.NotSent},
+		{"called off", func(b *backend, a *attempt) { a.cancel() }, balancer.Cancelled},
+		{"repeats are discarded no longer", func(b *backend, a *attempt) { a.before = b.clock.now() }, balancer.NotSent},
+		{"its time is over", func(b *backend, a *attempt) { a.deadline = b.clock.now() }, balancer.NotSent},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			addr, came := sink(t)
--- a/internal/node/faults_test.go
+++ b/internal/node/faults_test.go
@@ -160,7 +160,7 @@
 		ag.Close()
 	}
 	cfg := testConfig(before)
-	cfg.Settings.AskDiscovery, cfg.Settings.AskWithin = asked, 400*time.Millisecond
+	cfg.Settings.PollDiscovery, cfg.Settings.PollWithin = asked, 400*time.Millisecond
 	cfg.Discovery = addr
 	begin := func() { // the calls fail from now on
 		if fault != "refused" {
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -79,9 +79,9 @@
 	switch {
 	case !known:
 		return &rejected{http.StatusNotFound, "the path names no class"}
-	case (class.Effect == balancer.Safe) != (c.method == http.MethodGet):
+	case (class.Effect == balancer.Idempotent) != (c.method == http.MethodGet):
 		return &rejected{http.StatusMethodNotAllowed, "the class is not asked for by this method"}
-	case (c.key != "") != (class.Effect == balancer.Keyed):
+	case (c.key != "") != (class.Effect == balancer.IdempotentByKey):
 		return &rejected{http.StatusBadRequest, "Idempotency-Key does not fit the class"}
 	}
 	c.revision = r.revision
--- a/internal/node/health_test.go
+++ b/internal/node/health_test.go
@@ -173,7 +173,7 @@
 	}
 	cfg := testConfig(whole(list...))
 	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].Aim = 900 * time.Millisecond
+		cfg.Settings.Classes[i].LatencyObjective = 900 * time.Millisecond
 	}
 	n, _ := startNode(t, cfg, nil)
 	load(t, n, 24, 8)
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -28,7 +28,7 @@
 	loop      *loop
 	discovery *discovery
 	push      bool
-	serve     func(server string) (time.Duration, balancer.Ending)
+	serve     func(server string) (time.Duration, balancer.AttemptResult)
 	onList    func(rev int64, at time.Time)
 	over      chan struct{} // closed once the loop takes no more events
 
@@ -46,14 +46,14 @@
 // NewHollow puts a hollow node together; cfg.Listen is not used. serve draws how an attempt at a server ends
 // and after how long. onList is called, from the goroutine of the loop, as the module is about to be told of a
 // list that changes something; neither may block.
-func NewHollow(cfg Config, log *slog.Logger, serve func(server string) (time.Duration, balancer.Ending),
+func NewHollow(cfg Config, log *slog.Logger, serve func(server string) (time.Duration, balancer.AttemptResult),
 	onList func(rev int64, at time.Time)) (*Hollow, error) {
 	set := moduleSettings(cfg)
 	balancer, err := balancer.New(set, cfg.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("hollow node: %w", err)
 	}
-	h := &Hollow{push: !set.AskDiscovery, serve: serve, onList: onList, over: make(chan struct{})}
+	h := &Hollow{push: !set.PollDiscovery, serve: serve, onList: onList, over: make(chan struct{})}
 	h.loop = newLoop(balancer, newClock(), log)
 	h.loop.rules.Store(newRules(1, set))
 	h.loop.start, h.loop.servers, h.loop.push = h.start, h.taken, h.push
@@ -152,7 +152,7 @@
 		select {
 		case <-timer.C:
 		case <-a.ctx.Done():
-			ending = balancer.Withdrawn
+			ending = balancer.Cancelled
 		case <-h.over:
 		}
 		a.cancel()
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -16,11 +16,11 @@
 		ag := newAgent(t)
 		ag.tell(false, whole(entry("s1", "127.0.0.1:1", "in_service")))
 		cfg := testConfig("")
-		cfg.Discovery, cfg.Settings.AskDiscovery = ag.Addr().String(), asked
+		cfg.Discovery, cfg.Settings.PollDiscovery = ag.Addr().String(), asked
 		lists := make(chan int64, 10)
 		var delay atomic.Int64
 		delay.Store(int64(time.Millisecond))
-		h, err := NewHollow(cfg, testLog(), func(server string) (time.Duration, balancer.Ending) {
+		h, err := NewHollow(cfg, testLog(), func(server string) (time.Duration, balancer.AttemptResult) {
 			if server != "s1" {
 				t.Errorf("sent to %q", server)
 			}
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -41,7 +41,7 @@
 		state = "terminating"
 	}
 	cfg := testConfig(whole(entry("s1", s.addr(), state)))
-	cfg.Settings.MayCancel = mayCancel
+	cfg.Settings.AllowCancel = mayCancel
 	var dials heldDial
 	n, _ := startNode(t, cfg, func(n *Node) {
 		if dials = holdDials(n.backend); held {
@@ -172,7 +172,7 @@
 	var dials heldDial
 	stopped, resume := make(chan struct{}), make(chan struct{})
 	cfg := testConfig(whole(entry("s1", s.addr(), state), entry("s2", s.addr(), state)))
-	cfg.Settings.MayCancel = mayCancel
+	cfg.Settings.AllowCancel = mayCancel
 	conns := breakableConns{cause: syscall.ETIMEDOUT, accepted: make(chan *breakableConn, 2)}
 	n, _ := startNode(t, cfg, func(n *Node) {
 		n.ending, n.drainMost = ending{serve: time.Millisecond, last: limit}, 2*limit // as short as it can be
@@ -226,7 +226,7 @@
 	case "busy loop":
 		until(t, "the first list to be taken", n.loop.ready.Load)
 		news := list(2, "in_service").(listNews)
-		news.list.full, news.list.targets[0].Size = false, 2
+		news.list.full, news.list.targets[0].Capacity = false, 2
 		n.loop.post(news)
 		wait(t, stopped, "the loop")
 		c.get("leaving")
@@ -384,7 +384,7 @@
 					state = "terminating"
 				}
 				cfg := testConfig(whole(entry("s1", s.addr(), state)))
-				cfg.Settings.MayCancel = mayCancel
+				cfg.Settings.AllowCancel = mayCancel
 				var dials heldDial
 				n, _ := startNode(t, cfg, func(n *Node) {
 					if c.where == "dial" {
--- a/internal/node/listparser.go
+++ b/internal/node/listparser.go
@@ -22,15 +22,15 @@
 
 // target is an entry of a list: the module's view of a server, where it listens, and when it last started.
 type target struct {
-	balancer.Server // its Boot is set by the loop
-	endpoint        string
-	bootMS          float64 // as listed: Unix time in milliseconds; 0: long ago
+	balancer.Endpoint // its Boot is set by the loop
+	endpoint          string
+	bootMS            float64 // as listed: Unix time in milliseconds; 0: long ago
 }
 
 func (t target) host() host { return host{t.ID, t.endpoint, t.bootMS} }
 
-var states = map[string]balancer.ServerState{
-	"in_service": balancer.Ready, "terminating": balancer.Draining, "terminated": balancer.Gone,
+var states = map[string]balancer.EndpointState{
+	"in_service": balancer.Ready, "terminating": balancer.Draining, "terminated": balancer.Removed,
 }
 
 // listEntry is an entry of a list as discovery writes it.
@@ -53,13 +53,13 @@
 		return target{}, errors.New("uid is empty")
 	case !ok:
 		return target{}, fmt.Errorf("unknown state %q", e.State)
-	case err != nil && state != balancer.Gone:
+	case err != nil && state != balancer.Removed:
 		return target{}, err
 	case !(e.Size >= 0 && e.Size <= 1e12) || !(e.Boot >= 0 && e.Boot <= 1e13) || !(math.Abs(e.Cell) <= 1e9):
 		return target{}, errors.New("capacity_hint, boot_ms or pod_group is out of range")
 	}
-	return target{endpoint: e.Endpoint, bootMS: e.Boot, Server: balancer.Server{ID: e.UID, Zone: e.Zone,
-		Cell: int(e.Cell), State: state, Size: e.Size}}, nil
+	return target{endpoint: e.Endpoint, bootMS: e.Boot, Endpoint: balancer.Endpoint{ID: e.UID, Zone: e.Zone,
+		Cell: int(e.Cell), State: state, Capacity: e.Size}}, nil
 }
 
 // listParser reads one list entry by entry, so that neither its text nor its entries are held twice. Keys come in
--- a/internal/node/listparser_test.go
+++ b/internal/node/listparser_test.go
@@ -152,7 +152,7 @@
 			return false
 		})
 		cfg := testConfig("")
-		cfg.Discovery, cfg.Settings.AskDiscovery = agent.addr(), true
+		cfg.Discovery, cfg.Settings.PollDiscovery = agent.addr(), true
 		d := newDiscovery(cfg, 7, func(e event) { t.Errorf("%s: posted %v", c.name, e) }, testLog())
 		if _, err := d.watch(t.Context(), d.place(), false); err == nil || d.place().rev != c.want {
 			t.Errorf("%s: %v; rev %d is held, want %d", c.name, err, d.place().rev, c.want)
@@ -239,7 +239,7 @@
 			l.apply(all)
 			back.servers(all.targets, true)
 			var changes [2]list
-			for i, state := range []balancer.ServerState{balancer.Draining, balancer.Ready} {
+			for i, state := range []balancer.EndpointState{balancer.Draining, balancer.Ready} {
 				changed := all.targets[servers/2]
 				changed.State = state
 				changes[i] = list{rev: 8, targets: []target{changed}}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -252,7 +252,7 @@
 		l.stats.Requests++
 		l.pending[e.call.id] = &pending{call: e.call}
 		l.handle(e.call.at, balancer.Request{ID: e.call.id, Class: e.call.class, FirstByte: e.call.firstByte,
-			Deadline: e.call.deadline, Effort: e.call.effort})
+			Deadline: e.call.deadline, ExpectedWork: e.call.effort})
 	case callerGone:
 		l.lag(e.at)
 		if p := l.pending[e.call.id]; p != nil && p.call == e.call && !p.answered {
@@ -266,7 +266,7 @@
 		l.rules.Store(e.rules)
 		e.inForce(l.clock.now())
 	case lastCall:
-		l.handle(l.clock.now(), balancer.Closing{})
+		l.handle(l.clock.now(), balancer.Shutdown{})
 		for _, p := range l.pending { // to the module these are answered
 			if p.departed != present && !p.answered {
 				l.answerDeparted(p)
@@ -280,7 +280,7 @@
 	case listConfirmed:
 		l.boots.confirm()
 	case listFailed:
-		l.handle(l.clock.now(), balancer.ListFailed{})
+		l.handle(l.clock.now(), balancer.SubscriptionFailed{})
 	case discoverySilent:
 		l.useCachedList()
 	}
@@ -348,7 +348,7 @@
 	p.out--
 	a.ended = true
 	switch r.ending {
-	case balancer.Unreachable, balancer.Overloaded, balancer.Void:
+	case balancer.ConnectFailed, balancer.Rejected, balancer.NotSent:
 	default:
 		p.ran = p.ran || a.hasBegun()
 	}
@@ -356,8 +356,8 @@
 		l.stats.Served++
 		l.answer(p, answer{kind: served, body: r.body, header: r.contentType})
 	}
-	l.handle(r.at, balancer.Outcome{ID: a.call.id, Attempt: a.n, Server: a.to.server, Ending: r.ending,
-		Latency: r.at - a.sent, Ended: p.answered, HeldUp: a.heldUp})
+	l.handle(r.at, balancer.AttemptEnded{ID: a.call.id, Attempt: a.n, Endpoint: a.to.server, Result: r.ending,
+		Latency: r.at - a.sent, Answered: p.answered, HeldUp: a.heldUp})
 	if p.departed != present {
 		l.answerUnlessBegun(p)
 	}
@@ -398,7 +398,7 @@
 	if !cached && l.push && l.holds(news) {
 		return
 	}
-	e := balancer.ServerList{Full: news.full, Cached: cached, Servers: l.apply(news)}
+	e := balancer.EndpointUpdate{Complete: news.full, Cached: cached, Endpoints: l.apply(news)}
 	l.servers(news.targets, news.full)
 	l.handle(l.clock.now(), e)
 	l.ready.Store(l.readyServers > 0)
@@ -410,19 +410,19 @@
 	for i := range targets {
 		t := &targets[i]
 		held, isHeld := l.listed[t.ID]
-		t.Boot = l.boots.started(t.bootMS, held, isHeld)
+		t.StartedAt = l.boots.started(t.bootMS, held, isHeld)
 	}
 }
 
 // apply takes over the entries of a list, and returns them as the module is to be told of them.
-func (l *loop) apply(news list) []balancer.Server {
+func (l *loop) apply(news list) []balancer.Endpoint {
 	if news.full {
 		clear(l.listed)
 		l.readyServers = 0
 	}
-	servers := make([]balancer.Server, len(news.targets))
+	servers := make([]balancer.Endpoint, len(news.targets))
 	for i, t := range news.targets {
-		servers[i] = t.Server
+		servers[i] = t.Endpoint
 		l.applyEntry(t)
 	}
 	return servers
@@ -433,7 +433,7 @@
 	if old, ok := l.listed[t.ID]; ok && old.State == balancer.Ready {
 		l.readyServers--
 	}
-	if t.State == balancer.Gone {
+	if t.State == balancer.Removed {
 		delete(l.listed, t.ID)
 		return
 	}
@@ -446,7 +446,7 @@
 // holds says that a list tells nothing new.
 func (l *loop) holds(news list) bool {
 	for _, t := range news.targets {
-		if held, ok := l.listed[t.ID]; ok && held != t || !ok && t.State != balancer.Gone {
+		if held, ok := l.listed[t.ID]; ok && held != t || !ok && t.State != balancer.Removed {
 			return false
 		}
 	}
@@ -464,11 +464,11 @@
 			if p := l.pending[a.ID]; p != nil && a.Attempt < len(p.attempts) {
 				l.cancel(p, p.attempts[a.Attempt])
 			}
-		case balancer.Refuse:
+		case balancer.Reject:
 			l.finish(a.ID, answer{kind: refused, retryAfter: a.RetryAfter})
 		case balancer.Fail:
 			l.finish(a.ID, answer{kind: failed})
-		case balancer.Wake:
+		case balancer.SetTimer:
 			heap.Push(&l.alarms, alarm{a.At, a.Token})
 		case balancer.Subscribe:
 			l.subscribe()
@@ -487,7 +487,7 @@
 	p := l.pending[s.ID]
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &attempt{ctx: ctx, cancel: cancel, call: p.call, n: len(p.attempts),
-		to: l.listed[s.Server].host(), sent: l.now, deadline: min(l.now+s.Timeout, p.call.deadline), before: s.Before}
+		to: l.listed[s.Endpoint].host(), sent: l.now, deadline: min(l.now+s.Timeout, p.call.deadline), before: s.NotAfter}
 	p.attempts = append(p.attempts, a)
 	p.out++
 	l.stats.Sends++
@@ -526,8 +526,8 @@
 	e := s.Endings
 	l.log.With(l.sockets()...).Info("traffic", "requests", s.Requests, "served", s.Served, "refused", s.Refused,
 		"failed", s.Failed, "gone", s.Gone, "sends", s.Sends, "success", e[balancer.Success],
-		"failure", e[balancer.Failure], "overloaded", e[balancer.Overloaded],
-		"timed_out", e[balancer.TimedOut], "unreachable", e[balancer.Unreachable],
-		"broken", e[balancer.Broken], "withdrawn", e[balancer.Withdrawn], "void", e[balancer.Void],
+		"failure", e[balancer.ServerError], "overloaded", e[balancer.Rejected],
+		"timed_out", e[balancer.TimedOut], "unreachable", e[balancer.ConnectFailed],
+		"broken", e[balancer.ConnectionLost], "withdrawn", e[balancer.Cancelled], "void", e[balancer.NotSent],
 		"pending", len(l.pending), "lag_max", s.LagMax, "lag_mean", s.LagSum/time.Duration(s.Events))
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -42,7 +42,7 @@
 func endingOf(cfg Config) ending {
 	var aim time.Duration
 	for _, c := range cfg.Settings.Classes {
-		aim = max(aim, c.Aim)
+		aim = max(aim, c.LatencyObjective)
 	}
 	last := drainMost(cfg) - lastMargin
 	serve := min(max(drainAccept+drainQuiet, last-aim/2), last-drainStep)
@@ -80,7 +80,7 @@
 // AskWithin; no call may wait past the time when a change counts as told whether heard or not.
 func moduleSettings(cfg Config) balancer.Settings {
 	set := cfg.Settings
-	set.AskWithin = min(set.AskWithin, toldLatest)
+	set.PollWithin = min(set.PollWithin, toldLatest)
 	return set
 }
 
@@ -95,7 +95,7 @@
 	clock := newClock()
 	l := newLoop(balancer, clock, log)
 	l.rules.Store(newRules(1, set))
-	n := &Node{cfg: cfg, revision: 1, loop: l, log: log, push: !cfg.Settings.AskDiscovery, ending: endingOf(cfg), drainMost: drainMost(cfg),
+	n := &Node{cfg: cfg, revision: 1, loop: l, log: log, push: !cfg.Settings.PollDiscovery, ending: endingOf(cfg), drainMost: drainMost(cfg),
 		backend: newBackend(cfg, clock, room/2)}
 	callers := newCallers(clock, room, reserved/2, int64(cfg.MemoryMB)<<20, n.backend.connections)
 	n.backend.left = callers.left
@@ -149,14 +149,14 @@
 	}{
 		{"listen", cfg.Listen != n.cfg.Listen},
 		{"limits", cfg.Sockets != n.cfg.Sockets || cfg.MemoryMB != n.cfg.MemoryMB},
-		{"settings.registry-mode", cfg.Settings.AskDiscovery != n.cfg.Settings.AskDiscovery},
+		{"settings.registry-mode", cfg.Settings.PollDiscovery != n.cfg.Settings.PollDiscovery},
 	} {
 		if f.changed {
 			n.log.Warn("a change in the configuration waits for the next start", "field", f.name)
 		}
 	}
 	cfg.Listen, cfg.Sockets, cfg.MemoryMB = n.cfg.Listen, n.cfg.Sockets, n.cfg.MemoryMB
-	cfg.Settings.AskDiscovery = n.cfg.Settings.AskDiscovery
+	cfg.Settings.PollDiscovery = n.cfg.Settings.PollDiscovery
 	cfg.Known = nil // of use at a start alone
 	changed, same := changes(n.cfg, cfg), reflect.DeepEqual(n.cfg.Settings, cfg.Settings)
 	n.revision++
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -196,23 +196,23 @@
 // testConfig is a deployment with a class of each kind and long limits.
 func testConfig(known string) Config {
 	class := func(name string, e balancer.Effect) balancer.Class {
-		return balancer.Class{Name: name, Effect: e, Scope: balancer.ScopeAll, Window: limit,
-			Aim: limit, Deadline: 2 * limit, Worth: 1}
+		return balancer.Class{Name: name, Effect: e, Scope: balancer.ScopeAll, DedupWindow: limit,
+			LatencyObjective: limit, Deadline: 2 * limit, PriorityWeight: 1}
 	}
 	return Config{Name: "n", Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", Seed: 1, MemoryMB: 192,
 		Sockets: 1024, ConnIdle: time.Minute, ConnectTimeout: limit,
 		Known: []byte(strings.Replace(known, "%d", "1", 1)),
-		Settings: balancer.Settings{Balancers: 1, MaxAttempts: 4, MayCancel: true,
-			Tick: time.Millisecond, MaxRetryAfter: 2 * time.Second, ColdFrom: 1, WholeWeight: 1,
-			Classes: []balancer.Class{class("view", balancer.Safe), class("note", balancer.Unsafe),
-				class("keyed", balancer.Keyed)}}}
+		Settings: balancer.Settings{Replicas: 1, MaxAttempts: 4, AllowCancel: true,
+			Tick: time.Millisecond, MaxRetryAfter: 2 * time.Second, SlowStartFloor: 1, TotalWeight: 1,
+			Classes: []balancer.Class{class("view", balancer.Idempotent), class("note", balancer.NonIdempotent),
+				class("keyed", balancer.IdempotentByKey)}}}
 }
 
 // withLongAims has no attempt of a configuration end by itself while a test waits for something else to end it.
 func withLongAims(cfg Config) Config {
 	return with(cfg, func(classes []balancer.Class) []balancer.Class {
 		for i := range classes {
-			classes[i].Aim = 2 * limit
+			classes[i].LatencyObjective = 2 * limit
 		}
 		return classes
 	})
@@ -422,7 +422,7 @@
 	})
 	cfg := testConfig(whole(entry("s1", s.addr(), "in_service")))
 	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].Aim = 300 * time.Millisecond
+		cfg.Settings.Classes[i].LatencyObjective = 300 * time.Millisecond
 	}
 	n, _ := startNode(t, cfg, nil)
 	c := dial(t, n)
@@ -698,7 +698,7 @@
 	events := make(chan event, 10)
 	cfg := testConfig("")
 	cfg.Discovery = ag.Addr().String()
-	cfg.Settings.AskDiscovery = true
+	cfg.Settings.PollDiscovery = true
 	d := newDiscovery(cfg, 7, func(e event) { events <- e }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	ag.tell(false, whole(entry("s1", "127.0.0.1:1", "in_service")))
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -62,13 +62,13 @@
 		servers int    // that it gets to, then
 	}{
 		"a class goes": {func(l []balancer.Class) []balancer.Class { return l[1:] }, "GET", true, 404, 0},
-		"a class becomes unsafe": {view(func(c *balancer.Class) { c.Effect = balancer.Unsafe }),
+		"a class becomes unsafe": {view(func(c *balancer.Class) { c.Effect = balancer.NonIdempotent }),
 			"GET", true, 405, 0},
-		"a class becomes keyed": {view(func(c *balancer.Class) { c.Effect = balancer.Keyed }), "GET", true, 405, 0},
-		"an unsafe class becomes safe": {func(l []balancer.Class) []balancer.Class { l[1].Effect = balancer.Safe; return l },
+		"a class becomes keyed": {view(func(c *balancer.Class) { c.Effect = balancer.IdempotentByKey }), "GET", true, 405, 0},
+		"an unsafe class becomes safe": {func(l []balancer.Class) []balancer.Class { l[1].Effect = balancer.Idempotent; return l },
 			"POST", false, 405, 0},
 		"a deadline shrinks": {view(func(c *balancer.Class) { c.Deadline = 20 * time.Second }), "GET", true, 400, 0},
-		"an aim changes":     {view(func(c *balancer.Class) { c.Aim = time.Second }), "GET", true, 200, 1},
+		"an aim changes":     {view(func(c *balancer.Class) { c.LatencyObjective = time.Second }), "GET", true, 200, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -123,7 +123,7 @@
 	cfg := testConfig(whole(entry("s1", s.addr(), "in_service")))
 	n, _ := startNode(t, cfg, nil)
 	more := with(cfg, func(l []balancer.Class) []balancer.Class {
-		return append(l, balancer.Class{Name: "extra", Effect: balancer.Safe, Aim: limit, Deadline: 2 * limit})
+		return append(l, balancer.Class{Name: "extra", Effect: balancer.Idempotent, LatencyObjective: limit, Deadline: 2 * limit})
 	})
 	for range 3 {
 		c := dial(t, n)
@@ -146,8 +146,8 @@
 		status int
 	}{
 		"gone":   {func(l []balancer.Class) []balancer.Class { return l[:1] }, 404},
-		"keyed":  {func(l []balancer.Class) []balancer.Class { l[1].Effect = balancer.Keyed; return l }, 400},
-		"safe":   {func(l []balancer.Class) []balancer.Class { l[1].Effect = balancer.Safe; return l }, 405},
+		"keyed":  {func(l []balancer.Class) []balancer.Class { l[1].Effect = balancer.IdempotentByKey; return l }, 400},
+		"safe":   {func(l []balancer.Class) []balancer.Class { l[1].Effect = balancer.Idempotent; return l }, 405},
 		"longer": {func(l []balancer.Class) []balancer.Class { l[1].Deadline *= 2; return l }, 200},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -181,13 +181,13 @@
 	n, _ := startNode(t, cfg, nil)
 	other := cfg
 	other.Listen, other.Sockets, other.MemoryMB = "127.0.0.1:1", 64, 16
-	other.Settings.AskDiscovery, other.Settings.MaxRetryAfter = true, time.Hour
+	other.Settings.PollDiscovery, other.Settings.MaxRetryAfter = true, time.Hour
 	other.ConnIdle, other.ConnectTimeout = time.Second, 3*time.Second
 	reload(t, n, other)
 	n.mu.Lock()
 	kept := n.cfg
 	n.mu.Unlock()
-	if kept.Listen != cfg.Listen || kept.Sockets != cfg.Sockets || kept.MemoryMB != cfg.MemoryMB || kept.Settings.AskDiscovery {
+	if kept.Listen != cfg.Listen || kept.Sockets != cfg.Sockets || kept.MemoryMB != cfg.MemoryMB || kept.Settings.PollDiscovery {
 		t.Errorf("got %+v", kept)
 	}
 	n.backend.mu.Lock()
@@ -200,7 +200,7 @@
 func TestChangesNamesWhatDiffers(t *testing.T) {
 	cfg := testConfig(whole())
 	other := with(cfg, func(l []balancer.Class) []balancer.Class {
-		l[0].Aim++
+		l[0].LatencyObjective++
 		return append(l[:2], balancer.Class{Name: "extra"})
 	})
 	other.Settings.MaxAttempts++
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -127,11 +127,11 @@
 	mute := closedPort(t)
 	cfg := testConfig(whole(entry("s1", hangs.addr(), "in_service"), entry("s2", fails.addr(), "in_service"),
 		entry("s3", mute, "in_service")))
-	cfg.Settings.MayCancel = mayCancel
+	cfg.Settings.AllowCancel = mayCancel
 	longest := time.Duration(0)
 	for i := range cfg.Settings.Classes {
 		c, deadline := &cfg.Settings.Classes[i], deadlines[i%len(deadlines)]
-		c.Deadline, c.Aim, c.Window = deadline, deadline/2, deadline
+		c.Deadline, c.LatencyObjective, c.DedupWindow = deadline, deadline/2, deadline
 		longest = max(longest, deadline)
 	}
 	var reads recordingConns
--- a/internal/node/trouble_test.go
+++ b/internal/node/trouble_test.go
@@ -189,7 +189,7 @@
 	cfg := testConfig(whole(entries...))
 	cfg.Sockets = leastSockets
 	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].Deadline, cfg.Settings.Classes[i].Aim = troubleDeadline, troubleDeadline/2
+		cfg.Settings.Classes[i].Deadline, cfg.Settings.Classes[i].LatencyObjective = troubleDeadline, troubleDeadline/2
 	}
 	first := time.Duration(0)
 	switch c.discovery {
--- a/internal/node/waitheader_test.go
+++ b/internal/node/waitheader_test.go
@@ -32,7 +32,7 @@
 	}
 	cfg := testConfig(whole(entries...))
 	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].LateShare = 1
+		cfg.Settings.Classes[i].LateValue = 1
 	}
 	return cfg
 }
--- a/internal/settings/example_test.go
+++ b/internal/settings/example_test.go
@@ -17,7 +17,7 @@
 		fmt.Println(err)
 		return
 	}
-	fmt.Println(s.Zone, s.Zones, s.Tick)
+	fmt.Println(s.Zone, s.ZoneCount, s.Tick)
 	fmt.Println(s.Classes[0].Name, s.Classes[0].Deadline)
 	// Output:
 	// north 2 2.5ms
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -75,22 +75,22 @@
 
 func (d *document) settings() balancer.Settings {
 	s := balancer.Settings{
-		Balancers:    count(d.Replicas),
-		Index:        count(d.ReplicaIndex),
-		Tier:         count(d.Tier),
-		Zone:         d.Zone,
-		Zones:        len(d.Zones),
-		WholeWeight:  d.Weights.Total,
-		ClassWeight:  d.Weights.WorstClass,
-		MaxAttempts:  count(d.Limits.MaxAttempts),
-		MayCancel:    d.Limits.AllowCancel,
-		AskDiscovery: d.RegistryMode == registryModePoll,
-		AskWithin:    Milliseconds(d.Rules.PollWithin),
-		Tick:         Milliseconds(d.Tick),
-		ColdFrom:     d.Rules.SlowStartFloor,
-		WarmAfter:    Milliseconds(d.Rules.SlowStartDuration),
-		FallMultiple: d.Rules.OverloadMultiple,
-		FallFor:      Milliseconds(d.Rules.OverloadWindow),
+		Replicas:          count(d.Replicas),
+		ReplicaIndex:      count(d.ReplicaIndex),
+		Tier:              count(d.Tier),
+		Zone:              d.Zone,
+		ZoneCount:         len(d.Zones),
+		TotalWeight:       d.Weights.Total,
+		WorstClassWeight:  d.Weights.WorstClass,
+		MaxAttempts:       count(d.Limits.MaxAttempts),
+		AllowCancel:       d.Limits.AllowCancel,
+		PollDiscovery:     d.RegistryMode == registryModePoll,
+		PollWithin:        Milliseconds(d.Rules.PollWithin),
+		Tick:              Milliseconds(d.Tick),
+		SlowStartFloor:    d.Rules.SlowStartFloor,
+		SlowStartDuration: Milliseconds(d.Rules.SlowStartDuration),
+		OverloadMultiple:  d.Rules.OverloadMultiple,
+		OverloadWindow:    Milliseconds(d.Rules.OverloadWindow),
 	}
 	if d.Limits.AllowRetryAfter {
 		s.MaxRetryAfter = Milliseconds(d.Limits.MaxRetryAfter)
@@ -103,8 +103,8 @@
 
 // effects holds the effects that allow a repeat. The zero Effect, for all others, allows none.
 var effects = map[string]balancer.Effect{
-	"read_like":       balancer.Safe,
-	"idempotency_key": balancer.Keyed,
+	"read_like":       balancer.Idempotent,
+	"idempotency_key": balancer.IdempotentByKey,
 }
 
 // scopes holds the scopes of idempotency keys. The zero Scope, for all others, is the narrowest.
@@ -116,14 +116,14 @@
 
 func (c classDocument) class() balancer.Class {
 	return balancer.Class{
-		Name:      c.Name,
-		Effect:    effects[c.Effect],
-		Scope:     scopes[c.KeyScope],
-		Window:    Milliseconds(c.DedupWindow),
-		Aim:       Milliseconds(c.LatencyObjective),
-		Deadline:  Milliseconds(c.Deadline),
-		LateShare: c.LateValue,
-		Worth:     c.PriorityWeight,
+		Name:             c.Name,
+		Effect:           effects[c.Effect],
+		Scope:            scopes[c.KeyScope],
+		DedupWindow:      Milliseconds(c.DedupWindow),
+		LatencyObjective: Milliseconds(c.LatencyObjective),
+		Deadline:         Milliseconds(c.Deadline),
+		LateValue:        c.LateValue,
+		PriorityWeight:   c.PriorityWeight,
 	}
 }
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -13,7 +13,7 @@
 func TestUnknownEffectIsNotIdempotent(t *testing.T) {
 	s, err := Parse([]byte(`{"lanes":[{"name":"a","effect":"odd"},{"name":"b","effect":"read_like"}],"new":1,
 		"zone":"east","localities":["north","east"]}`))
-	if err != nil || s.Zone != "east" || s.Zones != 2 || s.Classes[0].Effect != balancer.Unsafe || s.Classes[1].Effect != balancer.Safe {
+	if err != nil || s.Zone != "east" || s.ZoneCount != 2 || s.Classes[0].Effect != balancer.NonIdempotent || s.Classes[1].Effect != balancer.Idempotent {
 		t.Fatalf("got %+v, %v", s, err)
 	}
 }
@@ -26,13 +26,13 @@
 		"lanes":[{"name":"pay","effect":"idempotency_key","key-scope":"zone","window-ms":700,"target-ms":200.25,
 			"deadline-ms":1200,"late-share":0.5,"worth":2}]}`))
 	want := balancer.Settings{
-		Balancers: 12, Index: 3, Tier: 1, Zone: "north", Zones: 2, WholeWeight: 0.7, ClassWeight: 0.3,
-		MaxAttempts: 4, MayCancel: true, AskDiscovery: true, AskWithin: 800 * time.Millisecond,
+		Replicas: 12, ReplicaIndex: 3, Tier: 1, Zone: "north", ZoneCount: 2, TotalWeight: 0.7, WorstClassWeight: 0.3,
+		MaxAttempts: 4, AllowCancel: true, PollDiscovery: true, PollWithin: 800 * time.Millisecond,
 		Tick: 2500 * time.Microsecond, MaxRetryAfter: 1500500 * time.Microsecond,
-		ColdFrom: 0.25, WarmAfter: 9 * time.Second, FallMultiple: 1.5, FallFor: 400 * time.Millisecond,
+		SlowStartFloor: 0.25, SlowStartDuration: 9 * time.Second, OverloadMultiple: 1.5, OverloadWindow: 400 * time.Millisecond,
 		Classes: []balancer.Class{{
-			Name: "pay", Effect: balancer.Keyed, Scope: balancer.ScopeZone, Window: 700 * time.Millisecond,
-			Aim: 200250 * time.Microsecond, Deadline: 1200 * time.Millisecond, LateShare: 0.5, Worth: 2,
+			Name: "pay", Effect: balancer.IdempotentByKey, Scope: balancer.ScopeZone, DedupWindow: 700 * time.Millisecond,
+			LatencyObjective: 200250 * time.Microsecond, Deadline: 1200 * time.Millisecond, LateValue: 0.5, PriorityWeight: 2,
 		}},
 	}
 	if err != nil || !reflect.DeepEqual(got, want) {
@@ -44,8 +44,8 @@
 func TestCountOutOfRangeIsRejectedByTheModule(t *testing.T) {
 	for _, text := range []string{"-1", "1.5", "3e9"} {
 		s, err := Parse([]byte(`{"me":` + text + `,"lanes":[{"name":"a","target-ms":1,"deadline-ms":1}]}`))
-		if err != nil || s.Index != outOfRange || s.Validate() == nil {
-			t.Errorf("%s: got %d, %v, and the settings are valid: %v", text, s.Index, err, s.Validate())
+		if err != nil || s.ReplicaIndex != outOfRange || s.Validate() == nil {
+			t.Errorf("%s: got %d, %v, and the settings are valid: %v", text, s.ReplicaIndex, err, s.Validate())
 		}
 	}
 }
--- a/internal/wire/corpus_test.go
+++ b/internal/wire/corpus_test.go
@@ -138,27 +138,27 @@
 	switch e := event.(type) {
 	case nil:
 		return "no event", nil
-	case balancer.ServerList:
-		values = []any{e.Full, e.Cached}
-		for _, s := range e.Servers {
-			values = append(values, []any{s.ID, s.Zone, s.Cell, int(s.State), s.Size, s.Boot})
+	case balancer.EndpointUpdate:
+		values = []any{e.Complete, e.Cached}
+		for _, s := range e.Endpoints {
+			values = append(values, []any{s.ID, s.Zone, s.Cell, int(s.State), s.Capacity, s.StartedAt})
 		}
 		return "endpoint list", values
-	case balancer.ListFailed:
+	case balancer.SubscriptionFailed:
 		return "list failed", nil
 	case balancer.Request:
-		return "request", []any{e.ID, e.Class, e.Deadline, e.Effort, e.Repeat}
+		return "request", []any{e.ID, e.Class, e.Deadline, e.ExpectedWork, e.Retry}
 	case balancer.Timer:
 		return "timer", []any{e.Token}
-	case balancer.Outcome:
-		values = []any{e.ID, e.Attempt, e.Server, int(e.Ending), e.Latency, e.Ended, e.HeldUp}
+	case balancer.AttemptEnded:
+		values = []any{e.ID, e.Attempt, e.Endpoint, int(e.Result), e.Latency, e.Answered, e.HeldUp}
 		if e.Load != nil {
-			values = append(values, []any{e.Load.Busy, e.Load.Service})
+			values = append(values, []any{e.Load.InFlight, e.Load.ServiceTime})
 		}
 		return "attempt ended", values
 	case balancer.ClientGone:
 		return "client gone", []any{e.ID}
-	case balancer.Started:
+	case balancer.StreamStarted:
 		return "stream started", []any{e.ID, e.Attempt}
 	}
 	return "unexpected event", nil
@@ -169,11 +169,11 @@
 		return nil
 	}
 	values := []any{
-		s.Balancers, s.Index, s.Tier, s.Zone, s.Zones, s.WholeWeight, s.ClassWeight, s.MaxAttempts, s.MayCancel,
-		s.AskDiscovery, s.AskWithin, s.Tick, s.MaxRetryAfter, s.ColdFrom, s.WarmAfter, s.FallMultiple, s.FallFor,
+		s.Replicas, s.ReplicaIndex, s.Tier, s.Zone, s.ZoneCount, s.TotalWeight, s.WorstClassWeight, s.MaxAttempts, s.AllowCancel,
+		s.PollDiscovery, s.PollWithin, s.Tick, s.MaxRetryAfter, s.SlowStartFloor, s.SlowStartDuration, s.OverloadMultiple, s.OverloadWindow,
 	}
 	for _, c := range s.Classes {
-		values = append(values, []any{c.Name, int(c.Effect), int(c.Scope), c.Window, c.Aim, c.Deadline, c.LateShare, c.Worth})
+		values = append(values, []any{c.Name, int(c.Effect), int(c.Scope), c.DedupWindow, c.LatencyObjective, c.Deadline, c.LateValue, c.PriorityWeight})
 	}
 	return values
 }
--- a/internal/wire/decoder.go
+++ b/internal/wire/decoder.go
@@ -25,7 +25,7 @@
 	line     int // number of the line read last
 	inBatch  bool
 	instance int
-	lists    [listCount][]balancer.Server
+	lists    [listCount][]balancer.Endpoint
 }
 
 // NewDecoder returns a Decoder that reads r.
--- a/internal/wire/decoder_test.go
+++ b/internal/wire/decoder_test.go
@@ -40,12 +40,12 @@
 	}
 	want := []Message{
 		{Kind: BatchStart, Instance: -1, Now: 8412250 * time.Microsecond},
-		{Kind: InstanceEvent, Instance: 3, Event: balancer.ServerList{Full: true, Cached: true,
-			Servers: []balancer.Server{{ID: "s:1", Zone: "z", Cell: 4, Size: 1.5, Boot: 6100500 * time.Microsecond}}}},
-		{Kind: InstanceEvent, Instance: 3, Event: balancer.Request{ID: "id", Class: "get", Repeat: true,
-			Deadline: 8652250 * time.Microsecond, Effort: 12 * time.Millisecond}},
-		{Kind: InstanceEvent, Instance: 3, Event: balancer.Outcome{ID: "id", Server: "s:1", Ended: true,
-			Latency: 18500 * time.Microsecond, Load: &balancer.Load{Busy: 3, Service: -1}}},
+		{Kind: InstanceEvent, Instance: 3, Event: balancer.EndpointUpdate{Complete: true, Cached: true,
+			Endpoints: []balancer.Endpoint{{ID: "s:1", Zone: "z", Cell: 4, Capacity: 1.5, StartedAt: 6100500 * time.Microsecond}}}},
+		{Kind: InstanceEvent, Instance: 3, Event: balancer.Request{ID: "id", Class: "get", Retry: true,
+			Deadline: 8652250 * time.Microsecond, ExpectedWork: 12 * time.Millisecond}},
+		{Kind: InstanceEvent, Instance: 3, Event: balancer.AttemptEnded{ID: "id", Endpoint: "s:1", Answered: true,
+			Latency: 18500 * time.Microsecond, Load: &balancer.LoadReport{InFlight: 3, ServiceTime: -1}}},
 		{Kind: BatchEnd, Instance: 3},
 	}
 	if !reflect.DeepEqual(got, want) {
--- a/internal/wire/encoder.go
+++ b/internal/wire/encoder.go
@@ -29,14 +29,14 @@
 	}
 	switch a := action.(type) {
 	case balancer.Send:
-		e.addLine("forward", a.ID, a.Server, milliseconds(a.Timeout))
+		e.addLine("forward", a.ID, a.Endpoint, milliseconds(a.Timeout))
 	case balancer.Cancel:
 		e.addLine("retract", a.ID, strconv.Itoa(a.Attempt))
-	case balancer.Refuse:
+	case balancer.Reject:
 		e.addLine("turn_away", a.ID, milliseconds(a.RetryAfter))
 	case balancer.Fail:
 		e.addLine("report_failure", a.ID)
-	case balancer.Wake:
+	case balancer.SetTimer:
 		e.addLine("remind", milliseconds(a.At), a.Token)
 	case balancer.Subscribe:
 		e.addLine("subscribe", "1")
--- a/internal/wire/encoder_test.go
+++ b/internal/wire/encoder_test.go
@@ -12,9 +12,9 @@
 func TestEncode(t *testing.T) {
 	var out bytes.Buffer
 	e := NewEncoder(&out)
-	e.Action(3, balancer.Send{ID: "a", Server: "s", Timeout: 80500 * time.Microsecond})
+	e.Action(3, balancer.Send{ID: "a", Endpoint: "s", Timeout: 80500 * time.Microsecond})
 	e.Action(3, balancer.Cancel{ID: "a", Attempt: 1})
-	e.Action(5, balancer.Refuse{ID: "b"})
+	e.Action(5, balancer.Reject{ID: "b"})
 	if err := e.Flush(); err != nil {
 		t.Fatal(err)
 	}
@@ -39,13 +39,13 @@
 		}
 	}
 	flush()
-	reply(0, balancer.Subscribe{}, balancer.Fail{ID: "a"}, balancer.Wake{At: 8912250 * time.Microsecond, Token: "r:a"})
-	reply(3, balancer.Send{ID: "b", Server: "10.0.0.1:7", Timeout: 1}, balancer.Send{ID: "c", Server: "s"},
-		balancer.Cancel{ID: "b", Attempt: 2}, balancer.Refuse{ID: "d", RetryAfter: 1234567 * time.Nanosecond})
+	reply(0, balancer.Subscribe{}, balancer.Fail{ID: "a"}, balancer.SetTimer{At: 8912250 * time.Microsecond, Token: "r:a"})
+	reply(3, balancer.Send{ID: "b", Endpoint: "10.0.0.1:7", Timeout: 1}, balancer.Send{ID: "c", Endpoint: "s"},
+		balancer.Cancel{ID: "b", Attempt: 2}, balancer.Reject{ID: "d", RetryAfter: 1234567 * time.Nanosecond})
 	flush()
-	reply(3, balancer.Send{ID: "e", Server: "s", Timeout: -time.Millisecond, Before: 5})
-	reply(0, balancer.Refuse{ID: "f"})
-	reply(3, balancer.Wake{At: 1e18, Token: "t"})
+	reply(3, balancer.Send{ID: "e", Endpoint: "s", Timeout: -time.Millisecond, NotAfter: 5})
+	reply(0, balancer.Reject{ID: "f"})
+	reply(3, balancer.SetTimer{At: 1e18, Token: "t"})
 	flush()
 	const want = "yield\n" +
 		"instance\t0\nsubscribe\t1\nreport_failure\ta\nremind\t8912.25\tr:a\n" +
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -42,7 +42,7 @@
 	mode := f.integer(0)
 	switch mode {
 	case modeFailed:
-		return balancer.ListFailed{}
+		return balancer.SubscriptionFailed{}
 	case modeChanges, modeComplete, modeCached:
 	default:
 		f.fail(0, invalidValue("is not a mode"))
@@ -53,7 +53,7 @@
 		f.fail(1, errListNumber)
 		return nil
 	}
-	return balancer.ServerList{Full: mode != modeChanges, Cached: mode == modeCached, Servers: d.lists[number]}
+	return balancer.EndpointUpdate{Complete: mode != modeChanges, Cached: mode == modeCached, Endpoints: d.lists[number]}
 }
 
 // The bits of a request's state.
@@ -66,39 +66,39 @@
 func decodeRequest(f *fields) balancer.Event {
 	r := balancer.Request{ID: f.text(0), Deadline: f.time(1), Class: f.text(3)}
 	bits := f.optionalInteger(4)
-	r.Repeat = bits&bitClientRetry != 0
+	r.Retry = bits&bitClientRetry != 0
 	if bits&bitCostHint != 0 {
-		r.Effort = f.optionalTime(6)
+		r.ExpectedWork = f.optionalTime(6)
 	}
 	return r
 }
 
 // decodeOutcome decodes outcome ID SERVER LATENCY ANSWERED ATTEMPT RESULT LOAD.
 func decodeOutcome(f *fields) balancer.Event {
-	return balancer.Outcome{
-		ID:      f.text(0),
-		Server:  f.text(1),
-		Latency: f.time(2),
-		Ended:   f.text(3) == "1",
-		Attempt: f.integer(4),
-		Ending:  decodeResult(f, 5),
-		Load:    decodeLoad(f, 6),
+	return balancer.AttemptEnded{
+		ID:       f.text(0),
+		Endpoint: f.text(1),
+		Latency:  f.time(2),
+		Answered: f.text(3) == "1",
+		Attempt:  f.integer(4),
+		Result:   decodeResult(f, 5),
+		Load:     decodeLoad(f, 6),
 	}
 }
 
 // attemptResults holds the module's name of each result of an attempt.
-var attemptResults = map[string]balancer.Ending{
+var attemptResults = map[string]balancer.AttemptResult{
 	"success":     balancer.Success,
-	"failure":     balancer.Failure,
-	"overloaded":  balancer.Overloaded,
+	"failure":     balancer.ServerError,
+	"overloaded":  balancer.Rejected,
 	"timed_out":   balancer.TimedOut,
-	"unreachable": balancer.Unreachable,
-	"broken":      balancer.Broken,
-	"withdrawn":   balancer.Withdrawn,
-	"void":        balancer.Void,
+	"unreachable": balancer.ConnectFailed,
+	"broken":      balancer.ConnectionLost,
+	"withdrawn":   balancer.Cancelled,
+	"void":        balancer.NotSent,
 }
 
-func decodeResult(f *fields, position int) balancer.Ending {
+func decodeResult(f *fields, position int) balancer.AttemptResult {
 	result, ok := attemptResults[f.text(position)]
 	if !ok {
 		f.fail(position, invalidValue("is not the result of an attempt"))
@@ -111,12 +111,12 @@
 
 // decodeLoad decodes a load report, of pairs NAME:VALUE with commas between them. It ignores names that it
 // does not know, and returns nil if there is no report.
-func decodeLoad(f *fields, position int) *balancer.Load {
+func decodeLoad(f *fields, position int) *balancer.LoadReport {
 	text := f.optionalText(position)
 	if text == "" {
 		return nil
 	}
-	load := &balancer.Load{Busy: notReported, Service: notReported}
+	load := &balancer.LoadReport{InFlight: notReported, ServiceTime: notReported}
 	for pair := range strings.SplitSeq(text, ",") {
 		name, number, _ := strings.Cut(pair, ":")
 		v, ok := parseNumber(number)
@@ -126,9 +126,9 @@
 		}
 		switch name {
 		case "busy_reqs":
-			load.Busy = v
+			load.InFlight = v
 		case "svc_ms":
-			load.Service = settings.Milliseconds(v)
+			load.ServiceTime = settings.Milliseconds(v)
 		}
 	}
 	return load
@@ -136,5 +136,5 @@
 
 // decodeStreamStarted decodes flowing ID SERVER LATENCY ATTEMPT.
 func decodeStreamStarted(f *fields) balancer.Event {
-	return balancer.Started{ID: f.text(0), Attempt: f.integer(3)}
+	return balancer.StreamStarted{ID: f.text(0), Attempt: f.integer(3)}
 }
--- a/internal/wire/example_test.go
+++ b/internal/wire/example_test.go
@@ -60,7 +60,7 @@
 	encoder := wire.NewEncoder(os.Stdout)
 	encoder.Action(3, balancer.Cancel{ID: "id-1", Attempt: 0})
 	encoder.Action(3, balancer.Fail{ID: "id-1"})
-	encoder.Action(5, balancer.Refuse{ID: "id-2", RetryAfter: 250 * time.Millisecond})
+	encoder.Action(5, balancer.Reject{ID: "id-2", RetryAfter: 250 * time.Millisecond})
 	if err := encoder.Flush(); err != nil {
 		fmt.Println(err)
 	}
--- a/internal/wire/list.go
+++ b/internal/wire/list.go
@@ -23,7 +23,7 @@
 	if f.err != nil {
 		return
 	}
-	var endpoints []balancer.Server
+	var endpoints []balancer.Endpoint
 	for i := range length {
 		item := d.readItem(i, length)
 		if item.err == nil {
@@ -61,13 +61,13 @@
 )
 
 // decodeEndpoint decodes item ID ZONE KIND CELL STATE CAPACITY STARTED. The last is a clock time.
-func decodeEndpoint(f *fields) balancer.Server {
-	e := balancer.Server{
-		ID:   f.text(0),
-		Zone: f.text(1),
-		Cell: f.integer(3),
-		Size: f.optionalCapacity(5),
-		Boot: f.optionalTime(6),
+func decodeEndpoint(f *fields) balancer.Endpoint {
+	e := balancer.Endpoint{
+		ID:        f.text(0),
+		Zone:      f.text(1),
+		Cell:      f.integer(3),
+		Capacity:  f.optionalCapacity(5),
+		StartedAt: f.optionalTime(6),
 	}
 	switch f.integer(4) {
 	case stateReady:
@@ -75,7 +75,7 @@
 	case stateDraining:
 		e.State = balancer.Draining
 	case stateRemoved:
-		e.State = balancer.Gone
+		e.State = balancer.Removed
 	default:
 		f.fail(4, invalidValue("is not a state"))
 	}
--- a/policy.go
+++ b/policy.go
@@ -113,7 +113,7 @@
 
 // server is a listed server, or one that left with calls of ours still out.
 type server struct {
-	Server
+	Endpoint
 	listed bool
 	calls  int        // own calls in flight
 	open   []*attempt // the same calls in order of sending
@@ -191,16 +191,16 @@
 	b.now = max(b.now, now)
 	b.out = nil
 	switch e := e.(type) {
-	case ServerList:
+	case EndpointUpdate:
 		b.takeList(e)
-	case ListFailed:
+	case SubscriptionFailed:
 		b.subFails++
 		b.askAgain()
 	case Request:
 		b.accept(e)
-	case Outcome:
+	case AttemptEnded:
 		b.takeOutcome(e)
-	case Started:
+	case StreamStarted:
 		if r := b.requests[e.ID]; r != nil {
 			r.streaming = true
 		}
@@ -208,7 +208,7 @@
 		if r := b.requests[e.ID]; r != nil {
 			b.close(r)
 		}
-	case Closing:
+	case Shutdown:
 		b.closing = true
 		for _, r := range b.unanswered() {
 			b.answer(r)
@@ -251,17 +251,17 @@
 		return
 	}
 	r.wake = at
-	b.do(Wake{At: at, Token: "r:" + r.id})
+	b.do(SetTimer{At: at, Token: "r:" + r.id})
 }
 
 // ---- Discovery ----
 
 // takeList applies an update of the endpoint list and cuts the two groups anew.
-func (b *Balancer) takeList(e ServerList) {
-	if e.Full {
-		b.replaceServers(e.Servers)
+func (b *Balancer) takeList(e EndpointUpdate) {
+	if e.Complete {
+		b.replaceServers(e.Endpoints)
 	} else {
-		b.changeServers(e.Servers)
+		b.changeServers(e.Endpoints)
 	}
 	cut := int(math.Ceil(alpha * float64(b.ready.len())))
 	b.whole = groups{b.ready.all[:cut], b.ready.all[cut:]}
@@ -281,13 +281,13 @@
 // lose their subscription, together from swamping discovery; the wait doubles with each failure
 // but leaves time for two tries before the copy counts as told what it never heard.
 func (b *Balancer) askAgain() {
-	if !b.set.AskDiscovery {
+	if !b.set.PollDiscovery {
 		return
 	}
-	most := b.set.AskWithin / 4
+	most := b.set.PollWithin / 4
 	wait := min(most, most/16<<min(b.subFails, 4))
 	b.subWanted = b.now + time.Duration(b.rng.Float64()*float64(wait)) + 1
-	b.do(Wake{At: b.subWanted, Token: "list"})
+	b.do(SetTimer{At: b.subWanted, Token: "list"})
 }
 
 // ---- Requests ----
@@ -300,14 +300,14 @@
 	if c == nil {
 		c = b.order[len(b.order)-1] // unknown: unsafe
 	}
-	r := &request{id: e.ID, class: c, arrived: b.now, deadline: e.Deadline, repeat: e.Repeat,
-		effort: max(0, float64(e.Effort))}
+	r := &request{id: e.ID, class: c, arrived: b.now, deadline: e.Deadline, repeat: e.Retry,
+		effort: max(0, float64(e.ExpectedWork))}
 	if r.effort > 0 {
 		b.hints++
 		b.effort += max(memory, 1/b.hints) * (r.effort - b.effort)
 	}
 	b.requests[e.ID] = r
-	b.interval += time.Duration(memory * float64(min(b.now-b.asked, b.set.WarmAfter)-b.interval))
+	b.interval += time.Duration(memory * float64(min(b.now-b.asked, b.set.SlowStartDuration)-b.interval))
 	b.asked = b.now
 	b.backdate(r, e.FirstByte)
 	for _, k := range b.order {
@@ -342,7 +342,7 @@
 	default:
 		c.votes--
 		r.arrived = min(b.now, r.deadline-c.Deadline)
-		r.repeat = r.repeat || began-r.arrived > c.Aim/2
+		r.repeat = r.repeat || began-r.arrived > c.LatencyObjective/2
 	}
 }
 
@@ -371,15 +371,15 @@
 	s.open = append(s.open, a)
 	b.inFlight++
 	b.busy += memory * (float64(b.inFlight) - b.busy)
-	b.do(Send{ID: r.id, Server: s.ID, Timeout: max(b.patience(r), b.set.Tick), Before: before})
+	b.do(Send{ID: r.id, Endpoint: s.ID, Timeout: max(b.patience(r), b.set.Tick), NotAfter: before})
 }
 
 // repeatUntil is when the servers stop discarding the repeats of what may have run; 0: nothing did, or
 // the class has no keys. It is asked before the send and, as a connection may come up late, by the host.
 func (b *Balancer) repeatUntil(r *request) (until time.Duration) {
 	for _, a := range r.attempts {
-		end := a.sent + r.class.Window - 2*b.set.Tick
-		if r.class.Effect == Keyed && !a.unsent && (until == 0 || end < until) {
+		end := a.sent + r.class.DedupWindow - 2*b.set.Tick
+		if r.class.Effect == IdempotentByKey && !a.unsent && (until == 0 || end < until) {
 			until = max(end, 1)
 		}
 	}
@@ -391,7 +391,7 @@
 // that. It hurts where a request is long by itself; in the first tier the work below would be for nothing.
 func (b *Balancer) patience(r *request) time.Duration {
 	c, left := r.class, b.useless(r)-b.now
-	again := c.Effect == Safe && len(r.attempts) < b.set.MaxAttempts && b.tokens >= 1
+	again := c.Effect == Idempotent && len(r.attempts) < b.set.MaxAttempts && b.tokens >= 1
 	if again && b.set.Tier > 0 && c.failing > hanging && left/2 > b.overlong(c) {
 		return left / 2
 	}
@@ -401,10 +401,10 @@
 // useless is when an answer stops being worth anything: work that goes on after it takes the room of
 // answers in time. Below the first tier only the deadline is known.
 func (b *Balancer) useless(r *request) time.Duration {
-	if b.set.Tier > 0 || r.class.LateShare > 0 || r.repeat {
+	if b.set.Tier > 0 || r.class.LateValue > 0 || r.repeat {
 		return r.deadline
 	}
-	return min(r.deadline, r.arrived+r.class.Aim-2*b.set.Tick)
+	return min(r.deadline, r.arrived+r.class.LatencyObjective-2*b.set.Tick)
 }
 
 // overlong is the wait for an answer that most of a class's answers stay well under.
@@ -438,7 +438,7 @@
 	if b.ready.len() == 0 {
 		return last
 	}
-	aim := r.class.Aim
+	aim := r.class.LatencyObjective
 	hold := max(aim/4, aim-time.Duration(r.class.mean+2*r.class.dev))
 	return min(last, r.arrived+hold)
 }
@@ -463,15 +463,15 @@
 	}
 }
 
-func (b *Balancer) takeOutcome(e Outcome) {
+func (b *Balancer) takeOutcome(e AttemptEnded) {
 	r := b.requests[e.ID]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
 		return
 	}
 	a := r.attempts[e.Attempt]
 	a.ended = true
-	a.unsent = e.Ending == Overloaded || e.Ending == Unreachable || e.Ending == Void
-	a.void = e.Ending == Void
+	a.unsent = e.Result == Rejected || e.Result == ConnectFailed || e.Result == NotSent
+	a.void = e.Result == NotSent
 	r.out--
 	b.inFlight--
 	a.srv.calls--
@@ -487,8 +487,8 @@
 		delete(b.servers, a.srv.ID)
 	}
 	switch {
-	case e.Ended:
-		if e.Ending == Success && !r.answered && b.now <= r.arrived+r.class.Aim {
+	case e.Answered:
+		if e.Result == Success && !r.answered && b.now <= r.arrived+r.class.LatencyObjective {
 			r.class.serve++
 		}
 		b.close(r)
@@ -537,8 +537,8 @@
 // few, but the errors of many nodes cancel out.
 func (b *Balancer) weight(s *server) float64 {
 	w := math.Exp(-max(s.slow, -1))
-	if s.Size > 0 {
-		w *= min(s.Size, 1e6) // an infinite weight would draw nobody
+	if s.Capacity > 0 {
+		w *= min(s.Capacity, 1e6) // an infinite weight would draw nobody
 	}
 	return w
 }
@@ -588,7 +588,7 @@
 // fill appends servers from the node's place on, around the end, as long as the part has capacity. The copies
 // of one zone may be numbered in a row: a place that goes round as often as there are zones spreads them.
 func (b *Balancer) fill(part, from []*server) []*server {
-	start := b.set.Index * max(1, b.set.Zones) * len(from) / max(1, b.set.Balancers)
+	start := b.set.ReplicaIndex * max(1, b.set.ZoneCount) * len(from) / max(1, b.set.Replicas)
 	for i := range min(len(from), cap(part)-len(part)) {
 		part = append(part, from[(start+i)%len(from)])
 	}
@@ -677,7 +677,7 @@
 
 // inScope keeps a keyed request that may have run to the servers that discard its repeats.
 func (b *Balancer) inScope(r *request, s *server) bool {
-	if r.class.Effect != Keyed {
+	if r.class.Effect != IdempotentByKey {
 		return true
 	}
 	return !slices.ContainsFunc(r.attempts, func(a *attempt) bool {
@@ -695,7 +695,7 @@
 	}
 	// After an ejection one safe trial at a time decides: a bad server must not eat a request that
 	// cannot be repeated, nor many at once.
-	return s.level > 0 && s.goods == 0 && (r.class.Effect == Unsafe || s.calls > 0)
+	return s.level > 0 && s.goods == 0 && (r.class.Effect == NonIdempotent || s.calls > 0)
 }
 
 // isOutlier says, by a draw, that a server should not get a class now, by its share of good endings against
@@ -731,11 +731,11 @@
 }
 
 // judge learns from an ending: the class's latency, the server's health relative to its peers.
-func (b *Balancer) judge(a *attempt, e Outcome) {
+func (b *Balancer) judge(a *attempt, e AttemptEnded) {
 	s, c := a.srv, a.req.class
 	took := max(1, float64(b.now-a.sent)) // a coarse clock may show none, and its logarithm no server
 	late, bad := took > c.mean+tailSpread*c.dev, false
-	if now, tells := map[Ending]float64{Success: 0, Failure: 1, TimedOut: 1}[e.Ending]; tells {
+	if now, tells := map[AttemptResult]float64{Success: 0, ServerError: 1, TimedOut: 1}[e.Result]; tells {
 		if s.failing == nil {
 			s.failing = map[*learned]fading{}
 		}
@@ -745,7 +745,7 @@
 			k.failing += memory * (now - k.failing)
 		}
 	}
-	switch e.Ending {
+	switch e.Result {
 	case Success:
 		b.tokens = min(retryBudget, b.tokens+retryEarn)
 		b.lastOK, s.lastOK = b.now, b.now
@@ -761,21 +761,21 @@
 		}
 		bad, s.refusals = late, 0
 		b.observeCapacity(s)
-	case Overloaded, Unreachable:
+	case Rejected, ConnectFailed:
 		s.room = s.calls
 		s.full = b.now + time.Duration((0.5+b.rng.Float64())*ejection*c.mean)<<s.refusals
 		s.refusals = min(s.refusals+1, maxLevel)
 		return
-	case Failure, Broken, TimedOut:
+	case ServerError, ConnectionLost, TimedOut:
 		bad = true
-	case Withdrawn:
+	case Cancelled:
 		if bad = late; !late {
 			return
 		}
 	default:
 		return
 	}
-	if late || e.Ending == Success {
+	if late || e.Result == Success {
 		s.samples++
 		s.slow += max(ownMemory, 1/float64(s.samples+1)) * (math.Log(took/c.mean) - s.slow)
 	}
@@ -809,7 +809,7 @@
 		return false
 	}
 	ran := func(a *attempt) bool { return !a.unsent }
-	return r.class.Effect != Unsafe || !slices.ContainsFunc(r.attempts, ran)
+	return r.class.Effect != NonIdempotent || !slices.ContainsFunc(r.attempts, ran)
 }
 
 // further decides what follows when no attempt is left out: another within the budget and with
@@ -842,7 +842,8 @@
 		return
 	}
 	harmless := !slices.ContainsFunc(r.attempts, func(a *attempt) bool {
-		return !a.unsent && (r.class.Effect == Unsafe || r.class.Effect == Keyed && r.class.Scope != ScopeAll)
+		effect, scope := r.class.Effect, r.class.Scope
+		return !a.unsent && (effect == NonIdempotent || effect == IdempotentByKey && scope != ScopeAll)
 	})
 	if len(r.attempts) == 0 {
 		b.shed += memory / 4 * (1 - b.shed)
@@ -850,7 +851,7 @@
 	if harmless {
 		// A client sent away for long comes back when its aim is mostly over, and its late answer
 		// takes the room of one in time; the window, not the clients' absence, holds the load off.
-		b.do(Refuse{ID: r.id, RetryAfter: min(b.set.MaxRetryAfter, b.set.Tick)})
+		b.do(Reject{ID: r.id, RetryAfter: min(b.set.MaxRetryAfter, b.set.Tick)})
 	} else {
 		b.do(Fail{ID: r.id})
 	}
@@ -876,7 +877,7 @@
 	r.answered = true
 	b.unhold(r)
 	for _, a := range r.attempts {
-		if !a.ended && b.set.MayCancel {
+		if !a.ended && b.set.AllowCancel {
 			b.do(Cancel{ID: r.id, Attempt: a.n})
 		}
 	}
--- a/policy_test.go
+++ b/policy_test.go
@@ -15,15 +15,15 @@
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
-			{Name: "get", Effect: Safe, Scope: ScopeAll, Aim: 500 * msec, Deadline: 1500 * msec, Worth: 1},
-			{Name: "post", Effect: Keyed, Scope: ScopeCell, Window: 900 * msec, Aim: 500 * msec,
-				Deadline: 1500 * msec, Worth: 2},
-			{Name: "pay", Effect: Unsafe, Aim: 500 * msec, Deadline: 1500 * msec, Worth: 3},
+			{Name: "get", Effect: Idempotent, Scope: ScopeAll, LatencyObjective: 500 * msec, Deadline: 1500 * msec, PriorityWeight: 1},
+			{Name: "post", Effect: IdempotentByKey, Scope: ScopeCell, DedupWindow: 900 * msec, LatencyObjective: 500 * msec,
+				Deadline: 1500 * msec, PriorityWeight: 2},
+			{Name: "pay", Effect: NonIdempotent, LatencyObjective: 500 * msec, Deadline: 1500 * msec, PriorityWeight: 3},
 		},
-		Balancers: 2, Tier: 0, WholeWeight: 0.6, ClassWeight: 0.3,
-		MaxAttempts: 5, MayCancel: true, Tick: 2 * msec,
-		AskWithin: 10 * time.Second, MaxRetryAfter: 2 * time.Second,
-		ColdFrom: 0.2, WarmAfter: 10 * time.Second,
+		Replicas: 2, Tier: 0, TotalWeight: 0.6, WorstClassWeight: 0.3,
+		MaxAttempts: 5, AllowCancel: true, Tick: 2 * msec,
+		PollWithin: 10 * time.Second, MaxRetryAfter: 2 * time.Second,
+		SlowStartFloor: 0.2, SlowStartDuration: 10 * time.Second,
 	}
 }
 
@@ -40,10 +40,10 @@
 	return b
 }
 
-func servers(n int) []Server {
-	var l []Server
+func servers(n int) []Endpoint {
+	var l []Endpoint
 	for i := range n {
-		l = append(l, Server{ID: fmt.Sprintf("s%02d", i), Zone: "z", Cell: i % 2})
+		l = append(l, Endpoint{ID: fmt.Sprintf("s%02d", i), Zone: "z", Cell: i % 2})
 	}
 	return l
 }
@@ -63,7 +63,7 @@
 	mk := func(calls ...int) []*server {
 		var l []*server
 		for i, c := range calls {
-			l = append(l, &server{Server: Server{ID: fmt.Sprint(i, c)}, calls: c})
+			l = append(l, &server{Endpoint: Endpoint{ID: fmt.Sprint(i, c)}, calls: c})
 		}
 		return l
 	}
@@ -115,9 +115,9 @@
 func TestCopiesShareTheOrder(t *testing.T) {
 	a, b := newBalancer(t, nil), newBalancer(t, nil)
 	l := servers(7)
-	a.Handle(0, ServerList{Full: true, Servers: l})
+	a.Handle(0, EndpointUpdate{Complete: true, Endpoints: l})
 	for i := len(l) - 1; i >= 0; i-- {
-		b.Handle(0, ServerList{Servers: l[i : i+1]})
+		b.Handle(0, EndpointUpdate{Endpoints: l[i : i+1]})
 	}
 	for i := range l {
 		if a.ready.all[i].ID != b.ready.all[i].ID {
@@ -131,12 +131,12 @@
 	b := newBalancer(t, nil)
 	acts := b.Handle(0, Request{ID: "a", Class: "get", Deadline: 1000 * msec})
 	for now := time.Duration(0); now < 1000*msec; {
-		var next Wake
+		var next SetTimer
 		for _, a := range acts {
 			switch a := a.(type) {
-			case Wake:
+			case SetTimer:
 				next = a
-			case Refuse:
+			case Reject:
 				return
 			}
 		}
@@ -150,24 +150,24 @@
 }
 
 // settle answers the single attempt of a request.
-func settle(b *Balancer, now time.Duration, id string, s Send, e Ending) []Action {
-	return b.Handle(now, Outcome{ID: id, Server: s.Server, Ending: e, Ended: e == Success})
+func settle(b *Balancer, now time.Duration, id string, s Send, e AttemptResult) []Action {
+	return b.Handle(now, AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: e, Answered: e == Success})
 }
 
 // traffic sends n requests one after another; fate decides how attempts at a server end. It
 // returns how many first tries each server got in the second half.
-func traffic(b *Balancer, n int, class string, fate func(server string) Ending) map[string]int {
+func traffic(b *Balancer, n int, class string, fate func(server string) AttemptResult) map[string]int {
 	got := map[string]int{}
 	for i := range n {
 		id, now := fmt.Sprint(class, i), b.now+20*msec
 		for _, s := range sends(b.Handle(now, Request{ID: id, Class: class, Deadline: now + time.Second})) {
 			if i >= n/2 {
-				got[s.Server]++
+				got[s.Endpoint]++
 			}
 			for k := 0; k < 5; k++ {
-				e := fate(s.Server)
+				e := fate(s.Endpoint)
 				now += 10 * msec
-				again := sends(b.Handle(now, Outcome{ID: id, Attempt: k, Server: s.Server, Ending: e, Ended: e == Success}))
+				again := sends(b.Handle(now, AttemptEnded{ID: id, Attempt: k, Endpoint: s.Endpoint, Result: e, Answered: e == Success}))
 				if len(again) == 0 {
 					break
 				}
@@ -180,10 +180,10 @@
 
 // A server that errs at once drains its count; without ejection it would win every draw.
 func TestFastErrorsAreEjected(t *testing.T) {
-	for _, e := range []Ending{Failure, Unreachable, Broken} {
+	for _, e := range []AttemptResult{ServerError, ConnectFailed, ConnectionLost} {
 		b := newBalancer(t, nil)
-		b.Handle(0, ServerList{Full: true, Servers: servers(10)})
-		got := traffic(b, 600, "get", func(s string) Ending {
+		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
+		got := traffic(b, 600, "get", func(s string) AttemptResult {
 			if s == "s03" {
 				return e
 			}
@@ -198,8 +198,8 @@
 // When every server fails alike the trouble is below them: nobody may be starved of calls.
 func TestFailuresEverywhereEjectFew(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(10)})
-	got := traffic(b, 800, "get", func(string) Ending { return Failure })
+	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
+	got := traffic(b, 800, "get", func(string) AttemptResult { return ServerError })
 	if len(got) < 8 {
 		t.Errorf("only %d of 10 servers are still used", len(got))
 	}
@@ -208,13 +208,13 @@
 // A machine gone quiet shows nothing but an old unanswered call while others answer.
 func TestSilentServerIsPassedOver(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(10)})
+	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 	stuck, now := 0, time.Duration(0)
 	for i := range 600 {
 		id := fmt.Sprint(i)
 		now += 20 * msec
 		for _, s := range sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Minute})) {
-			if s.Server == "s03" {
+			if s.Endpoint == "s03" {
 				stuck++
 			} else {
 				settle(b, now+10*msec, id, s, Success)
@@ -229,13 +229,13 @@
 // After an ejection the first trial must not be a request that cannot be repeated.
 func TestTrialIsNeverUnsafe(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(10)})
+	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 	s := b.servers["s03"]
 	s.level, s.until = 1, 0
-	if got := traffic(b, 400, "pay", func(string) Ending { return Success }); got["s03"] != 0 {
+	if got := traffic(b, 400, "pay", func(string) AttemptResult { return Success }); got["s03"] != 0 {
 		t.Errorf("a server on trial got %d unsafe requests", got["s03"])
 	}
-	if got := traffic(b, 400, "get", func(string) Ending { return Success }); got["s03"] == 0 {
+	if got := traffic(b, 400, "get", func(string) AttemptResult { return Success }); got["s03"] == 0 {
 		t.Error("the server was never tried again")
 	}
 }
@@ -243,9 +243,9 @@
 // Below the first tier a server that holds several of our calls is passed over while others idle.
 func TestCrowdedServerIsPassedOver(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
-	b.Handle(0, ServerList{Full: true, Servers: servers(6)})
+	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(6)})
 	b.servers["s00"].calls, b.inFlight = 2, 2
-	got := traffic(b, 300, "get", func(string) Ending { return Success })
+	got := traffic(b, 300, "get", func(string) AttemptResult { return Success })
 	if got["s00"] != 0 || len(got) != 5 {
 		t.Errorf("draws: %v", got)
 	}
@@ -258,7 +258,7 @@
 		grow bool
 	}{{450 * msec, false}, {40 * msec, true}} {
 		b := newBalancer(t, nil)
-		b.Handle(0, ServerList{Full: true, Servers: servers(4)})
+		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
 		c := b.classes["get"] // known to answer in 40 ms when there is room
 		c.samples, c.mean, c.base = 100, float64(40*msec), float64(40*msec)
 		b.window = 15 // less than its growth may reach with the ten calls that are out here
@@ -283,17 +283,17 @@
 
 func TestSettingsErrorsNameTheField(t *testing.T) {
 	for want, change := range map[string]func(*Settings){
-		"Classes is empty":  func(s *Settings) { s.Classes = nil },
-		"Classes[0].Name":   func(s *Settings) { s.Classes[0].Name = "" },
-		"Classes[1].Window": func(s *Settings) { s.Classes[1].Window = -1 },
-		"Classes[2].Name":   func(s *Settings) { s.Classes[2].Name = "get" },
-		"Worth":             func(s *Settings) { s.Classes[0].Worth = math.Inf(1) },
-		"WholeWeight":       func(s *Settings) { s.WholeWeight = math.NaN() },
-		"Index":             func(s *Settings) { s.Index = -1 },
-		"Zones":             func(s *Settings) { s.Zones = -1 },
-		"ColdFrom":          func(s *Settings) { s.ColdFrom = 1.5 },
-		"WarmAfter":         func(s *Settings) { s.WarmAfter = -1 },
-		"LateShare":         func(s *Settings) { s.Classes[0].LateShare = 2 },
+		"Classes is missing":        func(s *Settings) { s.Classes = nil },
+		"Classes[0].Name":           func(s *Settings) { s.Classes[0].Name = "" },
+		"Classes[1].DedupWindow":    func(s *Settings) { s.Classes[1].DedupWindow = -1 },
+		"Classes[2].Name":           func(s *Settings) { s.Classes[2].Name = "get" },
+		"Classes[0].PriorityWeight": func(s *Settings) { s.Classes[0].PriorityWeight = math.Inf(1) },
+		"TotalWeight":               func(s *Settings) { s.TotalWeight = math.NaN() },
+		"ReplicaIndex":              func(s *Settings) { s.ReplicaIndex = -1 },
+		"ZoneCount":                 func(s *Settings) { s.ZoneCount = -1 },
+		"SlowStartFloor":            func(s *Settings) { s.SlowStartFloor = 1.5 },
+		"SlowStartDuration":         func(s *Settings) { s.SlowStartDuration = -1 },
+		"Classes[0].LateValue":      func(s *Settings) { s.Classes[0].LateValue = 2 },
 	} {
 		s := testSettings()
 		change(&s)
@@ -306,12 +306,12 @@
 // A marked repeat is mostly past its aim already: while there is little room, first tries go first.
 func TestFirstTriesGoBeforeRepeats(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(1)})
+	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(1)})
 	b.window = 1
 	first := sends(b.Handle(0, Request{ID: "a", Class: "get", Deadline: time.Second}))
 	b.Handle(msec, Request{ID: "new", Class: "get", Deadline: time.Second})
-	b.Handle(2*msec, Request{ID: "repeat", Class: "get", Deadline: time.Second, Repeat: true})
-	b.classes["get"].LateShare = 0.5
+	b.Handle(2*msec, Request{ID: "repeat", Class: "get", Deadline: time.Second, Retry: true})
+	b.classes["get"].LateValue = 0.5
 	b.inFlight = int(windowFloor*b.fairServers()) + 2
 	b.window = float64(b.inFlight) // one comes free by the next answer
 	next := sends(settle(b, 10*msec, "a", first[0], Success))
@@ -366,7 +366,7 @@
 		want int
 	}{{0, 4}, {0.5, 2}, {0.9, 0}} {
 		b := newBalancer(t, nil)
-		b.Handle(msec, ServerList{Full: true, Servers: servers(20)})
+		b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(20)})
 		for _, s := range b.ready.all[:10] {
 			s.until = time.Minute
 		}
@@ -387,8 +387,8 @@
 // Connection tables filled by other copies refuse at once: a server that refused gets no more own
 // calls than it had, however many others refuse too, and is tried again later.
 func TestRefusingServerKeepsOnlyWhatItHad(t *testing.T) {
-	b := newBalancer(t, func(s *Settings) { s.Tier, s.Balancers = 1, 1 })
-	b.Handle(msec, ServerList{Full: true, Servers: servers(10)})
+	b := newBalancer(t, func(s *Settings) { s.Tier, s.Replicas = 1, 1 })
+	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 	now, id := msec, 0
 	full := map[string]bool{"s00": true, "s02": true, "s03": true, "s05": true, "s06": true, "s08": true}
 	refused := func(n int) (count int) {
@@ -398,13 +398,13 @@
 			todo := sends(b.Handle(now, Request{ID: fmt.Sprint(id), Class: "get", Deadline: now + time.Second}))
 			for try := 0; len(todo) > 0; try++ {
 				end := Success
-				if full[todo[0].Server] {
-					end = Unreachable
+				if full[todo[0].Endpoint] {
+					end = ConnectFailed
 					count++
 				}
 				now += 20 * msec
-				todo = sends(b.Handle(now, Outcome{ID: fmt.Sprint(id), Attempt: try, Server: todo[0].Server,
-					Ending: end, Ended: end == Success}))
+				todo = sends(b.Handle(now, AttemptEnded{ID: fmt.Sprint(id), Attempt: try, Endpoint: todo[0].Endpoint,
+					Result: end, Answered: end == Success}))
 			}
 		}
 		return count
@@ -420,16 +420,16 @@
 }
 
 // steered is the window after many alike outcomes, each after share of what is aimed at, from 100.
-func steered(t *testing.T, shed float64, ending Ending, after func(*class) float64) float64 {
+func steered(t *testing.T, shed float64, ending AttemptResult, after func(*class) float64) float64 {
 	t.Helper()
 	b := newBalancer(t, nil)
-	b.Handle(msec, ServerList{Full: true, Servers: servers(10)})
+	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 	b.window, b.busy = 100, 100
 	r := &request{class: b.classes["get"], attempts: []*attempt{{sent: 0}}}
 	for range 50 {
 		b.shed = shed
 		b.now, b.inFlight = time.Duration(after(r.class)), int(b.window)
-		b.steer(r, Outcome{Ending: ending})
+		b.steer(r, AttemptEnded{Result: ending})
 	}
 	return b.window
 }
@@ -450,7 +450,7 @@
 	if w := steered(t, 1, Success, idle); w <= 100 {
 		t.Errorf("idle servers' answers moved the window from 100 to %.1f", w)
 	}
-	for _, e := range []Ending{Broken, Failure} {
+	for _, e := range []AttemptResult{ConnectionLost, ServerError} {
 		if w := steered(t, 0, e, idle); w != 100 {
 			t.Errorf("ending %v moved the window from 100 to %.1f", e, w)
 		}
@@ -460,13 +460,13 @@
 // A refused client is not sent away for long: it would come back when its aim is mostly over.
 func TestRefusalsBringClientsBackSoon(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(msec, ServerList{Full: true, Servers: servers(2)})
+	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(2)})
 	b.window, b.inFlight = 1, 1
 	r := Request{ID: "a", Class: "get", Deadline: time.Second}
 	b.Handle(2*msec, r)
 	for _, a := range b.Handle(600*msec, Timer{Token: "r:a"}) {
-		if f, ok := a.(Refuse); ok {
-			if limit := b.set.Classes[0].Aim / 10; f.RetryAfter > limit {
+		if f, ok := a.(Reject); ok {
+			if limit := b.set.Classes[0].LatencyObjective / 10; f.RetryAfter > limit {
 				t.Errorf("RetryAfter %v, want at most %v", f.RetryAfter, limit)
 			}
 			return
@@ -479,11 +479,11 @@
 func TestDrawsFollowSizeAndLatency(t *testing.T) {
 	list := servers(4)
 	for i := range list {
-		list[i].Size = 1
+		list[i].Capacity = 1
 	}
-	list[0].Size = 2
-	b := newBalancer(t, func(s *Settings) { s.Tier, s.Balancers = 1, 1 })
-	b.Handle(msec, ServerList{Full: true, Servers: list})
+	list[0].Capacity = 2
+	b := newBalancer(t, func(s *Settings) { s.Tier, s.Replicas = 1, 1 })
+	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: list})
 	b.servers["s02"].slow = math.Log(2)
 	got := map[string]int{}
 	for range 9000 {
@@ -503,8 +503,8 @@
 	count := map[string]int{}
 	const nodes = 60
 	for i := range nodes {
-		b := newBalancer(t, func(s *Settings) { s.Tier, s.Balancers, s.Index = 1, nodes, i })
-		b.Handle(msec, ServerList{Full: true, Servers: servers(40)})
+		b := newBalancer(t, func(s *Settings) { s.Tier, s.Replicas, s.ReplicaIndex = 1, nodes, i })
+		b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(40)})
 		b.choose(&request{class: b.classes["get"]})
 		for _, s := range append(append([]*server{}, b.pool.left...), b.pool.right...) {
 			count[s.ID]++
@@ -527,7 +527,7 @@
 }
 
 // zoned lists servers of two zones, each in both groups.
-func zoned(n int) []Server {
+func zoned(n int) []Endpoint {
 	l := servers(n)
 	for i := range l {
 		l[i].Zone = []string{"north", "north", "east", "east"}[i%4]
@@ -537,7 +537,7 @@
 
 // inZone sets a copy's zone, by its number: the copies of a zone are numbered in a row.
 func inZone(s *Settings, index, copies int) {
-	s.Balancers, s.Index, s.Zones = copies, index, 2
+	s.Replicas, s.ReplicaIndex, s.ZoneCount = copies, index, 2
 	s.Zone = []string{"north", "east"}[2*index/copies]
 }
 
@@ -549,12 +549,12 @@
 	hung, sent := 0, 0
 	for i := copies / 2; i < copies; i++ { // those of the zone that is left
 		b := newBalancer(t, func(s *Settings) { inZone(s, i, copies); s.Tier = 1 })
-		b.Handle(msec, ServerList{Full: true, Servers: zoned(40)})
+		b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: zoned(40)})
 		for k := range rounds {
 			id, now := fmt.Sprint(k), time.Duration(k+1)*100*msec
 			for _, s := range sends(b.Handle(now, Request{ID: id, Class: "pay", Deadline: now + time.Second})) {
 				sent++
-				if b.servers[s.Server].Zone == "north" {
+				if b.servers[s.Endpoint].Zone == "north" {
 					hung++
 					continue
 				}
@@ -580,7 +580,7 @@
 					s.Zone = []string{"north", "east"}[i%2]
 				}
 			})
-			b.Handle(msec, ServerList{Full: true, Servers: zoned(40)})
+			b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: zoned(40)})
 			b.fitPool()
 			for _, s := range slices.Concat(b.pool.left, b.pool.right) {
 				if count[s.ID]++; s.Zone != b.set.Zone {
@@ -605,10 +605,10 @@
 // What answers first must not look fast against a guess of the latency, and then win every draw.
 func TestFirstAnswersDoNotLookFast(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
-	b.Handle(msec, ServerList{Full: true, Servers: servers(8)})
+	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(8)})
 	s := sends(b.Handle(msec, Request{ID: "a", Class: "get", Deadline: time.Second}))[0]
 	settle(b, 3*msec, "a", s, Success)
-	if got := b.servers[s.Server].slow; got < -0.1 {
+	if got := b.servers[s.Endpoint].slow; got < -0.1 {
 		t.Errorf("the first answer made its server look %.1f in log latency", got)
 	}
 }
@@ -616,8 +616,8 @@
 // With hundreds of nodes a share of the servers is one call or less: a window that starts or stays
 // there refuses requests that the fleet could carry, so it must open within seconds of good answers.
 func TestWindowOpensAtANodeOfMany(t *testing.T) {
-	b := newBalancer(t, func(s *Settings) { s.Balancers = 300 })
-	b.Handle(0, ServerList{Full: true, Servers: servers(60)})
+	b := newBalancer(t, func(s *Settings) { s.Replicas = 300 })
+	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(60)})
 	var open []Send
 	for i := range 150 { // thirty a second, answered in 100 ms: three in flight
 		now := time.Duration(i) * 33 * msec
@@ -639,14 +639,14 @@
 		late float64
 		want time.Duration
 	}{{0, 0, 500*msec - 4*msec}, {0, 0.5, 1500 * msec}, {1, 0, 1500 * msec}} {
-		b := newBalancer(t, func(s *Settings) { s.Tier, s.Classes[0].LateShare = c.tier, c.late })
-		b.Handle(0, ServerList{Full: true, Servers: servers(4)})
+		b := newBalancer(t, func(s *Settings) { s.Tier, s.Classes[0].LateValue = c.tier, c.late })
+		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
 		s := sends(b.Handle(0, Request{ID: "a", Class: "get", Deadline: 1500 * msec}))[0]
 		if s.Timeout != c.want {
 			t.Errorf("tier %d, late share %v: time-out %v, want %v", c.tier, c.late, s.Timeout, c.want)
 		}
-		acts := b.Handle(c.want, Outcome{ID: "a", Ending: TimedOut})
-		if _, refused := acts[0].(Refuse); len(acts) != 1 || !refused {
+		acts := b.Handle(c.want, AttemptEnded{ID: "a", Result: TimedOut})
+		if _, refused := acts[0].(Reject); len(acts) != 1 || !refused {
 			t.Errorf("tier %d, late share %v: after the time-out %v", c.tier, c.late, acts)
 		}
 	}
@@ -669,7 +669,7 @@
 		{"answers may take that long", 1, "get", 0.2, 5, 500 * msec, 500 * msec},
 	} {
 		b := newBalancer(t, func(s *Settings) { s.Tier = c.tier })
-		b.Handle(0, ServerList{Full: true, Servers: servers(4)})
+		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
 		b.classes[c.class].failing, b.tokens = c.failing, c.tokens
 		s := sends(b.Handle(0, Request{ID: "a", Class: c.class, Deadline: c.left}))[0]
 		if s.Timeout != c.want {
@@ -681,9 +681,9 @@
 // Repeats by clients make a jam last: they get only half of the window.
 func TestRepeatsLeaveRoomForFirstTries(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
+	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
 	b.window, b.inFlight = 10, 6
-	repeat := sends(b.Handle(msec, Request{ID: "again", Class: "get", Deadline: time.Second, Repeat: true}))
+	repeat := sends(b.Handle(msec, Request{ID: "again", Class: "get", Deadline: time.Second, Retry: true}))
 	first := sends(b.Handle(msec, Request{ID: "first", Class: "get", Deadline: time.Second}))
 	if len(repeat) != 0 || len(first) != 1 {
 		t.Errorf("sent %v for a repeat and %v for a first try", repeat, first)
@@ -698,13 +698,13 @@
 		want   bool
 	}{{0.02, true}, {0.5, false}} {
 		b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
-		b.Handle(msec, ServerList{Full: true, Servers: servers(10)})
-		traffic(b, 40, "get", func(string) Ending { return Success })
+		b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
+		traffic(b, 40, "get", func(string) AttemptResult { return Success })
 		b.errors = c.common
 		now := b.now
 		s := sends(b.Handle(now, Request{ID: "slow", Class: "get", Deadline: now + time.Second}))[0]
 		settle(b, now+400*msec, "slow", s, Success)
-		if out := b.servers[s.Server].until > b.now; out != c.want {
+		if out := b.servers[s.Endpoint].until > b.now; out != c.want {
 			t.Errorf("with %.2f of answers overlong: ejected %v, want %v", c.common, out, c.want)
 		}
 	}
@@ -713,21 +713,21 @@
 // After a loss a node's whole pool may come back cold. That must not set the thinning aside while the
 // rest of the list is warm: many such nodes would push the cold servers over.
 func TestColdPoolLeavesTheThinningOn(t *testing.T) {
-	b := newBalancer(t, func(s *Settings) { s.Tier, s.Balancers = 1, 50 })
+	b := newBalancer(t, func(s *Settings) { s.Tier, s.Replicas = 1, 50 })
 	list := servers(40)
-	b.Handle(msec, ServerList{Full: true, Servers: list})
+	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: list})
 	b.choose(&request{class: b.classes["get"]})
 	for _, s := range append(append([]*server{}, b.pool.left...), b.pool.right...) {
 		for i := range list {
 			if list[i].ID == s.ID {
-				list[i].Boot = time.Second
+				list[i].StartedAt = time.Second
 			}
 		}
 	}
-	b.Handle(time.Second, ServerList{Full: true, Servers: list})
+	b.Handle(time.Second, EndpointUpdate{Complete: true, Endpoints: list})
 	cold := 0
 	for range 1000 {
-		if s := b.choose(&request{class: b.classes["get"]}); s.Boot > 0 {
+		if s := b.choose(&request{class: b.classes["get"]}); s.StartedAt > 0 {
 			cold++
 		}
 	}
@@ -740,14 +740,14 @@
 func TestColdServerGetsNoHeavyRequests(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	list := servers(4)
-	list[1].Boot = time.Second
-	b.Handle(2*time.Second, ServerList{Full: true, Servers: list}) // warmth 0.28
+	list[1].StartedAt = time.Second
+	b.Handle(2*time.Second, EndpointUpdate{Complete: true, Endpoints: list}) // warmth 0.28
 	got := map[time.Duration]int{}
 	for i := range 400 {
 		effort := []time.Duration{10 * msec, 100 * msec}[i%2]
 		id, now := fmt.Sprint(i), b.now+10*time.Microsecond
-		s := sends(b.Handle(now, Request{ID: id, Class: "pay", Deadline: now + time.Second, Effort: effort}))[0]
-		if settle(b, now, id, s, Success); s.Server == "s01" && i >= 20 {
+		s := sends(b.Handle(now, Request{ID: id, Class: "pay", Deadline: now + time.Second, ExpectedWork: effort}))[0]
+		if settle(b, now, id, s, Success); s.Endpoint == "s01" && i >= 20 {
 			got[effort]++
 		}
 	}
@@ -760,10 +760,10 @@
 func TestOddSizesDraw(t *testing.T) {
 	list := servers(4)
 	for i, size := range []float64{math.NaN(), math.Inf(1), -1, 0} {
-		list[i].Size = size
+		list[i].Capacity = size
 	}
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: list})
+	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: list})
 	if got := sends(b.Handle(0, Request{ID: "a", Class: "get", Deadline: time.Second})); len(got) != 1 {
 		t.Errorf("sent %v", got)
 	}
@@ -772,8 +772,10 @@
 // In overload what is worth least is refused first, also where too few wait for the hold to choose;
 // with nothing shed every class may fill the window, and no class loses more than half of it.
 func TestWindowKeepsRoomForWorth(t *testing.T) {
-	b := newBalancer(t, func(s *Settings) { s.Classes[0].Worth, s.Classes[2].Worth, s.ClassWeight = 1, 12, 0 })
-	b.Handle(0, ServerList{Full: true, Servers: servers(4)})
+	b := newBalancer(t, func(s *Settings) {
+		s.Classes[0].PriorityWeight, s.Classes[2].PriorityWeight, s.WorstClassWeight = 1, 12, 0
+	})
+	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
 	for _, c := range b.order {
 		c.arrive, c.serve = 10, 5
 	}
@@ -790,7 +792,7 @@
 // A coarse clock shows answers in no time at all: that must not make every server weigh nothing.
 func TestInstantAnswersLeaveServersToDraw(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(msec, ServerList{Full: true, Servers: servers(4)})
+	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(4)})
 	for i := range 50 {
 		id := fmt.Sprint(i)
 		got := sends(b.Handle(msec, Request{ID: id, Class: "get", Deadline: time.Second}))
@@ -805,23 +807,23 @@
 // use; a few answers that tell of a crowd end that.
 func TestNewWindowOpensUntilServersAreCrowded(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(msec, ServerList{Full: true, Servers: servers(10)})
+	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 	floor := windowFloor * b.fairServers()
 	if b.window != floor {
 		t.Fatalf("a new window is %.1f, want its floor, %.1f", b.window, floor)
 	}
 	r := &request{class: b.classes["get"], attempts: []*attempt{{sent: 0}}}
-	answers := func(n int, ending Ending, share float64) {
+	answers := func(n int, ending AttemptResult, share float64) {
 		for range n {
 			b.now, b.inFlight = time.Duration(share*r.class.target(0)), int(b.window)
-			b.steer(r, Outcome{Ending: ending})
+			b.steer(r, AttemptEnded{Result: ending})
 		}
 	}
 	answers(20, Success, 0.8)
 	if want := floor + 20; b.window != want {
 		t.Errorf("20 good answers opened the window from %.1f to %.1f, want %.1f", floor, b.window, want)
 	}
-	answers(8, Overloaded, 0.1)
+	answers(8, Rejected, 0.1)
 	crowded := b.window
 	if answers(20, Success, 0.8); b.window > crowded+5 {
 		t.Errorf("after a crowd 20 good answers opened the window from %.1f to %.1f", crowded, b.window)
@@ -831,12 +833,12 @@
 // Room that is not in use is given up at once when servers turn calls away: else all nodes fill it together.
 func TestCrowdTakesUnusedRoom(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(msec, ServerList{Full: true, Servers: servers(10)})
+	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 	b.window, b.busy, b.opening = 80, 40, false
 	r := &request{class: b.classes["get"], attempts: []*attempt{{sent: 0}}}
 	for range 8 {
 		b.now = msec
-		b.steer(r, Outcome{Ending: Overloaded})
+		b.steer(r, AttemptEnded{Result: Rejected})
 	}
 	if b.window > b.busy+1 {
 		t.Errorf("8 calls turned away left a window of %.1f with %.0f calls out", b.window, b.busy)
--- a/ramp_test.go
+++ b/ramp_test.go
@@ -35,7 +35,7 @@
 }
 
 type rampServer struct {
-	Server
+	Endpoint
 	busy  int
 	queue []func()
 	taken []rampCall // while cold
@@ -53,13 +53,13 @@
 	if boot == 0 {
 		return 1
 	}
-	return min(1, set.ColdFrom+(1-set.ColdFrom)*float64(now-boot)/float64(set.WarmAfter))
+	return min(1, set.SlowStartFloor+(1-set.SlowStartFloor)*float64(now-boot)/float64(set.SlowStartDuration))
 }
 
 // fallBudget is what a server that started at boot may get in a window from now on, in calls of mean work.
 func (r ramp) fallBudget(boot, now time.Duration) float64 {
 	perSecond := float64(r.cores) / r.work.Seconds()
-	n := r.set.FallMultiple * perSecond * warmthAt(r.set, boot, now) * r.set.FallFor.Seconds()
+	n := r.set.OverloadMultiple * perSecond * warmthAt(r.set, boot, now) * r.set.OverloadWindow.Seconds()
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
 	}
@@ -83,14 +83,14 @@
 		count++
 		heap.Push(&queue, simEvent{now + d, count, do})
 	}
-	list := func(replaced bool) (l []Server) {
+	list := func(replaced bool) (l []Endpoint) {
 		for i := range r.servers {
-			s := Server{ID: fmt.Sprintf("s%03d", i), Zone: "z", Size: 1}
+			s := Endpoint{ID: fmt.Sprintf("s%03d", i), Zone: "z", Capacity: 1}
 			if replaced && i < r.cold {
-				s.ID, s.Boot = fmt.Sprintf("t%03d", i), before // sorted apart from the old ones
+				s.ID, s.StartedAt = fmt.Sprintf("t%03d", i), before // sorted apart from the old ones
 			}
 			if all[s.ID] == nil {
-				all[s.ID] = &rampServer{Server: s, left: s.Boot == 0 && i < r.cold}
+				all[s.ID] = &rampServer{Endpoint: s, left: s.StartedAt == 0 && i < r.cold}
 			}
 			l = append(l, s)
 		}
@@ -103,7 +103,7 @@
 		names[req.ID]++
 		sent := now
 		ended := false
-		end := func(e Ending) {
+		end := func(e AttemptResult) {
 			if ended {
 				return
 			}
@@ -112,52 +112,52 @@
 				res.served++
 			}
 			if b != nil {
-				tell(b, Outcome{ID: req.ID, Attempt: n, Server: name, Ending: e, Latency: now - sent, Ended: e == Success})
+				tell(b, AttemptEnded{ID: req.ID, Attempt: n, Endpoint: name, Result: e, Latency: now - sent, Answered: e == Success})
 			}
 		}
-		if half := before + r.set.WarmAfter/2; now >= before && now < half {
+		if half := before + r.set.SlowStartDuration/2; now >= before && now < half {
 			capacity, of := 0.0, 0.0
 			for _, o := range all {
-				w := warmthAt(r.set, o.Boot, now)
-				if o.Boot > 0 {
+				w := warmthAt(r.set, o.StartedAt, now)
+				if o.StartedAt > 0 {
 					of += w
 				} else if !o.left {
 					capacity += w
 				}
 			}
 			coldMost += work * of / max(1e-9, of+capacity)
-			if s.Boot > 0 {
+			if s.StartedAt > 0 {
 				coldWork += work
 			}
 		}
-		if s.Boot > 0 && now < s.Boot+r.set.WarmAfter && !s.down {
+		if s.StartedAt > 0 && now < s.StartedAt+r.set.SlowStartDuration && !s.down {
 			s.taken = append(s.taken, rampCall{now, work})
 			sum := 0.0
-			for i := len(s.taken) - 1; i >= 0 && s.taken[i].at > now-r.set.FallFor; i-- {
+			for i := len(s.taken) - 1; i >= 0 && s.taken[i].at > now-r.set.OverloadWindow; i-- {
 				sum += s.taken[i].work
 			}
-			from := max(s.Boot, now-r.set.FallFor)
-			if part := sum / r.fallBudget(s.Boot, from); part > res.worst {
+			from := max(s.StartedAt, now-r.set.OverloadWindow)
+			if part := sum / r.fallBudget(s.StartedAt, from); part > res.worst {
 				res.worst = part
 			}
-			if sum > r.fallBudget(s.Boot, from) {
+			if sum > r.fallBudget(s.StartedAt, from) {
 				s.down = true
 				res.falls++
 			}
 		}
 		switch {
 		case s.down:
-			in(time.Millisecond, func() { end(Unreachable) })
+			in(time.Millisecond, func() { end(ConnectFailed) })
 			return
-		case now >= before && s.Boot == 0 && r.bad(s.ID):
-			in(2*time.Millisecond, func() { end(Failure) })
+		case now >= before && s.StartedAt == 0 && r.bad(s.ID):
+			in(2*time.Millisecond, func() { end(ServerError) })
 			return
 		case s.busy+len(s.queue) >= r.room:
-			in(2*time.Millisecond, func() { end(Overloaded) })
+			in(2*time.Millisecond, func() { end(Rejected) })
 			return
 		}
 		run := func() {
-			took := time.Duration(work * float64(r.work) / warmthAt(r.set, s.Boot, now))
+			took := time.Duration(work * float64(r.work) / warmthAt(r.set, s.StartedAt, now))
 			s.busy++
 			in(took, func() {
 				s.busy--
@@ -202,14 +202,14 @@
 				cancels[fmt.Sprint(a.ID, "/", names[a.ID])] = &off
 				req := o.req
 				req.Deadline = min(req.Deadline, now+a.Timeout)
-				begin(b, req, o.work, a.Server, &off)
+				begin(b, req, o.work, a.Endpoint, &off)
 			case Cancel:
 				if off := cancels[fmt.Sprint(a.ID, "/", a.Attempt)]; off != nil {
 					*off = true
 					id, n := a.ID, a.Attempt
-					in(0, func() { tell(b, Outcome{ID: id, Attempt: n, Ending: Withdrawn, Ended: true}) })
+					in(0, func() { tell(b, AttemptEnded{ID: id, Attempt: n, Result: Cancelled, Answered: true}) })
 				}
-			case Wake:
+			case SetTimer:
 				token := a.Token
 				in(max(0, a.At-now), func() { tell(b, Timer{Token: token}) })
 			}
@@ -222,7 +222,7 @@
 	}
 	for i := range r.copies {
 		set := r.set
-		set.Balancers, set.Index = r.copies, i
+		set.Replicas, set.ReplicaIndex = r.copies, i
 		b, err := New(set, r.seed<<16+uint64(i))
 		if err != nil {
 			t.Fatal(err)
@@ -233,9 +233,9 @@
 		now = before
 	}
 	for _, b := range copies {
-		tell(b, ServerList{Full: true, Servers: list(r.fresh)})
+		tell(b, EndpointUpdate{Complete: true, Endpoints: list(r.fresh)})
 	}
-	end := before + r.set.WarmAfter + 2*time.Second
+	end := before + r.set.SlowStartDuration + 2*time.Second
 	rate := r.load * float64(r.servers*r.cores) / r.work.Seconds()
 	id := 0
 	var arrive func()
@@ -248,7 +248,7 @@
 			work := 0.5 + rng.Float64()
 			req := Request{ID: fmt.Sprint(id), Class: r.set.Classes[0].Name, Deadline: now + r.set.Classes[0].Deadline}
 			if r.hints {
-				req.Effort = time.Duration(work * float64(r.work))
+				req.ExpectedWork = time.Duration(work * float64(r.work))
 			}
 			if now >= before {
 				res.asked++
@@ -272,7 +272,7 @@
 	if !r.fresh {
 		in(before-now, func() {
 			for _, b := range copies {
-				tell(b, ServerList{Full: true, Servers: list(true)})
+				tell(b, EndpointUpdate{Complete: true, Endpoints: list(true)})
 			}
 		})
 	}
@@ -293,11 +293,11 @@
 }
 
 func rampSettings() Settings {
-	return Settings{Classes: []Class{{Name: "get", Effect: Safe, Scope: ScopeAll, Aim: 1200 * msec,
-		Deadline: 3 * time.Second, Worth: 1}},
-		Tier: 1, WholeWeight: 0.6, ClassWeight: 0.3, MaxAttempts: 6, MayCancel: true, Tick: 5 * msec,
-		AskWithin: 10 * time.Second, MaxRetryAfter: 2 * time.Second,
-		ColdFrom: 0.12, WarmAfter: 24 * time.Second, FallMultiple: 2, FallFor: time.Second}
+	return Settings{Classes: []Class{{Name: "get", Effect: Idempotent, Scope: ScopeAll, LatencyObjective: 1200 * msec,
+		Deadline: 3 * time.Second, PriorityWeight: 1}},
+		Tier: 1, TotalWeight: 0.6, WorstClassWeight: 0.3, MaxAttempts: 6, AllowCancel: true, Tick: 5 * msec,
+		PollWithin: 10 * time.Second, MaxRetryAfter: 2 * time.Second,
+		SlowStartFloor: 0.12, SlowStartDuration: 24 * time.Second, OverloadMultiple: 2, OverloadWindow: time.Second}
 }
 
 // rampCase is a row of the table below.
@@ -313,7 +313,7 @@
 func (c rampCase) ramp(seed uint64) ramp {
 	r := ramp{copies: c.copies, servers: 20, cold: c.cold, cores: 2, room: 24, work: 200 * msec, load: 0.5,
 		set: rampSettings(), hints: c.hints, fresh: c.fresh, failing: c.failing, seed: seed}
-	r.set.Tier, r.set.FallMultiple, r.set.FallFor = c.tier, c.multiple, c.window
+	r.set.Tier, r.set.OverloadMultiple, r.set.OverloadWindow = c.tier, c.multiple, c.window
 	if c.servers > 0 {
 		r.servers, r.cores, r.room = c.servers, c.cores, 12*c.cores
 	}
--- a/reconfigure.go
+++ b/reconfigure.go
@@ -14,9 +14,14 @@
 	b.set, b.classes, b.order = set, map[string]*class{}, nil
 	b.ready.setZone(set.Zone)
 	odd := slices.MaxFunc(set.Classes, func(a, b Class) int { return cmp.Compare(a.Deadline, b.Deadline) })
-	unknown := Class{Aim: odd.Aim, Deadline: odd.Deadline, Worth: odd.Worth} // unsafe
+	unknown := Class{ // not idempotent
+		LatencyObjective: odd.LatencyObjective,
+		Deadline:         odd.Deadline,
+		PriorityWeight:   odd.PriorityWeight,
+	}
 	for _, c := range append(slices.Clone(set.Classes), unknown) {
-		k := &class{c, &learned{mean: float64(c.Aim) / 4, dev: float64(c.Aim) / 8, base: float64(c.Aim) / 4}}
+		objective := float64(c.LatencyObjective)
+		k := &class{c, &learned{mean: objective / 4, dev: objective / 8, base: objective / 4}}
 		if was := old[c.Name]; was != nil {
 			if k.learned = was.learned; was.Deadline != c.Deadline {
 				k.votes = 0 // the time that is usual was a part of that
@@ -35,11 +40,11 @@
 		return
 	}
 	old := b.set
-	set.AskDiscovery = old.AskDiscovery // the host subscribes, or not, for its life
+	set.PollDiscovery = old.PollDiscovery // the host subscribes, or not, for its life
 	b.take(set)
 	b.creditGrowth.known = false
-	if set.Balancers != old.Balancers || set.Index != old.Index || set.Zone != old.Zone ||
-		set.Zones != old.Zones {
+	if set.Replicas != old.Replicas || set.ReplicaIndex != old.ReplicaIndex || set.Zone != old.Zone ||
+		set.ZoneCount != old.ZoneCount {
 		b.width = 0
 	}
 	for _, s := range b.servers { // what is still out of a class that has gone may bring its share back
--- a/reconfigure_test.go
+++ b/reconfigure_test.go
@@ -11,25 +11,25 @@
 // goes by the new ones. Each row has a request that may have run once, and new settings for its class.
 func TestRequestsKeepTheClassTheyCameWith(t *testing.T) {
 	class := func(e Effect) Class {
-		return Class{Name: "get", Effect: e, Scope: ScopeAll, Window: time.Second, Aim: 500 * msec,
-			Deadline: 1500 * msec, Worth: 1}
+		return Class{Name: "get", Effect: e, Scope: ScopeAll, DedupWindow: time.Second, LatencyObjective: 500 * msec,
+			Deadline: 1500 * msec, PriorityWeight: 1}
 	}
-	short := class(Keyed)
-	short.Window = 10 * msec
-	other := class(Safe)
+	short := class(IdempotentByKey)
+	short.DedupWindow = 10 * msec
+	other := class(Idempotent)
 	other.Name = "other"
 	for name, row := range map[string]struct {
 		before, after    Class
 		oldAgain, newToo bool // whether a request is sent again after a reset
 	}{
-		"safe becomes unsafe":     {class(Safe), class(Unsafe), true, false},
-		"unsafe becomes safe":     {class(Unsafe), class(Safe), false, true},
-		"keyed becomes unsafe":    {class(Keyed), class(Unsafe), true, false},
-		"the window shrinks":      {class(Keyed), short, true, false},
-		"the window grows":        {short, class(Keyed), false, true},
-		"the class goes":          {class(Safe), other, true, false},
-		"nothing changes":         {class(Safe), class(Safe), true, true},
-		"a bad file changes none": {class(Safe), Class{Name: "get"}, true, true},
+		"safe becomes unsafe":     {class(Idempotent), class(NonIdempotent), true, false},
+		"unsafe becomes safe":     {class(NonIdempotent), class(Idempotent), false, true},
+		"keyed becomes unsafe":    {class(IdempotentByKey), class(NonIdempotent), true, false},
+		"the window shrinks":      {class(IdempotentByKey), short, true, false},
+		"the window grows":        {short, class(IdempotentByKey), false, true},
+		"the class goes":          {class(Idempotent), other, true, false},
+		"nothing changes":         {class(Idempotent), class(Idempotent), true, true},
+		"a bad file changes none": {class(Idempotent), Class{Name: "get"}, true, true},
 	} {
 		set := testSettings()
 		set.Classes = []Class{row.before}
@@ -37,7 +37,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Handle(0, ServerList{Full: true, Servers: servers(6)})
+		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(6)})
 		again := func(at time.Duration, id string) bool {
 			s := sends(b.Handle(at, Request{ID: id, Class: "get", Deadline: at + time.Second}))
 			if len(s) != 1 {
@@ -47,7 +47,7 @@
 				set.Classes = []Class{row.after}
 				b.Handle(at+5*msec, Reconfigure{set})
 			}
-			acts := b.Handle(at+30*msec, Outcome{ID: id, Server: s[0].Server, Ending: Broken})
+			acts := b.Handle(at+30*msec, AttemptEnded{ID: id, Endpoint: s[0].Endpoint, Result: ConnectionLost})
 			return len(sends(acts)) == 1
 		}
 		if got := again(20*msec, "old"); got != row.oldAgain {
@@ -62,33 +62,33 @@
 // What was learned outlives new settings: a class's latency, a server's ill health and the calls out.
 func TestReconfigureKeepsWhatWasLearned(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(6)})
-	traffic(b, 300, "get", func(server string) Ending {
+	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(6)})
+	traffic(b, 300, "get", func(server string) AttemptResult {
 		if server == "s02" {
-			return Failure
+			return ServerError
 		}
 		return Success
 	})
 	open := sends(b.Handle(b.now, Request{ID: "open", Class: "get", Deadline: b.now + time.Second}))[0]
-	mean, calls, until := b.classes["get"].mean, b.servers[open.Server].calls, b.servers["s02"].until
+	mean, calls, until := b.classes["get"].mean, b.servers[open.Endpoint].calls, b.servers["s02"].until
 	if calls == 0 || until == 0 {
 		t.Fatalf("%d calls out, ejected until %v: nothing to keep", calls, until)
 	}
 	set := testSettings()
 	set.Classes = slices.Clone(set.Classes)
-	set.Classes[0].Aim *= 2
-	set.Classes = append(set.Classes, Class{Name: "new", Aim: time.Second, Deadline: 2 * time.Second})
+	set.Classes[0].LatencyObjective *= 2
+	set.Classes = append(set.Classes, Class{Name: "new", LatencyObjective: time.Second, Deadline: 2 * time.Second})
 	b.Handle(b.now, Reconfigure{set})
 	if got := b.classes["get"].mean; got != mean {
 		t.Errorf("mean latency %v, want %v", got, mean)
 	}
-	if got := b.servers[open.Server].calls; got != calls {
+	if got := b.servers[open.Endpoint].calls; got != calls {
 		t.Errorf("%d calls, want %d", got, calls)
 	}
 	if got := b.servers["s02"].until; got != until {
 		t.Errorf("ejected until %v, want %v", got, until)
 	}
-	if b.classes["get"].Aim != set.Classes[0].Aim || b.classes["new"] == nil {
+	if b.classes["get"].LatencyObjective != set.Classes[0].LatencyObjective || b.classes["new"] == nil {
 		t.Error("the new settings are not in force")
 	}
 }
@@ -96,17 +96,17 @@
 // However often settings come, and though classes come and go under calls, nothing piles up.
 func TestReconfigureLeavesNothingBehind(t *testing.T) {
 	b := newBalancer(t, nil)
-	b.Handle(0, ServerList{Full: true, Servers: servers(3)})
+	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(3)})
 	now := time.Duration(0)
 	for i := range 500 {
 		set := testSettings()
-		set.Classes = []Class{{Name: fmt.Sprint("c", i), Effect: Safe, Aim: time.Second, Deadline: 2 * time.Second}}
+		set.Classes = []Class{{Name: fmt.Sprint("c", i), Effect: Idempotent, LatencyObjective: time.Second, Deadline: 2 * time.Second}}
 		b.Handle(now, Reconfigure{set})
 		now += msec
 		s := sends(b.Handle(now, Request{ID: "r", Class: fmt.Sprint("c", i), Deadline: now + time.Second}))[0]
 		b.Handle(now, Reconfigure{testSettings()})
 		now += 20 * msec
-		b.Handle(now, Outcome{ID: "r", Server: s.Server, Ending: Success, Ended: true})
+		b.Handle(now, AttemptEnded{ID: "r", Endpoint: s.Endpoint, Result: Success, Answered: true})
 	}
 	b.Handle(now, Reconfigure{testSettings()})
 	if len(b.classes) != 4 || len(b.order) != 4 {
--- a/recovery_test.go
+++ b/recovery_test.go
@@ -66,7 +66,7 @@
 	now      time.Duration
 	queue    simEvents
 	count    int
-	list     []Server
+	list     []Endpoint
 	backends map[string]*outageServer
 	fleet    []*outageNode
 	requests map[string]*outageRequest
@@ -151,7 +151,7 @@
 // addServer puts a server in the list at a place, in place of the one there.
 func (r *outageRun) addServer(place int, id string, model *servermodel.Server) {
 	r.backends[id] = &outageServer{id: id, model: model, slow: 1}
-	entry := Server{ID: id, Zone: "z", Cell: place % 8, Boot: r.now}
+	entry := Endpoint{ID: id, Zone: "z", Cell: place % 8, StartedAt: r.now}
 	if place < len(r.list) {
 		r.list[place] = entry
 	} else {
@@ -161,13 +161,13 @@
 
 func (r *outageRun) start(n *outageNode) {
 	set := r.set
-	set.Balancers, set.Index = r.nodes, n.index
+	set.Replicas, set.ReplicaIndex = r.nodes, n.index
 	b, err := New(set, r.seed<<20+uint64(n.life)<<12+uint64(n.index))
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	n.balancer, n.up = b, true
-	r.tell(n, ServerList{Full: true, Servers: r.list})
+	r.tell(n, EndpointUpdate{Complete: true, Endpoints: r.list})
 }
 
 func (r *outageRun) slowDown() {
@@ -181,7 +181,7 @@
 		r.addServer((i*5+1)%len(r.list), fmt.Sprintf("t%03d", i), servermodel.New(r.model, r.now, true))
 	}
 	for _, n := range r.fleet {
-		r.tell(n, ServerList{Full: true, Servers: r.list})
+		r.tell(n, EndpointUpdate{Complete: true, Endpoints: r.list})
 	}
 }
 
@@ -193,7 +193,7 @@
 		sum += n.weight
 	}
 	for _, c := range r.set.Classes {
-		aims += c.Aim / time.Duration(len(r.set.Classes))
+		aims += c.LatencyObjective / time.Duration(len(r.set.Classes))
 	}
 	burst, until, at := 1.0, time.Duration(0), time.Duration(0)
 	for count := 0; ; count++ {
@@ -207,7 +207,7 @@
 		}
 		class := r.set.Classes[r.rng.IntN(len(r.set.Classes))]
 		// Lognormal with a coefficient of variation of 1.3; classes of longer aims have more work.
-		mean := r.work.Seconds() * float64(class.Aim) / float64(aims)
+		mean := r.work.Seconds() * float64(class.LatencyObjective) / float64(aims)
 		work := time.Duration(mean * math.Exp(r.rng.NormFloat64()-0.5) * float64(time.Second))
 		place, node := r.rng.Float64()*sum, 0
 		for ; node < r.nodes-1 && place >= r.fleet[node].weight; node++ {
@@ -219,7 +219,7 @@
 }
 
 func (r *outageRun) arrive(n *outageNode, id string, class Class, work time.Duration) {
-	r.result.offered[r.now/time.Second] += class.Worth
+	r.result.offered[r.now/time.Second] += class.PriorityWeight
 	if !n.up {
 		return // its client finds nobody
 	}
@@ -235,12 +235,12 @@
 			r.send(a)
 		case Cancel: // its server doesn't notice
 			call := outageCall{request: a.ID, attempt: a.Attempt, sent: r.now}
-			r.in(0, func() { r.end(call, Withdrawn) })
-		case Refuse:
+			r.in(0, func() { r.end(call, Cancelled) })
+		case Reject:
 			r.requests[a.ID].answered = true
 		case Fail:
 			r.requests[a.ID].answered = true
-		case Wake:
+		case SetTimer:
 			life := n.life
 			r.in(a.At-r.now, func() {
 				if n.up && n.life == life {
@@ -252,8 +252,8 @@
 }
 
 func (r *outageRun) send(a Send) {
-	q, s := r.requests[a.ID], r.backends[a.Server]
-	call := outageCall{a.ID, len(q.ended), a.Server, r.now}
+	q, s := r.requests[a.ID], r.backends[a.Endpoint]
+	call := outageCall{a.ID, len(q.ended), a.Endpoint, r.now}
 	q.ended = append(q.ended, false)
 	work, below := float64(q.work), r.elsewhere
 	if r.now >= troubleFrom && r.now < troubleTo {
@@ -265,7 +265,7 @@
 	r.finish(s)
 	offered := servermodel.Call{ID: id, Work: time.Duration(work), OffCPU: time.Duration(float64(q.work) * below)}
 	if !s.model.Offer(r.now, offered) {
-		r.in(msec, func() { r.end(call, Overloaded) })
+		r.in(msec, func() { r.end(call, Rejected) })
 		return
 	}
 	r.calls[id] = call
@@ -296,7 +296,7 @@
 }
 
 // end ends an attempt, for its node if that still lives.
-func (r *outageRun) end(call outageCall, ending Ending) {
+func (r *outageRun) end(call outageCall, ending AttemptResult) {
 	q := r.requests[call.request]
 	if q.ended[call.attempt] || !q.node.up || q.node.life != q.life {
 		return
@@ -305,14 +305,14 @@
 	if ending == Success && !q.answered {
 		q.answered = true
 		switch took := r.now - q.at; {
-		case took <= q.class.Aim:
-			r.result.served[q.at/time.Second] += q.class.Worth
+		case took <= q.class.LatencyObjective:
+			r.result.served[q.at/time.Second] += q.class.PriorityWeight
 		case took <= q.class.Deadline:
-			r.result.served[q.at/time.Second] += q.class.Worth * q.class.LateShare
+			r.result.served[q.at/time.Second] += q.class.PriorityWeight * q.class.LateValue
 		}
 	}
-	r.tell(q.node, Outcome{ID: call.request, Attempt: call.attempt, Server: call.server, Ending: ending,
-		Latency: r.now - call.sent, Ended: q.answered})
+	r.tell(q.node, AttemptEnded{ID: call.request, Attempt: call.attempt, Endpoint: call.server, Result: ending,
+		Latency: r.now - call.sent, Answered: q.answered})
 }
 
 // shopsOutage is a deployment whose servers have few slots and a short queue, and stay slow after a crowd.
@@ -322,13 +322,13 @@
 			Knee: 4, Contention: 0.6, DegradeAt: 8.6, DegradeAfter: 2400 * msec, DegradeFactor: 2.5,
 			RecoverBelow: 0.37, RecoverAfter: 2500 * msec},
 		set: Settings{Classes: []Class{
-			{Name: "search", Effect: Safe, Scope: ScopeAll, Aim: 850 * msec, Deadline: 2180 * msec, Worth: 1,
-				LateShare: 0.5},
-			{Name: "order", Aim: 1760 * msec, Deadline: 4420 * msec, Worth: 3, LateShare: 0.2},
-			{Name: "intake", Aim: 2430 * msec, Deadline: 6060 * msec, Worth: 2, LateShare: 0.5}},
-			WholeWeight: 0.6, ClassWeight: 0.2, MaxAttempts: 5, MayCancel: true, Tick: msec,
-			AskWithin: 10 * time.Second, ColdFrom: 0.32, WarmAfter: 9 * time.Second, FallMultiple: 3,
-			FallFor: time.Second}}
+			{Name: "search", Effect: Idempotent, Scope: ScopeAll, LatencyObjective: 850 * msec, Deadline: 2180 * msec, PriorityWeight: 1,
+				LateValue: 0.5},
+			{Name: "order", LatencyObjective: 1760 * msec, Deadline: 4420 * msec, PriorityWeight: 3, LateValue: 0.2},
+			{Name: "intake", LatencyObjective: 2430 * msec, Deadline: 6060 * msec, PriorityWeight: 2, LateValue: 0.5}},
+			TotalWeight: 0.6, WorstClassWeight: 0.2, MaxAttempts: 5, AllowCancel: true, Tick: msec,
+			PollWithin: 10 * time.Second, SlowStartFloor: 0.32, SlowStartDuration: 9 * time.Second, OverloadMultiple: 3,
+			OverloadWindow: time.Second}}
 }
 
 // galleryOutage is a deployment whose servers have many slots and a long queue, and bear any crowd.
@@ -338,9 +338,9 @@
 	o.model = servermodel.Settings{Cores: 3, Speed: 1.1, ConcurrencyLimit: 50, QueueLimit: 60, SlowStartFloor: 0.2, SlowStartCalls: 300}
 	o.set.MaxAttempts = 6
 	o.set.Classes = []Class{
-		{Name: "favourite", Effect: Keyed, Scope: ScopeZone, Window: 5 * time.Second, Aim: 1200 * msec,
-			Deadline: 3 * time.Second, Worth: 10},
-		{Name: "print", Aim: 2500 * msec, Deadline: 6 * time.Second, Worth: 30}}
+		{Name: "favourite", Effect: IdempotentByKey, Scope: ScopeZone, DedupWindow: 5 * time.Second, LatencyObjective: 1200 * msec,
+			Deadline: 3 * time.Second, PriorityWeight: 10},
+		{Name: "print", LatencyObjective: 2500 * msec, Deadline: 6 * time.Second, PriorityWeight: 30}}
 	return o
 }
 
--- a/rules_test.go
+++ b/rules_test.go
@@ -13,7 +13,7 @@
 type checker struct {
 	set    Settings
 	slack  time.Duration
-	state  map[string]ServerState
+	state  map[string]EndpointState
 	cells  map[string]int
 	zones  map[string]string
 	reqs   map[string]*tracked
@@ -31,17 +31,17 @@
 	server string
 	at     time.Duration
 	over   bool
-	ending Ending
+	ending AttemptResult
 }
 
 func newChecker(set Settings) *checker {
-	return &checker{set: set, slack: 20 * msec, state: map[string]ServerState{}, cells: map[string]int{},
+	return &checker{set: set, slack: 20 * msec, state: map[string]EndpointState{}, cells: map[string]int{},
 		zones: map[string]string{}, reqs: map[string]*tracked{}}
 }
 
 // killed forgets what a killed copy held: it is the clients' to ask again.
 func (c *checker) killed() {
-	c.reqs, c.state = map[string]*tracked{}, map[string]ServerState{}
+	c.reqs, c.state = map[string]*tracked{}, map[string]EndpointState{}
 }
 
 func (c *checker) fault(format string, args ...any) {
@@ -49,23 +49,23 @@
 }
 
 func (t *tracking) mayHaveRun() bool {
-	return !t.over || (t.ending != Overloaded && t.ending != Unreachable && t.ending != Void)
+	return !t.over || (t.ending != Rejected && t.ending != ConnectFailed && t.ending != NotSent)
 }
 
 func (c *checker) event(now time.Duration, e Event) {
 	switch e := e.(type) {
-	case ServerList:
-		if e.Full {
+	case EndpointUpdate:
+		if e.Complete {
 			for id := range c.state {
-				c.state[id] = Gone
+				c.state[id] = Removed
 			}
 		}
-		for _, s := range e.Servers {
+		for _, s := range e.Endpoints {
 			c.state[s.ID], c.cells[s.ID], c.zones[s.ID] = s.State, s.Cell, s.Zone
 		}
 	case Request:
 		if c.reqs[e.ID] == nil {
-			cl := Class{Effect: Unsafe}
+			cl := Class{Effect: NonIdempotent}
 			for _, k := range c.set.Classes {
 				if k.Name == e.Class {
 					cl = k
@@ -73,12 +73,12 @@
 			}
 			c.reqs[e.ID] = &tracked{class: cl, deadline: e.Deadline}
 		}
-	case Outcome:
+	case AttemptEnded:
 		if r := c.reqs[e.ID]; r != nil && e.Attempt >= 0 && e.Attempt < len(r.tries) {
 			t := r.tries[e.Attempt]
 			if !t.over {
-				t.over, t.ending = true, e.Ending
-				r.ended = r.ended || e.Ended
+				t.over, t.ending = true, e.Result
+				r.ended = r.ended || e.Answered
 			}
 		}
 	case ClientGone:
@@ -103,10 +103,10 @@
 		switch a := a.(type) {
 		case Send:
 			c.send(now, a)
-		case Refuse:
+		case Reject:
 			if r := c.final(a.ID); r != nil {
 				for _, t := range r.tries {
-					loose := r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Scope == ScopeAll
+					loose := r.class.Effect == Idempotent || r.class.Effect == IdempotentByKey && r.class.Scope == ScopeAll
 					if t.mayHaveRun() && !loose {
 						c.fault("rule 2: %s refused though it may have run", a.ID)
 					}
@@ -118,7 +118,7 @@
 			if r := c.reqs[a.ID]; r == nil || a.Attempt < 0 || a.Attempt >= len(r.tries) {
 				c.fault("cancel of an attempt never made")
 			}
-			if !c.set.MayCancel {
+			if !c.set.AllowCancel {
 				c.fault("cancel is not allowed")
 			}
 		}
@@ -141,9 +141,9 @@
 		c.fault("rule 1: sent %s, which is over or unknown", a.ID)
 		return
 	}
-	state, known := c.state[a.Server]
+	state, known := c.state[a.Endpoint]
 	if !known || state != Ready {
-		c.fault("rule 3: sent to %s, which drains, is gone or unknown", a.Server)
+		c.fault("rule 3: sent to %s, which drains, is gone or unknown", a.Endpoint)
 	}
 	if len(r.tries) >= c.set.MaxAttempts {
 		c.fault("more than %d attempts", c.set.MaxAttempts)
@@ -156,39 +156,39 @@
 			continue
 		}
 		switch r.class.Effect {
-		case Unsafe:
+		case NonIdempotent:
 			c.fault("rule 2: unsafe %s sent again", a.ID)
-		case Keyed:
-			if now > t.at+r.class.Window {
+		case IdempotentByKey:
+			if now > t.at+r.class.DedupWindow {
 				c.fault("rule 2: %s sent again outside its window", a.ID)
 			}
-			if r.class.Scope != ScopeAll && c.zones[t.server] != c.zones[a.Server] ||
-				r.class.Scope == ScopeCell && c.cells[t.server] != c.cells[a.Server] {
+			if r.class.Scope != ScopeAll && c.zones[t.server] != c.zones[a.Endpoint] ||
+				r.class.Scope == ScopeCell && c.cells[t.server] != c.cells[a.Endpoint] {
 				c.fault("rule 2: %s sent again outside its scope", a.ID)
 			}
 		}
 	}
-	r.tries = append(r.tries, &tracking{server: a.Server, at: now})
+	r.tries = append(r.tries, &tracking{server: a.Endpoint, at: now})
 }
 
 // TestCheckerCanFail gives the checker a trace that breaks each rule.
 func TestCheckerCanFail(t *testing.T) {
-	list := ServerList{Full: true, Servers: []Server{{ID: "a", Cell: 0}, {ID: "b", Cell: 1}, {ID: "c", State: Draining}}}
+	list := EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: "a", Cell: 0}, {ID: "b", Cell: 1}, {ID: "c", State: Draining}}}
 	req := func(class string) Request { return Request{ID: "r", Class: class, Deadline: 1000 * msec} }
-	timedOut := Outcome{ID: "r", Attempt: 0, Ending: TimedOut}
+	timedOut := AttemptEnded{ID: "r", Attempt: 0, Result: TimedOut}
 	for _, tc := range []struct {
 		want  string
 		steps []any
 	}{
 		{"rule 1: r has no answer", []any{list, req("get"), 2 * time.Second, Timer{}}},
-		{"rule 1: final answer", []any{list, req("get"), Refuse{ID: "r"}, Fail{ID: "r"}}},
-		{"rule 1: sent r, which is over", []any{list, req("get"), Fail{ID: "r"}, Send{ID: "r", Server: "a"}}},
-		{"rule 2: unsafe", []any{list, req("pay"), Send{ID: "r", Server: "a"}, timedOut, Send{ID: "r", Server: "a"}}},
-		{"rule 2: r refused", []any{list, req("pay"), Send{ID: "r", Server: "a"}, timedOut, Refuse{ID: "r"}}},
-		{"outside its window", []any{list, req("post"), Send{ID: "r", Server: "a"}, 950 * msec, timedOut,
-			Send{ID: "r", Server: "a"}}},
-		{"outside its scope", []any{list, req("post"), Send{ID: "r", Server: "a"}, timedOut, Send{ID: "r", Server: "b"}}},
-		{"rule 3", []any{list, req("get"), Send{ID: "r", Server: "c"}}},
+		{"rule 1: final answer", []any{list, req("get"), Reject{ID: "r"}, Fail{ID: "r"}}},
+		{"rule 1: sent r, which is over", []any{list, req("get"), Fail{ID: "r"}, Send{ID: "r", Endpoint: "a"}}},
+		{"rule 2: unsafe", []any{list, req("pay"), Send{ID: "r", Endpoint: "a"}, timedOut, Send{ID: "r", Endpoint: "a"}}},
+		{"rule 2: r refused", []any{list, req("pay"), Send{ID: "r", Endpoint: "a"}, timedOut, Reject{ID: "r"}}},
+		{"outside its window", []any{list, req("post"), Send{ID: "r", Endpoint: "a"}, 950 * msec, timedOut,
+			Send{ID: "r", Endpoint: "a"}}},
+		{"outside its scope", []any{list, req("post"), Send{ID: "r", Endpoint: "a"}, timedOut, Send{ID: "r", Endpoint: "b"}}},
+		{"rule 3", []any{list, req("get"), Send{ID: "r", Endpoint: "c"}}},
 		{"never made", []any{list, req("get"), Cancel{ID: "r", Attempt: 0}}},
 	} {
 		c := newChecker(testSettings())
@@ -219,16 +219,16 @@
 		}
 		if rng.IntN(2) == 0 {
 			c.Effect, c.Scope = Effect(rng.IntN(3)), Scope(rng.IntN(3))
-			c.Window = time.Duration(1+rng.IntN(900)) * msec
-			c.Aim, c.Deadline = time.Duration(1+rng.IntN(500))*msec, time.Duration(1+rng.IntN(1500))*msec
+			c.DedupWindow = time.Duration(1+rng.IntN(900)) * msec
+			c.LatencyObjective, c.Deadline = time.Duration(1+rng.IntN(500))*msec, time.Duration(1+rng.IntN(1500))*msec
 		}
 		set.Classes = append(set.Classes, c)
 	}
-	set.MaxAttempts, set.MayCancel = 1+rng.IntN(5), rng.IntN(2) == 0
-	set.Balancers, set.Index = 1+rng.IntN(20), rng.IntN(20)
-	set.FallMultiple, set.FallFor = float64(rng.IntN(5)), time.Duration(rng.IntN(2000))*msec
+	set.MaxAttempts, set.AllowCancel = 1+rng.IntN(5), rng.IntN(2) == 0
+	set.Replicas, set.ReplicaIndex = 1+rng.IntN(20), rng.IntN(20)
+	set.OverloadMultiple, set.OverloadWindow = float64(rng.IntN(5)), time.Duration(rng.IntN(2000))*msec
 	if rng.IntN(5) == 0 {
-		set.ColdFrom = -1
+		set.SlowStartFloor = -1
 	}
 	return set
 }
@@ -248,7 +248,7 @@
 		timeout bool
 	}
 	var out []pending
-	var timers []Wake
+	var timers []SetTimer
 	var ids []string
 	fleet := servers(8)
 	now := time.Duration(0)
@@ -274,23 +274,23 @@
 					n = len(r.attempts) - 1
 				}
 				took := time.Duration(rng.ExpFloat64() * float64(120*msec))
-				p := pending{a.ID, n, a.Server, now + took, false}
+				p := pending{a.ID, n, a.Endpoint, now + took, false}
 				if rng.IntN(8) == 0 || took > a.Timeout {
 					p.due, p.timeout = now+a.Timeout, true
 				}
 				out = append(out, p)
-			case Wake:
+			case SetTimer:
 				timers = append(timers, a)
 			}
 		}
 	}
-	give(ServerList{Full: true, Cached: true, Servers: fleet})
+	give(EndpointUpdate{Complete: true, Cached: true, Endpoints: fleet})
 	ended := map[string]bool{}
 	for i := range steps {
 		now += set.Tick
 		if rng.IntN(700) == 0 { // a kill: everything held is void, and a fresh copy takes over
 			if rng.IntN(2) == 0 { // as a planned restart ends
-				give(Closing{})
+				give(Shutdown{})
 				for id, r := range b.requests {
 					if !r.answered {
 						t.Errorf("%s has no answer at the end", id)
@@ -304,13 +304,13 @@
 			if c != nil {
 				c.killed()
 			}
-			var listed []Server
+			var listed []Endpoint
 			for _, s := range fleet {
-				if s.State != Gone {
+				if s.State != Removed {
 					listed = append(listed, s)
 				}
 			}
-			give(ServerList{Full: true, Cached: true, Servers: listed})
+			give(EndpointUpdate{Complete: true, Cached: true, Endpoints: listed})
 		}
 		for k := 0; k < len(timers); k++ {
 			if w := timers[k]; w.At <= now {
@@ -329,17 +329,17 @@
 			}
 			out = append(out[:k], out[k+1:]...)
 			k--
-			e := Outcome{ID: p.id, Attempt: p.n, Server: p.server, Ending: Success}
+			e := AttemptEnded{ID: p.id, Attempt: p.n, Endpoint: p.server, Result: Success}
 			switch {
 			case p.timeout:
-				e.Ending = TimedOut
+				e.Result = TimedOut
 			case rng.IntN(3) == 0:
-				e.Ending = Ending(1 + rng.IntN(int(Void)))
+				e.Result = AttemptResult(1 + rng.IntN(int(NotSent)))
 			}
-			if r := b.requests[p.id]; e.Ending == Success || r == nil || r.answered {
+			if r := b.requests[p.id]; e.Result == Success || r == nil || r.answered {
 				ended[p.id] = true
 			}
-			e.Ended = ended[p.id]
+			e.Answered = ended[p.id]
 			give(e)
 			if rng.IntN(10) == 0 {
 				give(e)
@@ -357,24 +357,24 @@
 		}
 		if rng.IntN(60) == 0 {
 			s := &fleet[rng.IntN(len(fleet))]
-			s.State = ServerState(rng.IntN(3))
+			s.State = EndpointState(rng.IntN(3))
 			if rng.IntN(2) == 0 {
-				s.State, s.Boot = Ready, now
+				s.State, s.StartedAt = Ready, now
 			}
 			switch rng.IntN(4) {
 			case 0:
-				var l []Server
+				var l []Endpoint
 				for _, s := range fleet {
-					if s.State != Gone {
+					if s.State != Removed {
 						l = append(l, s)
 					}
 				}
-				give(ServerList{Full: true, Servers: l})
+				give(EndpointUpdate{Complete: true, Endpoints: l})
 			case 1:
-				give(ListFailed{})
-				give(ServerList{Servers: []Server{*s}})
+				give(SubscriptionFailed{})
+				give(EndpointUpdate{Endpoints: []Endpoint{*s}})
 			default:
-				give(ServerList{Servers: []Server{*s}})
+				give(EndpointUpdate{Endpoints: []Endpoint{*s}})
 			}
 		}
 		if rng.IntN(100) == 0 {
@@ -385,7 +385,7 @@
 			}
 		}
 		if rng.IntN(40) == 0 {
-			give(Outcome{ID: "nobody", Attempt: 3, Ending: Success})
+			give(AttemptEnded{ID: "nobody", Attempt: 3, Result: Success})
 			give(Timer{Token: "r:nobody"})
 			give(Timer{Token: "x"})
 			give(ClientGone{ID: "nobody"})
@@ -403,7 +403,7 @@
 	for seed := uint64(1); seed <= 12; seed++ {
 		set := testSettings()
 		set.Tier = int(seed % 2)
-		set.AskDiscovery = seed%4 == 0
+		set.PollDiscovery = seed%4 == 0
 		if seed%3 == 0 {
 			set.Tick = 10 * msec // coarse: half of the slack after a deadline
 		}
@@ -432,7 +432,7 @@
 func TestSameEventsSameActions(t *testing.T) {
 	a, _ := run(t, testSettings(), 5, 3000, nil)
 	other, _ := New(testSettings(), 99) // a neighbour in the process changes nothing
-	other.Handle(0, ServerList{Full: true, Servers: servers(3)})
+	other.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(3)})
 	b, _ := run(t, testSettings(), 5, 3000, nil)
 	if len(a) < 500 {
 		t.Fatalf("only %d actions", len(a))
@@ -465,8 +465,8 @@
 				n++
 			}
 		}
-		grown := float64(cold[i]-time.Second) / float64(set.WarmAfter)
-		budget := fallMultiple * capacity * min(1, set.ColdFrom+(1-set.ColdFrom)*grown) * fallFor.Seconds()
+		grown := float64(cold[i]-time.Second) / float64(set.SlowStartDuration)
+		budget := fallMultiple * capacity * min(1, set.SlowStartFloor+(1-set.SlowStartFloor)*grown) * fallFor.Seconds()
 		worst = max(worst, float64(n)/budget)
 	}
 	return len(cold), worst
@@ -475,23 +475,23 @@
 func TestColdServerIsNotPushedOver(t *testing.T) {
 	set := testSettings()
 	for _, copies := range []int{12, 200} {
-		set.Tier, set.Balancers = 1, copies
+		set.Tier, set.Replicas = 1, copies
 		list := servers(6)
-		list[2].Boot = time.Second
+		list[2].StartedAt = time.Second
 		var bs []*Balancer
 		for i := range copies {
-			set.Index = i
+			set.ReplicaIndex = i
 			b, err := New(set, uint64(i))
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.Handle(0, ServerList{Full: true, Servers: list})
+			b.Handle(0, EndpointUpdate{Complete: true, Endpoints: list})
 			bs = append(bs, b)
 		}
 		calls, worst := coldLoad(set, copies, func(copy int, now time.Duration, id string) string {
 			s := sends(bs[copy].Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second}))[0]
-			bs[copy].Handle(now+20*msec, Outcome{ID: id, Server: s.Server, Ending: Success, Ended: true})
-			return s.Server
+			bs[copy].Handle(now+20*msec, AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: Success, Answered: true})
+			return s.Endpoint
 		})
 		if calls < 20 || worst > 1 {
 			t.Errorf("%d copies: %d calls to the cold server, %.2f of its budget", copies, calls, worst)
@@ -510,17 +510,17 @@
 	set := testSettings()
 	const capacity, mean = 50.0, 20 * msec // of a warm server: a second's work of 50 requests of mean effort
 	for _, copies := range []int{12, 100} {
-		set.Tier, set.Balancers = 1, copies
+		set.Tier, set.Replicas = 1, copies
 		list := servers(6)
-		list[2].Boot = time.Second
+		list[2].StartedAt = time.Second
 		var bs []*Balancer
 		for i := range copies {
-			set.Index = i
+			set.ReplicaIndex = i
 			b, err := New(set, uint64(i))
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.Handle(0, ServerList{Full: true, Servers: list})
+			b.Handle(0, EndpointUpdate{Complete: true, Endpoints: list})
 			bs = append(bs, b)
 		}
 		rng := rand.New(rand.NewPCG(9, 9))
@@ -535,15 +535,15 @@
 			work := max(0.01, rng.ExpFloat64())
 			b, id := bs[rng.IntN(copies)], fmt.Sprint(i)
 			s := sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second,
-				Effort: time.Duration(work * float64(mean))}))[0]
-			b.Handle(now+time.Duration(work*float64(mean)), Outcome{ID: id, Server: s.Server, Ending: Success, Ended: true})
+				ExpectedWork: time.Duration(work * float64(mean))}))[0]
+			b.Handle(now+time.Duration(work*float64(mean)), AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: Success, Answered: true})
 			if now > 3*time.Second && now < 6*time.Second { // warmth 0.36 to 0.6, a fair share 0.06 to 0.1
 				all += work
-				if s.Server == "s02" {
+				if s.Endpoint == "s02" {
 					early += work
 				}
 			}
-			if s.Server == "s02" {
+			if s.Endpoint == "s02" {
 				cold = append(cold, taken{now, work})
 			}
 		}
@@ -555,8 +555,8 @@
 					sum += c.work
 				}
 			}
-			grown := float64(cold[i].at-time.Second) / float64(set.WarmAfter)
-			worst = max(worst, sum/(fallMultiple*capacity*min(1, set.ColdFrom+(1-set.ColdFrom)*grown)*fallFor.Seconds()))
+			grown := float64(cold[i].at-time.Second) / float64(set.SlowStartDuration)
+			worst = max(worst, sum/(fallMultiple*capacity*min(1, set.SlowStartFloor+(1-set.SlowStartFloor)*grown)*fallFor.Seconds()))
 		}
 		if worst > 1 || early < all/10 {
 			t.Errorf("%d copies: %.2f of the budget, %.3f of the work", copies, worst, early/all)
@@ -578,18 +578,18 @@
 			id := fmt.Sprint("r", x%5)
 			switch x % 7 {
 			case 0:
-				fleet[int(x/7)%4].State = ServerState(x % 3)
-				b.Handle(now, ServerList{Full: x%2 == 0, Servers: fleet[:int(x)%5]})
+				fleet[int(x/7)%4].State = EndpointState(x % 3)
+				b.Handle(now, EndpointUpdate{Complete: x%2 == 0, Endpoints: fleet[:int(x)%5]})
 			case 1, 2:
 				b.Handle(now, Request{ID: id, Class: set.Classes[x%3].Name, Deadline: now + time.Duration(x)*msec})
 			case 3:
-				b.Handle(now, Outcome{ID: id, Attempt: int(x%4) - 1, Ending: Ending(x % 9), Ended: x%2 == 0})
+				b.Handle(now, AttemptEnded{ID: id, Attempt: int(x%4) - 1, Result: AttemptResult(x % 9), Answered: x%2 == 0})
 			case 4:
 				b.Handle(now, Timer{Token: "r:" + id})
 			case 5:
 				b.Handle(now, ClientGone{ID: id})
 			case 6:
-				b.Handle(now, Started{ID: id, Attempt: i % 3})
+				b.Handle(now, StreamStarted{ID: id, Attempt: i % 3})
 			}
 			now += time.Duration(x) * msec / 4
 		}
--- a/scale_test.go
+++ b/scale_test.go
@@ -10,14 +10,14 @@
 // as often as the others, and a copy that is refused by its pool finds the rest.
 func TestThousandServersAndCopies(t *testing.T) {
 	const many = 1024
-	var list []Server
+	var list []Endpoint
 	for i := range many {
-		list = append(list, Server{ID: fmt.Sprintf("s%04d", i), Zone: "z", Size: 1})
+		list = append(list, Endpoint{ID: fmt.Sprintf("s%04d", i), Zone: "z", Capacity: 1})
 	}
 	pooled := map[string]int{}
 	for i := range many {
-		b := newBalancer(t, func(s *Settings) { s.Balancers, s.Index, s.Zone, s.Zones, s.Tier = many, i, "z", 1, 1 })
-		b.Handle(0, ServerList{Full: true, Servers: list})
+		b := newBalancer(t, func(s *Settings) { s.Replicas, s.ReplicaIndex, s.Zone, s.ZoneCount, s.Tier = many, i, "z", 1, 1 })
+		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: list})
 		acts := b.Handle(0, Request{ID: "r", Class: "get", Deadline: time.Second})
 		if len(sends(acts)) != 1 {
 			t.Fatalf("copy %d: a request led to %v", i, acts)
--- a/slowstart.go
+++ b/slowstart.go
@@ -21,12 +21,12 @@
 
 // warmth is the share of its capacity that a server surely has.
 func (b *Balancer) warmth(s *server) float64 {
-	age := b.now - s.Boot
-	if s.Boot <= 0 || age >= b.set.WarmAfter {
+	age := b.now - s.StartedAt
+	if s.StartedAt <= 0 || age >= b.set.SlowStartDuration {
 		return 1
 	}
-	grown := max(0, float64(age)/float64(b.set.WarmAfter))
-	return b.set.ColdFrom + (1-b.set.ColdFrom)*grown
+	grown := max(0, float64(age)/float64(b.set.SlowStartDuration))
+	return b.set.SlowStartFloor + (1-b.set.SlowStartFloor)*grown
 }
 
 // warmEnough keeps a cold server to one own call at a time, to the credit that it has here, and to its share
@@ -90,7 +90,9 @@
 
 // ramp is how many seconds the capacity estimate goes back: half of a server's way to its full capacity is
 // long enough for a copy of few calls, and short enough to follow the load.
-func (b *Balancer) ramp() float64 { return (b.set.WarmAfter/2 + b.set.FallFor).Seconds() }
+func (b *Balancer) ramp() float64 {
+	return (b.set.SlowStartDuration/2 + b.set.OverloadWindow).Seconds()
+}
 
 // poolWarmth is what the warm and the cold servers of the pool can do, in warm servers.
 func (b *Balancer) poolWarmth() (warm, cold float64) {
@@ -117,7 +119,7 @@
 }
 
 // limited says that the settings tell what pushes a cold server over.
-func (b *Balancer) limited() bool { return b.set.FallMultiple > 0 && b.set.FallFor > 0 }
+func (b *Balancer) limited() bool { return b.set.OverloadMultiple > 0 && b.set.OverloadWindow > 0 }
 
 // inCredit says that a cold server may be sent a request now.
 func (b *Balancer) inCredit(s *server) bool {
@@ -128,7 +130,7 @@
 	if s.credit.at == 0 {
 		s.credit.left, s.credit.at = -b.rng.Float64(), b.now
 	}
-	most := rate * (b.set.FallFor.Seconds()/lateWindow + unused*b.interval.Seconds())
+	most := rate * (b.set.OverloadWindow.Seconds()/lateWindow + unused*b.interval.Seconds())
 	s.credit.left = min(most, s.credit.left+rate*(b.now-s.credit.at).Seconds())
 	s.credit.at = b.now
 	return s.credit.left >= 0
@@ -151,11 +153,11 @@
 		return
 	}
 	b.observeCapacity(nil)
-	window, every := b.set.FallFor.Seconds(), max(b.interval.Seconds(), 1e-9)
+	window, every := b.set.OverloadWindow.Seconds(), max(b.interval.Seconds(), 1e-9)
 	asked := 1 / every / float64(max(1, b.width)) * (1 - b.warmCapacity.seconds/b.ramp())
 	b.creditGrowth = creditGrowth{round: b.creditGrowth.round + 1, at: b.now, known: true,
 		each:   max(b.warmCapacity.rate(window), b.coldCapacity.rate(window), asked),
-		copies: max(1, float64(b.set.Balancers)*float64(b.width)/float64(max(1, b.ready.len())))}
+		copies: max(1, float64(b.set.Replicas)*float64(b.width)/float64(max(1, b.ready.len())))}
 }
 
 // creditRate is how fast the credit of a cold server grows now. One request asks for it many times.
@@ -170,11 +172,11 @@
 // newCreditRate works it out, in requests of mean work a second: this copy's part of what all may send the
 // server.
 func (b *Balancer) newCreditRate(s *server) float64 {
-	window, warmth := b.set.FallFor.Seconds(), b.warmth(s)
-	copies, most := float64(max(1, b.set.Balancers)), outside
+	window, warmth := b.set.OverloadWindow.Seconds(), b.warmth(s)
+	copies, most := float64(max(1, b.set.Replicas)), outside
 	if s.pooled {
 		copies = b.creditGrowth.copies
-		most = max(most, safeMean(fallLimit(b.set.FallMultiple*warmth*b.creditGrowth.each*copies*window)))
+		most = max(most, safeMean(fallLimit(b.set.OverloadMultiple*warmth*b.creditGrowth.each*copies*window)))
 	}
 	return most / copies / window
 }
@@ -213,7 +215,7 @@
 // creditAgain is when held calls are to be looked at again, since credit grows with time alone.
 func (b *Balancer) creditAgain() time.Duration {
 	if s := b.ready.youngest(); s != nil && b.limited() && b.warmth(s) < 1 {
-		return b.now + b.set.FallFor/(2*lateWindow)
+		return b.now + b.set.OverloadWindow/(2*lateWindow)
 	}
 	return math.MaxInt64
 }
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -25,15 +25,15 @@
 func allowedMean(t *testing.T, n float64) float64 {
 	t.Helper()
 	b := newBalancer(t, func(s *Settings) {
-		s.Tier, s.Balancers = 1, 1
-		s.ColdFrom, s.WarmAfter, s.FallMultiple, s.FallFor = 0.5, 20*time.Second, 2, time.Second
+		s.Tier, s.Replicas = 1, 1
+		s.SlowStartFloor, s.SlowStartDuration, s.OverloadMultiple, s.OverloadWindow = 0.5, 20*time.Second, 2, time.Second
 	})
 	list := servers(2)
-	list[0].Boot = time.Minute
-	b.Handle(time.Minute, ServerList{Full: true, Servers: list})
+	list[0].StartedAt = time.Minute
+	b.Handle(time.Minute, EndpointUpdate{Complete: true, Endpoints: list})
 	b.fitPool()
 	b.warmCapacity = capacityEstimate{answers: n * b.ramp(), seconds: b.ramp(), at: b.now} // n a second at a warm one
-	return b.creditRate(b.servers[list[0].ID]) * b.set.FallFor.Seconds()
+	return b.creditRate(b.servers[list[0].ID]) * b.set.OverloadWindow.Seconds()
 }
 
 // A cold server is sent all that the limit allows on average: by the wider rule where the settings allow it
--- a/trace_test.go
+++ b/trace_test.go
@@ -34,26 +34,26 @@
 	{name: "first tier, hints, sizes, late answers worth something", servers: 30, sized: true, hinted: true, outages: true,
 		change: func(s *balancer.Settings) {
 			for i := range s.Classes {
-				s.Classes[i].LateShare = 0.3
+				s.Classes[i].LateValue = 0.3
 			}
 		}, hash: "b539948d85a933ee17545f64"},
 	{name: "second tier, zones, warming without a limit", servers: 24, warming: true,
-		change: func(s *balancer.Settings) { s.Tier, s.Zones, s.Balancers, s.Index = 1, 3, 7, 3 }, hash: "d79a856a023425a0c0b0236a"},
+		change: func(s *balancer.Settings) { s.Tier, s.ZoneCount, s.Replicas, s.ReplicaIndex = 1, 3, 7, 3 }, hash: "d79a856a023425a0c0b0236a"},
 	{name: "second tier, warming with a limit", servers: 24, warming: true, hinted: true, outages: true,
 		change: func(s *balancer.Settings) {
-			s.Tier, s.Zones, s.Balancers, s.Index = 1, 3, 20, 11
-			s.FallMultiple, s.FallFor = 2, time.Second
+			s.Tier, s.ZoneCount, s.Replicas, s.ReplicaIndex = 1, 3, 20, 11
+			s.OverloadMultiple, s.OverloadWindow = 2, time.Second
 		}, hash: "f1e76de5bd2ff3820dedaf96"},
 	{name: "first tier, warming with a wide limit, a small service", servers: 4, warming: true, outages: true,
-		change: func(s *balancer.Settings) { s.FallMultiple, s.FallFor = 4, 500*time.Millisecond }, hash: "92412dbbbdd018a8865a3e9c"},
+		change: func(s *balancer.Settings) { s.OverloadMultiple, s.OverloadWindow = 4, 500*time.Millisecond }, hash: "92412dbbbdd018a8865a3e9c"},
 	{name: "polled list, no cancelling, one attempt", servers: 12, outages: true,
-		change: func(s *balancer.Settings) { s.AskDiscovery, s.MayCancel, s.MaxAttempts = true, false, 1 }, hash: "473e625af96c6b422214e1c4"},
+		change: func(s *balancer.Settings) { s.PollDiscovery, s.AllowCancel, s.MaxAttempts = true, false, 1 }, hash: "473e625af96c6b422214e1c4"},
 	{name: "new settings", servers: 16, warming: true, outages: true, reconfigs: true,
-		change: func(s *balancer.Settings) { s.Zones, s.Balancers = 3, 5 }, hash: "bfb4401c88128085c4b64777"},
+		change: func(s *balancer.Settings) { s.ZoneCount, s.Replicas = 3, 5 }, hash: "bfb4401c88128085c4b64777"},
 	{name: "long list", servers: 400, sized: true, warming: true, reconfigs: true,
 		change: func(s *balancer.Settings) {
-			s.Tier, s.Zones, s.Balancers, s.Index = 1, 3, 90, 40
-			s.FallMultiple, s.FallFor = 3, time.Second
+			s.Tier, s.ZoneCount, s.Replicas, s.ReplicaIndex = 1, 3, 90, 40
+			s.OverloadMultiple, s.OverloadWindow = 3, time.Second
 		}, hash: "6aaea70937a49261b98da278"},
 }
 
@@ -62,20 +62,20 @@
 
 func traceSettings() balancer.Settings {
 	class := func(name string, effect balancer.Effect, scope balancer.Scope) balancer.Class {
-		return balancer.Class{Name: name, Effect: effect, Scope: scope, Window: 900 * time.Millisecond,
-			Aim: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, Worth: float64(1 + len(name))}
+		return balancer.Class{Name: name, Effect: effect, Scope: scope, DedupWindow: 900 * time.Millisecond,
+			LatencyObjective: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, PriorityWeight: float64(1 + len(name))}
 	}
 	return balancer.Settings{
 		Classes: []balancer.Class{
-			class("read", balancer.Safe, balancer.ScopeAll),
-			class("cell", balancer.Keyed, balancer.ScopeCell),
-			class("zone", balancer.Keyed, balancer.ScopeZone),
-			class("keyed", balancer.Keyed, balancer.ScopeAll),
-			class("unsafe", balancer.Unsafe, balancer.ScopeCell),
+			class("read", balancer.Idempotent, balancer.ScopeAll),
+			class("cell", balancer.IdempotentByKey, balancer.ScopeCell),
+			class("zone", balancer.IdempotentByKey, balancer.ScopeZone),
+			class("keyed", balancer.IdempotentByKey, balancer.ScopeAll),
+			class("unsafe", balancer.NonIdempotent, balancer.ScopeCell),
 		},
-		Balancers: 4, Index: 1, Zone: "z1", Zones: 1, WholeWeight: 0.6, ClassWeight: 0.3, MaxAttempts: 4, MayCancel: true,
-		AskWithin: 10 * time.Second, Tick: 5 * time.Millisecond, MaxRetryAfter: 2 * time.Second,
-		ColdFrom: 0.15, WarmAfter: 8 * time.Second,
+		Replicas: 4, ReplicaIndex: 1, Zone: "z1", ZoneCount: 1, TotalWeight: 0.6, WorstClassWeight: 0.3, MaxAttempts: 4, AllowCancel: true,
+		PollWithin: 10 * time.Second, Tick: 5 * time.Millisecond, MaxRetryAfter: 2 * time.Second,
+		SlowStartFloor: 0.15, SlowStartDuration: 8 * time.Second,
 	}
 }
 
@@ -104,7 +104,7 @@
 	server string
 	sentAt time.Duration
 	endsAt time.Duration
-	ending balancer.Ending
+	ending balancer.AttemptResult
 }
 
 // traceDriver plays a host: it gives a Balancer seeded events and hashes what it decides.
@@ -116,9 +116,9 @@
 	rng       *rand.Rand
 	hash      hash.Hash
 	now       time.Duration
-	endpoints []balancer.Server
+	endpoints []balancer.Endpoint
 	attempts  []traceAttempt
-	timers    []balancer.Wake
+	timers    []balancer.SetTimer
 	sent      map[string]int  // attempts of each request
 	ended     map[string]bool // requests with a final answer
 	down      time.Duration   // all attempts fail until then
@@ -140,9 +140,9 @@
 	d := &traceDriver{t: t, scenario: scenario, settings: settings, balancer: b, hash: sha256.New(),
 		rng: rand.New(rand.NewPCG(5, uint64(scenario.servers))), sent: map[string]int{}, ended: map[string]bool{}}
 	for i := range scenario.servers {
-		endpoint := balancer.Server{ID: fmt.Sprintf("s%04d", i*7919%10000), Zone: fmt.Sprintf("z%d", i%3), Cell: i % 5}
+		endpoint := balancer.Endpoint{ID: fmt.Sprintf("s%04d", i*7919%10000), Zone: fmt.Sprintf("z%d", i%3), Cell: i % 5}
 		if scenario.sized {
-			endpoint.Size = 0.5 + d.rng.Float64()
+			endpoint.Capacity = 0.5 + d.rng.Float64()
 		}
 		d.endpoints = append(d.endpoints, endpoint)
 	}
@@ -150,8 +150,8 @@
 }
 
 func (d *traceDriver) play() {
-	d.give(balancer.ServerList{Full: true, Cached: true, Servers: d.listed()})
-	d.give(balancer.ServerList{Full: true, Servers: d.listed()})
+	d.give(balancer.EndpointUpdate{Complete: true, Cached: true, Endpoints: d.listed()})
+	d.give(balancer.EndpointUpdate{Complete: true, Endpoints: d.listed()})
 	for range traceSteps {
 		d.now += d.settings.Tick
 		d.endAttempts()
@@ -166,7 +166,7 @@
 			d.reconfigure()
 		}
 	}
-	d.give(balancer.Closing{})
+	d.give(balancer.Shutdown{})
 }
 
 func (d *traceDriver) sum() string { return hex.EncodeToString(d.hash.Sum(nil)[:12]) }
@@ -177,12 +177,12 @@
 		switch a := action.(type) {
 		case balancer.Send:
 			d.sends++
-			fmt.Fprintf(d.hash, "%d send %s %s %d %d\n", d.now, a.ID, a.Server, a.Timeout, a.Before)
+			fmt.Fprintf(d.hash, "%d send %s %s %d %d\n", d.now, a.ID, a.Endpoint, a.Timeout, a.NotAfter)
 			d.send(a)
 		case balancer.Cancel:
 			fmt.Fprintf(d.hash, "%d cancel %s %d\n", d.now, a.ID, a.Attempt)
 			d.cancel(a)
-		case balancer.Refuse:
+		case balancer.Reject:
 			d.answers++
 			fmt.Fprintf(d.hash, "%d reject %s %d\n", d.now, a.ID, a.RetryAfter)
 			d.ended[a.ID] = true
@@ -190,7 +190,7 @@
 			d.answers++
 			fmt.Fprintf(d.hash, "%d fail %s\n", d.now, a.ID)
 			d.ended[a.ID] = true
-		case balancer.Wake:
+		case balancer.SetTimer:
 			fmt.Fprintf(d.hash, "%d wake %d %s\n", d.now, a.At, a.Token)
 			d.timers = append(d.timers, a)
 		case balancer.Subscribe:
@@ -203,9 +203,9 @@
 
 // send draws how an attempt ends. One endpoint in eight is slow, one in nine fails often.
 func (d *traceDriver) send(a balancer.Send) {
-	attempt := traceAttempt{id: a.ID, number: d.sent[a.ID], server: a.Server, sentAt: d.now, ending: balancer.Success}
+	attempt := traceAttempt{id: a.ID, number: d.sent[a.ID], server: a.Endpoint, sentAt: d.now, ending: balancer.Success}
 	d.sent[a.ID]++
-	number := int(a.Server[len(a.Server)-1] + a.Server[len(a.Server)-2]*3)
+	number := int(a.Endpoint[len(a.Endpoint)-1] + a.Endpoint[len(a.Endpoint)-2]*3)
 	mean := 60 * time.Millisecond
 	if number%8 == 0 {
 		mean *= 4
@@ -217,9 +217,9 @@
 	}
 	switch {
 	case d.now < d.down:
-		attempt.ending = []balancer.Ending{balancer.Unreachable, balancer.TimedOut, balancer.Overloaded}[d.rng.IntN(3)]
+		attempt.ending = []balancer.AttemptResult{balancer.ConnectFailed, balancer.TimedOut, balancer.Rejected}[d.rng.IntN(3)]
 	case d.rng.IntN(fails) == 0:
-		attempt.ending = balancer.Ending(1 + d.rng.IntN(int(balancer.Void)))
+		attempt.ending = balancer.AttemptResult(1 + d.rng.IntN(int(balancer.NotSent)))
 	}
 	if took > a.Timeout || attempt.ending == balancer.TimedOut {
 		took, attempt.ending = a.Timeout, balancer.TimedOut
@@ -232,7 +232,7 @@
 	for i := range d.attempts {
 		attempt := &d.attempts[i]
 		if attempt.id == a.ID && attempt.number == a.Attempt {
-			attempt.endsAt, attempt.ending = d.now, balancer.Withdrawn
+			attempt.endsAt, attempt.ending = d.now, balancer.Cancelled
 		}
 	}
 }
@@ -249,14 +249,14 @@
 		if a.ending == balancer.Success {
 			d.ended[a.id] = true
 		}
-		d.give(balancer.Outcome{ID: a.id, Attempt: a.number, Server: a.server, Ending: a.ending,
-			Latency: d.now - a.sentAt, Ended: d.ended[a.id]})
+		d.give(balancer.AttemptEnded{ID: a.id, Attempt: a.number, Endpoint: a.server, Result: a.ending,
+			Latency: d.now - a.sentAt, Answered: d.ended[a.id]})
 	}
 }
 
 func (d *traceDriver) ringTimers() {
-	var due []balancer.Wake
-	d.timers = slices.DeleteFunc(d.timers, func(w balancer.Wake) bool {
+	var due []balancer.SetTimer
+	d.timers = slices.DeleteFunc(d.timers, func(w balancer.SetTimer) bool {
 		if w.At <= d.now {
 			due = append(due, w)
 		}
@@ -271,7 +271,7 @@
 	d.requests++
 	class := d.settings.Classes[d.rng.IntN(len(d.settings.Classes))]
 	e := balancer.Request{ID: fmt.Sprint("r", d.requests), Class: class.Name, Deadline: d.now + class.Deadline,
-		Repeat: d.rng.IntN(20) == 0}
+		Retry: d.rng.IntN(20) == 0}
 	if d.rng.IntN(10) == 0 { // what an earlier attempt of the client's has left
 		e.Deadline = d.now + time.Duration(d.rng.Float64()*float64(class.Deadline))
 	}
@@ -279,18 +279,18 @@
 		e.Class = "unknown"
 	}
 	if d.scenario.hinted {
-		e.Effort = time.Duration(d.rng.ExpFloat64() * float64(20*time.Millisecond))
+		e.ExpectedWork = time.Duration(d.rng.ExpFloat64() * float64(20*time.Millisecond))
 	}
 	d.give(e)
 	if d.rng.IntN(200) == 0 {
-		d.give(balancer.Started{ID: e.ID, Attempt: 0})
+		d.give(balancer.StreamStarted{ID: e.ID, Attempt: 0})
 	}
 }
 
 // listed is the complete list as discovery tells it.
-func (d *traceDriver) listed() (list []balancer.Server) {
+func (d *traceDriver) listed() (list []balancer.Endpoint) {
 	for _, endpoint := range d.endpoints {
-		if endpoint.State != balancer.Gone {
+		if endpoint.State != balancer.Removed {
 			list = append(list, endpoint)
 		}
 	}
@@ -304,21 +304,21 @@
 		return
 	}
 	endpoint := &d.endpoints[d.rng.IntN(len(d.endpoints))]
-	endpoint.State = balancer.ServerState(d.rng.IntN(3))
+	endpoint.State = balancer.EndpointState(d.rng.IntN(3))
 	if d.rng.IntN(3) > 0 {
 		endpoint.State = balancer.Ready
 		if d.scenario.warming {
-			endpoint.Boot = d.now - time.Duration(d.rng.IntN(500))*time.Millisecond
+			endpoint.StartedAt = d.now - time.Duration(d.rng.IntN(500))*time.Millisecond
 		}
 	}
 	switch d.rng.IntN(8) {
 	case 0:
-		d.give(balancer.ServerList{Full: true, Servers: d.listed()})
+		d.give(balancer.EndpointUpdate{Complete: true, Endpoints: d.listed()})
 	case 1:
-		d.give(balancer.ListFailed{})
-		d.give(balancer.ServerList{Servers: []balancer.Server{*endpoint}})
+		d.give(balancer.SubscriptionFailed{})
+		d.give(balancer.EndpointUpdate{Endpoints: []balancer.Endpoint{*endpoint}})
 	default:
-		d.give(balancer.ServerList{Servers: []balancer.Server{*endpoint}})
+		d.give(balancer.EndpointUpdate{Endpoints: []balancer.Endpoint{*endpoint}})
 	}
 }
 
@@ -341,11 +341,11 @@
 		d.down = d.now + time.Duration(d.rng.IntN(3000))*time.Millisecond
 		return
 	}
-	d.give(balancer.ServerList{Full: true})
+	d.give(balancer.EndpointUpdate{Complete: true})
 	d.now += 200 * time.Millisecond
 	d.endAttempts()
 	d.ringTimers()
-	d.give(balancer.ServerList{Full: true, Servers: d.listed()})
+	d.give(balancer.EndpointUpdate{Complete: true, Endpoints: d.listed()})
 }
 
 // reconfigure puts other settings in force: other classes, limits, another place among the copies.
@@ -360,8 +360,8 @@
 		next.Classes[i].Deadline = time.Duration(500+d.rng.IntN(1500)) * time.Millisecond
 	}
 	next.MaxAttempts = 1 + d.rng.IntN(5)
-	next.Balancers = 1 + d.rng.IntN(100)
-	next.Index = d.rng.IntN(next.Balancers)
+	next.Replicas = 1 + d.rng.IntN(100)
+	next.ReplicaIndex = d.rng.IntN(next.Replicas)
 	next.Zone = fmt.Sprintf("z%d", d.rng.IntN(4))
 	d.settings = next
 	d.give(balancer.Reconfigure{Settings: next})
