--- a/internal/node/answer.go
+++ b/internal/node/answer.go
@@ -12,21 +12,21 @@
 )
 
 // errTooLong ends an answer that is longer than one may be, be it by its head or by what comes before it.
-var errTooLong = errors.New("the answer is too long")
+var errResponseTooLong = errors.New("the answer is too long")
 
 // errCut says that an answer is not complete, or can't be told to be.
-var errCut = errors.New("the answer is not complete")
+var errIncompleteResponse = errors.New("the answer is not complete")
 
 // bounded reads up to a number of bytes that its reader sets anew for each answer. Neither http.ReadResponse
 // nor io.ReadAll has a bound of its own: one endless head would fill the memory.
-type bounded struct {
+type limitedReader struct {
 	io.Reader
 	left int
 }
 
-func (b *bounded) Read(p []byte) (int, error) {
+func (b *limitedReader) Read(p []byte) (int, error) {
 	if b.left <= 0 {
-		return 0, errTooLong
+		return 0, errResponseTooLong
 	}
 	n, err := b.Reader.Read(p[:min(len(p), b.left)])
 	b.left -= n
@@ -34,55 +34,55 @@
 }
 
 // framing is what tells where the body of an answer ends (RFC 9112, section 6.3).
-type framing int
+type bodyFraming int
 
 const (
-	byLength framing = iota // a Content-Length, or chunks
-	byClose                 // the end of the connection: a FIN; a reset is no end
-	tooLong                 // a Content-Length beyond maxBody
+	framedByLength bodyFraming = iota // a Content-Length, or chunks
+	framedByClose                     // the end of the connection: a FIN; a reset is no end
+	framingTooLong                    // a Content-Length beyond maxBody
 )
 
-func framingOf(resp *http.Response) framing {
+func framingOf(resp *http.Response) bodyFraming {
 	switch {
 	case resp.ContentLength > maxBody:
-		return tooLong
+		return framingTooLong
 	case resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0:
-		return byLength
+		return framedByLength
 	}
-	return byClose
+	return framedByClose
 }
 
 // readAnswer reads one answer, and tells whether the connection is of further use. Only a complete 200 is a
 // success. What can't be read may have run. An answer is good even if more follows that belongs to none,
 // but then the next answer could not be told from that. Only a 200 is worth waiting for the end of the
 // connection; no other answer without a length proves anything.
-func (b *backend) readAnswer(c *conn) (reply, bool) {
-	c.in.left = maxAnswer
-	resp, err := readHead(c.br)
+func (b *upstreamPool) readResponse(c *upstreamConn) (upstreamReply, bool) {
+	c.limited.left = maxResponseOverhead
+	resp, err := readHead(c.reader)
 	if err != nil {
-		return reply{err: fmt.Errorf("answer: %w", err)}, false
+		return upstreamReply{err: fmt.Errorf("answer: %w", err)}, false
 	}
 	ok, framing := resp.StatusCode == http.StatusOK, framingOf(resp)
-	if ok && framing == tooLong {
-		return reply{err: errCut}, false
+	if ok && framing == framingTooLong {
+		return upstreamReply{err: errIncompleteResponse}, false
 	}
 	var body []byte
-	if framing == byLength || ok {
-		body, err = readBody(c.in, resp)
+	if framing == framedByLength || ok {
+		body, err = readBody(c.limited, resp)
 	}
 	if ok && err != nil {
-		return reply{err: errors.Join(errCut, err)}, false
+		return upstreamReply{err: errors.Join(errIncompleteResponse, err)}, false
 	}
-	r := reply{result: result{at: b.clock.now()}, endedByClose: framing == byClose}
+	r := upstreamReply{attemptOutcome: attemptOutcome{endedAt: b.clock.now()}, endedByClose: framing == framedByClose}
 	switch {
 	case ok:
-		r.ending, r.body, r.contentType = balancer.Success, body, resp.Header.Get("Content-Type")
-	case provesNotRun(resp) && framing == byLength && err == nil:
-		r.ending = balancer.Rejected // only a complete answer proves that it never ran
+		r.result, r.body, r.contentType = balancer.Success, body, resp.Header.Get("Content-Type")
+	case provesNotRun(resp) && framing == framedByLength && err == nil:
+		r.result = balancer.Rejected // only a complete answer proves that it never ran
 	default:
-		r.ending = balancer.ServerError
+		r.result = balancer.ServerError
 	}
-	return r, err == nil && framing == byLength && !resp.Close && c.br.Buffered() == 0
+	return r, err == nil && framing == framedByLength && !resp.Close && c.reader.Buffered() == 0
 }
 
 // provesNotRun says that an answer, if it is complete, tells that the request never ran.
@@ -119,11 +119,11 @@
 }
 
 // readBody reads a body of up to maxBody bytes to its end.
-func readBody(in *bounded, resp *http.Response) ([]byte, error) {
+func readBody(in *limitedReader, resp *http.Response) ([]byte, error) {
 	in.left += maxBody + 1
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBody+1))
 	if err == nil && len(body) > maxBody {
-		err = errTooLong
+		err = errResponseTooLong
 	}
 	return body, err
 }
--- a/internal/node/answer_test.go
+++ b/internal/node/answer_test.go
@@ -20,9 +20,9 @@
 func TestAnswersWithoutALength(t *testing.T) {
 	const plain, old = "HTTP/1.1 200 OK\r\n\r\nok", "HTTP/1.0 200 OK\r\n\r\nok"
 	longest := strings.Repeat("x", maxBody)
-	head := "HTTP/1.1 200 OK\r\nX-Pad: " + strings.Repeat("p", maxAnswer-28) + "\r\n\r\n"
-	if len(head) != maxAnswer {
-		t.Fatalf("the longest head has %d bytes, want %d", len(head), maxAnswer)
+	head := "HTTP/1.1 200 OK\r\nX-Pad: " + strings.Repeat("p", maxResponseOverhead-28) + "\r\n\r\n"
+	if len(head) != maxResponseOverhead {
+		t.Fatalf("the longest head has %d bytes, want %d", len(head), maxResponseOverhead)
 	}
 	for _, c := range []struct {
 		name, answer, end string
@@ -75,8 +75,8 @@
 			case "cancel":
 				go func() { <-answered; a.cancel() }()
 			}
-			if r := run(t, b, a); r.ending != c.want || string(r.body) != c.body {
-				t.Errorf("ending %d, a body of %d bytes; want %d, %d", r.ending, len(r.body), c.want, len(c.body))
+			if r := run(t, b, a); r.result != c.want || string(r.body) != c.body {
+				t.Errorf("ending %d, a body of %d bytes; want %d, %d", r.result, len(r.body), c.want, len(c.body))
 			}
 			if n := b.connections(); n != 0 || len(b.idle) != 0 {
 				t.Errorf("%d connections are open, %d hosts have idle ones", n, len(b.idle))
@@ -186,7 +186,7 @@
 	b := testBackend(10)
 	c.ended = func() { until(t, "the reader's end", func() bool { return b.connections() == 0 }) }
 	b.adopt(c, testHost(b, ln.Addr().String()))
-	if r := run(t, b, testAttempt(b, ln.Addr().String())); r.ending != balancer.ConnectFailed || b.connections() != 0 {
-		t.Errorf("ending %d, body %q, %d open; want %d", r.ending, r.body, b.connections(), balancer.ConnectFailed)
+	if r := run(t, b, testAttempt(b, ln.Addr().String())); r.result != balancer.ConnectFailed || b.connections() != 0 {
+		t.Errorf("ending %d, body %q, %d open; want %d", r.result, r.body, b.connections(), balancer.ConnectFailed)
 	}
 }
--- a/internal/node/backend_test.go
+++ b/internal/node/backend_test.go
@@ -16,32 +16,32 @@
 )
 
 // testBackend has its connections rest for no time.
-func testBackend(most int) *backend {
-	b := newBackend(testConfig(""), newClock(), most)
-	b.restFor = 0
+func testBackend(most int) *upstreamPool {
+	b := newUpstreamPool(testConfig(""), newClock(), most)
+	b.reuseDelay = 0
 	return b
 }
 
 // testHost has the backend know a server that is named by its endpoint.
-func testHost(b *backend, endpoint string) host {
-	t := target{Endpoint: balancer.Endpoint{ID: endpoint, State: balancer.Ready}, endpoint: endpoint}
-	b.servers([]target{t}, false)
-	return t.host()
+func testHost(b *upstreamPool, endpoint string) endpointInstance {
+	t := listEntry{Endpoint: balancer.Endpoint{ID: endpoint, State: balancer.Ready}, address: endpoint}
+	b.updateEndpoints([]listEntry{t}, false)
+	return t.instance()
 }
 
 // testAttempt is an attempt at an endpoint with all the time in the world.
-func testAttempt(b *backend, endpoint string) *attempt {
+func testAttempt(b *upstreamPool, endpoint string) *attempt {
 	ctx, cancel := context.WithCancel(context.Background())
 	now := b.clock.now()
 	return &attempt{ctx: ctx, cancel: cancel, to: testHost(b, endpoint), sent: now, deadline: now + limit,
-		call: &call{id: "id", method: "POST", target: "/note/k", body: []byte("body")}}
+		call: &request{id: "id", method: "POST", target: "/note/k", body: []byte("body")}}
 }
 
 // run makes an attempt that must end within the limit.
-func run(t *testing.T, b *backend, a *attempt) result {
+func run(t *testing.T, b *upstreamPool, a *attempt) attemptOutcome {
 	t.Helper()
-	end := make(chan result, 1)
-	go func() { end <- b.run(a) }()
+	end := make(chan attemptOutcome, 1)
+	go func() { end <- b.do(a) }()
 	return wait(t, end, "the attempt's end")
 }
 
@@ -72,9 +72,9 @@
 		{"too long", fmt.Sprintf("200 OK\r\nContent-Length: %d\r\n\r\n%s", maxBody+1, strings.Repeat("x", maxBody+1)), balancer.ConnectionLost, false},
 		{"said to be too long", "200 OK\r\nContent-Length: 3000000000\r\n\r\nand so on", balancer.ConnectionLost, false},
 		{"an error said to be too long", "500 Internal Server Error\r\nContent-Length: 3000000000\r\n\r\nand so on", balancer.ServerError, false},
-		{"a head too long", "200 OK\r\n" + strings.Repeat("X-Pad: pppp\r\n", maxAnswer/10), balancer.ConnectionLost, false},
-		{"a line too long", "200 OK\r\nX-Pad: " + strings.Repeat("p", 2*maxAnswer), balancer.ConnectionLost, false},
-		{"1xx without end", strings.Repeat("102 Processing\r\n\r\nHTTP/1.1 ", maxAnswer/20), balancer.ConnectionLost, false},
+		{"a head too long", "200 OK\r\n" + strings.Repeat("X-Pad: pppp\r\n", maxResponseOverhead/10), balancer.ConnectionLost, false},
+		{"a line too long", "200 OK\r\nX-Pad: " + strings.Repeat("p", 2*maxResponseOverhead), balancer.ConnectionLost, false},
+		{"1xx without end", strings.Repeat("102 Processing\r\n\r\nHTTP/1.1 ", maxResponseOverhead/20), balancer.ConnectionLost, false},
 		{"two lengths", "200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", balancer.ConnectionLost, false},
 		{"a negative length", "200 OK\r\nContent-Length: -2\r\n\r\nok", balancer.ConnectionLost, false},
 		{"no status", "OK 200\r\nContent-Length: 2\r\n\r\nok", balancer.ConnectionLost, false},
@@ -101,8 +101,8 @@
 			b := testBackend(10)
 			h := testHost(b, s.addr())
 			r := run(t, b, testAttempt(b, s.addr()))
-			if r.ending != c.want || c.want == balancer.Success && string(r.body) != "ok" {
-				t.Errorf("ending %d, body %q; want %d", r.ending, r.body, c.want)
+			if r.result != c.want || c.want == balancer.Success && string(r.body) != "ok" {
+				t.Errorf("ending %d, body %q; want %d", r.result, r.body, c.want)
 			}
 			b.mu.Lock()
 			defer b.mu.Unlock()
@@ -115,8 +115,8 @@
 
 func TestRefusedConnectionIsUnreachable(t *testing.T) {
 	b := testBackend(10)
-	if r := run(t, b, testAttempt(b, closedPort(t))); r.ending != balancer.ConnectFailed || b.open != 0 {
-		t.Errorf("ending %d, %d open", r.ending, b.open)
+	if r := run(t, b, testAttempt(b, closedPort(t))); r.result != balancer.ConnectFailed || b.open != 0 {
+		t.Errorf("ending %d, %d open", r.result, b.open)
 	}
 }
 
@@ -153,8 +153,8 @@
 	addr := neverUp(t)
 	b := testBackend(10)
 	b.dial = (&net.Dialer{Timeout: 50 * time.Millisecond}).DialContext
-	if r := run(t, b, testAttempt(b, addr)); r.ending != balancer.ConnectFailed || b.open != 0 {
-		t.Errorf("ending %d, %d open", r.ending, b.open)
+	if r := run(t, b, testAttempt(b, addr)); r.result != balancer.ConnectFailed || b.open != 0 {
+		t.Errorf("ending %d, %d open", r.result, b.open)
 	}
 }
 
@@ -177,8 +177,8 @@
 	}
 	b := testBackend(10)
 	b.adopt(halfConn{nc}, testHost(b, s.addr()))
-	if r := run(t, b, testAttempt(b, s.addr())); r.ending != balancer.ConnectFailed || b.open != 0 {
-		t.Errorf("ending %d, %d open", r.ending, b.open)
+	if r := run(t, b, testAttempt(b, s.addr())); r.result != balancer.ConnectFailed || b.open != 0 {
+		t.Errorf("ending %d, %d open", r.result, b.open)
 	}
 	if s.seen() != 0 {
 		t.Error("the server got the request")
@@ -186,10 +186,10 @@
 }
 
 // adopt puts a connection among the idle ones.
-func (b *backend) adopt(nc net.Conn, to host) {
-	waiter := make(chan reply, 1)
+func (b *upstreamPool) adopt(nc net.Conn, to endpointInstance) {
+	waiter := make(chan upstreamReply, 1)
 	b.open++
-	c := b.watch(nc, to, waiter)
+	c := b.startReader(nc, to, waiter)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c.waiter = nil
@@ -212,7 +212,7 @@
 				t.Fatal(err)
 			}
 			defer nc.Close()
-			if spokenOrClosed(nc) {
+			if hasUnreadOrClosed(nc) {
 				t.Fatal("a silent open connection is said to have spoken or closed")
 			}
 			other, err := early.Accept()
@@ -223,15 +223,15 @@
 			b := testBackend(10)
 			h := testHost(b, s.addr())
 			b.open = 1
-			b.idle[h] = []*conn{{Conn: nc, to: h}} // with no reader
+			b.idle[h] = []*upstreamConn{{Conn: nc, to: h}} // with no reader
 			if say == "" {
 				other.Close()
 			} else {
 				io.WriteString(other, say)
 			}
-			until(t, "it to arrive", func() bool { return spokenOrClosed(nc) })
-			if r := run(t, b, testAttempt(b, s.addr())); r.ending != balancer.Success || string(r.body) != "for id" || b.open != 1 {
-				t.Errorf("ending %d, body %q, %d open", r.ending, r.body, b.open)
+			until(t, "it to arrive", func() bool { return hasUnreadOrClosed(nc) })
+			if r := run(t, b, testAttempt(b, s.addr())); r.result != balancer.Success || string(r.body) != "for id" || b.open != 1 {
+				t.Errorf("ending %d, body %q, %d open", r.result, r.body, b.open)
 			}
 		})
 	}
@@ -254,13 +254,13 @@
 		t.Fatal(err)
 	}
 	other.Close()
-	until(t, "the close to arrive", func() bool { return spokenOrClosed(nc) })
+	until(t, "the close to arrive", func() bool { return hasUnreadOrClosed(nc) })
 	b := testBackend(10)
-	waiter := make(chan reply, 1)
+	waiter := make(chan upstreamReply, 1)
 	b.open = 1
 	a := testAttempt(b, "127.0.0.1:1")
-	c := b.watch(nc, a.to, waiter)
-	if b.begin(a.ctx, c, waiter, a) != another || b.open != 0 {
+	c := b.startReader(nc, a.to, waiter)
+	if b.beginWrite(a.ctx, c, waiter, a) != useAnotherConn || b.open != 0 {
 		t.Errorf("a request is written to a closed connection, or it is still counted: %d open", b.open)
 	}
 }
@@ -281,8 +281,8 @@
 		} else {
 			go func() { <-got; a.cancel() }()
 		}
-		if r := run(t, b, a); r.ending != want || b.open != 0 {
-			t.Errorf("ending %d, %d open; want %d", r.ending, b.open, want)
+		if r := run(t, b, a); r.result != want || b.open != 0 {
+			t.Errorf("ending %d, %d open; want %d", r.result, b.open, want)
 		}
 		wait(t, gone, "the close")
 	}
@@ -297,18 +297,18 @@
 		return echo(c, r, body)
 	})
 	b := testBackend(1)
-	if r := run(t, b, testAttempt(b, one.addr())); r.ending != balancer.Success {
-		t.Fatalf("ending %d", r.ending)
+	if r := run(t, b, testAttempt(b, one.addr())); r.result != balancer.Success {
+		t.Fatalf("ending %d", r.result)
 	}
-	end := make(chan result, 1)
-	go func() { end <- b.run(testAttempt(b, two.addr())) }()
+	end := make(chan attemptOutcome, 1)
+	go func() { end <- b.do(testAttempt(b, two.addr())) }()
 	wait(t, got, "the attempt that took the idle one's place")
-	if r := run(t, b, testAttempt(b, one.addr())); r.ending != balancer.NotSent {
-		t.Errorf("with no descriptor left: ending %d, want Void", r.ending)
+	if r := run(t, b, testAttempt(b, one.addr())); r.result != balancer.NotSent {
+		t.Errorf("with no descriptor left: ending %d, want Void", r.result)
 	}
 	close(hold)
-	if r := wait(t, end, "the attempt"); r.ending != balancer.Success {
-		t.Errorf("ending %d", r.ending)
+	if r := wait(t, end, "the attempt"); r.result != balancer.Success {
+		t.Errorf("ending %d", r.result)
 	}
 	if one.seen() != 1 || b.open != 1 {
 		t.Errorf("%d requests at the first server, %d connections open", one.seen(), b.open)
@@ -318,18 +318,18 @@
 func TestIdleConnectionsCloseBeforeTheServersDo(t *testing.T) {
 	s := newServer(t, echo)
 	b := testBackend(10)
-	b.idleFor = 20 * time.Millisecond
+	b.idleTimeout = 20 * time.Millisecond
 	run(t, b, testAttempt(b, s.addr()))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go b.sweep(ctx)
+	go b.closeExpired(ctx)
 	until(t, "the close", func() bool {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		return b.open == 0 && len(b.idle) == 0
 	})
-	if full := testBackend(1); full.idleFor >= testConfig("").ConnIdle {
-		t.Errorf("kept for %v", full.idleFor)
+	if full := testBackend(1); full.idleTimeout >= testConfig("").ConnIdle {
+		t.Errorf("kept for %v", full.idleTimeout)
 	}
 }
 
@@ -341,12 +341,12 @@
 		conns <- c
 		return echo(c, r, body)
 	})
-	b := newBackend(testConfig(""), newClock(), 10)
-	if b.restFor <= 0 || b.restFor >= b.idleFor {
-		t.Fatalf("connections rest for %v and stay for %v", b.restFor, b.idleFor)
+	b := newUpstreamPool(testConfig(""), newClock(), 10)
+	if b.reuseDelay <= 0 || b.reuseDelay >= b.idleTimeout {
+		t.Fatalf("connections rest for %v and stay for %v", b.reuseDelay, b.idleTimeout)
 	}
-	b.restFor = 100 * limit
-	send := func(id string) result {
+	b.reuseDelay = 100 * limit
+	send := func(id string) attemptOutcome {
 		a := testAttempt(b, s.addr())
 		a.call.id = id
 		return run(t, b, a)
@@ -362,7 +362,7 @@
 	until(t, "the close", func() bool { return b.connections() == 1 })
 	b.mu.Lock()
 	for _, c := range b.idle[testHostOf(s)] {
-		c.rested = 0
+		c.reusableAt = 0
 	}
 	b.mu.Unlock()
 	if r := send("three"); string(r.body) != "for three" || s.opened() != 2 {
@@ -371,4 +371,6 @@
 }
 
 // testHostOf is a server as testHost names it.
-func testHostOf(s *fakeServer) host { return host{server: s.addr(), endpoint: s.addr()} }
+func testHostOf(s *fakeServer) endpointInstance {
+	return endpointInstance{uid: s.addr(), address: s.addr()}
+}
--- a/internal/node/boottime_test.go
+++ b/internal/node/boottime_test.go
@@ -35,8 +35,8 @@
 		t.Fatal(err)
 	}
 	l := newLoop(b, m.clock(), testLog())
-	l.rules.Store(newRules(1, cfg.Settings))
-	l.servers, l.subscribe, l.push = func([]target, bool) {}, func() {}, push
+	l.rules.Store(newRequestRules(1, cfg.Settings))
+	l.updateEndpoints, l.subscribe, l.listsPushed = func([]listEntry, bool) {}, func() {}, push
 	return l
 }
 
@@ -45,7 +45,7 @@
 	return strings.Replace(entry(uid, "127.0.0.1:1", "in_service"), `"boot_ms":0`, fmt.Sprintf(`"boot_ms":%d`, bootMS), 1)
 }
 
-func bootList(t testing.TB, full bool, entries ...string) list {
+func bootList(t testing.TB, full bool, entries ...string) endpointList {
 	t.Helper()
 	l, err := parseList([]byte(fmt.Sprintf(`{"rev":9,"all":%v,"targets":[%s]}`, full, strings.Join(entries, ","))))
 	if err != nil {
@@ -79,7 +79,7 @@
 							m.pass(10 * time.Millisecond)
 						}
 					}
-					l.take(listNews{bootList(t, true, untouched, bootEntry("s", m.bootMS()-1e6))})
+					l.handleEvent(listReceived{bootList(t, true, untouched, bootEntry("s", m.bootMS()-1e6))})
 					m.pass(10 * time.Second)
 					set("before the start")
 					started, news := l.clock.now(), []string{bootEntry("s", m.bootMS())}
@@ -88,16 +88,16 @@
 					}
 					set("before the list")
 					m.pass(late)
-					l.take(listNews{bootList(t, full, news...)})
+					l.handleEvent(listReceived{bootList(t, full, news...)})
 					name := fmt.Sprintf("set by %v %s; pushed: %v; full list: %v", steps, moment, push, full)
-					if got := l.listed["s"].StartedAt; got != started {
+					if got := l.endpoints["s"].StartedAt; got != started {
 						t.Errorf("%s: started at %v, taken for %v", name, started, got)
 					}
 					for range 3 {
 						set("after the list")
 						m.pass(time.Second)
-						l.take(listNews{bootList(t, full, news...)})
-						if got := l.listed["s"].StartedAt; got != started {
+						l.handleEvent(listReceived{bootList(t, full, news...)})
+						if got := l.endpoints["s"].StartedAt; got != started {
 							t.Errorf("%s: started at %v, taken for %v when it is told again", name, started, got)
 						}
 					}
@@ -118,72 +118,72 @@
 	}{
 		{"in the future", func(m *machine, l *loop) {
 			m.pass(2 * time.Second)
-			l.take(listNews{bootList(t, true, bootEntry("s1", m.bootMS()+hour))})
+			l.handleEvent(listReceived{bootList(t, true, bootEntry("s1", m.bootMS()+hour))})
 		}, 2 * time.Second},
 		{"beyond all times", func(m *machine, l *loop) {
 			m.pass(2 * time.Second)
-			l.take(listNews{bootList(t, true, bootEntry("s1", 1e13))})
+			l.handleEvent(listReceived{bootList(t, true, bootEntry("s1", 1e13))})
 		}, 2 * time.Second},
 		{"a moment in the future is now, though another offset makes it an hour ago", func(m *machine, l *loop) {
 			m.unix -= time.Hour
 			m.pass(2 * time.Second)
-			l.take(listNews{bootList(t, true, bootEntry("s1", m.bootMS()+50))})
+			l.handleEvent(listReceived{bootList(t, true, bootEntry("s1", m.bootMS()+50))})
 		}, 2 * time.Second},
 		{"before the process, and before the clock was set back", func(m *machine, l *loop) {
 			boot := m.bootMS() - 20_000
 			m.unix -= time.Hour
 			m.pass(2 * time.Second)
-			l.take(listNews{bootList(t, true, bootEntry("s1", boot))})
+			l.handleEvent(listReceived{bootList(t, true, bootEntry("s1", boot))})
 		}, -20 * time.Second},
 		{"either of two times, as the clock was set back by less than its age", func(m *machine, l *loop) {
 			boot := m.bootMS() - 20_000
 			m.unix -= 5 * time.Second
 			m.pass(2 * time.Second)
-			l.take(listNews{bootList(t, true, bootEntry("s1", boot))})
+			l.handleEvent(listReceived{bootList(t, true, bootEntry("s1", boot))})
 		}, -15 * time.Second},
 		{"in the list that the node last had", func(m *machine, l *loop) {
-			l.known = bootList(t, true, bootEntry("s1", m.bootMS()-3000))
-			l.take(discoverySilent{})
+			l.cachedList = bootList(t, true, bootEntry("s1", m.bootMS()-3000))
+			l.handleEvent(discoveryUnresponsive{})
 			m.unix += time.Hour
 			m.pass(2 * time.Second)
-			l.take(listNews{bootList(t, true, bootEntry("s1", m.bootMS()-3000-2000-hour))})
+			l.handleEvent(listReceived{bootList(t, true, bootEntry("s1", m.bootMS()-3000-2000-hour))})
 		}, -3 * time.Second},
 		{"before the process, whose clock was off at its start", func(m *machine, l *loop) {
 			boot := m.bootMS() - 3000
 			m.unix += time.Hour // it is right from now on
 			m.pass(2 * time.Second)
-			l.take(listNews{bootList(t, true, bootEntry("s1", boot+hour))})
+			l.handleEvent(listReceived{bootList(t, true, bootEntry("s1", boot+hour))})
 		}, -3 * time.Second},
 		{"since the list before, under a clock that the node never saw", func(m *machine, l *loop) {
-			l.take(listNews{bootList(t, true, bootEntry("s1", 0))})
+			l.handleEvent(listReceived{bootList(t, true, bootEntry("s1", 0))})
 			m.pass(time.Second)
-			l.take(listNews{bootList(t, false, bootEntry("s2", 0))})
+			l.handleEvent(listReceived{bootList(t, false, bootEntry("s2", 0))})
 			m.pass(time.Second)
-			l.take(listNews{bootList(t, false, bootEntry("s1", m.bootMS()-hour))})
+			l.handleEvent(listReceived{bootList(t, false, bootEntry("s1", m.bootMS()-hour))})
 		}, time.Second},
 		{"since a watch told that nothing had changed", func(m *machine, l *loop) {
-			l.take(listNews{bootList(t, true, bootEntry("s1", 0))})
+			l.handleEvent(listReceived{bootList(t, true, bootEntry("s1", 0))})
 			m.pass(time.Second)
-			l.take(listConfirmed{})
+			l.handleEvent(listConfirmed{})
 			m.pass(time.Second)
-			l.take(listNews{bootList(t, false, bootEntry("s1", m.bootMS()-hour))})
+			l.handleEvent(listReceived{bootList(t, false, bootEntry("s1", m.bootMS()-hour))})
 		}, time.Second},
 		{"new in the list: it may have run all the while", func(m *machine, l *loop) {
-			l.take(listNews{bootList(t, true, bootEntry("s2", 0))})
+			l.handleEvent(listReceived{bootList(t, true, bootEntry("s2", 0))})
 			m.pass(2 * time.Second)
-			l.take(listNews{bootList(t, false, bootEntry("s1", m.bootMS()-10_000))})
+			l.handleEvent(listReceived{bootList(t, false, bootEntry("s1", m.bootMS()-10_000))})
 		}, -8 * time.Second},
 		{"since the list that the node last had, which may be old", func(m *machine, l *loop) {
-			l.known = bootList(t, true, bootEntry("s1", 0))
-			l.take(discoverySilent{})
+			l.cachedList = bootList(t, true, bootEntry("s1", 0))
+			l.handleEvent(discoveryUnresponsive{})
 			m.pass(2 * time.Second)
-			l.take(listNews{bootList(t, true, bootEntry("s1", m.bootMS()-10_000))})
+			l.handleEvent(listReceived{bootList(t, true, bootEntry("s1", m.bootMS()-10_000))})
 		}, -8 * time.Second},
 	} {
 		m := newMachine()
 		l := bootLoop(t, m, true)
 		c.do(m, l)
-		if got := l.listed["s1"].StartedAt - processStart; got != c.want {
+		if got := l.endpoints["s1"].StartedAt - processStart; got != c.want {
 			t.Errorf("%s: taken to have started at %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -196,8 +196,8 @@
 	l := bootLoop(t, m, true)
 	seen := map[time.Duration]bool{}
 	for i := range int64(4) {
-		l.take(listNews{bootList(t, true, bootEntry("s", m.bootMS()+1e6*(i+1)))})
-		seen[l.listed["s"].StartedAt] = true
+		l.handleEvent(listReceived{bootList(t, true, bootEntry("s", m.bootMS()+1e6*(i+1)))})
+		seen[l.endpoints["s"].StartedAt] = true
 	}
 	if len(seen) != 4 {
 		t.Errorf("four starts have %d times", len(seen))
@@ -265,11 +265,11 @@
 	for len(d.ends) > 0 && d.ends[0].at <= now {
 		end := d.ends[0]
 		d.ends = d.ends[1:]
-		d.loop.take(ended{end.attempt, result{ending: balancer.Success, at: now}})
+		d.loop.handleEvent(attemptEnded{end.attempt, attemptOutcome{result: balancer.Success, endedAt: now}})
 	}
-	d.loop.ring()
-	d.loop.take(arrived{&call{id: fmt.Sprint(now), class: "view", at: now, deadline: now + time.Second, revision: 1,
-		answer: make(chan answer, 1)}})
+	d.loop.fireTimers()
+	d.loop.handleEvent(requestReceived{&request{id: fmt.Sprint(now), class: "view", receivedAt: now, deadline: now + time.Second, revision: 1,
+		response: make(chan response, 1)}})
 	d.m.pass(5 * time.Millisecond)
 }
 
@@ -278,13 +278,13 @@
 	restart := func(before, after time.Duration) []int {
 		m := newMachine()
 		l := bootLoop(t, m, true)
-		l.take(listNews{bootList(t, true, bootEntry("s", 0))})
+		l.handleEvent(listReceived{bootList(t, true, bootEntry("s", 0))})
 		d := newTraffic(l, m)
 		d.run(5)
 		m.unix += before
 		news := bootList(t, true, bootEntry("s", m.bootMS()))
 		m.unix += after
-		l.take(listNews{news})
+		l.handleEvent(listReceived{news})
 		return d.run(8)
 	}
 	want := restart(0, 0)
--- a/internal/node/broken_test.go
+++ b/internal/node/broken_test.go
@@ -42,14 +42,14 @@
 	if c.cause != os.ErrDeadlineExceeded {
 		close(c.broken)
 	}
-	c.TCPConn.SetReadDeadline(longAgo)
+	c.TCPConn.SetReadDeadline(pastDeadline)
 }
 
 func (c *breakableConn) Read(p []byte) (n int, err error) {
-	if !hasEnded(c.broken) {
+	if !isClosed(c.broken) {
 		n, err = c.TCPConn.Read(p)
 	}
-	if n == 0 && hasEnded(c.broken) { // maybe while it read: breakNow's deadline is not the node's
+	if n == 0 && isClosed(c.broken) { // maybe while it read: breakNow's deadline is not the node's
 		err = &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: os.NewSyscallError("read", c.cause)}
 	}
 	return n, err
@@ -72,7 +72,7 @@
 	case r.of.woken <- struct{}{}:
 	default:
 	}
-	if hasEnded(r.of.broken) {
+	if isClosed(r.of.broken) {
 		return nil
 	}
 	return err
@@ -116,7 +116,7 @@
 	n, _ := startNode(t, cfg, func(n *Node) {
 		conns.TCPListener = n.listener.(*net.TCPListener)
 		n.listener = conns
-		if dials = holdDials(n.backend); where == "in flight" {
+		if dials = holdDials(n.upstream); where == "in flight" {
 			close(dials.through)
 		}
 	})
@@ -136,7 +136,7 @@
 	}
 	seen := map[string]int{"other": 1}
 	if where == "dial" {
-		until(t, "the node to notice", func() bool { return n.frontend.callers.held() == 0 })
+		until(t, "the node to notice", func() bool { return n.frontend.conns.count() == 0 })
 		close(dials.through)
 	} else {
 		wait(t, calledOff, "the end of the attempt")
--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -18,75 +18,77 @@
 
 // graces tell how long a caller's connection is spared, when there are too many, in each of the states in
 // which it holds a place and no request is open on it.
-type graces struct{ lingering, silent, half, idle time.Duration }
+type gracePeriods struct{ lingering, newConn, partialRequest, idle time.Duration }
 
 // pressing shortens the graces while descriptors are about to run out.
-const pressing = 5
+const pressureDivisor = 5
 
 // A good caller sends its request as soon as it has connected, and in one piece; one idle for a moment may
 // meet its next request on the way.
-func defaultGraces() graces {
-	return graces{lingering: 50 * time.Millisecond, silent: 100 * time.Millisecond, half: time.Second,
+func defaultGracePeriods() gracePeriods {
+	return gracePeriods{lingering: 50 * time.Millisecond, newConn: 100 * time.Millisecond, partialRequest: time.Second,
 		idle: 500 * time.Millisecond}
 }
 
 // callers are the callers' connections, within their share of the node's descriptors. Whoever holds a
 // place without a request makes room first; only if nobody does, requests are refused.
-type callers struct {
-	clock   clock
-	room    int        // descriptors for callers and servers together
-	least   int        // of these the servers' connections may always have
-	servers func() int // how many they have
-	spare   int        // descriptors beyond room for callers whose requests are read only to be refused
+type downstreamConns struct {
+	clock           clock
+	capacity        int        // descriptors for callers and servers together
+	upstreamReserve int        // of these the servers' connections may always have
+	upstreamCount   func() int // how many they have
+	rejectReserve   int        // descriptors beyond room for callers whose requests are read only to be refused
 
-	aheadMost int64        // bytes that all may send ahead together
-	aheadKept atomic.Int64 // bytes reserved for that
+	readAheadLimit    int64        // bytes that all may send ahead together
+	readAheadReserved atomic.Int64 // bytes reserved for that
 
-	mu      sync.Mutex
-	conns   map[*callerConn]struct{}
-	leaving int // let go and not closed yet
-	opened  int // with a request open
-	grace   graces
-	counts  callerCounts
+	mu           sync.Mutex
+	conns        map[*downstreamConn]struct{}
+	evicting     int // let go and not closed yet
+	active       int // with a request open
+	gracePeriods gracePeriods
+	counts       downstreamCounts
 }
 
 // callerCounts tell, for the log, what became of connections.
-type callerCounts struct{ Accepted, AcceptFailed, LetGo, Crowded, TurnedAway int }
+type downstreamCounts struct{ Accepted, AcceptFailed, Evicted, Rejected, ClosedUnread int }
 
 // activity is what a connection does, and since when.
-type activity struct {
-	phase phase
-	since time.Duration
-	going bool // let go, and counted as leaving
+type connActivity struct {
+	phase   connPhase
+	since   time.Duration
+	evicted bool // let go, and counted as leaving
 }
 
-type phase int
+type connPhase int
 
 const (
-	silent    phase = iota // new, no request read
-	reading                // a request's head is read, its body may not be
-	open                   // a request is with the module
-	idle                   // answered
-	lingering              // answered for good; what still comes is thrown away
+	phaseNew       connPhase = iota // new, no request read
+	phaseReading                    // a request's head is read, its body may not be
+	phaseActive                     // a request is with the module
+	phaseIdle                       // answered
+	phaseLingering                  // answered for good; what still comes is thrown away
 )
 
 // newCallers takes the node's memory in bytes, of which what callers send ahead may fill a share.
-func newCallers(c clock, room, spare int, memory int64, servers func() int) *callers {
-	return &callers{clock: c, aheadMost: memory / aheadShare, room: room, least: room / 4, servers: servers, spare: spare,
-		conns: map[*callerConn]struct{}{}, grace: defaultGraces()}
+func newDownstreamConns(c clock, room, spare int, memory int64, servers func() int) *downstreamConns {
+	return &downstreamConns{clock: c, readAheadLimit: memory / readAheadMemoryShare, capacity: room, upstreamReserve: room / 4, upstreamCount: servers, rejectReserve: spare,
+		conns: map[*downstreamConn]struct{}{}, gracePeriods: defaultGracePeriods()}
 }
 
 // keepAhead reserves bytes for what a caller sends ahead, or gives some back.
-func (s *callers) keepAhead(n int) bool {
-	if s.aheadKept.Add(int64(n)) > s.aheadMost && n > 0 {
-		s.aheadKept.Add(int64(-n))
+func (s *downstreamConns) reserveReadAhead(n int) bool {
+	if s.readAheadReserved.Add(int64(n)) > s.readAheadLimit && n > 0 {
+		s.readAheadReserved.Add(int64(-n))
 		return false
 	}
 	return true
 }
 
 // most is how many connections callers may hold now: what servers leave. The caller holds mu.
-func (s *callers) most() int { return max(s.room/2, s.room-max(s.least, s.servers())) }
+func (s *downstreamConns) limit() int {
+	return max(s.capacity/2, s.capacity-max(s.upstreamReserve, s.upstreamCount()))
+}
 
 // callerConn is a caller's connection that can be let go while it waits for a request, and only then.
 //
@@ -95,70 +97,70 @@
 // then either read and answered, or left unread, and its client sends it again. Whether one has
 // begun to be read is noted here, since net/http reads its first byte early when the client is quick:
 // behind an answer, before it reports StateIdle.
-type callerConn struct {
+type downstreamConn struct {
 	net.Conn
-	mu       sync.Mutex
-	begun    bool // bytes were read since the last answer
-	leaving  bool
-	cut      bool      // leaving, whatever still comes
-	deadline time.Time // as net/http wants it
-	serving  bool      // a request's head is read, and it is not answered
-	complete bool      // and its body is read to the end as well
-	ahead    []byte    // what came meanwhile, to be read once that is answered
-	kept     int       // bytes reserved for ahead
-	departed departure
-	looked   chan struct{} // closed once the watch beside the request has read all that had come
-	watched  chan struct{} // closed once that watch has ended
-	turned   chan struct{} // gets one when departed changes
-	requests requestScanner
-	timeout  time.Duration // for reading the rest of a request that has begun; 0: none
-	readBy   time.Time     // when that ends; zero while no request is being read
-
-	callers  *callers
-	activity // guarded by callers.mu
+	mu                sync.Mutex
+	requestBegun      bool // bytes were read since the last answer
+	readEnded         bool
+	readAborted       bool      // leaving, whatever still comes
+	deadline          time.Time // as net/http wants it
+	serving           bool      // a request's head is read, and it is not answered
+	complete          bool      // and its body is read to the end as well
+	readAhead         []byte    // what came meanwhile, to be read once that is answered
+	readAheadReserved int       // bytes reserved for ahead
+	departed          departure
+	caughtUp          chan struct{} // closed once the watch beside the request has read all that had come
+	watchEnded        chan struct{} // closed once that watch has ended
+	departureChanged  chan struct{} // gets one when departed changes
+	requests          requestScanner
+	readTimeout       time.Duration // for reading the rest of a request that has begun; 0: none
+	requestDeadline   time.Time     // when that ends; zero while no request is being read
+
+	conns        *downstreamConns
+	connActivity // guarded by callers.mu
 }
 
 // departure is what is known of a caller's leaving while its request waits. The greater holds.
 type departure int
 
 const (
-	present    departure = iota
-	unwatched            // too much is sent ahead to be kept, so its leaving can't be seen
-	halfClosed           // it sends no more; whether it still reads is not known
-	gone                 // it has reset its connection
+	present      departure = iota
+	unobservable           // too much is sent ahead to be kept, so its leaving can't be seen
+	halfClosed             // it sends no more; whether it still reads is not known
+	disconnected           // it has reset its connection
 )
 
 // aheadStep is the least that is kept of what a caller sends ahead, in bytes.
-const aheadStep = 4 << 10
+const readAheadStep = 4 << 10
 
 // aheadEach is how much one caller may send ahead, in bytes: the longest request that there is.
-const aheadEach = maxHeader + maxBody
+const readAheadPerConn = maxHeader + maxBody
 
 // aheadShare is the part of the node's memory that all callers together may fill with what they send ahead.
-const aheadShare = 16
+const readAheadMemoryShare = 16
 
 // errUnwatched ends the watch for a caller's leaving.
-var errUnwatched = errors.New("too much is sent ahead")
+var errReadAheadFull = errors.New("too much is sent ahead")
 
 // Read watches for the caller's leaving while a request waits: net/http does so by a read of one byte,
 // which any byte that comes early would end.
-func (c *callerConn) Read(p []byte) (int, error) {
-	if len(p) == 1 && c.startWatch() { // any other read by net/http fills a buffer
-		return 0, c.watch()
+func (c *downstreamConn) Read(p []byte) (int, error) {
+	if len(p) == 1 && c.beginWatch() { // any other read by net/http fills a buffer
+		return 0, c.watchForDeparture()
 	}
-	if n := c.takeAhead(p); n > 0 {
+	if n := c.takeReadAhead(p); n > 0 {
 		return n, nil
 	}
-	c.limitReading()
+	c.limitRequestTime()
 	n, err := c.Conn.Read(p)
 	c.scan(p[:n])
-	c.came(n, err)
+	c.noteRead(n, err)
 	return n, err
 }
 
 // scan follows the framing of what was just read from the kernel.
-func (c *callerConn) scan(p []byte) {
-	at := c.callers.clock.now()
+func (c *downstreamConn) scan(p []byte) {
+	at := c.conns.clock.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.requests.feed(p, at)
@@ -166,14 +168,14 @@
 
 // takeHead returns what is known of the request that net/http has just read the head of, or the error in
 // its framing.
-func (c *callerConn) takeHead(r *http.Request) (requestHead, error) {
+func (c *downstreamConn) takeHead(r *http.Request) (requestHead, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requests.take(r)
 }
 
 // bodyError is the error in the framing of the body that net/http has just read.
-func (c *callerConn) bodyError() error {
+func (c *downstreamConn) bodyError() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requests.bodyError()
@@ -181,60 +183,60 @@
 
 // limitReading gives the rest of a request its own time: net/http waits for its first four bytes as long as
 // for a request that has not begun, and counts a connection's first request from the connection's start.
-func (c *callerConn) limitReading() {
+func (c *downstreamConn) limitRequestTime() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.timeout <= 0 || !c.readBy.IsZero() || !c.requests.midRequest() {
+	if c.readTimeout <= 0 || !c.requestDeadline.IsZero() || !c.requests.midRequest() {
 		return
 	}
-	c.readBy = time.Now().Add(c.timeout)
+	c.requestDeadline = time.Now().Add(c.readTimeout)
 	c.setReadDeadline(c.deadline)
 }
 
 // startWatch tells whether a request waits. If so, it is complete, for net/http watches only behind a body's
 // end, and no wait for another is left to be ended: neither this connection's being let go or cut off nor what
 // was seen beside an earlier request holds any longer.
-func (c *callerConn) startWatch() bool {
+func (c *downstreamConn) beginWatch() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.serving {
-		c.complete, c.cut = true, false
-		c.hear()
+		c.complete, c.readAborted = true, false
+		c.noteBytes()
 	}
 	return c.serving
 }
 
 // hear notes that the caller has said something. The caller holds mu.
-func (c *callerConn) hear() {
-	c.begun = true
-	if c.leaving && !c.cut {
-		c.leaving = false
+func (c *downstreamConn) noteBytes() {
+	c.requestBegun = true
+	if c.readEnded && !c.readAborted {
+		c.readEnded = false
 		c.Conn.SetReadDeadline(c.deadline)
 	}
 }
 
 // watch reads whatever the caller sends ahead, so that no close or reset can hide behind it, until the
 // deadline for reading, a reset, or the bound. After a close it waits for a reset.
-func (c *callerConn) watch() error {
-	defer close(c.watched)
-	defer c.look()
+func (c *downstreamConn) watchForDeparture() error {
+	defer close(c.watchEnded)
+	defer c.markCaughtUp()
 	for {
 		if err := c.awaitUnread(); err != nil {
-			c.came(0, err)
+			c.noteRead(0, err)
 			return err
 		}
-		into := c.spare()
+		into := c.readAheadBuffer()
 		if into == nil {
-			c.depart(unwatched)
-			return errUnwatched
+			c.noteDeparture(unobservable)
+			return errReadAheadFull
 		}
 		n, err := c.Conn.Read(into)
 		c.scan(into[:n])
-		c.keep(n)
-		c.came(n, err)
+		c.appendReadAhead(n)
+		c.noteRead(n, err)
 		switch {
 		case errors.Is(err, io.EOF):
-			c.look()
+			c.markCaughtUp()
 			return c.awaitReset()
 		case err != nil:
 			return err
@@ -243,22 +245,22 @@
 }
 
 // awaitUnread waits until the kernel has something of the caller: bytes, its close or a reset.
-func (c *callerConn) awaitUnread() error {
+func (c *downstreamConn) awaitUnread() error {
 	raw := rawConn(c.Conn)
 	if raw == nil {
 		return nil
 	}
 	return raw.Read(func(fd uintptr) bool {
-		has := peek(fd)
+		has := hasUnread(fd)
 		if !has {
-			c.look()
+			c.markCaughtUp()
 		}
 		return has
 	})
 }
 
 // awaitReset waits, after the caller's close, for a reset or the deadline for reading.
-func (c *callerConn) awaitReset() error {
+func (c *downstreamConn) awaitReset() error {
 	raw := rawConn(c.Conn)
 	if raw == nil {
 		return io.EOF
@@ -273,28 +275,28 @@
 		return err != nil
 	})
 	if err == nil {
-		c.depart(gone)
+		c.noteDeparture(disconnected)
 		err = cause
 	}
 	return err
 }
 
 // look notes that all that the caller had sent is read, or as much as can be kept.
-func (c *callerConn) look() {
+func (c *downstreamConn) markCaughtUp() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	select {
-	case <-c.looked:
+	case <-c.caughtUp:
 	default:
-		close(c.looked)
+		close(c.caughtUp)
 	}
 }
 
 // settle waits until the watch beside the request has read all that had come, and tells what is known of
 // the caller's leaving then.
-func (c *callerConn) settle() departure {
+func (c *downstreamConn) awaitCaughtUp() departure {
 	c.mu.Lock()
-	looked := c.looked
+	looked := c.caughtUp
 	c.mu.Unlock()
 	<-looked
 	return c.departure()
@@ -302,45 +304,45 @@
 
 // endWatch ends the watch beside a request, which settle has seen at work: what comes from now on stays
 // unread. It tells whether another request, or a part of one, was read behind this one.
-func (c *callerConn) endWatch() (another bool) {
-	c.Conn.SetReadDeadline(longAgo)
-	<-c.watched
+func (c *downstreamConn) endWatch() (another bool) {
+	c.Conn.SetReadDeadline(pastDeadline)
+	<-c.watchEnded
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requests.anotherBegun()
 }
 
 // serve notes that a request's head is read.
-func (c *callerConn) serve() {
+func (c *downstreamConn) beginRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.serving, c.complete = true, false
-	c.looked, c.watched = make(chan struct{}), make(chan struct{})
-	if c.turned == nil {
-		c.turned = make(chan struct{}, 1)
+	c.caughtUp, c.watchEnded = make(chan struct{}), make(chan struct{})
+	if c.departureChanged == nil {
+		c.departureChanged = make(chan struct{}, 1)
 	}
-	if c.departed == unwatched { // there may be room again
+	if c.departed == unobservable { // there may be room again
 		c.departed = present
 	}
 }
 
 // came notes what a read brought. Only os.ErrDeadlineExceeded is the node's own deadline: ETIMEDOUT, a
 // Timeout() as well, is a connection that is broken.
-func (c *callerConn) came(n int, err error) {
+func (c *downstreamConn) noteRead(n int, err error) {
 	switch {
 	case n > 0:
 		c.mu.Lock()
-		c.hear()
+		c.noteBytes()
 		c.mu.Unlock()
 	case errors.Is(err, io.EOF):
-		c.depart(halfClosed)
+		c.noteDeparture(halfClosed)
 	case err != nil && !errors.Is(err, os.ErrDeadlineExceeded):
-		c.depart(gone)
+		c.noteDeparture(disconnected)
 	}
 }
 
 // depart notes that the caller may leave, or has left.
-func (c *callerConn) depart(how departure) {
+func (c *downstreamConn) noteDeparture(how departure) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if how <= c.departed {
@@ -348,82 +350,82 @@
 	}
 	c.departed = how
 	select {
-	case c.turned <- struct{}{}:
+	case c.departureChanged <- struct{}{}:
 	default:
 	}
 }
 
-func (c *callerConn) departure() departure {
+func (c *downstreamConn) departure() departure {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.departed
 }
 
 // spare is room for more that is sent ahead, or nil at the bound of this connection's or of all.
-func (c *callerConn) spare() []byte {
+func (c *downstreamConn) readAheadBuffer() []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if used := len(c.ahead); used == cap(c.ahead) {
-		size := min(max(aheadStep, 2*used), aheadEach)
-		if used >= size || !c.callers.keepAhead(size-c.kept) {
+	if used := len(c.readAhead); used == cap(c.readAhead) {
+		size := min(max(readAheadStep, 2*used), readAheadPerConn)
+		if used >= size || !c.conns.reserveReadAhead(size-c.readAheadReserved) {
 			return nil
 		}
-		c.kept = size
-		c.ahead = append(make([]byte, 0, size), c.ahead...)
+		c.readAheadReserved = size
+		c.readAhead = append(make([]byte, 0, size), c.readAhead...)
 	}
-	return c.ahead[len(c.ahead):cap(c.ahead)]
+	return c.readAhead[len(c.readAhead):cap(c.readAhead)]
 }
 
 // keep adds bytes that were read into the spare room.
-func (c *callerConn) keep(n int) {
+func (c *downstreamConn) appendReadAhead(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ahead = c.ahead[:len(c.ahead)+n]; len(c.ahead) == 0 {
-		c.dropAhead()
+	if c.readAhead = c.readAhead[:len(c.readAhead)+n]; len(c.readAhead) == 0 {
+		c.releaseReadAhead()
 	}
 }
 
 // takeAhead takes bytes that were read ahead.
-func (c *callerConn) takeAhead(p []byte) int {
+func (c *downstreamConn) takeReadAhead(p []byte) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	n := copy(p, c.ahead)
-	if c.ahead = c.ahead[n:]; len(c.ahead) == 0 {
-		c.dropAhead()
+	n := copy(p, c.readAhead)
+	if c.readAhead = c.readAhead[n:]; len(c.readAhead) == 0 {
+		c.releaseReadAhead()
 	}
 	return n
 }
 
 // dropAhead gives back the room for what is sent ahead. The caller holds mu.
-func (c *callerConn) dropAhead() {
-	c.callers.keepAhead(-c.kept)
-	c.ahead, c.kept = nil, 0
+func (c *downstreamConn) releaseReadAhead() {
+	c.conns.reserveReadAhead(-c.readAheadReserved)
+	c.readAhead, c.readAheadReserved = nil, 0
 }
 
 // Write begins before the client can have sent its next request, unless that has been read ahead. An
 // interim response (of which net/http writes 100 Continue) answers nothing.
-func (c *callerConn) Write(p []byte) (int, error) {
+func (c *downstreamConn) Write(p []byte) (int, error) {
 	if !bytes.HasPrefix(p, []byte("HTTP/1.1 1")) {
 		c.mu.Lock()
-		c.begun, c.serving, c.complete = len(c.ahead) > 0, false, false
+		c.requestBegun, c.serving, c.complete = len(c.readAhead) > 0, false, false
 		c.mu.Unlock()
 	}
 	return c.Conn.Write(p)
 }
 
 // interim has a caller that has closed for good answer with a reset, and one that still reads wait on.
-func (c *callerConn) interim() {
+func (c *downstreamConn) sendInterimResponse() {
 	c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := io.WriteString(c, "HTTP/1.1 102 Processing\r\n\r\n"); err != nil {
-		c.depart(gone)
+		c.noteDeparture(disconnected)
 	}
 }
 
-func (c *callerConn) SetReadDeadline(t time.Time) error {
+func (c *downstreamConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if t.IsZero() { // net/http and the frontend set none once a request is read
-		c.readBy = time.Time{}
+		c.requestDeadline = time.Time{}
 	}
 	return c.setReadDeadline(t)
 }
@@ -431,12 +433,12 @@
 // setReadDeadline sets the deadline for reading, or the end of the time for the request that is being read:
 // one that has begun shortly before its connection would time out has the same time as others. The caller
 // holds mu.
-func (c *callerConn) setReadDeadline(t time.Time) error {
-	if !c.readBy.IsZero() {
-		t = c.readBy
+func (c *downstreamConn) setReadDeadline(t time.Time) error {
+	if !c.requestDeadline.IsZero() {
+		t = c.requestDeadline
 	}
 	c.deadline = t
-	if c.leaving {
+	if c.readEnded {
 		return nil
 	}
 	return c.Conn.SetReadDeadline(t)
@@ -444,8 +446,8 @@
 
 // CloseWrite lets net/http linger after an answer to a request that it did not read whole: at once
 // closed, the connection would be reset, and the answer could be lost.
-func (c *callerConn) CloseWrite() error {
-	c.callers.linger(c)
+func (c *downstreamConn) CloseWrite() error {
+	c.conns.startLingering(c)
 	if half, ok := c.Conn.(*net.TCPConn); ok {
 		return half.CloseWrite()
 	}
@@ -453,38 +455,38 @@
 }
 
 // longAgo is a deadline that ends a wait at once, whatever becomes of the wall clock.
-var longAgo = time.Now().Add(-time.Hour)
+var pastDeadline = time.Now().Add(-time.Hour)
 
 // letGo has the connection closed unless a request has begun on it, be it one that nobody has read yet: the
 // close would be a reset, and the client could ask only once more.
-func (c *callerConn) letGo() bool {
+func (c *downstreamConn) evictIfQuiet() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.begun && !spokenOrClosed(c.Conn) {
-		c.leaving = true
-		c.Conn.SetReadDeadline(longAgo)
+	if !c.requestBegun && !hasUnreadOrClosed(c.Conn) {
+		c.readEnded = true
+		c.Conn.SetReadDeadline(pastDeadline)
 	}
-	return c.leaving
+	return c.readEnded
 }
 
 // cutOff ends the wait for the rest of a request, unless it is complete: then nothing is waited for, and a
 // deadline in the past would end the watch for its caller's leaving. Nor does it if more has come that nobody
 // has read yet: it may be the rest.
-func (c *callerConn) cutOff() bool {
+func (c *downstreamConn) abortRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.complete || spokenOrClosed(c.Conn) {
+	if c.complete || hasUnreadOrClosed(c.Conn) {
 		return false
 	}
-	c.leaving, c.cut = true, true
-	c.Conn.SetReadDeadline(longAgo)
+	c.readEnded, c.readAborted = true, true
+	c.Conn.SetReadDeadline(pastDeadline)
 	return true
 }
 
-func (c *callerConn) hasBegun() bool {
+func (c *downstreamConn) hasRequestBytes() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.begun
+	return c.requestBegun
 }
 
 type connKey struct{}
@@ -494,108 +496,108 @@
 	return context.WithValue(ctx, connKey{}, nc)
 }
 
-func connOf(ctx context.Context) *callerConn {
-	c, _ := ctx.Value(connKey{}).(*callerConn)
+func connOf(ctx context.Context) *downstreamConn {
+	c, _ := ctx.Value(connKey{}).(*downstreamConn)
 	return c
 }
 
 // track follows what net/http tells of a connection, and makes room when there are too many.
-func (s *callers) track(nc net.Conn, state http.ConnState) {
-	c := nc.(*callerConn)
+func (s *downstreamConns) connStateChanged(nc net.Conn, state http.ConnState) {
+	c := nc.(*downstreamConn)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch state {
 	case http.StateNew:
 		s.counts.Accepted++
 		s.conns[c] = struct{}{}
-		s.move(c, silent)
+		s.setPhase(c, phaseNew)
 	case http.StateActive:
-		c.serve()
-		s.move(c, reading)
+		c.beginRequest()
+		s.setPhase(c, phaseReading)
 	case http.StateIdle:
-		s.move(c, idle)
+		s.setPhase(c, phaseIdle)
 	default:
-		s.move(c, lingering)
+		s.setPhase(c, phaseLingering)
 		delete(s.conns, c)
 		c.mu.Lock()
-		c.dropAhead()
+		c.releaseReadAhead()
 		c.mu.Unlock()
 		return
 	}
-	s.makeRoom()
+	s.evictExcess()
 }
 
 // acceptFailed counts a failed accept.
-func (s *callers) acceptFailed() {
+func (s *downstreamConns) countFailedAccept() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.AcceptFailed++
 }
 
 // move notes what a connection does from now on. The caller holds mu.
-func (s *callers) move(c *callerConn, p phase) {
-	if c.going {
-		s.leaving--
+func (s *downstreamConns) setPhase(c *downstreamConn, p connPhase) {
+	if c.evicted {
+		s.evicting--
 	}
-	if c.phase == open {
-		s.opened--
+	if c.phase == phaseActive {
+		s.active--
 	}
-	if p == open {
-		s.opened++
+	if p == phaseActive {
+		s.active++
 	}
-	c.activity = activity{phase: p, since: s.clock.now()}
+	c.connActivity = connActivity{phase: p, since: s.clock.now()}
 }
 
 // linger notes that net/http has answered for good and waits for the answer to arrive.
-func (s *callers) linger(c *callerConn) {
+func (s *downstreamConns) startLingering(c *downstreamConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, held := s.conns[c]; held {
-		s.move(c, lingering)
+		s.setPhase(c, phaseLingering)
 	}
 }
 
 // open notes that a connection's request goes to the module, unless as many are there as servers'
 // connections are kept for. That there are too many connections is no reason: others' silence must not cost
 // a good caller its answer. If its connection was to be let go, another goes in its place.
-func (s *callers) open(c *callerConn) bool {
+func (s *downstreamConns) admitRequest(c *downstreamConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.move(c, open)
-	s.makeRoom()
-	if s.opened > s.room/2 {
-		s.counts.Crowded++
+	s.setPhase(c, phaseActive)
+	s.evictExcess()
+	if s.active > s.capacity/2 {
+		s.counts.Rejected++
 		return false
 	}
 	return true
 }
 
 // over is by how many there are too many. The caller holds mu.
-func (s *callers) over() int { return len(s.conns) - s.leaving - s.most() }
+func (s *downstreamConns) excess() int { return len(s.conns) - s.evicting - s.limit() }
 
-func (s *callers) overLimit() bool {
+func (s *downstreamConns) overLimit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.over() > 0
+	return s.excess() > 0
 }
 
 // left is how many descriptors callers leave for connections to servers.
-func (s *callers) left() int {
+func (s *downstreamConns) upstreamAllowance() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.room + s.spare - len(s.conns)
+	return s.capacity + s.rejectReserve - len(s.conns)
 }
 
 // full says that one more would take a descriptor that is kept for others. Whoever is turned away shows nowhere
 // else, so room is made for the next one here.
-func (s *callers) full() bool {
+func (s *downstreamConns) atHardLimit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.conns) < s.room+s.spare-max(s.least, s.servers()) {
+	if len(s.conns) < s.capacity+s.rejectReserve-max(s.upstreamReserve, s.upstreamCount()) {
 		return false
 	}
-	s.counts.TurnedAway++
-	s.makeRoom()
+	s.counts.ClosedUnread++
+	s.evictExcess()
 	return true
 }
 
@@ -603,90 +605,90 @@
 // use to a good caller, and of these who has been so for longest. One idle for a moment only is spared:
 // a client sends again just once what crosses a close. While there are too many, each answer closes its
 // connection, which nothing can cross. The caller holds mu.
-func (s *callers) makeRoom() {
-	if s.over() <= 0 {
+func (s *downstreamConns) evictExcess() {
+	if s.excess() <= 0 {
 		return
 	}
 	now := s.clock.now()
-	var free []*callerConn
+	var free []*downstreamConn
 	for c := range s.conns {
-		if !c.going && s.useless(c, now) > 0 {
+		if !c.evicted && s.evictionRank(c, now) > 0 {
 			free = append(free, c)
 		}
 	}
-	slices.SortFunc(free, func(a, b *callerConn) int {
-		return cmp.Or(cmp.Compare(s.useless(a, now), s.useless(b, now)), cmp.Compare(a.since, b.since))
+	slices.SortFunc(free, func(a, b *downstreamConn) int {
+		return cmp.Or(cmp.Compare(s.evictionRank(a, now), s.evictionRank(b, now)), cmp.Compare(a.since, b.since))
 	})
 	for _, c := range free {
-		if s.letGo(c); s.over() <= 0 {
+		if s.evict(c); s.excess() <= 0 {
 			return
 		}
 	}
 }
 
 // useless ranks the connections that may be let go, from 1; 0 is none of them.
-func (s *callers) useless(c *callerConn, now time.Duration) int {
+func (s *downstreamConns) evictionRank(c *downstreamConn, now time.Duration) int {
 	age := now - c.since
-	if s.over() > s.spare/2 {
-		age *= pressing
+	if s.excess() > s.rejectReserve/2 {
+		age *= pressureDivisor
 	}
-	switch half := c.phase == reading || c.phase != open && c.hasBegun(); {
-	case c.phase == lingering && age >= s.grace.lingering:
+	switch half := c.phase == phaseReading || c.phase != phaseActive && c.hasRequestBytes(); {
+	case c.phase == phaseLingering && age >= s.gracePeriods.lingering:
 		return 1
-	case half && age >= s.grace.half:
+	case half && age >= s.gracePeriods.partialRequest:
 		return 2
-	case c.phase == silent && !half && age >= s.grace.silent:
+	case c.phase == phaseNew && !half && age >= s.gracePeriods.newConn:
 		return 3
-	case c.phase == idle && !half && age >= s.grace.idle:
+	case c.phase == phaseIdle && !half && age >= s.gracePeriods.idle:
 		return 4
 	}
 	return 0
 }
 
 // letGo lets a connection go if it may be, and counts it as leaving. The caller holds mu.
-func (s *callers) letGo(c *callerConn) {
-	gone := !c.going
+func (s *downstreamConns) evict(c *downstreamConn) {
+	gone := !c.evicted
 	switch {
-	case c.going:
-	case c.phase == lingering:
+	case c.evicted:
+	case c.phase == phaseLingering:
 		c.Close()
-	case c.phase == reading || c.phase == silent && c.hasBegun():
-		gone = c.cutOff()
+	case c.phase == phaseReading || c.phase == phaseNew && c.hasRequestBytes():
+		gone = c.abortRead()
 	default:
-		gone = c.letGo()
+		gone = c.evictIfQuiet()
 	}
-	if gone && !c.going {
-		c.going = true
-		s.leaving++
-		s.counts.LetGo++
+	if gone && !c.evicted {
+		c.evicted = true
+		s.evicting++
+		s.counts.Evicted++
 	}
 }
 
 // letQuietGo closes the callers' idle connections, and those that have sent nothing for a while: whoever has
 // just been accepted has its request on the way. It returns how many of all are left.
-func (s *callers) letQuietGo() int {
+func (s *downstreamConns) evictQuiet() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.now()
 	for c := range s.conns {
-		if c.phase == idle || c.phase == silent && !c.hasBegun() && now-c.since >= s.grace.silent {
-			s.letGo(c)
+		if c.phase == phaseIdle || c.phase == phaseNew && !c.hasRequestBytes() && now-c.since >= s.gracePeriods.newConn {
+			s.evict(c)
 		}
 	}
 	return len(s.conns)
 }
 
 // held is how many connections there are.
-func (s *callers) held() int {
+func (s *downstreamConns) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
 // report tells what became of connections since the last report, and how many there are.
-func (s *callers) report() (c callerCounts, held int) {
+func (s *downstreamConns) takeCounts() (c downstreamCounts, held int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c, s.counts = s.counts, callerCounts{}
+	c, s.counts = s.counts, downstreamCounts{}
 	return c, len(s.conns)
 }
--- a/internal/node/callers_test.go
+++ b/internal/node/callers_test.go
@@ -19,7 +19,7 @@
 	cfg.Sockets = 256
 	n, _ := startNode(t, cfg, func(n *Node) {
 		n.frontend.server.ReadTimeout = 2 * limit // what is let go is let go for want of room
-		n.frontend.callers.grace = graces{idle: limit}
+		n.frontend.conns.gracePeriods = gracePeriods{idle: limit}
 	})
 	const body = "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: half\r\nX-Deadline: 60\r\nContent-Length: 9\r\n\r\nhal"
 	// served wants an answer, and returns the connection to go on with: the node may end this one with the answer.
@@ -44,9 +44,9 @@
 		}
 	}
 	until(t, "the rest to be let go", func() bool {
-		n.frontend.callers.mu.Lock()
-		defer n.frontend.callers.mu.Unlock()
-		return n.frontend.callers.over() <= 0
+		n.frontend.conns.mu.Lock()
+		defer n.frontend.conns.mu.Unlock()
+		return n.frontend.conns.excess() <= 0
 	})
 }
 
@@ -100,7 +100,7 @@
 	if r, body := c.answer(t); r.StatusCode != http.StatusOK || body != "for served" || r.Close {
 		t.Fatalf("got %d %q, closing %v, want it served and the connection kept", r.StatusCode, body, r.Close)
 	}
-	until(t, "a silent connection to go", func() bool { return n.frontend.callers.held() == crowdedMost })
+	until(t, "a silent connection to go", func() bool { return n.frontend.conns.count() == crowdedMost })
 }
 
 // crowdedMost is how many connections startCrowdedNode's node may hold, and holds silent ones.
@@ -111,20 +111,20 @@
 func startCrowdedNode(t *testing.T, s *fakeServer, moment string) *Node {
 	t.Helper()
 	cfg := withLongAims(testConfig(whole(entry("s1", s.addr(), "in_service"))))
-	cfg.Sockets = reserved + crowdedMost + 1 // one is kept for the server
+	cfg.Sockets = reservedDescriptors + crowdedMost + 1 // one is kept for the server
 	n, _ := startNode(t, cfg, func(n *Node) {
 		f := n.frontend
 		f.server.ReadTimeout = 2 * limit // what is cut off is cut off to make room
-		f.callers.grace = graces{lingering: limit, silent: limit, half: limit, idle: limit}
+		f.conns.gracePeriods = gracePeriods{lingering: limit, newConn: limit, partialRequest: limit, idle: limit}
 		makeRoom := func() {
-			f.callers.mu.Lock()
-			defer f.callers.mu.Unlock()
-			f.callers.grace = graces{lingering: limit, idle: limit}
-			f.callers.makeRoom()
+			f.conns.mu.Lock()
+			defer f.conns.mu.Unlock()
+			f.conns.gracePeriods = gracePeriods{lingering: limit, idle: limit}
+			f.conns.evictExcess()
 		}
 		if moment == "head read" {
 			f.server.ConnState = func(c net.Conn, state http.ConnState) {
-				if f.callers.track(c, state); state == http.StateActive {
+				if f.conns.connStateChanged(c, state); state == http.StateActive {
 					makeRoom()
 				}
 			}
@@ -135,7 +135,7 @@
 				body, _ := io.ReadAll(r.Body)
 				r.Body = io.NopCloser(bytes.NewReader(body))
 			}
-			connOf(r.Context()).settle()
+			connOf(r.Context()).awaitCaughtUp()
 			makeRoom()
 			f.ServeHTTP(w, r)
 		})
@@ -143,7 +143,7 @@
 	for range crowdedMost {
 		dial(t, n)
 	}
-	until(t, "the silent connections to be held", func() bool { return n.frontend.callers.held() == crowdedMost })
+	until(t, "the silent connections to be held", func() bool { return n.frontend.conns.count() == crowdedMost })
 	return n
 }
 
@@ -217,9 +217,9 @@
 	s := newServer(t, echo)
 	n, _ := startNode(t, testConfig(whole(entry("s0", s.addr(), "in_service"))), nil)
 	round := func(i int) {
-		l := list{full: true, rev: int64(i), targets: []target{{endpoint: s.addr()}}}
-		l.targets[0].ID = fmt.Sprint("s", i)
-		n.loop.post(listNews{l})
+		l := endpointList{complete: true, version: int64(i), entries: []listEntry{{address: s.addr()}}}
+		l.entries[0].ID = fmt.Sprint("s", i)
+		n.loop.post(listReceived{l})
 		c := dial(t, n)
 		c.get(fmt.Sprint("r-", i))
 		c.want(t, http.StatusOK, "")
@@ -233,12 +233,12 @@
 		round(50 + i)
 	}
 	until(t, "all that has gone to be forgotten", func() bool {
-		b, f := n.backend, n.frontend.callers
+		b, f := n.upstream, n.frontend.conns
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		return len(f.conns) == 0 && len(b.seen) == 1 && len(b.idle) <= 1 && b.open <= 1 &&
+		return len(f.conns) == 0 && len(b.endpoints) == 1 && len(b.idle) <= 1 && b.open <= 1 &&
 			runtime.NumGoroutine() <= before+5
 	})
 }
@@ -258,7 +258,7 @@
 			t.Fatal(err)
 		}
 		defer theirs.Close()
-		l := newCallerListener(ln, newCallers(newClock(), 10, 10, 16<<20, func() int { return 0 }), testLog())
+		l := newDownstreamListener(ln, newDownstreamConns(newClock(), 10, 10, 16<<20, func() int { return 0 }), testLog())
 		l.readTimeout = 2 * limit
 		ours, err := l.Accept()
 		if err != nil {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -33,7 +33,7 @@
 }
 
 // leastSockets leaves room for the node's own descriptors and a few connections on each side.
-const leastSockets = 64
+const minSockets = 64
 
 // configFile mirrors the file that BALANCER_CONFIG names.
 type configFile struct {
@@ -103,7 +103,7 @@
 	if !(f.Limits.MemoryMB >= 16 && f.Limits.MemoryMB <= 1<<20) {
 		return Config{}, fmt.Errorf("config: limits.memory_mb is out of range: %v", f.Limits.MemoryMB)
 	}
-	if !(f.Limits.Sockets >= leastSockets && f.Limits.Sockets <= 1<<20) {
+	if !(f.Limits.Sockets >= minSockets && f.Limits.Sockets <= 1<<20) {
 		return Config{}, fmt.Errorf("config: limits.sockets is out of range: %v", f.Limits.Sockets)
 	}
 	for _, t := range []struct {
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -63,7 +63,7 @@
 		{`"max-attempts":4`, `"max-attempts":4.5`, "MaxAttempts"},
 		{`"max-attempts":4`, `"max-attempts":1e300`, "MaxAttempts"},
 		{`"sockets":1024`, `"sockets":1e300`, "sockets"},
-		{`"tick-ms":5`, `"tick-ms":5,"balancers":-1`, "Balancers"},
+		{`"tick-ms":5`, `"tick-ms":5,"balancers":-1`, "Replicas"},
 		{`"target-ms":500`, `"target-ms":-1`, "LatencyObjective"},
 		{`"name":"n3"`, `"name":3`, "name"},
 		{`{"name":"n3"`, `"name":"n3"`, "config"},
--- a/internal/node/waitheader_test.go
+++ b/internal/node/deadlineheader_test.go
@@ -72,10 +72,10 @@
 			c := dial(t, n)
 			io.WriteString(c, pieces[0])
 			until(t, "the first piece to be read", func() bool {
-				n.frontend.callers.mu.Lock()
-				defer n.frontend.callers.mu.Unlock()
-				for c := range n.frontend.callers.conns {
-					return c.hasBegun()
+				n.frontend.conns.mu.Lock()
+				defer n.frontend.conns.mu.Unlock()
+				for c := range n.frontend.conns.conns {
+					return c.hasRequestBytes()
 				}
 				return false
 			})
@@ -115,7 +115,7 @@
 		s, told := tellingServer(t)
 		var dials heldDial
 		n, _ := startNode(t, tellingConfig(s),
-			func(n *Node) { dials = holdDials(n.backend) })
+			func(n *Node) { dials = holdDials(n.upstream) })
 		dial(t, n).get("r")
 		wait(t, dials.up, "the connection")
 		over := held()
@@ -127,7 +127,7 @@
 		s, told := tellingServer(t)
 		looks := newGate(2) // of the connection's reader, and for what came before the request
 		n, _ := startNode(t, tellingConfig(s), func(n *Node) {
-			n.backend.dial = func(_ context.Context, network, address string) (net.Conn, error) {
+			n.upstream.dial = func(_ context.Context, network, address string) (net.Conn, error) {
 				nc, err := net.Dial(network, address)
 				if err != nil {
 					return nil, err
@@ -169,9 +169,9 @@
 // A wait is never rounded up, and one that is over is not told.
 func TestWaitsAreNotRoundedUp(t *testing.T) {
 	for _, wait := range []time.Duration{time.Millisecond, 1999 * time.Microsecond, 480 * time.Millisecond,
-		999999 * time.Microsecond, time.Second, 9999999999, 99999999999, 12345678901, maxWait} {
-		value := []byte(strings.Repeat("0", waitWidth))
-		if !putWait(value, wait) {
+		999999 * time.Microsecond, time.Second, 9999999999, 99999999999, 12345678901, maxDeadline} {
+		value := []byte(strings.Repeat("0", deadlineValueWidth))
+		if !writeDeadlineValue(value, wait) {
 			t.Errorf("%v is not told", wait)
 		}
 		seconds, err := strconv.ParseFloat(string(value), 64)
@@ -180,10 +180,10 @@
 		}
 	}
 	b := testBackend(1)
-	for _, left := range []time.Duration{-time.Second, 0, leastWait / 2} {
+	for _, left := range []time.Duration{-time.Second, 0, minRemainingTime / 2} {
 		a := testAttempt(b, "127.0.0.1:1")
 		a.deadline = b.clock.now() + left
-		if wait := b.waitToTell(a); wait != 0 || putWait(nil, wait) {
+		if wait := b.remainingTime(a); wait != 0 || writeDeadlineValue(nil, wait) {
 			t.Errorf("with %v left, a server is told %v", left, wait)
 		}
 	}
--- a/internal/node/dial.go
+++ b/internal/node/dial.go
@@ -15,14 +15,14 @@
 // Backoff between dials that failed by local trouble: short, as a request waits for them, and long enough not
 // to spin while the trouble lasts.
 const (
-	redialFirst = 5 * time.Millisecond
-	redialMost  = 40 * time.Millisecond
+	minRedialBackoff = 5 * time.Millisecond
+	maxRedialBackoff = 40 * time.Millisecond
 )
 
 // localTroubles are the errors of socket and connect that tell of this machine and not of the one that is
 // dialled. All others, such as ECONNREFUSED, ECONNRESET, EHOSTUNREACH, ETIMEDOUT and a connection that does
 // not come up in time, are the other side's.
-var localTroubles = []error{
+var localDialErrors = []error{
 	syscall.EMFILE,        // the process has no descriptor left
 	syscall.ENFILE,        // the machine has no descriptor left
 	syscall.ENOBUFS,       // the kernel has no buffer left
@@ -38,8 +38,8 @@
 }
 
 // isLocalTrouble says that a connection could not be opened for a reason of this machine's own.
-func isLocalTrouble(err error) bool {
-	for _, trouble := range localTroubles {
+func isLocalDialError(err error) bool {
+	for _, trouble := range localDialErrors {
 		if errors.Is(err, trouble) {
 			return true
 		}
@@ -49,10 +49,10 @@
 
 // retryLocalTrouble dials until that succeeds or fails by the other side's doing, and until mayWait rejects the
 // next backoff or ctx ends. It says whether local trouble held up the dial whose error it returns.
-func retryLocalTrouble(ctx context.Context, mayWait func(time.Duration) bool, dial func() error) (heldUp bool, err error) {
-	for wait := redialFirst; ; wait = min(2*wait, redialMost) {
+func dialWithBackoff(ctx context.Context, mayWait func(time.Duration) bool, dial func() error) (heldUp bool, err error) {
+	for wait := minRedialBackoff; ; wait = min(2*wait, maxRedialBackoff) {
 		err = dial()
-		if !isLocalTrouble(err) {
+		if !isLocalDialError(err) {
 			return heldUp, err
 		}
 		heldUp = true
@@ -68,9 +68,9 @@
 
 // connect takes a rested idle connection, or opens a fresh one. Local trouble is waited out for as long as the
 // attempt may begin.
-func (b *backend) connect(ctx context.Context, a *attempt, waiter chan reply) (c *conn, fresh bool, err error) {
+func (b *upstreamPool) connect(ctx context.Context, a *attempt, waiter chan upstreamReply) (c *upstreamConn, fresh bool, err error) {
 	mayWait := func(wait time.Duration) bool { return b.mayBeginIn(a, wait) }
-	heldUp, err := retryLocalTrouble(ctx, mayWait, func() error {
+	heldUp, err := dialWithBackoff(ctx, mayWait, func() error {
 		c, fresh, err = b.connectOnce(ctx, a.to, waiter)
 		return err
 	})
@@ -79,25 +79,25 @@
 }
 
 // mayBeginIn says that an attempt has time left after a wait, and that its server is still to be used.
-func (b *backend) mayBeginIn(a *attempt, wait time.Duration) bool {
+func (b *upstreamPool) mayBeginIn(a *attempt, wait time.Duration) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	begin := b.clock.now() + wait
-	return begin < a.deadline && (a.before == 0 || begin < a.before) && b.serves(a.to)
+	return begin < a.deadline && (a.notAfter == 0 || begin < a.notAfter) && b.isReady(a.to)
 }
 
 // connectOnce does so with one dial at most.
-func (b *backend) connectOnce(ctx context.Context, to host, waiter chan reply) (c *conn, fresh bool, err error) {
-	c, err = b.take(to, waiter)
+func (b *upstreamPool) connectOnce(ctx context.Context, to endpointInstance, waiter chan upstreamReply) (c *upstreamConn, fresh bool, err error) {
+	c, err = b.takeIdle(to, waiter)
 	if c != nil || err != nil {
 		return c, false, err
 	}
-	nc, err := b.dial(ctx, "tcp", to.endpoint)
+	nc, err := b.dial(ctx, "tcp", to.address)
 	if err != nil {
 		b.mu.Lock()
 		b.open--
 		b.mu.Unlock()
 		return nil, true, fmt.Errorf("connect: %w", err)
 	}
-	return b.watch(nc, to, waiter), true, nil
+	return b.startReader(nc, to, waiter), true, nil
 }
--- a/internal/node/dial_test.go
+++ b/internal/node/dial_test.go
@@ -47,12 +47,12 @@
 			t.Parallel()
 			s := newServer(t, echo)
 			f := &failingDial{err: dialError("connect", errno), times: 3}
-			n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) { n.backend.dial = f.dial })
+			n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) { n.upstream.dial = f.dial })
 			c := dial(t, n)
 			c.send("POST", "/note/k", "r", "x", "60")
 			c.want(t, 200, "for r")
-			if s.seen() != 1 || f.dials.Load() != 4 || n.backend.connections() != 1 {
-				t.Errorf("%d requests at the server after %d dials, %d connections open", s.seen(), f.dials.Load(), n.backend.connections())
+			if s.seen() != 1 || f.dials.Load() != 4 || n.upstream.connections() != 1 {
+				t.Errorf("%d requests at the server after %d dials, %d connections open", s.seen(), f.dials.Load(), n.upstream.connections())
 			}
 		})
 	}
@@ -66,18 +66,18 @@
 		name   string
 		err    error
 		times  int32
-		during func(*backend, *attempt) // after the first failure
+		during func(*upstreamPool, *attempt) // after the first failure
 		want   balancer.AttemptResult
 		heldUp bool
 	}{
 		{"served", nil, 0, nil, balancer.Success, false},
 		{"local for a moment", local, 2, nil, balancer.Success, true},
-		{"local for long", local, 1e6, func(b *backend, a *attempt) { a.deadline = b.clock.now() + 150*time.Millisecond }, balancer.NotSent, true},
-		{"local until it must not begin", local, 1e6, func(b *backend, a *attempt) { a.before = b.clock.now() + 150*time.Millisecond }, balancer.NotSent, true},
-		{"local until its server is gone", local, 1e6, func(b *backend, a *attempt) { b.servers(nil, true) }, balancer.NotSent, true},
-		{"local until it is called off", local, 1e6, func(b *backend, a *attempt) { a.cancel() }, balancer.NotSent, true},
-		{"local until a connection is idle", local, 1e6, func(b *backend, a *attempt) {
-			nc, err := net.Dial("tcp", a.to.endpoint)
+		{"local for long", local, 1e6, func(b *upstreamPool, a *attempt) { a.deadline = b.clock.now() + 150*time.Millisecond }, balancer.NotSent, true},
+		{"local until it must not begin", local, 1e6, func(b *upstreamPool, a *attempt) { a.notAfter = b.clock.now() + 150*time.Millisecond }, balancer.NotSent, true},
+		{"local until its server is gone", local, 1e6, func(b *upstreamPool, a *attempt) { b.updateEndpoints(nil, true) }, balancer.NotSent, true},
+		{"local until it is called off", local, 1e6, func(b *upstreamPool, a *attempt) { a.cancel() }, balancer.NotSent, true},
+		{"local until a connection is idle", local, 1e6, func(b *upstreamPool, a *attempt) {
+			nc, err := net.Dial("tcp", a.to.address)
 			if err != nil {
 				t.Error(err)
 				return
@@ -103,8 +103,8 @@
 				return nc, err
 			}
 			r := run(t, b, a)
-			if r.ending != c.want || a.heldUp != c.heldUp {
-				t.Errorf("ending %d, held up %v; want %d, %v", r.ending, a.heldUp, c.want, c.heldUp)
+			if r.result != c.want || a.heldUp != c.heldUp {
+				t.Errorf("ending %d, held up %v; want %d, %v", r.result, a.heldUp, c.want, c.heldUp)
 			}
 			served := 0
 			if c.want == balancer.Success {
@@ -133,25 +133,25 @@
 				cfg.Discovery, cfg.Settings.PollDiscovery = ag.Addr().String(), asked
 				events, waits := make(chan event, 10), make(chan time.Duration, 10)
 				d := newDiscovery(cfg, -1, func(e event) { events <- e }, testLog())
-				d.first = limit
+				d.startupWait = limit
 				d.after = func(wait time.Duration) <-chan time.Time {
 					waits <- wait
 					return time.After(wait)
 				}
 				f := &failingDial{err: dialError("connect", syscall.ENETUNREACH), times: times}
-				d.place().dial = f.dial
+				d.address().dial = f.dial
 				ctx, cancel := context.WithCancel(context.Background())
 				defer cancel()
 				if asked {
-					go d.ask(ctx)
+					go d.runPolled(ctx)
 					d.subscribe()
 				} else {
-					go d.push(ctx)
+					go d.runPushed(ctx)
 				}
 				if times > 3 { // it lasts: neither told of as a failure nor a hot loop
 					for range 2 {
-						if wait := wait(t, waits, "a wait"); wait != probeInterval {
-							t.Errorf("waits for %v, want %v", wait, probeInterval)
+						if wait := wait(t, waits, "a wait"); wait != retryInterval {
+							t.Errorf("waits for %v, want %v", wait, retryInterval)
 						}
 					}
 					if len(events) != 0 {
@@ -159,7 +159,7 @@
 					}
 					return
 				}
-				if l, ok := wait(t, events, "the list").(listNews); !ok || len(l.list.targets) != 1 {
+				if l, ok := wait(t, events, "the list").(listReceived); !ok || len(l.list.entries) != 1 {
 					t.Errorf("got %#v", l)
 				}
 				if len(waits) != 0 {
@@ -195,8 +195,8 @@
 			}
 			a := testAttempt(b, s.addr())
 			a.call.body = []byte(long)
-			if r := run(t, b, a); r.ending != balancer.Success || string(r.body) != long {
-				t.Errorf("ending %d, a body of %d bytes, want %d", r.ending, len(r.body), len(long))
+			if r := run(t, b, a); r.result != balancer.Success || string(r.body) != long {
+				t.Errorf("ending %d, a body of %d bytes, want %d", r.result, len(r.body), len(long))
 			}
 		})
 	}
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -32,15 +32,15 @@
 	ag.tell(true, "")
 	cfg := testConfig(whole(entry("s1", old.addr(), "in_service")))
 	cfg.Discovery = ag.Addr().String()
-	n, _ := startNode(t, cfg, func(n *Node) { n.discovery.hold, n.discovery.first = 100*limit, 100*limit })
+	n, _ := startNode(t, cfg, func(n *Node) { n.discovery.hold, n.discovery.startupWait = 100*limit, 100*limit })
 	wait(t, ag.asked, "the call that is lost")
 	wait(t, ag.asked, "a call beside it")
 	early := dial(t, n) // by a caller that does not ask whether the node is ready
 	early.get("early")
 	until(t, "it to be with the module", func() bool {
-		n.frontend.callers.mu.Lock()
-		defer n.frontend.callers.mu.Unlock()
-		return n.frontend.callers.opened == 1
+		n.frontend.conns.mu.Lock()
+		defer n.frontend.conns.mu.Unlock()
+		return n.frontend.conns.active == 1
 	})
 	ag.tell(false, `{"rev":%d,"all":true,"targets":[`+entry("s1", old.addr(), "terminating")+","+entry("s2", s.addr(), "in_service")+`]}`)
 	early.want(t, 200, "for early")
@@ -63,7 +63,7 @@
 	ag.tell(true, "")
 	cfg := testConfig(whole(entry("s1", s.addr(), "in_service")))
 	cfg.Discovery = ag.Addr().String()
-	n, _ := startNode(t, cfg, func(n *Node) { n.discovery.first = 100 * limit })
+	n, _ := startNode(t, cfg, func(n *Node) { n.discovery.startupWait = 100 * limit })
 	if q := wait(t, ag.asked, "the first call"); q != "" {
 		t.Errorf("asked %q, want the whole list", q)
 	}
@@ -74,7 +74,7 @@
 	until(t, "readiness", func() bool { return isReady(t, n) })
 
 	ag.tell(true, "")
-	n, _ = startNode(t, cfg, func(n *Node) { n.discovery.first = time.Millisecond })
+	n, _ = startNode(t, cfg, func(n *Node) { n.discovery.startupWait = time.Millisecond })
 	until(t, "readiness beside a silent agent", func() bool { return isReady(t, n) })
 	c := dial(t, n)
 	c.get("r")
@@ -128,7 +128,7 @@
 				cfg.Discovery = ln.Addr().String()
 				n, stop := startNode(t, cfg, func(n *Node) {
 					n.discovery.hold, n.discovery.grace = 200*time.Millisecond, 200*time.Millisecond
-					n.discovery.first = 100 * limit
+					n.discovery.startupWait = 100 * limit
 				})
 				defer stop()
 				until(t, "readiness", func() bool { return isReady(t, n) })
@@ -151,12 +151,12 @@
 	d := newDiscovery(cfg, 7, func(e event) { events <- e }, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go d.ask(ctx)
-	d.move(ag.Addr().String())
+	go d.runPolled(ctx)
+	d.setAddress(ag.Addr().String())
 	if q := wait(t, ag.asked, "a call"); q != "" {
 		t.Errorf("asked %q, want the whole list", q)
 	}
-	if e, ok := wait(t, events, "the list").(listNews); !ok || len(e.list.targets) != 1 {
+	if e, ok := wait(t, events, "the list").(listReceived); !ok || len(e.list.entries) != 1 {
 		t.Errorf("got %v", e)
 	}
 }
@@ -173,10 +173,10 @@
 		}
 		n.listener.Close()
 		for range 6 { // the wait doubles with each failure
-			n.loop.take(listFailed{})
+			n.loop.handleEvent(subscriptionFailed{})
 		}
-		for _, a := range n.loop.alarms {
-			if left := n.loop.clock.until(a.at); left > toldLatest/4 {
+		for _, a := range n.loop.timers {
+			if left := n.loop.clock.until(a.at); left > notifiedWithin/4 {
 				t.Fatalf("seed %d: asks %v from now", seed, left)
 			}
 		}
@@ -197,7 +197,7 @@
 					waits <- d
 					return clock
 				}
-				n.discovery.place().client.Transport.(*http.Transport).DialContext =
+				n.discovery.address().client.Transport.(*http.Transport).DialContext =
 					func(context.Context, string, string) (net.Conn, error) {
 						dials <- struct{}{}
 						return nil, syscall.ECONNREFUSED
@@ -206,8 +206,8 @@
 			n.discovery.subscribe()
 			for range 5 {
 				wait(t, dials, "a call")
-				if d := wait(t, waits, "the wait"); d != probeInterval {
-					t.Errorf("waits for %v, want %v", d, probeInterval)
+				if d := wait(t, waits, "the wait"); d != retryInterval {
+					t.Errorf("waits for %v, want %v", d, retryInterval)
 				}
 				n.discovery.subscribe()
 				until(t, "the failure to be taken", func() bool { return len(n.loop.events) == 0 })
@@ -219,7 +219,7 @@
 			wait(t, waits, "the wait")
 			ag := newAgent(t)
 			ag.tell(false, whole())
-			n.discovery.move(ag.Addr().String())
+			n.discovery.setAddress(ag.Addr().String())
 			wait(t, ag.asked, "the call after the move")
 		})
 	}
@@ -239,20 +239,20 @@
 					t.Fatal(err)
 				}
 				n.listener.Close()
-				d, again := n.discovery, probeInterval
+				d, again := n.discovery, retryInterval
 				if asked {
 					for range failures {
-						n.loop.take(listFailed{})
+						n.loop.handleEvent(subscriptionFailed{})
 					}
 					before := n.loop.clock.now()
-					n.loop.take(listFailed{})
-					for _, a := range n.loop.alarms {
+					n.loop.handleEvent(subscriptionFailed{})
+					for _, a := range n.loop.timers {
 						again = max(again, a.at-before)
 					}
 				}
 				// The pace, the call that is lost, the wait, a dial that never comes up and its wait, and the next call.
-				worst := watchInterval + d.hold + d.grace + again + agentDial + again + probeWait
-				if worst >= toldLatest {
+				worst := watchInterval + d.hold + d.grace + again + agentDialTimeout + again + agentCheckTimeout
+				if worst >= notifiedWithin {
 					t.Errorf("asked %v, ask-within %v, after %d failures: %v", asked, within, failures, worst)
 				}
 			}
@@ -288,7 +288,7 @@
 			cfg := testConfig(whole())
 			cfg.Discovery, cfg.Settings.PollDiscovery = ln.Addr().String(), asked
 			begun := time.Now()
-			n, _ := startNode(t, cfg, func(n *Node) { n.discovery.hold, n.discovery.first = 100*limit, 100*limit })
+			n, _ := startNode(t, cfg, func(n *Node) { n.discovery.hold, n.discovery.startupWait = 100*limit, 100*limit })
 			for range calls {
 				wait(t, seen, "a call")
 			}
@@ -296,9 +296,9 @@
 				t.Errorf("%d calls came within %v, want %v between two at least", calls, took, watchInterval)
 			}
 			until(t, "the last change to be known", func() bool {
-				n.backend.mu.Lock()
-				defer n.backend.mu.Unlock()
-				return len(n.backend.seen) == calls
+				n.upstream.mu.Lock()
+				defer n.upstream.mu.Unlock()
+				return len(n.upstream.endpoints) == calls
 			})
 		})
 	}
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -18,9 +18,9 @@
 				cfg.Settings.Classes[i].Deadline = deadline * time.Millisecond / time.Duration(i+1)
 				cfg.Settings.Classes[i].LatencyObjective = max(1, cfg.Settings.Classes[i].Deadline/part)
 			}
-			e, most := endingOf(cfg), drainMost(cfg)
+			e, most := drainScheduleOf(cfg), drainLimit(cfg)
 			kill := min(deadline*time.Millisecond, 3*time.Second) + 700*time.Millisecond
-			if !(e.accept > 400*time.Millisecond && e.accept <= e.serve && e.serve < e.last && e.last < most && most < kill) {
+			if !(e.stopAccepting > 400*time.Millisecond && e.stopAccepting <= e.closeConns && e.closeConns < e.answerAll && e.answerAll < most && most < kill) {
 				t.Errorf("deadline %v, aim 1/%d: %+v, all over at %v, killed at %v", deadline*time.Millisecond, part, e, most, kill)
 			}
 		}
@@ -53,7 +53,7 @@
 	s := newServer(t, echo)
 	gate, shut := make(chan struct{}), make(chan struct{}, 1)
 	n, stop := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
-		n.ending, n.drainMost = ending{serve: time.Millisecond, last: limit}, 2*limit
+		n.drainSchedule, n.drainLimit = drainSchedule{closeConns: time.Millisecond, answerAll: limit}, 2*limit
 		n.listener = gatedListener{n.listener.(*net.TCPListener), gate, shut}
 	})
 	var queued []*caller
@@ -91,7 +91,7 @@
 		cfg := testConfig(whole(entry("s1", s.addr(), "in_service")))
 		cfg.Settings.MaxRetryAfter = advice
 		n, stop := startNode(t, cfg, func(n *Node) {
-			n.ending, n.drainMost = ending{last: limit}, 2*limit
+			n.drainSchedule, n.drainLimit = drainSchedule{answerAll: limit}, 2*limit
 		})
 		unsafe, safe, after := dial(t, n), dial(t, n), dial(t, n)
 		unsafe.send("POST", "/note/k", "unsafe", "x", "60")
@@ -102,21 +102,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.loop.post(listNews{l})
+		n.loop.post(listReceived{l})
 		held := dial(t, n)
 		held.send("POST", "/note/k", "held", "x", "60")
 		until(t, "it to be with the module", func() bool {
-			n.frontend.callers.mu.Lock()
-			defer n.frontend.callers.mu.Unlock()
-			return n.frontend.callers.opened == 3
+			n.frontend.conns.mu.Lock()
+			defer n.frontend.conns.mu.Unlock()
+			return n.frontend.conns.active == 3
 		})
 		after.get("before") // its answer keeps the order: the held one is with the module by then
 		until(t, "it to be with the module", func() bool {
-			n.frontend.callers.mu.Lock()
-			defer n.frontend.callers.mu.Unlock()
-			return n.frontend.callers.opened == 4
+			n.frontend.conns.mu.Lock()
+			defer n.frontend.conns.mu.Unlock()
+			return n.frontend.conns.active == 4
 		})
-		n.loop.post(lastCall{})
+		n.loop.post(shutdownDeadline{})
 		for _, c := range []struct {
 			name   string
 			from   *caller
@@ -145,15 +145,15 @@
 	one, other := net.Pipe()
 	defer other.Close()
 	defer one.Close()
-	s := n.frontend.callers
-	c := &callerConn{Conn: one, callers: s}
-	s.grace.silent = limit
-	s.track(c, http.StateNew)
-	if s.letQuietGo() != 1 || c.going {
+	s := n.frontend.conns
+	c := &downstreamConn{Conn: one, conns: s}
+	s.gracePeriods.newConn = limit
+	s.connStateChanged(c, http.StateNew)
+	if s.evictQuiet() != 1 || c.evicted {
 		t.Error("let go at once")
 	}
-	s.grace.silent = 0
-	if s.letQuietGo(); !c.going {
+	s.gracePeriods.newConn = 0
+	if s.evictQuiet(); !c.evicted {
 		t.Error("kept for good")
 	}
 }
--- a/internal/node/edge_test.go
+++ b/internal/node/edge_test.go
@@ -13,7 +13,7 @@
 // It does not heed its context, so that whatever happened meanwhile is found at the first byte only.
 type heldDial struct{ up, through chan struct{} }
 
-func holdDials(b *backend) heldDial {
+func holdDials(b *upstreamPool) heldDial {
 	h := heldDial{make(chan struct{}, 10), make(chan struct{})}
 	b.dial = func(_ context.Context, network, address string) (net.Conn, error) {
 		nc, err := net.Dial(network, address)
@@ -47,40 +47,40 @@
 
 // What happens while a connection comes up is heeded at the first byte.
 func TestNothingIsBegunThatBecamePointlessWhileTheConnectionCameUp(t *testing.T) {
-	now := func(b *backend, h host, change func(*target)) {
-		e := target{Endpoint: balancer.Endpoint{ID: h.server, State: balancer.Ready}, endpoint: h.endpoint, bootMS: h.bootMS}
+	now := func(b *upstreamPool, h endpointInstance, change func(*listEntry)) {
+		e := listEntry{Endpoint: balancer.Endpoint{ID: h.uid, State: balancer.Ready}, address: h.address, bootMS: h.bootMS}
 		change(&e)
-		b.servers([]target{e}, false)
+		b.updateEndpoints([]listEntry{e}, false)
 	}
 	for _, c := range []struct {
 		name string
-		do   func(*backend, *attempt)
+		do   func(*upstreamPool, *attempt)
 		want balancer.AttemptResult
 	}{
-		{"drains", func(b *backend, a *attempt) { now(b, a.to, func(e *target) { e.State = balancer.Draining }) }, balancer.NotSent},
-		{"gone", func(b *backend, a *attempt) { now(b, a.to, func(e *target) { e.State = balancer.Removed }) }, balancer.NotSent},
-		{"left out of a whole list", func(b *backend, a *attempt) { b.servers(nil, true) }, balancer.NotSent},
-		{"started anew", func(b *backend, a *attempt) { now(b, a.to, func(e *target) { e.bootMS = 1 }) }, balancer.NotSent},
-		{"moved", func(b *backend, a *attempt) { now(b, a.to, func(e *target) { e.endpoint = "127.0.0.1:2" }) }, balancer.NotSent},
-		{"its caller left", func(b *backend, a *attempt) { a.call.depart() }, balancer.NotSent},
-		{"called off", func(b *backend, a *attempt) { a.cancel() }, balancer.Cancelled},
-		{"repeats are discarded no longer", func(b *backend, a *attempt) { a.before = b.clock.now() }, balancer.NotSent},
-		{"its time is over", func(b *backend, a *attempt) { a.deadline = b.clock.now() }, balancer.NotSent},
+		{"drains", func(b *upstreamPool, a *attempt) { now(b, a.to, func(e *listEntry) { e.State = balancer.Draining }) }, balancer.NotSent},
+		{"gone", func(b *upstreamPool, a *attempt) { now(b, a.to, func(e *listEntry) { e.State = balancer.Removed }) }, balancer.NotSent},
+		{"left out of a whole list", func(b *upstreamPool, a *attempt) { b.updateEndpoints(nil, true) }, balancer.NotSent},
+		{"started anew", func(b *upstreamPool, a *attempt) { now(b, a.to, func(e *listEntry) { e.bootMS = 1 }) }, balancer.NotSent},
+		{"moved", func(b *upstreamPool, a *attempt) { now(b, a.to, func(e *listEntry) { e.address = "127.0.0.1:2" }) }, balancer.NotSent},
+		{"its caller left", func(b *upstreamPool, a *attempt) { a.call.markDeparted() }, balancer.NotSent},
+		{"called off", func(b *upstreamPool, a *attempt) { a.cancel() }, balancer.Cancelled},
+		{"repeats are discarded no longer", func(b *upstreamPool, a *attempt) { a.notAfter = b.clock.now() }, balancer.NotSent},
+		{"its time is over", func(b *upstreamPool, a *attempt) { a.deadline = b.clock.now() }, balancer.NotSent},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			addr, came := sink(t)
 			b := testBackend(10)
 			held := holdDials(b)
 			a := testAttempt(b, addr)
-			end := make(chan result, 1)
-			go func() { end <- b.run(a) }()
+			end := make(chan attemptOutcome, 1)
+			go func() { end <- b.do(a) }()
 			wait(t, held.up, "the connection")
 			c.do(b, a)
 			close(held.through)
-			if r := wait(t, end, "the attempt's end"); r.ending != c.want {
-				t.Errorf("ending %d, want %d", r.ending, c.want)
+			if r := wait(t, end, "the attempt's end"); r.result != c.want {
+				t.Errorf("ending %d, want %d", r.result, c.want)
 			}
-			b.servers(nil, true) // closes what was kept
+			b.updateEndpoints(nil, true) // closes what was kept
 			if text := wait(t, came, "the close"); text != "" {
 				t.Errorf("the server got %q", text)
 			}
@@ -97,13 +97,13 @@
 	b := testBackend(10)
 	held := holdDials(b)
 	a := testAttempt(b, s.addr())
-	end := make(chan result, 1)
-	go func() { end <- b.run(a) }()
+	end := make(chan attemptOutcome, 1)
+	go func() { end <- b.do(a) }()
 	wait(t, held.up, "the connection")
-	a.call.depart()
+	a.call.markDeparted()
 	close(held.through)
 	wait(t, end, "the attempt's end")
-	if r := run(t, b, testAttempt(b, s.addr())); r.ending != balancer.Success || s.opened() != 1 || s.seen() != 1 {
-		t.Errorf("ending %d, %d connections, %d requests", r.ending, s.opened(), s.seen())
+	if r := run(t, b, testAttempt(b, s.addr())); r.result != balancer.Success || s.opened() != 1 || s.seen() != 1 {
+		t.Errorf("ending %d, %d connections, %d requests", r.result, s.opened(), s.seen())
 	}
 }
--- a/internal/node/trouble_test.go
+++ b/internal/node/faultanswers_test.go
@@ -146,11 +146,11 @@
 			return true
 		default:
 		}
-		n.frontend.callers.mu.Lock()
-		defer n.frontend.callers.mu.Unlock()
-		for conn := range n.frontend.callers.conns {
+		n.frontend.conns.mu.Lock()
+		defer n.frontend.conns.mu.Unlock()
+		for conn := range n.frontend.conns.conns {
 			if conn.RemoteAddr().String() == c.LocalAddr().String() {
-				return conn.phase == open
+				return conn.phase == phaseActive
 			}
 		}
 		return false
@@ -187,7 +187,7 @@
 		entries = append(entries, entry(fmt.Sprint("s", i), endpoint, "in_service"))
 	}
 	cfg := testConfig(whole(entries...))
-	cfg.Sockets = leastSockets
+	cfg.Sockets = minSockets
 	for i := range cfg.Settings.Classes {
 		cfg.Settings.Classes[i].Deadline, cfg.Settings.Classes[i].LatencyObjective = troubleDeadline, troubleDeadline/2
 	}
@@ -198,12 +198,12 @@
 	case "silent":
 		ag := newAgent(t)
 		ag.tell(true, "")
-		cfg.Discovery, first = ag.Addr().String(), firstWait
+		cfg.Discovery, first = ag.Addr().String(), startupWait
 	}
 	n, _ := startNode(t, cfg, func(n *Node) {
-		n.discovery.first = first
+		n.discovery.startupWait = first
 		if c.dial != nil {
-			n.backend.dial = func(context.Context, string, string) (net.Conn, error) { return nil, c.dial }
+			n.upstream.dial = func(context.Context, string, string) (net.Conn, error) { return nil, c.dial }
 		}
 	})
 	return n
--- a/internal/node/faults_test.go
+++ b/internal/node/faults_test.go
@@ -183,7 +183,7 @@
 			refused <- struct{}{}
 			return time.After(d)
 		}
-		n.discovery.hold, n.discovery.grace, n.discovery.first = 100*time.Millisecond, 100*time.Millisecond, limit
+		n.discovery.hold, n.discovery.grace, n.discovery.startupWait = 100*time.Millisecond, 100*time.Millisecond, limit
 	})
 	c, sent := dial(t, n), 0
 	ask := func() { sent++; c.get(fmt.Sprint("r", sent)); c.want(t, 200, "") }
@@ -198,7 +198,7 @@
 	case when == "middle":
 		begin()
 	case when == "move":
-		n.discovery.move(addr)
+		n.discovery.setAddress(addr)
 	}
 	if fault == "refused" {
 		for range times {
@@ -217,9 +217,9 @@
 		}
 	}
 	until(t, "the server that joined to be known", func() bool {
-		n.backend.mu.Lock()
-		defer n.backend.mu.Unlock()
-		_, known := n.backend.seen["s2"]
+		n.upstream.mu.Lock()
+		defer n.upstream.mu.Unlock()
+		_, known := n.upstream.endpoints["s2"]
 		return known
 	})
 	seen := old.seen()
--- a/internal/node/health_test.go
+++ b/internal/node/health_test.go
@@ -143,9 +143,9 @@
 					list[2], list[3] = f.serve(t, "s5"), f.serve(t, "s6")
 					ag.tell(false, whole(list...))
 					until(t, "the new list", func() bool {
-						n.backend.mu.Lock()
-						defer n.backend.mu.Unlock()
-						_, listed := n.backend.seen["s6"]
+						n.upstream.mu.Lock()
+						defer n.upstream.mu.Unlock()
+						_, listed := n.upstream.endpoints["s6"]
 						return listed
 					})
 				}
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -39,7 +39,7 @@
 
 // heardList tells by its first entry which version a list is that the loop takes over.
 type heardList struct {
-	first *target
+	first *listEntry
 	rev   int64
 }
 
@@ -55,11 +55,11 @@
 	}
 	h := &Hollow{push: !set.PollDiscovery, serve: serve, onList: onList, over: make(chan struct{})}
 	h.loop = newLoop(balancer, newClock(), log)
-	h.loop.rules.Store(newRules(1, set))
-	h.loop.start, h.loop.servers, h.loop.push = h.start, h.taken, h.push
+	h.loop.rules.Store(newRequestRules(1, set))
+	h.loop.start, h.loop.updateEndpoints, h.loop.listsPushed = h.start, h.taken, h.push
 	h.discovery = newDiscovery(cfg, -1, h.post, log)
 	h.loop.subscribe = h.discovery.subscribe
-	if h.loop.known = (list{full: true}); !h.push {
+	if h.loop.cachedList = (endpointList{complete: true}); !h.push {
 		h.loop.useCachedList() // the module asks for more
 	}
 	return h, nil
@@ -72,12 +72,12 @@
 		h.loop.run(ctx)
 	}()
 	if h.push {
-		h.discovery.push(ctx)
+		h.discovery.runPushed(ctx)
 	} else {
-		h.discovery.ask(ctx)
+		h.discovery.runPolled(ctx)
 	}
 	<-h.over
-	h.discovery.place().client.CloseIdleConnections()
+	h.discovery.address().client.CloseIdleConnections()
 }
 
 // Ready says whether a listed server may be sent to.
@@ -91,15 +91,15 @@
 	id := strconv.FormatInt(h.calls, 10)
 	h.mu.Unlock()
 	now := h.loop.clock.now()
-	c := &call{id: id, class: class, at: now, deadline: now + deadline, revision: 1, answer: make(chan answer, 1)}
-	h.post(arrived{c})
+	c := &request{id: id, class: class, receivedAt: now, deadline: now + deadline, revision: 1, response: make(chan response, 1)}
+	h.post(requestReceived{c})
 	go func() {
 		select {
-		case a := <-c.answer:
+		case a := <-c.response:
 			switch a.kind {
-			case served:
+			case responseServed:
 				done(Served)
-			case refused:
+			case responseRejected:
 				done(Refused)
 			default:
 				done(Failed)
@@ -111,9 +111,9 @@
 
 // post hands the loop an event, unless it has ended.
 func (h *Hollow) post(e event) {
-	if news, ok := e.(listNews); ok && len(news.list.targets) > 0 {
+	if news, ok := e.(listReceived); ok && len(news.list.entries) > 0 {
 		h.mu.Lock()
-		h.lists = append(h.lists, heardList{&news.list.targets[0], news.list.rev})
+		h.lists = append(h.lists, heardList{&news.list.entries[0], news.list.version})
 		h.mu.Unlock()
 	}
 	select {
@@ -123,7 +123,7 @@
 }
 
 // taken tells of a list that the loop takes over. One that changed nothing is passed over.
-func (h *Hollow) taken(targets []target, _ bool) {
+func (h *Hollow) taken(targets []listEntry, _ bool) {
 	if len(targets) == 0 {
 		return
 	}
@@ -142,7 +142,7 @@
 
 // start ends an attempt in memory after the time drawn for it, or when it times out or is withdrawn.
 func (h *Hollow) start(a *attempt) {
-	delay, ending := h.serve(a.to.server)
+	delay, ending := h.serve(a.to.uid)
 	if left := h.loop.clock.until(a.deadline); delay > left {
 		delay, ending = left, balancer.TimedOut
 	}
@@ -156,6 +156,6 @@
 		case <-h.over:
 		}
 		a.cancel()
-		h.post(ended{a, result{ending: ending, at: h.loop.clock.now()}})
+		h.post(attemptEnded{a, attemptOutcome{result: ending, endedAt: h.loop.clock.now()}})
 	}()
 }
--- a/internal/node/leaving_test.go
+++ b/internal/node/leaving_test.go
@@ -44,7 +44,7 @@
 	cfg.Settings.AllowCancel = mayCancel
 	var dials heldDial
 	n, _ := startNode(t, cfg, func(n *Node) {
-		if dials = holdDials(n.backend); held {
+		if dials = holdDials(n.upstream); held {
 			close(dials.through)
 		}
 	})
@@ -56,9 +56,9 @@
 	c.send(method, target, "leaving", body, "60")
 	if held {
 		until(t, "the request to be with the module", func() bool {
-			n.frontend.callers.mu.Lock()
-			defer n.frontend.callers.mu.Unlock()
-			return n.frontend.callers.opened == 1
+			n.frontend.conns.mu.Lock()
+			defer n.frontend.conns.mu.Unlock()
+			return n.frontend.conns.active == 1
 		})
 	} else {
 		wait(t, dials.up, "the connection")
@@ -71,13 +71,13 @@
 		c.Conn.(*net.TCPConn).SetLinger(0)
 	}
 	c.Close()
-	until(t, "the node to notice", func() bool { return n.frontend.callers.held() == 0 })
+	until(t, "the node to notice", func() bool { return n.frontend.conns.count() == 0 })
 	if held {
 		news, err := parseList([]byte(`{"rev":2,"all":true,"targets":[` + entry("s1", s.addr(), "in_service") + `]}`))
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.loop.post(listNews{list: news})
+		n.loop.post(listReceived{list: news})
 	} else {
 		close(dials.through)
 	}
@@ -86,11 +86,11 @@
 
 // readAhead is how many bytes are kept of callers whose requests are not answered.
 func readAhead(n *Node) (sum int) {
-	n.frontend.callers.mu.Lock()
-	defer n.frontend.callers.mu.Unlock()
-	for c := range n.frontend.callers.conns {
+	n.frontend.conns.mu.Lock()
+	defer n.frontend.conns.mu.Unlock()
+	for c := range n.frontend.conns.conns {
 		c.mu.Lock()
-		sum += len(c.ahead)
+		sum += len(c.readAhead)
 		c.mu.Unlock()
 	}
 	return sum
@@ -139,7 +139,7 @@
 // broken, no attempt begins for it, nor for what it sent ahead: wherever its request is just then.
 func TestNothingBeginsForACallerThatLeftBehindManyBytes(t *testing.T) {
 	for _, where := range []string{"held", "dial", "retry", "busy loop", "in flight"} {
-		for _, ahead := range []int{0, 100, 3000, 8192, 20000, 60000, 2 * aheadEach} {
+		for _, ahead := range []int{0, 100, 3000, 8192, 20000, 60000, 2 * readAheadPerConn} {
 			for _, how := range []string{"close", "reset", "break"} {
 				for _, mayCancel := range []bool{true, false} {
 					t.Run(fmt.Sprint(where, " ", ahead, " ", how, " mayCancel=", mayCancel), func(t *testing.T) {
@@ -175,15 +175,15 @@
 	cfg.Settings.AllowCancel = mayCancel
 	conns := breakableConns{cause: syscall.ETIMEDOUT, accepted: make(chan *breakableConn, 2)}
 	n, _ := startNode(t, cfg, func(n *Node) {
-		n.ending, n.drainMost = ending{serve: time.Millisecond, last: limit}, 2*limit // as short as it can be
+		n.drainSchedule, n.drainLimit = drainSchedule{closeConns: time.Millisecond, answerAll: limit}, 2*limit // as short as it can be
 		conns.TCPListener = n.listener.(*net.TCPListener)
 		n.listener = conns
 		switch where {
 		case "dial":
-			dials = holdDials(n.backend)
+			dials = holdDials(n.upstream)
 		case "busy loop": // it stops at the first list that is pushed
-			take := n.loop.servers
-			n.loop.servers = func(targets []target, full bool) {
+			take := n.loop.updateEndpoints
+			n.loop.updateEndpoints = func(targets []listEntry, full bool) {
 				if !full {
 					close(stopped)
 					<-resume
@@ -191,11 +191,11 @@
 				take(targets, full)
 			}
 		case "retry": // the first connection comes up at once, the second is held
-			through := n.backend.dial
-			dials = holdDials(n.backend)
-			held := n.backend.dial
+			through := n.upstream.dial
+			dials = holdDials(n.upstream)
+			held := n.upstream.dial
 			first <- struct{}{}
-			n.backend.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+			n.upstream.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 				select {
 				case <-first:
 					return through(ctx, network, address)
@@ -210,7 +210,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return listNews{list: news}
+		return listReceived{list: news}
 	}
 	c := dial(t, n)
 	switch where {
@@ -225,19 +225,19 @@
 		wait(t, got, "the attempt")
 	case "busy loop":
 		until(t, "the first list to be taken", n.loop.ready.Load)
-		news := list(2, "in_service").(listNews)
-		news.list.full, news.list.targets[0].Capacity = false, 2
+		news := list(2, "in_service").(listReceived)
+		news.list.complete, news.list.entries[0].Capacity = false, 2
 		n.loop.post(news)
 		wait(t, stopped, "the loop")
 		c.get("leaving")
 		until(t, "the request to be queued", func() bool { return len(n.loop.events) == 1 })
 	}
 	text := sentAhead(ahead)
-	if ahead > aheadEach && where != "busy loop" {
+	if ahead > readAheadPerConn && where != "busy loop" {
 		text = strings.Repeat("x", ahead) // they are answered while the caller is there: no requests, then
 	}
 	io.WriteString(c, text)
-	if ahead <= aheadEach {
+	if ahead <= readAheadPerConn {
 		until(t, "the bytes to be read", func() bool { return readAhead(n) == ahead })
 	}
 	switch how {
@@ -253,7 +253,7 @@
 		until(t, "the leaving to be queued", func() bool { return len(n.loop.events) >= 2 })
 		close(resume)
 	}
-	until(t, "the node to notice", func() bool { return n.frontend.callers.held() == 0 })
+	until(t, "the node to notice", func() bool { return n.frontend.conns.count() == 0 })
 	switch where {
 	case "held":
 		n.loop.post(list(2, "in_service"))
@@ -272,9 +272,9 @@
 func untilOpened(t *testing.T, n *Node, many int) {
 	t.Helper()
 	until(t, "the requests to be with the module", func() bool {
-		n.frontend.callers.mu.Lock()
-		defer n.frontend.callers.mu.Unlock()
-		return n.frontend.callers.opened == many
+		n.frontend.conns.mu.Lock()
+		defer n.frontend.conns.mu.Unlock()
+		return n.frontend.conns.active == many
 	})
 }
 
@@ -286,13 +286,13 @@
 	other.get("other")
 	other.want(t, 200, "for other")
 	until(t, "all attempts' end", func() bool {
-		n.backend.mu.Lock()
-		defer n.backend.mu.Unlock()
+		n.upstream.mu.Lock()
+		defer n.upstream.mu.Unlock()
 		kept := 0
-		for _, idle := range n.backend.idle {
+		for _, idle := range n.upstream.idle {
 			kept += len(idle)
 		}
-		return kept == n.backend.open
+		return kept == n.upstream.open
 	})
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -303,7 +303,7 @@
 	if !maps.Equal(got, want) {
 		t.Errorf("the server got %v, want %v", got, want)
 	}
-	if kept := n.frontend.callers.aheadKept.Load(); kept != 0 {
+	if kept := n.frontend.conns.readAheadReserved.Load(); kept != 0 {
 		t.Errorf("%d bytes are kept of callers that have left", kept)
 	}
 }
@@ -313,7 +313,7 @@
 	s := newServer(t, echo)
 	through := make(chan struct{})
 	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
-		n.backend.dial = func(_ context.Context, network, address string) (net.Conn, error) {
+		n.upstream.dial = func(_ context.Context, network, address string) (net.Conn, error) {
 			nc, err := net.Dial(network, address)
 			<-through
 			return nc, err
@@ -335,7 +335,7 @@
 		}
 		c.Close()
 	}
-	until(t, "the node to notice", func() bool { return n.frontend.callers.held() == 0 })
+	until(t, "the node to notice", func() bool { return n.frontend.conns.count() == 0 })
 	close(through)
 	nothingOfTheLeavers(t, n, s, map[string]int{"other": 1})
 }
@@ -388,7 +388,7 @@
 				var dials heldDial
 				n, _ := startNode(t, cfg, func(n *Node) {
 					if c.where == "dial" {
-						dials = holdDials(n.backend)
+						dials = holdDials(n.upstream)
 					}
 				})
 				half := dial(t, n)
@@ -404,9 +404,9 @@
 				half.Conn.(*net.TCPConn).CloseWrite()
 				if c.want[0] == 200 { // told of nothing before
 					until(t, "the close to be seen", func() bool {
-						n.frontend.callers.mu.Lock()
-						defer n.frontend.callers.mu.Unlock()
-						for nc := range n.frontend.callers.conns {
+						n.frontend.conns.mu.Lock()
+						defer n.frontend.conns.mu.Unlock()
+						for nc := range n.frontend.conns.conns {
 							return nc.departure() == halfClosed
 						}
 						return false
@@ -425,7 +425,7 @@
 						continue
 					}
 					if c.where == "last call" {
-						n.loop.post(lastCall{})
+						n.loop.post(shutdownDeadline{})
 					} else {
 						close(answer)
 					}
@@ -457,10 +457,10 @@
 		all   int64 // what all callers may send ahead
 		want  int
 	}{
-		{"held, beyond its own bound", false, 16 * aheadEach, 503},
-		{"in flight, beyond its own bound", true, 16 * aheadEach, 502},
-		{"held, beyond the bound of all", false, 3 * aheadStep, 503},
-		{"in flight, beyond the bound of all", true, 3 * aheadStep, 502},
+		{"held, beyond its own bound", false, 16 * readAheadPerConn, 503},
+		{"in flight, beyond its own bound", true, 16 * readAheadPerConn, 502},
+		{"held, beyond the bound of all", false, 3 * readAheadStep, 503},
+		{"in flight, beyond the bound of all", true, 3 * readAheadStep, 502},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -478,7 +478,7 @@
 				state = "in_service"
 			}
 			n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), state))), func(n *Node) {
-				n.frontend.callers.aheadMost = c.all
+				n.frontend.conns.readAheadLimit = c.all
 			})
 			many := dial(t, n)
 			many.get("r")
@@ -487,7 +487,7 @@
 			} else {
 				untilOpened(t, n, 1)
 			}
-			const more = 2 * aheadEach / 80
+			const more = 2 * readAheadPerConn / 80
 			go func() {
 				for i := range more {
 					many.get(fmt.Sprint("next-", i))
@@ -499,7 +499,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				n.loop.post(listNews{list: news})
+				n.loop.post(listReceived{list: news})
 			}
 			served, cutOff := 0, 0
 			for i := range more {
@@ -521,7 +521,7 @@
 			}
 			many.get("last")
 			many.want(t, 200, "for last")
-			if kept := n.frontend.callers.aheadKept.Load(); kept != 0 {
+			if kept := n.frontend.conns.readAheadReserved.Load(); kept != 0 {
 				t.Errorf("%d bytes are kept with nothing sent ahead", kept)
 			}
 		})
@@ -605,7 +605,7 @@
 	}
 	close(looks.through)
 	other.want(t, 200, "for other")
-	until(t, "the node to notice", func() bool { return n.frontend.callers.held() == 2 })
+	until(t, "the node to notice", func() bool { return n.frontend.conns.count() == 2 })
 	if s.seen() != 21 {
 		t.Errorf("%d requests began, want 21", s.seen())
 	}
--- a/internal/node/listener_test.go
+++ b/internal/node/listener_test.go
@@ -51,7 +51,7 @@
 			t.Parallel()
 			s := newServer(t, echo)
 			n, stop := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
-				n.ending, n.drainMost = ending{serve: time.Millisecond, last: limit}, 2*limit
+				n.drainSchedule, n.drainLimit = drainSchedule{closeConns: time.Millisecond, answerAll: limit}, 2*limit
 				n.listener = failingListener{n.listener.(*net.TCPListener), failing(cause, 3)}
 			})
 			c := dial(t, n)
@@ -79,7 +79,7 @@
 			draining, resume := make(chan struct{}), make(chan struct{})
 			fail := failing(cause, 3)
 			n, stop := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
-				n.ending, n.drainMost = ending{serve: time.Millisecond, last: limit}, 2*limit
+				n.drainSchedule, n.drainLimit = drainSchedule{closeConns: time.Millisecond, answerAll: limit}, 2*limit
 				n.listener = failingListener{n.listener.(*net.TCPListener), func() error {
 					if !n.frontend.draining.Load() {
 						return nil
@@ -127,7 +127,7 @@
 			var failing atomic.Bool
 			failed := make(chan struct{}, 1)
 			n, stop := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
-				n.ending, n.drainMost = ending{serve: time.Millisecond, last: 100 * time.Millisecond}, 2*limit
+				n.drainSchedule, n.drainLimit = drainSchedule{closeConns: time.Millisecond, answerAll: 100 * time.Millisecond}, 2*limit
 				n.listener = failingListener{n.listener.(*net.TCPListener), func() error {
 					if !failing.Load() {
 						return nil
@@ -163,9 +163,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := newCallers(newClock(), 10, 10, 16<<20, func() int { return 0 })
+	s := newDownstreamConns(newClock(), 10, 10, 16<<20, func() int { return 0 })
 	var log bytes.Buffer
-	l := newCallerListener(failingListener{ln.(*net.TCPListener), failing(syscall.ENOBUFS, 6)}, s,
+	l := newDownstreamListener(failingListener{ln.(*net.TCPListener), failing(syscall.ENOBUFS, 6)}, s,
 		slog.New(slog.NewTextHandler(&log, nil)))
 	defer l.Close()
 	theirs, err := net.Dial("tcp", ln.Addr().String())
@@ -183,7 +183,7 @@
 	if lines := bytes.Count(log.Bytes(), []byte("\n")); lines < 1 || lines > most {
 		t.Errorf("%d lines, want 1 to %d:\n%s", lines, most, log.String())
 	}
-	if counts, _ := s.report(); counts.AcceptFailed != 6 {
+	if counts, _ := s.takeCounts(); counts.AcceptFailed != 6 {
 		t.Errorf("%d failures counted, want 6", counts.AcceptFailed)
 	}
 	l.Close()
--- a/internal/node/listparser.go
+++ b/internal/node/listparser.go
@@ -14,27 +14,27 @@
 )
 
 // list is what discovery tells: the complete list of servers, or the entries that changed.
-type list struct {
-	rev     int64
-	full    bool
-	targets []target
+type endpointList struct {
+	version  int64
+	complete bool
+	entries  []listEntry
 }
 
 // target is an entry of a list: the module's view of a server, where it listens, and when it last started.
-type target struct {
+type listEntry struct {
 	balancer.Endpoint // its Boot is set by the loop
-	endpoint          string
+	address           string
 	bootMS            float64 // as listed: Unix time in milliseconds; 0: long ago
 }
 
-func (t target) host() host { return host{t.ID, t.endpoint, t.bootMS} }
+func (t listEntry) instance() endpointInstance { return endpointInstance{t.ID, t.address, t.bootMS} }
 
 var states = map[string]balancer.EndpointState{
 	"in_service": balancer.Ready, "terminating": balancer.Draining, "terminated": balancer.Removed,
 }
 
 // listEntry is an entry of a list as discovery writes it.
-type listEntry struct {
+type wireEntry struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
 	Zone     string  `json:"az"`
@@ -45,47 +45,47 @@
 }
 
 // target checks an entry and converts it.
-func (e *listEntry) target() (target, error) {
+func (e *wireEntry) toListEntry() (listEntry, error) {
 	state, ok := states[e.State]
 	_, err := netip.ParseAddrPort(e.Endpoint)
 	switch {
 	case e.UID == "":
-		return target{}, errors.New("uid is empty")
+		return listEntry{}, errors.New("uid is empty")
 	case !ok:
-		return target{}, fmt.Errorf("unknown state %q", e.State)
+		return listEntry{}, fmt.Errorf("unknown state %q", e.State)
 	case err != nil && state != balancer.Removed:
-		return target{}, err
+		return listEntry{}, err
 	case !(e.Size >= 0 && e.Size <= 1e12) || !(e.Boot >= 0 && e.Boot <= 1e13) || !(math.Abs(e.Cell) <= 1e9):
-		return target{}, errors.New("capacity_hint, boot_ms or pod_group is out of range")
+		return listEntry{}, errors.New("capacity_hint, boot_ms or pod_group is out of range")
 	}
-	return target{endpoint: e.Endpoint, bootMS: e.Boot, Endpoint: balancer.Endpoint{ID: e.UID, Zone: e.Zone,
+	return listEntry{address: e.Endpoint, bootMS: e.Boot, Endpoint: balancer.Endpoint{ID: e.UID, Zone: e.Zone,
 		Cell: int(e.Cell), State: state, Capacity: e.Size}}, nil
 }
 
 // listParser reads one list entry by entry, so that neither its text nor its entries are held twice. Keys come in
 // any order and any case, and the last of equal ones counts, as with json.Unmarshal.
 type listParser struct {
-	decoder *json.Decoder
-	rev     *int64
-	full    *bool
-	targets []target
-	seen    map[string]bool // the uids of targets
+	decoder     *json.Decoder
+	version     *int64
+	complete    *bool
+	entriesRead []listEntry
+	seen        map[string]bool // the uids of targets
 }
 
 // parseList reads a list that is in memory.
-func parseList(text []byte) (list, error) { return readList(bytes.NewReader(text)) }
+func parseList(text []byte) (endpointList, error) { return readList(bytes.NewReader(text)) }
 
 // readList reads a list to the end of its text. A malformed one is dropped: a part of a list would look as if the
 // rest had gone.
-func readList(text io.Reader) (list, error) {
+func readList(text io.Reader) (endpointList, error) {
 	p := listParser{decoder: json.NewDecoder(text)}
 	if err := p.parse(); err != nil {
-		return list{}, err
+		return endpointList{}, err
 	}
-	if p.rev == nil || p.full == nil {
-		return list{}, fmt.Errorf("list: rev or all is missing")
+	if p.version == nil || p.complete == nil {
+		return endpointList{}, fmt.Errorf("list: rev or all is missing")
 	}
-	return list{rev: *p.rev, full: *p.full, targets: p.targets}, nil
+	return endpointList{version: *p.version, complete: *p.complete, entries: p.entriesRead}, nil
 }
 
 func (p *listParser) parse() error {
@@ -117,9 +117,9 @@
 func (p *listParser) field(key string) (err error) {
 	switch {
 	case strings.EqualFold(key, "rev"):
-		err = p.decoder.Decode(&p.rev)
+		err = p.decoder.Decode(&p.version)
 	case strings.EqualFold(key, "all"):
-		err = p.decoder.Decode(&p.full)
+		err = p.decoder.Decode(&p.complete)
 	case strings.EqualFold(key, "targets"):
 		return p.entries()
 	default:
@@ -133,7 +133,7 @@
 
 // entries reads the value of targets, which may be null.
 func (p *listParser) entries() error {
-	p.targets, p.seen = nil, map[string]bool{}
+	p.entriesRead, p.seen = nil, map[string]bool{}
 	open, err := p.decoder.Token()
 	switch {
 	case err != nil:
@@ -145,18 +145,18 @@
 	}
 	for p.decoder.More() {
 		if err := p.entry(); err != nil {
-			return fmt.Errorf("list: targets[%d]: %w", len(p.targets), err)
+			return fmt.Errorf("list: targets[%d]: %w", len(p.entriesRead), err)
 		}
 	}
 	return p.delim(']')
 }
 
 func (p *listParser) entry() error {
-	var e listEntry
+	var e wireEntry
 	if err := p.decoder.Decode(&e); err != nil {
 		return err
 	}
-	t, err := e.target()
+	t, err := e.toListEntry()
 	if err != nil {
 		return err
 	}
@@ -164,7 +164,7 @@
 		return fmt.Errorf("uid %q comes twice", t.ID)
 	}
 	p.seen[t.ID] = true
-	p.targets = append(p.targets, t)
+	p.entriesRead = append(p.entriesRead, t)
 	return nil
 }
 
@@ -187,18 +187,18 @@
 // listBody is the body of discovery's answer, up to maxList bytes. It notes why it could not be read to its end:
 // to the parser that looks like a malformed list.
 type listBody struct {
-	bounded
+	limitedReader
 	err error
 }
 
 func newListBody(body io.Reader) *listBody {
-	return &listBody{bounded: bounded{Reader: body, left: maxList + 1}}
+	return &listBody{limitedReader: limitedReader{Reader: body, left: maxListBytes + 1}}
 }
 
 func (b *listBody) Read(p []byte) (int, error) {
-	n, err := b.bounded.Read(p)
+	n, err := b.limitedReader.Read(p)
 	if b.left == 0 {
-		return n, errTooLong
+		return n, errResponseTooLong
 	}
 	if err != nil && !errors.Is(err, io.EOF) {
 		b.err = err
--- a/internal/node/listparser_test.go
+++ b/internal/node/listparser_test.go
@@ -18,27 +18,27 @@
 )
 
 // unmarshalList reads a list with json.Unmarshal, as the parser is to read it.
-func unmarshalList(text []byte) (list, error) {
+func unmarshalList(text []byte) (endpointList, error) {
 	var f struct {
 		Rev     *int64      `json:"rev"`
 		All     *bool       `json:"all"`
-		Targets []listEntry `json:"targets"`
+		Targets []wireEntry `json:"targets"`
 	}
 	if err := json.Unmarshal(text, &f); err != nil {
-		return list{}, err
+		return endpointList{}, err
 	}
 	if f.Rev == nil || f.All == nil {
-		return list{}, errors.New("rev or all is missing")
+		return endpointList{}, errors.New("rev or all is missing")
 	}
-	l := list{rev: *f.Rev, full: *f.All}
+	l := endpointList{version: *f.Rev, complete: *f.All}
 	seen := map[string]bool{}
 	for _, e := range f.Targets {
-		t, err := e.target()
+		t, err := e.toListEntry()
 		if err != nil || seen[t.ID] {
-			return list{}, fmt.Errorf("uid %q: %w", t.ID, err)
+			return endpointList{}, fmt.Errorf("uid %q: %w", t.ID, err)
 		}
 		seen[t.ID] = true
-		l.targets = append(l.targets, t)
+		l.entries = append(l.entries, t)
 	}
 	return l, nil
 }
@@ -116,21 +116,21 @@
 	}{
 		{"compact", manyServers(3200, "", false), 3200},
 		{"indented", manyServers(3200, "", true), 3200},
-		{"of the most bytes", strings.Repeat(" ", maxList-len(manyServers(3200, "", false))) + manyServers(3200, "", false), 3200},
-		{"of a byte too many", manyServers(1, "", false) + strings.Repeat(" ", maxList+1-len(manyServers(1, "", false))), 0},
+		{"of the most bytes", strings.Repeat(" ", maxListBytes-len(manyServers(3200, "", false))) + manyServers(3200, "", false), 3200},
+		{"of a byte too many", manyServers(1, "", false) + strings.Repeat(" ", maxListBytes+1-len(manyServers(1, "", false))), 0},
 		{"endless", manyServers(3200, strings.Repeat("x", 2000), false), 0},
 	} {
 		ag := newAgent(t)
 		ag.tell(false, c.text)
-		var got []target
+		var got []listEntry
 		cfg := testConfig("")
 		cfg.Discovery = ag.Addr().String()
-		d := newDiscovery(cfg, -1, func(e event) { got = e.(listNews).list.targets }, testLog())
-		if _, err := d.watch(t.Context(), d.place(), false); (err == nil) != (c.want > 0) || len(got) != c.want {
+		d := newDiscovery(cfg, -1, func(e event) { got = e.(listReceived).list.entries }, testLog())
+		if _, err := d.watchOnce(t.Context(), d.address(), false); (err == nil) != (c.want > 0) || len(got) != c.want {
 			t.Errorf("%s: %d servers, %v, want %d", c.name, len(got), err, c.want)
 		}
-		if held := d.place().rev >= 0; held != (c.want > 0) {
-			t.Errorf("%s: rev %d is held", c.name, d.place().rev)
+		if held := d.address().version >= 0; held != (c.want > 0) {
+			t.Errorf("%s: rev %d is held", c.name, d.address().version)
 		}
 	}
 }
@@ -154,8 +154,8 @@
 		cfg := testConfig("")
 		cfg.Discovery, cfg.Settings.PollDiscovery = agent.addr(), true
 		d := newDiscovery(cfg, 7, func(e event) { t.Errorf("%s: posted %v", c.name, e) }, testLog())
-		if _, err := d.watch(t.Context(), d.place(), false); err == nil || d.place().rev != c.want {
-			t.Errorf("%s: %v; rev %d is held, want %d", c.name, err, d.place().rev, c.want)
+		if _, err := d.watchOnce(t.Context(), d.address(), false); err == nil || d.address().version != c.want {
+			t.Errorf("%s: %v; rev %d is held, want %d", c.name, err, d.address().version, c.want)
 		}
 	}
 }
@@ -168,8 +168,8 @@
 	runtime.ReadMemStats(&before)
 	l, err := readList(newListBody(strings.NewReader(text)))
 	runtime.ReadMemStats(&after)
-	if err != nil || len(l.targets) != servers {
-		t.Fatalf("%d servers, %v", len(l.targets), err)
+	if err != nil || len(l.entries) != servers {
+		t.Fatalf("%d servers, %v", len(l.entries), err)
 	}
 	if got := after.TotalAlloc - before.TotalAlloc; got > uint64(len(text)) {
 		t.Errorf("%d bytes were allocated for a list of %d", got, len(text))
@@ -189,13 +189,13 @@
 				entries = append(entries, entry(fmt.Sprint("s", s), "127.0.0.1:1", state))
 			}
 		}
-		l.take(listNews{bootList(t, full, entries...)})
+		l.handleEvent(listReceived{bootList(t, full, entries...)})
 		want := false
-		for _, held := range l.listed {
+		for _, held := range l.endpoints {
 			want = want || held.State == balancer.Ready
 		}
 		if got := l.ready.Load(); got != want {
-			t.Fatalf("list %d: ready: %v, want %v with %v", i, got, want, l.listed)
+			t.Fatalf("list %d: ready: %v, want %v with %v", i, got, want, l.endpoints)
 		}
 	}
 }
@@ -209,9 +209,9 @@
 	}
 	defer n.listener.Close()
 	n.Reload(cfg)
-	n.loop.take(listNews{bootList(t, true, entry("s2", "127.0.0.1:1", "in_service"))})
-	if n.cfg.Known != nil || n.loop.known.targets != nil {
-		t.Errorf("%s and %v are kept", n.cfg.Known, n.loop.known)
+	n.loop.handleEvent(listReceived{bootList(t, true, entry("s2", "127.0.0.1:1", "in_service"))})
+	if n.cfg.Known != nil || n.loop.cachedList.entries != nil {
+		t.Errorf("%s and %v are kept", n.cfg.Known, n.loop.cachedList)
 	}
 }
 
@@ -235,30 +235,30 @@
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			l, back := bootLoop(b, newMachine(), true), testBackend(10)
 			all := parsed(b, manyServers(servers, "", false))
-			l.convertBoots(all.targets)
+			l.convertBoots(all.entries)
 			l.apply(all)
-			back.servers(all.targets, true)
-			var changes [2]list
+			back.updateEndpoints(all.entries, true)
+			var changes [2]endpointList
 			for i, state := range []balancer.EndpointState{balancer.Draining, balancer.Ready} {
-				changed := all.targets[servers/2]
+				changed := all.entries[servers/2]
 				changed.State = state
-				changes[i] = list{rev: 8, targets: []target{changed}}
+				changes[i] = endpointList{version: 8, entries: []listEntry{changed}}
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				news := changes[i%2]
-				l.convertBoots(news.targets)
-				if l.holds(news) {
+				l.convertBoots(news.entries)
+				if l.isUnchanged(news) {
 					b.Fatal("no change")
 				}
 				l.apply(news)
-				back.servers(news.targets, false)
+				back.updateEndpoints(news.entries, false)
 			}
 		})
 	}
 }
 
-func parsed(tb testing.TB, text string) list {
+func parsed(tb testing.TB, text string) endpointList {
 	tb.Helper()
 	l, err := parseList([]byte(text))
 	if err != nil {
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -33,16 +33,16 @@
 func (c clock) until(at time.Duration) time.Duration { return at - c.now() }
 
 // call is a caller's request, as it came.
-type call struct {
+type request struct {
 	id, class, method, target, key string
 	contentType                    string
 	body                           []byte
 	firstByte                      time.Duration // clock time when its first byte was read; 0: at
-	at                             time.Duration // clock time when it was complete
+	receivedAt                     time.Duration // clock time when it was complete
 	deadline                       time.Duration // clock time until which the client waits
-	effort                         time.Duration // hinted; 0: not told
+	expectedWork                   time.Duration // hinted; 0: not told
 	revision                       int           // of the rules that it was checked against
-	answer                         chan answer   // takes one answer without blocking
+	response                       chan response // takes one answer without blocking
 
 	mu       sync.Mutex
 	departed bool // its caller has left, or may have: no attempt of it is to begin any more
@@ -50,7 +50,7 @@
 }
 
 // begin notes that the first byte of an attempt is written next, unless its caller has departed.
-func (c *call) begin(a *attempt) bool {
+func (c *request) beginAttempt(a *attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.departed {
@@ -61,7 +61,7 @@
 }
 
 // depart keeps further attempts from beginning, and tells whether one has begun.
-func (c *call) depart() (begun bool) {
+func (c *request) markDeparted() (begun bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.departed = true
@@ -76,75 +76,75 @@
 }
 
 // answer is the one final answer to a call.
-type answer struct {
-	kind       answerKind
-	body       []byte // for served
-	header     string // for served: the Content-Type
-	retryAfter time.Duration
-	reason     *rejected // for unfit
+type response struct {
+	kind        responseKind
+	body        []byte // for served
+	contentType string // for served: the Content-Type
+	retryAfter  time.Duration
+	reason      *requestError // for unfit
 }
 
-type answerKind int
+type responseKind int
 
 const (
-	served answerKind = iota
-	refused
-	failed
-	duplicate // the id is in use
-	unfit     // new rules came between its check and the module
+	responseServed responseKind = iota
+	responseRejected
+	responseFailed
+	responseDuplicateID // the id is in use
+	responseInvalid     // new rules came between its check and the module
 )
 
 // event is what the other parts tell the loop: one of the types below.
 type event interface{}
 
 type (
-	arrived    struct{ call *call }
-	callerGone struct {
-		call   *call
-		how    departure
-		at     time.Duration
-		advice time.Duration // when to come back, for a refusal
-	}
-	ended struct {
+	requestReceived struct{ call *request }
+	clientDeparted  struct {
+		call       *request
+		how        departure
+		at         time.Duration
+		retryAfter time.Duration // when to come back, for a refusal
+	}
+	attemptEnded struct {
 		attempt *attempt
-		result  result
+		result  attemptOutcome
 	}
-	listNews        struct{ list list }
-	listConfirmed   struct{} // discovery has answered that nothing has changed
-	listFailed      struct{}
-	discoverySilent struct{} // discovery says nothing: the list that the node last had must do
-	newSettings     struct {
+	listReceived          struct{ list endpointList }
+	listConfirmed         struct{} // discovery has answered that nothing has changed
+	subscriptionFailed    struct{}
+	discoveryUnresponsive struct{} // discovery says nothing: the list that the node last had must do
+	settingsChanged       struct {
 		settings balancer.Settings
-		rules    *rules
+		rules    *requestRules
 		inForce  func(at time.Duration)
 	}
-	lastCall struct{} // the node ends: what is unanswered is answered now
+	shutdownDeadline struct{} // the node ends: what is unanswered is answered now
 )
 
 // pending is a call that the module still knows: unanswered, or with attempts out.
-type pending struct {
-	call     *call
-	attempts []*attempt
-	out      int
-	answered bool
-	departed departure     // to the module its client has gone, unless this is present
-	advice   time.Duration // for a refusal then
-	ran      bool          // an attempt that has ended may have run
+type requestState struct {
+	call       *request
+	attempts   []*attempt
+	inFlight   int
+	answered   bool
+	departed   departure     // to the module its client has gone, unless this is present
+	retryAfter time.Duration // for a refusal then
+	mayHaveRun bool          // an attempt that has ended may have run
 }
 
 // alarm is a Wake to come.
-type alarm struct {
+type timerEntry struct {
 	at    time.Duration
 	token string
 }
 
-type alarms []alarm
+type timerHeap []timerEntry
 
-func (a alarms) Len() int           { return len(a) }
-func (a alarms) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a alarms) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *alarms) Push(x any)        { *a = append(*a, x.(alarm)) }
-func (a *alarms) Pop() any {
+func (a timerHeap) Len() int           { return len(a) }
+func (a timerHeap) Less(i, j int) bool { return a[i].at < a[j].at }
+func (a timerHeap) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *timerHeap) Push(x any)        { *a = append(*a, x.(timerEntry)) }
+func (a *timerHeap) Pop() any {
 	old := *a
 	last := old[len(old)-1]
 	*a = old[:len(old)-1]
@@ -153,64 +153,64 @@
 
 // stats count what happened, for the log.
 type stats struct {
-	Requests, Served, Refused, Failed, Gone, Sends int
-	Endings                                        [8]int
-	LagMax, LagSum                                 time.Duration
-	Events                                         int
+	Requests, Served, Rejected, Failed, Departed, Sends int
+	Results                                             [8]int
+	LagMax, LagSum                                      time.Duration
+	Events                                              int
 }
 
 // loop is the only goroutine that touches the Balancer. It never blocks on I/O: answers go to
 // channels with room, and attempts run in goroutines of their own.
 type loop struct {
-	clock     clock
-	balancer  *balancer.Balancer
-	events    chan event
-	start     func(*attempt) // begins an attempt; must not block
-	subscribe func()
-	servers   func([]target, bool) // tells the backend of the list; must not block
-	push      bool                 // lists are pushed
-	sockets   func() []any         // more for the log's report
-	log       *slog.Logger
-	rules     atomic.Pointer[rules] // as the module has them; set by the loop alone once it runs
-
-	now     time.Duration
-	pending map[string]*pending
-	alarms  alarms
-	listed  map[string]target
-	boots   *bootClock
-	known   list        // as the node last had it; of use, and kept, only until a list is heard
-	heard   bool        // the list is as new as it can be had
-	ready   atomic.Bool // a listed server may be sent to
-	stats   stats
+	clock           clock
+	balancer        *balancer.Balancer
+	events          chan event
+	start           func(*attempt) // begins an attempt; must not block
+	subscribe       func()
+	updateEndpoints func([]listEntry, bool) // tells the backend of the list; must not block
+	listsPushed     bool                    // lists are pushed
+	connectionStats func() []any            // more for the log's report
+	log             *slog.Logger
+	rules           atomic.Pointer[requestRules] // as the module has them; set by the loop alone once it runs
+
+	now        time.Duration
+	pending    map[string]*requestState
+	timers     timerHeap
+	endpoints  map[string]listEntry
+	boots      *bootClock
+	cachedList endpointList // as the node last had it; of use, and kept, only until a list is heard
+	listHeard  bool         // the list is as new as it can be had
+	ready      atomic.Bool  // a listed server may be sent to
+	stats      stats
 
 	readyServers int // how many of listed are ready
 }
 
 func newLoop(b *balancer.Balancer, c clock, log *slog.Logger) *loop {
-	return &loop{clock: c, balancer: b, sockets: func() []any { return nil }, events: make(chan event, 1024), log: log,
-		pending: map[string]*pending{}, listed: map[string]target{}, boots: newBootClock(c)}
+	return &loop{clock: c, balancer: b, connectionStats: func() []any { return nil }, events: make(chan event, 1024), log: log,
+		pending: map[string]*requestState{}, endpoints: map[string]listEntry{}, boots: newBootClock(c)}
 }
 
 func (l *loop) post(e event) { l.events <- e }
 
 // statsEvery is how often the log tells what happened, when anything did.
-const statsEvery = 10 * time.Second
+const statsInterval = 10 * time.Second
 
 // run handles events until ctx ends.
 func (l *loop) run(ctx context.Context) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	report := time.NewTicker(statsEvery)
+	report := time.NewTicker(statsInterval)
 	defer report.Stop()
 	defer l.report()
 	for {
-		l.ring()
-		if len(l.alarms) > 0 {
-			timer.Reset(max(0, l.clock.until(l.alarms[0].at)))
+		l.fireTimers()
+		if len(l.timers) > 0 {
+			timer.Reset(max(0, l.clock.until(l.timers[0].at)))
 		}
 		select {
 		case e := <-l.events:
-			l.take(e)
+			l.handleEvent(e)
 		case <-timer.C:
 		case <-report.C:
 			l.report()
@@ -221,67 +221,67 @@
 }
 
 // ring handles the alarms that are due.
-func (l *loop) ring() {
-	for len(l.alarms) > 0 {
+func (l *loop) fireTimers() {
+	for len(l.timers) > 0 {
 		now := l.clock.now()
-		if l.alarms[0].at > now {
+		if l.timers[0].at > now {
 			return
 		}
-		a := heap.Pop(&l.alarms).(alarm)
-		l.handle(now, balancer.Timer{Token: a.token})
+		a := heap.Pop(&l.timers).(timerEntry)
+		l.decide(now, balancer.Timer{Token: a.token})
 	}
 }
 
 // take hands one event to the module, at the time when it happened rather than when the loop got to it.
-func (l *loop) take(e event) {
+func (l *loop) handleEvent(e event) {
 	switch e := e.(type) {
-	case arrived:
-		l.lag(e.call.at)
+	case requestReceived:
+		l.noteLag(e.call.receivedAt)
 		if l.pending[e.call.id] != nil {
 			// The module ignores a second request with an id that it knows, so nobody would answer.
-			e.call.answer <- answer{kind: duplicate}
+			e.call.response <- response{kind: responseDuplicateID}
 			return
 		}
 		// Callers' goroutines check by the rules that they find; the module knows only those in force now.
 		if rules := l.rules.Load(); e.call.revision != rules.revision {
-			if no := rules.admit(e.call); no != nil {
-				e.call.answer <- answer{kind: unfit, reason: no}
+			if no := rules.validate(e.call); no != nil {
+				e.call.response <- response{kind: responseInvalid, reason: no}
 				return
 			}
 		}
 		l.stats.Requests++
-		l.pending[e.call.id] = &pending{call: e.call}
-		l.handle(e.call.at, balancer.Request{ID: e.call.id, Class: e.call.class, FirstByte: e.call.firstByte,
-			Deadline: e.call.deadline, ExpectedWork: e.call.effort})
-	case callerGone:
-		l.lag(e.at)
+		l.pending[e.call.id] = &requestState{call: e.call}
+		l.decide(e.call.receivedAt, balancer.Request{ID: e.call.id, Class: e.call.class, FirstByte: e.call.firstByte,
+			Deadline: e.call.deadline, ExpectedWork: e.call.expectedWork})
+	case clientDeparted:
+		l.noteLag(e.at)
 		if p := l.pending[e.call.id]; p != nil && p.call == e.call && !p.answered {
-			l.depart(p, e)
+			l.clientDeparted(p, e)
 		}
-	case ended:
-		l.lag(e.result.at)
-		l.end(e.attempt, e.result)
-	case newSettings:
-		l.handle(l.clock.now(), balancer.Reconfigure{Settings: e.settings})
+	case attemptEnded:
+		l.noteLag(e.result.endedAt)
+		l.endAttempt(e.attempt, e.result)
+	case settingsChanged:
+		l.decide(l.clock.now(), balancer.Reconfigure{Settings: e.settings})
 		l.rules.Store(e.rules)
 		e.inForce(l.clock.now())
-	case lastCall:
-		l.handle(l.clock.now(), balancer.Shutdown{})
+	case shutdownDeadline:
+		l.decide(l.clock.now(), balancer.Shutdown{})
 		for _, p := range l.pending { // to the module these are answered
 			if p.departed != present && !p.answered {
-				l.answerDeparted(p)
+				l.respondToDeparted(p)
 			}
 		}
-	case listNews:
-		if !e.list.full {
+	case listReceived:
+		if !e.list.complete {
 			l.useCachedList()
 		}
-		l.takeList(e.list, false)
+		l.applyList(e.list, false)
 	case listConfirmed:
 		l.boots.confirm()
-	case listFailed:
-		l.handle(l.clock.now(), balancer.SubscriptionFailed{})
-	case discoverySilent:
+	case subscriptionFailed:
+		l.decide(l.clock.now(), balancer.SubscriptionFailed{})
+	case discoveryUnresponsive:
 		l.useCachedList()
 	}
 }
@@ -289,24 +289,24 @@
 // depart has no further attempt made for a caller that has left, or whose leaving can't be seen: to the
 // module its client has gone. One that has only stopped sending gets the answer of an attempt that has
 // begun, which goes on unless the caller is known to be gone.
-func (l *loop) depart(p *pending, e callerGone) {
+func (l *loop) clientDeparted(p *requestState, e clientDeparted) {
 	first := p.departed == present
-	p.departed, p.advice = e.how, e.advice
+	p.departed, p.retryAfter = e.how, e.retryAfter
 	if first {
-		l.stats.Gone++
-		l.handle(e.at, balancer.ClientGone{ID: e.call.id})
+		l.stats.Departed++
+		l.decide(e.at, balancer.ClientGone{ID: e.call.id})
 	}
-	if e.how == gone {
+	if e.how == disconnected {
 		p.answered = true // nobody reads one
-		l.cancelKept(p)
+		l.cancelAttempts(p)
 		l.forget(p)
 		return
 	}
-	l.answerUnlessBegun(p)
+	l.respondUnlessBegun(p)
 }
 
 // answerUnlessBegun answers a departed caller unless an attempt may still bring an answer that it reads.
-func (l *loop) answerUnlessBegun(p *pending) {
+func (l *loop) respondUnlessBegun(p *requestState) {
 	if p.answered {
 		return
 	}
@@ -315,64 +315,64 @@
 			return
 		}
 	}
-	l.answerDeparted(p)
+	l.respondToDeparted(p)
 }
 
 // answerDeparted gives a departed caller the final answer that the module leaves out: a refusal unless an attempt
 // may have run.
-func (l *loop) answerDeparted(p *pending) {
-	ran := p.ran
+func (l *loop) respondToDeparted(p *requestState) {
+	ran := p.mayHaveRun
 	for _, a := range p.attempts {
 		ran = ran || !a.ended && a.hasBegun()
 	}
 	if ran {
-		l.finish(p.call.id, answer{kind: failed})
+		l.finish(p.call.id, response{kind: responseFailed})
 	} else {
-		l.finish(p.call.id, answer{kind: refused, retryAfter: p.advice})
+		l.finish(p.call.id, response{kind: responseRejected, retryAfter: p.retryAfter})
 	}
 }
 
 // cancelKept calls off the attempts that went on for a caller that had only stopped sending.
-func (l *loop) cancelKept(p *pending) {
+func (l *loop) cancelAttempts(p *requestState) {
 	for _, a := range p.attempts {
-		if a.kept {
+		if a.outlivesHalfClose {
 			a.cancel()
 		}
 	}
 }
 
 // end passes on how an attempt ended. The first success is the caller's answer.
-func (l *loop) end(a *attempt, r result) {
+func (l *loop) endAttempt(a *attempt, r attemptOutcome) {
 	p := l.pending[a.call.id]
-	l.stats.Endings[r.ending]++
-	p.out--
+	l.stats.Results[r.result]++
+	p.inFlight--
 	a.ended = true
-	switch r.ending {
+	switch r.result {
 	case balancer.ConnectFailed, balancer.Rejected, balancer.NotSent:
 	default:
-		p.ran = p.ran || a.hasBegun()
+		p.mayHaveRun = p.mayHaveRun || a.hasBegun()
 	}
-	if r.ending == balancer.Success && !p.answered {
+	if r.result == balancer.Success && !p.answered {
 		l.stats.Served++
-		l.answer(p, answer{kind: served, body: r.body, header: r.contentType})
+		l.respond(p, response{kind: responseServed, body: r.body, contentType: r.contentType})
 	}
-	l.handle(r.at, balancer.AttemptEnded{ID: a.call.id, Attempt: a.n, Endpoint: a.to.server, Result: r.ending,
-		Latency: r.at - a.sent, Answered: p.answered, HeldUp: a.heldUp})
+	l.decide(r.endedAt, balancer.AttemptEnded{ID: a.call.id, Attempt: a.number, Endpoint: a.to.uid, Result: r.result,
+		Latency: r.endedAt - a.sent, Answered: p.answered, HeldUp: a.heldUp})
 	if p.departed != present {
-		l.answerUnlessBegun(p)
+		l.respondUnlessBegun(p)
 	}
 	l.forget(p)
 }
 
-func (l *loop) answer(p *pending, a answer) {
+func (l *loop) respond(p *requestState, a response) {
 	p.answered = true
-	p.call.answer <- a
-	l.cancelKept(p)
+	p.call.response <- a
+	l.cancelAttempts(p)
 }
 
 // forget drops a call once nothing of it is left, as the module does.
-func (l *loop) forget(p *pending) {
-	if p.answered && p.out == 0 {
+func (l *loop) forget(p *requestState) {
+	if p.answered && p.inFlight == 0 {
 		delete(l.pending, p.call.id)
 	}
 }
@@ -381,47 +381,47 @@
 // holds counts as told from a process's first moment: until it is known, or can't be had, no server may be
 // sent to by an old list, and what callers ask for is held.
 func (l *loop) useCachedList() {
-	if !l.heard {
-		l.takeList(l.known, true)
+	if !l.listHeard {
+		l.applyList(l.cachedList, true)
 	}
 }
 
 // takeList keeps where the servers listen, and passes the list on. A list that changes nothing, as after
 // discovery has moved, is not passed on where lists are pushed: the module takes each list for a change
 // and cuts its pool anew, so telling it of nothing would move requests and open connections for nothing.
-func (l *loop) takeList(news list, cached bool) {
-	l.heard, l.known = true, list{}
-	l.convertBoots(news.targets)
+func (l *loop) applyList(news endpointList, cached bool) {
+	l.listHeard, l.cachedList = true, endpointList{}
+	l.convertBoots(news.entries)
 	if !cached {
 		defer l.boots.confirm()
 	}
-	if !cached && l.push && l.holds(news) {
+	if !cached && l.listsPushed && l.isUnchanged(news) {
 		return
 	}
-	e := balancer.EndpointUpdate{Complete: news.full, Cached: cached, Endpoints: l.apply(news)}
-	l.servers(news.targets, news.full)
-	l.handle(l.clock.now(), e)
+	e := balancer.EndpointUpdate{Complete: news.complete, Cached: cached, Endpoints: l.apply(news)}
+	l.updateEndpoints(news.entries, news.complete)
+	l.decide(l.clock.now(), e)
 	l.ready.Store(l.readyServers > 0)
 }
 
 // convertBoots sets the clock time of each entry's start, as it was converted when its boot_ms was first seen.
-func (l *loop) convertBoots(targets []target) {
+func (l *loop) convertBoots(targets []listEntry) {
 	l.boots.observe()
 	for i := range targets {
 		t := &targets[i]
-		held, isHeld := l.listed[t.ID]
+		held, isHeld := l.endpoints[t.ID]
 		t.StartedAt = l.boots.started(t.bootMS, held, isHeld)
 	}
 }
 
 // apply takes over the entries of a list, and returns them as the module is to be told of them.
-func (l *loop) apply(news list) []balancer.Endpoint {
-	if news.full {
-		clear(l.listed)
+func (l *loop) apply(news endpointList) []balancer.Endpoint {
+	if news.complete {
+		clear(l.endpoints)
 		l.readyServers = 0
 	}
-	servers := make([]balancer.Endpoint, len(news.targets))
-	for i, t := range news.targets {
+	servers := make([]balancer.Endpoint, len(news.entries))
+	for i, t := range news.entries {
 		servers[i] = t.Endpoint
 		l.applyEntry(t)
 	}
@@ -429,32 +429,32 @@
 }
 
 // applyEntry takes over an entry of a list.
-func (l *loop) applyEntry(t target) {
-	if old, ok := l.listed[t.ID]; ok && old.State == balancer.Ready {
+func (l *loop) applyEntry(t listEntry) {
+	if old, ok := l.endpoints[t.ID]; ok && old.State == balancer.Ready {
 		l.readyServers--
 	}
 	if t.State == balancer.Removed {
-		delete(l.listed, t.ID)
+		delete(l.endpoints, t.ID)
 		return
 	}
-	l.listed[t.ID] = t
+	l.endpoints[t.ID] = t
 	if t.State == balancer.Ready {
 		l.readyServers++
 	}
 }
 
 // holds says that a list tells nothing new.
-func (l *loop) holds(news list) bool {
-	for _, t := range news.targets {
-		if held, ok := l.listed[t.ID]; ok && held != t || !ok && t.State != balancer.Removed {
+func (l *loop) isUnchanged(news endpointList) bool {
+	for _, t := range news.entries {
+		if held, ok := l.endpoints[t.ID]; ok && held != t || !ok && t.State != balancer.Removed {
 			return false
 		}
 	}
-	return !news.full || len(news.targets) == len(l.listed)
+	return !news.complete || len(news.entries) == len(l.endpoints)
 }
 
 // handle feeds the module and carries out what it decides.
-func (l *loop) handle(at time.Duration, e balancer.Event) {
+func (l *loop) decide(at time.Duration, e balancer.Event) {
 	l.now = max(l.now, at)
 	for _, a := range l.balancer.Handle(l.now, e) {
 		switch a := a.(type) {
@@ -465,11 +465,11 @@
 				l.cancel(p, p.attempts[a.Attempt])
 			}
 		case balancer.Reject:
-			l.finish(a.ID, answer{kind: refused, retryAfter: a.RetryAfter})
+			l.finish(a.ID, response{kind: responseRejected, retryAfter: a.RetryAfter})
 		case balancer.Fail:
-			l.finish(a.ID, answer{kind: failed})
+			l.finish(a.ID, response{kind: responseFailed})
 		case balancer.SetTimer:
-			heap.Push(&l.alarms, alarm{a.At, a.Token})
+			heap.Push(&l.timers, timerEntry{a.At, a.Token})
 		case balancer.Subscribe:
 			l.subscribe()
 		}
@@ -477,8 +477,8 @@
 }
 
 // cancel calls an attempt off, or later if its caller may still read what it brings.
-func (l *loop) cancel(p *pending, a *attempt) {
-	if a.kept = p.departed == halfClosed && a.hasBegun(); !a.kept {
+func (l *loop) cancel(p *requestState, a *attempt) {
+	if a.outlivesHalfClose = p.departed == halfClosed && a.hasBegun(); !a.outlivesHalfClose {
 		a.cancel()
 	}
 }
@@ -486,30 +486,30 @@
 func (l *loop) send(s balancer.Send) {
 	p := l.pending[s.ID]
 	ctx, cancel := context.WithCancel(context.Background())
-	a := &attempt{ctx: ctx, cancel: cancel, call: p.call, n: len(p.attempts),
-		to: l.listed[s.Endpoint].host(), sent: l.now, deadline: min(l.now+s.Timeout, p.call.deadline), before: s.NotAfter}
+	a := &attempt{ctx: ctx, cancel: cancel, call: p.call, number: len(p.attempts),
+		to: l.endpoints[s.Endpoint].instance(), sent: l.now, deadline: min(l.now+s.Timeout, p.call.deadline), notAfter: s.NotAfter}
 	p.attempts = append(p.attempts, a)
-	p.out++
+	p.inFlight++
 	l.stats.Sends++
 	l.start(a)
 }
 
-func (l *loop) finish(id string, a answer) {
+func (l *loop) finish(id string, a response) {
 	p := l.pending[id]
 	if p == nil || p.answered {
 		return
 	}
-	if a.kind == refused {
-		l.stats.Refused++
+	if a.kind == responseRejected {
+		l.stats.Rejected++
 	} else {
 		l.stats.Failed++
 	}
-	l.answer(p, a)
+	l.respond(p, a)
 	l.forget(p)
 }
 
 // lag notes how long after an event the loop got to it.
-func (l *loop) lag(at time.Duration) {
+func (l *loop) noteLag(at time.Duration) {
 	d := -l.clock.until(at)
 	l.stats.LagMax = max(l.stats.LagMax, d)
 	l.stats.LagSum += d
@@ -523,9 +523,9 @@
 	if s.Events == 0 {
 		return
 	}
-	e := s.Endings
-	l.log.With(l.sockets()...).Info("traffic", "requests", s.Requests, "served", s.Served, "refused", s.Refused,
-		"failed", s.Failed, "gone", s.Gone, "sends", s.Sends, "success", e[balancer.Success],
+	e := s.Results
+	l.log.With(l.connectionStats()...).Info("traffic", "requests", s.Requests, "served", s.Served, "refused", s.Rejected,
+		"failed", s.Failed, "gone", s.Departed, "sends", s.Sends, "success", e[balancer.Success],
 		"failure", e[balancer.ServerError], "overloaded", e[balancer.Rejected],
 		"timed_out", e[balancer.TimedOut], "unreachable", e[balancer.ConnectFailed],
 		"broken", e[balancer.ConnectionLost], "withdrawn", e[balancer.Cancelled], "void", e[balancer.NotSent],
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -28,7 +28,7 @@
 )
 
 // drainMost is how long the node may take to end.
-func drainMost(cfg Config) time.Duration {
+func drainLimit(cfg Config) time.Duration {
 	var longest time.Duration
 	for _, c := range cfg.Settings.Classes {
 		longest = max(longest, c.Deadline)
@@ -39,35 +39,35 @@
 // endingOf is how a node ends: it serves for as long as most answers, which take less than half of their
 // aim, come before the end. Callers that it lets go sooner would find no node at all. Where deadlines are so
 // short that there is no time for all of that, the last answers go first.
-func endingOf(cfg Config) ending {
+func drainScheduleOf(cfg Config) drainSchedule {
 	var aim time.Duration
 	for _, c := range cfg.Settings.Classes {
 		aim = max(aim, c.LatencyObjective)
 	}
-	last := drainMost(cfg) - lastMargin
-	serve := min(max(drainAccept+drainQuiet, last-aim/2), last-drainStep)
-	return ending{accept: min(drainAccept, serve), serve: serve, last: last}
+	last := drainLimit(cfg) - lastMargin
+	serve := min(max(drainAccept+drainQuiet, last-aim/2), last-drainPollInterval)
+	return drainSchedule{stopAccepting: min(drainAccept, serve), closeConns: serve, answerAll: last}
 }
 
 // reserved descriptors are for the listener, discovery, the log, the runtime, and callers whose
 // requests are read only to be refused.
-const reserved = 48
+const reservedDescriptors = 48
 
 // Node is one load balancer on sockets.
 type Node struct {
-	loop      *loop
-	frontend  *frontend
-	backend   *backend
-	discovery *discovery
-	listener  net.Listener
-	push      bool
-	log       *slog.Logger
+	loop        *loop
+	frontend    *frontend
+	upstream    *upstreamPool
+	discovery   *discovery
+	listener    net.Listener
+	listsPushed bool
+	log         *slog.Logger
 
-	mu        sync.Mutex // what Reload changes
-	cfg       Config
-	revision  int
-	ending    ending
-	drainMost time.Duration
+	mu            sync.Mutex // what Reload changes
+	cfg           Config
+	revision      int
+	drainSchedule drainSchedule
+	drainLimit    time.Duration
 }
 
 // Limit keeps the process within its core and its memory.
@@ -80,7 +80,7 @@
 // AskWithin; no call may wait past the time when a change counts as told whether heard or not.
 func moduleSettings(cfg Config) balancer.Settings {
 	set := cfg.Settings
-	set.PollWithin = min(set.PollWithin, toldLatest)
+	set.PollWithin = min(set.PollWithin, notifiedWithin)
 	return set
 }
 
@@ -91,40 +91,40 @@
 	if err != nil {
 		return nil, fmt.Errorf("node: %w", err)
 	}
-	room := cfg.Sockets - reserved
+	room := cfg.Sockets - reservedDescriptors
 	clock := newClock()
 	l := newLoop(balancer, clock, log)
-	l.rules.Store(newRules(1, set))
-	n := &Node{cfg: cfg, revision: 1, loop: l, log: log, push: !cfg.Settings.PollDiscovery, ending: endingOf(cfg), drainMost: drainMost(cfg),
-		backend: newBackend(cfg, clock, room/2)}
-	callers := newCallers(clock, room, reserved/2, int64(cfg.MemoryMB)<<20, n.backend.connections)
-	n.backend.left = callers.left
+	l.rules.Store(newRequestRules(1, set))
+	n := &Node{cfg: cfg, revision: 1, loop: l, log: log, listsPushed: !cfg.Settings.PollDiscovery, drainSchedule: drainScheduleOf(cfg), drainLimit: drainLimit(cfg),
+		upstream: newUpstreamPool(cfg, clock, room/2)}
+	callers := newDownstreamConns(clock, room, reservedDescriptors/2, int64(cfg.MemoryMB)<<20, n.upstream.connections)
+	n.upstream.descriptorAllowance = callers.upstreamAllowance
 	n.frontend = newFrontend(clock, callers, &l.rules, l.post, l.ready.Load, log)
-	l.sockets = func() []any {
-		c, held := callers.report()
-		return []any{"callers", held, "accepted", c.Accepted, "accept_failed", c.AcceptFailed, "let_go", c.LetGo, "crowded", c.Crowded,
-			"turned_away", c.TurnedAway, "servers", n.backend.connections()}
+	l.connectionStats = func() []any {
+		c, held := callers.takeCounts()
+		return []any{"callers", held, "accepted", c.Accepted, "accept_failed", c.AcceptFailed, "let_go", c.Evicted, "crowded", c.Rejected,
+			"turned_away", c.ClosedUnread, "servers", n.upstream.connections()}
 	}
 	l.start = func(a *attempt) {
 		go func() {
-			r := n.backend.run(a)
+			r := n.upstream.do(a)
 			a.cancel()
-			l.post(ended{a, r})
+			l.post(attemptEnded{a, r})
 		}()
 	}
-	l.servers, l.push = n.backend.servers, n.push
+	l.updateEndpoints, l.listsPushed = n.upstream.updateEndpoints, n.listsPushed
 	known, err := parseList(cfg.Known)
 	n.cfg.Known = nil // it is parsed, and long
 	rev := int64(-1)
 	if err != nil {
 		log.Warn("the known list is dropped", "error", err)
-		known = list{full: true}
+		known = endpointList{complete: true}
 	} else {
-		rev = known.rev
+		rev = known.version
 	}
 	n.discovery = newDiscovery(cfg, rev, l.post, log)
 	l.subscribe = n.discovery.subscribe
-	if l.known = known; !n.push {
+	if l.cachedList = known; !n.listsPushed {
 		l.useCachedList() // the module asks for more
 	}
 	if n.listener, err = net.Listen("tcp", cfg.Listen); err != nil {
@@ -163,12 +163,12 @@
 	log := n.log.With("revision", n.revision, "changed", changed)
 	log.Info("the configuration is read again", "discovery", cfg.Discovery)
 	since := n.loop.clock.now()
-	n.cfg, n.ending, n.drainMost = cfg, endingOf(cfg), drainMost(cfg)
-	n.backend.configure(cfg)
-	n.discovery.move(cfg.Discovery)
+	n.cfg, n.drainSchedule, n.drainLimit = cfg, drainScheduleOf(cfg), drainLimit(cfg)
+	n.upstream.configure(cfg)
+	n.discovery.setAddress(cfg.Discovery)
 	if !same {
 		set := moduleSettings(cfg)
-		n.loop.post(newSettings{settings: set, rules: newRules(n.revision, set), inForce: func(at time.Duration) {
+		n.loop.post(settingsChanged{settings: set, rules: newRequestRules(n.revision, set), inForce: func(at time.Duration) {
 			log.Info("the configuration is in force", "after", at-since)
 		}})
 	}
@@ -212,15 +212,15 @@
 	inner, stop := context.WithCancel(context.Background())
 	defer stop()
 	go n.loop.run(inner)
-	go n.backend.sweep(inner)
-	if n.push {
-		go n.discovery.push(inner)
+	go n.upstream.closeExpired(inner)
+	if n.listsPushed {
+		go n.discovery.runPushed(inner)
 	} else {
-		go n.discovery.ask(inner)
+		go n.discovery.runPolled(inner)
 	}
 	var serveErr error
 	gone := make(chan struct{})
-	ln := newCallerListener(n.listener, n.frontend.callers, n.log)
+	ln := newDownstreamListener(n.listener, n.frontend.conns, n.log)
 	ln.readTimeout = n.frontend.server.ReadTimeout
 	go func() {
 		defer close(gone)
@@ -233,7 +233,7 @@
 	}
 	n.log.Info("draining")
 	n.mu.Lock()
-	most, ending := n.drainMost, n.ending
+	most, ending := n.drainLimit, n.drainSchedule
 	n.mu.Unlock()
 	limit, cancel := context.WithTimeout(inner, most)
 	defer cancel()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -225,7 +225,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.discovery.first = 0 // the known list will do, where a test has no agent
+	n.discovery.startupWait = 0 // the known list will do, where a test has no agent
 	if change != nil {
 		change(n)
 	}
@@ -313,7 +313,7 @@
 		got <- seen{r, body}
 		return reply200(c, answerBody)
 	})
-	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) { n.backend.restFor = 0 })
+	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) { n.upstream.reuseDelay = 0 })
 	c := dial(t, n)
 	long := strings.Repeat("b\r\n\x00", maxBody/4)
 	for i, target := range []string{"/keyed/a%2fB?q=%20%41&&x", `/keyed/"odd"|{};,`, "/keyed/", "/keyed//x/../y?"} {
@@ -485,10 +485,10 @@
 		for told := ag.rev; !strings.Contains(wait(t, ag.asked, "the next watch"), fmt.Sprint("from=", told)); {
 		}
 		until(t, "the idle connections to be closed", func() bool {
-			n.backend.mu.Lock()
-			defer n.backend.mu.Unlock()
-			for h, idle := range n.backend.idle {
-				if h.endpoint == a.addr() && len(idle) > 0 {
+			n.upstream.mu.Lock()
+			defer n.upstream.mu.Unlock()
+			for h, idle := range n.upstream.idle {
+				if h.address == a.addr() && len(idle) > 0 {
 					return false
 				}
 			}
@@ -527,12 +527,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.loop.post(listNews{l})
+		n.loop.post(listReceived{l})
 		before := s.opened()
 		until(t, "the list to be taken", func() bool {
-			n.backend.mu.Lock()
-			defer n.backend.mu.Unlock()
-			return n.backend.seen["s2"] == l.targets[0]
+			n.upstream.mu.Lock()
+			defer n.upstream.mu.Unlock()
+			return n.upstream.endpoints["s2"] == l.entries[0]
 		})
 		if i == 0 { // a connection that was busy when the server went
 			close(hold)
@@ -582,7 +582,7 @@
 		`{"rev":2,"all":true,"targets":[` + entry("s1", "127.0.0.1:1", "in_service") + `,` + entry("s1", "127.0.0.1:2", "in_service") + `]}`,
 		`{"rev":2,"all":true,"targets":[{"uid":"s1","endpoint":"127.0.0.1:1","state":"in_service","boot_ms":-1}]}`,
 	} {
-		if l, err := parseList([]byte(bad)); err == nil || l.targets != nil {
+		if l, err := parseList([]byte(bad)); err == nil || l.entries != nil {
 			t.Errorf("%q: %v, %v", bad, l, err)
 		}
 	}
@@ -613,14 +613,14 @@
 	for i, c := range []struct {
 		text string
 		want event
-	}{{`{"rev":%d,"all":false,"targets":[]}`, listConfirmed{}}, {whole(), listNews{}},
-		{`{"rev":%d,"all":false,"targets":[` + entry("s1", "127.0.0.1:1", "in_service") + `]}`, listNews{}}} {
+	}{{`{"rev":%d,"all":false,"targets":[]}`, listConfirmed{}}, {whole(), listReceived{}},
+		{`{"rev":%d,"all":false,"targets":[` + entry("s1", "127.0.0.1:1", "in_service") + `]}`, listReceived{}}} {
 		ag.tell(false, c.text)
-		if _, err := d.watch(t.Context(), d.place(), false); err != nil {
+		if _, err := d.watchOnce(t.Context(), d.address(), false); err != nil {
 			t.Fatal(err)
 		}
-		if len(events) != 1 || d.place().rev != int64(ag.rev) {
-			t.Fatalf("call %d: %d events at rev %d, want 1 at %d", i, len(events), d.place().rev, ag.rev)
+		if len(events) != 1 || d.address().version != int64(ag.rev) {
+			t.Fatalf("call %d: %d events at rev %d, want 1 at %d", i, len(events), d.address().version, ag.rev)
 		}
 		if got, want := reflect.TypeOf(<-events), reflect.TypeOf(c.want); got != want {
 			t.Errorf("call %d: posted %v, want %v", i, got, want)
@@ -637,9 +637,9 @@
 		t.Fatal(err)
 	}
 	defer n.listener.Close()
-	n.loop.take(discoverySilent{})
+	n.loop.handleEvent(discoveryUnresponsive{})
 	told := 0
-	n.loop.servers = func([]target, bool) { told++ }
+	n.loop.updateEndpoints = func([]listEntry, bool) { told++ }
 	for i, c := range []struct {
 		text string
 		want int
@@ -649,7 +649,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if n.loop.take(listNews{l}); told != c.want {
+		if n.loop.handleEvent(listReceived{l}); told != c.want {
 			t.Errorf("list %d: told %d times, want %d", i, told, c.want)
 		}
 	}
@@ -703,17 +703,17 @@
 	ag.tell(false, whole(entry("s1", "127.0.0.1:1", "in_service")))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go d.ask(ctx)
+	go d.runPolled(ctx)
 	d.subscribe()
 	if q := wait(t, ag.asked, "a watch"); !strings.HasPrefix(q, "from=7&") {
 		t.Errorf("asked %q", q)
 	}
-	if e, ok := wait(t, events, "the list").(listNews); !ok || len(e.list.targets) != 1 {
+	if e, ok := wait(t, events, "the list").(listReceived); !ok || len(e.list.entries) != 1 {
 		t.Errorf("got %v", e)
 	}
 	wait(t, ag.asked, "the watch to go on")
 	ag.tell(false, "{bad %d")
-	if e, ok := wait(t, events, "the failure").(listFailed); !ok {
+	if e, ok := wait(t, events, "the failure").(subscriptionFailed); !ok {
 		t.Errorf("got %v", e)
 	}
 	select {
@@ -733,7 +733,7 @@
 		return echo(c, r, body)
 	})
 	n, stop := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
-		n.ending, n.drainMost = ending{accept: time.Second, serve: 2 * time.Second, last: limit}, 2*limit
+		n.drainSchedule, n.drainLimit = drainSchedule{stopAccepting: time.Second, closeConns: 2 * time.Second, answerAll: limit}, 2*limit
 	})
 	idle, held, mute := dial(t, n), dial(t, n), dial(t, n)
 	idle.get("before")
@@ -780,7 +780,7 @@
 		return false
 	})
 	n, stop := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
-		n.ending, n.drainMost = ending{last: 500 * time.Millisecond}, limit
+		n.drainSchedule, n.drainLimit = drainSchedule{answerAll: 500 * time.Millisecond}, limit
 	})
 	c := dial(t, n)
 	c.send("POST", "/note/k", "held", "x", "60")
@@ -797,10 +797,10 @@
 func untilIdle(t *testing.T, n *Node) {
 	t.Helper()
 	until(t, "a connection to be idle", func() bool {
-		n.frontend.callers.mu.Lock()
-		defer n.frontend.callers.mu.Unlock()
-		for c := range n.frontend.callers.conns {
-			if c.phase == idle {
+		n.frontend.conns.mu.Lock()
+		defer n.frontend.conns.mu.Unlock()
+		for c := range n.frontend.conns.conns {
+			if c.phase == phaseIdle {
 				return true
 			}
 		}
@@ -819,8 +819,8 @@
 	})
 	const most = 4
 	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
-		n.frontend.callers.room, n.frontend.callers.least = 2*most, most
-		n.frontend.callers.grace.idle = 0
+		n.frontend.conns.capacity, n.frontend.conns.upstreamReserve = 2*most, most
+		n.frontend.conns.gracePeriods.idle = 0
 	})
 	idle := dial(t, n)
 	idle.get("idle")
@@ -854,19 +854,19 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	f := newCallers(newClock(), 2, 10, 16<<20, func() int { return 1 })
-	pair := func() (ours *callerConn, theirs net.Conn) {
+	f := newDownstreamConns(newClock(), 2, 10, 16<<20, func() int { return 1 })
+	pair := func() (ours *downstreamConn, theirs net.Conn) {
 		theirs, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { theirs.Close() })
-		c, err := newCallerListener(ln, f, testLog()).Accept()
+		c, err := newDownstreamListener(ln, f, testLog()).Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		return c.(*callerConn), theirs
+		return c.(*downstreamConn), theirs
 	}
 	say := func(from, to net.Conn) {
 		t.Helper()
@@ -881,34 +881,34 @@
 	a, caller := pair()
 	b, _ := pair()
 	say(caller, a) // a request
-	f.track(a, http.StateNew)
-	f.track(a, http.StateActive)
+	f.connStateChanged(a, http.StateNew)
+	f.connStateChanged(a, http.StateActive)
 	say(a, caller) // its answer
 	say(caller, a) // the next request's first byte
-	f.track(a, http.StateIdle)
-	f.track(b, http.StateNew) // one too many
-	if a.going || !f.overLimit() {
+	f.connStateChanged(a, http.StateIdle)
+	f.connStateChanged(b, http.StateNew) // one too many
+	if a.evicted || !f.overLimit() {
 		t.Fatal("a connection with a request on it was let go")
 	}
 	say(caller, a)
 	say(a, caller)
-	f.grace.idle = limit
-	f.track(a, http.StateIdle)
-	if a.going || !f.overLimit() {
+	f.gracePeriods.idle = limit
+	f.connStateChanged(a, http.StateIdle)
+	if a.evicted || !f.overLimit() {
 		t.Fatal("a connection idle for a moment only was let go")
 	}
-	f.grace.idle = 0
-	f.track(b, http.StateActive)
-	if !a.going || f.overLimit() {
+	f.gracePeriods.idle = 0
+	f.connStateChanged(b, http.StateActive)
+	if !a.evicted || f.overLimit() {
 		t.Fatal("the idle connection was not let go")
 	}
 	a.SetReadDeadline(time.Time{}) // net/http does, after it has said that it is idle
 	if _, err := a.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the wait goes on: %v", err)
 	}
-	f.track(a, http.StateClosed)
-	if f.leaving != 0 || len(f.conns) != 1 {
-		t.Errorf("%d leaving of %d", f.leaving, len(f.conns))
+	f.connStateChanged(a, http.StateClosed)
+	if f.evicting != 0 || len(f.conns) != 1 {
+		t.Errorf("%d leaving of %d", f.evicting, len(f.conns))
 	}
 }
 
@@ -924,25 +924,25 @@
 		t.Fatal(err)
 	}
 	defer theirs.Close()
-	f := newCallers(newClock(), 2, 10, 16<<20, func() int { return 1 })
-	nc, err := newCallerListener(ln, f, testLog()).Accept()
+	f := newDownstreamConns(newClock(), 2, 10, 16<<20, func() int { return 1 })
+	nc, err := newDownstreamListener(ln, f, testLog()).Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	c := nc.(*callerConn)
-	f.track(c, http.StateNew)
-	f.track(c, http.StateIdle)
+	c := nc.(*downstreamConn)
+	f.connStateChanged(c, http.StateNew)
+	f.connStateChanged(c, http.StateIdle)
 	io.WriteString(theirs, "GET")
-	until(t, "the bytes to arrive", func() bool { return spokenOrClosed(c.Conn) })
-	if f.letQuietGo(); c.going {
+	until(t, "the bytes to arrive", func() bool { return hasUnreadOrClosed(c.Conn) })
+	if f.evictQuiet(); c.evicted {
 		t.Error("let go with a request on it")
 	}
 	if text := make([]byte, 3); !readsWhole(c, text) || string(text) != "GET" {
 		t.Errorf("read %q", text)
 	}
 	c.Write([]byte("answer"))
-	if f.letQuietGo(); !c.going {
+	if f.evictQuiet(); !c.evicted {
 		t.Error("not let go once it is answered")
 	}
 }
@@ -960,31 +960,31 @@
 		t.Fatal(err)
 	}
 	defer theirs.Close()
-	f := newCallers(newClock(), 2, 10, 16<<20, func() int { return 2 })
-	f.grace.half = 0
-	nc, err := newCallerListener(ln, f, testLog()).Accept()
+	f := newDownstreamConns(newClock(), 2, 10, 16<<20, func() int { return 2 })
+	f.gracePeriods.partialRequest = 0
+	nc, err := newDownstreamListener(ln, f, testLog()).Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	c := nc.(*callerConn)
+	c := nc.(*downstreamConn)
 	io.WriteString(theirs, "GET")
 	if text := make([]byte, 3); !readsWhole(c, text) {
 		t.Fatal("the first part is not read")
 	}
 	io.WriteString(theirs, " /v")
-	until(t, "the rest to arrive", func() bool { return spokenOrClosed(c.Conn) })
-	f.track(c, http.StateNew) // one too many
+	until(t, "the rest to arrive", func() bool { return hasUnreadOrClosed(c.Conn) })
+	f.connStateChanged(c, http.StateNew) // one too many
 	other, _ := net.Pipe()
-	f.track(&callerConn{Conn: other, callers: f}, http.StateNew)
-	if c.going {
+	f.connStateChanged(&downstreamConn{Conn: other, conns: f}, http.StateNew)
+	if c.evicted {
 		t.Error("cut off with the rest of a request unread")
 	}
 	if text := make([]byte, 3); !readsWhole(c, text) || string(text) != " /v" {
 		t.Errorf("read %q", text)
 	}
-	f.track(&callerConn{Conn: other, callers: f}, http.StateNew)
-	if !c.going {
+	f.connStateChanged(&downstreamConn{Conn: other, conns: f}, http.StateNew)
+	if !c.evicted {
 		t.Error("not cut off once all is read")
 	}
 }
@@ -999,8 +999,8 @@
 func TestNothingReadIsLostWhileIdleConnectionsAreLetGo(t *testing.T) {
 	s := newServer(t, echo)
 	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
-		n.frontend.callers.room, n.frontend.callers.least = 8, 4
-		n.frontend.callers.grace.idle = 0
+		n.frontend.conns.capacity, n.frontend.conns.upstreamReserve = 8, 4
+		n.frontend.conns.gracePeriods.idle = 0
 	})
 	var mu sync.Mutex
 	answered := map[string]bool{}
--- a/internal/node/peek_test.go
+++ b/internal/node/peek_test.go
@@ -35,7 +35,7 @@
 			}
 			defer ours.Close()
 			if c.do(theirs); c.has {
-				until(t, "it to arrive", func() bool { return spokenOrClosed(ours) })
+				until(t, "it to arrive", func() bool { return hasUnreadOrClosed(ours) })
 			}
 			interrupted := failing(syscall.EINTR, 2)
 			recv := func(fd int, p []byte, flags int) (int, syscall.Sockaddr, error) {
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -159,7 +159,7 @@
 			held, release := make(chan struct{}), make(chan struct{})
 			free := sync.OnceFunc(func() { close(release) })
 			defer free()
-			n.loop.post(newSettings{settings: moduleSettings(cfg), rules: newRules(1, cfg.Settings),
+			n.loop.post(settingsChanged{settings: moduleSettings(cfg), rules: newRequestRules(1, cfg.Settings),
 				inForce: func(time.Duration) { close(held); <-release }})
 			wait(t, held, "the loop to be held")
 			n.Reload(with(cfg, row.change))
@@ -190,10 +190,10 @@
 	if kept.Listen != cfg.Listen || kept.Sockets != cfg.Sockets || kept.MemoryMB != cfg.MemoryMB || kept.Settings.PollDiscovery {
 		t.Errorf("got %+v", kept)
 	}
-	n.backend.mu.Lock()
-	defer n.backend.mu.Unlock()
-	if n.backend.idleFor >= time.Second || n.backend.dialFor != 3*time.Second {
-		t.Errorf("connections stay for %v, and are made in %v", n.backend.idleFor, n.backend.dialFor)
+	n.upstream.mu.Lock()
+	defer n.upstream.mu.Unlock()
+	if n.upstream.idleTimeout >= time.Second || n.upstream.dialTimeout != 3*time.Second {
+		t.Errorf("connections stay for %v, and are made in %v", n.upstream.idleTimeout, n.upstream.dialTimeout)
 	}
 }
 
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -81,7 +81,7 @@
 	var late atomic.Int64
 	stop := make(chan struct{})
 	go func() {
-		for !hasEnded(stop) {
+		for !isClosed(stop) {
 			begin := time.Now()
 			time.Sleep(step)
 			if over := time.Since(begin) - step; over > step {
@@ -137,8 +137,8 @@
 	var reads recordingConns
 	n, stop := startNode(t, cfg, func(n *Node) {
 		reads = recordReads(n)
-		through := n.backend.dial
-		n.backend.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+		through := n.upstream.dial
+		n.upstream.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			if address == mute {
 				<-ctx.Done()
 				return nil, ctx.Err()
@@ -255,9 +255,9 @@
 				if why == "the node ends" {
 					n.frontend.closing.Store(true)
 				} else {
-					n.frontend.callers.mu.Lock()
-					n.frontend.callers.room, n.frontend.callers.least = 1, 1
-					n.frontend.callers.mu.Unlock()
+					n.frontend.conns.mu.Lock()
+					n.frontend.conns.capacity, n.frontend.conns.upstreamReserve = 1, 1
+					n.frontend.conns.mu.Unlock()
 				}
 				close(answer)
 				for i := range 3 {
