--- a/internal/fleet/registryhost.go
+++ b/internal/fleet/registryhost.go
@@ -49,6 +49,16 @@
 	return err
 }
 
+// ChangeInTurn makes new versions one after another, in the order given.
+func (h *RegistryHost) ChangeInTurn(specs []ChangeSpec, _ *struct{}) error {
+	for _, spec := range specs {
+		if _, err := h.registry.Change(spec.Service, spec.Targets); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
 // Silence begins or ends a silence, and tells when.
 func (h *RegistryHost) Silence(on bool, atNS *int64) error {
 	*atNS = time.Now().UnixNano()
@@ -56,6 +66,12 @@
 	return nil
 }
 
+// BreakWatches closes the connections of all open watches without an answer.
+func (h *RegistryHost) BreakWatches(struct{}, *struct{}) error {
+	h.registry.BreakWatches()
+	return nil
+}
+
 // Traffic tells what passed.
 func (h *RegistryHost) Traffic(_ struct{}, counted *Counted) error {
 	*counted = h.registry.Traffic.Counted()
--- a/internal/node/boottime.go
+++ b/internal/node/boottime.go
@@ -64,16 +64,16 @@
 
 // started is the clock time of the start that an entry tells of; 0: long ago. held is the entry with the same uid
 // in the list that the node holds, if there is one: while boot_ms stays the same, so does the result.
-func (b *bootClock) started(bootMS float64, held target, isHeld bool) time.Duration {
+func (b *bootClock) started(bootMS float64, held listEntry, isHeld bool) time.Duration {
 	switch {
 	case isHeld && held.bootMS == bootMS:
-		return held.Boot
+		return held.StartedAt
 	case bootMS == 0:
 		return 0
 	}
 	at := max(1, b.convert(bootMS))
 	if isHeld {
-		at = max(at, b.currentAt, held.Boot+1) // + 1: another life has another time
+		at = max(at, b.currentAt, held.StartedAt+1) // + 1: another life has another time
 	}
 	return at
 }
--- a/internal/node/broken_test.go
+++ b/internal/node/broken_test.go
@@ -29,8 +29,11 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &breakableConn{nc, l.cause, make(chan struct{}), make(chan struct{}, 10)}
-	l.accepted <- c
+	c := &breakableConn{nc, l.cause, make(chan struct{}), make(chan struct{}, 1)}
+	select {
+	case l.accepted <- c:
+	default: // the test breaks the first ones only
+	}
 	return c, nil
 }
 
@@ -39,14 +42,17 @@
 	if c.cause != os.ErrDeadlineExceeded {
 		close(c.broken)
 	}
-	c.TCPConn.SetReadDeadline(longAgo)
+	c.TCPConn.SetReadDeadline(pastDeadline)
 }
 
-func (c *breakableConn) Read(p []byte) (int, error) {
-	if hasEnded(c.broken) {
-		return 0, &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: os.NewSyscallError("read", c.cause)}
+func (c *breakableConn) Read(p []byte) (n int, err error) {
+	if !isClosed(c.broken) {
+		n, err = c.TCPConn.Read(p)
+	}
+	if n == 0 && isClosed(c.broken) { // maybe while it read: breakNow's deadline is not the node's
+		err = &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: os.NewSyscallError("read", c.cause)}
 	}
-	return c.TCPConn.Read(p)
+	return n, err
 }
 
 func (c *breakableConn) SyscallConn() (syscall.RawConn, error) {
@@ -62,8 +68,11 @@
 // Read ends without an error once the connection is broken: there is something to read, the error.
 func (r breakableRaw) Read(ready func(uintptr) bool) error {
 	err := r.RawConn.Read(ready)
-	r.of.woken <- struct{}{}
-	if hasEnded(r.of.broken) {
+	select {
+	case r.of.woken <- struct{}{}:
+	default:
+	}
+	if isClosed(r.of.broken) {
 		return nil
 	}
 	return err
@@ -102,12 +111,12 @@
 	conns := breakableConns{cause: cause, accepted: make(chan *breakableConn, 2)}
 	cfg := testConfig(whole(entry("s1", s.addr(), "in_service")))
 	for i := range cfg.Settings.Classes { // no attempt times out before the test gives up
-		cfg.Settings.Classes[i].Aim, cfg.Settings.Classes[i].Deadline = 4*limit, 4*limit
+		cfg.Settings.Classes[i].LatencyObjective, cfg.Settings.Classes[i].Deadline = 4*limit, 4*limit
 	}
 	n, _ := startNode(t, cfg, func(n *Node) {
 		conns.TCPListener = n.listener.(*net.TCPListener)
 		n.listener = conns
-		if dials = holdDials(n.backend); where == "in flight" {
+		if dials = holdDials(n.upstream); where == "in flight" {
 			close(dials.through)
 		}
 	})
@@ -127,7 +136,7 @@
 	}
 	seen := map[string]int{"other": 1}
 	if where == "dial" {
-		until(t, "the node to notice", func() bool { return n.frontend.callers.held() == 0 })
+		until(t, "the node to notice", func() bool { return n.frontend.conns.count() == 0 })
 		close(dials.through)
 	} else {
 		wait(t, calledOff, "the end of the attempt")
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -81,7 +81,7 @@
 	var late atomic.Int64
 	stop := make(chan struct{})
 	go func() {
-		for !hasEnded(stop) {
+		for !isClosed(stop) {
 			begin := time.Now()
 			time.Sleep(step)
 			if over := time.Since(begin) - step; over > step {
@@ -127,18 +127,18 @@
 	mute := closedPort(t)
 	cfg := testConfig(whole(entry("s1", hangs.addr(), "in_service"), entry("s2", fails.addr(), "in_service"),
 		entry("s3", mute, "in_service")))
-	cfg.Settings.MayCancel = mayCancel
+	cfg.Settings.AllowCancel = mayCancel
 	longest := time.Duration(0)
 	for i := range cfg.Settings.Classes {
 		c, deadline := &cfg.Settings.Classes[i], deadlines[i%len(deadlines)]
-		c.Deadline, c.Aim, c.Window = deadline, deadline/2, deadline
+		c.Deadline, c.LatencyObjective, c.DedupWindow = deadline, deadline/2, deadline
 		longest = max(longest, deadline)
 	}
 	var reads recordingConns
 	n, stop := startNode(t, cfg, func(n *Node) {
 		reads = recordReads(n)
-		through := n.backend.dial
-		n.backend.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+		through := n.upstream.dial
+		n.upstream.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			if address == mute {
 				<-ctx.Done()
 				return nil, ctx.Err()
@@ -222,3 +222,51 @@
 		}
 	}
 }
+
+// Requests that were read behind another one are answered, though the connection is to be closed with the
+// answer to the first: because the node ends, or for want of descriptors. The last answer closes it.
+func TestRequestsReadBehindTheLastAreAnswered(t *testing.T) {
+	for _, why := range []string{"the node ends", "too many connections"} {
+		for _, pieces := range []int{1, 2} {
+			t.Run(fmt.Sprint(why, " pieces=", pieces), func(t *testing.T) {
+				t.Parallel()
+				got, answer := make(chan struct{}, 3), make(chan struct{})
+				s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+					got <- struct{}{}
+					<-answer
+					return echo(c, r, body)
+				})
+				var reads recordingConns
+				n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+					reads = recordReads(n)
+				})
+				c := dial(t, n)
+				more := requestText("second") + requestText("third")
+				if pieces == 1 {
+					io.WriteString(c, requestText("first")+more)
+				} else {
+					c.get("first")
+				}
+				wait(t, got, "the attempt")
+				if pieces == 2 {
+					io.WriteString(c, more)
+				}
+				until(t, "all to be read", func() bool { return reads.complete(c.LocalAddr().String()) == 3 })
+				if why == "the node ends" {
+					n.frontend.closing.Store(true)
+				} else {
+					n.frontend.conns.mu.Lock()
+					n.frontend.conns.capacity, n.frontend.conns.upstreamReserve = 1, 1
+					n.frontend.conns.mu.Unlock()
+				}
+				close(answer)
+				for i := range 3 {
+					if r, body := c.answer(t); r.Close != (i == 2) {
+						t.Errorf("answer %d: %d %q, close %v", i, r.StatusCode, body, r.Close)
+					}
+				}
+				closed(t, c.br, "the connection after the last answer")
+			})
+		}
+	}
+}
