--- a/cmd/balancer/crowd_test.go
+++ b/cmd/balancer/crowd_test.go
@@ -40,8 +40,10 @@
 
 // gather has many idle clients come at once, and come again for as long as the test runs.
 func gather(t *testing.T, address, kind string, many int) *crowd {
-	c := &crowd{address: address, kind: kind, turns: make(chan struct{}, many), stop: make(chan struct{}),
-		conns: map[net.Conn]struct{}{}}
+	c := &crowd{
+		address: address, kind: kind, turns: make(chan struct{}, many), stop: make(chan struct{}),
+		conns: map[net.Conn]struct{}{},
+	}
 	for i := range many {
 		c.turns <- struct{}{}
 		c.wg.Add(1)
--- a/endpoints_bench_test.go
+++ b/endpoints_bench_test.go
@@ -15,8 +15,10 @@
 func benchmarkBalancer(bench *testing.B, n int) *balancer.Balancer {
 	bench.Helper()
 	b, err := balancer.New(balancer.Settings{
-		Classes: []balancer.Class{{Name: "read", Effect: balancer.Idempotent, LatencyObjective: time.Second,
-			Deadline: 2 * time.Second, PriorityWeight: 1}},
+		Classes: []balancer.Class{{
+			Name: "read", Effect: balancer.Idempotent, LatencyObjective: time.Second,
+			Deadline: 2 * time.Second, PriorityWeight: 1,
+		}},
 		Replicas: max(20, n/20), ReplicaIndex: 7, Tier: 1, Zone: "z1", ZoneCount: 3, MaxAttempts: 3, AllowCancel: true,
 		Tick: time.Millisecond, SlowStartFloor: 0.12, SlowStartDuration: 24 * time.Second, OverloadMultiple: 2, OverloadWindow: time.Second,
 	}, 1)
--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -88,8 +88,10 @@
 		known := slices.Sorted(maps.Keys(r.ref.listed))
 		return r.ref.listed[known[r.rng.IntN(len(known))]]
 	}
-	return Endpoint{ID: fmt.Sprintf("s%02d", r.rng.IntN(60)), Zone: fmt.Sprint("z", r.rng.IntN(3)), Capacity: 1,
-		StartedAt: time.Duration(r.rng.IntN(2)) * r.now}
+	return Endpoint{
+		ID: fmt.Sprintf("s%02d", r.rng.IntN(60)), Zone: fmt.Sprint("z", r.rng.IntN(3)), Capacity: 1,
+		StartedAt: time.Duration(r.rng.IntN(2)) * r.now,
+	}
 }
 
 // randomEntry changes a server in one way, or leaves it as it is.
--- a/events.go
+++ b/events.go
@@ -41,8 +41,10 @@
 	attemptResults               // how many there are
 )
 
-var attemptResultNames = [attemptResults]string{"success", "server error", "rejected", "timed out", "connect failed",
-	"connection lost", "cancelled", "not sent"}
+var attemptResultNames = [attemptResults]string{
+	"success", "server error", "rejected", "timed out", "connect failed",
+	"connection lost", "cancelled", "not sent",
+}
 
 // String returns the result in words.
 func (r AttemptResult) String() string {
--- a/example_test.go
+++ b/example_test.go
@@ -11,8 +11,10 @@
 // One Balancer driven by hand: a list, a request, an attempt that never ran, and its answer.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
-		Classes: []balancer.Class{{Name: "read", Effect: balancer.Idempotent, Scope: balancer.ScopeAll,
-			LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1}},
+		Classes: []balancer.Class{{
+			Name: "read", Effect: balancer.Idempotent, Scope: balancer.ScopeAll,
+			LatencyObjective: 200 * time.Millisecond, Deadline: time.Second, PriorityWeight: 1,
+		}},
 		Replicas: 1, MaxAttempts: 3, Tick: time.Millisecond,
 		SlowStartFloor: 0.2, SlowStartDuration: 10 * time.Second,
 	}, 42)
@@ -28,14 +30,18 @@
 	fmt.Println("sent", first.ID, "with a time-out of", first.Timeout)
 
 	now += 3 * time.Millisecond
-	acts = b.Handle(now, balancer.AttemptEnded{ID: "r1", Attempt: 0, Endpoint: first.Endpoint,
-		Result: balancer.ConnectFailed, Latency: 3 * time.Millisecond})
+	acts = b.Handle(now, balancer.AttemptEnded{
+		ID: "r1", Attempt: 0, Endpoint: first.Endpoint,
+		Result: balancer.ConnectFailed, Latency: 3 * time.Millisecond,
+	})
 	second := acts[0].(balancer.Send)
 	fmt.Println("sent again to another server:", second.Endpoint != first.Endpoint)
 
 	now += 20 * time.Millisecond
-	acts = b.Handle(now, balancer.AttemptEnded{ID: "r1", Attempt: 1, Endpoint: second.Endpoint,
-		Result: balancer.Success, Latency: 20 * time.Millisecond, Answered: true})
+	acts = b.Handle(now, balancer.AttemptEnded{
+		ID: "r1", Attempt: 1, Endpoint: second.Endpoint,
+		Result: balancer.Success, Latency: 20 * time.Millisecond, Answered: true,
+	})
 	fmt.Println("left to do:", len(acts))
 	// Output:
 	// sent r1 with a time-out of 198ms
@@ -52,8 +58,10 @@
 // benchmarkHandle plays a request and its answer at one of 100 copies.
 func benchmarkHandle(bench *testing.B, n int) {
 	b, err := balancer.New(balancer.Settings{
-		Classes: []balancer.Class{{Name: "read", Effect: balancer.Idempotent, LatencyObjective: time.Second,
-			Deadline: time.Second, PriorityWeight: 1}},
+		Classes: []balancer.Class{{
+			Name: "read", Effect: balancer.Idempotent, LatencyObjective: time.Second,
+			Deadline: time.Second, PriorityWeight: 1,
+		}},
 		Replicas: 100, MaxAttempts: 3, Tick: time.Millisecond,
 	}, 1)
 	if err != nil {
--- a/internal/fleet/caller.go
+++ b/internal/fleet/caller.go
@@ -23,8 +23,10 @@
 type caller struct{ client *http.Client }
 
 func newCaller() *caller {
-	return &caller{&http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 1000,
-		IdleConnTimeout: 30 * time.Second}}}
+	return &caller{&http.Client{Transport: &http.Transport{
+		DisableCompression: true, MaxIdleConnsPerHost: 1000,
+		IdleConnTimeout: 30 * time.Second,
+	}}}
 }
 
 // call asks a node or a server, which has until deadline, and reads the answer to its end.
--- a/internal/fleet/chain.go
+++ b/internal/fleet/chain.go
@@ -114,8 +114,10 @@
 	rounds := max(1, int(r.args.For/(2*chainRound)))
 	length := r.args.For / time.Duration(2*rounds)
 	begin := func(name string) *traveller {
-		return &traveller{caller: r.caller, name: name, rate: r.args.Rate, seed: r.args.Seed, late: newLatencies(),
-			latency: newLatencies(), warm: min(chainWarm, r.args.For/10)}
+		return &traveller{
+			caller: r.caller, name: name, rate: r.args.Rate, seed: r.args.Seed, late: newLatencies(),
+			latency: newLatencies(), warm: min(chainWarm, r.args.For/10),
+		}
 	}
 	direct, through := begin("direct"), begin("through")
 	for c, chain := range r.at.Direct {
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -32,8 +32,10 @@
 	type object = map[string]any
 	var classes []object
 	for _, name := range append([]string{callClass}, s.Classes...) {
-		classes = append(classes, object{"name": name, "effect": "read_like", "target-ms": 1000,
-			"deadline-ms": callDeadline * 1000, "worth": 1})
+		classes = append(classes, object{
+			"name": name, "effect": "read_like", "target-ms": 1000,
+			"deadline-ms": callDeadline * 1000, "worth": 1,
+		})
 	}
 	mode := "pushed"
 	if s.Asked {
@@ -47,10 +49,14 @@
 			"balancers": s.Copies, "me": s.Index, "tier": s.Tier, "zone": zones[s.Index%len(zones)],
 			"localities": zones, "registry-mode": mode, "tick-ms": 5, "lanes": classes,
 			"blend": object{"whole": 0.65, "worst-class": 0.2},
-			"limits": object{"cancelling": true, "conn-idle-ms": 10000, "connect-timeout-ms": 150,
-				"max-attempts": 3, "max-retry-after-ms": 2000, "retry-after": true},
-			"rules": object{"answer-slack-ms": 20, "ask-within-ms": 10000, "cold-from": 0.12, "fall-ms": 1000,
-				"fall-multiple": 4, "stop-sending-within-ms": 250, "warm-after-ms": 24000},
+			"limits": object{
+				"cancelling": true, "conn-idle-ms": 10000, "connect-timeout-ms": 150,
+				"max-attempts": 3, "max-retry-after-ms": 2000, "retry-after": true,
+			},
+			"rules": object{
+				"answer-slack-ms": 20, "ask-within-ms": 10000, "cold-from": 0.12, "fall-ms": 1000,
+				"fall-multiple": 4, "stop-sending-within-ms": 250, "warm-after-ms": 24000,
+			},
 		},
 	}, "", " ")
 	if err != nil {
--- a/internal/fleet/growth.go
+++ b/internal/fleet/growth.go
@@ -100,8 +100,10 @@
 	ctx, cancel := context.WithTimeout(ctx, startWait)
 	defer cancel()
 	for i, address := range addresses {
-		n, err := startReal(ctx, d.args.Program, d.dir, NodeSpec{Name: fmt.Sprintf("n%d", i), Index: i, Copies: d.size.nodes,
-			Listen: "127.0.0.1:0", Discovery: address, Asked: d.args.Mode == "asked", Seed: d.args.Seed + uint64(i)})
+		n, err := startReal(ctx, d.args.Program, d.dir, NodeSpec{
+			Name: fmt.Sprintf("n%d", i), Index: i, Copies: d.size.nodes,
+			Listen: "127.0.0.1:0", Discovery: address, Asked: d.args.Mode == "asked", Seed: d.args.Seed + uint64(i),
+		})
 		if err != nil {
 			return err
 		}
@@ -117,8 +119,10 @@
 
 // target is a server's entry while it is in service. The first servers booted long ago.
 func (d *growthDay) target(i int) Target {
-	return Target{UID: fmt.Sprintf("s-%d", i), Endpoint: d.endpoints[i], Zone: zones[i%len(zones)], Model: "m1",
-		Cell: i % 10, State: inService, Capacity: d.size.capacity}
+	return Target{
+		UID: fmt.Sprintf("s-%d", i), Endpoint: d.endpoints[i], Zone: zones[i%len(zones)], Model: "m1",
+		Cell: i % 10, State: inService, Capacity: d.size.capacity,
+	}
 }
 
 // stop ends all that the day started.
@@ -177,8 +181,10 @@
 
 // makeCalls calls each node for the length of the day, and waits for the answers.
 func (d *growthDay) makeCalls(ctx context.Context) Tally {
-	calls := &traveller{caller: d.caller, name: "day", rate: d.args.Rate, seed: d.args.Seed, late: newLatencies(),
-		latency: newLatencies()}
+	calls := &traveller{
+		caller: d.caller, name: "day", rate: d.args.Rate, seed: d.args.Seed, late: newLatencies(),
+		latency: newLatencies(),
+	}
 	for _, n := range d.nodes {
 		calls.heads = append(calls.heads, n.address)
 	}
--- a/internal/fleet/growth_test.go
+++ b/internal/fleet/growth_test.go
@@ -14,8 +14,10 @@
 
 // usualFigures are round ones, to work out limits from.
 func usualFigures() GrowthFigures {
-	return GrowthFigures{Servers: 200, CPUSeconds: 1, PeakMemory: 10e6, Descriptors: 30, Connections: 100,
-		ListBytes: 100e3, Served: 0.9}
+	return GrowthFigures{
+		Servers: 200, CPUSeconds: 1, PeakMemory: 10e6, Descriptors: 30, Connections: 100,
+		ListBytes: 100e3, Served: 0.9,
+	}
 }
 
 // The limits are those of the standing test, and a figure just at its limit is within.
@@ -51,8 +53,10 @@
 // figuresAt has one figure at a value, in the unit of its row.
 func figuresAt(what string, value float64, servers int) GrowthFigures {
 	f := GrowthFigures{Servers: servers}
-	*map[string]*float64{"CPU seconds": &f.CPUSeconds, "peak memory, MB": &f.PeakMemory, "descriptors": &f.Descriptors,
-		"connections made to servers": &f.Connections, "bytes of lists, KB": &f.ListBytes, "share served": &f.Served}[what] = value
+	*map[string]*float64{
+		"CPU seconds": &f.CPUSeconds, "peak memory, MB": &f.PeakMemory, "descriptors": &f.Descriptors,
+		"connections made to servers": &f.Connections, "bytes of lists, KB": &f.ListBytes, "share served": &f.Served,
+	}[what] = value
 	switch what {
 	case "peak memory, MB":
 		f.PeakMemory *= 1e6
@@ -182,8 +186,10 @@
 // A run at a small size gives all rows, and leaves no child. Whether a row is within its limit is the machine's.
 func TestGrowthRun(t *testing.T) {
 	for _, mode := range []string{"pushed", "asked"} {
-		report, err := testRunner(t).Growth(context.Background(), GrowthArgs{Servers: 20, Factor: 2, Real: 1, Fleet: 10, Mode: mode,
-			Rate: 40, Seed: 1, For: time.Second})
+		report, err := testRunner(t).Growth(context.Background(), GrowthArgs{
+			Servers: 20, Factor: 2, Real: 1, Fleet: 10, Mode: mode,
+			Rate: 40, Seed: 1, For: time.Second,
+		})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/fleet/growthargs.go
+++ b/internal/fleet/growthargs.go
@@ -34,8 +34,10 @@
 		name               string
 		value, least, most float64
 	}{
-		{"servers", float64(a.Servers), 10, mostListed}, {"factor", float64(a.Factor), 2, 16},
-		{"real", float64(a.Real), 1, mostGrowthNodes}, {"fleet", float64(a.Fleet), float64(a.Real), mostFleet},
+		{"servers", float64(a.Servers), 10, mostListed},
+		{"factor", float64(a.Factor), 2, 16},
+		{"real", float64(a.Real), 1, mostGrowthNodes},
+		{"fleet", float64(a.Fleet), float64(a.Real), mostFleet},
 		{"rate", a.Rate, 1, mostGrowthRate},
 	} {
 		if !(one.value >= one.least && one.value <= one.most) {
--- a/internal/fleet/growthlimits.go
+++ b/internal/fleet/growthlimits.go
@@ -44,18 +44,30 @@
 
 // growthLimits are the rows of the standing test, section "More than these days".
 var growthLimits = []growthLimit{
-	{what: "CPU seconds", unit: 1, factor: 1.4, base: 0.02, perThousand: 0.03,
-		of: func(f GrowthFigures) float64 { return f.CPUSeconds }},
-	{what: "peak memory, MB", unit: megabyte, factor: 1.5, base: 8, perThousand: 4,
-		of: func(f GrowthFigures) float64 { return f.PeakMemory }},
-	{what: "descriptors", unit: 1, factor: 2, base: 40,
-		of: func(f GrowthFigures) float64 { return f.Descriptors }},
-	{what: "connections made to servers", unit: 1, factor: 2.5, base: 40,
-		of: func(f GrowthFigures) float64 { return f.Connections }},
-	{what: "bytes of lists, KB", unit: kilobyte, factor: 2, base: 64, perThousand: 500,
-		of: func(f GrowthFigures) float64 { return f.ListBytes }},
-	{what: "share served", unit: 1, factor: 0.85, least: true,
-		of: func(f GrowthFigures) float64 { return f.Served }},
+	{
+		what: "CPU seconds", unit: 1, factor: 1.4, base: 0.02, perThousand: 0.03,
+		of: func(f GrowthFigures) float64 { return f.CPUSeconds },
+	},
+	{
+		what: "peak memory, MB", unit: megabyte, factor: 1.5, base: 8, perThousand: 4,
+		of: func(f GrowthFigures) float64 { return f.PeakMemory },
+	},
+	{
+		what: "descriptors", unit: 1, factor: 2, base: 40,
+		of: func(f GrowthFigures) float64 { return f.Descriptors },
+	},
+	{
+		what: "connections made to servers", unit: 1, factor: 2.5, base: 40,
+		of: func(f GrowthFigures) float64 { return f.Connections },
+	},
+	{
+		what: "bytes of lists, KB", unit: kilobyte, factor: 2, base: 64, perThousand: 500,
+		of: func(f GrowthFigures) float64 { return f.ListBytes },
+	},
+	{
+		what: "share served", unit: 1, factor: 0.85, least: true,
+		of: func(f GrowthFigures) float64 { return f.Served },
+	},
 }
 
 // GrowthRow compares a figure at both sizes with its limit.
--- a/internal/fleet/hollows.go
+++ b/internal/fleet/hollows.go
@@ -167,8 +167,10 @@
 	begun := time.Now()
 	copies := (len(spec.Discovery) + spec.Services - 1) / spec.Services
 	for i, address := range spec.Discovery {
-		text, err := NodeSpec{Name: fmt.Sprintf("h%d", i), Index: i / spec.Services, Copies: copies, Tier: 1,
-			Listen: "127.0.0.1:0", Discovery: address, Asked: spec.Asked, Seed: spec.Seed + uint64(i)}.Configuration()
+		text, err := NodeSpec{
+			Name: fmt.Sprintf("h%d", i), Index: i / spec.Services, Copies: copies, Tier: 1,
+			Listen: "127.0.0.1:0", Discovery: address, Asked: spec.Asked, Seed: spec.Seed + uint64(i),
+		}.Configuration()
 		if err != nil {
 			return err
 		}
--- a/internal/fleet/registry.go
+++ b/internal/fleet/registry.go
@@ -47,8 +47,10 @@
 		return "", fmt.Errorf("registry: %w", err)
 	}
 	l := r.lists[service]
-	s := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { r.tell(w, q, l) }),
-		ReadHeaderTimeout: 10 * time.Second}
+	s := &http.Server{
+		Handler:           http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { r.tell(w, q, l) }),
+		ReadHeaderTimeout: 10 * time.Second,
+	}
 	r.mu.Lock()
 	r.servers = append(r.servers, s)
 	r.mu.Unlock()
--- a/internal/fleet/rotation.go
+++ b/internal/fleet/rotation.go
@@ -21,8 +21,10 @@
 func newRotation(service, servers int, endpoint string) *rotation {
 	r := &rotation{service: service}
 	for i := range servers {
-		r.targets = append(r.targets, Target{UID: fmt.Sprintf("s-%d-%d", service, i), Endpoint: endpoint,
-			Zone: zones[i%len(zones)], Model: "m1", Cell: i % 10, State: inService, Capacity: 1})
+		r.targets = append(r.targets, Target{
+			UID: fmt.Sprintf("s-%d-%d", service, i), Endpoint: endpoint,
+			Zone: zones[i%len(zones)], Model: "m1", Cell: i % 10, State: inService, Capacity: 1,
+		})
 	}
 	return r
 }
--- a/internal/fleet/runfigures.go
+++ b/internal/fleet/runfigures.go
@@ -49,9 +49,11 @@
 	p.Seconds = after.at.Sub(before.at).Seconds()
 	p.Busy = cores(after.busy-before.busy, before.at, after.at)
 	per := func(n int64) float64 { return float64(n) / seconds }
-	p.Registry = RegistryFigures{Open: counted.Open, Conns: per(sum.Conns), Calls: per(sum.Calls), BytesIn: per(sum.In),
+	p.Registry = RegistryFigures{
+		Open: counted.Open, Conns: per(sum.Conns), Calls: per(sum.Calls), BytesIn: per(sum.In),
 		BytesOut: per(sum.Out), Peak: float64(peak) / BucketWidth.Seconds(),
-		Cores: cores(after.registry.CPU-before.registry.CPU, before.at, after.at), RSS: after.registry.RSS}
+		Cores: cores(after.registry.CPU-before.registry.CPU, before.at, after.at), RSS: after.registry.RSS,
+	}
 	nodes := r.args.Nodes + r.args.Real
 	p.PerNode = PerNode{nodes, per(sum.Out) / float64(nodes), per(sum.In) / float64(nodes)}
 	if len(r.real) == 0 {
@@ -83,11 +85,13 @@
 		return err
 	}
 	n := float64(r.args.Nodes)
-	h := &HollowFigures{Nodes: r.args.Nodes, ReadyMS: ms(started.Took),
+	h := &HollowFigures{
+		Nodes: r.args.Nodes, ReadyMS: ms(started.Took),
 		CoresNode: cores(after.hollows.CPU-before.hollows.CPU, before.at, after.at) / n,
 		HeapNode:  float64(started.HeapBytes) / n, HeapAfter: float64(report.HeapBytes) / n, StackNode: float64(started.StackMem) / n, RSS: after.hollows.RSS,
 		Late: report.Late, Latency: report.Latency, Kept: report.Late.P99 <= keptWithin,
-		InForce: report.InForce, Warnings: report.Warnings}
+		InForce: report.InForce, Warnings: report.Warnings,
+	}
 	for _, t := range report.Phases {
 		h.Calls.add(t)
 	}
--- a/internal/fleet/runstart.go
+++ b/internal/fleet/runstart.go
@@ -95,8 +95,10 @@
 		if i%r.args.Depth == 0 {
 			nodes = append(nodes, nil)
 		}
-		n, err := startReal(ctx, program, r.dir, NodeSpec{Name: fmt.Sprintf("n%d", i), Copies: 1, Tier: i % r.args.Depth,
-			Listen: "127.0.0.1:0", Discovery: discovery(i), Asked: asked, Seed: r.args.Seed + uint64(i)})
+		n, err := startReal(ctx, program, r.dir, NodeSpec{
+			Name: fmt.Sprintf("n%d", i), Copies: 1, Tier: i % r.args.Depth,
+			Listen: "127.0.0.1:0", Discovery: discovery(i), Asked: asked, Seed: r.args.Seed + uint64(i),
+		})
 		if err != nil {
 			return err
 		}
--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -110,8 +110,10 @@
 }
 
 func newUpstreamPool(cfg Config, c clock, most int) *upstreamPool {
-	b := &upstreamPool{clock: c, maxConns: most, idle: map[endpointInstance][]*upstreamConn{}, endpoints: map[string]listEntry{},
-		descriptorAllowance: func() int { return most }}
+	b := &upstreamPool{
+		clock: c, maxConns: most, idle: map[endpointInstance][]*upstreamConn{}, endpoints: map[string]listEntry{},
+		descriptorAllowance: func() int { return most },
+	}
 	b.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 		b.mu.Lock()
 		dialer := net.Dialer{Timeout: b.dialTimeout, KeepAlive: -1}
@@ -235,8 +237,10 @@
 	if a.call.contentType != "" {
 		h["Content-Type"] = []string{a.call.contentType}
 	}
-	r := http.Request{Method: a.call.method, URL: &url.URL{Opaque: a.call.target}, Host: "backend.local",
-		Header: h, ContentLength: int64(len(a.call.body))}
+	r := http.Request{
+		Method: a.call.method, URL: &url.URL{Opaque: a.call.target}, Host: "backend.local",
+		Header: h, ContentLength: int64(len(a.call.body)),
+	}
 	if len(a.call.body) > 0 {
 		r.Body = io.NopCloser(bytes.NewReader(a.call.body))
 	}
--- a/internal/node/backend_test.go
+++ b/internal/node/backend_test.go
@@ -33,8 +33,10 @@
 func testAttempt(b *upstreamPool, endpoint string) *attempt {
 	ctx, cancel := context.WithCancel(context.Background())
 	now := b.clock.now()
-	return &attempt{ctx: ctx, cancel: cancel, to: testHost(b, endpoint), sent: now, deadline: now + limit,
-		call: &request{id: "id", method: "POST", target: "/note/k", body: []byte("body")}}
+	return &attempt{
+		ctx: ctx, cancel: cancel, to: testHost(b, endpoint), sent: now, deadline: now + limit,
+		call: &request{id: "id", method: "POST", target: "/note/k", body: []byte("body")},
+	}
 }
 
 // run makes an attempt that must end within the limit.
--- a/internal/node/boottime_test.go
+++ b/internal/node/boottime_test.go
@@ -58,8 +58,18 @@
 var untouched = entry("other", "127.0.0.1:2", "in_service")
 
 // steps of the wall clock, and there and back.
-var steps = [][]time.Duration{{0}, {time.Second}, {-time.Second}, {time.Minute}, {-time.Minute}, {time.Hour},
-	{-time.Hour}, {time.Hour, -time.Hour}, {-time.Hour, time.Hour}, {-time.Minute, time.Minute, time.Hour}}
+var steps = [][]time.Duration{
+	{0},
+	{time.Second},
+	{-time.Second},
+	{time.Minute},
+	{-time.Minute},
+	{time.Hour},
+	{-time.Hour},
+	{time.Hour, -time.Hour},
+	{-time.Hour, time.Hour},
+	{-time.Minute, time.Minute, time.Hour},
+}
 
 // A server's start is known in the node's own time, however the wall clock is set before it, between it and the
 // list that tells of it, or after that, and the same list again changes nothing.
@@ -268,8 +278,10 @@
 		d.loop.handleEvent(attemptEnded{end.attempt, attemptOutcome{result: balancer.Success, endedAt: now}})
 	}
 	d.loop.fireTimers()
-	d.loop.handleEvent(requestReceived{&request{id: fmt.Sprint(now), class: "view", receivedAt: now, deadline: now + time.Second, revision: 1,
-		response: make(chan response, 1)}})
+	d.loop.handleEvent(requestReceived{&request{
+		id: fmt.Sprint(now), class: "view", receivedAt: now, deadline: now + time.Second, revision: 1,
+		response: make(chan response, 1),
+	}})
 	d.m.pass(5 * time.Millisecond)
 }
 
--- a/internal/node/broken_test.go
+++ b/internal/node/broken_test.go
@@ -81,8 +81,10 @@
 // A client whose connection breaks, by whatever error, has gone: nothing begins for it any more, and what is
 // out is called off. Only the node's own deadline for reading tells nothing of its client.
 func TestBrokenConnectionIsADeparture(t *testing.T) {
-	for _, cause := range []error{syscall.ETIMEDOUT, syscall.ECONNRESET, syscall.EHOSTUNREACH, syscall.ENETUNREACH,
-		syscall.EPIPE, os.ErrDeadlineExceeded} {
+	for _, cause := range []error{
+		syscall.ETIMEDOUT, syscall.ECONNRESET, syscall.EHOSTUNREACH, syscall.ENETUNREACH,
+		syscall.EPIPE, os.ErrDeadlineExceeded,
+	} {
 		for _, where := range []string{"dial", "in flight"} {
 			if cause == os.ErrDeadlineExceeded && where == "in flight" {
 				continue // one row shows it: the request is forwarded after the deadline, and answered
--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -26,8 +26,10 @@
 // A good caller sends its request as soon as it has connected, and in one piece; one idle for a moment may
 // meet its next request on the way.
 func defaultGracePeriods() gracePeriods {
-	return gracePeriods{lingering: 50 * time.Millisecond, newConn: 100 * time.Millisecond, partialRequest: time.Second,
-		idle: 500 * time.Millisecond}
+	return gracePeriods{
+		lingering: 50 * time.Millisecond, newConn: 100 * time.Millisecond, partialRequest: time.Second,
+		idle: 500 * time.Millisecond,
+	}
 }
 
 // callers are the callers' connections, within their share of the node's descriptors. Whoever holds a
@@ -72,8 +74,10 @@
 
 // newCallers takes the node's memory in bytes, of which what callers send ahead may fill a share.
 func newDownstreamConns(c clock, room, spare int, memory int64, servers func() int) *downstreamConns {
-	return &downstreamConns{clock: c, readAheadLimit: memory / readAheadMemoryShare, capacity: room, upstreamReserve: room / 4, upstreamCount: servers, rejectReserve: spare,
-		conns: map[*downstreamConn]struct{}{}, gracePeriods: defaultGracePeriods()}
+	return &downstreamConns{
+		clock: c, readAheadLimit: memory / readAheadMemoryShare, capacity: room, upstreamReserve: room / 4, upstreamCount: servers, rejectReserve: spare,
+		conns: map[*downstreamConn]struct{}{}, gracePeriods: defaultGracePeriods(),
+	}
 }
 
 // keepAhead reserves bytes for what a caller sends ahead, or gives some back.
--- a/internal/node/callers_test.go
+++ b/internal/node/callers_test.go
@@ -177,11 +177,13 @@
 		n.frontend.server.IdleTimeout = 10 * limit
 	})
 	const post = "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: half\r\nX-Deadline: 60\r\n"
-	for _, half := range []string{"G", "GE", "GET", "GET /view", "GET /view/k HTTP/1.1\r\n", "\r\nP",
+	for _, half := range []string{
+		"G", "GE", "GET", "GET /view", "GET /view/k HTTP/1.1\r\n", "\r\nP",
 		post + "Content-Length: 4\r\n\r\n", post + "Content-Length: 4\r\n\r\nbod",
 		post + "Expect: 100-continue\r\nContent-Length: 4\r\n\r\n",
 		post + "Transfer-Encoding: chunked\r\n\r\n", post + "Transfer-Encoding: chunked\r\n\r\n2",
-		post + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n"} {
+		post + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n",
+	} {
 		for _, when := range []string{"first", "after an answer", "behind a request"} {
 			t.Run(fmt.Sprintf("%s %.20q %d", when, half, len(half)), func(t *testing.T) {
 				t.Parallel()
@@ -251,8 +253,10 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	for _, first := range []string{"G", "GET", "GET /view/k HTTP/1.1\r\nHo",
-		"POST /note/k HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\n"} {
+	for _, first := range []string{
+		"G", "GET", "GET /view/k HTTP/1.1\r\nHo",
+		"POST /note/k HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\n",
+	} {
 		theirs, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
--- a/internal/node/chunked_test.go
+++ b/internal/node/chunked_test.go
@@ -38,11 +38,15 @@
 		{"none", "0\r\n\r\n", ""},
 		{"extensions", "2;a=b;c=\"d\"\r\nok\r\n0;" + strings.Repeat("x", 4000) + "\r\n\r\n", "ok"},
 		{"trailers", "2\r\nok\r\n0\r\nA: b\r\nContent-Length: 7\r\nX-Request-Id: other\r\n\r\n", "ok"},
-		{"line ends and a head inside", "31\r\n\r\n0\r\n\r\nGET /view/k HTTP/1.1\r\nX-Request-Id: no\r\n\r\n\r\n0\r\n\r\n",
-			"\r\n0\r\n\r\nGET /view/k HTTP/1.1\r\nX-Request-Id: no\r\n\r\n"},
+		{
+			"line ends and a head inside", "31\r\n\r\n0\r\n\r\nGET /view/k HTTP/1.1\r\nX-Request-Id: no\r\n\r\n\r\n0\r\n\r\n",
+			"\r\n0\r\n\r\nGET /view/k HTTP/1.1\r\nX-Request-Id: no\r\n\r\n",
+		},
 		{"the longest body", "10000\r\n" + full + "\r\n0\r\n\r\n", full},
-		{"the longest body in small chunks", strings.Repeat("10\r\n0123456789abcdef\r\n", maxBody/16) + "0\r\n\r\n",
-			strings.Repeat("0123456789abcdef", maxBody/16)},
+		{
+			"the longest body in small chunks", strings.Repeat("10\r\n0123456789abcdef\r\n", maxBody/16) + "0\r\n\r\n",
+			strings.Repeat("0123456789abcdef", maxBody/16),
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			want := framed("POST", int64(len(c.body)), c.body, nil, nil)
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -114,9 +114,11 @@
 			return Config{}, fmt.Errorf("config: settings.limits.%s is out of range: %v", t.name, t.ms)
 		}
 	}
-	return Config{Name: f.Name, Zone: s.Zone, Listen: f.Listen, Discovery: f.Discovery, Seed: seed,
+	return Config{
+		Name: f.Name, Zone: s.Zone, Listen: f.Listen, Discovery: f.Discovery, Seed: seed,
 		MemoryMB: int(f.Limits.MemoryMB), Sockets: int(f.Limits.Sockets), Known: f.Known, Settings: set,
-		ConnIdle: millis(s.Limits.ConnIdle), ConnectTimeout: millis(s.Limits.ConnectTimeout)}, nil
+		ConnIdle: millis(s.Limits.ConnIdle), ConnectTimeout: millis(s.Limits.ConnectTimeout),
+	}, nil
 }
 
 func millis(ms float64) time.Duration { return time.Duration(math.Round(ms * 1e6)) }
--- a/internal/node/deadlineheader_test.go
+++ b/internal/node/deadlineheader_test.go
@@ -168,8 +168,10 @@
 
 // A wait is never rounded up, and one that is over is not told.
 func TestWaitsAreNotRoundedUp(t *testing.T) {
-	for _, wait := range []time.Duration{time.Millisecond, 1999 * time.Microsecond, 480 * time.Millisecond,
-		999999 * time.Microsecond, time.Second, 9999999999, 99999999999, 12345678901, maxDeadline} {
+	for _, wait := range []time.Duration{
+		time.Millisecond, 1999 * time.Microsecond, 480 * time.Millisecond,
+		999999 * time.Microsecond, time.Second, 9999999999, 99999999999, 12345678901, maxDeadline,
+	} {
 		value := []byte(strings.Repeat("0", deadlineValueWidth))
 		if !writeDeadlineValue(value, wait) {
 			t.Errorf("%v is not told", wait)
--- a/internal/node/dial_test.go
+++ b/internal/node/dial_test.go
@@ -35,9 +35,11 @@
 	return (&net.Dialer{}).DialContext(ctx, network, address)
 }
 
-var localErrnos = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
+var localErrnos = []syscall.Errno{
+	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 	syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN, syscall.ENETUNREACH, syscall.ENETDOWN,
-	syscall.EPERM, syscall.EACCES, syscall.EINTR}
+	syscall.EPERM, syscall.EACCES, syscall.EINTR,
+}
 
 // A connection that can't be opened for a moment by trouble of this machine's own is dialled again, and its
 // request is served by its server, which gets it once.
@@ -179,7 +181,8 @@
 func TestShortReadsAndWritesLoseNothing(t *testing.T) {
 	long := strings.Repeat("\x00\r\n0\r\n", maxBody/8)
 	for name, head := range map[string]string{
-		"length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(long)), "close": "HTTP/1.1 200 OK\r\n\r\n"} {
+		"length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(long)), "close": "HTTP/1.1 200 OK\r\n\r\n",
+	} {
 		t.Run(name, func(t *testing.T) {
 			s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
 				io.WriteString(c, head+body)
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -68,8 +68,10 @@
 
 func newRegistryAddress(addr string, rev int64) *registryAddress {
 	p := &registryAddress{addr: addr, version: rev, dial: (&net.Dialer{}).DialContext}
-	p.client = &http.Client{Transport: &http.Transport{DisableCompression: true,
-		MaxConnsPerHost: maxAgentConns, DialContext: p.connect}}
+	p.client = &http.Client{Transport: &http.Transport{
+		DisableCompression: true,
+		MaxConnsPerHost:    maxAgentConns, DialContext: p.connect,
+	}}
 	p.ctx, p.abandon = context.WithCancel(context.Background())
 	return p
 }
@@ -88,8 +90,10 @@
 }
 
 func newDiscovery(cfg Config, rev int64, post func(event), log *slog.Logger) *discovery {
-	d := &discovery{post: post, log: log, current: newRegistryAddress(cfg.Discovery, rev), wanted: make(chan struct{}, 1),
-		hold: pollHold, grace: pollGrace, startupWait: startupWait, after: time.After}
+	d := &discovery{
+		post: post, log: log, current: newRegistryAddress(cfg.Discovery, rev), wanted: make(chan struct{}, 1),
+		hold: pollHold, grace: pollGrace, startupWait: startupWait, after: time.After,
+	}
 	if !cfg.Settings.PollDiscovery {
 		d.hold, d.grace = pushHold, pushGrace
 		// The agent may hold more than the node last had, from the process's first moment on; and the
@@ -248,8 +252,10 @@
 func (d *discovery) get(ctx context.Context, p *registryAddress, from int64, hold time.Duration) (*http.Response, error) {
 	u := url.URL{Scheme: "http", Host: p.addr, Path: "/registry/instances"}
 	if from >= 0 {
-		u.RawQuery = url.Values{"from": {strconv.FormatInt(from, 10)},
-			"hold_ms": {strconv.FormatInt(hold.Milliseconds(), 10)}}.Encode()
+		u.RawQuery = url.Values{
+			"from":    {strconv.FormatInt(from, 10)},
+			"hold_ms": {strconv.FormatInt(hold.Milliseconds(), 10)},
+		}.Encode()
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u.String(), nil)
 	if err != nil {
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -197,11 +197,10 @@
 					waits <- d
 					return clock
 				}
-				n.discovery.address().client.Transport.(*http.Transport).DialContext =
-					func(context.Context, string, string) (net.Conn, error) {
-						dials <- struct{}{}
-						return nil, syscall.ECONNREFUSED
-					}
+				n.discovery.address().client.Transport.(*http.Transport).DialContext = func(context.Context, string, string) (net.Conn, error) {
+					dials <- struct{}{}
+					return nil, syscall.ECONNREFUSED
+				}
 			})
 			n.discovery.subscribe()
 			for range 5 {
@@ -228,8 +227,10 @@
 // Whatever a call was lost by, and whatever the settings say, the next one is made early enough for what it
 // brings to be known before it counts as told.
 func TestLostCallIsMadeUpForInTime(t *testing.T) {
-	for _, within := range []time.Duration{0, 100 * time.Millisecond, 400 * time.Millisecond, time.Second,
-		6 * time.Second, 10 * time.Second, time.Hour} {
+	for _, within := range []time.Duration{
+		0, 100 * time.Millisecond, 400 * time.Millisecond, time.Second,
+		6 * time.Second, 10 * time.Second, time.Hour,
+	} {
 		for _, asked := range []bool{false, true} {
 			for failures := range 6 {
 				cfg := testConfig(whole())
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -42,7 +42,8 @@
 }
 
 func newFrontend(c clock, callers *downstreamConns, rules *atomic.Pointer[requestRules], post func(event), ready func() bool,
-	log *slog.Logger) *frontend {
+	log *slog.Logger,
+) *frontend {
 	f := &frontend{clock: c, post: post, ready: ready, conns: callers, rules: rules}
 	f.server = &http.Server{
 		Handler:                      f,
@@ -65,8 +66,10 @@
 }
 
 func newRequestRules(revision int, set balancer.Settings) *requestRules {
-	r := &requestRules{revision: revision, classes: map[string]balancer.Class{},
-		retryAfter: min(set.MaxRetryAfter, max(set.Tick, time.Millisecond))}
+	r := &requestRules{
+		revision: revision, classes: map[string]balancer.Class{},
+		retryAfter: min(set.MaxRetryAfter, max(set.Tick, time.Millisecond)),
+	}
 	for _, class := range set.Classes {
 		r.classes[class.Name] = class
 	}
@@ -183,9 +186,11 @@
 // readCall reads a complete request and checks what the node and the servers rely on. What it rejects here
 // has been forwarded to no server. The time that the client waits runs from the request's first byte.
 func (f *frontend) readRequest(r *http.Request, conn *downstreamConn, head requestHead) (*request, error) {
-	c := &request{method: r.Method, target: r.RequestURI, id: r.Header.Get("X-Request-Id"),
+	c := &request{
+		method: r.Method, target: r.RequestURI, id: r.Header.Get("X-Request-Id"),
 		key: r.Header.Get("Idempotency-Key"), contentType: r.Header.Get("Content-Type"),
-		firstByte: head.firstByte, response: make(chan response, 1)}
+		firstByte: head.firstByte, response: make(chan response, 1),
+	}
 	if err := f.validateHead(c, r); err != nil {
 		return nil, err
 	}
--- a/internal/node/health_test.go
+++ b/internal/node/health_test.go
@@ -29,8 +29,10 @@
 }
 
 func newFleet(part, room int, fails ...string) *fleet {
-	f := &fleet{got: map[string]int{}, fails: map[string]bool{}, busy: map[string]int{}, part: part, room: room, work: 5 * time.Millisecond,
-		rng: rand.New(rand.NewPCG(1, 2))}
+	f := &fleet{
+		got: map[string]int{}, fails: map[string]bool{}, busy: map[string]int{}, part: part, room: room, work: 5 * time.Millisecond,
+		rng: rand.New(rand.NewPCG(1, 2)),
+	}
 	for _, k := range fails {
 		f.fails[k] = true
 	}
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -47,7 +47,8 @@
 // and after how long. onList is called, from the goroutine of the loop, as the module is about to be told of a
 // list that changes something; neither may block.
 func NewHollow(cfg Config, log *slog.Logger, serve func(server string) (time.Duration, balancer.AttemptResult),
-	onList func(rev int64, at time.Time)) (*Hollow, error) {
+	onList func(rev int64, at time.Time),
+) (*Hollow, error) {
 	set := moduleSettings(cfg)
 	balancer, err := balancer.New(set, cfg.Seed)
 	if err != nil {
--- a/internal/node/listener.go
+++ b/internal/node/listener.go
@@ -42,8 +42,10 @@
 }
 
 func newDownstreamListener(ln net.Listener, s *downstreamConns, log *slog.Logger) *downstreamListener {
-	return &downstreamListener{Listener: ln, conns: s, log: log,
-		draining: make(chan struct{}), closed: make(chan struct{})}
+	return &downstreamListener{
+		Listener: ln, conns: s, log: log,
+		draining: make(chan struct{}), closed: make(chan struct{}),
+	}
 }
 
 // deadlines are what a listener needs to be shut without a loss.
--- a/internal/node/listener_test.go
+++ b/internal/node/listener_test.go
@@ -40,9 +40,11 @@
 }
 
 // acceptErrors are what accept may fail with though its listener is sound, and one that nobody knows.
-var acceptErrors = []error{syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.ENETUNREACH, syscall.EHOSTUNREACH,
+var acceptErrors = []error{
+	syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.ENETUNREACH, syscall.EHOSTUNREACH,
 	syscall.ENETDOWN, syscall.EPERM, syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.EINTR,
-	syscall.ETIMEDOUT, errors.New("an unknown error")}
+	syscall.ETIMEDOUT, errors.New("an unknown error"),
+}
 
 // A failed accept is tried again: the node serves on.
 func TestFailedAcceptDoesNotEndTheNode(t *testing.T) {
--- a/internal/node/listparser.go
+++ b/internal/node/listparser.go
@@ -58,8 +58,10 @@
 	case !(e.Size >= 0 && e.Size <= 1e12) || !(e.Boot >= 0 && e.Boot <= 1e13) || !(math.Abs(e.Cell) <= 1e9):
 		return listEntry{}, errors.New("capacity_hint, boot_ms or pod_group is out of range")
 	}
-	return listEntry{address: e.Endpoint, bootMS: e.Boot, Endpoint: balancer.Endpoint{ID: e.UID, Zone: e.Zone,
-		Cell: int(e.Cell), State: state, Capacity: e.Size}}, nil
+	return listEntry{address: e.Endpoint, bootMS: e.Boot, Endpoint: balancer.Endpoint{
+		ID: e.UID, Zone: e.Zone,
+		Cell: int(e.Cell), State: state, Capacity: e.Size,
+	}}, nil
 }
 
 // listParser reads one list entry by entry, so that neither its text nor its entries are held twice. Keys come in
--- a/internal/node/listparser_test.go
+++ b/internal/node/listparser_test.go
@@ -56,13 +56,15 @@
 		`{"rev":3,"rev":4,"all":false,"all":true}`, `{"\u0072ev":3,"all":true,"targets":[]}`,
 		`{"rev":3,"all":true,"targets":[{"UID":"s1","State":"in_service","endpoint":"1.2.3.4:5","weight":{"a":[]}}]}`,
 	}
-	bad := []string{"", "null", "[]", "3", `"rev"`, `{"rev":null,"all":true}`, `{"rev":3,"all":null}`, `{"rev":"3","all":true}`,
+	bad := []string{
+		"", "null", "[]", "3", `"rev"`, `{"rev":null,"all":true}`, `{"rev":3,"all":null}`, `{"rev":"3","all":true}`,
 		`{"rev":3.5,"all":true}`, `{"rev":3,"all":1}`, `{"rev":3,"all":true,"targets":{}}`, `{"rev":3,"all":true,"targets":3}`,
 		`{"rev":3,"all":true,"targets":[null]}`, `{"rev":3,"all":true,"targets":[[]]}`, `{"rev":3,"all":true,"targets":["s1"]}`,
 		`{"rev":3,"all":true,"targets":[` + s1 + `,` + s1 + `]}`, `{"rev":3,"all":true,"targets":[` + s1 + `,]}`,
 		`{"rev":3,"all":true,"targets":[` + s1 + ` ` + s2 + `]}`, `{"rev":3,"all":true,"targets":[` + s1 + `}}`,
 		`{"rev":3,"all":true,}`, `{"rev":3,"all":true}{}`, `{"rev":3,"all":true}x`, `{"rev":3,"all":true},`, `{"rev" 3,"all":true}`,
-		`{"rev":3 "all":true}`, `{"rev":99999999999999999999,"all":true}`, `{"rev":3,"all":true,"targets":[{"uid":3}]}`}
+		`{"rev":3 "all":true}`, `{"rev":99999999999999999999,"all":true}`, `{"rev":3,"all":true,"targets":[{"uid":3}]}`,
+	}
 	same := func(text []byte) error {
 		want, wantErr := unmarshalList(text)
 		got, err := parseList(text)
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -23,8 +23,10 @@
 
 func newClock() clock {
 	start := time.Now()
-	return clock{elapsed: func() time.Duration { return time.Since(start) },
-		unix: func() time.Duration { return time.Duration(time.Now().UnixNano()) }}
+	return clock{
+		elapsed: func() time.Duration { return time.Since(start) },
+		unix:    func() time.Duration { return time.Duration(time.Now().UnixNano()) },
+	}
 }
 
 func (c clock) now() time.Duration { return processStart + c.elapsed() }
@@ -187,8 +189,10 @@
 }
 
 func newLoop(b *balancer.Balancer, c clock, log *slog.Logger) *loop {
-	return &loop{clock: c, balancer: b, connectionStats: func() []any { return nil }, events: make(chan event, 1024), log: log,
-		pending: map[string]*requestState{}, endpoints: map[string]listEntry{}, boots: newBootClock(c)}
+	return &loop{
+		clock: c, balancer: b, connectionStats: func() []any { return nil }, events: make(chan event, 1024), log: log,
+		pending: map[string]*requestState{}, endpoints: map[string]listEntry{}, boots: newBootClock(c),
+	}
 }
 
 func (l *loop) post(e event) { l.events <- e }
@@ -251,8 +255,10 @@
 		}
 		l.stats.Requests++
 		l.pending[e.call.id] = &requestState{call: e.call}
-		l.decide(e.call.receivedAt, balancer.Request{ID: e.call.id, Class: e.call.class, FirstByte: e.call.firstByte,
-			Deadline: e.call.deadline, ExpectedWork: e.call.expectedWork})
+		l.decide(e.call.receivedAt, balancer.Request{
+			ID: e.call.id, Class: e.call.class, FirstByte: e.call.firstByte,
+			Deadline: e.call.deadline, ExpectedWork: e.call.expectedWork,
+		})
 	case clientDeparted:
 		l.noteLag(e.at)
 		if p := l.pending[e.call.id]; p != nil && p.call == e.call && !p.answered {
@@ -356,8 +362,10 @@
 		l.stats.Served++
 		l.respond(p, response{kind: responseServed, body: r.body, contentType: r.contentType})
 	}
-	l.decide(r.endedAt, balancer.AttemptEnded{ID: a.call.id, Attempt: a.number, Endpoint: a.to.uid, Result: r.result,
-		Latency: r.endedAt - a.sent, Answered: p.answered, HeldUp: a.heldUp})
+	l.decide(r.endedAt, balancer.AttemptEnded{
+		ID: a.call.id, Attempt: a.number, Endpoint: a.to.uid, Result: r.result,
+		Latency: r.endedAt - a.sent, Answered: p.answered, HeldUp: a.heldUp,
+	})
 	if p.departed != present {
 		l.respondUnlessBegun(p)
 	}
@@ -486,8 +494,10 @@
 func (l *loop) send(s balancer.Send) {
 	p := l.pending[s.ID]
 	ctx, cancel := context.WithCancel(context.Background())
-	a := &attempt{ctx: ctx, cancel: cancel, call: p.call, number: len(p.attempts),
-		to: l.endpoints[s.Endpoint].instance(), sent: l.now, deadline: min(l.now+s.Timeout, p.call.deadline), notAfter: s.NotAfter}
+	a := &attempt{
+		ctx: ctx, cancel: cancel, call: p.call, number: len(p.attempts),
+		to: l.endpoints[s.Endpoint].instance(), sent: l.now, deadline: min(l.now+s.Timeout, p.call.deadline), notAfter: s.NotAfter,
+	}
 	p.attempts = append(p.attempts, a)
 	p.inFlight++
 	l.stats.Sends++
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -95,15 +95,19 @@
 	clock := newClock()
 	l := newLoop(balancer, clock, log)
 	l.rules.Store(newRequestRules(1, set))
-	n := &Node{cfg: cfg, revision: 1, loop: l, log: log, listsPushed: !cfg.Settings.PollDiscovery, drainSchedule: drainScheduleOf(cfg), drainLimit: drainLimit(cfg),
-		upstream: newUpstreamPool(cfg, clock, room/2)}
+	n := &Node{
+		cfg: cfg, revision: 1, loop: l, log: log, listsPushed: !cfg.Settings.PollDiscovery, drainSchedule: drainScheduleOf(cfg), drainLimit: drainLimit(cfg),
+		upstream: newUpstreamPool(cfg, clock, room/2),
+	}
 	callers := newDownstreamConns(clock, room, reservedDescriptors/2, int64(cfg.MemoryMB)<<20, n.upstream.connections)
 	n.upstream.descriptorAllowance = callers.upstreamAllowance
 	n.frontend = newFrontend(clock, callers, &l.rules, l.post, l.ready.Load, log)
 	l.connectionStats = func() []any {
 		c, held := callers.takeCounts()
-		return []any{"callers", held, "accepted", c.Accepted, "accept_failed", c.AcceptFailed, "let_go", c.Evicted, "crowded", c.Rejected,
-			"turned_away", c.ClosedUnread, "servers", n.upstream.connections()}
+		return []any{
+			"callers", held, "accepted", c.Accepted, "accept_failed", c.AcceptFailed, "let_go", c.Evicted, "crowded", c.Rejected,
+			"turned_away", c.ClosedUnread, "servers", n.upstream.connections(),
+		}
 	}
 	l.start = func(a *attempt) {
 		go func() {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -196,16 +196,24 @@
 // testConfig is a deployment with a class of each kind and long limits.
 func testConfig(known string) Config {
 	class := func(name string, e balancer.Effect) balancer.Class {
-		return balancer.Class{Name: name, Effect: e, Scope: balancer.ScopeAll, DedupWindow: limit,
-			LatencyObjective: limit, Deadline: 2 * limit, PriorityWeight: 1}
+		return balancer.Class{
+			Name: name, Effect: e, Scope: balancer.ScopeAll, DedupWindow: limit,
+			LatencyObjective: limit, Deadline: 2 * limit, PriorityWeight: 1,
+		}
 	}
-	return Config{Name: "n", Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", Seed: 1, MemoryMB: 192,
+	return Config{
+		Name: "n", Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", Seed: 1, MemoryMB: 192,
 		Sockets: 1024, ConnIdle: time.Minute, ConnectTimeout: limit,
 		Known: []byte(strings.Replace(known, "%d", "1", 1)),
-		Settings: balancer.Settings{Replicas: 1, MaxAttempts: 4, AllowCancel: true,
+		Settings: balancer.Settings{
+			Replicas: 1, MaxAttempts: 4, AllowCancel: true,
 			Tick: time.Millisecond, MaxRetryAfter: 2 * time.Second, SlowStartFloor: 1, TotalWeight: 1,
-			Classes: []balancer.Class{class("view", balancer.Idempotent), class("note", balancer.NonIdempotent),
-				class("keyed", balancer.IdempotentByKey)}}}
+			Classes: []balancer.Class{
+				class("view", balancer.Idempotent), class("note", balancer.NonIdempotent),
+				class("keyed", balancer.IdempotentByKey),
+			},
+		},
+	}
 }
 
 // withLongAims has no attempt of a configuration end by itself while a test waits for something else to end it.
@@ -521,8 +529,10 @@
 	wait(t, got, "the attempt")
 	c.get("one")
 	c.want(t, 200, "for one")
-	for i, next := range []string{entry("s2", s.addr(), "in_service"),
-		strings.Replace(entry("s2", s.addr(), "in_service"), `"boot_ms":0`, `"boot_ms":5`, 1)} {
+	for i, next := range []string{
+		entry("s2", s.addr(), "in_service"),
+		strings.Replace(entry("s2", s.addr(), "in_service"), `"boot_ms":0`, `"boot_ms":5`, 1),
+	} {
 		l, err := parseList([]byte(strings.Replace(whole(next), "%d", "9", 1)))
 		if err != nil {
 			t.Fatal(err)
@@ -575,7 +585,8 @@
 }
 
 func TestMalformedListIsDroppedWhole(t *testing.T) {
-	for _, bad := range []string{"", "{", "[]", `{"rev":2,"targets":[]}`, `{"all":true,"targets":[]}`,
+	for _, bad := range []string{
+		"", "{", "[]", `{"rev":2,"targets":[]}`, `{"all":true,"targets":[]}`,
 		`{"rev":2,"all":true,"targets":[` + entry("s1", "127.0.0.1:1", "in_service") + `,` + entry("s2", "name:80", "in_service") + `]}`,
 		`{"rev":2,"all":true,"targets":[` + entry("s1", "127.0.0.1:1", "asleep") + `]}`,
 		`{"rev":2,"all":true,"targets":[` + entry("", "127.0.0.1:1", "in_service") + `]}`,
@@ -613,8 +624,11 @@
 	for i, c := range []struct {
 		text string
 		want event
-	}{{`{"rev":%d,"all":false,"targets":[]}`, listConfirmed{}}, {whole(), listReceived{}},
-		{`{"rev":%d,"all":false,"targets":[` + entry("s1", "127.0.0.1:1", "in_service") + `]}`, listReceived{}}} {
+	}{
+		{`{"rev":%d,"all":false,"targets":[]}`, listConfirmed{}},
+		{whole(), listReceived{}},
+		{`{"rev":%d,"all":false,"targets":[` + entry("s1", "127.0.0.1:1", "in_service") + `]}`, listReceived{}},
+	} {
 		ag.tell(false, c.text)
 		if _, err := d.watchOnce(t.Context(), d.address(), false); err != nil {
 			t.Fatal(err)
@@ -643,8 +657,12 @@
 	for i, c := range []struct {
 		text string
 		want int
-	}{{whole(entry("s1", s.addr(), "in_service")), 0}, {whole(entry("s1", s.addr(), "terminating")), 1},
-		{whole(entry("s1", "127.0.0.1:1", "in_service")), 2}, {whole(), 3}} {
+	}{
+		{whole(entry("s1", s.addr(), "in_service")), 0},
+		{whole(entry("s1", s.addr(), "terminating")), 1},
+		{whole(entry("s1", "127.0.0.1:1", "in_service")), 2},
+		{whole(), 3},
+	} {
 		l, err := parseList([]byte(strings.Replace(c.text, "%d", "9", 1)))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -62,11 +62,15 @@
 		servers int    // that it gets to, then
 	}{
 		"a class goes": {func(l []balancer.Class) []balancer.Class { return l[1:] }, "GET", true, 404, 0},
-		"a class becomes unsafe": {view(func(c *balancer.Class) { c.Effect = balancer.NonIdempotent }),
-			"GET", true, 405, 0},
+		"a class becomes unsafe": {
+			view(func(c *balancer.Class) { c.Effect = balancer.NonIdempotent }),
+			"GET", true, 405, 0,
+		},
 		"a class becomes keyed": {view(func(c *balancer.Class) { c.Effect = balancer.IdempotentByKey }), "GET", true, 405, 0},
-		"an unsafe class becomes safe": {func(l []balancer.Class) []balancer.Class { l[1].Effect = balancer.Idempotent; return l },
-			"POST", false, 405, 0},
+		"an unsafe class becomes safe": {
+			func(l []balancer.Class) []balancer.Class { l[1].Effect = balancer.Idempotent; return l },
+			"POST", false, 405, 0,
+		},
 		"a deadline shrinks": {view(func(c *balancer.Class) { c.Deadline = 20 * time.Second }), "GET", true, 400, 0},
 		"an aim changes":     {view(func(c *balancer.Class) { c.LatencyObjective = time.Second }), "GET", true, 200, 1},
 	} {
@@ -159,8 +163,10 @@
 			held, release := make(chan struct{}), make(chan struct{})
 			free := sync.OnceFunc(func() { close(release) })
 			defer free()
-			n.loop.post(settingsChanged{settings: moduleSettings(cfg), rules: newRequestRules(1, cfg.Settings),
-				inForce: func(time.Duration) { close(held); <-release }})
+			n.loop.post(settingsChanged{
+				settings: moduleSettings(cfg), rules: newRequestRules(1, cfg.Settings),
+				inForce: func(time.Duration) { close(held); <-release },
+			})
 			wait(t, held, "the loop to be held")
 			n.Reload(with(cfg, row.change))
 			c := dial(t, n)
--- a/internal/node/requestscanner_test.go
+++ b/internal/node/requestscanner_test.go
@@ -121,8 +121,10 @@
 // the one before.
 func TestScannerNotesTheFirstByteOfEachRequest(t *testing.T) {
 	s := &requestScanner{}
-	for i, part := range []string{"P", "OST /a HTTP/1.1\r\nContent-Le", "ngth: 1\r\n\r", "\n", "a", "\r\n",
-		"GET /b HTTP/1.1\r\n\r\nG", "ET /c HTTP/1.1\r\n\r\n"} {
+	for i, part := range []string{
+		"P", "OST /a HTTP/1.1\r\nContent-Le", "ngth: 1\r\n\r", "\n", "a", "\r\n",
+		"GET /b HTTP/1.1\r\n\r\nG", "ET /c HTTP/1.1\r\n\r\n",
+	} {
 		s.feed([]byte(part), time.Duration(i+1))
 	}
 	var got []time.Duration
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -99,8 +99,13 @@
 // before the kill that the protocol announces, and has ended by then: though clients send on their connections
 // for as long as these stay open, and though servers hang all the time, fail at once, or never accept.
 func TestEveryRequestIsAnsweredBeforeTheKill(t *testing.T) {
-	for _, deadlines := range [][]time.Duration{{200 * time.Millisecond}, {450 * time.Millisecond}, {time.Second},
-		{10 * time.Second}, {200 * time.Millisecond, 10 * time.Second}} {
+	for _, deadlines := range [][]time.Duration{
+		{200 * time.Millisecond},
+		{450 * time.Millisecond},
+		{time.Second},
+		{10 * time.Second},
+		{200 * time.Millisecond, 10 * time.Second},
+	} {
 		for _, mayCancel := range []bool{true, false} {
 			t.Run(fmt.Sprint(deadlines, " mayCancel=", mayCancel), func(t *testing.T) {
 				t.Parallel()
@@ -149,8 +154,10 @@
 	var clients []*persistentClient
 	for i := range 12 {
 		class := cfg.Settings.Classes[i%len(cfg.Settings.Classes)]
-		clients = append(clients, &persistentClient{caller: dial(t, n), name: fmt.Sprint("c", i), class: class.Name,
-			deadline: class.Deadline})
+		clients = append(clients, &persistentClient{
+			caller: dial(t, n), name: fmt.Sprint("c", i), class: class.Name,
+			deadline: class.Deadline,
+		})
 	}
 	var running, sent sync.WaitGroup
 	for _, c := range clients {
--- a/internal/servermodel/server_test.go
+++ b/internal/servermodel/server_test.go
@@ -63,8 +63,10 @@
 
 // A server that was overloaded for long enough stays slow, though it is not any more, until it was nearly idle.
 func TestDegradedServerStaysSlowUntilItWasNearlyIdle(t *testing.T) {
-	s := New(Settings{Cores: 4, Speed: 1, ConcurrencyLimit: 10, DegradeAt: 4, DegradeAfter: time.Second, DegradeFactor: 2,
-		RecoverBelow: 0.5, RecoverAfter: 3 * time.Second}, 0, false)
+	s := New(Settings{
+		Cores: 4, Speed: 1, ConcurrencyLimit: 10, DegradeAt: 4, DegradeAfter: time.Second, DegradeFactor: 2,
+		RecoverBelow: 0.5, RecoverAfter: 3 * time.Second,
+	}, 0, false)
 	for id := range 4 {
 		s.Offer(0, Call{ID: id, Work: 1500 * time.Millisecond})
 	}
--- a/internal/servermodel/trace_test.go
+++ b/internal/servermodel/trace_test.go
@@ -11,9 +11,11 @@
 // TestSeededRunsStayTheSame hashes all that a server shows over seeded runs. The hashes were taken before the
 // package was split into files.
 func TestSeededRunsStayTheSame(t *testing.T) {
-	warm := Settings{Cores: 2, Speed: 0.85, ConcurrencyLimit: 13, QueueLimit: 2, SlowStartFloor: 0.35, SlowStartCalls: 60,
+	warm := Settings{
+		Cores: 2, Speed: 0.85, ConcurrencyLimit: 13, QueueLimit: 2, SlowStartFloor: 0.35, SlowStartCalls: 60,
 		Knee: 4, Contention: 0.6, DegradeAt: 8.6, DegradeAfter: 400 * time.Millisecond, DegradeFactor: 2.5,
-		RecoverBelow: 0.5, RecoverAfter: 300 * time.Millisecond}
+		RecoverBelow: 0.5, RecoverAfter: 300 * time.Millisecond,
+	}
 	for _, tt := range []struct {
 		name      string
 		settings  Settings
--- a/policy.go
+++ b/policy.go
@@ -177,9 +177,11 @@
 	if err := set.Validate(); err != nil {
 		return nil, err
 	}
-	b := &Balancer{rng: rand.New(rand.NewPCG(seed, 0x51a7e)),
+	b := &Balancer{
+		rng:     rand.New(rand.NewPCG(seed, 0x51a7e)),
 		servers: map[string]*server{}, requests: map[string]*request{},
-		errors: 0.02, tokens: retryBudget / 2}
+		errors: 0.02, tokens: retryBudget / 2,
+	}
 	b.take(set)
 	return b, nil
 }
@@ -300,8 +302,10 @@
 	if c == nil {
 		c = b.order[len(b.order)-1] // unknown: unsafe
 	}
-	r := &request{id: e.ID, class: c, arrived: b.now, deadline: e.Deadline, repeat: e.Retry,
-		effort: max(0, float64(e.ExpectedWork))}
+	r := &request{
+		id: e.ID, class: c, arrived: b.now, deadline: e.Deadline, repeat: e.Retry,
+		effort: max(0, float64(e.ExpectedWork)),
+	}
 	if r.effort > 0 {
 		b.hints++
 		b.effort += max(memory, 1/b.hints) * (r.effort - b.effort)
--- a/policy_test.go
+++ b/policy_test.go
@@ -16,8 +16,10 @@
 	return Settings{
 		Classes: []Class{
 			{Name: "get", Effect: Idempotent, Scope: ScopeAll, LatencyObjective: 500 * msec, Deadline: 1500 * msec, PriorityWeight: 1},
-			{Name: "post", Effect: IdempotentByKey, Scope: ScopeCell, DedupWindow: 900 * msec, LatencyObjective: 500 * msec,
-				Deadline: 1500 * msec, PriorityWeight: 2},
+			{
+				Name: "post", Effect: IdempotentByKey, Scope: ScopeCell, DedupWindow: 900 * msec, LatencyObjective: 500 * msec,
+				Deadline: 1500 * msec, PriorityWeight: 2,
+			},
 			{Name: "pay", Effect: NonIdempotent, LatencyObjective: 500 * msec, Deadline: 1500 * msec, PriorityWeight: 3},
 		},
 		Replicas: 2, Tier: 0, TotalWeight: 0.6, WorstClassWeight: 0.3,
@@ -403,8 +405,10 @@
 					count++
 				}
 				now += 20 * msec
-				todo = sends(b.Handle(now, AttemptEnded{ID: fmt.Sprint(id), Attempt: try, Endpoint: todo[0].Endpoint,
-					Result: end, Answered: end == Success}))
+				todo = sends(b.Handle(now, AttemptEnded{
+					ID: fmt.Sprint(id), Attempt: try, Endpoint: todo[0].Endpoint,
+					Result: end, Answered: end == Success,
+				}))
 			}
 		}
 		return count
--- a/ramp_test.go
+++ b/ramp_test.go
@@ -293,11 +293,15 @@
 }
 
 func rampSettings() Settings {
-	return Settings{Classes: []Class{{Name: "get", Effect: Idempotent, Scope: ScopeAll, LatencyObjective: 1200 * msec,
-		Deadline: 3 * time.Second, PriorityWeight: 1}},
+	return Settings{
+		Classes: []Class{{
+			Name: "get", Effect: Idempotent, Scope: ScopeAll, LatencyObjective: 1200 * msec,
+			Deadline: 3 * time.Second, PriorityWeight: 1,
+		}},
 		Tier: 1, TotalWeight: 0.6, WorstClassWeight: 0.3, MaxAttempts: 6, AllowCancel: true, Tick: 5 * msec,
 		PollWithin: 10 * time.Second, MaxRetryAfter: 2 * time.Second,
-		SlowStartFloor: 0.12, SlowStartDuration: 24 * time.Second, OverloadMultiple: 2, OverloadWindow: time.Second}
+		SlowStartFloor: 0.12, SlowStartDuration: 24 * time.Second, OverloadMultiple: 2, OverloadWindow: time.Second,
+	}
 }
 
 // rampCase is a row of the table below.
@@ -311,8 +315,10 @@
 }
 
 func (c rampCase) ramp(seed uint64) ramp {
-	r := ramp{copies: c.copies, servers: 20, cold: c.cold, cores: 2, room: 24, work: 200 * msec, load: 0.5,
-		set: rampSettings(), hints: c.hints, fresh: c.fresh, failing: c.failing, seed: seed}
+	r := ramp{
+		copies: c.copies, servers: 20, cold: c.cold, cores: 2, room: 24, work: 200 * msec, load: 0.5,
+		set: rampSettings(), hints: c.hints, fresh: c.fresh, failing: c.failing, seed: seed,
+	}
 	r.set.Tier, r.set.OverloadMultiple, r.set.OverloadWindow = c.tier, c.multiple, c.window
 	if c.servers > 0 {
 		r.servers, r.cores, r.room = c.servers, c.cores, 12*c.cores
@@ -333,8 +339,10 @@
 					for _, cold := range []int{2, 10, 18} {
 						for _, failing := range []int{0, (20 - cold) / 2} {
 							for _, hints := range []bool{false, true} {
-								c := rampCase{copies: copies, cold: cold, failing: failing, multiple: multiple, window: window,
-									hints: hints, fresh: int(rows)%3 == 2, tier: int(rows) / 2 % 2}
+								c := rampCase{
+									copies: copies, cold: cold, failing: failing, multiple: multiple, window: window,
+									hints: hints, fresh: int(rows)%3 == 2, tier: int(rows) / 2 % 2,
+								}
 								res := c.ramp(1).play(t, nil)
 								if res.falls > 0 {
 									t.Errorf("%+v: %d servers fall, %.2f of the limit", c, res.falls, res.worst)
@@ -400,8 +408,10 @@
 			if size.copies >= 300 && hints != (i == 1) {
 				continue
 			}
-			c := rampCase{copies: size.copies, servers: size.servers, cores: size.cores, cold: size.servers * tenths / 10,
-				multiple: size.multiple, window: size.window, hints: hints, fresh: rows%3 == 2, tier: rows / 2 % 2}
+			c := rampCase{
+				copies: size.copies, servers: size.servers, cores: size.cores, cold: size.servers * tenths / 10,
+				multiple: size.multiple, window: size.window, hints: hints, fresh: rows%3 == 2, tier: rows / 2 % 2,
+			}
 			res := c.ramp(1).play(t, nil)
 			if res.falls > 0 {
 				t.Errorf("%+v: %d servers fall, %.2f of the limit", c, res.falls, res.worst)
--- a/reconfigure_test.go
+++ b/reconfigure_test.go
@@ -11,8 +11,10 @@
 // goes by the new ones. Each row has a request that may have run once, and new settings for its class.
 func TestRequestsKeepTheClassTheyCameWith(t *testing.T) {
 	class := func(e Effect) Class {
-		return Class{Name: "get", Effect: e, Scope: ScopeAll, DedupWindow: time.Second, LatencyObjective: 500 * msec,
-			Deadline: 1500 * msec, PriorityWeight: 1}
+		return Class{
+			Name: "get", Effect: e, Scope: ScopeAll, DedupWindow: time.Second, LatencyObjective: 500 * msec,
+			Deadline: 1500 * msec, PriorityWeight: 1,
+		}
 	}
 	short := class(IdempotentByKey)
 	short.DedupWindow = 10 * msec
--- a/recovery_test.go
+++ b/recovery_test.go
@@ -108,9 +108,11 @@
 
 func (o outage) run(t testing.TB) outageResult {
 	seconds := int(outageEnd / time.Second)
-	r := &outageRun{outage: o, t: t, rng: rand.New(rand.NewPCG(o.seed, 99)), backends: map[string]*outageServer{},
+	r := &outageRun{
+		outage: o, t: t, rng: rand.New(rand.NewPCG(o.seed, 99)), backends: map[string]*outageServer{},
 		requests: map[string]*outageRequest{}, calls: map[int]outageCall{},
-		result: outageResult{make([]float64, seconds), make([]float64, seconds)}}
+		result: outageResult{make([]float64, seconds), make([]float64, seconds)},
+	}
 	for i := range o.servers {
 		model := o.model
 		model.Speed *= math.Exp(speedSpread * r.rng.NormFloat64())
@@ -311,24 +313,35 @@
 			r.result.served[q.at/time.Second] += q.class.PriorityWeight * q.class.LateValue
 		}
 	}
-	r.tell(q.node, AttemptEnded{ID: call.request, Attempt: call.attempt, Endpoint: call.server, Result: ending,
-		Latency: r.now - call.sent, Answered: q.answered})
+	r.tell(q.node, AttemptEnded{
+		ID: call.request, Attempt: call.attempt, Endpoint: call.server, Result: ending,
+		Latency: r.now - call.sent, Answered: q.answered,
+	})
 }
 
 // shopsOutage is a deployment whose servers have few slots and a short queue, and stay slow after a crowd.
 func shopsOutage() outage {
-	return outage{nodes: 46, servers: 84, work: 75 * msec, elsewhere: 3.2, load: 0.55,
-		model: servermodel.Settings{Cores: 2, Speed: 0.85, ConcurrencyLimit: 13, QueueLimit: 2, SlowStartFloor: 0.35, SlowStartCalls: 60,
+	return outage{
+		nodes: 46, servers: 84, work: 75 * msec, elsewhere: 3.2, load: 0.55,
+		model: servermodel.Settings{
+			Cores: 2, Speed: 0.85, ConcurrencyLimit: 13, QueueLimit: 2, SlowStartFloor: 0.35, SlowStartCalls: 60,
 			Knee: 4, Contention: 0.6, DegradeAt: 8.6, DegradeAfter: 2400 * msec, DegradeFactor: 2.5,
-			RecoverBelow: 0.37, RecoverAfter: 2500 * msec},
-		set: Settings{Classes: []Class{
-			{Name: "search", Effect: Idempotent, Scope: ScopeAll, LatencyObjective: 850 * msec, Deadline: 2180 * msec, PriorityWeight: 1,
-				LateValue: 0.5},
-			{Name: "order", LatencyObjective: 1760 * msec, Deadline: 4420 * msec, PriorityWeight: 3, LateValue: 0.2},
-			{Name: "intake", LatencyObjective: 2430 * msec, Deadline: 6060 * msec, PriorityWeight: 2, LateValue: 0.5}},
+			RecoverBelow: 0.37, RecoverAfter: 2500 * msec,
+		},
+		set: Settings{
+			Classes: []Class{
+				{
+					Name: "search", Effect: Idempotent, Scope: ScopeAll, LatencyObjective: 850 * msec, Deadline: 2180 * msec, PriorityWeight: 1,
+					LateValue: 0.5,
+				},
+				{Name: "order", LatencyObjective: 1760 * msec, Deadline: 4420 * msec, PriorityWeight: 3, LateValue: 0.2},
+				{Name: "intake", LatencyObjective: 2430 * msec, Deadline: 6060 * msec, PriorityWeight: 2, LateValue: 0.5},
+			},
 			TotalWeight: 0.6, WorstClassWeight: 0.2, MaxAttempts: 5, AllowCancel: true, Tick: msec,
 			PollWithin: 10 * time.Second, SlowStartFloor: 0.32, SlowStartDuration: 9 * time.Second, OverloadMultiple: 3,
-			OverloadWindow: time.Second}}
+			OverloadWindow: time.Second,
+		},
+	}
 }
 
 // galleryOutage is a deployment whose servers have many slots and a long queue, and bear any crowd.
@@ -338,9 +351,12 @@
 	o.model = servermodel.Settings{Cores: 3, Speed: 1.1, ConcurrencyLimit: 50, QueueLimit: 60, SlowStartFloor: 0.2, SlowStartCalls: 300}
 	o.set.MaxAttempts = 6
 	o.set.Classes = []Class{
-		{Name: "favourite", Effect: IdempotentByKey, Scope: ScopeZone, DedupWindow: 5 * time.Second, LatencyObjective: 1200 * msec,
-			Deadline: 3 * time.Second, PriorityWeight: 10},
-		{Name: "print", LatencyObjective: 2500 * msec, Deadline: 6 * time.Second, PriorityWeight: 30}}
+		{
+			Name: "favourite", Effect: IdempotentByKey, Scope: ScopeZone, DedupWindow: 5 * time.Second, LatencyObjective: 1200 * msec,
+			Deadline: 3 * time.Second, PriorityWeight: 10,
+		},
+		{Name: "print", LatencyObjective: 2500 * msec, Deadline: 6 * time.Second, PriorityWeight: 30},
+	}
 	return o
 }
 
--- a/rules_test.go
+++ b/rules_test.go
@@ -35,8 +35,10 @@
 }
 
 func newChecker(set Settings) *checker {
-	return &checker{set: set, slack: 20 * msec, state: map[string]EndpointState{}, cells: map[string]int{},
-		zones: map[string]string{}, reqs: map[string]*tracked{}}
+	return &checker{
+		set: set, slack: 20 * msec, state: map[string]EndpointState{}, cells: map[string]int{},
+		zones: map[string]string{}, reqs: map[string]*tracked{},
+	}
 }
 
 // killed forgets what a killed copy held: it is the clients' to ask again.
@@ -185,8 +187,12 @@
 		{"rule 1: sent r, which is over", []any{list, req("get"), Fail{ID: "r"}, Send{ID: "r", Endpoint: "a"}}},
 		{"rule 2: unsafe", []any{list, req("pay"), Send{ID: "r", Endpoint: "a"}, timedOut, Send{ID: "r", Endpoint: "a"}}},
 		{"rule 2: r refused", []any{list, req("pay"), Send{ID: "r", Endpoint: "a"}, timedOut, Reject{ID: "r"}}},
-		{"outside its window", []any{list, req("post"), Send{ID: "r", Endpoint: "a"}, 950 * msec, timedOut,
-			Send{ID: "r", Endpoint: "a"}}},
+		{"outside its window", []any{
+			list, req("post"),
+			Send{ID: "r", Endpoint: "a"},
+			950 * msec, timedOut,
+			Send{ID: "r", Endpoint: "a"},
+		}},
 		{"outside its scope", []any{list, req("post"), Send{ID: "r", Endpoint: "a"}, timedOut, Send{ID: "r", Endpoint: "b"}}},
 		{"rule 3", []any{list, req("get"), Send{ID: "r", Endpoint: "c"}}},
 		{"never made", []any{list, req("get"), Cancel{ID: "r", Attempt: 0}}},
@@ -534,8 +540,10 @@
 			now := time.Second + time.Duration(float64(i)/(0.75*6*capacity)*float64(time.Second))
 			work := max(0.01, rng.ExpFloat64())
 			b, id := bs[rng.IntN(copies)], fmt.Sprint(i)
-			s := sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second,
-				ExpectedWork: time.Duration(work * float64(mean))}))[0]
+			s := sends(b.Handle(now, Request{
+				ID: id, Class: "get", Deadline: now + time.Second,
+				ExpectedWork: time.Duration(work * float64(mean)),
+			}))[0]
 			b.Handle(now+time.Duration(work*float64(mean)), AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: Success, Answered: true})
 			if now > 3*time.Second && now < 6*time.Second { // warmth 0.36 to 0.6, a fair share 0.06 to 0.1
 				all += work
--- a/slowstart.go
+++ b/slowstart.go
@@ -155,9 +155,11 @@
 	b.observeCapacity(nil)
 	window, every := b.set.OverloadWindow.Seconds(), max(b.interval.Seconds(), 1e-9)
 	asked := 1 / every / float64(max(1, b.width)) * (1 - b.warmCapacity.seconds/b.ramp())
-	b.creditGrowth = creditGrowth{round: b.creditGrowth.round + 1, at: b.now, known: true,
+	b.creditGrowth = creditGrowth{
+		round: b.creditGrowth.round + 1, at: b.now, known: true,
 		each:   max(b.warmCapacity.rate(window), b.coldCapacity.rate(window), asked),
-		copies: max(1, float64(b.set.Replicas)*float64(b.width)/float64(max(1, b.ready.len())))}
+		copies: max(1, float64(b.set.Replicas)*float64(b.width)/float64(max(1, b.ready.len()))),
+	}
 }
 
 // creditRate is how fast the credit of a cold server grows now. One request asks for it many times.
--- a/trace_test.go
+++ b/trace_test.go
@@ -31,30 +31,44 @@
 // of behaviour, whose commit says why.
 var traceScenarios = []traceScenario{
 	{name: "first tier", servers: 8, hash: "61e0c06d0708e46c6c6d7ca0"},
-	{name: "first tier, hints, sizes, late answers worth something", servers: 30, sized: true, hinted: true, outages: true,
+	{
+		name: "first tier, hints, sizes, late answers worth something", servers: 30, sized: true, hinted: true, outages: true,
 		change: func(s *balancer.Settings) {
 			for i := range s.Classes {
 				s.Classes[i].LateValue = 0.3
 			}
-		}, hash: "b539948d85a933ee17545f64"},
-	{name: "second tier, zones, warming without a limit", servers: 24, warming: true,
-		change: func(s *balancer.Settings) { s.Tier, s.ZoneCount, s.Replicas, s.ReplicaIndex = 1, 3, 7, 3 }, hash: "d79a856a023425a0c0b0236a"},
-	{name: "second tier, warming with a limit", servers: 24, warming: true, hinted: true, outages: true,
+		}, hash: "b539948d85a933ee17545f64",
+	},
+	{
+		name: "second tier, zones, warming without a limit", servers: 24, warming: true,
+		change: func(s *balancer.Settings) { s.Tier, s.ZoneCount, s.Replicas, s.ReplicaIndex = 1, 3, 7, 3 }, hash: "d79a856a023425a0c0b0236a",
+	},
+	{
+		name: "second tier, warming with a limit", servers: 24, warming: true, hinted: true, outages: true,
 		change: func(s *balancer.Settings) {
 			s.Tier, s.ZoneCount, s.Replicas, s.ReplicaIndex = 1, 3, 20, 11
 			s.OverloadMultiple, s.OverloadWindow = 2, time.Second
-		}, hash: "f1e76de5bd2ff3820dedaf96"},
-	{name: "first tier, warming with a wide limit, a small service", servers: 4, warming: true, outages: true,
-		change: func(s *balancer.Settings) { s.OverloadMultiple, s.OverloadWindow = 4, 500*time.Millisecond }, hash: "92412dbbbdd018a8865a3e9c"},
-	{name: "polled list, no cancelling, one attempt", servers: 12, outages: true,
-		change: func(s *balancer.Settings) { s.PollDiscovery, s.AllowCancel, s.MaxAttempts = true, false, 1 }, hash: "473e625af96c6b422214e1c4"},
-	{name: "new settings", servers: 16, warming: true, outages: true, reconfigs: true,
-		change: func(s *balancer.Settings) { s.ZoneCount, s.Replicas = 3, 5 }, hash: "bfb4401c88128085c4b64777"},
-	{name: "long list", servers: 400, sized: true, warming: true, reconfigs: true,
+		}, hash: "f1e76de5bd2ff3820dedaf96",
+	},
+	{
+		name: "first tier, warming with a wide limit, a small service", servers: 4, warming: true, outages: true,
+		change: func(s *balancer.Settings) { s.OverloadMultiple, s.OverloadWindow = 4, 500*time.Millisecond }, hash: "92412dbbbdd018a8865a3e9c",
+	},
+	{
+		name: "polled list, no cancelling, one attempt", servers: 12, outages: true,
+		change: func(s *balancer.Settings) { s.PollDiscovery, s.AllowCancel, s.MaxAttempts = true, false, 1 }, hash: "473e625af96c6b422214e1c4",
+	},
+	{
+		name: "new settings", servers: 16, warming: true, outages: true, reconfigs: true,
+		change: func(s *balancer.Settings) { s.ZoneCount, s.Replicas = 3, 5 }, hash: "bfb4401c88128085c4b64777",
+	},
+	{
+		name: "long list", servers: 400, sized: true, warming: true, reconfigs: true,
 		change: func(s *balancer.Settings) {
 			s.Tier, s.ZoneCount, s.Replicas, s.ReplicaIndex = 1, 3, 90, 40
 			s.OverloadMultiple, s.OverloadWindow = 3, time.Second
-		}, hash: "6aaea70937a49261b98da278"},
+		}, hash: "6aaea70937a49261b98da278",
+	},
 }
 
 // traceSteps is how many ticks of a scenario are played.
@@ -62,8 +76,10 @@
 
 func traceSettings() balancer.Settings {
 	class := func(name string, effect balancer.Effect, scope balancer.Scope) balancer.Class {
-		return balancer.Class{Name: name, Effect: effect, Scope: scope, DedupWindow: 900 * time.Millisecond,
-			LatencyObjective: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, PriorityWeight: float64(1 + len(name))}
+		return balancer.Class{
+			Name: name, Effect: effect, Scope: scope, DedupWindow: 900 * time.Millisecond,
+			LatencyObjective: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, PriorityWeight: float64(1 + len(name)),
+		}
 	}
 	return balancer.Settings{
 		Classes: []balancer.Class{
@@ -137,8 +153,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &traceDriver{t: t, scenario: scenario, settings: settings, balancer: b, hash: sha256.New(),
-		rng: rand.New(rand.NewPCG(5, uint64(scenario.servers))), sent: map[string]int{}, ended: map[string]bool{}}
+	d := &traceDriver{
+		t: t, scenario: scenario, settings: settings, balancer: b, hash: sha256.New(),
+		rng: rand.New(rand.NewPCG(5, uint64(scenario.servers))), sent: map[string]int{}, ended: map[string]bool{},
+	}
 	for i := range scenario.servers {
 		endpoint := balancer.Endpoint{ID: fmt.Sprintf("s%04d", i*7919%10000), Zone: fmt.Sprintf("z%d", i%3), Cell: i % 5}
 		if scenario.sized {
@@ -249,8 +267,10 @@
 		if a.ending == balancer.Success {
 			d.ended[a.id] = true
 		}
-		d.give(balancer.AttemptEnded{ID: a.id, Attempt: a.number, Endpoint: a.server, Result: a.ending,
-			Latency: d.now - a.sentAt, Answered: d.ended[a.id]})
+		d.give(balancer.AttemptEnded{
+			ID: a.id, Attempt: a.number, Endpoint: a.server, Result: a.ending,
+			Latency: d.now - a.sentAt, Answered: d.ended[a.id],
+		})
 	}
 }
 
@@ -270,8 +290,10 @@
 func (d *traceDriver) request() {
 	d.requests++
 	class := d.settings.Classes[d.rng.IntN(len(d.settings.Classes))]
-	e := balancer.Request{ID: fmt.Sprint("r", d.requests), Class: class.Name, Deadline: d.now + class.Deadline,
-		Retry: d.rng.IntN(20) == 0}
+	e := balancer.Request{
+		ID: fmt.Sprint("r", d.requests), Class: class.Name, Deadline: d.now + class.Deadline,
+		Retry: d.rng.IntN(20) == 0,
+	}
 	if d.rng.IntN(10) == 0 { // what an earlier attempt of the client's has left
 		e.Deadline = d.now + time.Duration(d.rng.Float64()*float64(class.Deadline))
 	}
