--- a/admission.go
+++ b/admission.go
@@ -1,5 +1,4 @@
-// Admission: how many calls the first tier has out, which requests may fill that window, and what is shed
-// when not all can.
+// Admission: how many calls the first tier has out.
 
 package balancer
 
@@ -8,6 +7,19 @@
 	"time"
 )
 
+// Constants are shares, ratios or counts; every length of time is a setting or was observed.
+const (
+	windowFloor = 5.0  // own calls a server that are always admitted
+	targetShare = 0.75 // part of the mean, by ratio, of base latency and aim that is steered to
+	targetLeast = 1.35 // times the base latency that is steered to at least
+	leanness    = 0.3  // part of the target given up when all is shed
+	windowSlack = 2    // times the calls out on average up to which the window grows
+	windowGain  = 0.25 // window moved by an answer, for each target that it came under or over
+	mostOver    = 2.0  // times the target that a slow answer counts at most, and a call that was not served
+	crowdedFrom = 1.33 // mean of answers against their targets from which servers are crowded
+	fullCut     = 0.2  // part of the window given up at least when a server is full
+)
+
 // full says that the node has as many calls out as the tiers below answer in good time. Only the
 // first tier holds back: a call refused further down wastes what was done above it. A client's repeat,
 // whose aim is mostly over, must leave half of the room to first tries, or repeats feed a jam.
@@ -19,19 +31,6 @@
 	return b.ready.len() == 0 || b.set.Tier == 0 && calls >= b.window*b.windowShare(r)
 }
 
-// windowShare is the part of the window that a request may fill, by its value against the others': the more
-// is shed, the more room is kept for what is worth most. A hold alone is too short to wait for that, for
-// at a node of few calls seldom two requests wait at once. No class loses more than half of the window,
-// so that none starves.
-func (b *Balancer) windowShare(r *request) float64 {
-	var sum, n float64
-	for _, c := range b.order {
-		sum += c.arrive * b.value(&request{class: c})
-		n += c.arrive
-	}
-	return min(2, max(0.5, 1+b.shed*(b.value(r)*n/max(sum, 1e-9)-1)))
-}
-
 // fairServers is how many servers there are for each copy of this tier.
 func (b *Balancer) fairServers() float64 {
 	return float64(b.ready.len()) / float64(max(1, b.set.Replicas))
@@ -99,25 +98,3 @@
 		b.window = min((1-fullCut)*b.window, b.busy+1)
 	}
 }
-
-// value is what an answer in a class adds to the result for the time it takes, so that shedding
-// hits what is worth least; the class served worst counts extra, so none starves.
-func (b *Balancer) value(r *request) float64 {
-	c := r.class
-	var total float64
-	worst := c
-	for _, k := range b.order {
-		total += k.PriorityWeight * k.arrive
-		if k.arrive > 1 && k.serve*worst.arrive < worst.serve*k.arrive {
-			worst = k
-		}
-	}
-	v := b.set.TotalWeight * c.PriorityWeight / max(total, 1e-9)
-	if worst == c {
-		v += b.set.WorstClassWeight / max(c.arrive, 1e-9)
-	}
-	if r.repeat { // its aim runs from the client's first try and is mostly over
-		v *= c.LateValue
-	}
-	return v / c.mean
-}
--- a/endpoints.go
+++ b/endpoints.go
@@ -2,9 +2,58 @@
 
 package balancer
 
+import (
+	"math"
+	"time"
+)
+
+// server is a listed server, or one that left with calls of ours still out.
+type server struct {
+	Endpoint
+	listed bool
+	calls  int        // own calls in flight
+	open   []*attempt // the same calls in order of sending
+
+	streak   int // bad endings in a row
+	level    int // doublings of the next ejection
+	goods    int // good endings in a row
+	until    time.Duration
+	slow     float64 // mean log of latency over the class mean
+	samples  int
+	lastOK   time.Duration
+	room     int           // own calls that it had taken when it refused one more
+	full     time.Duration // no more than room until then
+	refusals int           // in a row
+	out      bool          // ruled out for the request at hand
+	pooled   bool          // in this node's pool
+	credit   credit        // to send to it while it is cold
+	failing  map[*learned]fading
+}
+
 // isReady says that a server is listed and may be sent requests.
 func (s *server) isReady() bool { return s.listed && s.State == Ready }
 
+// takeList applies an update of the endpoint list and cuts the two groups anew.
+func (b *Balancer) takeList(e EndpointUpdate) {
+	if e.Complete {
+		b.replaceServers(e.Endpoints)
+	} else {
+		b.changeServers(e.Endpoints)
+	}
+	cut := int(math.Ceil(alpha * float64(b.ready.len())))
+	b.whole = groups{b.ready.all[:cut], b.ready.all[cut:]}
+	b.width = 0
+	if b.window == 0 {
+		b.window, b.opening = windowFloor*b.fairServers(), true
+	}
+	if e.Cached {
+		b.askAgain()
+	} else {
+		b.subFails = 0
+	}
+	b.release()
+}
+
 // changeServers applies the changed entries of the endpoint list, one by one.
 func (b *Balancer) changeServers(entries []Endpoint) {
 	for _, entry := range entries {
--- a/size_test.go
+++ b/size_test.go
@@ -1,13 +1,25 @@
 package balancer
 
 import (
+	"go/ast"
+	"go/parser"
+	"go/token"
 	"os"
+	"path/filepath"
 	"regexp"
+	"slices"
 	"strings"
 	"testing"
 	"unicode/utf8"
 )
 
+// Limits that keep each file, function and line readable at a glance.
+const (
+	maxFileLines     = 400
+	maxFunctionLines = 50
+	maxColumns       = 110 // a tab counts as four
+)
+
 // policyFiles are those that the deploy file names as the module's decisions.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
@@ -26,29 +38,70 @@
 	return files
 }
 
-// On-call staff read the whole module at night: it stays short and narrow.
+// sourceFiles are the package's files without its tests.
+func sourceFiles(t *testing.T) []string {
+	t.Helper()
+	files, err := filepath.Glob("*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return slices.DeleteFunc(files, func(file string) bool { return strings.HasSuffix(file, "_test.go") })
+}
+
+func TestDeployFileNamesAllSourceFiles(t *testing.T) {
+	named := policyFiles(t)
+	slices.Sort(named)
+	if files := sourceFiles(t); !slices.Equal(named, files) {
+		t.Errorf("the deploy file names %v, the package has %v", named, files)
+	}
+}
+
+// On-call staff read the whole module at night: its files and functions stay short and narrow, and each
+// file says at its top, or on a type of its own, what it is for.
 func TestModuleStaysReadable(t *testing.T) {
-	all := 0
-	for _, file := range policyFiles(t) {
+	for _, file := range sourceFiles(t) {
 		text, err := os.ReadFile(file)
 		if err != nil {
 			t.Fatal(err)
 		}
-		lines := 0
-		for i, l := range strings.Split(string(text), "\n") {
-			if strings.TrimSpace(l) != "" {
-				lines++
-			}
-			if n := utf8.RuneCountInString(strings.ReplaceAll(l, "\t", "    ")); n > 110 {
-				t.Errorf("%s:%d has %d columns, at most 110 are wanted", file, i+1, n)
-			}
+		checkLines(t, file, string(text))
+		checkDeclarations(t, file, text)
+	}
+}
+
+func checkLines(t *testing.T, file, text string) {
+	t.Helper()
+	lines := strings.Split(strings.TrimSuffix(text, "\n"), "\n")
+	if len(lines) > maxFileLines {
+		t.Errorf("%s has %d lines, at most %d are allowed", file, len(lines), maxFileLines)
+	}
+	for i, line := range lines {
+		if n := utf8.RuneCountInString(strings.ReplaceAll(line, "\t", "    ")); n > maxColumns {
+			t.Errorf("%s:%d has %d columns, at most %d are allowed", file, i+1, n, maxColumns)
 		}
-		if lines > 850 {
-			t.Errorf("%s has %d lines that are not blank, at most 850 are allowed", file, lines)
+	}
+}
+
+func checkDeclarations(t *testing.T, file string, text []byte) {
+	t.Helper()
+	files := token.NewFileSet()
+	parsed, err := parser.ParseFile(files, file, text, parser.ParseComments)
+	if err != nil {
+		t.Fatal(err)
+	}
+	described := len(parsed.Comments) > 0 && parsed.Comments[0].Pos() < parsed.Package
+	for _, declaration := range parsed.Decls {
+		switch declaration := declaration.(type) {
+		case *ast.FuncDecl:
+			first, last := files.Position(declaration.Pos()).Line, files.Position(declaration.End()).Line
+			if lines := last - first + 1; lines > maxFunctionLines {
+				t.Errorf("%s: %s has %d lines, at most %d are allowed", file, declaration.Name.Name, lines, maxFunctionLines)
+			}
+		case *ast.GenDecl:
+			described = described || declaration.Tok == token.TYPE && declaration.Doc != nil
 		}
-		all += lines
 	}
-	if all > 1200 {
-		t.Errorf("the module has %d lines that are not blank, at most 1200 are allowed", all)
+	if !described {
+		t.Errorf("%s has neither a comment before its package clause nor one on a type", file)
 	}
 }
