--- a/balancer.go
+++ b/balancer.go
@@ -15,40 +15,41 @@
 
 // Balancer decides for one node. See the package comment for its contract.
 type Balancer struct {
-	set      Settings
-	rng      *rand.Rand
-	now      time.Duration
-	out      []Action
-	servers  map[string]*server
-	ready    endpointSet // the ready servers
-	whole    groups      // the two groups of the design
-	pool     groups      // the part of each that this node draws from
-	width    int         // servers in the pool
-	busy     float64     // calls in flight, averaged over sends
-	requests map[string]*request
-	held     []*request
-	classes  map[string]*class
-	order    []*class // every class in the order of the settings, then the unknown one
+	settings     Settings
+	rng          *rand.Rand
+	now          time.Duration
+	actions      []Action
+	endpoints    map[string]*endpoint
+	ready        endpointSet // the ready servers
+	groups       groupPair   // the two groups of the design
+	subset       groupPair   // the part of each that this node draws from
+	subsetSize   int         // servers in the pool
+	meanInFlight float64     // calls in flight, averaged over sends
+	requests     map[string]*request
+	queue        []*request
+	classes      map[string]*class
+	classOrder   []*class // every class in the order of the settings, then the unknown one
 
-	errors       float64 // share of bad endings, overlong answers among them, of all attempts
-	lastOK       time.Duration
-	effort       float64       // hinted on average, in ns
-	hints        float64       // heard so far
-	tokens       float64       // retry budget
-	window       float64       // own calls admitted at once (first tier)
-	opening      bool          // the window grows quickly: nothing has told yet that servers are crowded
-	crowding     float64       // answers against their targets on average
-	nextCut      time.Duration // when the window may next be cut for a full server
-	inFlight     int
-	shed         float64          // share of requests answered without an attempt
-	closing      bool             // the host ends
-	warmCapacity capacityEstimate // of warm servers
-	coldCapacity capacityEstimate // and cold ones
-	creditGrowth creditGrowth     // at which credit grows
-	interval     time.Duration    // between requests on average
-	asked        time.Duration    // when the last one came
-	subFails     int
-	subWanted    time.Duration
+	badShare    float64 // share of bad endings, overlong answers among them, of all attempts
+	lastSuccess time.Duration
+	meanWork    float64 // hinted on average, in ns
+	workHints   float64 // heard so far
+	tokens      float64 // retry budget
+	limit       float64 // own calls admitted at once (first tier)
+	// the window grows quickly: nothing has told yet that servers are crowded
+	initialGrowth        bool
+	meanOverTarget       float64       // answers against their targets on average
+	nextDecrease         time.Duration // when the window may next be cut for a full server
+	inFlight             int
+	shedShare            float64          // share of requests answered without an attempt
+	shuttingDown         bool             // the host ends
+	warmCapacity         capacityEstimate // of warm servers
+	coldCapacity         capacityEstimate // and cold ones
+	fillBasis            fillBasis        // at which credit grows
+	arrivalInterval      time.Duration    // between requests on average
+	lastArrival          time.Duration    // when the last one came
+	subscriptionFailures int
+	subscribeAt          time.Duration
 }
 
 // New returns a Balancer that knows no servers yet. The error names the setting at fault.
@@ -57,68 +58,68 @@
 		return nil, err
 	}
 	b := &Balancer{
-		rng:     rand.New(rand.NewPCG(seed, 0x51a7e)),
-		servers: map[string]*server{}, requests: map[string]*request{},
-		errors: 0.02, tokens: retryBudget / 2,
+		rng:       rand.New(rand.NewPCG(seed, 0x51a7e)),
+		endpoints: map[string]*endpoint{}, requests: map[string]*request{},
+		badShare: 0.02, tokens: maxRetryTokens / 2,
 	}
-	b.take(set)
+	b.applySettings(set)
 	return b, nil
 }
 
 // Handle takes one event at the clock time now and returns what to do, in order.
 func (b *Balancer) Handle(now time.Duration, e Event) []Action {
 	b.now = max(b.now, now)
-	b.out = nil
+	b.actions = nil
 	switch e := e.(type) {
 	case EndpointUpdate:
-		b.takeList(e)
+		b.updateEndpoints(e)
 	case SubscriptionFailed:
-		b.subFails++
-		b.askAgain()
+		b.subscriptionFailures++
+		b.scheduleSubscribe()
 	case Request:
 		b.accept(e)
 	case AttemptEnded:
-		b.takeOutcome(e)
+		b.endAttempt(e)
 	case StreamStarted:
-		if r := b.requests[e.ID]; r != nil {
-			r.streaming = true
+		if req := b.requests[e.ID]; req != nil {
+			req.streaming = true
 		}
 	case ClientGone:
-		if r := b.requests[e.ID]; r != nil {
-			b.close(r)
+		if req := b.requests[e.ID]; req != nil {
+			b.finish(req)
 		}
 	case Shutdown:
-		b.closing = true
-		for _, r := range b.unanswered() {
-			b.answer(r)
+		b.shuttingDown = true
+		for _, req := range b.unanswered() {
+			b.answer(req)
 		}
 	case Reconfigure:
 		b.reconfigure(e.Settings)
 	case Timer:
-		b.takeTimer(e)
+		b.handleTimer(e)
 	}
-	return b.out
+	return b.actions
 }
 
-func (b *Balancer) do(a Action) { b.out = append(b.out, a) }
+func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-func (b *Balancer) takeTimer(e Timer) {
+func (b *Balancer) handleTimer(e Timer) {
 	if e.Token == "list" {
-		if b.subWanted > 0 && b.now+b.set.Tick >= b.subWanted {
-			b.subWanted = 0
-			b.do(Subscribe{})
+		if b.subscribeAt > 0 && b.now+b.settings.Tick >= b.subscribeAt {
+			b.subscribeAt = 0
+			b.emit(Subscribe{})
 		}
 		return
 	}
 	// A host may round a time down, so a timer can come a hair early: nothing relies on its being
 	// late enough, and a review that finds nothing due yet asks for another.
-	if r := b.requests[strings.TrimPrefix(e.Token, "r:")]; r != nil {
-		if b.now+b.set.Tick >= r.wake {
-			r.wake = 0
+	if req := b.requests[strings.TrimPrefix(e.Token, "r:")]; req != nil {
+		if b.now+b.settings.Tick >= req.timerAt {
+			req.timerAt = 0
 		}
-		if r.held {
-			b.hold(r)
-			b.release()
+		if req.queued {
+			b.enqueue(req)
+			b.dispatchQueued()
 		}
 	}
 }
--- a/classes.go
+++ b/classes.go
@@ -9,39 +9,39 @@
 
 // Constants are shares, ratios or counts; every length of time is a setting or was observed.
 const (
-	memory     = 0.06   // weight of a new sample in pooled averages (about 16 samples)
-	baseRise   = 0.0005 // weight of a new sample in a class's base latency when it lies above
-	baseFall   = 0.02   // and when it lies below: a noisy mean now and then is lower than any real one
-	tailSpread = 3.0    // deviations above the mean at which a wait counts as overlong
+	averageWeight  = 0.06   // weight of a new sample in pooled averages (about 16 samples)
+	baseRiseWeight = 0.0005 // weight of a new sample in a class's base latency when it lies above
+	baseFallWeight = 0.02   // and when it lies below: a noisy mean now and then is lower than any real one
+	slowDeviations = 3.0    // deviations above the mean at which a wait counts as overlong
 )
 
 // class is a class as the settings had it when its requests were taken, and what was learned of it, which
 // outlives those settings.
 type class struct {
 	Class
-	*learned
+	*classStats
 }
 
-// learned is what was learned of a class.
-type learned struct {
-	mean, dev     float64 // latency of successes, in ns
-	base          float64 // what mean was when there was most room
-	failing       float64 // share of its attempts that fail
-	samples       int
-	arrive, serve float64 // decayed counts
-	usual         float64 // time that most tries are given, in ns
-	votes         int     // for it, less those against it
+// classStats is what was learned of a class.
+type classStats struct {
+	mean, deviation  float64 // latency of successes, in ns
+	base             float64 // what mean was when there was most room
+	failureShare     float64 // share of its attempts that fail
+	samples          int
+	arrivals, served float64 // decayed counts
+	usualTimeout     float64 // time that most tries are given, in ns
+	timeoutVotes     int     // for it, less those against it
 }
 
 // observe takes in the latency of a good answer, and says whether enough are known to tell a late one.
 // The first samples replace the guess, or who answers first would look fast against it.
 func (c *class) observe(took float64) bool {
 	c.samples++
-	share := max(memory, 1/float64(c.samples))
-	c.dev += share * (math.Abs(took-c.mean) - c.dev)
+	share := max(averageWeight, 1/float64(c.samples))
+	c.deviation += share * (math.Abs(took-c.mean) - c.deviation)
 	c.mean += share * (took - c.mean)
-	c.base += baseRise * (c.mean - c.base)
-	c.base += min(0, baseFall*(c.mean-c.base))
+	c.base += baseRiseWeight * (c.mean - c.base)
+	c.base += min(0, baseFallWeight*(c.mean-c.base))
 	if c.samples < 8 {
 		c.base = c.mean
 		return false
@@ -49,7 +49,7 @@
 	return true
 }
 
-// overlong is the wait for an answer that most of a class's answers stay well under.
-func (b *Balancer) overlong(c *class) time.Duration {
-	return time.Duration(c.mean + tailSpread*c.dev)
+// slowLatency is the wait for an answer that most of a class's answers stay well under.
+func (b *Balancer) slowLatency(c *class) time.Duration {
+	return time.Duration(c.mean + slowDeviations*c.deviation)
 }
--- a/endpoints.go
+++ b/endpoints.go
@@ -7,116 +7,116 @@
 	"time"
 )
 
-// server is a listed server, or one that left with calls of ours still out.
-type server struct {
+// endpoint is a listed server, or one that left with calls of ours still out.
+type endpoint struct {
 	Endpoint
-	listed bool
-	calls  int        // own calls in flight
-	open   []*attempt // the same calls in order of sending
+	listed   bool
+	inFlight int        // own calls in flight
+	attempts []*attempt // the same calls in order of sending
 
-	streak   int // bad endings in a row
-	level    int // doublings of the next ejection
-	goods    int // good endings in a row
-	until    time.Duration
-	slow     float64 // mean log of latency over the class mean
-	samples  int
-	lastOK   time.Duration
-	room     int           // own calls that it had taken when it refused one more
-	full     time.Duration // no more than room until then
-	refusals int           // in a row
-	out      bool          // ruled out for the request at hand
-	pooled   bool          // in this node's pool
-	credit   credit        // to send to it while it is cold
-	failing  map[*learned]fading
+	consecutiveFailures   int // bad endings in a row
+	ejectionLevel         int // doublings of the next ejection
+	consecutiveSuccesses  int // good endings in a row
+	ejectedUntil          time.Duration
+	latencyRatio          float64 // mean log of latency over the class mean
+	samples               int
+	lastSuccess           time.Duration
+	rejectedAt            int           // own calls that it had taken when it refused one more
+	rejectedUntil         time.Duration // no more than room until then
+	consecutiveRejections int           // in a row
+	excluded              bool          // ruled out for the request at hand
+	inSubset              bool          // in this node's pool
+	tokens                tokenBucket   // to send to it while it is cold
+	failureShares         map[*classStats]decayingShare
 }
 
 // isReady says that a server is listed and may be sent requests.
-func (s *server) isReady() bool { return s.listed && s.State == Ready }
+func (ep *endpoint) isReady() bool { return ep.listed && ep.State == Ready }
 
-// takeList applies an update of the endpoint list and cuts the two groups anew.
-func (b *Balancer) takeList(e EndpointUpdate) {
+// updateEndpoints applies an update of the endpoint list and cuts the two groups anew.
+func (b *Balancer) updateEndpoints(e EndpointUpdate) {
 	if e.Complete {
-		b.replaceServers(e.Endpoints)
+		b.replaceList(e.Endpoints)
 	} else {
-		b.changeServers(e.Endpoints)
+		b.applyChanges(e.Endpoints)
 	}
-	cut := int(math.Ceil(alpha * float64(b.ready.len())))
-	b.whole = groups{b.ready.all[:cut], b.ready.all[cut:]}
-	b.width = 0
-	if b.window == 0 {
-		b.window, b.opening = windowFloor*b.fairServers(), true
+	cut := int(math.Ceil(leftShare * float64(b.ready.len())))
+	b.groups = groupPair{b.ready.all[:cut], b.ready.all[cut:]}
+	b.subsetSize = 0
+	if b.limit == 0 {
+		b.limit, b.initialGrowth = minLimitPerEndpoint*b.endpointsPerReplica(), true
 	}
 	if e.Cached {
-		b.askAgain()
+		b.scheduleSubscribe()
 	} else {
-		b.subFails = 0
+		b.subscriptionFailures = 0
 	}
-	b.release()
+	b.dispatchQueued()
 }
 
-// changeServers applies the changed entries of the endpoint list, one by one.
-func (b *Balancer) changeServers(entries []Endpoint) {
+// applyChanges applies the changed entries of the endpoint list, one by one.
+func (b *Balancer) applyChanges(entries []Endpoint) {
 	for _, entry := range entries {
-		b.changeServer(entry)
+		b.applyChange(entry)
 	}
 	for _, entry := range entries { // at the end, as a server may be named twice
-		if s := b.servers[entry.ID]; s != nil {
-			b.forgetServer(s)
+		if ep := b.endpoints[entry.ID]; ep != nil {
+			b.forgetEndpoint(ep)
 		}
 	}
 }
 
-// changeServer applies a changed entry, and moves its server in the set of ready ones where it has to.
-func (b *Balancer) changeServer(entry Endpoint) {
-	s := b.servers[entry.ID]
-	wasReady := s != nil && s.isReady()
-	stays := wasReady && s.State == entry.State && s.Zone == entry.Zone && s.StartedAt == entry.StartedAt
+// applyChange applies a changed entry, and moves its server in the set of ready ones where it has to.
+func (b *Balancer) applyChange(entry Endpoint) {
+	ep := b.endpoints[entry.ID]
+	wasReady := ep != nil && ep.isReady()
+	stays := wasReady && ep.State == entry.State && ep.Zone == entry.Zone && ep.StartedAt == entry.StartedAt
 	if wasReady && !stays {
-		b.ready.remove(s)
+		b.ready.remove(ep)
 	}
-	s = b.update(entry)
-	if s.isReady() && !stays {
-		b.ready.insert(s)
+	ep = b.updateEntry(entry)
+	if ep.isReady() && !stays {
+		b.ready.insert(ep)
 	}
 }
 
-// replaceServers applies a complete endpoint list: a server that it does not name is gone.
-func (b *Balancer) replaceServers(entries []Endpoint) {
-	for _, s := range b.servers {
-		s.listed = false
+// replaceList applies a complete endpoint list: a server that it does not name is gone.
+func (b *Balancer) replaceList(entries []Endpoint) {
+	for _, ep := range b.endpoints {
+		ep.listed = false
 	}
 	for _, entry := range entries {
-		b.update(entry)
+		b.updateEntry(entry)
 	}
-	ready := make([]*server, 0, len(entries))
+	ready := make([]*endpoint, 0, len(entries))
 	for _, entry := range entries {
-		if s := b.servers[entry.ID]; s.isReady() {
-			ready = append(ready, s)
+		if ep := b.endpoints[entry.ID]; ep.isReady() {
+			ready = append(ready, ep)
 		}
 	}
 	b.ready.replace(ready)
-	for _, s := range b.servers {
-		b.forgetServer(s)
+	for _, ep := range b.endpoints {
+		b.forgetEndpoint(ep)
 	}
 }
 
-// update takes over an entry of the endpoint list. A new boot time resets what is known of the server.
-func (b *Balancer) update(entry Endpoint) *server {
-	s := b.servers[entry.ID]
-	if s == nil {
-		s = &server{}
-		b.servers[entry.ID] = s
-	} else if s.StartedAt != entry.StartedAt {
-		*s = server{calls: s.calls, open: s.open}
+// updateEntry takes over an entry of the endpoint list. A new boot time resets what is known of the server.
+func (b *Balancer) updateEntry(entry Endpoint) *endpoint {
+	ep := b.endpoints[entry.ID]
+	if ep == nil {
+		ep = &endpoint{}
+		b.endpoints[entry.ID] = ep
+	} else if ep.StartedAt != entry.StartedAt {
+		*ep = endpoint{inFlight: ep.inFlight, attempts: ep.attempts}
 	}
-	s.Endpoint = entry
-	s.listed = entry.State != Removed
-	return s
+	ep.Endpoint = entry
+	ep.listed = entry.State != Removed
+	return ep
 }
 
-// forgetServer drops a server that has left the list once no call to it is out.
-func (b *Balancer) forgetServer(s *server) {
-	if !s.listed && s.calls == 0 {
-		delete(b.servers, s.ID)
+// forgetEndpoint drops a server that has left the list once no call to it is out.
+func (b *Balancer) forgetEndpoint(ep *endpoint) {
+	if !ep.listed && ep.inFlight == 0 {
+		delete(b.endpoints, ep.ID)
 	}
 }
--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -41,7 +41,7 @@
 // groups are the ready servers' ids cut in two, and the pools of a node whose pool is so wide.
 func (l *listReference) groups(set Settings, width int) (groups, pools [2][]string) {
 	ready := l.ready()
-	cut := int(math.Ceil(alpha * float64(len(ready))))
+	cut := int(math.Ceil(leftShare * float64(len(ready))))
 	for i, group := range [][]Endpoint{ready[:cut], ready[cut:]} {
 		for _, s := range group {
 			groups[i] = append(groups[i], s.ID)
@@ -64,7 +64,7 @@
 	return slices.Concat(ids[start:], ids[:start])
 }
 
-func serverIDs(servers []*server) (ids []string) {
+func serverIDs(servers []*endpoint) (ids []string) {
 	for _, s := range servers {
 		ids = append(ids, s.ID)
 	}
@@ -140,7 +140,7 @@
 }
 
 func (r *listRun) randomSettings() Settings {
-	set := r.b.set
+	set := r.b.settings
 	switch r.rng.IntN(3) {
 	case 0:
 		set.Zone = fmt.Sprint("z", r.rng.IntN(4)) // one of them has no server
@@ -176,32 +176,32 @@
 }
 
 func (r *listRun) check() {
-	want, pools := r.ref.groups(r.b.set, r.b.width)
-	r.same("left group", serverIDs(r.b.whole.left), want[0])
-	r.same("right group", serverIDs(r.b.whole.right), want[1])
-	if r.b.width > 0 { // else the next request cuts the pool anew
-		r.same("left pool", serverIDs(r.b.pool.left), pools[0])
-		r.same("right pool", serverIDs(r.b.pool.right), pools[1])
+	want, pools := r.ref.groups(r.b.settings, r.b.subsetSize)
+	r.same("left group", serverIDs(r.b.groups.left), want[0])
+	r.same("right group", serverIDs(r.b.groups.right), want[1])
+	if r.b.subsetSize > 0 { // else the next request cuts the pool anew
+		r.same("left pool", serverIDs(r.b.subset.left), pools[0])
+		r.same("right pool", serverIDs(r.b.subset.right), pools[1])
 		var marked []string
 		for _, s := range r.b.ready.all {
-			if s.pooled {
+			if s.inSubset {
 				marked = append(marked, s.ID)
 			}
 		}
 		r.same("marked as pooled", marked, slices.Sorted(slices.Values(slices.Concat(pools[0], pools[1]))))
 	}
 	known, cold := slices.Collect(maps.Keys(r.ref.listed)), false
-	for id, s := range r.b.servers {
+	for id, s := range r.b.endpoints {
 		if s.listed && s.Endpoint != r.ref.listed[id] {
 			r.fail("server", s.Endpoint, r.ref.listed[id])
 		}
-		cold = cold || s.listed && s.State == Ready && r.b.warmth(s) < 1
-		if !s.listed && s.calls > 0 {
+		cold = cold || s.listed && s.State == Ready && r.b.capacityShare(s) < 1
+		if !s.listed && s.inFlight > 0 {
 			known = append(known, id)
 		}
 	}
-	r.same("known servers", slices.Sorted(maps.Keys(r.b.servers)), slices.Sorted(slices.Values(known)))
-	if again := r.b.creditAgain() < math.MaxInt64; again != cold {
+	r.same("known servers", slices.Sorted(maps.Keys(r.b.endpoints)), slices.Sorted(slices.Values(known)))
+	if again := r.b.nextFillCheck() < math.MaxInt64; again != cold {
 		r.fail("a cold server is waited for", again, cold)
 	}
 }
--- a/endpointset.go
+++ b/endpointset.go
@@ -12,20 +12,20 @@
 // kept a second time, sorted as well, in two lists: those of this copy's own zone and those of the others.
 // A change of one server costs a few binary searches and moves of pointers, however many there are.
 type endpointSet struct {
-	all    []*server
+	all    []*endpoint
 	byZone zoneSplit
-	zone   string    // this copy's own
-	pooled []*server // those marked as pooled
-	newest *server   // the one started last; nil: not known at present
+	zone   string      // this copy's own
+	subset []*endpoint // those marked as pooled
+	newest *endpoint   // the one started last; nil: not known at present
 }
 
 // zoneSplit is a list of servers in two parts: those of this copy's own zone, and the others.
-type zoneSplit struct{ own, others []*server }
+type zoneSplit struct{ own, others []*endpoint }
 
 func (e *endpointSet) len() int { return len(e.all) }
 
 // list returns that part of the split that a server of the zone belongs to.
-func (e *endpointSet) list(zone string) *[]*server {
+func (e *endpointSet) list(zone string) *[]*endpoint {
 	if zone == e.zone {
 		return &e.byZone.own
 	}
@@ -33,39 +33,39 @@
 }
 
 // insert adds a server that is not in the set.
-func (e *endpointSet) insert(s *server) {
-	insertByID(&e.all, s)
-	insertByID(e.list(s.Zone), s)
-	if s.pooled {
-		e.pooled = append(e.pooled, s)
+func (e *endpointSet) insert(ep *endpoint) {
+	insertByID(&e.all, ep)
+	insertByID(e.list(ep.Zone), ep)
+	if ep.inSubset {
+		e.subset = append(e.subset, ep)
 	}
-	if e.newest != nil && s.StartedAt > e.newest.StartedAt {
-		e.newest = s
+	if e.newest != nil && ep.StartedAt > e.newest.StartedAt {
+		e.newest = ep
 	}
 }
 
 // remove takes out a server that is in the set. Its id, zone and boot must still be those it was inserted
 // with.
-func (e *endpointSet) remove(s *server) {
-	removeByID(&e.all, s)
-	removeByID(e.list(s.Zone), s)
-	if s.pooled {
-		e.pooled = slices.DeleteFunc(e.pooled, func(o *server) bool { return o == s })
+func (e *endpointSet) remove(ep *endpoint) {
+	removeByID(&e.all, ep)
+	removeByID(e.list(ep.Zone), ep)
+	if ep.inSubset {
+		e.subset = slices.DeleteFunc(e.subset, func(o *endpoint) bool { return o == ep })
 	}
-	if e.newest == s {
+	if e.newest == ep {
 		e.newest = nil
 	}
 }
 
 // replace makes the set hold these servers, in any order; one may be named more than once.
-func (e *endpointSet) replace(servers []*server) {
-	slices.SortFunc(servers, func(s, o *server) int { return strings.Compare(s.ID, o.ID) })
+func (e *endpointSet) replace(servers []*endpoint) {
+	slices.SortFunc(servers, func(ep, o *endpoint) int { return strings.Compare(ep.ID, o.ID) })
 	e.all = slices.Compact(servers)
 	e.splitZones()
-	e.newest, e.pooled = nil, nil
-	for _, s := range e.all {
-		if s.pooled {
-			e.pooled = append(e.pooled, s)
+	e.newest, e.subset = nil, nil
+	for _, ep := range e.all {
+		if ep.inSubset {
+			e.subset = append(e.subset, ep)
 		}
 	}
 }
@@ -81,9 +81,9 @@
 // splitZones parts the servers by zone from scratch.
 func (e *endpointSet) splitZones() {
 	e.byZone = zoneSplit{}
-	for _, s := range e.all {
-		list := e.list(s.Zone)
-		*list = append(*list, s)
+	for _, ep := range e.all {
+		list := e.list(ep.Zone)
+		*list = append(*list, ep)
 	}
 }
 
@@ -99,40 +99,40 @@
 		zoneSplit{e.byZone.own[own:], e.byZone.others[others:]}
 }
 
-// markPool marks the servers of a pool, and no others of the set, as pooled.
-func (e *endpointSet) markPool(pool groups) {
-	for _, s := range e.pooled {
-		s.pooled = false
+// markSubset marks the servers of a pool, and no others of the set, as pooled.
+func (e *endpointSet) markSubset(pool groupPair) {
+	for _, ep := range e.subset {
+		ep.inSubset = false
 	}
-	e.pooled = slices.Concat(pool.left, pool.right)
-	for _, s := range e.pooled {
-		s.pooled = true
+	e.subset = slices.Concat(pool.left, pool.right)
+	for _, ep := range e.subset {
+		ep.inSubset = true
 	}
 }
 
 // youngest returns the server that was started last, the one that has warmed up least; nil: there is none.
-func (e *endpointSet) youngest() *server {
+func (e *endpointSet) youngest() *endpoint {
 	if e.newest == nil && len(e.all) > 0 {
-		e.newest = slices.MaxFunc(e.all, func(s, o *server) int {
-			return cmp.Compare(s.StartedAt, o.StartedAt)
+		e.newest = slices.MaxFunc(e.all, func(ep, o *endpoint) int {
+			return cmp.Compare(ep.StartedAt, o.StartedAt)
 		})
 	}
 	return e.newest
 }
 
-func searchByID(list []*server, id string) (at int, found bool) {
-	return slices.BinarySearchFunc(list, id, func(s *server, id string) int {
-		return strings.Compare(s.ID, id)
+func searchByID(list []*endpoint, id string) (at int, found bool) {
+	return slices.BinarySearchFunc(list, id, func(ep *endpoint, id string) int {
+		return strings.Compare(ep.ID, id)
 	})
 }
 
-func insertByID(list *[]*server, s *server) {
-	at, _ := searchByID(*list, s.ID)
-	*list = slices.Insert(*list, at, s)
+func insertByID(list *[]*endpoint, ep *endpoint) {
+	at, _ := searchByID(*list, ep.ID)
+	*list = slices.Insert(*list, at, ep)
 }
 
-func removeByID(list *[]*server, s *server) {
-	if at, found := searchByID(*list, s.ID); found {
+func removeByID(list *[]*endpoint, ep *endpoint) {
+	if at, found := searchByID(*list, ep.ID); found {
 		*list = slices.Delete(*list, at, at+1)
 	}
 }
--- a/heldup_test.go
+++ b/heldup_test.go
@@ -15,8 +15,8 @@
 		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 		traffic(b, 200, "get", func(string) AttemptResult { return Success })
 		now, before := b.now, *b // what follows reads its figures only
-		known, failing := map[string]server{}, *b.classes["get"].learned
-		for id, s := range b.servers {
+		known, failing := map[string]endpoint{}, *b.classes["get"].classStats
+		for id, s := range b.endpoints {
 			known[id] = withoutSends(*s)
 		}
 		for i := range 50 {
@@ -28,14 +28,14 @@
 			now += 400 * msec
 			b.Handle(now, AttemptEnded{ID: id, Endpoint: sent[0].Endpoint, Result: e, Latency: 400 * msec, Answered: true, HeldUp: true})
 		}
-		if b.errors != before.errors || b.window != before.window || b.crowding != before.crowding || b.lastOK != before.lastOK {
+		if b.badShare != before.badShare || b.limit != before.limit || b.meanOverTarget != before.meanOverTarget || b.lastSuccess != before.lastSuccess {
 			t.Errorf("ending %d: errors %v, window %v, crowding %v; had %v, %v, %v", e,
-				b.errors, b.window, b.crowding, before.errors, before.window, before.crowding)
+				b.badShare, b.limit, b.meanOverTarget, before.badShare, before.limit, before.meanOverTarget)
 		}
-		if now := *b.classes["get"].learned; now.mean != failing.mean || now.failing != failing.failing {
-			t.Errorf("ending %d: mean %v, failing %v; had %v, %v", e, now.mean, now.failing, failing.mean, failing.failing)
+		if now := *b.classes["get"].classStats; now.mean != failing.mean || now.failureShare != failing.failureShare {
+			t.Errorf("ending %d: mean %v, failing %v; had %v, %v", e, now.mean, now.failureShare, failing.mean, failing.failureShare)
 		}
-		for id, s := range b.servers {
+		for id, s := range b.endpoints {
 			if is := withoutSends(*s); fmt.Sprint(is) != fmt.Sprint(known[id]) {
 				t.Errorf("ending %d: %s is %+v, was %+v", e, id, is, known[id])
 			}
@@ -44,9 +44,9 @@
 }
 
 // withoutSends is a server but for what a send alone changes.
-func withoutSends(s server) server {
-	s.calls, s.open, s.out, s.pooled, s.credit = 0, nil, false, false, credit{}
-	s.failing = maps.Clone(s.failing)
+func withoutSends(s endpoint) endpoint {
+	s.inFlight, s.attempts, s.excluded, s.inSubset, s.tokens = 0, nil, false, false, tokenBucket{}
+	s.failureShares = maps.Clone(s.failureShares)
 	return s
 }
 
--- a/overload.go
+++ b/overload.go
@@ -9,94 +9,104 @@
 
 // Constants are shares, ratios or counts; every length of time is a setting or was observed.
 const (
-	rarity     = 9.0 // exponent of the chance that what comes to a cold server in a window pushes it over
-	smallCount = 30  // requests in a window from which a cold server bears fewer beyond what it is allowed
-	outside    = 0.1 // calls in a window that copies together send a cold server that is not in their pools
-	unused     = 2.0 // mean times between own calls, beyond a part of a window, after which credit is lost
-	lateWindow = 4   // that part of a window, and the times in it that held calls look for credit, halved
+	// exponent of the chance that what comes to a cold server in a window pushes it over
+	overloadRarity = 9.0
+	// requests in a window from which a cold server bears fewer beyond what it is allowed
+	smallWindowCount = 30
+	// calls in a window that copies together send a cold server that is not in their pools
+	outsideSubsetRate = 0.1
+	// mean times between own calls, beyond a part of a window, after which credit is lost
+	unusedIntervals = 2.0
+	// that part of a window, and the times in it that held calls look for credit, halved
+	windowParts = 4
 )
 
 // credit is what a copy may still send to a cold server, in requests of mean work. It grows at this copy's
 // part of the rate that all copies together may have, from a random debt, or all would send their first
 // request at once; what is not used soon is lost, or it would come at once from all when traffic rises.
-type credit struct {
-	left  float64
-	at    time.Duration // when it was brought up to date; 0: never
-	rate  float64       // at which it grows, by the growth of that number
-	round int
+type tokenBucket struct {
+	tokens float64
+	at     time.Duration // when it was brought up to date; 0: never
+	rate   float64       // at which it grows, by the growth of that number
+	round  int
 }
 
-// limited says that the settings tell what pushes a cold server over.
-func (b *Balancer) limited() bool { return b.set.OverloadMultiple > 0 && b.set.OverloadWindow > 0 }
+// hasOverloadLimit says that the settings tell what pushes a cold server over.
+func (b *Balancer) hasOverloadLimit() bool {
+	return b.settings.OverloadMultiple > 0 && b.settings.OverloadWindow > 0
+}
 
-// inCredit says that a cold server may be sent a request now.
-func (b *Balancer) inCredit(s *server) bool {
-	if !b.limited() {
+// hasTokens says that a cold server may be sent a request now.
+func (b *Balancer) hasTokens(ep *endpoint) bool {
+	if !b.hasOverloadLimit() {
 		return true
 	}
-	rate := b.creditRate(s)
-	if s.credit.at == 0 {
-		s.credit.left, s.credit.at = -b.rng.Float64(), b.now
+	rate := b.fillRate(ep)
+	if ep.tokens.at == 0 {
+		ep.tokens.tokens, ep.tokens.at = -b.rng.Float64(), b.now
 	}
-	most := rate * (b.set.OverloadWindow.Seconds()/lateWindow + unused*b.interval.Seconds())
-	s.credit.left = min(most, s.credit.left+rate*(b.now-s.credit.at).Seconds())
-	s.credit.at = b.now
-	return s.credit.left >= 0
+	unused := b.settings.OverloadWindow.Seconds()/windowParts + unusedIntervals*b.arrivalInterval.Seconds()
+	most := rate * unused
+	ep.tokens.tokens = min(most, ep.tokens.tokens+rate*(b.now-ep.tokens.at).Seconds())
+	ep.tokens.at = b.now
+	return ep.tokens.tokens >= 0
 }
 
-// creditGrowth is what the growth of credit goes by, the same for all cold servers at one time.
-type creditGrowth struct {
-	round  int // counts the times that it was brought up to date
-	at     time.Duration
-	known  bool
-	each   float64 // own good answers a second that a warm server bears
-	copies float64 // that have a server in their pools
+// fillBasis is what the growth of credit goes by, the same for all cold servers at one time.
+type fillBasis struct {
+	round       int // counts the times that it was brought up to date
+	at          time.Duration
+	known       bool
+	perEndpoint float64 // own good answers a second that a warm server bears
+	replicas    float64 // that have a server in their pools
 }
 
-// updateCreditGrowth brings it up to now. The copies that have a server in their pools are taken to have them
+// updateFillBasis brings it up to now. The copies that have a server in their pools are taken to have them
 // as wide as this one's. A copy that has seen no warm server takes it that those of its pool, once warm,
 // answer what is asked of them.
-func (b *Balancer) updateCreditGrowth() {
-	if b.creditGrowth.known && b.creditGrowth.at == b.now {
+func (b *Balancer) updateFillBasis() {
+	if b.fillBasis.known && b.fillBasis.at == b.now {
 		return
 	}
 	b.observeCapacity(nil)
-	window, every := b.set.OverloadWindow.Seconds(), max(b.interval.Seconds(), 1e-9)
-	asked := 1 / every / float64(max(1, b.width)) * (1 - b.warmCapacity.seconds/b.ramp())
-	b.creditGrowth = creditGrowth{
-		round: b.creditGrowth.round + 1, at: b.now, known: true,
-		each:   max(b.warmCapacity.rate(window), b.coldCapacity.rate(window), asked),
-		copies: max(1, float64(b.set.Replicas)*float64(b.width)/float64(max(1, b.ready.len()))),
+	window, every := b.settings.OverloadWindow.Seconds(), max(b.arrivalInterval.Seconds(), 1e-9)
+	asked := 1 / every / float64(max(1, b.subsetSize)) * (1 - b.warmCapacity.seconds/b.capacityMemory())
+	ready := float64(max(1, b.ready.len()))
+	b.fillBasis = fillBasis{
+		round: b.fillBasis.round + 1, at: b.now, known: true,
+		perEndpoint: max(b.warmCapacity.rate(window), b.coldCapacity.rate(window), asked),
+		replicas:    max(1, float64(b.settings.Replicas)*float64(b.subsetSize)/ready),
 	}
 }
 
-// creditRate is how fast the credit of a cold server grows now. One request asks for it many times.
-func (b *Balancer) creditRate(s *server) float64 {
-	b.updateCreditGrowth()
-	if s.credit.round != b.creditGrowth.round {
-		s.credit.rate, s.credit.round = b.newCreditRate(s), b.creditGrowth.round
+// fillRate is how fast the credit of a cold server grows now. One request asks for it many times.
+func (b *Balancer) fillRate(ep *endpoint) float64 {
+	b.updateFillBasis()
+	if ep.tokens.round != b.fillBasis.round {
+		ep.tokens.rate, ep.tokens.round = b.computeFillRate(ep), b.fillBasis.round
 	}
-	return s.credit.rate
+	return ep.tokens.rate
 }
 
-// newCreditRate works it out, in requests of mean work a second: this copy's part of what all may send the
+// computeFillRate works it out, in requests of mean work a second: this copy's part of what all may send the
 // server.
-func (b *Balancer) newCreditRate(s *server) float64 {
-	window, warmth := b.set.OverloadWindow.Seconds(), b.warmth(s)
-	copies, most := float64(max(1, b.set.Replicas)), outside
-	if s.pooled {
-		copies = b.creditGrowth.copies
-		most = max(most, safeMean(fallLimit(b.set.OverloadMultiple*warmth*b.creditGrowth.each*copies*window)))
+func (b *Balancer) computeFillRate(ep *endpoint) float64 {
+	window, warmth := b.settings.OverloadWindow.Seconds(), b.capacityShare(ep)
+	copies, most := float64(max(1, b.settings.Replicas)), outsideSubsetRate
+	if ep.inSubset {
+		copies = b.fillBasis.replicas
+		allowed := b.settings.OverloadMultiple * warmth * b.fillBasis.perEndpoint * copies * window
+		most = max(most, safeMean(overloadLimit(allowed)))
 	}
 	return most / copies / window
 }
 
-// fallLimit is how many requests of mean work in a window a cold server surely bears, by an estimate n of
+// overloadLimit is how many requests of mean work in a window a cold server surely bears, by an estimate n of
 // what the settings allow it then. It falls at more than n + 2 x root of n + 2, and under 30 at more than
 // n + 3 x root of n + 3. That rule steps down at 30, from 49 to 43, and the estimate may be a little low: one
 // just under 30 counts on no more than what holds at 30, so that the limit nowhere shrinks as n grows.
-func fallLimit(n float64) float64 {
-	wide := max(n, smallCount)
+func overloadLimit(n float64) float64 {
+	wide := max(n, smallWindowCount)
 	return min(n+3*math.Sqrt(n)+3, wide+2*math.Sqrt(wide)+2)
 }
 
@@ -105,27 +115,27 @@
 // (Chernoff's bound), which is solved for m by Newton's method: from below, so it is safe wherever it ends.
 func safeMean(l float64) (m float64) {
 	for range 8 {
-		bound := l * math.Exp((m-rarity)/l-1)
+		bound := l * math.Exp((m-overloadRarity)/l-1)
 		m += (bound - m) / (1 - bound/l)
 	}
 	return m
 }
 
-// spend takes a request from a cold server's credit.
-func (b *Balancer) spend(s *server, r *request) {
+// spendTokens takes a request from a cold server's credit.
+func (b *Balancer) spendTokens(ep *endpoint, req *request) {
 	switch {
-	case !b.limited() || b.warmth(s) == 1:
-	case r.effort > 0:
-		s.credit.left -= r.effort / b.effort
+	case !b.hasOverloadLimit() || b.capacityShare(ep) == 1:
+	case req.work > 0:
+		ep.tokens.tokens -= req.work / b.meanWork
 	default:
-		s.credit.left--
+		ep.tokens.tokens--
 	}
 }
 
-// creditAgain is when held calls are to be looked at again, since credit grows with time alone.
-func (b *Balancer) creditAgain() time.Duration {
-	if s := b.ready.youngest(); s != nil && b.limited() && b.warmth(s) < 1 {
-		return b.now + b.set.OverloadWindow/(2*lateWindow)
+// nextFillCheck is when held calls are to be looked at again, since credit grows with time alone.
+func (b *Balancer) nextFillCheck() time.Duration {
+	if ep := b.ready.youngest(); ep != nil && b.hasOverloadLimit() && b.capacityShare(ep) < 1 {
+		return b.now + b.settings.OverloadWindow/(2*windowParts)
 	}
 	return math.MaxInt64
 }
--- a/policy_test.go
+++ b/policy_test.go
@@ -62,16 +62,16 @@
 }
 
 func TestPickFollowsTheDesign(t *testing.T) {
-	mk := func(calls ...int) []*server {
-		var l []*server
+	mk := func(calls ...int) []*endpoint {
+		var l []*endpoint
 		for i, c := range calls {
-			l = append(l, &server{Endpoint: Endpoint{ID: fmt.Sprint(i, c)}, calls: c})
+			l = append(l, &endpoint{Endpoint: Endpoint{ID: fmt.Sprint(i, c)}, inFlight: c})
 		}
 		return l
 	}
 	b := newBalancer(t, nil)
 	const n = 20000
-	shareLeft := func(left, right []*server) float64 {
+	shareLeft := func(left, right []*endpoint) float64 {
 		got := 0
 		for range n {
 			s := b.pick(left, right)
@@ -85,7 +85,7 @@
 	}
 	for _, c := range []struct {
 		name        string
-		left, right []*server
+		left, right []*endpoint
 		want        float64
 	}{
 		{"fewer left", mk(1), mk(2), 1},
@@ -103,7 +103,7 @@
 	if b.pick(nil, nil) != nil {
 		t.Error("picked from nothing")
 	}
-	left, count := mk(0, 0, 0, 0), map[*server]int{}
+	left, count := mk(0, 0, 0, 0), map[*endpoint]int{}
 	for range n {
 		count[b.pick(left, nil)]++
 	}
@@ -232,8 +232,8 @@
 func TestTrialIsNeverUnsafe(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
-	s := b.servers["s03"]
-	s.level, s.until = 1, 0
+	s := b.endpoints["s03"]
+	s.ejectionLevel, s.ejectedUntil = 1, 0
 	if got := traffic(b, 400, "pay", func(string) AttemptResult { return Success }); got["s03"] != 0 {
 		t.Errorf("a server on trial got %d unsafe requests", got["s03"])
 	}
@@ -246,7 +246,7 @@
 func TestCrowdedServerIsPassedOver(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(6)})
-	b.servers["s00"].calls, b.inFlight = 2, 2
+	b.endpoints["s00"].inFlight, b.inFlight = 2, 2
 	got := traffic(b, 300, "get", func(string) AttemptResult { return Success })
 	if got["s00"] != 0 || len(got) != 5 {
 		t.Errorf("draws: %v", got)
@@ -263,8 +263,8 @@
 		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
 		c := b.classes["get"] // known to answer in 40 ms when there is room
 		c.samples, c.mean, c.base = 100, float64(40*msec), float64(40*msec)
-		b.window = 15 // less than its growth may reach with the ten calls that are out here
-		start, now := b.window, time.Duration(0)
+		b.limit = 15 // less than its growth may reach with the ten calls that are out here
+		start, now := b.limit, time.Duration(0)
 		var open []Send
 		for i := range 3000 {
 			now += 4 * msec
@@ -274,11 +274,11 @@
 				open = append(open[1:], sends(settle(b, now, s.ID, s, Success))...)
 			}
 		}
-		if grew := b.window > start; grew != tc.grow && tc.grow || b.window < windowFloor*b.fairServers() {
-			t.Errorf("answers after %v: window %.1f from %.1f", tc.took, b.window, start)
+		if grew := b.limit > start; grew != tc.grow && tc.grow || b.limit < minLimitPerEndpoint*b.endpointsPerReplica() {
+			t.Errorf("answers after %v: window %.1f from %.1f", tc.took, b.limit, start)
 		}
-		if !tc.grow && b.window > windowFloor*b.fairServers()+1 {
-			t.Errorf("late answers left the window at %.1f", b.window)
+		if !tc.grow && b.limit > minLimitPerEndpoint*b.endpointsPerReplica()+1 {
+			t.Errorf("late answers left the window at %.1f", b.limit)
 		}
 	}
 }
@@ -309,13 +309,13 @@
 func TestFirstTriesGoBeforeRepeats(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(1)})
-	b.window = 1
+	b.limit = 1
 	first := sends(b.Handle(0, Request{ID: "a", Class: "get", Deadline: time.Second}))
 	b.Handle(msec, Request{ID: "new", Class: "get", Deadline: time.Second})
 	b.Handle(2*msec, Request{ID: "repeat", Class: "get", Deadline: time.Second, Retry: true})
 	b.classes["get"].LateValue = 0.5
-	b.inFlight = int(windowFloor*b.fairServers()) + 2
-	b.window = float64(b.inFlight) // one comes free by the next answer
+	b.inFlight = int(minLimitPerEndpoint*b.endpointsPerReplica()) + 2
+	b.limit = float64(b.inFlight) // one comes free by the next answer
 	next := sends(settle(b, 10*msec, "a", first[0], Success))
 	if len(next) == 0 || next[0].ID != "new" {
 		t.Errorf("after an answer %v was sent", next)
@@ -327,12 +327,12 @@
 	b := newBalancer(t, nil)
 	b.Handle(0, Request{ID: "first", Class: "get", Deadline: 1500 * msec})
 	b.Handle(5*time.Second, Request{ID: "again", Class: "get", Deadline: 5*time.Second + 900*msec})
-	if r := b.requests["first"]; r == nil || r.repeat || r.arrived != 0 {
+	if r := b.requests["first"]; r == nil || r.retry || r.arrived != 0 {
 		t.Errorf("a first try was taken for a repeat: %+v", r)
 	}
 	// The repeat's aim of 500 ms ended 100 ms before it came: without a server it is still held.
 	r := b.requests["again"]
-	if r == nil || !r.repeat || r.arrived != 5*time.Second-600*msec {
+	if r == nil || !r.retry || r.arrived != 5*time.Second-600*msec {
 		t.Errorf("the repeat was not seen: %+v", r)
 	}
 }
@@ -354,10 +354,10 @@
 		{"first byte after now", 8 * time.Second, 9 * time.Second, 500 * msec, false, 8 * time.Second},
 	} {
 		b.Handle(c.now, Request{ID: c.id, Class: "get", FirstByte: c.firstByte, Deadline: c.firstByte + c.given})
-		if r := b.requests[c.id]; r == nil || r.repeat != c.repeat || r.arrived != c.arrived {
+		if r := b.requests[c.id]; r == nil || r.retry != c.repeat || r.arrived != c.arrived {
 			t.Errorf("%s: %+v", c.id, r)
 		}
-		b.classes["get"].votes = 1
+		b.classes["get"].timeoutVotes = 1
 	}
 }
 
@@ -370,13 +370,13 @@
 		b := newBalancer(t, nil)
 		b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(20)})
 		for _, s := range b.ready.all[:10] {
-			s.until = time.Minute
+			s.ejectedUntil = time.Minute
 		}
-		b.shed = c.shed
+		b.shedShare = c.shed
 		out := 0
-		b.ruleOut(b.whole, &request{class: b.classes["get"]}, true)
+		b.excludeUnhealthy(b.groups, &request{class: b.classes["get"]}, true)
 		for _, s := range b.ready.all {
-			if s.out {
+			if s.excluded {
 				out++
 			}
 		}
@@ -428,14 +428,14 @@
 	t.Helper()
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
-	b.window, b.busy = 100, 100
+	b.limit, b.meanInFlight = 100, 100
 	r := &request{class: b.classes["get"], attempts: []*attempt{{sent: 0}}}
 	for range 50 {
-		b.shed = shed
-		b.now, b.inFlight = time.Duration(after(r.class)), int(b.window)
-		b.steer(r, AttemptEnded{Result: ending})
+		b.shedShare = shed
+		b.now, b.inFlight = time.Duration(after(r.class)), int(b.limit)
+		b.adjustLimit(r, AttemptEnded{Result: ending})
 	}
-	return b.window
+	return b.limit
 }
 
 // While much is shed some servers choke for certain, so the window gets leaner.
@@ -465,12 +465,12 @@
 func TestRefusalsBringClientsBackSoon(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(2)})
-	b.window, b.inFlight = 1, 1
+	b.limit, b.inFlight = 1, 1
 	r := Request{ID: "a", Class: "get", Deadline: time.Second}
 	b.Handle(2*msec, r)
 	for _, a := range b.Handle(600*msec, Timer{Token: "r:a"}) {
 		if f, ok := a.(Reject); ok {
-			if limit := b.set.Classes[0].LatencyObjective / 10; f.RetryAfter > limit {
+			if limit := b.settings.Classes[0].LatencyObjective / 10; f.RetryAfter > limit {
 				t.Errorf("RetryAfter %v, want at most %v", f.RetryAfter, limit)
 			}
 			return
@@ -488,7 +488,7 @@
 	list[0].Capacity = 2
 	b := newBalancer(t, func(s *Settings) { s.Tier, s.Replicas = 1, 1 })
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: list})
-	b.servers["s02"].slow = math.Log(2)
+	b.endpoints["s02"].latencyRatio = math.Log(2)
 	got := map[string]int{}
 	for range 9000 {
 		got[b.choose(&request{class: b.classes["get"]}).ID]++
@@ -510,15 +510,15 @@
 		b := newBalancer(t, func(s *Settings) { s.Tier, s.Replicas, s.ReplicaIndex = 1, nodes, i })
 		b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(40)})
 		b.choose(&request{class: b.classes["get"]})
-		for _, s := range append(append([]*server{}, b.pool.left...), b.pool.right...) {
+		for _, s := range append(append([]*endpoint{}, b.subset.left...), b.subset.right...) {
 			count[s.ID]++
 		}
-		if idle := b.width; idle >= 20 {
+		if idle := b.subsetSize; idle >= 20 {
 			t.Fatalf("an idle node's pool has %d servers", idle)
 		}
-		b.busy = 8
-		if b.fitPool(); b.width < 12 {
-			t.Fatalf("a busy node's pool has %d servers", b.width)
+		b.meanInFlight = 8
+		if b.resizeSubset(); b.subsetSize < 12 {
+			t.Fatalf("a busy node's pool has %d servers", b.subsetSize)
 		}
 	}
 	least, most := nodes, 0
@@ -558,7 +558,7 @@
 			id, now := fmt.Sprint(k), time.Duration(k+1)*100*msec
 			for _, s := range sends(b.Handle(now, Request{ID: id, Class: "pay", Deadline: now + time.Second})) {
 				sent++
-				if b.servers[s.Endpoint].Zone == "north" {
+				if b.endpoints[s.Endpoint].Zone == "north" {
 					hung++
 					continue
 				}
@@ -585,15 +585,15 @@
 				}
 			})
 			b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: zoned(40)})
-			b.fitPool()
-			for _, s := range slices.Concat(b.pool.left, b.pool.right) {
-				if count[s.ID]++; s.Zone != b.set.Zone {
-					t.Fatalf("copy %d in %s has %s of %s in a pool of %d", i, b.set.Zone, s.ID, s.Zone, b.width)
+			b.resizeSubset()
+			for _, s := range slices.Concat(b.subset.left, b.subset.right) {
+				if count[s.ID]++; s.Zone != b.settings.Zone {
+					t.Fatalf("copy %d in %s has %s of %s in a pool of %d", i, b.settings.Zone, s.ID, s.Zone, b.subsetSize)
 				}
 			}
-			b.busy = 100
-			if b.fitPool(); len(b.pool.left)+len(b.pool.right) != 40 {
-				t.Fatalf("a copy's widest pool has %d and %d servers", len(b.pool.left), len(b.pool.right))
+			b.meanInFlight = 100
+			if b.resizeSubset(); len(b.subset.left)+len(b.subset.right) != 40 {
+				t.Fatalf("a copy's widest pool has %d and %d servers", len(b.subset.left), len(b.subset.right))
 			}
 		}
 		least, most := copies, 0
@@ -612,7 +612,7 @@
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(8)})
 	s := sends(b.Handle(msec, Request{ID: "a", Class: "get", Deadline: time.Second}))[0]
 	settle(b, 3*msec, "a", s, Success)
-	if got := b.servers[s.Endpoint].slow; got < -0.1 {
+	if got := b.endpoints[s.Endpoint].latencyRatio; got < -0.1 {
 		t.Errorf("the first answer made its server look %.1f in log latency", got)
 	}
 }
@@ -631,8 +631,8 @@
 		}
 		open = append(open, sends(b.Handle(now, Request{ID: fmt.Sprint(i), Class: "get", Deadline: now + time.Second}))...)
 	}
-	if b.window < 3 {
-		t.Errorf("the window is %.1f after five seconds", b.window)
+	if b.limit < 3 {
+		t.Errorf("the window is %.1f after five seconds", b.limit)
 	}
 }
 
@@ -674,7 +674,7 @@
 	} {
 		b := newBalancer(t, func(s *Settings) { s.Tier = c.tier })
 		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
-		b.classes[c.class].failing, b.tokens = c.failing, c.tokens
+		b.classes[c.class].failureShare, b.tokens = c.failing, c.tokens
 		s := sends(b.Handle(0, Request{ID: "a", Class: c.class, Deadline: c.left}))[0]
 		if s.Timeout != c.want {
 			t.Errorf("%s: time-out %v, want %v", c.name, s.Timeout, c.want)
@@ -686,7 +686,7 @@
 func TestRepeatsLeaveRoomForFirstTries(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
-	b.window, b.inFlight = 10, 6
+	b.limit, b.inFlight = 10, 6
 	repeat := sends(b.Handle(msec, Request{ID: "again", Class: "get", Deadline: time.Second, Retry: true}))
 	first := sends(b.Handle(msec, Request{ID: "first", Class: "get", Deadline: time.Second}))
 	if len(repeat) != 0 || len(first) != 1 {
@@ -704,11 +704,11 @@
 		b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 		b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 		traffic(b, 40, "get", func(string) AttemptResult { return Success })
-		b.errors = c.common
+		b.badShare = c.common
 		now := b.now
 		s := sends(b.Handle(now, Request{ID: "slow", Class: "get", Deadline: now + time.Second}))[0]
 		settle(b, now+400*msec, "slow", s, Success)
-		if out := b.servers[s.Endpoint].until > b.now; out != c.want {
+		if out := b.endpoints[s.Endpoint].ejectedUntil > b.now; out != c.want {
 			t.Errorf("with %.2f of answers overlong: ejected %v, want %v", c.common, out, c.want)
 		}
 	}
@@ -721,7 +721,7 @@
 	list := servers(40)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: list})
 	b.choose(&request{class: b.classes["get"]})
-	for _, s := range append(append([]*server{}, b.pool.left...), b.pool.right...) {
+	for _, s := range append(append([]*endpoint{}, b.subset.left...), b.subset.right...) {
 		for i := range list {
 			if list[i].ID == s.ID {
 				list[i].StartedAt = time.Second
@@ -780,15 +780,15 @@
 		s.Classes[0].PriorityWeight, s.Classes[2].PriorityWeight, s.WorstClassWeight = 1, 12, 0
 	})
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
-	for _, c := range b.order {
-		c.arrive, c.serve = 10, 5
+	for _, c := range b.classOrder {
+		c.arrivals, c.served = 10, 5
 	}
 	low, high := &request{class: b.classes["get"]}, &request{class: b.classes["pay"]}
-	if l, h := b.windowShare(low), b.windowShare(high); l != 1 || h != 1 {
+	if l, h := b.limitShare(low), b.limitShare(high); l != 1 || h != 1 {
 		t.Errorf("nothing shed: parts of the window %.2f and %.2f, want 1", l, h)
 	}
-	b.shed = 0.6
-	if l, h := b.windowShare(low), b.windowShare(high); l > 0.7 || l < 0.5 || h < 1.3 || h > 2 {
+	b.shedShare = 0.6
+	if l, h := b.limitShare(low), b.limitShare(high); l > 0.7 || l < 0.5 || h < 1.3 || h > 2 {
 		t.Errorf("much shed: parts of the window %.2f for low worth and %.2f for high", l, h)
 	}
 }
@@ -812,25 +812,25 @@
 func TestNewWindowOpensUntilServersAreCrowded(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
-	floor := windowFloor * b.fairServers()
-	if b.window != floor {
-		t.Fatalf("a new window is %.1f, want its floor, %.1f", b.window, floor)
+	floor := minLimitPerEndpoint * b.endpointsPerReplica()
+	if b.limit != floor {
+		t.Fatalf("a new window is %.1f, want its floor, %.1f", b.limit, floor)
 	}
 	r := &request{class: b.classes["get"], attempts: []*attempt{{sent: 0}}}
 	answers := func(n int, ending AttemptResult, share float64) {
 		for range n {
-			b.now, b.inFlight = time.Duration(share*r.class.target(0)), int(b.window)
-			b.steer(r, AttemptEnded{Result: ending})
+			b.now, b.inFlight = time.Duration(share*r.class.target(0)), int(b.limit)
+			b.adjustLimit(r, AttemptEnded{Result: ending})
 		}
 	}
 	answers(20, Success, 0.8)
-	if want := floor + 20; b.window != want {
-		t.Errorf("20 good answers opened the window from %.1f to %.1f, want %.1f", floor, b.window, want)
+	if want := floor + 20; b.limit != want {
+		t.Errorf("20 good answers opened the window from %.1f to %.1f, want %.1f", floor, b.limit, want)
 	}
 	answers(8, Rejected, 0.1)
-	crowded := b.window
-	if answers(20, Success, 0.8); b.window > crowded+5 {
-		t.Errorf("after a crowd 20 good answers opened the window from %.1f to %.1f", crowded, b.window)
+	crowded := b.limit
+	if answers(20, Success, 0.8); b.limit > crowded+5 {
+		t.Errorf("after a crowd 20 good answers opened the window from %.1f to %.1f", crowded, b.limit)
 	}
 }
 
@@ -838,13 +838,13 @@
 func TestCrowdTakesUnusedRoom(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
-	b.window, b.busy, b.opening = 80, 40, false
+	b.limit, b.meanInFlight, b.initialGrowth = 80, 40, false
 	r := &request{class: b.classes["get"], attempts: []*attempt{{sent: 0}}}
 	for range 8 {
 		b.now = msec
-		b.steer(r, AttemptEnded{Result: Rejected})
+		b.adjustLimit(r, AttemptEnded{Result: Rejected})
 	}
-	if b.window > b.busy+1 {
-		t.Errorf("8 calls turned away left a window of %.1f with %.0f calls out", b.window, b.busy)
+	if b.limit > b.meanInFlight+1 {
+		t.Errorf("8 calls turned away left a window of %.1f with %.0f calls out", b.limit, b.meanInFlight)
 	}
 }
--- a/reconfigure.go
+++ b/reconfigure.go
@@ -8,10 +8,11 @@
 	"slices"
 )
 
-// take puts settings in force. A class that the settings before them had, too, keeps what was learned of it.
-func (b *Balancer) take(set Settings) {
+// applySettings puts settings in force. A class that the settings before them had, too, keeps what was
+// learned of it.
+func (b *Balancer) applySettings(set Settings) {
 	old := b.classes
-	b.set, b.classes, b.order = set, map[string]*class{}, nil
+	b.settings, b.classes, b.classOrder = set, map[string]*class{}, nil
 	b.ready.setZone(set.Zone)
 	odd := slices.MaxFunc(set.Classes, func(a, b Class) int { return cmp.Compare(a.Deadline, b.Deadline) })
 	unknown := Class{ // not idempotent
@@ -21,14 +22,14 @@
 	}
 	for _, c := range append(slices.Clone(set.Classes), unknown) {
 		objective := float64(c.LatencyObjective)
-		k := &class{c, &learned{mean: objective / 4, dev: objective / 8, base: objective / 4}}
+		k := &class{c, &classStats{mean: objective / 4, deviation: objective / 8, base: objective / 4}}
 		if was := old[c.Name]; was != nil {
-			if k.learned = was.learned; was.Deadline != c.Deadline {
-				k.votes = 0 // the time that is usual was a part of that
+			if k.classStats = was.classStats; was.Deadline != c.Deadline {
+				k.timeoutVotes = 0 // the time that is usual was a part of that
 			}
 		}
 		b.classes[c.Name] = k
-		b.order = append(b.order, k)
+		b.classOrder = append(b.classOrder, k)
 	}
 }
 
@@ -39,21 +40,21 @@
 	if set.Validate() != nil {
 		return
 	}
-	old := b.set
+	old := b.settings
 	set.PollDiscovery = old.PollDiscovery // the host subscribes, or not, for its life
-	b.take(set)
-	b.creditGrowth.known = false
+	b.applySettings(set)
+	b.fillBasis.known = false
 	if set.Replicas != old.Replicas || set.ReplicaIndex != old.ReplicaIndex || set.Zone != old.Zone ||
 		set.ZoneCount != old.ZoneCount {
-		b.width = 0
+		b.subsetSize = 0
 	}
-	for _, s := range b.servers { // what is still out of a class that has gone may bring its share back
-		maps.DeleteFunc(s.failing, func(l *learned, _ fading) bool {
-			return !slices.ContainsFunc(b.order, func(k *class) bool { return k.learned == l })
+	for _, ep := range b.endpoints { // what is still out of a class that has gone may bring its share back
+		maps.DeleteFunc(ep.failureShares, func(l *classStats, _ decayingShare) bool {
+			return !slices.ContainsFunc(b.classOrder, func(k *class) bool { return k.classStats == l })
 		})
 	}
-	for _, r := range slices.Clone(b.held) {
-		b.hold(r)
+	for _, req := range slices.Clone(b.queue) {
+		b.enqueue(req)
 	}
-	b.release()
+	b.dispatchQueued()
 }
--- a/reconfigure_test.go
+++ b/reconfigure_test.go
@@ -72,7 +72,7 @@
 		return Success
 	})
 	open := sends(b.Handle(b.now, Request{ID: "open", Class: "get", Deadline: b.now + time.Second}))[0]
-	mean, calls, until := b.classes["get"].mean, b.servers[open.Endpoint].calls, b.servers["s02"].until
+	mean, calls, until := b.classes["get"].mean, b.endpoints[open.Endpoint].inFlight, b.endpoints["s02"].ejectedUntil
 	if calls == 0 || until == 0 {
 		t.Fatalf("%d calls out, ejected until %v: nothing to keep", calls, until)
 	}
@@ -84,10 +84,10 @@
 	if got := b.classes["get"].mean; got != mean {
 		t.Errorf("mean latency %v, want %v", got, mean)
 	}
-	if got := b.servers[open.Endpoint].calls; got != calls {
+	if got := b.endpoints[open.Endpoint].inFlight; got != calls {
 		t.Errorf("%d calls, want %d", got, calls)
 	}
-	if got := b.servers["s02"].until; got != until {
+	if got := b.endpoints["s02"].ejectedUntil; got != until {
 		t.Errorf("ejected until %v, want %v", got, until)
 	}
 	if b.classes["get"].LatencyObjective != set.Classes[0].LatencyObjective || b.classes["new"] == nil {
@@ -111,12 +111,12 @@
 		b.Handle(now, AttemptEnded{ID: "r", Endpoint: s.Endpoint, Result: Success, Answered: true})
 	}
 	b.Handle(now, Reconfigure{testSettings()})
-	if len(b.classes) != 4 || len(b.order) != 4 {
-		t.Errorf("%d classes, %d in order, want 4", len(b.classes), len(b.order))
+	if len(b.classes) != 4 || len(b.classOrder) != 4 {
+		t.Errorf("%d classes, %d in order, want 4", len(b.classes), len(b.classOrder))
 	}
-	for id, s := range b.servers {
-		if len(s.failing) > 4 {
-			t.Errorf("%s: shares of %d classes", id, len(s.failing))
+	for id, s := range b.endpoints {
+		if len(s.failureShares) > 4 {
+			t.Errorf("%s: shares of %d classes", id, len(s.failureShares))
 		}
 	}
 }
--- a/requests.go
+++ b/requests.go
@@ -15,26 +15,26 @@
 	arrived   time.Duration
 	deadline  time.Duration
 	attempts  []*attempt
-	out       int
-	effort    float64 // hinted, in ns; 0: not told
-	repeat    bool    // by the client, where clients say so
-	held      bool
+	inFlight  int
+	work      float64 // hinted, in ns; 0: not told
+	retry     bool    // by the client, where clients say so
+	queued    bool
 	answered  bool
 	streaming bool
-	wake      time.Duration
+	timerAt   time.Duration
 }
 
 // attempt is one send of a request.
 type attempt struct {
-	req    *request
-	srv    *server
-	n      int
-	sent   time.Duration
-	zone   string
-	cell   int
-	ended  bool
-	unsent bool // proven never to have run
-	void   bool // nor to have asked anything of a server
+	request  *request
+	endpoint *endpoint
+	number   int
+	sent     time.Duration
+	zone     string
+	cell     int
+	ended    bool
+	neverRan bool // proven never to have run
+	notSent  bool // nor to have asked anything of a server
 }
 
 func (b *Balancer) accept(e Request) {
@@ -43,189 +43,193 @@
 	}
 	c := b.classes[e.Class]
 	if c == nil {
-		c = b.order[len(b.order)-1] // unknown: unsafe
-	}
-	r := &request{
-		id: e.ID, class: c, arrived: b.now, deadline: e.Deadline, repeat: e.Retry,
-		effort: max(0, float64(e.ExpectedWork)),
-	}
-	if r.effort > 0 {
-		b.hints++
-		b.effort += max(memory, 1/b.hints) * (r.effort - b.effort)
-	}
-	b.requests[e.ID] = r
-	b.interval += time.Duration(memory * float64(min(b.now-b.asked, b.set.SlowStartDuration)-b.interval))
-	b.asked = b.now
-	b.backdate(r, e.FirstByte)
-	for _, k := range b.order {
-		k.arrive *= 0.99
-		k.serve *= 0.99
-	}
-	c.arrive++
-	if b.closing {
-		b.answer(r)
+		c = b.classOrder[len(b.classOrder)-1] // unknown: unsafe
+	}
+	req := &request{
+		id: e.ID, class: c, arrived: b.now, deadline: e.Deadline, retry: e.Retry,
+		work: max(0, float64(e.ExpectedWork)),
+	}
+	if req.work > 0 {
+		b.workHints++
+		b.meanWork += max(averageWeight, 1/b.workHints) * (req.work - b.meanWork)
+	}
+	b.requests[e.ID] = req
+	interval := min(b.now-b.lastArrival, b.settings.SlowStartDuration)
+	b.arrivalInterval += time.Duration(averageWeight * float64(interval-b.arrivalInterval))
+	b.lastArrival = b.now
+	b.inferFirstArrival(req, e.FirstByte)
+	for _, k := range b.classOrder {
+		k.arrivals *= 0.99
+		k.served *= 0.99
+	}
+	c.arrivals++
+	if b.shuttingDown {
+		b.answer(req)
 		return
 	}
-	b.place(r)
+	b.dispatch(req)
 }
 
-// place sends a request, or holds it while no server may take it.
-func (b *Balancer) place(r *request) {
-	if !b.full(r) {
-		if s := b.choose(r); s != nil {
-			b.send(r, s)
+// dispatch sends a request, or holds it while no server may take it.
+func (b *Balancer) dispatch(req *request) {
+	if !b.atCapacity(req) {
+		if ep := b.choose(req); ep != nil {
+			b.send(req, ep)
 			return
 		}
 	}
-	b.hold(r)
+	b.enqueue(req)
 }
 
-func (b *Balancer) send(r *request, s *server) {
-	before := b.repeatUntil(r)
-	a := &attempt{req: r, srv: s, n: len(r.attempts), sent: b.now, zone: s.Zone, cell: s.Cell}
-	if a.n == 0 {
-		b.shed -= memory / 4 * b.shed
-	}
-	r.attempts = append(r.attempts, a)
-	r.out++
-	b.unhold(r)
-	b.spend(s, r)
-	s.calls++
-	s.open = append(s.open, a)
+func (b *Balancer) send(req *request, ep *endpoint) {
+	before := b.dedupDeadline(req)
+	a := &attempt{
+		request: req, endpoint: ep, number: len(req.attempts), sent: b.now, zone: ep.Zone, cell: ep.Cell,
+	}
+	if a.number == 0 {
+		b.shedShare -= averageWeight / 4 * b.shedShare
+	}
+	req.attempts = append(req.attempts, a)
+	req.inFlight++
+	b.dequeue(req)
+	b.spendTokens(ep, req)
+	ep.inFlight++
+	ep.attempts = append(ep.attempts, a)
 	b.inFlight++
-	b.busy += memory * (float64(b.inFlight) - b.busy)
-	b.do(Send{ID: r.id, Endpoint: s.ID, Timeout: max(b.patience(r), b.set.Tick), NotAfter: before})
+	b.meanInFlight += averageWeight * (float64(b.inFlight) - b.meanInFlight)
+	timeout := max(b.attemptTimeout(req), b.settings.Tick)
+	b.emit(Send{ID: req.id, Endpoint: ep.ID, Timeout: timeout, NotAfter: before})
 }
 
-// hold keeps a request back; its timer makes sure that it is answered.
-func (b *Balancer) hold(r *request) {
-	if b.now >= b.holdUntil(r) {
-		b.answer(r)
+// enqueue keeps a request back; its timer makes sure that it is answered.
+func (b *Balancer) enqueue(req *request) {
+	if b.now >= b.queueDeadline(req) {
+		b.answer(req)
 		return
 	}
-	if !r.held {
-		r.held = true
-		b.held = append(b.held, r)
+	if !req.queued {
+		req.queued = true
+		b.queue = append(b.queue, req)
 	}
-	b.wakeAt(r, min(b.holdUntil(r), b.creditAgain()))
+	b.setTimer(req, min(b.queueDeadline(req), b.nextFillCheck()))
 }
 
-func (b *Balancer) unhold(r *request) {
-	r.held = false
-	b.held = slices.DeleteFunc(b.held, func(h *request) bool { return h == r })
+func (b *Balancer) dequeue(req *request) {
+	req.queued = false
+	b.queue = slices.DeleteFunc(b.queue, func(h *request) bool { return h == req })
 }
 
-// holdUntil is how long holding makes sense: until an answer may well miss the aim, for late answers
+// queueDeadline is how long holding makes sense: until an answer may well miss the aim, for late answers
 // take the room of those in time. With no server at all a late answer is the best there can be, so
 // then almost until the deadline.
-func (b *Balancer) holdUntil(r *request) time.Duration {
-	last := r.deadline - 2*b.set.Tick
+func (b *Balancer) queueDeadline(req *request) time.Duration {
+	last := req.deadline - 2*b.settings.Tick
 	if b.ready.len() == 0 {
 		return last
 	}
-	aim := r.class.LatencyObjective
-	hold := max(aim/4, aim-time.Duration(r.class.mean+2*r.class.dev))
-	return min(last, r.arrived+hold)
+	aim := req.class.LatencyObjective
+	hold := max(aim/4, aim-time.Duration(req.class.mean+2*req.class.deviation))
+	return min(last, req.arrived+hold)
 }
 
-// wakeAt asks for a review of a request, unless one is due by then already.
-func (b *Balancer) wakeAt(r *request, at time.Duration) {
+// setTimer asks for a review of a request, unless one is due by then already.
+func (b *Balancer) setTimer(req *request, at time.Duration) {
 	at = max(at, b.now+1)
-	if r.wake > b.now && r.wake <= at {
+	if req.timerAt > b.now && req.timerAt <= at {
 		return
 	}
-	r.wake = at
-	b.do(SetTimer{At: at, Token: "r:" + r.id})
+	req.timerAt = at
+	b.emit(SetTimer{At: at, Token: "r:" + req.id})
 }
 
-func (b *Balancer) takeOutcome(e AttemptEnded) {
-	r := b.requests[e.ID]
-	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
+func (b *Balancer) endAttempt(e AttemptEnded) {
+	req := b.requests[e.ID]
+	if req == nil || e.Attempt < 0 || e.Attempt >= len(req.attempts) || req.attempts[e.Attempt].ended {
 		return
 	}
-	a := r.attempts[e.Attempt]
+	a := req.attempts[e.Attempt]
 	a.ended = true
-	a.unsent = e.Result == Rejected || e.Result == ConnectFailed || e.Result == NotSent
-	a.void = e.Result == NotSent
-	r.out--
+	a.neverRan = e.Result == Rejected || e.Result == ConnectFailed || e.Result == NotSent
+	a.notSent = e.Result == NotSent
+	req.inFlight--
 	b.inFlight--
-	a.srv.calls--
+	a.endpoint.inFlight--
 	// A hung server's waits tell nothing of how crowded the others are.
-	if !e.HeldUp && !b.unresponsive(a.srv) {
-		b.steer(r, e)
+	if !e.HeldUp && !b.unresponsive(a.endpoint) {
+		b.adjustLimit(req, e)
 	}
-	a.srv.open = slices.DeleteFunc(a.srv.open, func(o *attempt) bool { return o == a })
+	a.endpoint.attempts = slices.DeleteFunc(a.endpoint.attempts, func(o *attempt) bool { return o == a })
 	if !e.HeldUp {
-		b.judge(a, e)
+		b.observeAttempt(a, e)
 	}
-	if !a.srv.listed && a.srv.calls == 0 && b.servers[a.srv.ID] == a.srv {
-		delete(b.servers, a.srv.ID)
+	if !a.endpoint.listed && a.endpoint.inFlight == 0 && b.endpoints[a.endpoint.ID] == a.endpoint {
+		delete(b.endpoints, a.endpoint.ID)
 	}
 	switch {
 	case e.Answered:
-		if e.Result == Success && !r.answered && b.now <= r.arrived+r.class.LatencyObjective {
-			r.class.serve++
+		if e.Result == Success && !req.answered && b.now <= req.arrived+req.class.LatencyObjective {
+			req.class.served++
 		}
-		b.close(r)
-	case !r.answered && r.out == 0:
-		b.further(r)
+		b.finish(req)
+	case !req.answered && req.inFlight == 0:
+		b.retryOrAnswer(req)
 	}
-	b.forget(r)
-	b.release()
+	b.forget(req)
+	b.dispatchQueued()
 }
 
 // answer gives the final answer: a refusal where the rules let it promise that a retry is
 // harmless, else a failure. With an attempt still out it waits for that.
-func (b *Balancer) answer(r *request) {
-	if r.answered || r.streaming {
+func (b *Balancer) answer(req *request) {
+	if req.answered || req.streaming {
 		return
 	}
-	harmless := !slices.ContainsFunc(r.attempts, func(a *attempt) bool {
-		effect, scope := r.class.Effect, r.class.Scope
-		return !a.unsent && (effect == NonIdempotent || effect == IdempotentByKey && scope != ScopeAll)
+	harmless := !slices.ContainsFunc(req.attempts, func(a *attempt) bool {
+		effect, scope := req.class.Effect, req.class.Scope
+		return !a.neverRan && (effect == NonIdempotent || effect == IdempotentByKey && scope != ScopeAll)
 	})
-	if len(r.attempts) == 0 {
-		b.shed += memory / 4 * (1 - b.shed)
+	if len(req.attempts) == 0 {
+		b.shedShare += averageWeight / 4 * (1 - b.shedShare)
 	}
 	if harmless {
 		// A client sent away for long comes back when its aim is mostly over, and its late answer
 		// takes the room of one in time; the window, not the clients' absence, holds the load off.
-		b.do(Reject{ID: r.id, RetryAfter: min(b.set.MaxRetryAfter, b.set.Tick)})
+		b.emit(Reject{ID: req.id, RetryAfter: min(b.settings.MaxRetryAfter, b.settings.Tick)})
 	} else {
-		b.do(Fail{ID: r.id})
+		b.emit(Fail{ID: req.id})
 	}
-	b.close(r)
+	b.finish(req)
 }
 
 // unanswered lists the requests that are owed an answer, in an order that is the same each time.
 func (b *Balancer) unanswered() (list []*request) {
-	for _, r := range b.requests {
-		if !r.answered {
-			list = append(list, r)
+	for _, req := range b.requests {
+		if !req.answered {
+			list = append(list, req)
 		}
 	}
 	slices.SortFunc(list, func(p, q *request) int { return cmp.Compare(p.id, q.id) })
 	return list
 }
 
-// close ends a request and calls off what is still out for it.
-func (b *Balancer) close(r *request) {
-	if r.answered {
+// finish ends a request and calls off what is still out for it.
+func (b *Balancer) finish(req *request) {
+	if req.answered {
 		return
 	}
-	r.answered = true
-	b.unhold(r)
-	for _, a := range r.attempts {
-		if !a.ended && b.set.AllowCancel {
-			b.do(Cancel{ID: r.id, Attempt: a.n})
+	req.answered = true
+	b.dequeue(req)
+	for _, a := range req.attempts {
+		if !a.ended && b.settings.AllowCancel {
+			b.emit(Cancel{ID: req.id, Attempt: a.number})
 		}
 	}
-	b.forget(r)
+	b.forget(req)
 }
 
 // forget drops a request once nothing of it is left.
-func (b *Balancer) forget(r *request) {
-	if r.answered && r.out == 0 {
-		delete(b.requests, r.id)
+func (b *Balancer) forget(req *request) {
+	if req.answered && req.inFlight == 0 {
+		delete(b.requests, req.id)
 	}
 }
--- a/retry.go
+++ b/retry.go
@@ -9,74 +9,75 @@
 
 // Constants are shares, ratios or counts; every length of time is a setting or was observed.
 const (
-	retryEarn   = 0.15 // further attempts earned by a success
-	unsentCost  = 0.1  // what a further attempt costs when the last one never ran
-	retryBudget = 10   // most that can be saved up
-	hanging     = 0.05 // share of a class's attempts that may fail before a call that hangs is cut short
+	tokensPerSuccess = 0.15 // further attempts earned by a success
+	neverRanCost     = 0.1  // what a further attempt costs when the last one never ran
+	maxRetryTokens   = 10   // most that can be saved up
+	hangingShare     = 0.05 // share of a class's attempts that may fail before a call that hangs is cut short
 )
 
-// maySendAgain says that the class's effect and the limits allow one more attempt now.
-func (b *Balancer) maySendAgain(r *request) bool {
-	if r.answered || r.streaming || len(r.attempts) >= max(1, b.set.MaxAttempts) {
+// mayRetry says that the class's effect and the limits allow one more attempt now.
+func (b *Balancer) mayRetry(req *request) bool {
+	if req.answered || req.streaming || len(req.attempts) >= max(1, b.settings.MaxAttempts) {
 		return false
 	}
-	if until := b.repeatUntil(r); until > 0 && b.now >= until {
+	if until := b.dedupDeadline(req); until > 0 && b.now >= until {
 		return false
 	}
-	ran := func(a *attempt) bool { return !a.unsent }
-	return r.class.Effect != NonIdempotent || !slices.ContainsFunc(r.attempts, ran)
+	ran := func(a *attempt) bool { return !a.neverRan }
+	return req.class.Effect != NonIdempotent || !slices.ContainsFunc(req.attempts, ran)
 }
 
-// further decides what follows when no attempt is left out: another within the budget and with
+// retryOrAnswer decides what follows when no attempt is left out: another within the budget and with
 // time for an answer, or the final answer. Without the budget, retries of every tier multiply.
-func (b *Balancer) further(r *request) {
-	left := float64(b.useless(r) - b.now)
+func (b *Balancer) retryOrAnswer(req *request) {
+	left := float64(b.answerDeadline(req) - b.now)
 	cost := 1.0
-	switch last := r.attempts[len(r.attempts)-1]; {
-	case last.void:
+	switch last := req.attempts[len(req.attempts)-1]; {
+	case last.notSent:
 		cost = 0
-	case last.unsent:
-		cost = unsentCost
+	case last.neverRan:
+		cost = neverRanCost
 	}
-	if b.maySendAgain(r) && b.tokens >= cost && left >= r.class.mean/2 {
-		if s := b.choose(r); s != nil {
+	if b.mayRetry(req) && b.tokens >= cost && left >= req.class.mean/2 {
+		if ep := b.choose(req); ep != nil {
 			b.tokens -= cost
-			b.send(r, s)
+			b.send(req, ep)
 			return
 		}
 	}
-	b.answer(r)
+	b.answer(req)
 }
 
-// repeatUntil is when the servers stop discarding the repeats of what may have run; 0: nothing did, or
+// dedupDeadline is when the servers stop discarding the repeats of what may have run; 0: nothing did, or
 // the class has no keys. It is asked before the send and, as a connection may come up late, by the host.
-func (b *Balancer) repeatUntil(r *request) (until time.Duration) {
-	for _, a := range r.attempts {
-		end := a.sent + r.class.DedupWindow - 2*b.set.Tick
-		if r.class.Effect == IdempotentByKey && !a.unsent && (until == 0 || end < until) {
+func (b *Balancer) dedupDeadline(req *request) (until time.Duration) {
+	for _, a := range req.attempts {
+		end := a.sent + req.class.DedupWindow - 2*b.settings.Tick
+		if req.class.Effect == IdempotentByKey && !a.neverRan && (until == 0 || end < until) {
 			until = max(end, 1)
 		}
 	}
 	return until
 }
 
-// patience is how long an attempt is waited for. A server that lets a call hang takes all the time that the
+// attemptTimeout is how long an attempt is waited for. A server that lets a call hang takes all the time that
+// the
 // request has: where that happens, one that may run again gives it half, if nearly all answers come within
 // that. It hurts where a request is long by itself; in the first tier the work below would be for nothing.
-func (b *Balancer) patience(r *request) time.Duration {
-	c, left := r.class, b.useless(r)-b.now
-	again := c.Effect == Idempotent && len(r.attempts) < b.set.MaxAttempts && b.tokens >= 1
-	if again && b.set.Tier > 0 && c.failing > hanging && left/2 > b.overlong(c) {
+func (b *Balancer) attemptTimeout(req *request) time.Duration {
+	c, left := req.class, b.answerDeadline(req)-b.now
+	again := c.Effect == Idempotent && len(req.attempts) < b.settings.MaxAttempts && b.tokens >= 1
+	if again && b.settings.Tier > 0 && c.failureShare > hangingShare && left/2 > b.slowLatency(c) {
 		return left / 2
 	}
 	return left
 }
 
-// useless is when an answer stops being worth anything: work that goes on after it takes the room of
+// answerDeadline is when an answer stops being worth anything: work that goes on after it takes the room of
 // answers in time. Below the first tier only the deadline is known.
-func (b *Balancer) useless(r *request) time.Duration {
-	if b.set.Tier > 0 || r.class.LateValue > 0 || r.repeat {
-		return r.deadline
+func (b *Balancer) answerDeadline(req *request) time.Duration {
+	if b.settings.Tier > 0 || req.class.LateValue > 0 || req.retry {
+		return req.deadline
 	}
-	return min(r.deadline, r.arrived+r.class.LatencyObjective-2*b.set.Tick)
+	return min(req.deadline, req.arrived+req.class.LatencyObjective-2*b.settings.Tick)
 }
--- a/scale_test.go
+++ b/scale_test.go
@@ -23,7 +23,7 @@
 			t.Fatalf("copy %d: a request led to %v", i, acts)
 		}
 		for _, s := range b.ready.all {
-			if s.pooled {
+			if s.inSubset {
 				pooled[s.ID]++
 			}
 		}
@@ -35,7 +35,7 @@
 	for _, n := range pooled {
 		least, most = min(least, n), max(most, n)
 	}
-	if least < poolOverlap || most > 2*least {
-		t.Errorf("servers are in %d to %d pools, want alike and at least %d", least, most, poolOverlap)
+	if least < minReplicasPerEndpoint || most > 2*least {
+		t.Errorf("servers are in %d to %d pools, want alike and at least %d", least, most, minReplicasPerEndpoint)
 	}
 }
--- a/shedding.go
+++ b/shedding.go
@@ -2,57 +2,57 @@
 
 package balancer
 
-// windowShare is the part of the window that a request may fill, by its value against the others': the more
+// limitShare is the part of the window that a request may fill, by its value against the others': the more
 // is shed, the more room is kept for what is worth most. A hold alone is too short to wait for that, for
 // at a node of few calls seldom two requests wait at once. No class loses more than half of the window,
 // so that none starves.
-func (b *Balancer) windowShare(r *request) float64 {
+func (b *Balancer) limitShare(req *request) float64 {
 	var sum, n float64
-	for _, c := range b.order {
-		sum += c.arrive * b.value(&request{class: c})
-		n += c.arrive
+	for _, c := range b.classOrder {
+		sum += c.arrivals * b.priority(&request{class: c})
+		n += c.arrivals
 	}
-	return min(2, max(0.5, 1+b.shed*(b.value(r)*n/max(sum, 1e-9)-1)))
+	return min(2, max(0.5, 1+b.shedShare*(b.priority(req)*n/max(sum, 1e-9)-1)))
 }
 
-// value is what an answer in a class adds to the result for the time it takes, so that shedding
+// priority is what an answer in a class adds to the result for the time it takes, so that shedding
 // hits what is worth least; the class served worst counts extra, so none starves.
-func (b *Balancer) value(r *request) float64 {
-	c := r.class
+func (b *Balancer) priority(req *request) float64 {
+	c := req.class
 	var total float64
 	worst := c
-	for _, k := range b.order {
-		total += k.PriorityWeight * k.arrive
-		if k.arrive > 1 && k.serve*worst.arrive < worst.serve*k.arrive {
+	for _, k := range b.classOrder {
+		total += k.PriorityWeight * k.arrivals
+		if k.arrivals > 1 && k.served*worst.arrivals < worst.served*k.arrivals {
 			worst = k
 		}
 	}
-	v := b.set.TotalWeight * c.PriorityWeight / max(total, 1e-9)
+	v := b.settings.TotalWeight * c.PriorityWeight / max(total, 1e-9)
 	if worst == c {
-		v += b.set.WorstClassWeight / max(c.arrive, 1e-9)
+		v += b.settings.WorstClassWeight / max(c.arrivals, 1e-9)
 	}
-	if r.repeat { // its aim runs from the client's first try and is mostly over
+	if req.retry { // its aim runs from the client's first try and is mostly over
 		v *= c.LateValue
 	}
 	return v / c.mean
 }
 
-// release sends held requests while there is room, the most valuable first.
-func (b *Balancer) release() {
-	for tries := len(b.held); tries > 0 && len(b.held) > 0; tries-- {
-		best := b.held[0]
-		for _, r := range b.held[1:] {
-			if b.value(r) >= b.value(best) { // equal: the youngest has most time left
-				best = r
+// dispatchQueued sends held requests while there is room, the most valuable first.
+func (b *Balancer) dispatchQueued() {
+	for tries := len(b.queue); tries > 0 && len(b.queue) > 0; tries-- {
+		best := b.queue[0]
+		for _, req := range b.queue[1:] {
+			if b.priority(req) >= b.priority(best) { // equal: the youngest has most time left
+				best = req
 			}
 		}
-		if b.full(best) {
+		if b.atCapacity(best) {
 			return
 		}
-		s := b.choose(best)
-		if s == nil {
+		ep := b.choose(best)
+		if ep == nil {
 			return
 		}
-		b.send(best, s)
+		b.send(best, ep)
 	}
 }
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -12,7 +12,7 @@
 	low, high := 0.0, limit
 	for range 60 {
 		mean := (low + high) / 2
-		if limit-mean-limit*math.Log(limit/mean) <= -rarity {
+		if limit-mean-limit*math.Log(limit/mean) <= -overloadRarity {
 			low = mean
 		} else {
 			high = mean
@@ -31,9 +31,9 @@
 	list := servers(2)
 	list[0].StartedAt = time.Minute
 	b.Handle(time.Minute, EndpointUpdate{Complete: true, Endpoints: list})
-	b.fitPool()
-	b.warmCapacity = capacityEstimate{answers: n * b.ramp(), seconds: b.ramp(), at: b.now} // n a second at a warm one
-	return b.creditRate(b.servers[list[0].ID]) * b.set.OverloadWindow.Seconds()
+	b.resizeSubset()
+	b.warmCapacity = capacityEstimate{answers: n * b.capacityMemory(), seconds: b.capacityMemory(), at: b.now} // n a second at a warm one
+	return b.fillRate(b.endpoints[list[0].ID]) * b.settings.OverloadWindow.Seconds()
 }
 
 // A cold server is sent all that the limit allows on average: by the wider rule where the settings allow it
--- a/unresponsive.go
+++ b/unresponsive.go
@@ -4,11 +4,11 @@
 
 // unresponsive says that an old call to the server is unanswered while a younger one was answered
 // elsewhere: a machine gone quiet, hung or pausing shows nothing else until time-outs end.
-func (b *Balancer) unresponsive(s *server) bool {
-	if len(s.open) == 0 {
+func (b *Balancer) unresponsive(ep *endpoint) bool {
+	if len(ep.attempts) == 0 {
 		return false
 	}
-	a := s.open[0]
-	wait := b.overlong(a.req.class)
-	return b.now-a.sent > wait && b.lastOK > a.sent+wait/2 && s.lastOK < a.sent+wait/2
+	a := ep.attempts[0]
+	wait := b.slowLatency(a.request.class)
+	return b.now-a.sent > wait && b.lastSuccess > a.sent+wait/2 && ep.lastSuccess < a.sent+wait/2
 }
