--- a/balancer.go
+++ b/balancer.go
@@ -34,7 +34,7 @@
 	lastSuccess time.Duration
 	meanWork    float64 // hinted on average, in ns
 	workHints   float64 // heard so far
-	tokens      float64 // retry budget
+	retries     retryBudget
 	limit       float64 // own calls admitted at once (first tier)
 	// the window grows quickly: nothing has told yet that servers are crowded
 	initialGrowth        bool
@@ -60,7 +60,7 @@
 	b := &Balancer{
 		rng:       rand.New(rand.NewPCG(seed, 0x51a7e)),
 		endpoints: map[string]*endpoint{}, requests: map[string]*request{},
-		badShare: 0.02, tokens: maxRetryTokens / 2,
+		badShare: 0.02, retries: newRetryBudget(),
 	}
 	b.applySettings(set)
 	return b, nil
--- a/classes.go
+++ b/classes.go
@@ -49,7 +49,7 @@
 	return true
 }
 
-// slowLatency is the wait for an answer that most of a class's answers stay well under.
-func (b *Balancer) slowLatency(c *class) time.Duration {
+// slowLatency returns the latency that most answers of the class stay well under.
+func (c *class) slowLatency() time.Duration {
 	return time.Duration(c.mean + slowDeviations*c.deviation)
 }
--- a/outlier.go
+++ b/outlier.go
@@ -58,7 +58,7 @@
 	b.observeFailureShare(ep, c, e.Result)
 	switch e.Result {
 	case Success:
-		b.tokens = min(maxRetryTokens, b.tokens+tokensPerSuccess)
+		b.retries.earn()
 		b.lastSuccess, ep.lastSuccess = b.now, b.now
 		late = c.observe(took) && late
 		ep.consecutiveRejections = 0
--- a/policy_test.go
+++ b/policy_test.go
@@ -674,7 +674,7 @@
 	} {
 		b := newBalancer(t, func(s *Settings) { s.Tier = c.tier })
 		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
-		b.classes[c.class].failureShare, b.tokens = c.failing, c.tokens
+		b.classes[c.class].failureShare, b.retries.tokens = c.failing, c.tokens
 		s := sends(b.Handle(0, Request{ID: "a", Class: c.class, Deadline: c.left}))[0]
 		if s.Timeout != c.want {
 			t.Errorf("%s: time-out %v, want %v", c.name, s.Timeout, c.want)
--- a/requests.go
+++ b/requests.go
@@ -119,19 +119,6 @@
 	b.queue = slices.DeleteFunc(b.queue, func(h *request) bool { return h == req })
 }
 
-// queueDeadline is how long holding makes sense: until an answer may well miss the aim, for late answers
-// take the room of those in time. With no server at all a late answer is the best there can be, so
-// then almost until the deadline.
-func (b *Balancer) queueDeadline(req *request) time.Duration {
-	last := req.deadline - 2*b.settings.Tick
-	if b.ready.len() == 0 {
-		return last
-	}
-	aim := req.class.LatencyObjective
-	hold := max(aim/4, aim-time.Duration(req.class.mean+2*req.class.deviation))
-	return min(last, req.arrived+hold)
-}
-
 // setTimer asks for a review of a request, unless one is due by then already.
 func (b *Balancer) setTimer(req *request, at time.Duration) {
 	at = max(at, b.now+1)
--- a/retry.go
+++ b/retry.go
@@ -1,4 +1,9 @@
-// Retries: the retry budget, and what may be retried.
+// Retries, and the budget that bounds them.
+//
+// The budget is a token bucket, as in gRPC's retry throttling (proposal A6) and Finagle's RetryBudget:
+// successes fill it and each retry takes from it, so that retries stay a small share of the traffic when much
+// fails. Without it the retries of every tier multiply. Requests are never hedged: a second attempt begins
+// only when the first one has ended.
 
 package balancer
 
@@ -7,15 +12,39 @@
 	"time"
 )
 
-// Constants are shares, ratios or counts; every length of time is a setting or was observed.
+// Constants of the retry budget, all counted in retries.
 const (
-	tokensPerSuccess = 0.15 // further attempts earned by a success
-	neverRanCost     = 0.1  // what a further attempt costs when the last one never ran
+	tokensPerSuccess = 0.15 // earned by a success
+	fullCost         = 1.0  // of a retry after an attempt that may have run
+	neverRanCost     = 0.1  // of a retry after an attempt that proved not to have run
 	maxRetryTokens   = 10   // most that can be saved up
-	hangingShare     = 0.05 // share of a class's attempts that may fail before a call that hangs is cut short
 )
 
-// mayRetry says that the class's effect and the limits allow one more attempt now.
+// retryBudget is the token bucket that retries are paid from.
+type retryBudget struct{ tokens float64 }
+
+func newRetryBudget() retryBudget { return retryBudget{tokens: maxRetryTokens / 2} }
+
+// earn pays in for a success.
+func (r *retryBudget) earn() { r.tokens = min(maxRetryTokens, r.tokens+tokensPerSuccess) }
+
+func (r *retryBudget) affords(cost float64) bool { return r.tokens >= cost }
+
+func (r *retryBudget) spend(cost float64) { r.tokens -= cost }
+
+// retryCost returns what a retry after this attempt costs: the less the attempt can have asked of an
+// endpoint, the cheaper it is.
+func retryCost(last *attempt) float64 {
+	switch {
+	case last.notSent:
+		return 0
+	case last.neverRan:
+		return neverRanCost
+	}
+	return fullCost
+}
+
+// mayRetry says whether the effect of the request's class and the limit on attempts allow one more attempt.
 func (b *Balancer) mayRetry(req *request) bool {
 	if req.answered || req.streaming || len(req.attempts) >= max(1, b.settings.MaxAttempts) {
 		return false
@@ -27,20 +56,14 @@
 	return req.class.Effect != NonIdempotent || !slices.ContainsFunc(req.attempts, ran)
 }
 
-// retryOrAnswer decides what follows when no attempt is left out: another within the budget and with
-// time for an answer, or the final answer. Without the budget, retries of every tier multiply.
+// retryOrAnswer decides what follows when a request has no attempt in flight: a retry, if it is allowed, paid
+// for, likely to be answered in time and an endpoint is eligible; else the final answer.
 func (b *Balancer) retryOrAnswer(req *request) {
 	left := float64(b.answerDeadline(req) - b.now)
-	cost := 1.0
-	switch last := req.attempts[len(req.attempts)-1]; {
-	case last.notSent:
-		cost = 0
-	case last.neverRan:
-		cost = neverRanCost
-	}
-	if b.mayRetry(req) && b.tokens >= cost && left >= req.class.mean/2 {
+	cost := retryCost(req.attempts[len(req.attempts)-1])
+	if b.mayRetry(req) && b.retries.affords(cost) && left >= req.class.mean/2 {
 		if ep := b.choose(req); ep != nil {
-			b.tokens -= cost
+			b.retries.spend(cost)
 			b.send(req, ep)
 			return
 		}
@@ -48,8 +71,9 @@
 	b.answer(req)
 }
 
-// dedupDeadline is when the servers stop discarding the repeats of what may have run; 0: nothing did, or
-// the class has no keys. It is asked before the send and, as a connection may come up late, by the host.
+// dedupDeadline returns the time when the endpoints stop discarding the repeats of what may have run. 0: no
+// attempt may have run, or the class has no idempotency keys. It is checked before the send here and, as a
+// connection may be established late, once more by the host.
 func (b *Balancer) dedupDeadline(req *request) (until time.Duration) {
 	for _, a := range req.attempts {
 		end := a.sent + req.class.DedupWindow - 2*b.settings.Tick
@@ -59,25 +83,3 @@
 	}
 	return until
 }
-
-// attemptTimeout is how long an attempt is waited for. A server that lets a call hang takes all the time that
-// the
-// request has: where that happens, one that may run again gives it half, if nearly all answers come within
-// that. It hurts where a request is long by itself; in the first tier the work below would be for nothing.
-func (b *Balancer) attemptTimeout(req *request) time.Duration {
-	c, left := req.class, b.answerDeadline(req)-b.now
-	again := c.Effect == Idempotent && len(req.attempts) < b.settings.MaxAttempts && b.tokens >= 1
-	if again && b.settings.Tier > 0 && c.failureShare > hangingShare && left/2 > b.slowLatency(c) {
-		return left / 2
-	}
-	return left
-}
-
-// answerDeadline is when an answer stops being worth anything: work that goes on after it takes the room of
-// answers in time. Below the first tier only the deadline is known.
-func (b *Balancer) answerDeadline(req *request) time.Duration {
-	if b.settings.Tier > 0 || req.class.LateValue > 0 || req.retry {
-		return req.deadline
-	}
-	return min(req.deadline, req.arrived+req.class.LatencyObjective-2*b.settings.Tick)
-}
--- a/unresponsive.go
+++ b/unresponsive.go
@@ -9,6 +9,6 @@
 		return false
 	}
 	a := ep.attempts[0]
-	wait := b.slowLatency(a.request.class)
+	wait := a.request.class.slowLatency()
 	return b.now-a.sent > wait && b.lastSuccess > a.sent+wait/2 && ep.lastSuccess < a.sent+wait/2
 }
