--- a/balancer.go
+++ b/balancer.go
@@ -37,19 +37,18 @@
 	retries     retryBudget
 	limit       float64 // own calls admitted at once (first tier)
 	// the window grows quickly: nothing has told yet that servers are crowded
-	initialGrowth        bool
-	meanOverTarget       float64       // answers against their targets on average
-	nextDecrease         time.Duration // when the window may next be cut for a full server
-	inFlight             int
-	shedShare            float64          // share of requests answered without an attempt
-	shuttingDown         bool             // the host ends
-	warmCapacity         capacityEstimate // of warm servers
-	coldCapacity         capacityEstimate // and cold ones
-	fillBasis            fillBasis        // at which credit grows
-	arrivalInterval      time.Duration    // between requests on average
-	lastArrival          time.Duration    // when the last one came
-	subscriptionFailures int
-	subscribeAt          time.Duration
+	initialGrowth   bool
+	meanOverTarget  float64       // answers against their targets on average
+	nextDecrease    time.Duration // when the window may next be cut for a full server
+	inFlight        int
+	shedShare       float64          // share of requests answered without an attempt
+	shuttingDown    bool             // the host ends
+	warmCapacity    capacityEstimate // of warm servers
+	coldCapacity    capacityEstimate // and cold ones
+	fillBasis       fillBasis        // at which credit grows
+	arrivalInterval time.Duration    // between requests on average
+	lastArrival     time.Duration    // when the last one came
+	subscription    subscription
 }
 
 // New returns a Balancer that knows no servers yet. The error names the setting at fault.
@@ -74,7 +73,7 @@
 	case EndpointUpdate:
 		b.updateEndpoints(e)
 	case SubscriptionFailed:
-		b.subscriptionFailures++
+		b.subscription.failures++
 		b.scheduleSubscribe()
 	case Request:
 		b.accept(e)
@@ -104,9 +103,8 @@
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
 func (b *Balancer) handleTimer(e Timer) {
-	if e.Token == "list" {
-		if b.subscribeAt > 0 && b.now+b.settings.Tick >= b.subscribeAt {
-			b.subscribeAt = 0
+	if e.Token == subscriptionToken {
+		if b.subscription.due(b.now, b.settings.Tick) {
 			b.emit(Subscribe{})
 		}
 		return
--- a/endpoints.go
+++ b/endpoints.go
@@ -49,7 +49,7 @@
 	if e.Cached {
 		b.scheduleSubscribe()
 	} else {
-		b.subscriptionFailures = 0
+		b.subscription.failures = 0
 	}
 	b.dispatchQueued()
 }
