--- a/admission.go
+++ b/admission.go
@@ -1,4 +1,8 @@
-// Admission: how many calls the first tier has out.
+// Admission: an adaptive limit on the requests that the first tier has in flight.
+//
+// The limit follows the ratio of observed latencies to a target, up and down by additive steps, with
+// congestion control's slow start and multiplicative decrease (Jacobson, "Congestion Avoidance and Control",
+// 1988; Netflix's concurrency-limits and Envoy's adaptive concurrency filter do the same for requests).
 
 package balancer
 
@@ -7,96 +11,149 @@
 	"time"
 )
 
-// Constants are shares, ratios or counts; every length of time is a setting or was observed.
+// Constants of the limit: counts of requests, or ratios.
 const (
-	minLimitPerEndpoint = 5.0  // own calls a server that are always admitted
-	targetShare         = 0.75 // part of the mean, by ratio, of base latency and aim that is steered to
-	minTargetRatio      = 1.35 // times the base latency that is steered to at least
-	maxTargetCut        = 0.3  // part of the target given up when all is shed
-	maxLimitRatio       = 2    // times the calls out on average up to which the window grows
-	limitGain           = 0.25 // window moved by an answer, for each target that it came under or over
-	// times the target that a slow answer counts at most, and a call that was not served
-	maxOverTarget     = 2.0
-	overloadedFrom    = 1.33 // mean of answers against their targets from which servers are crowded
-	rejectionDecrease = 0.2  // part of the window given up at least when a server is full
+	minLimitPerEndpoint = 5.0  // requests for each endpoint of this replica that are always admitted
+	limitGain           = 0.25 // requests that an answer moves the limit by, for each target over or under it
+	maxLimitRatio       = 2    // limit to requests in flight on average, up to which the limit grows
+	overloadedFrom      = 1.33 // mean ratio of latencies to their targets from which endpoints are overloaded
+	maxOverTarget       = 2.0  // ratio that a slow answer counts as at most, and that any failure counts as
+	rejectionDecrease   = 0.2  // part of the limit given up, at least, when an endpoint rejects a request
 )
 
-// full says that the node has as many calls out as the tiers below answer in good time. Only the
-// first tier holds back: a call refused further down wastes what was done above it. A client's repeat,
-// whose aim is mostly over, must leave half of the room to first tries, or repeats feed a jam.
-func (b *Balancer) atCapacity(req *request) bool {
-	calls := float64(b.inFlight)
-	if req.retry {
-		calls *= 2
-	}
-	return b.ready.len() == 0 || b.settings.Tier == 0 && calls >= b.limit*b.limitShare(req)
+// Constants of the latency target: ratios.
+const (
+	targetShare    = 0.75 // target to the geometric mean of base latency and latency objective
+	minTargetRatio = 1.35 // target to base latency, at least
+	maxTargetCut   = 0.3  // part of the target given up when all load is shed
+)
+
+// inFlightCount counts this replica's attempts in flight.
+type inFlightCount struct {
+	now  int
+	mean float64 // averaged over sends
 }
 
-// endpointsPerReplica is how many servers there are for each copy of this tier.
-func (b *Balancer) endpointsPerReplica() float64 {
-	return float64(b.ready.len()) / float64(max(1, b.settings.Replicas))
+func (c *inFlightCount) begin() {
+	c.now++
+	c.mean += averageWeight * (float64(c.now) - c.mean)
 }
 
-// target is the latency that admission steers to, a little under half way in ratio between a class's
-// latency when there is room and its aim: work that fills much of the aim by itself is no crowd, and
-// work that fills little of it waits in long queues, which choke servers, well before its aim is near.
-// The more is shed, the surer it is that some servers choke: then leaner is better, but never so lean
-// that only an empty server meets it, or the shedding would keep itself up.
-func (c *class) target(shed float64) float64 {
-	lean := (1 - maxTargetCut*shed) * targetShare * math.Sqrt(c.base*float64(c.LatencyObjective))
-	return min(float64(c.LatencyObjective), max(minTargetRatio*c.base, lean))
+func (c *inFlightCount) end() { c.now-- }
+
+// concurrencyLimit is how many requests may be in flight at once.
+type concurrencyLimit struct {
+	limit          float64       // 0: not set yet
+	initialGrowth  bool          // by whole requests: no endpoint has seemed overloaded yet
+	meanOverTarget float64       // latencies to their targets on average
+	nextDecrease   time.Duration // when the limit may next be decreased for a rejection
 }
 
-// adjustLimit moves the window so that latencies stay at their target: crowded servers choke and stay slow,
-// so the crowd must wait or be refused here. Slow answers shrink it and good ones open it alike. Once answers
-// are slow on average the window's unused room is given up at once: a step an answer would leave it open
-// until the servers are full, as the answers that tell come late by then.
-func (b *Balancer) adjustLimit(req *request, e AttemptEnded) {
-	tells := e.Result == Success || e.Result == TimedOut || e.Result == Rejected || e.Result == ConnectFailed
-	if b.settings.Tier > 0 || !tells {
-		return
-	}
-	over := min(maxOverTarget, float64(b.now-req.attempts[e.Attempt].sent)/req.class.target(b.shedShare))
-	if e.Result != Success {
-		over = maxOverTarget
+// start sets the limit to what is always admitted, when the first endpoints are known.
+func (l *concurrencyLimit) start(floor float64) {
+	if l.limit == 0 {
+		l.limit, l.initialGrowth = floor, true
 	}
-	b.meanOverTarget += averageWeight * (over - b.meanOverTarget)
-	if b.meanOverTarget > overloadedFrom {
-		b.initialGrowth = false
-		b.limit = min(b.limit, b.meanInFlight+1)
+}
+
+// admits says whether one more request may be sent when it may fill a share of the limit.
+func (l *concurrencyLimit) admits(inFlight, share float64) bool { return inFlight < l.limit*share }
+
+// observe takes in the ratio of a latency to its target. Once answers are slow on average, the unused part
+// of the limit is given up at once: a step for each answer would leave it open until the endpoints are full,
+// as the answers that show it come late by then.
+func (l *concurrencyLimit) observe(overTarget float64, inFlight inFlightCount) {
+	l.meanOverTarget += averageWeight * (overTarget - l.meanOverTarget)
+	if l.meanOverTarget > overloadedFrom {
+		l.initialGrowth = false
+		l.limit = min(l.limit, inFlight.mean+1)
 	}
-	if e.Result == Rejected {
-		b.decreaseLimit(req.class)
+}
+
+// decrease gives up the unused part of the limit, and a part of it at least, when an endpoint had no place
+// for a request: a full queue shows overload before latencies do, and these show little while the tiers below
+// are slow. One round of answers, of the length pause, is awaited between two decreases.
+func (l *concurrencyLimit) decrease(now, pause time.Duration, inFlight inFlightCount) {
+	l.initialGrowth = false
+	if now >= l.nextDecrease {
+		l.nextDecrease = now + pause
+		l.limit = min((1-rejectionDecrease)*l.limit, inFlight.mean+1)
 	}
-	b.limit = max(b.limit+b.limitStep(over), 1, minLimitPerEndpoint*b.endpointsPerReplica())
 }
 
-// limitStep is by how much an answer moves the window. A small window moves by up to one call a round of
-// answers, or a node of many would take a day to open it. It grows to a multiple of the calls out at most:
-// growing only while nearly full, it would sink by chance at a node whose few calls seldom fill it.
+// move takes the step of one answer, but not below floor.
+func (l *concurrencyLimit) move(overTarget float64, inFlight inFlightCount, floor float64) {
+	l.limit = max(l.limit+l.step(overTarget, inFlight), 1, floor)
+}
+
+// step returns by how much an answer moves the limit. A small limit moves by up to one request in a round of
+// answers, or a replica among many would take a day to open it. It grows up to a multiple of the requests in
+// flight on average: if it grew only while nearly used up, it would sink by chance at a replica whose few
+// requests seldom use it up.
 //
-// A new node begins with what is always admitted, and each good answer opens its window by a whole call
-// until servers are crowded (the slow start of congestion control). What servers still hold for others, or
-// for nodes that have died, it can't know: many that start together with more would fill all servers at once.
-func (b *Balancer) limitStep(over float64) float64 {
-	step, out := max(limitGain, 1/b.limit)*(1-over), b.meanInFlight
-	if b.initialGrowth && over < 1 {
-		step, out = max(1, step), max(out, float64(b.inFlight))
+// A new replica begins with what is always admitted, and each good answer opens its limit by a whole request
+// until endpoints are overloaded (slow start). It can't know what endpoints still hold for other replicas, or
+// for some that have died: many that start together with more would fill all endpoints at once.
+func (l *concurrencyLimit) step(overTarget float64, inFlight inFlightCount) float64 {
+	step, used := max(limitGain, 1/l.limit)*(1-overTarget), inFlight.mean
+	if l.initialGrowth && overTarget < 1 {
+		step, used = max(1, step), max(used, float64(inFlight.now))
 	}
-	if step > 0 && b.limit >= maxLimitRatio*(out+1) {
+	if step > 0 && l.limit >= maxLimitRatio*(used+1) {
 		return 0
 	}
 	return step
 }
 
-// decreaseLimit gives up the window's unused room, and a part of it at least, when a server had no place for
-// a
-// call: a full queue tells of a crowd before latencies do, and they tell little while the tiers below are
-// slow. One round of answers is heard between two cuts (the multiplicative decrease of congestion control).
-func (b *Balancer) decreaseLimit(c *class) {
-	b.initialGrowth = false
-	if b.now >= b.nextDecrease {
-		b.nextDecrease = b.now + time.Duration(c.mean)
-		b.limit = min((1-rejectionDecrease)*b.limit, b.meanInFlight+1)
+// atCapacity says that this request can't be sent now: no endpoint is ready, or as many requests are in
+// flight as the tiers below answer in time. Only the first tier limits them: a request rejected further down
+// wastes the work done above it. A client's retry, whose latency objective is mostly used up, must leave half
+// of the limit to first attempts, or retries feed an overload.
+func (b *Balancer) atCapacity(req *request) bool {
+	inFlight := float64(b.inFlight.now)
+	if req.retry {
+		inFlight *= 2
+	}
+	return b.ready.len() == 0 || b.settings.Tier == 0 && !b.admission.admits(inFlight, b.limitShare(req))
+}
+
+// endpointsPerReplica returns how many endpoints there are for each replica of this tier.
+func (b *Balancer) endpointsPerReplica() float64 {
+	return float64(b.ready.len()) / float64(max(1, b.settings.Replicas))
+}
+
+// minLimit returns the limit that holds at least.
+func (b *Balancer) minLimit() float64 { return minLimitPerEndpoint * b.endpointsPerReplica() }
+
+// target returns the latency that the limit steers to, a little under the geometric mean of a class's base
+// latency and its objective. Work that takes much of the objective by itself does not show overload, and work
+// that takes little of it waits in long queues, which slow endpoints down, well before the objective is near.
+// The more load is shed, the surer it is that some endpoints are overloaded. Then a lower target is better,
+// but never one that only an idle endpoint meets, or shedding would keep itself up.
+func (c *class) target(shed float64) float64 {
+	lowered := (1 - maxTargetCut*shed) * targetShare * math.Sqrt(c.base*float64(c.LatencyObjective))
+	return min(float64(c.LatencyObjective), max(minTargetRatio*c.base, lowered))
+}
+
+// adjustLimit moves the limit so that latencies stay at their target: overloaded endpoints slow down and stay
+// slow, so the excess must wait or be rejected here. Slow answers lower the limit as fast ones raise it.
+func (b *Balancer) adjustLimit(req *request, e AttemptEnded) {
+	var overTarget float64
+	switch e.Result {
+	case Success:
+		latency := float64(b.now - req.attempts[e.Attempt].sent)
+		overTarget = min(maxOverTarget, latency/req.class.target(b.shedding.share))
+	case TimedOut, Rejected, ConnectFailed:
+		overTarget = maxOverTarget
+	default:
+		return
+	}
+	if b.settings.Tier > 0 {
+		return
+	}
+	b.admission.observe(overTarget, b.inFlight)
+	if e.Result == Rejected {
+		b.admission.decrease(b.now, time.Duration(req.class.mean), b.inFlight)
 	}
+	b.admission.move(overTarget, b.inFlight, b.minLimit())
 }
--- a/balancer.go
+++ b/balancer.go
@@ -15,33 +15,28 @@
 
 // Balancer decides for one node. See the package comment for its contract.
 type Balancer struct {
-	settings     Settings
-	rng          *rand.Rand
-	now          time.Duration
-	actions      []Action
-	endpoints    map[string]*endpoint
-	ready        endpointSet // the ready servers
-	groups       groupPair   // the two groups of the design
-	subset       groupPair   // the part of each that this node draws from
-	subsetSize   int         // servers in the pool
-	meanInFlight float64     // calls in flight, averaged over sends
-	requests     map[string]*request
-	queue        []*request
-	classes      map[string]*class
-	classOrder   []*class // every class in the order of the settings, then the unknown one
+	settings   Settings
+	rng        *rand.Rand
+	now        time.Duration
+	actions    []Action
+	endpoints  map[string]*endpoint
+	ready      endpointSet // the ready servers
+	groups     groupPair   // the two groups of the design
+	subset     groupPair   // the part of each that this node draws from
+	subsetSize int         // servers in the pool
+	requests   map[string]*request
+	queue      []*request
+	classes    map[string]*class
+	classOrder []*class // every class in the order of the settings, then the unknown one
 
-	badShare    float64 // share of bad endings, overlong answers among them, of all attempts
-	lastSuccess time.Duration
-	meanWork    float64 // hinted on average, in ns
-	workHints   float64 // heard so far
-	retries     retryBudget
-	limit       float64 // own calls admitted at once (first tier)
-	// the window grows quickly: nothing has told yet that servers are crowded
-	initialGrowth   bool
-	meanOverTarget  float64       // answers against their targets on average
-	nextDecrease    time.Duration // when the window may next be cut for a full server
-	inFlight        int
-	shedShare       float64          // share of requests answered without an attempt
+	badShare        float64 // share of bad endings, overlong answers among them, of all attempts
+	lastSuccess     time.Duration
+	meanWork        float64 // hinted on average, in ns
+	workHints       float64 // heard so far
+	retries         retryBudget
+	inFlight        inFlightCount
+	admission       concurrencyLimit
+	shedding        sheddingRate
 	shuttingDown    bool             // the host ends
 	warmCapacity    capacityEstimate // of warm servers
 	coldCapacity    capacityEstimate // and cold ones
--- a/eligibility.go
+++ b/eligibility.go
@@ -47,7 +47,7 @@
 			sick = append(sick, ep)
 		}
 	}
-	most := int(maxExcludedShare * (1 - b.shedShare) * float64(b.ready.len()))
+	most := int(maxExcludedShare * (1 - b.shedding.share) * float64(b.ready.len()))
 	if len(sick) > most {
 		sort.SliceStable(sick, func(i, j int) bool {
 			return sick[i].consecutiveFailures > sick[j].consecutiveFailures
@@ -77,7 +77,7 @@
 // inFlightLimit is the count of own calls at which a server is passed over: uniform draws now and then
 // meet the same few servers twice, and a crowd of several nodes' calls there chokes it.
 func (b *Balancer) inFlightLimit(ep *endpoint) int {
-	return min(b.rejectionLimit(ep), 1+b.inFlight/max(1, b.subsetSize))
+	return min(b.rejectionLimit(ep), 1+b.inFlight.now/max(1, b.subsetSize))
 }
 
 // rejectionLimit is the count of own calls at which a server is passed over because it refused one more a
--- a/endpoints.go
+++ b/endpoints.go
@@ -43,9 +43,7 @@
 	cut := int(math.Ceil(leftShare * float64(b.ready.len())))
 	b.groups = groupPair{b.ready.all[:cut], b.ready.all[cut:]}
 	b.subsetSize = 0
-	if b.limit == 0 {
-		b.limit, b.initialGrowth = minLimitPerEndpoint*b.endpointsPerReplica(), true
-	}
+	b.admission.start(b.minLimit())
 	if e.Cached {
 		b.scheduleSubscribe()
 	} else {
--- a/heldup_test.go
+++ b/heldup_test.go
@@ -28,9 +28,9 @@
 			now += 400 * msec
 			b.Handle(now, AttemptEnded{ID: id, Endpoint: sent[0].Endpoint, Result: e, Latency: 400 * msec, Answered: true, HeldUp: true})
 		}
-		if b.badShare != before.badShare || b.limit != before.limit || b.meanOverTarget != before.meanOverTarget || b.lastSuccess != before.lastSuccess {
+		if b.badShare != before.badShare || b.admission.limit != before.admission.limit || b.admission.meanOverTarget != before.admission.meanOverTarget || b.lastSuccess != before.lastSuccess {
 			t.Errorf("ending %d: errors %v, window %v, crowding %v; had %v, %v, %v", e,
-				b.badShare, b.limit, b.meanOverTarget, before.badShare, before.limit, before.meanOverTarget)
+				b.badShare, b.admission.limit, b.admission.meanOverTarget, before.badShare, before.admission.limit, before.admission.meanOverTarget)
 		}
 		if now := *b.classes["get"].classStats; now.mean != failing.mean || now.failureShare != failing.failureShare {
 			t.Errorf("ending %d: mean %v, failing %v; had %v, %v", e, now.mean, now.failureShare, failing.mean, failing.failureShare)
--- a/policy_test.go
+++ b/policy_test.go
@@ -246,7 +246,7 @@
 func TestCrowdedServerIsPassedOver(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(6)})
-	b.endpoints["s00"].inFlight, b.inFlight = 2, 2
+	b.endpoints["s00"].inFlight, b.inFlight.now = 2, 2
 	got := traffic(b, 300, "get", func(string) AttemptResult { return Success })
 	if got["s00"] != 0 || len(got) != 5 {
 		t.Errorf("draws: %v", got)
@@ -263,8 +263,8 @@
 		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
 		c := b.classes["get"] // known to answer in 40 ms when there is room
 		c.samples, c.mean, c.base = 100, float64(40*msec), float64(40*msec)
-		b.limit = 15 // less than its growth may reach with the ten calls that are out here
-		start, now := b.limit, time.Duration(0)
+		b.admission.limit = 15 // less than its growth may reach with the ten calls that are out here
+		start, now := b.admission.limit, time.Duration(0)
 		var open []Send
 		for i := range 3000 {
 			now += 4 * msec
@@ -274,11 +274,11 @@
 				open = append(open[1:], sends(settle(b, now, s.ID, s, Success))...)
 			}
 		}
-		if grew := b.limit > start; grew != tc.grow && tc.grow || b.limit < minLimitPerEndpoint*b.endpointsPerReplica() {
-			t.Errorf("answers after %v: window %.1f from %.1f", tc.took, b.limit, start)
+		if grew := b.admission.limit > start; grew != tc.grow && tc.grow || b.admission.limit < minLimitPerEndpoint*b.endpointsPerReplica() {
+			t.Errorf("answers after %v: window %.1f from %.1f", tc.took, b.admission.limit, start)
 		}
-		if !tc.grow && b.limit > minLimitPerEndpoint*b.endpointsPerReplica()+1 {
-			t.Errorf("late answers left the window at %.1f", b.limit)
+		if !tc.grow && b.admission.limit > minLimitPerEndpoint*b.endpointsPerReplica()+1 {
+			t.Errorf("late answers left the window at %.1f", b.admission.limit)
 		}
 	}
 }
@@ -309,13 +309,13 @@
 func TestFirstTriesGoBeforeRepeats(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(1)})
-	b.limit = 1
+	b.admission.limit = 1
 	first := sends(b.Handle(0, Request{ID: "a", Class: "get", Deadline: time.Second}))
 	b.Handle(msec, Request{ID: "new", Class: "get", Deadline: time.Second})
 	b.Handle(2*msec, Request{ID: "repeat", Class: "get", Deadline: time.Second, Retry: true})
 	b.classes["get"].LateValue = 0.5
-	b.inFlight = int(minLimitPerEndpoint*b.endpointsPerReplica()) + 2
-	b.limit = float64(b.inFlight) // one comes free by the next answer
+	b.inFlight.now = int(minLimitPerEndpoint*b.endpointsPerReplica()) + 2
+	b.admission.limit = float64(b.inFlight.now) // one comes free by the next answer
 	next := sends(settle(b, 10*msec, "a", first[0], Success))
 	if len(next) == 0 || next[0].ID != "new" {
 		t.Errorf("after an answer %v was sent", next)
@@ -372,7 +372,7 @@
 		for _, s := range b.ready.all[:10] {
 			s.ejectedUntil = time.Minute
 		}
-		b.shedShare = c.shed
+		b.shedding.share = c.shed
 		out := 0
 		b.excludeUnhealthy(b.groups, &request{class: b.classes["get"]}, true)
 		for _, s := range b.ready.all {
@@ -428,14 +428,14 @@
 	t.Helper()
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
-	b.limit, b.meanInFlight = 100, 100
+	b.admission.limit, b.inFlight.mean = 100, 100
 	r := &request{class: b.classes["get"], attempts: []*attempt{{sent: 0}}}
 	for range 50 {
-		b.shedShare = shed
-		b.now, b.inFlight = time.Duration(after(r.class)), int(b.limit)
+		b.shedding.share = shed
+		b.now, b.inFlight.now = time.Duration(after(r.class)), int(b.admission.limit)
 		b.adjustLimit(r, AttemptEnded{Result: ending})
 	}
-	return b.limit
+	return b.admission.limit
 }
 
 // While much is shed some servers choke for certain, so the window gets leaner.
@@ -465,7 +465,7 @@
 func TestRefusalsBringClientsBackSoon(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(2)})
-	b.limit, b.inFlight = 1, 1
+	b.admission.limit, b.inFlight.now = 1, 1
 	r := Request{ID: "a", Class: "get", Deadline: time.Second}
 	b.Handle(2*msec, r)
 	for _, a := range b.Handle(600*msec, Timer{Token: "r:a"}) {
@@ -516,7 +516,7 @@
 		if idle := b.subsetSize; idle >= 20 {
 			t.Fatalf("an idle node's pool has %d servers", idle)
 		}
-		b.meanInFlight = 8
+		b.inFlight.mean = 8
 		if b.resizeSubset(); b.subsetSize < 12 {
 			t.Fatalf("a busy node's pool has %d servers", b.subsetSize)
 		}
@@ -591,7 +591,7 @@
 					t.Fatalf("copy %d in %s has %s of %s in a pool of %d", i, b.settings.Zone, s.ID, s.Zone, b.subsetSize)
 				}
 			}
-			b.meanInFlight = 100
+			b.inFlight.mean = 100
 			if b.resizeSubset(); len(b.subset.left)+len(b.subset.right) != 40 {
 				t.Fatalf("a copy's widest pool has %d and %d servers", len(b.subset.left), len(b.subset.right))
 			}
@@ -631,8 +631,8 @@
 		}
 		open = append(open, sends(b.Handle(now, Request{ID: fmt.Sprint(i), Class: "get", Deadline: now + time.Second}))...)
 	}
-	if b.limit < 3 {
-		t.Errorf("the window is %.1f after five seconds", b.limit)
+	if b.admission.limit < 3 {
+		t.Errorf("the window is %.1f after five seconds", b.admission.limit)
 	}
 }
 
@@ -686,7 +686,7 @@
 func TestRepeatsLeaveRoomForFirstTries(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
-	b.limit, b.inFlight = 10, 6
+	b.admission.limit, b.inFlight.now = 10, 6
 	repeat := sends(b.Handle(msec, Request{ID: "again", Class: "get", Deadline: time.Second, Retry: true}))
 	first := sends(b.Handle(msec, Request{ID: "first", Class: "get", Deadline: time.Second}))
 	if len(repeat) != 0 || len(first) != 1 {
@@ -787,7 +787,7 @@
 	if l, h := b.limitShare(low), b.limitShare(high); l != 1 || h != 1 {
 		t.Errorf("nothing shed: parts of the window %.2f and %.2f, want 1", l, h)
 	}
-	b.shedShare = 0.6
+	b.shedding.share = 0.6
 	if l, h := b.limitShare(low), b.limitShare(high); l > 0.7 || l < 0.5 || h < 1.3 || h > 2 {
 		t.Errorf("much shed: parts of the window %.2f for low worth and %.2f for high", l, h)
 	}
@@ -813,24 +813,24 @@
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 	floor := minLimitPerEndpoint * b.endpointsPerReplica()
-	if b.limit != floor {
-		t.Fatalf("a new window is %.1f, want its floor, %.1f", b.limit, floor)
+	if b.admission.limit != floor {
+		t.Fatalf("a new window is %.1f, want its floor, %.1f", b.admission.limit, floor)
 	}
 	r := &request{class: b.classes["get"], attempts: []*attempt{{sent: 0}}}
 	answers := func(n int, ending AttemptResult, share float64) {
 		for range n {
-			b.now, b.inFlight = time.Duration(share*r.class.target(0)), int(b.limit)
+			b.now, b.inFlight.now = time.Duration(share*r.class.target(0)), int(b.admission.limit)
 			b.adjustLimit(r, AttemptEnded{Result: ending})
 		}
 	}
 	answers(20, Success, 0.8)
-	if want := floor + 20; b.limit != want {
-		t.Errorf("20 good answers opened the window from %.1f to %.1f, want %.1f", floor, b.limit, want)
+	if want := floor + 20; b.admission.limit != want {
+		t.Errorf("20 good answers opened the window from %.1f to %.1f, want %.1f", floor, b.admission.limit, want)
 	}
 	answers(8, Rejected, 0.1)
-	crowded := b.limit
-	if answers(20, Success, 0.8); b.limit > crowded+5 {
-		t.Errorf("after a crowd 20 good answers opened the window from %.1f to %.1f", crowded, b.limit)
+	crowded := b.admission.limit
+	if answers(20, Success, 0.8); b.admission.limit > crowded+5 {
+		t.Errorf("after a crowd 20 good answers opened the window from %.1f to %.1f", crowded, b.admission.limit)
 	}
 }
 
@@ -838,13 +838,13 @@
 func TestCrowdTakesUnusedRoom(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
-	b.limit, b.meanInFlight, b.initialGrowth = 80, 40, false
+	b.admission.limit, b.inFlight.mean, b.admission.initialGrowth = 80, 40, false
 	r := &request{class: b.classes["get"], attempts: []*attempt{{sent: 0}}}
 	for range 8 {
 		b.now = msec
 		b.adjustLimit(r, AttemptEnded{Result: Rejected})
 	}
-	if b.limit > b.meanInFlight+1 {
-		t.Errorf("8 calls turned away left a window of %.1f with %.0f calls out", b.limit, b.meanInFlight)
+	if b.admission.limit > b.inFlight.mean+1 {
+		t.Errorf("8 calls turned away left a window of %.1f with %.0f calls out", b.admission.limit, b.inFlight.mean)
 	}
 }
--- a/requests.go
+++ b/requests.go
@@ -87,7 +87,7 @@
 		request: req, endpoint: ep, number: len(req.attempts), sent: b.now, zone: ep.Zone, cell: ep.Cell,
 	}
 	if a.number == 0 {
-		b.shedShare -= averageWeight / 4 * b.shedShare
+		b.shedding.admitted()
 	}
 	req.attempts = append(req.attempts, a)
 	req.inFlight++
@@ -95,8 +95,7 @@
 	b.spendTokens(ep, req)
 	ep.inFlight++
 	ep.attempts = append(ep.attempts, a)
-	b.inFlight++
-	b.meanInFlight += averageWeight * (float64(b.inFlight) - b.meanInFlight)
+	b.inFlight.begin()
 	timeout := max(b.attemptTimeout(req), b.settings.Tick)
 	b.emit(Send{ID: req.id, Endpoint: ep.ID, Timeout: timeout, NotAfter: before})
 }
@@ -139,7 +138,7 @@
 	a.neverRan = e.Result == Rejected || e.Result == ConnectFailed || e.Result == NotSent
 	a.notSent = e.Result == NotSent
 	req.inFlight--
-	b.inFlight--
+	b.inFlight.end()
 	a.endpoint.inFlight--
 	// A hung server's waits tell nothing of how crowded the others are.
 	if !e.HeldUp && !b.unresponsive(a.endpoint) {
@@ -176,7 +175,7 @@
 		return !a.neverRan && (effect == NonIdempotent || effect == IdempotentByKey && scope != ScopeAll)
 	})
 	if len(req.attempts) == 0 {
-		b.shedShare += averageWeight / 4 * (1 - b.shedShare)
+		b.shedding.shed()
 	}
 	if harmless {
 		// A client sent away for long comes back when its aim is mostly over, and its late answer
--- a/shedding.go
+++ b/shedding.go
@@ -1,24 +1,38 @@
-// Shedding: which requests may fill the window when not all can.
+// Load shedding by priority: which requests may use the concurrency limit when not all can (SRE book,
+// "Handling Overload": criticality; priorities are weights here).
 
 package balancer
 
-// limitShare is the part of the window that a request may fill, by its value against the others': the more
-// is shed, the more room is kept for what is worth most. A hold alone is too short to wait for that, for
-// at a node of few calls seldom two requests wait at once. No class loses more than half of the window,
-// so that none starves.
+// sheddingWeight is the weight of one request in the share of load that is shed.
+const sheddingWeight = averageWeight / 4
+
+// sheddingRate is the share of requests that are answered without an attempt, an exponentially weighted
+// average.
+type sheddingRate struct{ share float64 }
+
+func (s *sheddingRate) admitted() { s.share -= sheddingWeight * s.share }
+
+func (s *sheddingRate) shed() { s.share += sheddingWeight * (1 - s.share) }
+
+// limitShare returns the part of the concurrency limit that a request may use, by its priority against the
+// others': the more load is shed, the more capacity is kept for the highest priority. The queue alone keeps a
+// request too short a time for that, since at a replica of little traffic seldom two wait at once. No class
+// loses more than half of the limit, so that none starves.
 func (b *Balancer) limitShare(req *request) float64 {
-	var sum, n float64
+	var sum, arrivals float64
 	for _, c := range b.classOrder {
-		sum += c.arrivals * b.priority(&request{class: c})
-		n += c.arrivals
+		sum += c.arrivals * b.classPriority(c, false)
+		arrivals += c.arrivals
 	}
-	return min(2, max(0.5, 1+b.shedShare*(b.priority(req)*n/max(sum, 1e-9)-1)))
+	return min(2, max(0.5, 1+b.shedding.share*(b.priority(req)*arrivals/max(sum, 1e-9)-1)))
 }
 
-// priority is what an answer in a class adds to the result for the time it takes, so that shedding
-// hits what is worth least; the class served worst counts extra, so none starves.
-func (b *Balancer) priority(req *request) float64 {
-	c := req.class
+func (b *Balancer) priority(req *request) float64 { return b.classPriority(req.class, req.retry) }
+
+// classPriority returns what an answer in a class is worth for the time it takes, so that what is worth most
+// is shed least; the class that is served worst counts extra, so that none starves. The latency objective of
+// a client's retry runs from its first attempt and is mostly used up.
+func (b *Balancer) classPriority(c *class, retry bool) float64 {
 	var total float64
 	worst := c
 	for _, k := range b.classOrder {
@@ -27,17 +41,17 @@
 			worst = k
 		}
 	}
-	v := b.settings.TotalWeight * c.PriorityWeight / max(total, 1e-9)
+	value := b.settings.TotalWeight * c.PriorityWeight / max(total, 1e-9)
 	if worst == c {
-		v += b.settings.WorstClassWeight / max(c.arrivals, 1e-9)
+		value += b.settings.WorstClassWeight / max(c.arrivals, 1e-9)
 	}
-	if req.retry { // its aim runs from the client's first try and is mostly over
-		v *= c.LateValue
+	if retry {
+		value *= c.LateValue
 	}
-	return v / c.mean
+	return value / c.mean
 }
 
-// dispatchQueued sends held requests while there is room, the most valuable first.
+// dispatchQueued sends requests from the queue while there is capacity, the highest priority first.
 func (b *Balancer) dispatchQueued() {
 	for tries := len(b.queue); tries > 0 && len(b.queue) > 0; tries-- {
 		best := b.queue[0]
--- a/subset.go
+++ b/subset.go
@@ -28,7 +28,7 @@
 // every tier that a request passes. It hurts where a zone's nodes ask for more than its servers carry.
 func (b *Balancer) resizeSubset() {
 	n := float64(b.ready.len())
-	want := max(minSubset, subsetPerInFlight*b.meanInFlight, minReplicasPerEndpoint*b.endpointsPerReplica())
+	want := max(minSubset, subsetPerInFlight*b.inFlight.mean, minReplicasPerEndpoint*b.endpointsPerReplica())
 	if b.subsetSize > 0 && want <= float64(b.subsetSize) && want > float64(b.subsetSize)/3 {
 		return
 	}
