--- a/balancer.go
+++ b/balancer.go
@@ -29,7 +29,7 @@
 	classes    map[string]*class
 	classOrder []*class // every class in the order of the settings, then the unknown one
 
-	badShare        float64 // share of bad endings, overlong answers among them, of all attempts
+	badResults      badResults
 	lastSuccess     time.Duration
 	meanWork        float64 // hinted on average, in ns
 	workHints       float64 // heard so far
@@ -54,7 +54,7 @@
 	b := &Balancer{
 		rng:       rand.New(rand.NewPCG(seed, 0x51a7e)),
 		endpoints: map[string]*endpoint{}, requests: map[string]*request{},
-		badShare: 0.02, retries: newRetryBudget(),
+		badResults: badResults{firstBadShare}, retries: newRetryBudget(),
 	}
 	b.applySettings(set)
 	return b, nil
--- a/classes.go
+++ b/classes.go
@@ -49,6 +49,9 @@
 	return true
 }
 
+// isSlow says that an answer after so many nanoseconds is slow for the class.
+func (c *class) isSlow(latency float64) bool { return latency > c.mean+slowDeviations*c.deviation }
+
 // slowLatency returns the latency that most answers of the class stay well under.
 func (c *class) slowLatency() time.Duration {
 	return time.Duration(c.mean + slowDeviations*c.deviation)
--- a/eligibility.go
+++ b/eligibility.go
@@ -50,7 +50,7 @@
 	most := int(maxExcludedShare * (1 - b.shedding.share) * float64(b.ready.len()))
 	if len(sick) > most {
 		sort.SliceStable(sick, func(i, j int) bool {
-			return sick[i].consecutiveFailures > sick[j].consecutiveFailures
+			return sick[i].ejection.consecutiveFailures > sick[j].ejection.consecutiveFailures
 		})
 		for _, ep := range sick[most:] {
 			ep.excluded = false
@@ -80,16 +80,6 @@
 	return min(b.rejectionLimit(ep), 1+b.inFlight.now/max(1, b.subsetSize))
 }
 
-// rejectionLimit is the count of own calls at which a server is passed over because it refused one more a
-// while ago: its queue or its connections, which other copies hold idle, are full, and refusals
-// come at once and drain its count. It is not ill, so the cap on those ruled out does not apply.
-func (b *Balancer) rejectionLimit(ep *endpoint) int {
-	if b.now < ep.rejectedUntil {
-		return ep.rejectedAt
-	}
-	return math.MaxInt
-}
-
 // tried says that the request has been to the server before.
 func tried(req *request, ep *endpoint) bool {
 	return slices.ContainsFunc(req.attempts, func(a *attempt) bool { return a.endpoint == ep })
@@ -105,14 +95,3 @@
 		return !a.neverRan && req.class.Scope != ScopeAll && (a.zone != ep.Zone || !inCell)
 	})
 }
-
-// isUnhealthy says that a server should not be drawn now for its health.
-func (b *Balancer) isUnhealthy(ep *endpoint, req *request) bool {
-	if b.now < ep.ejectedUntil || b.unresponsive(ep) {
-		return true
-	}
-	// After an ejection one safe trial at a time decides: a bad server must not eat a request that
-	// cannot be repeated, nor many at once.
-	onTrial := ep.ejectionLevel > 0 && ep.consecutiveSuccesses == 0
-	return onTrial && (req.class.Effect == NonIdempotent || ep.inFlight > 0)
-}
--- a/endpoints.go
+++ b/endpoints.go
@@ -14,20 +14,14 @@
 	inFlight int        // own calls in flight
 	attempts []*attempt // the same calls in order of sending
 
-	consecutiveFailures   int // bad endings in a row
-	ejectionLevel         int // doublings of the next ejection
-	consecutiveSuccesses  int // good endings in a row
-	ejectedUntil          time.Duration
-	latencyRatio          float64 // mean log of latency over the class mean
-	samples               int
-	lastSuccess           time.Duration
-	rejectedAt            int           // own calls that it had taken when it refused one more
-	rejectedUntil         time.Duration // no more than room until then
-	consecutiveRejections int           // in a row
-	excluded              bool          // ruled out for the request at hand
-	inSubset              bool          // in this node's pool
-	tokens                tokenBucket   // to send to it while it is cold
-	failureShares         map[*classStats]decayingShare
+	lastSuccess time.Duration
+	latency     relativeLatency
+	ejection    ejection
+	rejections  rejections
+	failures    failureRates
+	tokens      tokenBucket // to send to it while it warms up
+	excluded    bool        // for its health, from the pick for the request at hand
+	inSubset    bool        // in this replica's subset
 }
 
 // isReady says that a server is listed and may be sent requests.
--- a/heldup_test.go
+++ b/heldup_test.go
@@ -28,9 +28,9 @@
 			now += 400 * msec
 			b.Handle(now, AttemptEnded{ID: id, Endpoint: sent[0].Endpoint, Result: e, Latency: 400 * msec, Answered: true, HeldUp: true})
 		}
-		if b.badShare != before.badShare || b.admission.limit != before.admission.limit || b.admission.meanOverTarget != before.admission.meanOverTarget || b.lastSuccess != before.lastSuccess {
+		if b.badResults.share != before.badResults.share || b.admission.limit != before.admission.limit || b.admission.meanOverTarget != before.admission.meanOverTarget || b.lastSuccess != before.lastSuccess {
 			t.Errorf("ending %d: errors %v, window %v, crowding %v; had %v, %v, %v", e,
-				b.badShare, b.admission.limit, b.admission.meanOverTarget, before.badShare, before.admission.limit, before.admission.meanOverTarget)
+				b.badResults.share, b.admission.limit, b.admission.meanOverTarget, before.badResults.share, before.admission.limit, before.admission.meanOverTarget)
 		}
 		if now := *b.classes["get"].classStats; now.mean != failing.mean || now.failureShare != failing.failureShare {
 			t.Errorf("ending %d: mean %v, failing %v; had %v, %v", e, now.mean, now.failureShare, failing.mean, failing.failureShare)
@@ -46,7 +46,7 @@
 // withoutSends is a server but for what a send alone changes.
 func withoutSends(s endpoint) endpoint {
 	s.inFlight, s.attempts, s.excluded, s.inSubset, s.tokens = 0, nil, false, false, tokenBucket{}
-	s.failureShares = maps.Clone(s.failureShares)
+	s.failures = maps.Clone(s.failures)
 	return s
 }
 
--- a/outlier.go
+++ b/outlier.go
@@ -1,4 +1,4 @@
-// Outlier detection and ejection.
+// Outlier detection by success rate, as in Envoy: an endpoint that fails more than the others is sent less.
 
 package balancer
 
@@ -7,132 +7,70 @@
 	"time"
 )
 
-// Constants are shares, ratios or counts; every length of time is a setting or was observed.
+// Constants of the success rate.
 const (
-	endpointAverageWeight = 0.25 // weight of a new sample in a single server's averages
-	// a run of bad endings likelier than this by the share of them among all is luck
-	luckProbability   = 0.08
-	recoverySuccesses = 3    // good endings that take one doubling of a later ejection back
-	failureWeight     = 0.15 // weight of a new ending in a server's share of failures in a class
-	// mean latencies in which that share falls to a third, if nothing else is heard
-	failureDecay = 36
-	// power of its share of good endings, against all servers', that it is drawn by
-	failurePower     = 3.0
-	failureMargin    = 0.8 // what that share may fall to by chance, without being drawn less
-	baseEjection     = 12  // mean latencies that a first ejection, or a lack of room, lasts
-	maxEjectionLevel = 5   // doublings of an ejection
+	failureWeight = 0.15 // weight of a new result in an endpoint's failure rate for a class
+	failureDecay  = 36   // mean latencies in which a failure rate falls to a third when nothing new is known
+	failureMargin = 0.8  // ratio of success rates down to which an endpoint is no outlier
+	failurePower  = 3.0  // power of that ratio, below the margin, that an endpoint is eligible with
 )
 
-// decayingShare is a share that is the less sure the longer ago it was seen.
-type decayingShare struct {
+// failureRate is a share of attempts that failed. It is the less certain the longer ago it was seen.
+type failureRate struct {
 	share float64
 	at    time.Duration
 }
 
-// isOutlier says, by a draw, that a server should not get a class now, by its share of good endings against
-// all servers'. One that fails at once, in part or one class only, drains its count and wins, and what it
-// serves ends each run of bad endings; one that lets most time out holds its part of the window. Where all
-// fail alike none is an outlier: no cap is needed. It hurts where a few unlucky endings are all that's known.
-func (b *Balancer) isOutlier(ep *endpoint, c *class) bool {
-	if len(ep.failureShares) == 0 { // nothing has failed there, as for most servers of a long list
-		return false
-	}
-	good := 1.0
-	for _, k := range []*class{c, b.classes[""]} { // that one stands for all together
-		good = min(good, (1-b.failureShare(ep, k.classStats, c))/(1-k.failureShare))
-	}
-	return good < failureMargin && b.rng.Float64() >= math.Pow(good/failureMargin, failurePower)
+// after returns what counts of the rate now, when answers take meanLatency nanoseconds.
+func (f failureRate) after(now time.Duration, meanLatency float64) float64 {
+	return f.share * math.Exp(-float64(now-f.at)/(failureDecay*meanLatency))
 }
 
-// failing is what is left of a server's share of failures in k, by the time that answers of c take.
-func (b *Balancer) failureShare(ep *endpoint, k *classStats, c *class) float64 {
-	f := ep.failureShares[k]
-	return f.share * math.Exp(-float64(b.now-f.at)/(failureDecay*c.mean))
+// failureRates are an endpoint's failure rates, for each class that was sent to it and for all together.
+type failureRates map[*classStats]failureRate
+
+// observe takes in that an attempt failed (1) or did not (0), for one class and in one endpoint.
+func (f failureRates) observe(k *classStats, failed float64, now time.Duration, meanLatency float64) {
+	share := f[k].after(now, meanLatency)
+	f[k] = failureRate{share + failureWeight*(failed-share), now}
 }
 
-// observeAttempt learns from an ending: the class's latency, the server's health relative to its peers.
-func (b *Balancer) observeAttempt(a *attempt, e AttemptEnded) {
-	ep, c := a.endpoint, a.request.class
-	took := max(1, float64(b.now-a.sent)) // a coarse clock may show none, and its logarithm no server
-	late := took > c.mean+slowDeviations*c.deviation
-	b.observeFailureShare(ep, c, e.Result)
-	switch e.Result {
-	case Success:
-		b.retries.earn()
-		b.lastSuccess, ep.lastSuccess = b.now, b.now
-		late = c.observe(took) && late
-		ep.consecutiveRejections = 0
-		b.observeCapacity(ep)
-	case Rejected, ConnectFailed:
-		b.observeRejection(ep, c)
-		return
-	case ServerError, ConnectionLost, TimedOut:
-	case Cancelled:
-		if !late {
-			return
-		}
-	default:
-		return
-	}
-	if late || e.Result == Success {
-		ep.samples++
-		weight := max(endpointAverageWeight, 1/float64(ep.samples+1))
-		ep.latencyRatio += weight * (math.Log(took/c.mean) - ep.latencyRatio)
+// isOutlier says, by a random draw, that an endpoint should not be sent a class now, by its success rate
+// against that of all endpoints. One that fails at once, in part or in one class only, has few requests
+// in flight and wins the pick, and its successes end each run of failures; one that lets most attempts time
+// out keeps its part of the concurrency limit. Where all fail alike none is an outlier, so this exclusion
+// needs no cap. It hurts where a few failures by chance are all that is known.
+func (b *Balancer) isOutlier(ep *endpoint, c *class) bool {
+	if len(ep.failures) == 0 { // nothing has failed there, as for most endpoints of a long list
+		return false
 	}
-	if late || e.Result != Success {
-		b.observeFailure(ep, c)
-	} else {
-		b.observeSuccess(ep)
+	ratio := 1.0
+	for _, k := range b.classAndTotal(c) {
+		ratio = min(ratio, (1-ep.failures[k].after(b.now, c.mean))/(1-k.failureShare))
 	}
+	return ratio < failureMargin && b.rng.Float64() >= math.Pow(ratio/failureMargin, failurePower)
+}
+
+// classAndTotal returns the statistics of a class, and of the unknown class, which stands for all together.
+func (b *Balancer) classAndTotal(c *class) [2]*classStats {
+	return [2]*classStats{c.classStats, b.classes[""].classStats}
 }
 
-// observeFailureShare notes in the server's share of failures, and in all servers', how an attempt of a class
-// ended.
-func (b *Balancer) observeFailureShare(ep *endpoint, c *class, result AttemptResult) {
-	now := 0.0
+// observeFailureRate takes in a result that tells of the endpoint, for its class and for all together.
+func (b *Balancer) observeFailureRate(ep *endpoint, c *class, result AttemptResult) {
+	failed := 0.0
 	switch result {
 	case Success:
 	case ServerError, TimedOut:
-		now = 1
+		failed = 1
 	default:
 		return
 	}
-	if ep.failureShares == nil {
-		ep.failureShares = map[*classStats]decayingShare{}
+	if ep.failures == nil {
+		ep.failures = failureRates{}
 	}
-	for _, k := range []*class{c, b.classes[""]} {
-		share := b.failureShare(ep, k.classStats, c)
-		ep.failureShares[k.classStats] = decayingShare{share + failureWeight*(now-share), b.now}
-		k.failureShare += averageWeight * (now - k.failureShare)
-	}
-}
-
-// observeRejection notes how many own calls a server had when it refused one more.
-func (b *Balancer) observeRejection(ep *endpoint, c *class) {
-	ep.rejectedAt = ep.inFlight
-	wait := time.Duration((0.5 + b.rng.Float64()) * baseEjection * c.mean)
-	ep.rejectedUntil = b.now + wait<<ep.consecutiveRejections
-	ep.consecutiveRejections = min(ep.consecutiveRejections+1, maxEjectionLevel)
-}
-
-func (b *Balancer) observeSuccess(ep *endpoint) {
-	ep.consecutiveFailures = 0
-	if ep.consecutiveSuccesses++; ep.consecutiveSuccesses >= recoverySuccesses && ep.ejectionLevel > 0 {
-		ep.ejectionLevel, ep.consecutiveSuccesses = ep.ejectionLevel-1, 1
-	}
-	b.badShare = max(0.01, b.badShare-averageWeight*b.badShare)
-}
-
-// observeFailure counts a bad ending, and ejects the server when a run of them is no luck.
-// Trouble that strikes everywhere comes from the tier below or from the load; ejecting on it would
-// leave nobody. A run counts only if the peers' share of bad endings makes it unlikely.
-func (b *Balancer) observeFailure(ep *endpoint, c *class) {
-	ep.consecutiveFailures++
-	ep.consecutiveSuccesses = 0
-	if math.Pow(b.badShare, float64(ep.consecutiveFailures)) < luckProbability && b.now >= ep.ejectedUntil {
-		// doubles while its trials fail
-		ep.ejectedUntil = b.now + time.Duration(baseEjection*c.mean)<<ep.ejectionLevel
-		ep.ejectionLevel = min(ep.ejectionLevel+1, maxEjectionLevel)
+	for _, k := range b.classAndTotal(c) {
+		ep.failures.observe(k, failed, b.now, c.mean)
+		k.failureShare += averageWeight * (failed - k.failureShare)
 	}
-	b.badShare += averageWeight * (1 - b.badShare)
 }
--- a/pick.go
+++ b/pick.go
@@ -41,7 +41,7 @@
 // the fleet could carry, and a node's own counts are too small to show it. One node's samples are
 // few, but the errors of many nodes cancel out.
 func (b *Balancer) weight(ep *endpoint) float64 {
-	w := math.Exp(-max(ep.latencyRatio, -1))
+	w := math.Exp(-max(ep.latency.logRatio, -1))
 	if ep.Capacity > 0 {
 		w *= min(ep.Capacity, 1e6) // an infinite weight would draw nobody
 	}
--- a/policy_test.go
+++ b/policy_test.go
@@ -233,7 +233,7 @@
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 	s := b.endpoints["s03"]
-	s.ejectionLevel, s.ejectedUntil = 1, 0
+	s.ejection.level, s.ejection.until = 1, 0
 	if got := traffic(b, 400, "pay", func(string) AttemptResult { return Success }); got["s03"] != 0 {
 		t.Errorf("a server on trial got %d unsafe requests", got["s03"])
 	}
@@ -370,7 +370,7 @@
 		b := newBalancer(t, nil)
 		b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(20)})
 		for _, s := range b.ready.all[:10] {
-			s.ejectedUntil = time.Minute
+			s.ejection.until = time.Minute
 		}
 		b.shedding.share = c.shed
 		out := 0
@@ -488,7 +488,7 @@
 	list[0].Capacity = 2
 	b := newBalancer(t, func(s *Settings) { s.Tier, s.Replicas = 1, 1 })
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: list})
-	b.endpoints["s02"].latencyRatio = math.Log(2)
+	b.endpoints["s02"].latency.logRatio = math.Log(2)
 	got := map[string]int{}
 	for range 9000 {
 		got[b.choose(&request{class: b.classes["get"]}).ID]++
@@ -612,7 +612,7 @@
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(8)})
 	s := sends(b.Handle(msec, Request{ID: "a", Class: "get", Deadline: time.Second}))[0]
 	settle(b, 3*msec, "a", s, Success)
-	if got := b.endpoints[s.Endpoint].latencyRatio; got < -0.1 {
+	if got := b.endpoints[s.Endpoint].latency.logRatio; got < -0.1 {
 		t.Errorf("the first answer made its server look %.1f in log latency", got)
 	}
 }
@@ -704,11 +704,11 @@
 		b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 		b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 		traffic(b, 40, "get", func(string) AttemptResult { return Success })
-		b.badShare = c.common
+		b.badResults.share = c.common
 		now := b.now
 		s := sends(b.Handle(now, Request{ID: "slow", Class: "get", Deadline: now + time.Second}))[0]
 		settle(b, now+400*msec, "slow", s, Success)
-		if out := b.endpoints[s.Endpoint].ejectedUntil > b.now; out != c.want {
+		if out := b.endpoints[s.Endpoint].ejection.until > b.now; out != c.want {
 			t.Errorf("with %.2f of answers overlong: ejected %v, want %v", c.common, out, c.want)
 		}
 	}
--- a/reconfigure.go
+++ b/reconfigure.go
@@ -49,7 +49,7 @@
 		b.subsetSize = 0
 	}
 	for _, ep := range b.endpoints { // what is still out of a class that has gone may bring its share back
-		maps.DeleteFunc(ep.failureShares, func(l *classStats, _ decayingShare) bool {
+		maps.DeleteFunc(ep.failures, func(l *classStats, _ failureRate) bool {
 			return !slices.ContainsFunc(b.classOrder, func(k *class) bool { return k.classStats == l })
 		})
 	}
--- a/reconfigure_test.go
+++ b/reconfigure_test.go
@@ -72,7 +72,7 @@
 		return Success
 	})
 	open := sends(b.Handle(b.now, Request{ID: "open", Class: "get", Deadline: b.now + time.Second}))[0]
-	mean, calls, until := b.classes["get"].mean, b.endpoints[open.Endpoint].inFlight, b.endpoints["s02"].ejectedUntil
+	mean, calls, until := b.classes["get"].mean, b.endpoints[open.Endpoint].inFlight, b.endpoints["s02"].ejection.until
 	if calls == 0 || until == 0 {
 		t.Fatalf("%d calls out, ejected until %v: nothing to keep", calls, until)
 	}
@@ -87,7 +87,7 @@
 	if got := b.endpoints[open.Endpoint].inFlight; got != calls {
 		t.Errorf("%d calls, want %d", got, calls)
 	}
-	if got := b.endpoints["s02"].ejectedUntil; got != until {
+	if got := b.endpoints["s02"].ejection.until; got != until {
 		t.Errorf("ejected until %v, want %v", got, until)
 	}
 	if b.classes["get"].LatencyObjective != set.Classes[0].LatencyObjective || b.classes["new"] == nil {
@@ -115,8 +115,8 @@
 		t.Errorf("%d classes, %d in order, want 4", len(b.classes), len(b.classOrder))
 	}
 	for id, s := range b.endpoints {
-		if len(s.failureShares) > 4 {
-			t.Errorf("%s: shares of %d classes", id, len(s.failureShares))
+		if len(s.failures) > 4 {
+			t.Errorf("%s: shares of %d classes", id, len(s.failures))
 		}
 	}
 }
--- a/requests.go
+++ b/requests.go
@@ -141,12 +141,12 @@
 	b.inFlight.end()
 	a.endpoint.inFlight--
 	// A hung server's waits tell nothing of how crowded the others are.
-	if !e.HeldUp && !b.unresponsive(a.endpoint) {
+	if !e.HeldUp && !b.isUnresponsive(a.endpoint) {
 		b.adjustLimit(req, e)
 	}
 	a.endpoint.attempts = slices.DeleteFunc(a.endpoint.attempts, func(o *attempt) bool { return o == a })
 	if !e.HeldUp {
-		b.observeAttempt(a, e)
+		b.observeAttempt(a, e.Result)
 	}
 	if !a.endpoint.listed && a.endpoint.inFlight == 0 && b.endpoints[a.endpoint.ID] == a.endpoint {
 		delete(b.endpoints, a.endpoint.ID)
--- a/unresponsive.go
+++ b/unresponsive.go
@@ -1,14 +1,16 @@
-// Unresponsive servers.
+// Unresponsive endpoints: suspicion by comparison with the others, long before a timeout.
 
 package balancer
 
-// unresponsive says that an old call to the server is unanswered while a younger one was answered
-// elsewhere: a machine gone quiet, hung or pausing shows nothing else until time-outs end.
-func (b *Balancer) unresponsive(ep *endpoint) bool {
+// isUnresponsive says that an old attempt at the endpoint is unanswered while the endpoint has answered no
+// later one and another endpoint has: a machine that hangs, pauses or has lost its network shows nothing else
+// until its attempts time out.
+func (b *Balancer) isUnresponsive(ep *endpoint) bool {
 	if len(ep.attempts) == 0 {
 		return false
 	}
-	a := ep.attempts[0]
-	wait := a.request.class.slowLatency()
-	return b.now-a.sent > wait && b.lastSuccess > a.sent+wait/2 && ep.lastSuccess < a.sent+wait/2
+	oldest := ep.attempts[0]
+	wait := oldest.request.class.slowLatency()
+	recent := oldest.sent + wait/2
+	return b.now-oldest.sent > wait && b.lastSuccess > recent && ep.lastSuccess < recent
 }
