--- a/admission.go
+++ b/admission.go
@@ -117,11 +117,6 @@
 	return b.ready.len() == 0 || b.settings.Tier == 0 && !b.admission.admits(inFlight, b.limitShare(req))
 }
 
-// endpointsPerReplica returns how many endpoints there are for each replica of this tier.
-func (b *Balancer) endpointsPerReplica() float64 {
-	return float64(b.ready.len()) / float64(max(1, b.settings.Replicas))
-}
-
 // minLimit returns the limit that holds at least.
 func (b *Balancer) minLimit() float64 { return minLimitPerEndpoint * b.endpointsPerReplica() }
 
--- a/balancer.go
+++ b/balancer.go
@@ -21,9 +21,7 @@
 	actions    []Action
 	endpoints  map[string]*endpoint
 	ready      endpointSet // the ready servers
-	groups     groupPair   // the two groups of the design
-	subset     groupPair   // the part of each that this node draws from
-	subsetSize int         // servers in the pool
+	subset     subset
 	requests   map[string]*request
 	queue      []*request
 	classes    map[string]*class
--- a/capacity.go
+++ b/capacity.go
@@ -64,7 +64,7 @@
 
 // subsetCapacity is what the warm and the cold servers of the pool can do, in warm servers.
 func (b *Balancer) subsetCapacity() (warm, cold float64) {
-	for _, group := range [][]*endpoint{b.subset.left, b.subset.right} {
+	for _, group := range [][]*endpoint{b.subset.own.left, b.subset.own.right} {
 		for _, ep := range group {
 			if w := b.capacityShare(ep); w == 1 {
 				warm++
--- a/eligibility.go
+++ b/eligibility.go
@@ -1,4 +1,5 @@
-// Eligibility: which servers a request may be sent to now.
+// Eligibility: which endpoints a request may be sent to now. Unhealthy ones are excluded up to a share of the
+// list (the panic threshold of Envoy, its max_ejection_percent).
 
 package balancer
 
@@ -8,85 +9,94 @@
 	"sort"
 )
 
-// Constants are shares, ratios or counts; every length of time is a setting or was observed.
-const (
-	maxExcludedShare = 0.2 // share of the list that health may exclude; beyond that all are drawn
-)
+// maxExcludedShare is the share of the list that may be excluded for its health; beyond that, only the worst
+// are.
+const maxExcludedShare = 0.2
+
+// candidates are endpoints to choose from, and how strictly.
+type candidates struct {
+	groups          groupPair
+	excludeOutliers bool
+	// warmingUp allows that all of them are warming up, and that a first attempt goes to an idle one without
+	// the draw of slow start. Else a subset that is warming up as a whole would take the requests of an
+	// endpoint that is not, while the rest of the list isn't.
+	warmingUp bool
+}
 
-// chooseAmong picks among those servers that a request may go to: in its scope, not tried by it, fit,
-// warm enough and, as long as that leaves any, with room and not crowded with own calls. Only where
-// anyCold is set may all of them be cold, and may a first try go to an idle cold one whatever the
-// thinning: a pool may be cold as a whole, and would take a warm one's calls, while the rest is warm.
-func (b *Balancer) chooseAmong(g groupPair, req *request, anyCold, ejectOutliers bool) *endpoint {
-	b.excludeUnhealthy(g, req, ejectOutliers)
+// chooseFrom picks among the candidates that a request may be sent to: in its scope, not tried by it, healthy
+// and, as long as that leaves any, below the limits on what is in flight to one endpoint.
+func (b *Balancer) chooseFrom(from candidates, req *request) *endpoint {
+	b.excludeUnhealthy(from, req)
 	unlimited := func(*endpoint) int { return math.MaxInt }
-	for _, limit := range []func(*endpoint) int{b.inFlightLimit, b.rejectionLimit, unlimited} {
-		left, idleLeft := b.eligible(g.left, req, limit)
-		right, idleRight := b.eligible(g.right, req, limit)
-		isWarm := func(ep *endpoint) bool { return b.capacityShare(ep) == 1 }
-		if anyCold && len(left)+len(right) > 0 || slices.ContainsFunc(append(left, right...), isWarm) {
+	for _, limit := range []func(*endpoint) int{b.endpointLimit, b.rejectionLimit, unlimited} {
+		left, idleLeft := b.eligible(from.groups.left, req, limit)
+		right, idleRight := b.eligible(from.groups.right, req, limit)
+		admitted := append(left, right...)
+		if from.warmingUp && len(admitted) > 0 || slices.ContainsFunc(admitted, b.isWarm) {
 			return b.pick(left, right)
 		}
-		if anyCold && len(idleLeft)+len(idleRight) > 0 {
+		if from.warmingUp && len(idleLeft)+len(idleRight) > 0 {
 			return b.pick(idleLeft, idleRight)
 		}
 	}
 	return nil
 }
 
-// excludeUnhealthy marks the servers that health keeps out. When many look bad to one node, the fault is
-// likelier its own or the tier below's, and those left would take all the load: only the worst are
-// kept out, up to a set share of the list, and fewer the more is shed: in overload every server is
-// missed, and time-outs show load rather than ill health.
-func (b *Balancer) excludeUnhealthy(g groupPair, req *request, ejectOutliers bool) {
-	var sick []*endpoint
-	for _, ep := range slices.Concat(g.left, g.right) {
-		ep.excluded = ejectOutliers && b.isOutlier(ep, req.class)
+// excludeUnhealthy marks the candidates that are excluded for their health. When many seem unhealthy to one
+// replica, the fault is more likely its own or the tier below's, and the few others would take all the load.
+// So only the worst are excluded, up to a share of the list, and fewer the more load is shed: in overload
+// every endpoint is needed, and timeouts show load rather than ill health.
+func (b *Balancer) excludeUnhealthy(from candidates, req *request) {
+	var unhealthy []*endpoint
+	for _, ep := range slices.Concat(from.groups.left, from.groups.right) {
+		ep.excluded = from.excludeOutliers && b.isOutlier(ep, req.class)
 		if !ep.excluded && b.isUnhealthy(ep, req) {
 			ep.excluded = true
-			sick = append(sick, ep)
+			unhealthy = append(unhealthy, ep)
 		}
 	}
 	most := int(maxExcludedShare * (1 - b.shedding.share) * float64(b.ready.len()))
-	if len(sick) > most {
-		sort.SliceStable(sick, func(i, j int) bool {
-			return sick[i].ejection.consecutiveFailures > sick[j].ejection.consecutiveFailures
-		})
-		for _, ep := range sick[most:] {
-			ep.excluded = false
-		}
+	if len(unhealthy) <= most {
+		return
+	}
+	sort.SliceStable(unhealthy, func(i, j int) bool {
+		return unhealthy[i].ejection.consecutiveFailures > unhealthy[j].ejection.consecutiveFailures
+	})
+	for _, ep := range unhealthy[most:] {
+		ep.excluded = false
 	}
 }
 
-// eligible lists the servers of a group that pass, and the cold ones that would but for the thinning.
+// eligible returns the endpoints of a group that the request may be sent to, and the idle ones that only the
+// draw of slow start keeps out.
 func (b *Balancer) eligible(
 	group []*endpoint, req *request, limit func(*endpoint) int,
-) (warm, idle []*endpoint) {
+) (admitted, idle []*endpoint) {
 	for _, ep := range group {
 		switch {
-		case ep.excluded || ep.inFlight >= limit(ep) || !b.inScope(req, ep) || tried(req, ep):
+		case ep.excluded || ep.inFlight >= limit(ep) || !req.inScope(ep) || req.tried(ep):
 		case b.admitsInSlowStart(ep, req):
-			warm = append(warm, ep)
+			admitted = append(admitted, ep)
 		case ep.inFlight == 0 && len(req.attempts) == 0 && b.hasTokens(ep):
 			idle = append(idle, ep)
 		}
 	}
-	return warm, idle
+	return admitted, idle
 }
 
-// inFlightLimit is the count of own calls at which a server is passed over: uniform draws now and then
-// meet the same few servers twice, and a crowd of several nodes' calls there chokes it.
-func (b *Balancer) inFlightLimit(ep *endpoint) int {
-	return min(b.rejectionLimit(ep), 1+b.inFlight.now/max(1, b.subsetSize))
+// endpointLimit is the count of requests in flight from which an endpoint is passed over: random draws meet
+// the same few endpoints twice now and then, and what several replicas send there together overloads them.
+func (b *Balancer) endpointLimit(ep *endpoint) int {
+	return min(b.rejectionLimit(ep), 1+b.inFlight.now/max(1, b.subset.size))
 }
 
-// tried says that the request has been to the server before.
-func tried(req *request, ep *endpoint) bool {
+// tried says that the request has been sent to the endpoint before.
+func (req *request) tried(ep *endpoint) bool {
 	return slices.ContainsFunc(req.attempts, func(a *attempt) bool { return a.endpoint == ep })
 }
 
-// inScope keeps a keyed request that may have run to the servers that discard its repeats.
-func (b *Balancer) inScope(req *request, ep *endpoint) bool {
+// inScope says that the endpoint discards the repeat of a request with an idempotency key that may have run.
+func (req *request) inScope(ep *endpoint) bool {
 	if req.class.Effect != IdempotentByKey {
 		return true
 	}
--- a/endpoints.go
+++ b/endpoints.go
@@ -1,18 +1,15 @@
-// The endpoint list: complete lists and changes of it, applied to the servers that are known.
+// The endpoint list: complete lists and changes of it, applied to the endpoints that are known.
 
 package balancer
 
-import (
-	"math"
-	"time"
-)
+import "time"
 
-// endpoint is a listed server, or one that left with calls of ours still out.
+// endpoint is a listed endpoint, or one that left the list while attempts of this replica were in flight.
 type endpoint struct {
 	Endpoint
 	listed   bool
-	inFlight int        // own calls in flight
-	attempts []*attempt // the same calls in order of sending
+	inFlight int        // this replica's attempts in flight
+	attempts []*attempt // the same attempts in order of sending
 
 	lastSuccess time.Duration
 	latency     relativeLatency
@@ -24,19 +21,18 @@
 	inSubset    bool        // in this replica's subset
 }
 
-// isReady says that a server is listed and may be sent requests.
+// isReady says that an endpoint is listed and may be sent requests.
 func (ep *endpoint) isReady() bool { return ep.listed && ep.State == Ready }
 
-// updateEndpoints applies an update of the endpoint list and cuts the two groups anew.
+// updateEndpoints applies an update of the endpoint list and cuts the two groups anew. A list from the host's
+// cache may be out of date, so a subscription is still wanted.
 func (b *Balancer) updateEndpoints(e EndpointUpdate) {
 	if e.Complete {
 		b.replaceList(e.Endpoints)
 	} else {
 		b.applyChanges(e.Endpoints)
 	}
-	cut := int(math.Ceil(leftShare * float64(b.ready.len())))
-	b.groups = groupPair{b.ready.all[:cut], b.ready.all[cut:]}
-	b.subsetSize = 0
+	b.subset.cut(b.ready.all)
 	b.admission.start(b.minLimit())
 	if e.Cached {
 		b.scheduleSubscribe()
@@ -51,14 +47,14 @@
 	for _, entry := range entries {
 		b.applyChange(entry)
 	}
-	for _, entry := range entries { // at the end, as a server may be named twice
+	for _, entry := range entries { // at the end, as an endpoint may be named twice
 		if ep := b.endpoints[entry.ID]; ep != nil {
 			b.forgetEndpoint(ep)
 		}
 	}
 }
 
-// applyChange applies a changed entry, and moves its server in the set of ready ones where it has to.
+// applyChange applies a changed entry, and moves its endpoint in the set of ready ones where it has to.
 func (b *Balancer) applyChange(entry Endpoint) {
 	ep := b.endpoints[entry.ID]
 	wasReady := ep != nil && ep.isReady()
@@ -72,7 +68,7 @@
 	}
 }
 
-// replaceList applies a complete endpoint list: a server that it does not name is gone.
+// replaceList applies a complete endpoint list: an endpoint that it does not name is removed.
 func (b *Balancer) replaceList(entries []Endpoint) {
 	for _, ep := range b.endpoints {
 		ep.listed = false
@@ -92,7 +88,7 @@
 	}
 }
 
-// updateEntry takes over an entry of the endpoint list. A new boot time resets what is known of the server.
+// updateEntry takes over an entry of the endpoint list. After a restart nothing is known of the endpoint.
 func (b *Balancer) updateEntry(entry Endpoint) *endpoint {
 	ep := b.endpoints[entry.ID]
 	if ep == nil {
@@ -106,7 +102,7 @@
 	return ep
 }
 
-// forgetEndpoint drops a server that has left the list once no call to it is out.
+// forgetEndpoint drops an endpoint that has left the list once no attempt at it is in flight.
 func (b *Balancer) forgetEndpoint(ep *endpoint) {
 	if !ep.listed && ep.inFlight == 0 {
 		delete(b.endpoints, ep.ID)
--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -176,12 +176,12 @@
 }
 
 func (r *listRun) check() {
-	want, pools := r.ref.groups(r.b.settings, r.b.subsetSize)
-	r.same("left group", serverIDs(r.b.groups.left), want[0])
-	r.same("right group", serverIDs(r.b.groups.right), want[1])
-	if r.b.subsetSize > 0 { // else the next request cuts the pool anew
-		r.same("left pool", serverIDs(r.b.subset.left), pools[0])
-		r.same("right pool", serverIDs(r.b.subset.right), pools[1])
+	want, pools := r.ref.groups(r.b.settings, r.b.subset.size)
+	r.same("left group", serverIDs(r.b.subset.all.left), want[0])
+	r.same("right group", serverIDs(r.b.subset.all.right), want[1])
+	if r.b.subset.size > 0 { // else the next request cuts the pool anew
+		r.same("left pool", serverIDs(r.b.subset.own.left), pools[0])
+		r.same("right pool", serverIDs(r.b.subset.own.right), pools[1])
 		var marked []string
 		for _, s := range r.b.ready.all {
 			if s.inSubset {
--- a/endpointset.go
+++ b/endpointset.go
@@ -1,4 +1,4 @@
-// The ready servers, in the order that all copies share.
+// The ready endpoints, in the order that all replicas share.
 
 package balancer
 
@@ -8,23 +8,23 @@
 	"strings"
 )
 
-// endpointSet holds the ready servers sorted by id, an order that all copies see alike. The same servers are
-// kept a second time, sorted as well, in two lists: those of this copy's own zone and those of the others.
-// A change of one server costs a few binary searches and moves of pointers, however many there are.
+// endpointSet holds the ready endpoints sorted by id, an order that all replicas share. It holds the same
+// endpoints a second time, sorted as well, in two lists: those of this replica's own zone and the others.
+// A change of one endpoint costs a few binary searches and moves of pointers, however many there are.
 type endpointSet struct {
 	all    []*endpoint
 	byZone zoneSplit
-	zone   string      // this copy's own
-	subset []*endpoint // those marked as pooled
+	zone   string      // this replica's own
+	subset []*endpoint // those marked as in the subset
 	newest *endpoint   // the one started last; nil: not known at present
 }
 
-// zoneSplit is a list of servers in two parts: those of this copy's own zone, and the others.
+// zoneSplit is a list of endpoints in two parts: those of this replica's own zone, and the others.
 type zoneSplit struct{ own, others []*endpoint }
 
 func (e *endpointSet) len() int { return len(e.all) }
 
-// list returns that part of the split that a server of the zone belongs to.
+// list returns that part of the split that an endpoint of the zone belongs to.
 func (e *endpointSet) list(zone string) *[]*endpoint {
 	if zone == e.zone {
 		return &e.byZone.own
@@ -32,7 +32,7 @@
 	return &e.byZone.others
 }
 
-// insert adds a server that is not in the set.
+// insert adds an endpoint that is not in the set.
 func (e *endpointSet) insert(ep *endpoint) {
 	insertByID(&e.all, ep)
 	insertByID(e.list(ep.Zone), ep)
@@ -44,8 +44,8 @@
 	}
 }
 
-// remove takes out a server that is in the set. Its id, zone and boot must still be those it was inserted
-// with.
+// remove takes out an endpoint that is in the set. Its id, zone and start must still be those that it was
+// inserted with.
 func (e *endpointSet) remove(ep *endpoint) {
 	removeByID(&e.all, ep)
 	removeByID(e.list(ep.Zone), ep)
@@ -57,10 +57,10 @@
 	}
 }
 
-// replace makes the set hold these servers, in any order; one may be named more than once.
-func (e *endpointSet) replace(servers []*endpoint) {
-	slices.SortFunc(servers, func(ep, o *endpoint) int { return strings.Compare(ep.ID, o.ID) })
-	e.all = slices.Compact(servers)
+// replace makes the set hold these endpoints, given in any order; one may be given more than once.
+func (e *endpointSet) replace(endpoints []*endpoint) {
+	slices.SortFunc(endpoints, func(ep, o *endpoint) int { return strings.Compare(ep.ID, o.ID) })
+	e.all = slices.Compact(endpoints)
 	e.splitZones()
 	e.newest, e.subset = nil, nil
 	for _, ep := range e.all {
@@ -70,7 +70,7 @@
 	}
 }
 
-// setZone makes a zone this copy's own.
+// setZone makes a zone this replica's own.
 func (e *endpointSet) setZone(zone string) {
 	if zone != e.zone {
 		e.zone = zone
@@ -78,7 +78,7 @@
 	}
 }
 
-// splitZones parts the servers by zone from scratch.
+// splitZones splits the endpoints by zone from scratch.
 func (e *endpointSet) splitZones() {
 	e.byZone = zoneSplit{}
 	for _, ep := range e.all {
@@ -87,7 +87,7 @@
 	}
 }
 
-// split parts the first servers, as many as cut says, and the rest by zone.
+// split splits the first endpoints, as many as cut says, and the rest by zone.
 func (e *endpointSet) split(cut int) (first, rest zoneSplit) {
 	if cut == len(e.all) {
 		return e.byZone, zoneSplit{}
@@ -99,7 +99,7 @@
 		zoneSplit{e.byZone.own[own:], e.byZone.others[others:]}
 }
 
-// markSubset marks the servers of a pool, and no others of the set, as pooled.
+// markSubset marks the endpoints of the subset, and no others of the set.
 func (e *endpointSet) markSubset(pool groupPair) {
 	for _, ep := range e.subset {
 		ep.inSubset = false
@@ -110,7 +110,7 @@
 	}
 }
 
-// youngest returns the server that was started last, the one that has warmed up least; nil: there is none.
+// youngest returns the endpoint that was started last, the one that has warmed up least; nil: there is none.
 func (e *endpointSet) youngest() *endpoint {
 	if e.newest == nil && len(e.all) > 0 {
 		e.newest = slices.MaxFunc(e.all, func(ep, o *endpoint) int {
--- a/overload.go
+++ b/overload.go
@@ -70,12 +70,12 @@
 	}
 	b.observeCapacity(nil)
 	window, every := b.settings.OverloadWindow.Seconds(), max(b.arrivalInterval.Seconds(), 1e-9)
-	asked := 1 / every / float64(max(1, b.subsetSize)) * (1 - b.warmCapacity.seconds/b.capacityMemory())
+	asked := 1 / every / float64(max(1, b.subset.size)) * (1 - b.warmCapacity.seconds/b.capacityMemory())
 	ready := float64(max(1, b.ready.len()))
 	b.fillBasis = fillBasis{
 		round: b.fillBasis.round + 1, at: b.now, known: true,
 		perEndpoint: max(b.warmCapacity.rate(window), b.coldCapacity.rate(window), asked),
-		replicas:    max(1, float64(b.settings.Replicas)*float64(b.subsetSize)/ready),
+		replicas:    max(1, float64(b.settings.Replicas)*float64(b.subset.size)/ready),
 	}
 }
 
--- a/pick.go
+++ b/pick.go
@@ -1,15 +1,19 @@
-// The pick of one of two servers (d-left hashing).
+// The pick of one of two endpoints: d-left hashing (Vöcking, "How Asymmetry Helps Load Balancing";
+// Mitzenmacher and Vöcking, "The Asymptotics of Selecting the Shortest of Two, Improved").
 
 package balancer
 
-import (
-	"math"
+import "math"
+
+// Bounds of an endpoint's weight.
+const (
+	minLogRatio = -1  // logarithm of relative latency from which a faster endpoint gains no more weight
+	maxCapacity = 1e6 // listed capacity that counts: with an infinite weight no draw would take any
 )
 
-// pick is the design's rule: one server drawn from each group, the fewer own calls win, equal
-// counts above zero go left, and at zero the side is drawn by the groups' shares. Draws and shares
-// go by weight, which is alike for all while nothing tells the servers apart.
-// An empty group leaves the draw to the other.
+// pick draws one endpoint from each group, and the one with fewer requests in flight wins. Equal counts above
+// zero go left; at zero the side is drawn by the groups' weights. Draws go by weight, which is equal as long
+// as nothing distinguishes the endpoints. An empty group leaves the pick to the other.
 func (b *Balancer) pick(left, right []*endpoint) *endpoint {
 	first, firstWeight := b.draw(left)
 	second, secondWeight := b.draw(right)
@@ -24,36 +28,40 @@
 	return second
 }
 
-// draw takes one server by weight and tells the weight of its group.
-func (b *Balancer) draw(group []*endpoint) (pick *endpoint, total float64) {
+// draw draws one endpoint of a group by weight (reservoir sampling), and returns the weight of the group.
+func (b *Balancer) draw(group []*endpoint) (drawn *endpoint, total float64) {
 	for _, ep := range group {
-		w := b.weight(ep)
-		total += w
-		if b.rng.Float64()*total < w {
-			pick = ep
+		weight := ep.weight()
+		total += weight
+		if b.rng.Float64()*total < weight {
+			drawn = ep
 		}
 	}
-	return pick, total
+	return drawn, total
 }
 
-// weight is what a server can carry against its peers: its listed size, corrected by how its
-// latency stands to theirs. Uniform draws over unequal servers crowd the slow ones at loads that
-// the fleet could carry, and a node's own counts are too small to show it. One node's samples are
-// few, but the errors of many nodes cancel out.
-func (b *Balancer) weight(ep *endpoint) float64 {
-	w := math.Exp(-max(ep.latency.logRatio, -1))
+// weight returns what an endpoint can carry against the others: its listed capacity, corrected by its
+// relative latency. Equal draws among unequal endpoints overload the slow ones at loads that all together
+// could carry, and one replica's counts are too small to show it. One replica's samples are few, too, but the
+// errors of many replicas cancel out.
+func (ep *endpoint) weight() float64 {
+	weight := math.Exp(-max(ep.latency.logRatio, minLogRatio))
 	if ep.Capacity > 0 {
-		w *= min(ep.Capacity, 1e6) // an infinite weight would draw nobody
+		weight *= min(ep.Capacity, maxCapacity)
 	}
-	return w
+	return weight
 }
 
-// choose draws from the node's pool and, when nobody there may be drawn, from the whole groups; those
-// that fail more than others come last.
+// choose picks an endpoint from the replica's subset and, when none there is eligible, from all; outliers
+// come last. It returns nil when no endpoint is eligible.
 func (b *Balancer) choose(req *request) *endpoint {
 	b.resizeSubset()
-	for step, g := range []groupPair{b.subset, b.groups, b.groups} {
-		if ep := b.chooseAmong(g, req, step > 0, step < 2); ep != nil {
+	for _, from := range []candidates{
+		{groups: b.subset.own, excludeOutliers: true},
+		{groups: b.subset.all, excludeOutliers: true, warmingUp: true},
+		{groups: b.subset.all, warmingUp: true},
+	} {
+		if ep := b.chooseFrom(from, req); ep != nil {
 			return ep
 		}
 	}
--- a/policy_test.go
+++ b/policy_test.go
@@ -374,7 +374,7 @@
 		}
 		b.shedding.share = c.shed
 		out := 0
-		b.excludeUnhealthy(b.groups, &request{class: b.classes["get"]}, true)
+		b.excludeUnhealthy(candidates{groups: b.subset.all, excludeOutliers: true}, &request{class: b.classes["get"]})
 		for _, s := range b.ready.all {
 			if s.excluded {
 				out++
@@ -510,15 +510,15 @@
 		b := newBalancer(t, func(s *Settings) { s.Tier, s.Replicas, s.ReplicaIndex = 1, nodes, i })
 		b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(40)})
 		b.choose(&request{class: b.classes["get"]})
-		for _, s := range append(append([]*endpoint{}, b.subset.left...), b.subset.right...) {
+		for _, s := range append(append([]*endpoint{}, b.subset.own.left...), b.subset.own.right...) {
 			count[s.ID]++
 		}
-		if idle := b.subsetSize; idle >= 20 {
+		if idle := b.subset.size; idle >= 20 {
 			t.Fatalf("an idle node's pool has %d servers", idle)
 		}
 		b.inFlight.mean = 8
-		if b.resizeSubset(); b.subsetSize < 12 {
-			t.Fatalf("a busy node's pool has %d servers", b.subsetSize)
+		if b.resizeSubset(); b.subset.size < 12 {
+			t.Fatalf("a busy node's pool has %d servers", b.subset.size)
 		}
 	}
 	least, most := nodes, 0
@@ -586,14 +586,14 @@
 			})
 			b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: zoned(40)})
 			b.resizeSubset()
-			for _, s := range slices.Concat(b.subset.left, b.subset.right) {
+			for _, s := range slices.Concat(b.subset.own.left, b.subset.own.right) {
 				if count[s.ID]++; s.Zone != b.settings.Zone {
-					t.Fatalf("copy %d in %s has %s of %s in a pool of %d", i, b.settings.Zone, s.ID, s.Zone, b.subsetSize)
+					t.Fatalf("copy %d in %s has %s of %s in a pool of %d", i, b.settings.Zone, s.ID, s.Zone, b.subset.size)
 				}
 			}
 			b.inFlight.mean = 100
-			if b.resizeSubset(); len(b.subset.left)+len(b.subset.right) != 40 {
-				t.Fatalf("a copy's widest pool has %d and %d servers", len(b.subset.left), len(b.subset.right))
+			if b.resizeSubset(); len(b.subset.own.left)+len(b.subset.own.right) != 40 {
+				t.Fatalf("a copy's widest pool has %d and %d servers", len(b.subset.own.left), len(b.subset.own.right))
 			}
 		}
 		least, most := copies, 0
@@ -721,7 +721,7 @@
 	list := servers(40)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: list})
 	b.choose(&request{class: b.classes["get"]})
-	for _, s := range append(append([]*endpoint{}, b.subset.left...), b.subset.right...) {
+	for _, s := range append(append([]*endpoint{}, b.subset.own.left...), b.subset.own.right...) {
 		for i := range list {
 			if list[i].ID == s.ID {
 				list[i].StartedAt = time.Second
--- a/reconfigure.go
+++ b/reconfigure.go
@@ -46,7 +46,7 @@
 	b.fillBasis.known = false
 	if set.Replicas != old.Replicas || set.ReplicaIndex != old.ReplicaIndex || set.Zone != old.Zone ||
 		set.ZoneCount != old.ZoneCount {
-		b.subsetSize = 0
+		b.subset.size = 0
 	}
 	for _, ep := range b.endpoints { // what is still out of a class that has gone may bring its share back
 		maps.DeleteFunc(ep.failures, func(l *classStats, _ failureRate) bool {
--- a/slowstart.go
+++ b/slowstart.go
@@ -17,6 +17,9 @@
 	return b.settings.SlowStartFloor + (1-b.settings.SlowStartFloor)*grown
 }
 
+// isWarm says that an endpoint has all of its capacity.
+func (b *Balancer) isWarm(ep *endpoint) bool { return b.capacityShare(ep) == 1 }
+
 // admitsInSlowStart keeps a cold server to one own call at a time, to the credit that it has here, and to its
 // share
 // of a warm one's work. Where effort is hinted that share is made of the lighter requests: a heavy one takes
--- a/subset.go
+++ b/subset.go
@@ -1,57 +1,83 @@
-// Deterministic subsetting: the part of the endpoint list that one copy draws from.
+// Deterministic subsetting (SRE book, "Load Balancing in the Datacenter"): the part of the endpoint list that
+// one replica draws from.
 
 package balancer
 
-import (
-	"math"
-)
+import "math"
 
-// Constants are shares, ratios or counts; every length of time is a setting or was observed.
+// Constants of the subset.
 const (
-	leftShare              = 0.5 // share of the list in the left group
-	minSubset              = 3   // servers that any node draws from, so that a few may be lost
-	subsetPerInFlight      = 1.5 // servers drawn from for each own call in flight
-	minReplicasPerEndpoint = 2   // nodes that draw from the same server at least
+	leftShare              = 0.5  // share of the list in the left group
+	minSubset              = 3    // endpoints in a subset, so that a few may be lost
+	subsetPerInFlight      = 1.5  // endpoints in a subset for each request in flight
+	minReplicasPerEndpoint = 2    // replicas that have the same endpoint in their subsets
+	subsetHeadroom         = 1.25 // ratio of a new subset's size to what is needed
+	shrinkRatio            = 3    // size to what is needed from which a subset is made smaller
 )
 
-// groupPair are the left and the right group, or a part of each.
+// groupPair is the left and the right group of the pick, or a part of each.
 type groupPair struct{ left, right []*endpoint }
 
-// resizeSubset cuts the node's pool from each group: a run of the shared order that starts at the node's
-// place among the copies, so that all pools together cover the groups evenly. Over the whole list a
-// node of many meets each server too seldom to tell the slow and the silent, and connections grow
-// with nodes times servers. A busy node takes a wider pool: its counts tell more, and its traffic
-// would be too much for a few. Only halving shrinks it, so that it keeps still.
+// subset is the groups of all ready endpoints, and the part of each that this replica draws from.
+type subset struct {
+	all, own groupPair
+	size     int // endpoints in own, but for rounding; 0: to be made anew
+}
+
+// cut cuts the list of ready endpoints into the two groups; the subset is to be made anew.
+func (s *subset) cut(ready []*endpoint) {
+	left := int(math.Ceil(leftShare * float64(len(ready))))
+	s.all = groupPair{ready[:left], ready[left:]}
+	s.size = 0
+}
+
+// fits says that the subset may stay as it is. It shrinks only by much, so that it rarely changes.
+func (s *subset) fits(needed float64) bool {
+	size := float64(s.size)
+	return size > 0 && needed <= size && needed > size/shrinkRatio
+}
+
+// resizeSubset makes the subset anew where its size no longer fits. From each group it takes a run of the
+// order that all replicas share, from this replica's position on, so that all subsets together cover the
+// groups evenly. With the whole list, one replica of many meets each endpoint too seldom to find the slow and
+// the unresponsive ones, and connections grow with replicas times endpoints. A replica with many requests in
+// flight takes a larger subset: its counts say more, and its traffic would be too much for a few endpoints.
 //
-// The run takes the servers of the node's own zone first. When a zone is lost, discovery tells seconds
-// later, and until then each node would have to learn of each of its servers by calls that hang, at
-// every tier that a request passes. It hurts where a zone's nodes ask for more than its servers carry.
+// Endpoints of the replica's own zone come first. When a zone is lost, discovery tells it seconds later, and
+// until then each replica would have to learn of each of its endpoints by requests that hang, at every tier
+// that a request passes. This hurts where a zone's replicas need more than its endpoints can carry.
 func (b *Balancer) resizeSubset() {
-	n := float64(b.ready.len())
-	want := max(minSubset, subsetPerInFlight*b.inFlight.mean, minReplicasPerEndpoint*b.endpointsPerReplica())
-	if b.subsetSize > 0 && want <= float64(b.subsetSize) && want > float64(b.subsetSize)/3 {
+	shared := minReplicasPerEndpoint * b.endpointsPerReplica()
+	needed := max(minSubset, subsetPerInFlight*b.inFlight.mean, shared)
+	if b.subset.fits(needed) {
 		return
 	}
-	b.subsetSize = int(math.Ceil(min(1.25*want, n)))
-	left, right := b.ready.split(len(b.groups.left))
-	b.subset = groupPair{b.subsetPart(left), b.subsetPart(right)}
-	b.ready.markSubset(b.subset)
+	b.subset.size = int(math.Ceil(min(subsetHeadroom*needed, float64(b.ready.len()))))
+	left, right := b.ready.split(len(b.subset.all.left))
+	b.subset.own = groupPair{b.subsetPart(left), b.subsetPart(right)}
+	b.ready.markSubset(b.subset.own)
 	b.fillBasis.known = false
 }
 
-// subsetPart takes a group's part of the pool, the servers of the node's own zone first.
+// endpointsPerReplica returns how many endpoints there are for each replica of this tier.
+func (b *Balancer) endpointsPerReplica() float64 {
+	return float64(b.ready.len()) / float64(max(1, b.settings.Replicas))
+}
+
+// subsetPart returns a group's part of the subset, the endpoints of the replica's own zone first.
 func (b *Balancer) subsetPart(group zoneSplit) []*endpoint {
 	all := len(group.own) + len(group.others)
-	size := math.Ceil(float64(b.subsetSize) * float64(all) / float64(max(b.ready.len(), 1)))
+	size := math.Ceil(float64(b.subset.size) * float64(all) / float64(max(b.ready.len(), 1)))
 	part := make([]*endpoint, 0, min(int(size), all))
-	return b.appendRotated(b.appendRotated(part, group.own), group.others)
+	return b.appendFromPosition(b.appendFromPosition(part, group.own), group.others)
 }
 
-// appendRotated appends servers from the node's place on, around the end, as long as the part has capacity.
-// The copies
-// of one zone may be numbered in a row: a place that goes round as often as there are zones spreads them.
-func (b *Balancer) appendRotated(part, from []*endpoint) []*endpoint {
-	start := b.settings.ReplicaIndex * max(1, b.settings.ZoneCount) * len(from) / max(1, b.settings.Replicas)
+// appendFromPosition appends endpoints from the replica's position on, around the end, as long as part has
+// capacity. The replicas of one zone may be numbered in a row: a position that goes round as often as there
+// are zones spreads them.
+func (b *Balancer) appendFromPosition(part, from []*endpoint) []*endpoint {
+	rounds := max(1, b.settings.ZoneCount)
+	start := b.settings.ReplicaIndex * rounds * len(from) / max(1, b.settings.Replicas)
 	for i := range min(len(from), cap(part)-len(part)) {
 		part = append(part, from[(start+i)%len(from)])
 	}
