--- a/balancer.go
+++ b/balancer.go
@@ -27,21 +27,15 @@
 	classes    map[string]*class
 	classOrder []*class // every class in the order of the settings, then the unknown one
 
-	badResults      badResults
-	lastSuccess     time.Duration
-	meanWork        float64 // hinted on average, in ns
-	workHints       float64 // heard so far
-	retries         retryBudget
-	inFlight        inFlightCount
-	admission       concurrencyLimit
-	shedding        sheddingRate
-	shuttingDown    bool             // the host ends
-	warmCapacity    capacityEstimate // of warm servers
-	coldCapacity    capacityEstimate // and cold ones
-	fillBasis       fillBasis        // at which credit grows
-	arrivalInterval time.Duration    // between requests on average
-	lastArrival     time.Duration    // when the last one came
-	subscription    subscription
+	badResults   badResults
+	lastSuccess  time.Duration
+	retries      retryBudget
+	inFlight     inFlightCount
+	admission    concurrencyLimit
+	shedding     sheddingRate
+	shuttingDown bool // the host ends
+	slowStart    slowStart
+	subscription subscription
 }
 
 // New returns a Balancer that knows no servers yet. The error names the setting at fault.
--- a/capacity.go
+++ b/capacity.go
@@ -1,4 +1,5 @@
-// Capacity: what servers answer of this copy's calls.
+// An estimate of the endpoints' capacity from their answers to this replica, from which slow start derives
+// its limits.
 
 package balancer
 
@@ -7,71 +8,70 @@
 	"time"
 )
 
-// Constants are shares, ratios or counts; every length of time is a setting or was observed.
-const (
-	peakMemory = 8.0 // times as long as what servers bear is remembered, it is at their best
-)
+// peakMemory is how many times as long as the current rate of answers the best one is remembered.
+const peakMemory = 8.0
 
-// capacityEstimate is what servers answer of this copy's calls: good answers a second for each unit of their
-// warmth. Each copy's figure is its own part of what they answer for all copies, so limits taken from it add
-// up over the fleet, though no copy knows the others' traffic.
+// capacityEstimate is how many good answers a second endpoints give to this replica, for each unit of their
+// capacity share. Each replica's estimate is its own part of what the endpoints answer to all replicas, so
+// limits derived from it add up over the fleet, though no replica knows the others' traffic.
 type capacityEstimate struct {
-	answers float64 // decayed; each counts one over the warmth of those that it could have come from
-	seconds float64 // in which such an answer could have come, decayed alike
+	answers float64 // decayed; each counts one over the capacity share of those that may have given it
+	seconds float64 // in which such an answer may have come, decayed alike
 	peak    float64 // answers a second at the best time, decayed more slowly
 	at      time.Duration
 }
 
-// rate is in answers a second, once a window of seconds or more was seen, at the best time of late: servers
-// that are crowded because others are cold choke and answer less than they could.
-func (r *capacityEstimate) rate(window float64) float64 {
-	r.peak = max(r.peak, r.answers/max(r.seconds, window))
-	return r.peak
+// rate returns the answers a second at the best time of late, once a window of seconds or more was seen:
+// endpoints that are overloaded because others warm up slow down and answer less than they could.
+func (c *capacityEstimate) rate(window float64) float64 {
+	c.peak = max(c.peak, c.answers/max(c.seconds, window))
+	return c.peak
 }
 
-// observe brings the figure up to now, forgetting over a number of seconds. An answer, if one has come, was
-// of
-// one of the servers of a pool that have so much warmth together.
-func (r *capacityEstimate) observe(now time.Duration, over, warmth float64, answered bool) {
-	if warmth > 0 && r.at > 0 {
-		keep := math.Exp(-(now - r.at).Seconds() / over)
-		r.peak *= math.Exp(-(now - r.at).Seconds() / (peakMemory * over))
-		r.answers *= keep
-		r.seconds = r.seconds*keep + over*(1-keep)
+// observe decays the estimate up to now, over a time in seconds. An answer, if one has come, was given by one
+// of the endpoints of the subset whose capacity shares sum up to capacity.
+func (c *capacityEstimate) observe(now time.Duration, over, capacity float64, answered bool) {
+	if capacity > 0 && c.at > 0 {
+		elapsed := (now - c.at).Seconds()
+		keep := math.Exp(-elapsed / over)
+		c.peak *= math.Exp(-elapsed / (peakMemory * over))
+		c.answers *= keep
+		c.seconds = c.seconds*keep + over*(1-keep)
 	}
-	r.at = now
-	if warmth > 0 && answered {
-		r.answers += 1 / warmth
+	c.at = now
+	if capacity > 0 && answered {
+		c.answers += 1 / capacity
 	}
 }
 
-// observeCapacity notes the time and, where a server is named, its good answer. What warm servers answer
-// tells most: cold ones answer no more than they are sent. Where the pool has no warm one, what was known of
-// them stays, and the cold ones tell if they answer more.
+// observeCapacity takes in the time and, where an endpoint is given, a good answer of it. The answers of warm
+// endpoints say most, as the others answer no more than they are sent. Where the subset has no warm one, the
+// estimate of warm ones stays, and that of the others counts if it is higher.
 func (b *Balancer) observeCapacity(ep *endpoint) {
-	pooled := ep != nil && ep.listed && ep.inSubset
-	warm, cold := b.subsetCapacity()
-	b.warmCapacity.observe(b.now, b.capacityMemory(), warm, pooled && b.capacityShare(ep) == 1)
-	b.coldCapacity.observe(b.now, b.capacityMemory(), cold, pooled && b.capacityShare(ep) < 1)
+	counts := ep != nil && ep.listed && ep.inSubset
+	warm, warmingUp := b.subsetCapacity()
+	over := b.capacityMemory()
+	b.slowStart.warm.observe(b.now, over, warm, counts && b.isWarm(ep))
+	b.slowStart.warmingUp.observe(b.now, over, warmingUp, counts && !b.isWarm(ep))
 }
 
-// capacityMemory is how many seconds the capacity estimate goes back: half of a server's way to its full
-// capacity is
-// long enough for a copy of few calls, and short enough to follow the load.
+// capacityMemory returns how many seconds the estimate goes back: half of the time of a slow start is long
+// enough for a replica of little traffic, and short enough to follow the load.
 func (b *Balancer) capacityMemory() float64 {
 	return (b.settings.SlowStartDuration/2 + b.settings.OverloadWindow).Seconds()
 }
 
-// subsetCapacity is what the warm and the cold servers of the pool can do, in warm servers.
-func (b *Balancer) subsetCapacity() (warm, cold float64) {
+// subsetCapacity returns the sums of the capacity shares of the subset's endpoints, for those that are warm
+// and for those that warm up.
+func (b *Balancer) subsetCapacity() (warm, warmingUp float64) {
 	for _, group := range [][]*endpoint{b.subset.own.left, b.subset.own.right} {
 		for _, ep := range group {
-			if w := b.capacityShare(ep); w == 1 {
+			if share := b.capacityShare(ep); share == 1 {
 				warm++
 			} else {
-				cold += w
+				warmingUp += share
 			}
 		}
 	}
-	return warm, cold
+	return warm, warmingUp
 }
--- a/reconfigure.go
+++ b/reconfigure.go
@@ -43,7 +43,7 @@
 	old := b.settings
 	set.PollDiscovery = old.PollDiscovery // the host subscribes, or not, for its life
 	b.applySettings(set)
-	b.fillBasis.known = false
+	b.slowStart.basis.known = false
 	if set.Replicas != old.Replicas || set.ReplicaIndex != old.ReplicaIndex || set.Zone != old.Zone ||
 		set.ZoneCount != old.ZoneCount {
 		b.subset.size = 0
--- a/requests.go
+++ b/requests.go
@@ -50,13 +50,10 @@
 		work: max(0, float64(e.ExpectedWork)),
 	}
 	if req.work > 0 {
-		b.workHints++
-		b.meanWork += max(averageWeight, 1/b.workHints) * (req.work - b.meanWork)
+		b.slowStart.work.observe(req.work)
 	}
 	b.requests[e.ID] = req
-	interval := min(b.now-b.lastArrival, b.settings.SlowStartDuration)
-	b.arrivalInterval += time.Duration(averageWeight * float64(interval-b.arrivalInterval))
-	b.lastArrival = b.now
+	b.slowStart.arrivals.observe(b.now, b.settings.SlowStartDuration)
 	b.inferFirstArrival(req, e.FirstByte)
 	for _, k := range b.classOrder {
 		k.arrivals *= 0.99
--- a/slowstart.go
+++ b/slowstart.go
@@ -1,13 +1,46 @@
-// Slow start: what a server that has just started may be sent while it is cold.
+// Slow start of endpoints (as in Envoy and NGINX): an endpoint that has just started has only a part of its
+// capacity, and is sent only as much. Where an endpoint that warms up must not be overloaded even for a short
+// time, tokenbucket.go limits what all replicas together send it, as none sees what the others send.
 
 package balancer
 
-// Constants are shares, ratios or counts; every length of time is a setting or was observed.
-const (
-	lightWorkRatio = 6.0 // times its warmth, of the mean effort, that a cold server takes at most
-)
+import "time"
 
-// capacityShare is the share of its capacity that a server surely has.
+// lightWorkRatio is how many times its share of the mean expected work a request may be expected to take, to
+// be sent to an endpoint that warms up.
+const lightWorkRatio = 6.0
+
+// slowStart is what is known for all endpoints that warm up together.
+type slowStart struct {
+	warm      capacityEstimate // of endpoints that have all of their capacity
+	warmingUp capacityEstimate // of the others
+	basis     fillBasis
+	arrivals  arrivalInterval
+	work      workEstimate
+}
+
+// arrivalInterval is the time between requests: an exponentially weighted average.
+type arrivalInterval struct{ mean, last time.Duration }
+
+// observe takes in that a request arrived. An interval counts as longest at most.
+func (a *arrivalInterval) observe(now, longest time.Duration) {
+	interval := min(now-a.last, longest)
+	a.mean += time.Duration(averageWeight * float64(interval-a.mean))
+	a.last = now
+}
+
+// workEstimate is the mean of the work that clients expect of their requests, in ns.
+type workEstimate struct {
+	mean  float64
+	hints float64 // how many requests had one
+}
+
+func (w *workEstimate) observe(work float64) {
+	w.hints++
+	w.mean += max(averageWeight, 1/w.hints) * (work - w.mean)
+}
+
+// capacityShare returns the share of its capacity that an endpoint has at least.
 func (b *Balancer) capacityShare(ep *endpoint) float64 {
 	age := b.now - ep.StartedAt
 	if ep.StartedAt <= 0 || age >= b.settings.SlowStartDuration {
@@ -20,20 +53,20 @@
 // isWarm says that an endpoint has all of its capacity.
 func (b *Balancer) isWarm(ep *endpoint) bool { return b.capacityShare(ep) == 1 }
 
-// admitsInSlowStart keeps a cold server to one own call at a time, to the credit that it has here, and to its
-// share
-// of a warm one's work. Where effort is hinted that share is made of the lighter requests: a heavy one takes
-// a cold server many times as long and is late, and what is worth most is lost, while a light one has time
-// to spare. Without hints the draw is thinned to the share.
+// admitsInSlowStart says whether a request may be sent to an endpoint as far as slow start goes. An endpoint
+// that warms up takes one request of this replica at a time, within its token bucket, and its share of the
+// work of a warm one. Where the work is hinted, that share is made of the lighter requests: a heavy one takes
+// such an endpoint many times as long and is late, so that the most expensive answers are lost, while a light
+// one has time to spare. Without hints a random draw thins the requests to the share.
 func (b *Balancer) admitsInSlowStart(ep *endpoint, req *request) bool {
-	w := b.capacityShare(ep)
+	share := b.capacityShare(ep)
 	switch {
-	case w == 1:
+	case share == 1:
 		return true
 	case ep.inFlight > 0 || !b.hasTokens(ep):
 		return false
 	case req.work > 0:
-		return req.work <= lightWorkRatio*w*b.meanWork
+		return req.work <= lightWorkRatio*share*b.slowStart.work.mean
 	}
-	return b.rng.Float64() < w
+	return b.rng.Float64() < share
 }
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -32,8 +32,10 @@
 	list[0].StartedAt = time.Minute
 	b.Handle(time.Minute, EndpointUpdate{Complete: true, Endpoints: list})
 	b.resizeSubset()
-	b.warmCapacity = capacityEstimate{answers: n * b.capacityMemory(), seconds: b.capacityMemory(), at: b.now} // n a second at a warm one
-	return b.fillRate(b.endpoints[list[0].ID]) * b.settings.OverloadWindow.Seconds()
+	b.slowStart.warm = capacityEstimate{answers: n * b.capacityMemory(), seconds: b.capacityMemory(), at: b.now} // n a second at a warm one
+	ep := b.endpoints[list[0].ID]
+	b.updateFillRate(ep)
+	return ep.tokens.rate * b.settings.OverloadWindow.Seconds()
 }
 
 // A cold server is sent all that the limit allows on average: by the wider rule where the settings allow it
