--- a/cmd/balancer-sim/main.go
+++ b/cmd/balancer-sim/main.go
@@ -1,5 +1,8 @@
-// Command balancer-sim hosts Balancers on the simulator's wire: batches of events on standard
-// input, one reply for each on standard output.
+// Command balancer-sim hosts many instances of the decision module on the simulator's wire protocol: it reads
+// batches of events from standard input and writes one reply with the actions of each batch to standard output.
+//
+// It takes no arguments. The exit status is 0 at the end of the input and 1 after an error, which is written to
+// standard error.
 package main
 
 import (
--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -1,4 +1,8 @@
-// Command balancer is one load-balancing node on real sockets, told all by BALANCER_CONFIG.
+// Command balancer runs one load-balancing node. It takes no arguments: the environment variable BALANCER_CONFIG
+// names its configuration, a JSON file, and the log goes to standard error.
+//
+// SIGHUP reloads the configuration. SIGTERM or SIGINT starts a graceful shutdown. The exit status is 0 after a
+// complete shutdown and 1 after an error, which is written to standard error. docs/OPERATIONS.md has the details.
 package main
 
 import (
--- a/cmd/fleetscale/main.go
+++ b/cmd/fleetscale/main.go
@@ -1,5 +1,9 @@
-// Command fleetscale measures what a fleet of nodes costs: the slopes of traffic, processor time and memory
-// against the servers listed, their changes and the nodes; storms; and what nodes in a row add to a call.
+// Command fleetscale measures what a fleet of nodes costs: how traffic, processor time and memory grow with the
+// endpoints listed, their changes and the number of nodes; how a fleet recovers from storms; and how much latency a
+// chain of nodes adds to a request. Everything runs on the loopback addresses of one machine.
+//
+// The exit status is 0 after a run, 1 after a failed run or a signal, and 2 after bad arguments. The option --help
+// lists the arguments, and docs/CAPACITY.md has the results.
 package main
 
 import (
