--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -108,6 +108,7 @@
 	kept     int       // bytes reserved for ahead
 	departed departure
 	looked   chan struct{} // closed once the watch beside the request has read all that had come
+	watched  chan struct{} // closed once that watch has ended
 	turned   chan struct{} // gets one when departed changes
 	requests requestScanner
 	timeout  time.Duration // for reading the rest of a request that has begun; 0: none
@@ -178,8 +179,8 @@
 	return c.requests.bodyError()
 }
 
-// limitReading bounds the time for the rest of a request: net/http waits for its first four bytes as long
-// as for a request that has not begun.
+// limitReading gives the rest of a request its own time: net/http waits for its first four bytes as long as
+// for a request that has not begun, and counts a connection's first request from the connection's start.
 func (c *callerConn) limitReading() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -215,6 +216,7 @@
 // watch reads whatever the caller sends ahead, so that no close or reset can hide behind it, until the
 // deadline for reading, a reset, or the bound. After a close it waits for a reset.
 func (c *callerConn) watch() error {
+	defer close(c.watched)
 	defer c.look()
 	for {
 		if err := c.awaitUnread(); err != nil {
@@ -298,11 +300,22 @@
 	return c.departure()
 }
 
+// endWatch ends the watch beside a request, which settle has seen at work: what comes from now on stays
+// unread. It tells whether another request, or a part of one, was read behind this one.
+func (c *callerConn) endWatch() (another bool) {
+	c.Conn.SetReadDeadline(longAgo)
+	<-c.watched
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.requests.anotherBegun()
+}
+
 // serve notes that a request's head is read.
 func (c *callerConn) serve() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.serving, c.complete, c.looked = true, false, make(chan struct{})
+	c.serving, c.complete = true, false
+	c.looked, c.watched = make(chan struct{}), make(chan struct{})
 	if c.turned == nil {
 		c.turned = make(chan struct{}, 1)
 	}
@@ -415,10 +428,11 @@
 	return c.setReadDeadline(t)
 }
 
-// setReadDeadline sets the deadline for reading, or the end of the time for the request that is being read
-// if that is sooner. The caller holds mu.
+// setReadDeadline sets the deadline for reading, or the end of the time for the request that is being read:
+// one that has begun shortly before its connection would time out has the same time as others. The caller
+// holds mu.
 func (c *callerConn) setReadDeadline(t time.Time) error {
-	if !c.readBy.IsZero() && (t.IsZero() || c.readBy.Before(t)) {
+	if !c.readBy.IsZero() {
 		t = c.readBy
 	}
 	c.deadline = t
@@ -454,11 +468,12 @@
 }
 
 // cutOff ends the wait for the rest of a request, unless it is complete: then nothing is waited for, and a
-// deadline in the past would end the watch for its caller's leaving.
+// deadline in the past would end the watch for its caller's leaving. Nor does it if more has come that nobody
+// has read yet: it may be the rest.
 func (c *callerConn) cutOff() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.complete {
+	if c.complete || spokenOrClosed(c.Conn) {
 		return false
 	}
 	c.leaving, c.cut = true, true
--- a/internal/node/callers_test.go
+++ b/internal/node/callers_test.go
@@ -110,11 +110,8 @@
 // moment of a request: first at the expense of those that it takes for half ones.
 func startCrowdedNode(t *testing.T, s *fakeServer, moment string) *Node {
 	t.Helper()
-	cfg := testConfig(whole(entry("s1", s.addr(), "in_service")))
+	cfg := withLongAims(testConfig(whole(entry("s1", s.addr(), "in_service"))))
 	cfg.Sockets = reserved + crowdedMost + 1 // one is kept for the server
-	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].Aim = 2 * limit // no attempt ends by itself while a test waits
-	}
 	n, _ := startNode(t, cfg, func(n *Node) {
 		f := n.frontend
 		f.server.ReadTimeout = 2 * limit // what is cut off is cut off to make room
@@ -245,3 +242,38 @@
 			runtime.NumGoroutine() <= before+5
 	})
 }
+
+// A request whose first bytes came just before its connection would have timed out, idle or new, has the time
+// for the rest that every request has.
+func TestRequestBegunBeforeATimeoutIsReadToItsEnd(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	for _, first := range []string{"G", "GET", "GET /view/k HTTP/1.1\r\nHo",
+		"POST /note/k HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\n"} {
+		theirs, err := net.Dial("tcp", ln.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer theirs.Close()
+		l := newCallerListener(ln, newCallers(newClock(), 10, 10, 16<<20, func() int { return 0 }), testLog())
+		l.readTimeout = 2 * limit
+		ours, err := l.Accept()
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer ours.Close()
+		ours.SetReadDeadline(time.Now().Add(limit))
+		io.WriteString(theirs, first)
+		if text := make([]byte, len(first)); !readsWhole(ours, text) {
+			t.Fatalf("%q is not read", first)
+		}
+		ours.SetReadDeadline(time.Now()) // as net/http set it before the first bytes came
+		io.WriteString(theirs, "rest")
+		if text := make([]byte, 4); !readsWhole(ours, text) || string(text) != "rest" {
+			t.Errorf("%q: the rest is not read", first)
+		}
+	}
+}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -208,6 +208,16 @@
 				class("keyed", balancer.Keyed)}}}
 }
 
+// withLongAims has no attempt of a configuration end by itself while a test waits for something else to end it.
+func withLongAims(cfg Config) Config {
+	return with(cfg, func(classes []balancer.Class) []balancer.Class {
+		for i := range classes {
+			classes[i].Aim = 2 * limit
+		}
+		return classes
+	})
+}
+
 // startNode runs a node until the test ends, or until the returned function is called.
 func startNode(t *testing.T, cfg Config, change func(*Node)) (n *Node, stop func() error) {
 	t.Helper()
@@ -389,7 +399,7 @@
 		})
 		return answers && echo(c, r, body)
 	})
-	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), nil)
+	n, _ := startNode(t, withLongAims(testConfig(whole(entry("s1", s.addr(), "in_service")))), nil)
 	c := dial(t, n)
 	c.send("POST", "/note/k", "leaving", "x", "60")
 	wait(t, got, "the attempt")
@@ -937,6 +947,48 @@
 	}
 }
 
+// The rest of a request that lies in the kernel unread keeps the connection, though its first part came so long
+// ago that it would be cut off.
+func TestCuttingOffSparesWhatNobodyHasRead(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	theirs, err := net.Dial("tcp", ln.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer theirs.Close()
+	f := newCallers(newClock(), 2, 10, 16<<20, func() int { return 2 })
+	f.grace.half = 0
+	nc, err := newCallerListener(ln, f, testLog()).Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer nc.Close()
+	c := nc.(*callerConn)
+	io.WriteString(theirs, "GET")
+	if text := make([]byte, 3); !readsWhole(c, text) {
+		t.Fatal("the first part is not read")
+	}
+	io.WriteString(theirs, " /v")
+	until(t, "the rest to arrive", func() bool { return spokenOrClosed(c.Conn) })
+	f.track(c, http.StateNew) // one too many
+	other, _ := net.Pipe()
+	f.track(&callerConn{Conn: other, callers: f}, http.StateNew)
+	if c.going {
+		t.Error("cut off with the rest of a request unread")
+	}
+	if text := make([]byte, 3); !readsWhole(c, text) || string(text) != " /v" {
+		t.Errorf("read %q", text)
+	}
+	f.track(&callerConn{Conn: other, callers: f}, http.StateNew)
+	if !c.going {
+		t.Error("not cut off once all is read")
+	}
+}
+
 func readsWhole(r io.Reader, p []byte) bool {
 	_, err := io.ReadFull(r, p)
 	return err == nil
