--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -44,7 +44,7 @@
 	go func() {
 		for range again {
 			if cfg, err := node.LoadConfig(); err != nil {
-				log.Error("the new configuration is bad; the old one stays", "error", err)
+				log.Error("configuration rejected, the previous one stays in force", "error", err)
 			} else {
 				n.Reload(cfg)
 			}
--- a/cmd/balancer/main_test.go
+++ b/cmd/balancer/main_test.go
@@ -188,9 +188,9 @@
 	for _, text := range []string{config[:len(config)/2], config} {
 		hup(text)
 		if text != config {
-			await(t, log, "the new configuration is bad")
+			await(t, log, "configuration rejected")
 		} else {
-			await(t, log, "the configuration is read again")
+			await(t, log, "configuration reloaded")
 		}
 		for range 20 {
 			if body := ask(); body != "old" {
--- a/cmd/balancer/reload_test.go
+++ b/cmd/balancer/reload_test.go
@@ -131,7 +131,7 @@
 	}
 	p.hup(t, strings.Replace(config(0, ""), `"target-ms":20000`, `"target-ms":-1`, 1))
 	eventually(t, "the bad file to be named", func() bool {
-		return strings.Contains(p.said(), "the old one stays") && strings.Contains(p.said(), "LatencyObjective")
+		return strings.Contains(p.said(), "the previous one stays in force") && strings.Contains(p.said(), "LatencyObjective")
 	})
 	p.hup(t, config(1, "last"))
 	c := client{address: address, name: "last"}
@@ -165,5 +165,5 @@
 	if state := p.cmd.ProcessState; !state.Success() {
 		t.Errorf("it ends with %v: %s", state, p.said())
 	}
-	t.Logf("%d answers, and %d times in force", answered.Load(), strings.Count(p.said(), "is in force"))
+	t.Logf("%d answers, and %d times in force", answered.Load(), strings.Count(p.said(), "are in force"))
 }
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -149,7 +149,7 @@
 			doubt = false
 			continue
 		case !doubt:
-			d.log.Warn("discovery does not answer; asking again", "error", err)
+			d.log.Warn("discovery does not answer, retrying", "error", err)
 			doubt = true
 		}
 		select {
@@ -205,7 +205,7 @@
 		return ctx.Err() == nil
 	}
 	again = isLocalDialError(err)
-	d.log.Warn("the subscription failed", "error", err)
+	d.log.Warn("discovery poll failed, retrying", "error", err)
 	if !again {
 		d.post(subscriptionFailed{})
 	}
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -337,7 +337,7 @@
 		case !accepting && left == 0:
 			return nil
 		case ctx.Err() != nil:
-			return fmt.Errorf("callers are left: %w", ctx.Err())
+			return fmt.Errorf("connections are left open: %w", ctx.Err())
 		case !told && passed(e.answerAll):
 			ln.Close() // it is still open only if accept fails on end
 			f.post(shutdownDeadline{})
--- a/internal/node/listener.go
+++ b/internal/node/listener.go
@@ -101,7 +101,7 @@
 	l.backoff = min(max(2*l.backoff, minAcceptBackoff), limit)
 	l.unlogged++
 	if now := l.conns.clock.now(); l.logged == 0 || now-l.logged >= acceptLogInterval {
-		l.log.Warn("accept failed; trying again", "error", err, "failures", l.unlogged, "backoff", l.backoff)
+		l.log.Warn("accept failed, retrying", "error", err, "failures", l.unlogged, "backoff", l.backoff)
 		l.logged, l.unlogged = now, 0
 	}
 	wait := time.NewTimer(l.backoff)
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -523,11 +523,14 @@
 	if s.Events == 0 {
 		return
 	}
-	e := s.Results
-	l.log.With(l.connectionStats()...).Info("traffic", "requests", s.Requests, "served", s.Served, "refused", s.Rejected,
-		"failed", s.Failed, "gone", s.Departed, "sends", s.Sends, "success", e[balancer.Success],
-		"failure", e[balancer.ServerError], "overloaded", e[balancer.Rejected],
-		"timed_out", e[balancer.TimedOut], "unreachable", e[balancer.ConnectFailed],
-		"broken", e[balancer.ConnectionLost], "withdrawn", e[balancer.Cancelled], "void", e[balancer.NotSent],
-		"pending", len(l.pending), "lag_max", s.LagMax, "lag_mean", s.LagSum/time.Duration(s.Events))
+	r := s.Results
+	l.log.With(l.connectionStats()...).Info("traffic",
+		slog.Group("requests", "received", s.Requests, "served", s.Served, "rejected", s.Rejected,
+			"failed", s.Failed, "departed", s.Departed, "pending", len(l.pending)),
+		slog.Group("attempts", "started", s.Sends, "success", r[balancer.Success],
+			"server_error", r[balancer.ServerError], "rejected", r[balancer.Rejected],
+			"timed_out", r[balancer.TimedOut], "connect_failed", r[balancer.ConnectFailed],
+			"connection_lost", r[balancer.ConnectionLost], "cancelled", r[balancer.Cancelled],
+			"not_sent", r[balancer.NotSent]),
+		slog.Group("lag", "max", s.LagMax, "mean", s.LagSum/time.Duration(s.Events)))
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -102,8 +102,11 @@
 	n.frontend = newFrontend(clock, callers, &l.rules, l.post, l.ready.Load, log)
 	l.connectionStats = func() []any {
 		c, held := callers.takeCounts()
-		return []any{"callers", held, "accepted", c.Accepted, "accept_failed", c.AcceptFailed, "let_go", c.Evicted, "crowded", c.Rejected,
-			"turned_away", c.ClosedUnread, "servers", n.upstream.connections()}
+		return []any{
+			slog.Group("downstream", "open", held, "accepted", c.Accepted, "accept_failed", c.AcceptFailed,
+				"evicted", c.Evicted, "over_capacity", c.Rejected, "closed_unread", c.ClosedUnread),
+			slog.Group("upstream", "open", n.upstream.connections()),
+		}
 	}
 	l.start = func(a *attempt) {
 		go func() {
@@ -117,7 +120,7 @@
 	n.cfg.Known = nil // it is parsed, and long
 	rev := int64(-1)
 	if err != nil {
-		log.Warn("the known list is dropped", "error", err)
+		log.Warn("cached endpoint list is not usable", "error", err)
 		known = endpointList{complete: true}
 	} else {
 		rev = known.version
@@ -152,7 +155,7 @@
 		{"settings.registry-mode", cfg.Settings.PollDiscovery != n.cfg.Settings.PollDiscovery},
 	} {
 		if f.changed {
-			n.log.Warn("a change in the configuration waits for the next start", "field", f.name)
+			n.log.Warn("configuration change needs a restart", "field", f.name)
 		}
 	}
 	cfg.Listen, cfg.Sockets, cfg.MemoryMB = n.cfg.Listen, n.cfg.Sockets, n.cfg.MemoryMB
@@ -161,7 +164,7 @@
 	changed, same := changes(n.cfg, cfg), reflect.DeepEqual(n.cfg.Settings, cfg.Settings)
 	n.revision++
 	log := n.log.With("revision", n.revision, "changed", changed)
-	log.Info("the configuration is read again", "discovery", cfg.Discovery)
+	log.Info("configuration reloaded", "discovery", cfg.Discovery)
 	since := n.loop.clock.now()
 	n.cfg, n.drainSchedule, n.drainLimit = cfg, drainScheduleOf(cfg), drainLimit(cfg)
 	n.upstream.configure(cfg)
@@ -169,7 +172,7 @@
 	if !same {
 		set := moduleSettings(cfg)
 		n.loop.post(settingsChanged{settings: set, rules: newRequestRules(n.revision, set), inForce: func(at time.Duration) {
-			log.Info("the configuration is in force", "after", at-since)
+			log.Info("new settings are in force", "after", at-since)
 		}})
 	}
 }
@@ -189,17 +192,17 @@
 	}
 	for _, c := range cfg.Settings.Classes {
 		if before, had := classes[c.Name]; !had {
-			names = append(names, "class "+c.Name+" comes")
+			names = append(names, "class "+c.Name+" added")
 		} else if before != c {
 			names = append(names, "class "+c.Name)
 		}
 		delete(classes, c.Name)
 	}
 	for _, name := range slices.Sorted(maps.Keys(classes)) {
-		names = append(names, "class "+name+" goes")
+		names = append(names, "class "+name+" removed")
 	}
 	if old.ConnIdle != cfg.ConnIdle || old.ConnectTimeout != cfg.ConnectTimeout {
-		names = append(names, "connections to servers")
+		names = append(names, "upstream time-outs")
 	}
 	if old.Discovery != cfg.Discovery {
 		names = append(names, "discovery")
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -205,7 +205,7 @@
 	})
 	other.Settings.MaxAttempts++
 	other.Discovery = "127.0.0.1:2"
-	want := "MaxAttempts, class view, class extra comes, class keyed goes, discovery"
+	want := "MaxAttempts, class view, class extra added, class keyed removed, discovery"
 	if got := strings.Join(changes(cfg, other), ", "); got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
