--- a/docs_test.go
+++ b/docs_test.go
@@ -91,6 +91,36 @@
 	}
 }
 
+// TestDocsNameTestsThatExist checks every test that the pages name: what they claim to be shown is shown by it.
+func TestDocsNameTestsThatExist(t *testing.T) {
+	known := map[string]bool{}
+	for _, dir := range []string{".", "internal/*", "cmd/*"} {
+		files, err := filepath.Glob(dir + "/*_test.go")
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, file := range files {
+			for _, name := range declarations(t, file) {
+				known[name] = true
+			}
+		}
+	}
+	pages, err := filepath.Glob("docs/*.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	named := regexp.MustCompile("^(Test|Fuzz|Benchmark)[A-Z]\\w*$")
+	for _, page := range append(pages, "README.md", "CONTRIBUTING.md") {
+		for _, line := range docLines(t, page) {
+			for _, name := range quoted(line) {
+				if named.MatchString(name) && !known[name] {
+					t.Errorf("%s: no test %s", page, name)
+				}
+			}
+		}
+	}
+}
+
 func docLines(t *testing.T, page string) []string {
 	t.Helper()
 	text, err := os.ReadFile(page)
--- a/endpointset.go
+++ b/endpointset.go
@@ -44,7 +44,8 @@
 	}
 }
 
-// remove takes out a server that is in the set. Its id, zone and boot must still be those it was inserted with.
+// remove takes out a server that is in the set. Its id, zone and boot must still be those it was inserted
+// with.
 func (e *endpointSet) remove(s *server) {
 	removeByID(&e.all, s)
 	removeByID(e.list(s.Zone), s)
@@ -112,13 +113,17 @@
 // youngest returns the server that was started last, the one that has warmed up least; nil: there is none.
 func (e *endpointSet) youngest() *server {
 	if e.newest == nil && len(e.all) > 0 {
-		e.newest = slices.MaxFunc(e.all, func(s, o *server) int { return cmp.Compare(s.StartedAt, o.StartedAt) })
+		e.newest = slices.MaxFunc(e.all, func(s, o *server) int {
+			return cmp.Compare(s.StartedAt, o.StartedAt)
+		})
 	}
 	return e.newest
 }
 
 func searchByID(list []*server, id string) (at int, found bool) {
-	return slices.BinarySearchFunc(list, id, func(s *server, id string) int { return strings.Compare(s.ID, id) })
+	return slices.BinarySearchFunc(list, id, func(s *server, id string) int {
+		return strings.Compare(s.ID, id)
+	})
 }
 
 func insertByID(list *[]*server, s *server) {
--- a/events.go
+++ b/events.go
@@ -89,7 +89,7 @@
 		Result   AttemptResult
 		Latency  time.Duration
 		Answered bool // the request has its final answer
-		HeldUp   bool // a fault of the host's own delayed the attempt: result and latency say nothing of the endpoint
+		HeldUp   bool // a fault of the host delayed it: result and latency say nothing of the endpoint
 		Load     *LoadReport
 	}
 	// StreamStarted says that a streamed answer has begun: the attempt is the client's from here on.
@@ -101,9 +101,10 @@
 	ClientGone struct{ ID string }
 	// Shutdown says that the host ends: every request is answered now, and any that still comes at once.
 	Shutdown struct{}
-	// Reconfigure brings new settings, in force from then on; settings that can't be used change nothing. A
-	// request already taken keeps its class as it was, with its deadline and its window for repeats. A class of
-	// the same name keeps what was learned of it, and so do endpoints. PollDiscovery stays as it was.
+	// Reconfigure brings new settings, in force from then on; settings that can't be used change nothing.
+	// A request already accepted keeps its class as it was, with its deadline and its window for repeats.
+	// A class of the same name keeps what was learned of it, and so do endpoints. PollDiscovery stays as
+	// it was.
 	Reconfigure struct{ Settings Settings }
 	// Timer is a SetTimer that is due.
 	Timer struct{ Token string }
--- a/settings.go
+++ b/settings.go
@@ -98,10 +98,12 @@
 	seen := map[string]bool{}
 	for i, class := range s.Classes {
 		if field, reason := class.validate(); reason != nil {
-			return &SettingError{Field: fmt.Sprintf("Classes[%d].%s", i, field), Class: class.Name, Err: reason}
+			field = fmt.Sprintf("Classes[%d].%s", i, field)
+			return &SettingError{Field: field, Class: class.Name, Err: reason}
 		}
 		if seen[class.Name] {
-			return &SettingError{Field: fmt.Sprintf("Classes[%d].Name", i), Class: class.Name, Err: ErrDuplicate}
+			field := fmt.Sprintf("Classes[%d].Name", i)
+			return &SettingError{Field: field, Class: class.Name, Err: ErrDuplicate}
 		}
 		seen[class.Name] = true
 	}
