--- a/docs_test.go
+++ b/docs_test.go
@@ -109,7 +109,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	named := regexp.MustCompile("^(Test|Fuzz|Benchmark)[A-Z]\\w*$")
+	named := regexp.MustCompile(`^(Test|Fuzz|Benchmark)[A-Z]\w*$`)
 	for _, page := range append(pages, "README.md", "CONTRIBUTING.md") {
 		for _, line := range docLines(t, page) {
 			for _, name := range quoted(line) {
