--- /dev/null
+++ b/internal/node/attempt_test.go
@@ -0,0 +1,331 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"balancer"
+)
+
+// A kept connection that breaks under a request may have carried it: neither the node nor a library
+// below it may send it again, whatever its method or headers.
+func TestNothingUnsafeIsSentAgainAfterAReset(t *testing.T) {
+	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+		if strings.HasPrefix(r.Header.Get("X-Request-Id"), "break") {
+			c.(*net.TCPConn).SetLinger(0)
+			return false
+		}
+		return reply200(c, "")
+	})
+	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), nil)
+	c := dial(t, n)
+	for i := range 2 {
+		c.send("POST", "/note/k", fmt.Sprint("first-", i), "x", "60")
+		c.want(t, 200, "")
+		id := fmt.Sprint("break-", i)
+		c.send("POST", "/note/k", id, "x", "60")
+		c.want(t, http.StatusBadGateway, "")
+		if s.seen() != 2*(i+1) {
+			t.Fatalf("%d requests reached the server, want %d", s.seen(), 2*(i+1))
+		}
+	}
+}
+
+func TestSilentServerIsGivenUpInTime(t *testing.T) {
+	closedAt := make(chan struct{}, 2)
+	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+		c.Read(make([]byte, 1)) // says nothing until the node closes
+		closedAt <- struct{}{}
+		return false
+	})
+	cfg := testConfig(whole(entry("s1", s.addr(), "in_service")))
+	for i := range cfg.Settings.Classes {
+		cfg.Settings.Classes[i].LatencyObjective = 300 * time.Millisecond
+	}
+	n, _ := startNode(t, cfg, nil)
+	c := dial(t, n)
+	c.send("POST", "/note/k", "unsafe", "x", "20")
+	c.want(t, http.StatusBadGateway, "") // it may have run: no refusal
+	wait(t, closedAt, "the close")
+	c.get("safe")
+	r, _ := c.answer(t)
+	if r.StatusCode != 503 || r.Header.Get("Retry-After") == "" {
+		t.Errorf("got %d, Retry-After %q", r.StatusCode, r.Header.Get("Retry-After"))
+	}
+	wait(t, closedAt, "the close")
+	if s.seen() != 2 {
+		t.Errorf("%d requests were sent, want 2", s.seen())
+	}
+}
+
+func TestRefusedConnectionIsUnreachable(t *testing.T) {
+	b := testBackend(10)
+	if r := run(t, b, testAttempt(b, closedPort(t))); r.result != balancer.ConnectFailed || b.open != 0 {
+		t.Errorf("ending %d, %d open", r.result, b.open)
+	}
+}
+
+// neverUp is an address at which connections never come up, as of a machine that is gone.
+func neverUp(t *testing.T) string {
+	t.Helper()
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { syscall.Close(fd) })
+	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		t.Fatal(err)
+	}
+	if err := syscall.Listen(fd, 0); err != nil {
+		t.Fatal(err)
+	}
+	name, err := syscall.Getsockname(fd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	addr := fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
+	for { // until the queue of those that nobody accepts is full
+		c, err := net.DialTimeout("tcp", addr, 300*time.Millisecond)
+		if err != nil {
+			return addr
+		}
+		t.Cleanup(func() { c.Close() })
+	}
+}
+
+// A machine that is gone says nothing: its connections never come up.
+func TestConnectionThatNeverComesUpIsUnreachable(t *testing.T) {
+	addr := neverUp(t)
+	b := testBackend(10)
+	b.dial = (&net.Dialer{Timeout: 50 * time.Millisecond}).DialContext
+	if r := run(t, b, testAttempt(b, addr)); r.result != balancer.ConnectFailed || b.open != 0 {
+		t.Errorf("ending %d, %d open", r.result, b.open)
+	}
+}
+
+// halfConn breaks in the middle of a write.
+type halfConn struct{ net.Conn }
+
+func (c halfConn) Write(p []byte) (int, error) {
+	n, _ := c.Conn.Write(p[:len(p)-1])
+	c.Conn.Close()
+	return n, errors.New("broken")
+}
+
+func (c halfConn) SyscallConn() (syscall.RawConn, error) { return c.Conn.(syscall.Conn).SyscallConn() }
+
+func TestBreakBeforeTheLastByteIsUnreachable(t *testing.T) {
+	s := newServer(t, echo)
+	nc, err := net.Dial("tcp", s.addr())
+	if err != nil {
+		t.Fatal(err)
+	}
+	b := testBackend(10)
+	b.adopt(halfConn{nc}, testHost(b, s.addr()))
+	if r := run(t, b, testAttempt(b, s.addr())); r.result != balancer.ConnectFailed || b.open != 0 {
+		t.Errorf("ending %d, %d open", r.result, b.open)
+	}
+	if s.seen() != 0 {
+		t.Error("the server got the request")
+	}
+}
+
+// What came in before a request was written is no answer to it, and a close that the connection's reader
+// has not seen yet, as on a busy core, is found all the same: another connection is used.
+func TestBytesOrACloseBeforeTheRequestAreSeen(t *testing.T) {
+	for name, say := range map[string]string{"a close": "", "an answer to nothing": "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale"} {
+		t.Run(name, func(t *testing.T) {
+			s := newServer(t, echo)
+			early, err := net.Listen("tcp", "127.0.0.1:0")
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer early.Close()
+			nc, err := net.Dial("tcp", early.Addr().String())
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer nc.Close()
+			if hasUnreadOrClosed(nc) {
+				t.Fatal("a silent open connection is said to have spoken or closed")
+			}
+			other, err := early.Accept()
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer other.Close()
+			b := testBackend(10)
+			h := testHost(b, s.addr())
+			b.open = 1
+			b.idle[h] = []*upstreamConn{{Conn: nc, to: h}} // with no reader
+			if say == "" {
+				other.Close()
+			} else {
+				io.WriteString(other, say)
+			}
+			until(t, "it to arrive", func() bool { return hasUnreadOrClosed(nc) })
+			if r := run(t, b, testAttempt(b, s.addr())); r.result != balancer.Success || string(r.body) != "for id" || b.open != 1 {
+				t.Errorf("ending %d, body %q, %d open", r.result, r.body, b.open)
+			}
+		})
+	}
+}
+
+// A fresh connection on which the server speaks or closes before it is asked counts as none: the attempt
+// ends, and does not dial without end.
+func TestServerThatClosesAtOnceIsUnreachable(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	nc, err := net.Dial("tcp", ln.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	other, err := ln.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	other.Close()
+	until(t, "the close to arrive", func() bool { return hasUnreadOrClosed(nc) })
+	b := testBackend(10)
+	waiter := make(chan upstreamReply, 1)
+	b.open = 1
+	a := testAttempt(b, "127.0.0.1:1")
+	c := b.startReader(nc, a.to, waiter)
+	if b.beginWrite(a.ctx, c, waiter, a) != useAnotherConn || b.open != 0 {
+		t.Errorf("a request is written to a closed connection, or it is still counted: %d open", b.open)
+	}
+}
+
+func TestTimedOutAndCancelledAttemptsCloseTheirConnection(t *testing.T) {
+	for _, want := range []balancer.AttemptResult{balancer.TimedOut, balancer.Cancelled} {
+		got, gone := make(chan struct{}), make(chan struct{})
+		s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+			close(got)
+			c.Read(make([]byte, 1))
+			close(gone)
+			return false
+		})
+		b := testBackend(10)
+		a := testAttempt(b, s.addr())
+		if want == balancer.TimedOut {
+			a.deadline = a.sent + 100*time.Millisecond
+		} else {
+			go func() { <-got; a.cancel() }()
+		}
+		if r := run(t, b, a); r.result != want || b.open != 0 {
+			t.Errorf("ending %d, %d open; want %d", r.result, b.open, want)
+		}
+		wait(t, gone, "the close")
+	}
+}
+
+// sink accepts one connection and tells all that came on it once it is closed.
+func sink(t *testing.T) (addr string, came <-chan string) {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ln.Close() })
+	all := make(chan string, 1)
+	go func() {
+		c, err := ln.Accept()
+		if err != nil {
+			return
+		}
+		defer c.Close()
+		text, _ := io.ReadAll(c)
+		all <- string(text)
+	}()
+	return ln.Addr().String(), all
+}
+
+// What happens while a connection comes up is heeded at the first byte.
+func TestNothingIsBegunThatBecamePointlessWhileTheConnectionCameUp(t *testing.T) {
+	now := func(b *upstreamPool, h endpointInstance, change func(*listEntry)) {
+		e := listEntry{Endpoint: balancer.Endpoint{ID: h.uid, State: balancer.Ready}, address: h.address, bootMS: h.bootMS}
+		change(&e)
+		b.updateEndpoints([]listEntry{e}, false)
+	}
+	for _, c := range []struct {
+		name string
+		do   func(*upstreamPool, *attempt)
+		want balancer.AttemptResult
+	}{
+		{"drains", func(b *upstreamPool, a *attempt) { now(b, a.to, func(e *listEntry) { e.State = balancer.Draining }) }, balancer.NotSent},
+		{"gone", func(b *upstreamPool, a *attempt) { now(b, a.to, func(e *listEntry) { e.State = balancer.Removed }) }, balancer.NotSent},
+		{"left out of a whole list", func(b *upstreamPool, a *attempt) { b.updateEndpoints(nil, true) }, balancer.NotSent},
+		{"started anew", func(b *upstreamPool, a *attempt) { now(b, a.to, func(e *listEntry) { e.bootMS = 1 }) }, balancer.NotSent},
+		{"moved", func(b *upstreamPool, a *attempt) { now(b, a.to, func(e *listEntry) { e.address = "127.0.0.1:2" }) }, balancer.NotSent},
+		{"its caller left", func(b *upstreamPool, a *attempt) { a.call.markDeparted() }, balancer.NotSent},
+		{"called off", func(b *upstreamPool, a *attempt) { a.cancel() }, balancer.Cancelled},
+		{"repeats are discarded no longer", func(b *upstreamPool, a *attempt) { a.notAfter = b.clock.now() }, balancer.NotSent},
+		{"its time is over", func(b *upstreamPool, a *attempt) { a.deadline = b.clock.now() }, balancer.NotSent},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			addr, came := sink(t)
+			b := testBackend(10)
+			held := holdDials(b)
+			a := testAttempt(b, addr)
+			end := make(chan attemptOutcome, 1)
+			go func() { end <- b.do(a) }()
+			wait(t, held.up, "the connection")
+			c.do(b, a)
+			close(held.through)
+			if r := wait(t, end, "the attempt's end"); r.result != c.want {
+				t.Errorf("ending %d, want %d", r.result, c.want)
+			}
+			b.updateEndpoints(nil, true) // closes what was kept
+			if text := wait(t, came, "the close"); text != "" {
+				t.Errorf("the server got %q", text)
+			}
+			if n := b.connections(); n != 0 {
+				t.Errorf("%d connections are open", n)
+			}
+		})
+	}
+}
+
+// drippingConn gets one byte with each read, and has the system take few with each write.
+type drippingConn struct{ *net.TCPConn }
+
+func (c drippingConn) Read(p []byte) (int, error) { return c.TCPConn.Read(p[:min(1, len(p))]) }
+
+// However few bytes a read or write moves, requests and answers go through complete and unchanged.
+func TestShortReadsAndWritesLoseNothing(t *testing.T) {
+	long := strings.Repeat("\x00\r\n0\r\n", maxBody/8)
+	for name, head := range map[string]string{
+		"length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(long)), "close": "HTTP/1.1 200 OK\r\n\r\n",
+	} {
+		t.Run(name, func(t *testing.T) {
+			s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+				io.WriteString(c, head+body)
+				return name == "length"
+			})
+			b := testBackend(10)
+			b.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+				nc, err := (&net.Dialer{}).DialContext(ctx, network, address)
+				if err != nil {
+					return nil, err
+				}
+				return drippingConn{nc.(*net.TCPConn)}, nc.(*net.TCPConn).SetWriteBuffer(1)
+			}
+			a := testAttempt(b, s.addr())
+			a.call.body = []byte(long)
+			if r := run(t, b, a); r.result != balancer.Success || string(r.body) != long {
+				t.Errorf("ending %d, a body of %d bytes, want %d", r.result, len(r.body), len(long))
+			}
+		})
+	}
+}
--- a/internal/node/leaving_test.go
+++ b/internal/node/departure_test.go
@@ -8,12 +8,39 @@
 	"net"
 	"net/http"
 	"strings"
-	"sync/atomic"
+	"sync"
 	"syscall"
 	"testing"
 	"time"
 )
 
+func TestCallerGoneCancelsTheAttempt(t *testing.T) {
+	got, gone := make(chan struct{}), make(chan struct{})
+	var first sync.Once
+	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+		answers := true
+		first.Do(func() {
+			close(got)
+			c.Read(make([]byte, 1)) // returns when the node closes
+			close(gone)
+			answers = false
+		})
+		return answers && echo(c, r, body)
+	})
+	n, _ := startNode(t, withLongAims(testConfig(whole(entry("s1", s.addr(), "in_service")))), nil)
+	c := dial(t, n)
+	c.send("POST", "/note/k", "leaving", "x", "60")
+	wait(t, got, "the attempt")
+	c.Close()
+	wait(t, gone, "the end of the attempt")
+	again := dial(t, n)
+	until(t, "the id to be free again", func() bool {
+		again.send("POST", "/note/k", "leaving", "x", "60")
+		r, _ := again.answer(t)
+		return r.StatusCode == 200
+	})
+}
+
 // A request whose client leaves while it waits is not sent on: neither while the module holds it nor while
 // its connection comes up, whether or not attempts may be called off, and though the client said more first.
 func TestNothingIsSentForACallerThatLeftWhileItWaited(t *testing.T) {
@@ -84,57 +111,6 @@
 	nothingOfTheLeavers(t, n, s, map[string]int{"other": 1})
 }
 
-// readAhead is how many bytes are kept of callers whose requests are not answered.
-func readAhead(n *Node) (sum int) {
-	n.frontend.conns.mu.Lock()
-	defer n.frontend.conns.mu.Unlock()
-	for c := range n.frontend.conns.conns {
-		c.mu.Lock()
-		sum += len(c.readAhead)
-		c.mu.Unlock()
-	}
-	return sum
-}
-
-// What a caller sends before its answer has come is its next request, in order and whole.
-func TestRequestsSentAheadAreAnsweredInOrder(t *testing.T) {
-	hold, got := make(chan struct{}), make(chan struct{}, 1000)
-	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
-		got <- struct{}{}
-		<-hold
-		return echo(c, r, body)
-	})
-	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), nil)
-	c := dial(t, n)
-	c.get("r0")
-	wait(t, got, "the first request")
-	const more = 800 // much longer than what is read at once
-	sent := 0
-	for i := 1; i <= more; i++ {
-		c.get(fmt.Sprint("r", i))
-		sent += len(requestText(fmt.Sprint("r", i)))
-	}
-	until(t, "the bytes to be read", func() bool { return readAhead(n) == sent })
-	close(hold)
-	for i := 0; i <= more; i++ {
-		c.want(t, 200, fmt.Sprint("for r", i))
-	}
-}
-
-// requestText is what get writes.
-func requestText(id string) string {
-	return "GET /view/k HTTP/1.1\r\nHost: backend.local\r\nX-Request-Id: " + id + "\r\nX-Deadline: 60\r\n\r\n"
-}
-
-// sentAhead is so many bytes of requests, the last of them cut.
-func sentAhead(size int) string {
-	text := ""
-	for i := 0; len(text) < size; i++ {
-		text += requestText(fmt.Sprint("next-", i))
-	}
-	return text[:size]
-}
-
 // However much a caller sends ahead of an answer, once it has closed or reset its connection, or that has
 // broken, no attempt begins for it, nor for what it sent ahead: wherever its request is just then.
 func TestNothingBeginsForACallerThatLeftBehindManyBytes(t *testing.T) {
@@ -269,15 +245,6 @@
 	nothingOfTheLeavers(t, n, s, seen)
 }
 
-func untilOpened(t *testing.T, n *Node, many int) {
-	t.Helper()
-	until(t, "the requests to be with the module", func() bool {
-		n.frontend.conns.mu.Lock()
-		defer n.frontend.conns.mu.Unlock()
-		return n.frontend.conns.active == many
-	})
-}
-
 // nothingOfTheLeavers has another caller served, waits for all attempts to end, and says what the server may
 // have got.
 func nothingOfTheLeavers(t *testing.T, n *Node, s *fakeServer, want map[string]int) {
@@ -340,242 +307,6 @@
 	nothingOfTheLeavers(t, n, s, map[string]int{"other": 1})
 }
 
-// A caller that only stops sending reads on: it gets the answer of the attempt that has begun, be it the only
-// one and a failure, or a refusal at once if none has, and so does what it sent ahead.
-func TestHalfClosedCallerGetsItsAnswer(t *testing.T) {
-	for _, c := range []struct {
-		name, text, then string // what the caller sends, and what the server does
-		where            string
-		want             []int // the answers' status codes, interim ones included
-		seen             int   // requests that begin at the server
-	}{
-		{"in flight", requestText("r"), "200", "begun", []int{102, 200}, 1},
-		{"in flight, and one sent ahead", requestText("r") + requestText("next"), "200", "begun", []int{102, 200, 503}, 1},
-		{"in flight, and fails", requestText("r"), "500", "begun", []int{102, 502}, 1},
-		{"in flight, and breaks", requestText("r"), "reset", "begun", []int{102, 502}, 1},
-		{"in flight, and did not run", requestText("r"), "503", "begun", []int{102, 503}, 1},
-		{"in flight for HTTP/1.0", strings.Replace(requestText("r"), "HTTP/1.1", "HTTP/1.0", 1), "200", "begun", []int{200}, 1},
-		{"in flight, with a body that was waited for", "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: r\r\nX-Deadline: 60\r\n" +
-			"Expect: 100-continue\r\nContent-Length: 4\r\n\r\nbody", "200", "begun", []int{100, 102, 200}, 1},
-		{"held", requestText("r"), "", "held", []int{503}, 0},
-		{"held, and one sent ahead", requestText("r") + requestText("next"), "", "held", []int{503, 503}, 0},
-		{"its connection comes up", requestText("r"), "", "dial", []int{503}, 0},
-		{"in flight at the node's end", requestText("r"), "", "last call", []int{102, 502}, 1},
-	} {
-		for _, mayCancel := range []bool{true, false} {
-			t.Run(fmt.Sprint(c.name, " ", mayCancel), func(t *testing.T) {
-				t.Parallel()
-				got, answer := make(chan struct{}, 10), make(chan struct{})
-				s := newServer(t, func(nc net.Conn, r *http.Request, body string) bool {
-					got <- struct{}{}
-					<-answer
-					switch c.then {
-					case "200":
-						return echo(nc, r, body)
-					case "reset":
-						nc.(*net.TCPConn).SetLinger(0)
-						return false
-					}
-					_, err := fmt.Fprintf(nc, "HTTP/1.1 %s X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", c.then)
-					return err == nil
-				})
-				state := "in_service"
-				if c.where == "held" {
-					state = "terminating"
-				}
-				cfg := testConfig(whole(entry("s1", s.addr(), state)))
-				cfg.Settings.AllowCancel = mayCancel
-				var dials heldDial
-				n, _ := startNode(t, cfg, func(n *Node) {
-					if c.where == "dial" {
-						dials = holdDials(n.upstream)
-					}
-				})
-				half := dial(t, n)
-				io.WriteString(half, c.text)
-				switch c.where {
-				case "held":
-					untilOpened(t, n, 1)
-				case "dial":
-					wait(t, dials.up, "the connection")
-				default:
-					wait(t, got, "the attempt")
-				}
-				half.Conn.(*net.TCPConn).CloseWrite()
-				if c.want[0] == 200 { // told of nothing before
-					until(t, "the close to be seen", func() bool {
-						n.frontend.conns.mu.Lock()
-						defer n.frontend.conns.mu.Unlock()
-						for nc := range n.frontend.conns.conns {
-							return nc.departure() == halfClosed
-						}
-						return false
-					})
-					close(answer)
-				}
-				for i, status := range c.want {
-					r, body := half.answer(t)
-					if r.StatusCode != status || status == 200 && body != "for r" {
-						t.Errorf("answer %d: got %d %q, want %d", i, r.StatusCode, body, status)
-					}
-					if status == 503 && r.Header.Get("Retry-After") == "" {
-						t.Errorf("answer %d: no Retry-After", i)
-					}
-					if status != 102 {
-						continue
-					}
-					if c.where == "last call" {
-						n.loop.post(shutdownDeadline{})
-					} else {
-						close(answer)
-					}
-				}
-				closed(t, half.br, "the connection after the last answer")
-				switch c.where {
-				case "dial":
-					close(dials.through)
-				case "last call":
-					close(answer)
-				}
-				if c.where == "last call" { // nothing is sent on any more
-					return
-				}
-				if s.seen() != c.seen {
-					t.Errorf("%d requests began, want %d", s.seen(), c.seen)
-				}
-			})
-		}
-	}
-}
-
-// A caller that sends more ahead than is kept can't be watched. Its request is answered at once, as refused
-// unless an attempt may have run, and so is in turn what it sent ahead, until it can be watched again.
-func TestCallerBeyondTheBoundIsAnsweredAtOnce(t *testing.T) {
-	for _, c := range []struct {
-		name  string
-		begun bool
-		all   int64 // what all callers may send ahead
-		want  int
-	}{
-		{"held, beyond its own bound", false, 16 * readAheadPerConn, 503},
-		{"in flight, beyond its own bound", true, 16 * readAheadPerConn, 502},
-		{"held, beyond the bound of all", false, 3 * readAheadStep, 503},
-		{"in flight, beyond the bound of all", true, 3 * readAheadStep, 502},
-	} {
-		t.Run(c.name, func(t *testing.T) {
-			t.Parallel()
-			got := make(chan struct{}, 1)
-			s := newServer(t, func(nc net.Conn, r *http.Request, body string) bool {
-				if r.Header.Get("X-Request-Id") != "r" {
-					return echo(nc, r, body)
-				}
-				got <- struct{}{}
-				nc.Read(make([]byte, 1)) // until the node closes
-				return false
-			})
-			state := "terminating"
-			if c.begun {
-				state = "in_service"
-			}
-			n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), state))), func(n *Node) {
-				n.frontend.conns.readAheadLimit = c.all
-			})
-			many := dial(t, n)
-			many.get("r")
-			if c.begun {
-				wait(t, got, "the attempt")
-			} else {
-				untilOpened(t, n, 1)
-			}
-			const more = 2 * readAheadPerConn / 80
-			go func() {
-				for i := range more {
-					many.get(fmt.Sprint("next-", i))
-				}
-			}()
-			many.want(t, c.want, "")
-			if !c.begun { // whoever can be watched again waits for a server
-				news, err := parseList([]byte(strings.Replace(whole(entry("s1", s.addr(), "in_service")), "%d", "2", 1)))
-				if err != nil {
-					t.Fatal(err)
-				}
-				n.loop.post(listReceived{list: news})
-			}
-			served, cutOff := 0, 0
-			for i := range more {
-				r, body := many.answer(t)
-				switch {
-				case r.StatusCode == 200 && body == fmt.Sprint("for next-", i):
-					served++
-				case r.StatusCode == 502: // it had begun when more came
-					cutOff++
-				case r.StatusCode != 503:
-					t.Fatalf("request %d: got %d %q", i, r.StatusCode, body)
-				}
-			}
-			if c.begun {
-				served++
-			}
-			if seen := s.seen(); seen < served || seen > served+cutOff {
-				t.Errorf("%d requests began, %d were served and %d cut off", seen, served, cutOff)
-			}
-			many.get("last")
-			many.want(t, 200, "for last")
-			if kept := n.frontend.conns.readAheadReserved.Load(); kept != 0 {
-				t.Errorf("%d bytes are kept with nothing sent ahead", kept)
-			}
-		})
-	}
-}
-
-// gatedConns holds back what the node asks of its callers' connections.
-type gatedConns struct {
-	*net.TCPListener
-	reads, looks *gate
-}
-
-// gate holds back the first that pass, until it is opened.
-type gate struct {
-	first       atomic.Int32
-	at, through chan struct{}
-}
-
-func newGate(first int32) *gate {
-	g := &gate{at: make(chan struct{}, first), through: make(chan struct{})}
-	g.first.Store(first)
-	return g
-}
-
-func (g *gate) pass() {
-	if g.first.Add(-1) >= 0 {
-		g.at <- struct{}{}
-		<-g.through
-	}
-}
-
-type gatedConn struct {
-	*net.TCPConn
-	of gatedConns
-}
-
-func (l gatedConns) Accept() (net.Conn, error) {
-	c, err := l.AcceptTCP()
-	if err != nil {
-		return nil, err
-	}
-	return gatedConn{c, l}, nil
-}
-
-func (c gatedConn) Read(p []byte) (int, error) {
-	c.of.reads.pass()
-	return c.TCPConn.Read(p)
-}
-
-func (c gatedConn) SyscallConn() (syscall.RawConn, error) {
-	c.of.looks.pass()
-	return c.TCPConn.SyscallConn()
-}
-
 // A request whose caller has closed before it is read does not go to the module before the close is seen,
 // however late the watch gets to look.
 func TestNothingBeginsBeforeTheWatchHasLooked(t *testing.T) {
--- a/internal/node/dial_test.go
+++ b/internal/node/dial_test.go
@@ -3,11 +3,8 @@
 import (
 	"context"
 	"fmt"
-	"io"
 	"net"
-	"net/http"
 	"os"
-	"strings"
 	"sync/atomic"
 	"syscall"
 	"testing"
@@ -171,36 +168,3 @@
 		}
 	}
 }
-
-// drippingConn gets one byte with each read, and has the system take few with each write.
-type drippingConn struct{ *net.TCPConn }
-
-func (c drippingConn) Read(p []byte) (int, error) { return c.TCPConn.Read(p[:min(1, len(p))]) }
-
-// However few bytes a read or write moves, requests and answers go through complete and unchanged.
-func TestShortReadsAndWritesLoseNothing(t *testing.T) {
-	long := strings.Repeat("\x00\r\n0\r\n", maxBody/8)
-	for name, head := range map[string]string{
-		"length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(long)), "close": "HTTP/1.1 200 OK\r\n\r\n",
-	} {
-		t.Run(name, func(t *testing.T) {
-			s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
-				io.WriteString(c, head+body)
-				return name == "length"
-			})
-			b := testBackend(10)
-			b.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
-				nc, err := (&net.Dialer{}).DialContext(ctx, network, address)
-				if err != nil {
-					return nil, err
-				}
-				return drippingConn{nc.(*net.TCPConn)}, nc.(*net.TCPConn).SetWriteBuffer(1)
-			}
-			a := testAttempt(b, s.addr())
-			a.call.body = []byte(long)
-			if r := run(t, b, a); r.result != balancer.Success || string(r.body) != long {
-				t.Errorf("ending %d, a body of %d bytes, want %d", r.result, len(r.body), len(long))
-			}
-		})
-	}
-}
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -8,22 +8,13 @@
 	"log/slog"
 	"net"
 	"net/http"
+	"reflect"
 	"strings"
 	"syscall"
 	"testing"
 	"time"
 )
 
-// isReady asks a node whether callers may come.
-func isReady(t *testing.T, n *Node) bool {
-	t.Helper()
-	c := dial(t, n)
-	defer c.Close()
-	fmt.Fprint(c, "GET /health/ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
-	r, _ := c.answer(t)
-	return r.StatusCode == http.StatusOK
-}
-
 // What the agent has at discovery's return counts as told at once. The call that was out when it fell
 // silent is never answered, however long it may still wait.
 func TestNewsAtTheAgentsReturnNeedsNoTimeOut(t *testing.T) {
@@ -304,3 +295,127 @@
 		})
 	}
 }
+
+// An agent that was silent may never answer the call that it was silent on: it must be asked anew.
+func TestSilentDiscoveryIsAskedAgain(t *testing.T) {
+	s := newServer(t, echo)
+	ag := newAgent(t)
+	ag.tell(true, "")
+	cfg := testConfig(whole())
+	cfg.Discovery = ag.Addr().String()
+	n, _ := startNode(t, cfg, func(n *Node) {
+		n.discovery.hold, n.discovery.grace = 20*time.Millisecond, 20*time.Millisecond
+	})
+	for range 3 {
+		if q := wait(t, ag.asked, "a watch"); q != "" {
+			t.Fatalf("asked %q, want the whole list", q)
+		}
+	}
+	c := dial(t, n)
+	fmt.Fprint(c, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+	c.want(t, 503, "")
+	ag.tell(false, whole(entry("s1", s.addr(), "in_service")))
+	until(t, "readiness", func() bool {
+		fmt.Fprint(c, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+		r, _ := c.answer(t)
+		return r.StatusCode == 200
+	})
+	c.get("late")
+	c.want(t, 200, "for late")
+}
+
+// A watch that ends without news is no news, which the module would take for a change: it only confirms the list.
+func TestWatchWithoutNewsTellsNothing(t *testing.T) {
+	ag := newAgent(t)
+	events := make(chan event, 10)
+	cfg := testConfig("")
+	cfg.Discovery = ag.Addr().String()
+	d := newDiscovery(cfg, 1, func(e event) { events <- e }, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	for i, c := range []struct {
+		text string
+		want event
+	}{
+		{`{"rev":%d,"all":false,"targets":[]}`, listConfirmed{}},
+		{whole(), listReceived{}},
+		{`{"rev":%d,"all":false,"targets":[` + entry("s1", "127.0.0.1:1", "in_service") + `]}`, listReceived{}},
+	} {
+		ag.tell(false, c.text)
+		if _, err := d.watchOnce(t.Context(), d.address(), false); err != nil {
+			t.Fatal(err)
+		}
+		if len(events) != 1 || d.address().version != int64(ag.rev) {
+			t.Fatalf("call %d: %d events at rev %d, want 1 at %d", i, len(events), d.address().version, ag.rev)
+		}
+		if got, want := reflect.TypeOf(<-events), reflect.TypeOf(c.want); got != want {
+			t.Errorf("call %d: posted %v, want %v", i, got, want)
+		}
+	}
+}
+
+// Where discovery is asked, a watch follows only a Subscribe, and its failure is told.
+func TestAskedDiscoveryFollowsSubscribe(t *testing.T) {
+	ag := newAgent(t)
+	events := make(chan event, 10)
+	cfg := testConfig("")
+	cfg.Discovery = ag.Addr().String()
+	cfg.Settings.PollDiscovery = true
+	d := newDiscovery(cfg, 7, func(e event) { events <- e }, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	ag.tell(false, whole(entry("s1", "127.0.0.1:1", "in_service")))
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	go d.runPolled(ctx)
+	d.subscribe()
+	if q := wait(t, ag.asked, "a watch"); !strings.HasPrefix(q, "from=7&") {
+		t.Errorf("asked %q", q)
+	}
+	if e, ok := wait(t, events, "the list").(listReceived); !ok || len(e.list.entries) != 1 {
+		t.Errorf("got %v", e)
+	}
+	wait(t, ag.asked, "the watch to go on")
+	ag.tell(false, "{bad %d")
+	if e, ok := wait(t, events, "the failure").(subscriptionFailed); !ok {
+		t.Errorf("got %v", e)
+	}
+	select {
+	case q := <-ag.asked:
+		t.Errorf("asked %q without a Subscribe", q)
+	default:
+	}
+}
+
+// The watch moves at once, though a call to the old address waits, and versions there count anew.
+func TestReloadMovesTheWatch(t *testing.T) {
+	a, b := newServer(t, echo), newServer(t, echo)
+	old, next := newAgent(t), newAgent(t)
+	old.rev = 1000
+	old.tell(false, whole(entry("s1", a.addr(), "in_service")))
+	next.tell(false, whole(entry("s2", b.addr(), "in_service")))
+	cfg := testConfig(whole(entry("s1", a.addr(), "in_service")))
+	cfg.Discovery = old.Addr().String()
+	n, _ := startNode(t, cfg, func(n *Node) { n.discovery.hold = limit })
+	for !strings.Contains(wait(t, old.asked, "the watch"), "from=1001&") {
+	}
+	c := dial(t, n)
+	c.get("before")
+	c.want(t, 200, "for before")
+	n.Reload(cfg) // the same address: nothing moves
+	cfg.Discovery = next.Addr().String()
+	n.Reload(cfg)
+	if q := wait(t, next.asked, "the whole list"); q != "" {
+		t.Errorf("asked %q of the new address, want the whole list", q)
+	}
+	if q := wait(t, next.asked, "the watch"); !strings.HasPrefix(q, fmt.Sprintf("from=%d&", next.rev)) {
+		t.Errorf("asked %q", q)
+	}
+	if len(old.asked) > 0 {
+		t.Errorf("the old address was asked %q after the move", <-old.asked)
+	}
+	before := a.seen()
+	for i := range 20 { // on the connection of before
+		c.get(fmt.Sprint("after-", i))
+		c.want(t, 200, fmt.Sprint("for after-", i))
+	}
+	if a.seen() != before || b.seen() != 20 {
+		t.Errorf("%d requests came to the server that has gone, %d of 20 to the new one", a.seen()-before, b.seen())
+	}
+}
--- /dev/null
+++ b/internal/node/downstreamconn_test.go
@@ -0,0 +1,114 @@
+package node
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+)
+
+// Silent and half-spoken connections end by themselves, and so do those that ask no more.
+func TestConnectionsWithoutARequestEnd(t *testing.T) {
+	s := newServer(t, echo)
+	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+		n.frontend.server.ReadTimeout = 300 * time.Millisecond
+		n.frontend.server.IdleTimeout = 300 * time.Millisecond
+	})
+	for _, text := range []string{"", "GET /view/k HTTP/1.1\r\nHo", "\r\n"} {
+		c := dial(t, n)
+		io.WriteString(c, text)
+		said, err := io.ReadAll(c)
+		if err != nil {
+			t.Errorf("%q: %v after %q", text, err, said)
+		}
+	}
+	c := dial(t, n)
+	c.get("once")
+	c.want(t, http.StatusOK, "for once")
+	closed(t, c.br, "a connection that asks no more")
+}
+
+// A client that stops in the middle of a request and stays gets an error or a close within the time for
+// reading a request, also if it has sent too little to be told from one that rests.
+func TestClientsThatStopInTheMiddleOfARequestEnd(t *testing.T) {
+	s := newServer(t, echo)
+	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+		n.frontend.server.ReadTimeout = 300 * time.Millisecond
+		n.frontend.server.IdleTimeout = 10 * limit
+	})
+	const post = "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: half\r\nX-Deadline: 60\r\n"
+	for _, half := range []string{
+		"G", "GE", "GET", "GET /view", "GET /view/k HTTP/1.1\r\n", "\r\nP",
+		post + "Content-Length: 4\r\n\r\n", post + "Content-Length: 4\r\n\r\nbod",
+		post + "Expect: 100-continue\r\nContent-Length: 4\r\n\r\n",
+		post + "Transfer-Encoding: chunked\r\n\r\n", post + "Transfer-Encoding: chunked\r\n\r\n2",
+		post + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n",
+	} {
+		for _, when := range []string{"first", "after an answer", "behind a request"} {
+			t.Run(fmt.Sprintf("%s %.20q %d", when, half, len(half)), func(t *testing.T) {
+				t.Parallel()
+				c := dial(t, n)
+				good := "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: good-" + t.Name() +
+					"\r\nX-Deadline: 60\r\nContent-Length: 0\r\n\r\n"
+				switch when {
+				case "after an answer":
+					io.WriteString(c, good)
+					c.want(t, http.StatusOK, "")
+					io.WriteString(c, half)
+				case "behind a request":
+					io.WriteString(c, good+half)
+					c.want(t, http.StatusOK, "")
+				default:
+					io.WriteString(c, half)
+				}
+				end := make(chan error, 1)
+				go func() {
+					_, err := io.Copy(io.Discard, c.br)
+					end <- err
+				}()
+				if err := wait(t, end, "the end"); err != nil {
+					t.Errorf("the connection ended by %v", err)
+				}
+			})
+		}
+	}
+}
+
+// A request whose first bytes came just before its connection would have timed out, idle or new, has the time
+// for the rest that every request has.
+func TestRequestBegunBeforeATimeoutIsReadToItsEnd(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	for _, first := range []string{
+		"G", "GET", "GET /view/k HTTP/1.1\r\nHo",
+		"POST /note/k HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\n",
+	} {
+		theirs, err := net.Dial("tcp", ln.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer theirs.Close()
+		l := newDownstreamListener(ln, newDownstreamConns(newClock(), 10, 10, 16<<20, func() int { return 0 }), testLog())
+		l.readTimeout = 2 * limit
+		ours, err := l.Accept()
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer ours.Close()
+		ours.SetReadDeadline(time.Now().Add(limit))
+		io.WriteString(theirs, first)
+		if text := make([]byte, len(first)); !readsWhole(ours, text) {
+			t.Fatalf("%q is not read", first)
+		}
+		ours.SetReadDeadline(time.Now()) // as net/http set it before the first bytes came
+		io.WriteString(theirs, "rest")
+		if text := make([]byte, 4); !readsWhole(ours, text) || string(text) != "rest" {
+			t.Errorf("%q: the rest is not read", first)
+		}
+	}
+}
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"io"
 	"net"
 	"net/http"
 	"testing"
@@ -157,3 +158,73 @@
 		t.Error("kept for good")
 	}
 }
+
+func TestEndOfNodeAnswersAllThatWasTaken(t *testing.T) {
+	hold, got := make(chan struct{}), make(chan struct{}, 1)
+	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+		if r.Header.Get("X-Request-Id") == "held" {
+			got <- struct{}{}
+			<-hold
+		}
+		return echo(c, r, body)
+	})
+	n, stop := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+		n.drainSchedule, n.drainLimit = drainSchedule{stopAccepting: time.Second, closeConns: 2 * time.Second, answerAll: limit}, 2*limit
+	})
+	idle, held, mute := dial(t, n), dial(t, n), dial(t, n)
+	idle.get("before")
+	idle.want(t, 200, "for before")
+	untilIdle(t, n)
+	held.get("held")
+	wait(t, got, "the attempt")
+	end := make(chan error, 1)
+	go func() { end <- stop() }()
+	until(t, "it to be told", n.frontend.draining.Load)
+	for _, moved := range []string{"127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:2"} { // SIGHUP while it ends
+		cfg := n.cfg
+		cfg.Discovery = moved
+		n.Reload(cfg)
+	}
+	idle.get("during") // whoever has a connection is served on it for a while
+	idle.want(t, 200, "for during")
+	probe := dial(t, n)
+	fmt.Fprint(probe, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+	probe.want(t, 503, "")
+	late := dial(t, n) // new connections still come for a while
+	late.get("late")
+	r, body := late.answer(t)
+	if r.StatusCode != 200 || body != "for late" {
+		t.Errorf("late: %d %q", r.StatusCode, body)
+	}
+	closed(t, idle.br, "an idle connection at the end")
+	close(hold)
+	if r, body := held.answer(t); r.StatusCode != 200 || body != "for held" || !r.Close {
+		t.Errorf("held: %d %q, close %v", r.StatusCode, body, r.Close)
+	}
+	closed(t, mute.br, "a connection that never sent a request")
+	if err := wait(t, end, "the node's end"); err != nil {
+		t.Error(err)
+	}
+}
+
+// What no server answers before the node would be killed gets a final answer all the same.
+func TestEndOfNodeAnswersWhatIsStillOut(t *testing.T) {
+	got := make(chan struct{}, 1)
+	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+		got <- struct{}{}
+		io.Copy(io.Discard, c) // never answers
+		return false
+	})
+	n, stop := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+		n.drainSchedule, n.drainLimit = drainSchedule{answerAll: 500 * time.Millisecond}, limit
+	})
+	c := dial(t, n)
+	c.send("POST", "/note/k", "held", "x", "60")
+	wait(t, got, "the attempt")
+	end := make(chan error, 1)
+	go func() { end <- stop() }()
+	c.want(t, http.StatusBadGateway, "")
+	if err := wait(t, end, "the node's end"); err != nil {
+		t.Error(err)
+	}
+}
--- /dev/null
+++ b/internal/node/faultyconns_test.go
@@ -0,0 +1,125 @@
+package node
+
+import (
+	"net"
+	"os"
+	"sync/atomic"
+	"syscall"
+)
+
+// breakableConns are downstream connections that a test breaks while the node waits on them.
+type breakableConns struct {
+	*net.TCPListener
+	cause    error
+	accepted chan *breakableConn
+}
+
+func (l breakableConns) Accept() (net.Conn, error) {
+	nc, err := l.AcceptTCP()
+	if err != nil {
+		return nil, err
+	}
+	c := &breakableConn{nc, l.cause, make(chan struct{}), make(chan struct{}, 1)}
+	select {
+	case l.accepted <- c:
+	default: // the test breaks the first ones only
+	}
+	return c, nil
+}
+
+// breakableConn fails its reads with cause once it is broken; a deadline that passes is its own cause.
+type breakableConn struct {
+	*net.TCPConn
+	cause  error
+	broken chan struct{}
+	woken  chan struct{} // gets one when a wait for something to read has ended
+}
+
+// breakNow ends the wait for something to read as the kernel does when the connection breaks.
+func (c *breakableConn) breakNow() {
+	if c.cause != os.ErrDeadlineExceeded {
+		close(c.broken)
+	}
+	c.TCPConn.SetReadDeadline(pastDeadline)
+}
+
+func (c *breakableConn) Read(p []byte) (n int, err error) {
+	if !isClosed(c.broken) {
+		n, err = c.TCPConn.Read(p)
+	}
+	if n == 0 && isClosed(c.broken) { // maybe while it read: breakNow's deadline is not the node's
+		err = &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: os.NewSyscallError("read", c.cause)}
+	}
+	return n, err
+}
+
+func (c *breakableConn) SyscallConn() (syscall.RawConn, error) {
+	raw, err := c.TCPConn.SyscallConn()
+	return breakableRaw{raw, c}, err
+}
+
+type breakableRaw struct {
+	syscall.RawConn
+	of *breakableConn
+}
+
+// Read ends without an error once the connection is broken: there is something to read, the error.
+func (r breakableRaw) Read(ready func(uintptr) bool) error {
+	err := r.RawConn.Read(ready)
+	select {
+	case r.of.woken <- struct{}{}:
+	default:
+	}
+	if isClosed(r.of.broken) {
+		return nil
+	}
+	return err
+}
+
+// gatedConns holds back what the node asks of its callers' connections.
+type gatedConns struct {
+	*net.TCPListener
+	reads, looks *gate
+}
+
+func (l gatedConns) Accept() (net.Conn, error) {
+	c, err := l.AcceptTCP()
+	if err != nil {
+		return nil, err
+	}
+	return gatedConn{c, l}, nil
+}
+
+// gate holds back the first that pass, until it is opened.
+type gate struct {
+	first       atomic.Int32
+	at, through chan struct{}
+}
+
+func (g *gate) pass() {
+	if g.first.Add(-1) >= 0 {
+		g.at <- struct{}{}
+		<-g.through
+	}
+}
+
+func newGate(first int32) *gate {
+	g := &gate{at: make(chan struct{}, first), through: make(chan struct{})}
+	g.first.Store(first)
+	return g
+}
+
+type gatedConn struct {
+	*net.TCPConn
+	of gatedConns
+}
+
+func (c gatedConn) Read(p []byte) (int, error) {
+	c.of.reads.pass()
+	return c.TCPConn.Read(p)
+}
+
+func (c gatedConn) SyscallConn() (syscall.RawConn, error) {
+	c.of.looks.pass()
+	return c.TCPConn.SyscallConn()
+}
--- a/internal/node/frontend_test.go
+++ b/internal/node/frontend_test.go
@@ -1,6 +1,11 @@
 package node
 
 import (
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strings"
 	"testing"
 	"time"
 )
@@ -16,3 +21,183 @@
 		}
 	}
 }
+
+func TestPassesARequestThroughUnchanged(t *testing.T) {
+	type seen struct {
+		r    *http.Request
+		body string
+	}
+	got := make(chan seen, 10)
+	answerBody := strings.Repeat("\x00\xff binary \r\n", 5000)
+	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+		got <- seen{r, body}
+		return reply200(c, answerBody)
+	})
+	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) { n.upstream.reuseDelay = 0 })
+	c := dial(t, n)
+	long := strings.Repeat("b\r\n\x00", maxBody/4)
+	for i, target := range []string{"/keyed/a%2fB?q=%20%41&&x", `/keyed/"odd"|{};,`, "/keyed/", "/keyed//x/../y?"} {
+		id := fmt.Sprint("id-", i)
+		fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: h\r\nx-request-id: %s\r\nIdempotency-Key: K+/=%d\r\n"+
+			"X-Deadline: 20.5\r\nContent-Length: %d\r\n\r\n%s", target, id, i, len(long), long)
+		c.want(t, 200, answerBody)
+		g := wait(t, got, "the request")
+		if g.r.Method != "POST" || g.r.RequestURI != target || g.body != long ||
+			g.r.Header.Get("X-Request-Id") != id || g.r.Header.Get("Idempotency-Key") != fmt.Sprint("K+/=", i) {
+			t.Errorf("got %s %s %v", g.r.Method, g.r.RequestURI, g.r.Header)
+		}
+		var left float64
+		if fmt.Sscan(g.r.Header.Get("X-Deadline"), &left); !(left > 0 && left <= 20.5) {
+			t.Errorf("X-Deadline %q", g.r.Header.Get("X-Deadline"))
+		}
+	}
+	c.get("get")
+	c.want(t, 200, answerBody)
+	if g := wait(t, got, "the request"); g.r.Method != "GET" || g.body != "" || g.r.Header["Idempotency-Key"] != nil ||
+		g.r.ContentLength != 0 {
+		t.Errorf("got %s %v", g.r.Method, g.r.Header)
+	}
+	if s.opened() != 1 {
+		t.Errorf("%d connections for requests one after another, want 1", s.opened())
+	}
+}
+
+func TestBadRequests(t *testing.T) {
+	hold, got := make(chan struct{}), make(chan struct{}, 1)
+	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+		select {
+		case got <- struct{}{}:
+		default:
+		}
+		<-hold
+		return echo(c, r, body)
+	})
+	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+		n.frontend.server.ReadTimeout = 300 * time.Millisecond
+	})
+	first := dial(t, n)
+	first.get("used")
+	wait(t, got, "the attempt")
+	const ok = "Host: h\r\nX-Request-Id: new\r\nX-Deadline: 60\r\n"
+	for _, c := range []struct {
+		name, text string
+		status     int
+	}{
+		{"no id", "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Deadline: 60\r\n\r\n", 400},
+		{"two ids", "GET /view/k HTTP/1.1\r\nX-Request-Id: b\r\n" + ok + "\r\n", 400},
+		{"an id in use", "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: used\r\nX-Deadline: 60\r\n\r\n", 409},
+		{"no deadline", "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: new\r\n\r\n", 400},
+		{"a deadline that is no number", "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: new\r\nX-Deadline: NaN\r\n\r\n", 400},
+		{"a deadline in the past", "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: new\r\nX-Deadline: -1\r\n\r\n", 400},
+		{"a deadline without end", "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: new\r\nX-Deadline: 1e300\r\n\r\n", 400},
+		{"a deadline in hexadecimal", "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: new\r\nX-Deadline: 0x1p4\r\n\r\n", 400},
+		{"a deadline with an underscore", "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: new\r\nX-Deadline: 1_0\r\n\r\n", 400},
+		{"a deadline far beyond the class's", "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: new\r\nX-Deadline: 121\r\n\r\n", 400},
+		{"two deadlines", "GET /view/k HTTP/1.1\r\nX-Deadline: 5\r\n" + ok + "\r\n", 400},
+		{"no class", "GET / HTTP/1.1\r\n" + ok + "\r\n", 404},
+		{"a class that does not exist", "POST /notes/k HTTP/1.1\r\n" + ok + "Content-Length: 2\r\n\r\nok", 404},
+		{"a target that is no path", "GET http://h/view/k HTTP/1.1\r\n" + ok + "\r\n", 404},
+		{"POST for a safe class", "POST /view/k HTTP/1.1\r\n" + ok + "Content-Length: 0\r\n\r\n", 405},
+		{"GET for an unsafe class", "GET /note/k HTTP/1.1\r\n" + ok + "\r\n", 405},
+		{"a key for an unsafe class", "POST /note/k HTTP/1.1\r\nIdempotency-Key: k\r\n" + ok + "Content-Length: 0\r\n\r\n", 400},
+		{"no key", "POST /keyed/k HTTP/1.1\r\n" + ok + "Content-Length: 0\r\n\r\n", 400},
+		{"two keys", "POST /keyed/k HTTP/1.1\r\nIdempotency-Key: k\r\nIdempotency-Key: k\r\n" + ok + "Content-Length: 0\r\n\r\n", 400},
+		{"GET with a body", "GET /view/k HTTP/1.1\r\n" + ok + "Content-Length: 2\r\n\r\nok", 400},
+		{"OPTIONS *", "OPTIONS * HTTP/1.1\r\n" + ok + "\r\n", 405},
+		{"POST for the health", "POST /health/ready HTTP/1.1\r\n" + ok + "Content-Length: 0\r\n\r\n", 405},
+		{"a negative length", "POST /note/k HTTP/1.1\r\n" + ok + "Content-Length: -1\r\n\r\n", 400},
+		{"half a body", "POST /note/k HTTP/1.1\r\n" + ok + "Content-Length: 10\r\n\r\nhalf", 400},
+		{"another method", "DELETE /view/k HTTP/1.1\r\n" + ok + "\r\n", 405},
+		{"a long body", "POST /note/k HTTP/1.1\r\n" + ok + "Content-Length: 65537\r\n\r\n", 413},
+		{"a cut body in chunks", "POST /note/k HTTP/1.1\r\n" + ok + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n", 400},
+		{"a request hidden in another", "POST /note/k HTTP/1.1\r\n" + ok + "Content-Length: 5\r\n" +
+			"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /view/k HTTP/1.1\r\nHost: h\r\n" +
+			"X-Request-Id: hidden\r\nX-Deadline: 60\r\n\r\n", 400},
+		{"no HTTP", "hello\r\n\r\n", 400},
+		{"a long header", "GET /view/k HTTP/1.1\r\nX: " + strings.Repeat("x", 64<<10) + "\r\n" + ok + "\r\n", 431},
+		{"half-sent headers", "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Req", 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			conn := dial(t, n)
+			go io.WriteString(conn, c.text)
+			if c.status == 0 { // a plain answer or none, but the end
+				said, err := io.ReadAll(conn)
+				if err != nil || len(said) > 0 && !strings.HasPrefix(string(said), "HTTP/1.1 4") {
+					t.Errorf("%q, %v", said, err)
+				}
+				return
+			}
+			conn.want(t, c.status, "")
+			closed(t, conn.br, "a connection that said what can't be used")
+		})
+	}
+	cut := dial(t, n)
+	io.WriteString(cut, "POST /note/k HTTP/1.1\r\n"+ok+"Content-Length: 10\r\n\r\nhalf")
+	cut.Conn.(*net.TCPConn).CloseWrite()
+	io.Copy(io.Discard, cut.br) // an answer or none, but the end
+	if s.seen() != 1 {
+		t.Errorf("%d requests reached the server, want only the good one", s.seen())
+	}
+	close(hold)
+	first.want(t, 200, "for used")
+}
+
+// A request that the module gives up is refused at once, with advice, though its deadline is far off.
+func TestRefusalComesAtOnceAndSaysWhenToComeBack(t *testing.T) {
+	cfg := testConfig(whole(entry("s1", closedPort(t), "in_service")))
+	n, _ := startNode(t, cfg, nil)
+	c := dial(t, n)
+	begin := time.Now()
+	c.send("POST", "/note/k", "x", "x", "60")
+	r, _ := c.answer(t)
+	if r.StatusCode != 503 || r.Header.Get("Retry-After") == "" || time.Since(begin) > limit {
+		t.Errorf("got %d, Retry-After %q after %v", r.StatusCode, r.Header.Get("Retry-After"), time.Since(begin))
+	}
+}
+
+// A caller gives its last try all the time that it has left, more than tries are usually given. That must
+// not make every other caller's first try look like a repeat whose aim is over, to be refused at once.
+func TestALongLastTryLeavesFirstTriesAsTheyAre(t *testing.T) {
+	hold, got := make(chan struct{}), make(chan struct{}, 100)
+	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+		if strings.HasPrefix(r.Header.Get("X-Request-Id"), "held") {
+			got <- struct{}{}
+			<-hold
+		}
+		return echo(c, r, body)
+	})
+	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), nil)
+	c := dial(t, n)
+	view := func(id, deadline string) {
+		t.Helper()
+		c.send("GET", "/view/k", id, "", deadline)
+		c.want(t, 200, "for "+id)
+	}
+	for i := range 5 {
+		view(fmt.Sprint("first-", i), "25")
+	}
+	view("last", "59.9")
+	var busy []*caller // with these out there is room for a first try, and none for a repeat
+	holdMore := func(calls int) {
+		for range calls {
+			i := len(busy)
+			busy = append(busy, dial(t, n))
+			busy[i].send("POST", "/note/k", fmt.Sprint("held-", i), "x", "60")
+			wait(t, got, "an attempt")
+		}
+	}
+	holdMore(4) // of the five calls that a new node admits to one server
+	for i := range 5 {
+		view(fmt.Sprint("another-", i), "25")
+	}
+	holdMore(4) // good answers have opened the window
+	view("another-5", "25")
+	c.send("GET", "/view/k", "repeat", "", "20") // the class's deadline of 60 s began 40 s ago
+	if r, _ := c.answer(t); r.StatusCode != 503 || r.Header.Get("Retry-After") == "" {
+		t.Errorf("a repeat past its aim: got %d, Retry-After %q", r.StatusCode, r.Header.Get("Retry-After"))
+	}
+	close(hold)
+	for i, b := range busy {
+		b.want(t, 200, fmt.Sprint("for held-", i))
+	}
+}
--- /dev/null
+++ b/internal/node/helpers_test.go
@@ -0,0 +1,418 @@
+package node
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"balancer"
+)
+
+// limit is how long a test waits for what must come; only a failing one waits so long.
+const limit = 30 * time.Second
+
+func wait[T any](t *testing.T, c <-chan T, what string) (v T) {
+	t.Helper()
+	select {
+	case v = <-c:
+	case <-time.After(limit):
+		t.Fatalf("%s: nothing came", what)
+	}
+	return v
+}
+
+func until(t *testing.T, what string, ok func() bool) {
+	t.Helper()
+	for end := time.Now().Add(limit); !ok(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("%s: not within %v", what, limit)
+		}
+	}
+}
+
+func testLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+
+// testConfig is a deployment with a class of each kind and long limits.
+func testConfig(known string) Config {
+	class := func(name string, e balancer.Effect) balancer.Class {
+		return balancer.Class{
+			Name: name, Effect: e, Scope: balancer.ScopeAll, DedupWindow: limit,
+			LatencyObjective: limit, Deadline: 2 * limit, PriorityWeight: 1,
+		}
+	}
+	return Config{
+		Name: "n", Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", Seed: 1, MemoryMB: 192,
+		Sockets: 1024, ConnIdle: time.Minute, ConnectTimeout: limit,
+		Known: []byte(strings.Replace(known, "%d", "1", 1)),
+		Settings: balancer.Settings{
+			Replicas: 1, MaxAttempts: 4, AllowCancel: true,
+			Tick: time.Millisecond, MaxRetryAfter: 2 * time.Second, SlowStartFloor: 1, TotalWeight: 1,
+			Classes: []balancer.Class{
+				class("view", balancer.Idempotent), class("note", balancer.NonIdempotent),
+				class("keyed", balancer.IdempotentByKey),
+			},
+		},
+	}
+}
+
+// withLongAims has no attempt of a configuration end by itself while a test waits for something else to end it.
+func withLongAims(cfg Config) Config {
+	return with(cfg, func(classes []balancer.Class) []balancer.Class {
+		for i := range classes {
+			classes[i].LatencyObjective = 2 * limit
+		}
+		return classes
+	})
+}
+
+// with is a configuration with other classes.
+func with(cfg Config, change func(classes []balancer.Class) []balancer.Class) Config {
+	cfg.Settings.Classes = change(slices.Clone(cfg.Settings.Classes))
+	return cfg
+}
+
+// startNode runs a node until the test ends, or until the returned function is called.
+func startNode(t *testing.T, cfg Config, change func(*Node)) (n *Node, stop func() error) {
+	t.Helper()
+	n, err := New(cfg, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	n.discovery.startupWait = 0 // the known list will do, where a test has no agent
+	if change != nil {
+		change(n)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	end := make(chan error, 1)
+	go func() { end <- n.Run(ctx) }()
+	var once sync.Once
+	stop = func() (err error) {
+		once.Do(func() { cancel(); err = wait(t, end, "the node's end") })
+		return err
+	}
+	t.Cleanup(func() { stop() })
+	return n, stop
+}
+
+// isReady asks a node whether callers may come.
+func isReady(t *testing.T, n *Node) bool {
+	t.Helper()
+	c := dial(t, n)
+	defer c.Close()
+	fmt.Fprint(c, "GET /health/ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
+	r, _ := c.answer(t)
+	return r.StatusCode == http.StatusOK
+}
+
+// reload puts a configuration in force and waits until it is.
+func reload(t *testing.T, n *Node, cfg Config) {
+	t.Helper()
+	n.Reload(cfg)
+	n.mu.Lock()
+	revision := n.revision
+	n.mu.Unlock()
+	until(t, "the new settings", func() bool { return n.loop.rules.Load().revision == revision })
+}
+
+// closedPort is an address where nobody listens.
+func closedPort(t *testing.T) string {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	ln.Close()
+	return ln.Addr().String()
+}
+
+func readsWhole(r io.Reader, p []byte) bool {
+	_, err := io.ReadFull(r, p)
+	return err == nil
+}
+
+// closed waits for the other side to close a connection with nothing more said.
+func closed(t *testing.T, r io.Reader, what string) {
+	t.Helper()
+	if n, err := r.Read(make([]byte, 1)); n != 0 || err == nil {
+		t.Fatalf("%s: still open", what)
+	} else if ne, ok := err.(net.Error); ok && ne.Timeout() {
+		t.Fatalf("%s: %v", what, err)
+	}
+}
+
+func entry(uid, endpoint, state string) string {
+	return fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":"a","model":"m","pod_group":0,"state":%q,`+
+		`"capacity_hint":1,"boot_ms":0}`, uid, endpoint, state)
+}
+
+func whole(entries ...string) string {
+	return `{"rev":%d,"all":true,"targets":[` + strings.Join(entries, ",") + `]}`
+}
+
+// fakeServer is a server whose connections a test scripts by hand: after each request that is read
+// whole, then is called; it returns false to close the connection.
+type fakeServer struct {
+	net.Listener
+	mu       sync.Mutex
+	requests []string // ids
+	conns    int
+}
+
+func (s *fakeServer) addr() string { return s.Addr().String() }
+
+func (s *fakeServer) seen() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.requests)
+}
+
+func (s *fakeServer) opened() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.conns
+}
+
+func newServer(t *testing.T, then func(c net.Conn, r *http.Request, body string) bool) *fakeServer {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ln.Close() })
+	s := &fakeServer{Listener: ln}
+	go func() {
+		for {
+			c, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			s.mu.Lock()
+			s.conns++
+			s.mu.Unlock()
+			go func() {
+				defer c.Close()
+				br := bufio.NewReader(c)
+				for {
+					r, err := http.ReadRequest(br)
+					if err != nil {
+						return
+					}
+					body, err := io.ReadAll(r.Body)
+					if err != nil {
+						return
+					}
+					s.mu.Lock()
+					s.requests = append(s.requests, r.Header.Get("X-Request-Id"))
+					s.mu.Unlock()
+					if !then(c, r, string(body)) {
+						return
+					}
+				}
+			}()
+		}
+	}()
+	return s
+}
+
+// reply200 answers 200 with a body.
+func reply200(c net.Conn, body string) bool {
+	_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	return err == nil
+}
+
+// echo serves everything with a body that names the request.
+func echo(c net.Conn, r *http.Request, body string) bool {
+	return reply200(c, "for "+r.Header.Get("X-Request-Id"))
+}
+
+// agent is discovery's agent: it answers watches with what it was given last, or is silent.
+type agent struct {
+	net.Listener
+	mu     sync.Mutex
+	rev    int
+	text   string
+	silent bool
+	news   chan struct{} // closed at each change
+	asked  chan string   // the query of each call, as far as there is room
+}
+
+func (a *agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	select {
+	case a.asked <- r.URL.RawQuery:
+	default:
+	}
+	a.mu.Lock()
+	text, silent, news := a.text, a.silent, a.news
+	current := r.URL.Query().Get("from") == fmt.Sprint(a.rev)
+	a.mu.Unlock()
+	if silent { // also once it is back, as a call that was lost
+		<-r.Context().Done()
+		return
+	}
+	if current {
+		select {
+		case <-news:
+		case <-r.Context().Done():
+			return
+		}
+		a.mu.Lock()
+		text, silent = a.text, a.silent
+		a.mu.Unlock()
+		if silent {
+			<-r.Context().Done()
+			return
+		}
+	}
+	io.WriteString(w, text)
+}
+
+// tell sets what the agent has; text may hold %d for its rev.
+func (a *agent) tell(silent bool, text string) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.silent = silent
+	if text != "" {
+		a.rev++
+		a.text = strings.Replace(text, "%d", fmt.Sprint(a.rev), 1)
+	}
+	close(a.news)
+	a.news = make(chan struct{})
+}
+
+func newAgent(t *testing.T) *agent {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	a := &agent{Listener: ln, rev: 1, news: make(chan struct{}), asked: make(chan string, 1000)}
+	srv := &http.Server{Handler: a}
+	go srv.Serve(ln)
+	t.Cleanup(func() { srv.Close() })
+	return a
+}
+
+// caller is one caller's connection to a node.
+type caller struct {
+	net.Conn
+	br *bufio.Reader
+}
+
+// get writes a GET for the class view.
+func (c *caller) get(id string) { c.send("GET", "/view/k", id, "", "60") }
+
+func (c *caller) send(method, target, id, body, deadline string) {
+	length := ""
+	if method == "POST" {
+		length = fmt.Sprintf("Content-Length: %d\r\n", len(body))
+	}
+	fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: backend.local\r\nX-Request-Id: %s\r\nX-Deadline: %s\r\n%s\r\n%s",
+		method, target, id, deadline, length, body)
+}
+
+// answer reads one answer.
+func (c *caller) answer(t *testing.T) (*http.Response, string) {
+	t.Helper()
+	r, err := http.ReadResponse(c.br, nil)
+	if err != nil {
+		t.Fatalf("no answer: %v", err)
+	}
+	body, err := io.ReadAll(r.Body)
+	if err != nil {
+		t.Fatalf("no whole answer: %v", err)
+	}
+	return r, string(body)
+}
+
+func (c *caller) want(t *testing.T, status int, body string) {
+	t.Helper()
+	r, got := c.answer(t)
+	if r.StatusCode != status || body != "" && got != body {
+		t.Fatalf("got %d %q, want %d %q", r.StatusCode, got, status, body)
+	}
+}
+
+func dial(t *testing.T, n *Node) *caller {
+	t.Helper()
+	c, err := net.Dial("tcp", n.Addr())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	c.SetDeadline(time.Now().Add(2 * limit))
+	return &caller{c, bufio.NewReader(c)}
+}
+
+// requestText is what get writes.
+func requestText(id string) string {
+	return "GET /view/k HTTP/1.1\r\nHost: backend.local\r\nX-Request-Id: " + id + "\r\nX-Deadline: 60\r\n\r\n"
+}
+
+// sentAhead is so many bytes of requests, the last of them cut.
+func sentAhead(size int) string {
+	text := ""
+	for i := 0; len(text) < size; i++ {
+		text += requestText(fmt.Sprint("next-", i))
+	}
+	return text[:size]
+}
+
+// readAhead is how many bytes are kept of callers whose requests are not answered.
+func readAhead(n *Node) (sum int) {
+	n.frontend.conns.mu.Lock()
+	defer n.frontend.conns.mu.Unlock()
+	for c := range n.frontend.conns.conns {
+		c.mu.Lock()
+		sum += len(c.readAhead)
+		c.mu.Unlock()
+	}
+	return sum
+}
+
+// untilIdle waits for a connection to be idle: a request is over a little after its answer.
+func untilIdle(t *testing.T, n *Node) {
+	t.Helper()
+	until(t, "a connection to be idle", func() bool {
+		n.frontend.conns.mu.Lock()
+		defer n.frontend.conns.mu.Unlock()
+		for c := range n.frontend.conns.conns {
+			if c.phase == phaseIdle {
+				return true
+			}
+		}
+		return false
+	})
+}
+
+func untilOpened(t *testing.T, n *Node, many int) {
+	t.Helper()
+	until(t, "the requests to be with the module", func() bool {
+		n.frontend.conns.mu.Lock()
+		defer n.frontend.conns.mu.Unlock()
+		return n.frontend.conns.active == many
+	})
+}
+
+// heldDial holds each connection back once it is up, until it is let through: as one that comes up late.
+// It does not heed its context, so that whatever happened meanwhile is found at the first byte only.
+type heldDial struct{ up, through chan struct{} }
+
+func holdDials(b *upstreamPool) heldDial {
+	h := heldDial{make(chan struct{}, 10), make(chan struct{})}
+	b.dial = func(_ context.Context, network, address string) (net.Conn, error) {
+		nc, err := net.Dial(network, address)
+		h.up <- struct{}{}
+		<-h.through
+		return nc, err
+	}
+	return h
+}
--- a/internal/node/listparser_test.go
+++ b/internal/node/listparser_test.go
@@ -6,7 +6,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"math/rand/v2"
 	"net"
 	"net/http"
 	"reflect"
@@ -178,45 +177,6 @@
 	}
 }
 
-// A node is ready while a server that it may send to is listed, however the lists came.
-func TestReadinessFollowsTheLists(t *testing.T) {
-	rng := rand.New(rand.NewPCG(1, 2))
-	l := bootLoop(t, newMachine(), true)
-	for i := range 500 {
-		full := rng.IntN(10) == 0
-		var entries []string
-		for s := range 3 {
-			state := []string{"in_service", "terminating", "terminated", ""}[rng.IntN(4)]
-			if state != "" && !(full && state == "terminated") {
-				entries = append(entries, entry(fmt.Sprint("s", s), "127.0.0.1:1", state))
-			}
-		}
-		l.handleEvent(listReceived{bootList(t, full, entries...)})
-		want := false
-		for _, held := range l.endpoints {
-			want = want || held.State == balancer.Ready
-		}
-		if got := l.ready.Load(); got != want {
-			t.Fatalf("list %d: ready: %v, want %v with %v", i, got, want, l.endpoints)
-		}
-	}
-}
-
-// The list that a node last had is long, and of no use once a list was heard.
-func TestTheKnownListIsNotKept(t *testing.T) {
-	cfg := testConfig(whole(entry("s1", "127.0.0.1:1", "in_service")))
-	n, err := New(cfg, testLog())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer n.listener.Close()
-	n.Reload(cfg)
-	n.loop.handleEvent(listReceived{bootList(t, true, entry("s2", "127.0.0.1:1", "in_service"))})
-	if n.cfg.Known != nil || n.loop.cachedList.entries != nil {
-		t.Errorf("%s and %v are kept", n.cfg.Known, n.loop.cachedList)
-	}
-}
-
 func BenchmarkReadList(b *testing.B) {
 	for _, indented := range []bool{false, true} {
 		text := manyServers(3200, "", indented)
@@ -268,3 +228,33 @@
 	}
 	return l
 }
+
+func TestMalformedListIsDroppedWhole(t *testing.T) {
+	for _, bad := range []string{
+		"", "{", "[]", `{"rev":2,"targets":[]}`, `{"all":true,"targets":[]}`,
+		`{"rev":2,"all":true,"targets":[` + entry("s1", "127.0.0.1:1", "in_service") + `,` + entry("s2", "name:80", "in_service") + `]}`,
+		`{"rev":2,"all":true,"targets":[` + entry("s1", "127.0.0.1:1", "asleep") + `]}`,
+		`{"rev":2,"all":true,"targets":[` + entry("", "127.0.0.1:1", "in_service") + `]}`,
+		`{"rev":2,"all":true,"targets":[` + entry("s1", "127.0.0.1:1", "in_service") + `,` + entry("s1", "127.0.0.1:2", "in_service") + `]}`,
+		`{"rev":2,"all":true,"targets":[{"uid":"s1","endpoint":"127.0.0.1:1","state":"in_service","boot_ms":-1}]}`,
+	} {
+		if l, err := parseList([]byte(bad)); err == nil || l.entries != nil {
+			t.Errorf("%q: %v, %v", bad, l, err)
+		}
+	}
+	s := newServer(t, echo)
+	ag := newAgent(t)
+	cfg := testConfig(whole(entry("s1", s.addr(), "in_service")))
+	cfg.Discovery = ag.Addr().String()
+	ag.tell(false, whole(entry("s1", s.addr(), "in_service")))
+	n, _ := startNode(t, cfg, nil)
+	for wait(t, ag.asked, "the watch for changes") == "" {
+	}
+	ag.tell(false, `{"rev":%d,"all":true,"targets":[`+entry("s1", s.addr(), "terminated")+`,{"uid":""}]}`)
+	if q := wait(t, ag.asked, "the call after the bad list"); q != "" {
+		t.Errorf("asked %q, want the whole list", q)
+	}
+	c := dial(t, n)
+	c.get("r")
+	c.want(t, 200, "for r")
+}
--- /dev/null
+++ b/internal/node/loop_test.go
@@ -0,0 +1,115 @@
+package node
+
+import (
+	"fmt"
+	"io"
+	"log/slog"
+	"math/rand/v2"
+	"net/http"
+	"runtime"
+	"strings"
+	"testing"
+
+	"balancer"
+)
+
+// A whole list that names what is held already is no news to the module: it would cut its pool anew and
+// open connections for nothing.
+func TestWholeListWithoutNewsChangesNothing(t *testing.T) {
+	s := newServer(t, echo)
+	n, err := New(testConfig(whole(entry("s1", s.addr(), "in_service"))), slog.New(slog.NewTextHandler(io.Discard, nil)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer n.listener.Close()
+	n.loop.handleEvent(discoveryUnresponsive{})
+	told := 0
+	n.loop.updateEndpoints = func([]listEntry, bool) { told++ }
+	for i, c := range []struct {
+		text string
+		want int
+	}{
+		{whole(entry("s1", s.addr(), "in_service")), 0},
+		{whole(entry("s1", s.addr(), "terminating")), 1},
+		{whole(entry("s1", "127.0.0.1:1", "in_service")), 2},
+		{whole(), 3},
+	} {
+		l, err := parseList([]byte(strings.Replace(c.text, "%d", "9", 1)))
+		if err != nil {
+			t.Fatal(err)
+		}
+		if n.loop.handleEvent(listReceived{l}); told != c.want {
+			t.Errorf("list %d: told %d times, want %d", i, told, c.want)
+		}
+	}
+}
+
+// A node is ready while a server that it may send to is listed, however the lists came.
+func TestReadinessFollowsTheLists(t *testing.T) {
+	rng := rand.New(rand.NewPCG(1, 2))
+	l := bootLoop(t, newMachine(), true)
+	for i := range 500 {
+		full := rng.IntN(10) == 0
+		var entries []string
+		for s := range 3 {
+			state := []string{"in_service", "terminating", "terminated", ""}[rng.IntN(4)]
+			if state != "" && !(full && state == "terminated") {
+				entries = append(entries, entry(fmt.Sprint("s", s), "127.0.0.1:1", state))
+			}
+		}
+		l.handleEvent(listReceived{bootList(t, full, entries...)})
+		want := false
+		for _, held := range l.endpoints {
+			want = want || held.State == balancer.Ready
+		}
+		if got := l.ready.Load(); got != want {
+			t.Fatalf("list %d: ready: %v, want %v with %v", i, got, want, l.endpoints)
+		}
+	}
+}
+
+// The list that a node last had is long, and of no use once a list was heard.
+func TestTheKnownListIsNotKept(t *testing.T) {
+	cfg := testConfig(whole(entry("s1", "127.0.0.1:1", "in_service")))
+	n, err := New(cfg, testLog())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer n.listener.Close()
+	n.Reload(cfg)
+	n.loop.handleEvent(listReceived{bootList(t, true, entry("s2", "127.0.0.1:1", "in_service"))})
+	if n.cfg.Known != nil || n.loop.cachedList.entries != nil {
+		t.Errorf("%s and %v are kept", n.cfg.Known, n.loop.cachedList)
+	}
+}
+
+// Callers, requests and servers that are ever new leave nothing behind.
+func TestStateStaysBounded(t *testing.T) {
+	s := newServer(t, echo)
+	n, _ := startNode(t, testConfig(whole(entry("s0", s.addr(), "in_service"))), nil)
+	round := func(i int) {
+		l := endpointList{complete: true, version: int64(i), entries: []listEntry{{address: s.addr()}}}
+		l.entries[0].ID = fmt.Sprint("s", i)
+		n.loop.post(listReceived{l})
+		c := dial(t, n)
+		c.get(fmt.Sprint("r-", i))
+		c.want(t, http.StatusOK, "")
+		c.Close()
+	}
+	for i := range 50 {
+		round(i)
+	}
+	before := runtime.NumGoroutine()
+	for i := range 300 {
+		round(50 + i)
+	}
+	until(t, "all that has gone to be forgotten", func() bool {
+		b, f := n.upstream, n.frontend.conns
+		b.mu.Lock()
+		defer b.mu.Unlock()
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		return len(f.conns) == 0 && len(b.endpoints) == 1 && len(b.idle) <= 1 && b.open <= 1 &&
+			runtime.NumGoroutine() <= before+5
+	})
+}
--- /dev/null
+++ b/internal/node/readahead_test.go
@@ -0,0 +1,114 @@
+package node
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+)
+
+// What a caller sends before its answer has come is its next request, in order and whole.
+func TestRequestsSentAheadAreAnsweredInOrder(t *testing.T) {
+	hold, got := make(chan struct{}), make(chan struct{}, 1000)
+	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+		got <- struct{}{}
+		<-hold
+		return echo(c, r, body)
+	})
+	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), nil)
+	c := dial(t, n)
+	c.get("r0")
+	wait(t, got, "the first request")
+	const more = 800 // much longer than what is read at once
+	sent := 0
+	for i := 1; i <= more; i++ {
+		c.get(fmt.Sprint("r", i))
+		sent += len(requestText(fmt.Sprint("r", i)))
+	}
+	until(t, "the bytes to be read", func() bool { return readAhead(n) == sent })
+	close(hold)
+	for i := 0; i <= more; i++ {
+		c.want(t, 200, fmt.Sprint("for r", i))
+	}
+}
+
+// A caller that sends more ahead than is kept can't be watched. Its request is answered at once, as refused
+// unless an attempt may have run, and so is in turn what it sent ahead, until it can be watched again.
+func TestCallerBeyondTheBoundIsAnsweredAtOnce(t *testing.T) {
+	for _, c := range []struct {
+		name  string
+		begun bool
+		all   int64 // what all callers may send ahead
+		want  int
+	}{
+		{"held, beyond its own bound", false, 16 * readAheadPerConn, 503},
+		{"in flight, beyond its own bound", true, 16 * readAheadPerConn, 502},
+		{"held, beyond the bound of all", false, 3 * readAheadStep, 503},
+		{"in flight, beyond the bound of all", true, 3 * readAheadStep, 502},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
+			got := make(chan struct{}, 1)
+			s := newServer(t, func(nc net.Conn, r *http.Request, body string) bool {
+				if r.Header.Get("X-Request-Id") != "r" {
+					return echo(nc, r, body)
+				}
+				got <- struct{}{}
+				nc.Read(make([]byte, 1)) // until the node closes
+				return false
+			})
+			state := "terminating"
+			if c.begun {
+				state = "in_service"
+			}
+			n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), state))), func(n *Node) {
+				n.frontend.conns.readAheadLimit = c.all
+			})
+			many := dial(t, n)
+			many.get("r")
+			if c.begun {
+				wait(t, got, "the attempt")
+			} else {
+				untilOpened(t, n, 1)
+			}
+			const more = 2 * readAheadPerConn / 80
+			go func() {
+				for i := range more {
+					many.get(fmt.Sprint("next-", i))
+				}
+			}()
+			many.want(t, c.want, "")
+			if !c.begun { // whoever can be watched again waits for a server
+				news, err := parseList([]byte(strings.Replace(whole(entry("s1", s.addr(), "in_service")), "%d", "2", 1)))
+				if err != nil {
+					t.Fatal(err)
+				}
+				n.loop.post(listReceived{list: news})
+			}
+			served, cutOff := 0, 0
+			for i := range more {
+				r, body := many.answer(t)
+				switch {
+				case r.StatusCode == 200 && body == fmt.Sprint("for next-", i):
+					served++
+				case r.StatusCode == 502: // it had begun when more came
+					cutOff++
+				case r.StatusCode != 503:
+					t.Fatalf("request %d: got %d %q", i, r.StatusCode, body)
+				}
+			}
+			if c.begun {
+				served++
+			}
+			if seen := s.seen(); seen < served || seen > served+cutOff {
+				t.Errorf("%d requests began, %d were served and %d cut off", seen, served, cutOff)
+			}
+			many.get("last")
+			many.want(t, 200, "for last")
+			if kept := n.frontend.conns.readAheadReserved.Load(); kept != 0 {
+				t.Errorf("%d bytes are kept with nothing sent ahead", kept)
+			}
+		})
+	}
+}
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -3,7 +3,6 @@
 import (
 	"net"
 	"net/http"
-	"slices"
 	"strings"
 	"sync"
 	"testing"
@@ -12,22 +11,6 @@
 	"balancer"
 )
 
-// reload puts a configuration in force and waits until it is.
-func reload(t *testing.T, n *Node, cfg Config) {
-	t.Helper()
-	n.Reload(cfg)
-	n.mu.Lock()
-	revision := n.revision
-	n.mu.Unlock()
-	until(t, "the new settings", func() bool { return n.loop.rules.Load().revision == revision })
-}
-
-// with is a configuration with other classes.
-func with(cfg Config, change func(classes []balancer.Class) []balancer.Class) Config {
-	cfg.Settings.Classes = change(slices.Clone(cfg.Settings.Classes))
-	return cfg
-}
-
 // scripted is a server that holds each request until it is told whether to answer or to reset.
 type scripted struct {
 	*fakeServer
--- a/internal/node/answer_test.go
+++ b/internal/node/response_test.go
@@ -15,6 +15,74 @@
 	"balancer"
 )
 
+func TestEndings(t *testing.T) {
+	for _, c := range []struct {
+		name, answer string // "-": the server breaks the connection
+		want         balancer.AttemptResult
+		keeps        bool
+	}{
+		{"served", "200 OK\r\nContent-Length: 2\r\n\r\nok", balancer.Success, true},
+		{"served in chunks", "200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", balancer.Success, true},
+		{"served and closed", "200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok", balancer.Success, false},
+		{"served after 100", "100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", balancer.Success, true},
+		{"error", "500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", balancer.ServerError, true},
+		{"turned away", "503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", balancer.Rejected, true},
+		{"turned away as over", "504 Gateway Timeout\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", balancer.Rejected, true},
+		{"503 that may have run", "503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", balancer.ServerError, true},
+		{"504 that may have run", "504 Gateway Timeout\r\nX-Not-Run: 0\r\nContent-Length: 0\r\n\r\n", balancer.ServerError, true},
+		{"500 with the mark", "500 Internal Server Error\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", balancer.ServerError, true},
+		{"turned away, the answer cut", "503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 9\r\n\r\ncut", balancer.ServerError, false},
+		{"turned away without a length", "503 Service Unavailable\r\nX-Not-Run: 1\r\n\r\nno", balancer.ServerError, false},
+		{"turned away with 3 GB", "503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 3000000000\r\n\r\nand so on", balancer.ServerError, false},
+		{"turned away in spoilt chunks", "503 Service Unavailable\r\nX-Not-Run: 1\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", balancer.ServerError, false},
+		{"reset", "-", balancer.ConnectionLost, false},
+		{"cut head", "200 OK\r\nContent-Le", balancer.ConnectionLost, false},
+		{"cut body", "200 OK\r\nContent-Length: 9\r\n\r\nok", balancer.ConnectionLost, false},
+		{"cut chunks", "200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", balancer.ConnectionLost, false},
+		{"too long", fmt.Sprintf("200 OK\r\nContent-Length: %d\r\n\r\n%s", maxBody+1, strings.Repeat("x", maxBody+1)), balancer.ConnectionLost, false},
+		{"said to be too long", "200 OK\r\nContent-Length: 3000000000\r\n\r\nand so on", balancer.ConnectionLost, false},
+		{"an error said to be too long", "500 Internal Server Error\r\nContent-Length: 3000000000\r\n\r\nand so on", balancer.ServerError, false},
+		{"a head too long", "200 OK\r\n" + strings.Repeat("X-Pad: pppp\r\n", maxResponseOverhead/10), balancer.ConnectionLost, false},
+		{"a line too long", "200 OK\r\nX-Pad: " + strings.Repeat("p", 2*maxResponseOverhead), balancer.ConnectionLost, false},
+		{"1xx without end", strings.Repeat("102 Processing\r\n\r\nHTTP/1.1 ", maxResponseOverhead/20), balancer.ConnectionLost, false},
+		{"two lengths", "200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nok", balancer.ConnectionLost, false},
+		{"a negative length", "200 OK\r\nContent-Length: -2\r\n\r\nok", balancer.ConnectionLost, false},
+		{"no status", "OK 200\r\nContent-Length: 2\r\n\r\nok", balancer.ConnectionLost, false},
+		{"a line with no colon", "200 OK\r\nno colon\r\nContent-Length: 2\r\n\r\nok", balancer.ConnectionLost, false},
+		{"spoilt chunks", "200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\nzz\r\nok\r\n0\r\n\r\n", balancer.ConnectionLost, false},
+		{"served, and noise behind", "200 OK\r\nContent-Length: 2\r\n\r\nok\xff\x00noise\r\n\r\n", balancer.Success, false},
+		{"served twice", "200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nno", balancer.Success, false},
+		{"served with a spoilt report", "200 OK\r\nX-Load: %%%\r\nX-Load: =,=\r\nContent-Length: 2\r\n\r\nok", balancer.Success, true},
+		{"served after hints", "103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", balancer.Success, true},
+		{"no HTTP", "what?\r\n\r\n", balancer.ConnectionLost, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := newServer(t, func(conn net.Conn, r *http.Request, body string) bool {
+				if c.answer == "-" {
+					conn.(*net.TCPConn).SetLinger(0)
+					return false
+				}
+				io.WriteString(conn, "HTTP/1.1 "+c.answer)
+				if !c.keeps && !strings.Contains(c.name, "cut") {
+					io.Copy(io.Discard, conn) // it stays open until the node closes it
+				}
+				return c.keeps
+			})
+			b := testBackend(10)
+			h := testHost(b, s.addr())
+			r := run(t, b, testAttempt(b, s.addr()))
+			if r.result != c.want || c.want == balancer.Success && string(r.body) != "ok" {
+				t.Errorf("ending %d, body %q; want %d", r.result, r.body, c.want)
+			}
+			b.mu.Lock()
+			defer b.mu.Unlock()
+			if kept := len(b.idle[h]) == 1; kept != c.keeps || b.open != len(b.idle[h]) {
+				t.Errorf("kept %v, %d open; want kept %v", kept, b.open, c.keeps)
+			}
+		})
+	}
+}
+
 // The end of the connection completes an answer without a length only if the server closed it: a reset, the
 // node's own close and a body that is too long do not. Its connection is never used again.
 func TestAnswersWithoutALength(t *testing.T) {
--- /dev/null
+++ b/internal/node/upstreampool_test.go
@@ -0,0 +1,312 @@
+package node
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+
+	"balancer"
+)
+
+// testBackend has its connections rest for no time.
+func testBackend(most int) *upstreamPool {
+	b := newUpstreamPool(testConfig(""), newClock(), most)
+	b.reuseDelay = 0
+	return b
+}
+
+// testHost has the backend know a server that is named by its endpoint.
+func testHost(b *upstreamPool, endpoint string) endpointInstance {
+	t := listEntry{Endpoint: balancer.Endpoint{ID: endpoint, State: balancer.Ready}, address: endpoint}
+	b.updateEndpoints([]listEntry{t}, false)
+	return t.instance()
+}
+
+// testHostOf is a server as testHost names it.
+func testHostOf(s *fakeServer) endpointInstance {
+	return endpointInstance{uid: s.addr(), address: s.addr()}
+}
+
+// testAttempt is an attempt at an endpoint with all the time in the world.
+func testAttempt(b *upstreamPool, endpoint string) *attempt {
+	ctx, cancel := context.WithCancel(context.Background())
+	now := b.clock.now()
+	return &attempt{
+		ctx: ctx, cancel: cancel, to: testHost(b, endpoint), sent: now, deadline: now + limit,
+		call: &request{id: "id", method: "POST", target: "/note/k", body: []byte("body")},
+	}
+}
+
+// run makes an attempt that must end within the limit.
+func run(t *testing.T, b *upstreamPool, a *attempt) attemptOutcome {
+	t.Helper()
+	end := make(chan attemptOutcome, 1)
+	go func() { end <- b.do(a) }()
+	return wait(t, end, "the attempt's end")
+}
+
+// adopt puts a connection among the idle ones.
+func (b *upstreamPool) adopt(nc net.Conn, to endpointInstance) {
+	waiter := make(chan upstreamReply, 1)
+	b.open++
+	c := b.startReader(nc, to, waiter)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	c.waiter = nil
+	b.idle[to] = append(b.idle[to], c)
+}
+
+// A node short of descriptors closes idle connections first; its own lack is no server's fault.
+func TestConnectionsBeyondTheBudget(t *testing.T) {
+	hold, got := make(chan struct{}), make(chan struct{}, 1)
+	one, two := newServer(t, echo), newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+		got <- struct{}{}
+		<-hold
+		return echo(c, r, body)
+	})
+	b := testBackend(1)
+	if r := run(t, b, testAttempt(b, one.addr())); r.result != balancer.Success {
+		t.Fatalf("ending %d", r.result)
+	}
+	end := make(chan attemptOutcome, 1)
+	go func() { end <- b.do(testAttempt(b, two.addr())) }()
+	wait(t, got, "the attempt that took the idle one's place")
+	if r := run(t, b, testAttempt(b, one.addr())); r.result != balancer.NotSent {
+		t.Errorf("with no descriptor left: ending %d, want Void", r.result)
+	}
+	close(hold)
+	if r := wait(t, end, "the attempt"); r.result != balancer.Success {
+		t.Errorf("ending %d", r.result)
+	}
+	if one.seen() != 1 || b.open != 1 {
+		t.Errorf("%d requests at the first server, %d connections open", one.seen(), b.open)
+	}
+}
+
+func TestIdleConnectionsCloseBeforeTheServersDo(t *testing.T) {
+	s := newServer(t, echo)
+	b := testBackend(10)
+	b.idleTimeout = 20 * time.Millisecond
+	run(t, b, testAttempt(b, s.addr()))
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	go b.closeExpired(ctx)
+	until(t, "the close", func() bool {
+		b.mu.Lock()
+		defer b.mu.Unlock()
+		return b.open == 0 && len(b.idle) == 0
+	})
+	if full := testBackend(1); full.idleTimeout >= testConfig("").ConnIdle {
+		t.Errorf("kept for %v", full.idleTimeout)
+	}
+}
+
+// A second copy of an answer is no answer to the next request, however late during the rest it comes: that
+// request goes on another connection, and the one on which the copy comes is closed.
+func TestLateSecondAnswerIsNobodys(t *testing.T) {
+	conns := make(chan net.Conn, 10)
+	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+		conns <- c
+		return echo(c, r, body)
+	})
+	b := newUpstreamPool(testConfig(""), newClock(), 10)
+	if b.reuseDelay <= 0 || b.reuseDelay >= b.idleTimeout {
+		t.Fatalf("connections rest for %v and stay for %v", b.reuseDelay, b.idleTimeout)
+	}
+	b.reuseDelay = 100 * limit
+	send := func(id string) attemptOutcome {
+		a := testAttempt(b, s.addr())
+		a.call.id = id
+		return run(t, b, a)
+	}
+	if r := send("one"); string(r.body) != "for one" {
+		t.Fatalf("got %q", r.body)
+	}
+	first := wait(t, conns, "the first connection")
+	if r := send("two"); string(r.body) != "for two" || s.opened() != 2 {
+		t.Errorf("got %q on %d connections", r.body, s.opened())
+	}
+	reply200(first, "for one")
+	until(t, "the close", func() bool { return b.connections() == 1 })
+	b.mu.Lock()
+	for _, c := range b.idle[testHostOf(s)] {
+		c.reusableAt = 0
+	}
+	b.mu.Unlock()
+	if r := send("three"); string(r.body) != "for three" || s.opened() != 2 {
+		t.Errorf("got %q on %d connections", r.body, s.opened())
+	}
+}
+
+func TestConnectionClosedWhileIdleIsNotUsed(t *testing.T) {
+	closing := make(chan struct{}, 100)
+	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+		reply200(c, "ok") // keeps alive, as far as the node can tell
+		c.Close()
+		closing <- struct{}{}
+		return false
+	})
+	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), nil)
+	c := dial(t, n)
+	for i := range 50 {
+		c.send("POST", "/note/k", fmt.Sprint("n", i), "x", "60")
+		c.want(t, 200, "ok")
+		wait(t, closing, "the close")
+	}
+	if s.seen() != 50 || s.opened() != 50 {
+		t.Errorf("%d requests on %d connections, want 50 on 50", s.seen(), s.opened())
+	}
+}
+
+// A new server at the address of one that has gone does not get its predecessor's connections, nor does
+// one that started anew: whatever is still to come on them belongs to the old one.
+func TestConnectionsBelongToOneLifeOfAServer(t *testing.T) {
+	hold, got := make(chan struct{}), make(chan struct{}, 1)
+	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+		if r.Header.Get("X-Request-Id") == "held" {
+			got <- struct{}{}
+			<-hold
+		}
+		return echo(c, r, body)
+	})
+	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), nil)
+	held, c := dial(t, n), dial(t, n)
+	held.get("held")
+	wait(t, got, "the attempt")
+	c.get("one")
+	c.want(t, 200, "for one")
+	for i, next := range []string{
+		entry("s2", s.addr(), "in_service"),
+		strings.Replace(entry("s2", s.addr(), "in_service"), `"boot_ms":0`, `"boot_ms":5`, 1),
+	} {
+		l, err := parseList([]byte(strings.Replace(whole(next), "%d", "9", 1)))
+		if err != nil {
+			t.Fatal(err)
+		}
+		n.loop.post(listReceived{l})
+		before := s.opened()
+		until(t, "the list to be taken", func() bool {
+			n.upstream.mu.Lock()
+			defer n.upstream.mu.Unlock()
+			return n.upstream.endpoints["s2"] == l.entries[0]
+		})
+		if i == 0 { // a connection that was busy when the server went
+			close(hold)
+			held.want(t, 200, "for held")
+		}
+		c.get(fmt.Sprint("next-", i))
+		c.want(t, 200, fmt.Sprint("for next-", i))
+		if s.opened() != before+1 {
+			t.Errorf("life %d: %d connections after %d, want one more", i, s.opened(), before)
+		}
+	}
+}
+
+func TestDrainingServerGetsNothingNew(t *testing.T) {
+	a, b := newServer(t, echo), newServer(t, echo)
+	ag := newAgent(t)
+	cfg := testConfig(whole(entry("s1", a.addr(), "in_service"), entry("s2", b.addr(), "in_service")))
+	cfg.Discovery = ag.Addr().String()
+	n, _ := startNode(t, cfg, nil)
+	c := dial(t, n)
+	i := 0
+	ask := func() {
+		i++
+		c.get(fmt.Sprint("r", i))
+		c.want(t, 200, fmt.Sprint("for r", i))
+	}
+	for a.seen() == 0 || b.seen() == 0 {
+		ask()
+	}
+	for _, state := range []string{"terminating", "terminated"} {
+		ag.tell(false, `{"rev":%d,"all":false,"targets":[`+entry("s1", a.addr(), state)+`]}`)
+		for told := ag.rev; !strings.Contains(wait(t, ag.asked, "the next watch"), fmt.Sprint("from=", told)); {
+		}
+		until(t, "the idle connections to be closed", func() bool {
+			n.upstream.mu.Lock()
+			defer n.upstream.mu.Unlock()
+			for h, idle := range n.upstream.idle {
+				if h.address == a.addr() && len(idle) > 0 {
+					return false
+				}
+			}
+			return true
+		})
+		before := a.seen()
+		for range 30 {
+			ask()
+		}
+		if a.seen() != before {
+			t.Errorf("%s: %d requests reached the server", state, a.seen()-before)
+		}
+	}
+}
+
+// A connection that came up for an attempt in vain serves the next one.
+func TestLateConnectionIsKeptForOthers(t *testing.T) {
+	s := newServer(t, echo)
+	b := testBackend(10)
+	held := holdDials(b)
+	a := testAttempt(b, s.addr())
+	end := make(chan attemptOutcome, 1)
+	go func() { end <- b.do(a) }()
+	wait(t, held.up, "the connection")
+	a.call.markDeparted()
+	close(held.through)
+	wait(t, end, "the attempt's end")
+	if r := run(t, b, testAttempt(b, s.addr())); r.result != balancer.Success || s.opened() != 1 || s.seen() != 1 {
+		t.Errorf("ending %d, %d connections, %d requests", r.result, s.opened(), s.seen())
+	}
+}
+
+// A look at a connection that a signal interrupts is made again until it tells something: the poller has
+// told of what is there before, and does so only once.
+func TestInterruptedLookIsMadeAgain(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	for _, c := range []struct {
+		name string
+		do   func(theirs net.Conn)
+		has  bool
+	}{
+		{"data", func(theirs net.Conn) { theirs.Write([]byte("x")) }, true},
+		{"a close", func(theirs net.Conn) { theirs.Close() }, true},
+		{"nothing", func(net.Conn) {}, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			theirs, err := net.Dial("tcp", ln.Addr().String())
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer theirs.Close()
+			ours, err := ln.Accept()
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer ours.Close()
+			if c.do(theirs); c.has {
+				until(t, "it to arrive", func() bool { return hasUnreadOrClosed(ours) })
+			}
+			interrupted := failing(syscall.EINTR, 2)
+			recv := func(fd int, p []byte, flags int) (int, syscall.Sockaddr, error) {
+				if err := interrupted(); err != nil {
+					return -1, nil, err
+				}
+				return syscall.Recvfrom(fd, p, flags)
+			}
+			var has bool
+			err = rawConn(ours).Control(func(fd uintptr) { has = peekBy(recv, fd) })
+			if err != nil || has != c.has {
+				t.Errorf("something there: %v (%v), want %v", has, err, c.has)
+			}
+		})
+	}
+}
