--- /dev/null
+++ b/admission_test.go
@@ -0,0 +1,203 @@
+package balancer
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// A new node's window begins at its floor, and good answers open it by a call each, for as long as it is in
+// use; a few answers that tell of a crowd end that.
+func TestNewWindowOpensUntilServersAreCrowded(t *testing.T) {
+	b := newBalancer(t, nil)
+	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
+	floor := windowFloor * b.fairServers()
+	if b.window != floor {
+		t.Fatalf("a new window is %.1f, want its floor, %.1f", b.window, floor)
+	}
+	r := &request{class: b.classes["get"], attempts: []*attempt{{sent: 0}}}
+	answers := func(n int, ending AttemptResult, share float64) {
+		for range n {
+			b.now, b.inFlight = time.Duration(share*r.class.target(0)), int(b.window)
+			b.steer(r, AttemptEnded{Result: ending})
+		}
+	}
+	answers(20, Success, 0.8)
+	if want := floor + 20; b.window != want {
+		t.Errorf("20 good answers opened the window from %.1f to %.1f, want %.1f", floor, b.window, want)
+	}
+	answers(8, Rejected, 0.1)
+	crowded := b.window
+	if answers(20, Success, 0.8); b.window > crowded+5 {
+		t.Errorf("after a crowd 20 good answers opened the window from %.1f to %.1f", crowded, b.window)
+	}
+}
+
+// In overload the window must shrink, and never under its floor.
+func TestWindowFollowsLatency(t *testing.T) {
+	for _, tc := range []struct {
+		took time.Duration
+		grow bool
+	}{{450 * msec, false}, {40 * msec, true}} {
+		b := newBalancer(t, nil)
+		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
+		c := b.classes["get"] // known to answer in 40 ms when there is room
+		c.samples, c.mean, c.base = 100, float64(40*msec), float64(40*msec)
+		b.window = 15 // less than its growth may reach with the ten calls that are out here
+		start, now := b.window, time.Duration(0)
+		var open []Send
+		for i := range 3000 {
+			now += 4 * msec
+			open = append(open, sends(b.Handle(now, Request{ID: fmt.Sprint(i), Class: "get", Deadline: now + time.Second}))...)
+			for len(open) > 0 && b.requests[open[0].ID].attempts[0].sent+tc.took <= now {
+				s := open[0]
+				open = append(open[1:], sends(settle(b, now, s.ID, s, Success))...)
+			}
+		}
+		if grew := b.window > start; grew != tc.grow && tc.grow || b.window < windowFloor*b.fairServers() {
+			t.Errorf("answers after %v: window %.1f from %.1f", tc.took, b.window, start)
+		}
+		if !tc.grow && b.window > windowFloor*b.fairServers()+1 {
+			t.Errorf("late answers left the window at %.1f", b.window)
+		}
+	}
+}
+
+// steered is the window after many alike outcomes, each after share of what is aimed at, from 100.
+func steered(t *testing.T, shed float64, ending AttemptResult, after func(*class) float64) float64 {
+	t.Helper()
+	b := newBalancer(t, nil)
+	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
+	b.window, b.busy = 100, 100
+	r := &request{class: b.classes["get"], attempts: []*attempt{{sent: 0}}}
+	for range 50 {
+		b.shed = shed
+		b.now, b.inFlight = time.Duration(after(r.class)), int(b.window)
+		b.steer(r, AttemptEnded{Result: ending})
+	}
+	return b.window
+}
+
+// While much is shed some servers choke for certain, so the window gets leaner.
+func TestWindowIsLeanerWhileMuchIsShed(t *testing.T) {
+	late := func(c *class) float64 { return 0.95 * c.target(0) }
+	calm, shedding := steered(t, 0, Success, late), steered(t, 0.8, Success, late)
+	if calm <= 100 || shedding >= 100 {
+		t.Errorf("window from 100: nothing shed %.1f, want growth; much shed %.1f, want shrinking", calm, shedding)
+	}
+}
+
+// Answers as quick as idle servers give them must open the window however much is shed, or shedding
+// keeps itself up; spoilt answers and errors are no sign of a crowd.
+func TestSheddingDoesNotKeepItselfUp(t *testing.T) {
+	idle := func(c *class) float64 { return 1.05 * c.base }
+	if w := steered(t, 1, Success, idle); w <= 100 {
+		t.Errorf("idle servers' answers moved the window from 100 to %.1f", w)
+	}
+	for _, e := range []AttemptResult{ConnectionLost, ServerError} {
+		if w := steered(t, 0, e, idle); w != 100 {
+			t.Errorf("ending %v moved the window from 100 to %.1f", e, w)
+		}
+	}
+}
+
+// With hundreds of nodes a share of the servers is one call or less: a window that starts or stays
+// there refuses requests that the fleet could carry, so it must open within seconds of good answers.
+func TestWindowOpensAtANodeOfMany(t *testing.T) {
+	b := newBalancer(t, func(s *Settings) { s.Replicas = 300 })
+	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(60)})
+	var open []Send
+	for i := range 150 { // thirty a second, answered in 100 ms: three in flight
+		now := time.Duration(i) * 33 * msec
+		for len(open) > 0 && b.requests[open[0].ID].attempts[0].sent+100*msec <= now {
+			s := open[0]
+			open = append(open[1:], sends(settle(b, now, s.ID, s, Success))...)
+		}
+		open = append(open, sends(b.Handle(now, Request{ID: fmt.Sprint(i), Class: "get", Deadline: now + time.Second}))...)
+	}
+	if b.window < 3 {
+		t.Errorf("the window is %.1f after five seconds", b.window)
+	}
+}
+
+// Room that is not in use is given up at once when servers turn calls away: else all nodes fill it together.
+func TestCrowdTakesUnusedRoom(t *testing.T) {
+	b := newBalancer(t, nil)
+	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
+	b.window, b.busy, b.opening = 80, 40, false
+	r := &request{class: b.classes["get"], attempts: []*attempt{{sent: 0}}}
+	for range 8 {
+		b.now = msec
+		b.steer(r, AttemptEnded{Result: Rejected})
+	}
+	if b.window > b.busy+1 {
+		t.Errorf("8 calls turned away left a window of %.1f with %.0f calls out", b.window, b.busy)
+	}
+}
+
+// Repeats by clients make a jam last: they get only half of the window.
+func TestRepeatsLeaveRoomForFirstTries(t *testing.T) {
+	b := newBalancer(t, nil)
+	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
+	b.window, b.inFlight = 10, 6
+	repeat := sends(b.Handle(msec, Request{ID: "again", Class: "get", Deadline: time.Second, Retry: true}))
+	first := sends(b.Handle(msec, Request{ID: "first", Class: "get", Deadline: time.Second}))
+	if len(repeat) != 0 || len(first) != 1 {
+		t.Errorf("sent %v for a repeat and %v for a first try", repeat, first)
+	}
+}
+
+// In overload what is worth least is refused first, also where too few wait for the hold to choose;
+// with nothing shed every class may fill the window, and no class loses more than half of it.
+func TestWindowKeepsRoomForWorth(t *testing.T) {
+	b := newBalancer(t, func(s *Settings) {
+		s.Classes[0].PriorityWeight, s.Classes[2].PriorityWeight, s.WorstClassWeight = 1, 12, 0
+	})
+	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
+	for _, c := range b.order {
+		c.arrive, c.serve = 10, 5
+	}
+	low, high := &request{class: b.classes["get"]}, &request{class: b.classes["pay"]}
+	if l, h := b.windowShare(low), b.windowShare(high); l != 1 || h != 1 {
+		t.Errorf("nothing shed: parts of the window %.2f and %.2f, want 1", l, h)
+	}
+	b.shed = 0.6
+	if l, h := b.windowShare(low), b.windowShare(high); l > 0.7 || l < 0.5 || h < 1.3 || h > 2 {
+		t.Errorf("much shed: parts of the window %.2f for low worth and %.2f for high", l, h)
+	}
+}
+
+// A marked repeat is mostly past its aim already: while there is little room, first tries go first.
+func TestFirstTriesGoBeforeRepeats(t *testing.T) {
+	b := newBalancer(t, nil)
+	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(1)})
+	b.window = 1
+	first := sends(b.Handle(0, Request{ID: "a", Class: "get", Deadline: time.Second}))
+	b.Handle(msec, Request{ID: "new", Class: "get", Deadline: time.Second})
+	b.Handle(2*msec, Request{ID: "repeat", Class: "get", Deadline: time.Second, Retry: true})
+	b.classes["get"].LateValue = 0.5
+	b.inFlight = int(windowFloor*b.fairServers()) + 2
+	b.window = float64(b.inFlight) // one comes free by the next answer
+	next := sends(settle(b, 10*msec, "a", first[0], Success))
+	if len(next) == 0 || next[0].ID != "new" {
+		t.Errorf("after an answer %v was sent", next)
+	}
+}
+
+// A refused client is not sent away for long: it would come back when its aim is mostly over.
+func TestRefusalsBringClientsBackSoon(t *testing.T) {
+	b := newBalancer(t, nil)
+	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(2)})
+	b.window, b.inFlight = 1, 1
+	r := Request{ID: "a", Class: "get", Deadline: time.Second}
+	b.Handle(2*msec, r)
+	for _, a := range b.Handle(600*msec, Timer{Token: "r:a"}) {
+		if f, ok := a.(Reject); ok {
+			if limit := b.set.Classes[0].LatencyObjective / 10; f.RetryAfter > limit {
+				t.Errorf("RetryAfter %v, want at most %v", f.RetryAfter, limit)
+			}
+			return
+		}
+	}
+	t.Error("not refused")
+}
--- a/heldup_test.go
+++ b/heldup_test.go
@@ -49,27 +49,3 @@
 	s.failing = maps.Clone(s.failing)
 	return s
 }
-
-// An attempt that never left the host costs no server anything: the one that follows is free, but counts
-// against the most that a request may have.
-func TestVoidCostsNoRetryBudget(t *testing.T) {
-	b := newBalancer(t, func(s *Settings) { s.MaxAttempts = 4 })
-	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
-	b.tokens = 0.05
-	sent := sends(b.Handle(0, Request{ID: "r", Class: "get", Deadline: time.Second}))
-	for n := 0; len(sent) > 0; n++ {
-		if n == 4 {
-			t.Fatal("more attempts than allowed")
-		}
-		if b.tokens != 0.05 {
-			t.Errorf("attempt %d: the budget is %v", n, b.tokens)
-		}
-		acts := b.Handle(0, AttemptEnded{ID: "r", Attempt: n, Endpoint: sent[0].Endpoint, Result: NotSent})
-		if sent = sends(acts); len(sent) == 0 && n != 3 {
-			t.Errorf("%d attempts, want 4", n+1)
-		}
-	}
-	if b.requests["r"] != nil {
-		t.Error("the request has no answer")
-	}
-}
--- /dev/null
+++ b/helpers_test.go
@@ -0,0 +1,103 @@
+package balancer
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+const msec = time.Millisecond
+
+// testSettings has one class of each effect.
+func testSettings() Settings {
+	return Settings{
+		Classes: []Class{
+			{Name: "get", Effect: Idempotent, Scope: ScopeAll, LatencyObjective: 500 * msec, Deadline: 1500 * msec, PriorityWeight: 1},
+			{
+				Name: "post", Effect: IdempotentByKey, Scope: ScopeCell, DedupWindow: 900 * msec, LatencyObjective: 500 * msec,
+				Deadline: 1500 * msec, PriorityWeight: 2,
+			},
+			{Name: "pay", Effect: NonIdempotent, LatencyObjective: 500 * msec, Deadline: 1500 * msec, PriorityWeight: 3},
+		},
+		Replicas: 2, Tier: 0, TotalWeight: 0.6, WorstClassWeight: 0.3,
+		MaxAttempts: 5, AllowCancel: true, Tick: 2 * msec,
+		PollWithin: 10 * time.Second, MaxRetryAfter: 2 * time.Second,
+		SlowStartFloor: 0.2, SlowStartDuration: 10 * time.Second,
+	}
+}
+
+func newBalancer(t testing.TB, change func(*Settings)) *Balancer {
+	t.Helper()
+	s := testSettings()
+	if change != nil {
+		change(&s)
+	}
+	b, err := New(s, 7)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
+
+func servers(n int) []Endpoint {
+	var l []Endpoint
+	for i := range n {
+		l = append(l, Endpoint{ID: fmt.Sprintf("s%02d", i), Zone: "z", Cell: i % 2})
+	}
+	return l
+}
+
+// sends returns the Send actions among acts.
+func sends(acts []Action) []Send {
+	var l []Send
+	for _, a := range acts {
+		if s, ok := a.(Send); ok {
+			l = append(l, s)
+		}
+	}
+	return l
+}
+
+// settle answers the single attempt of a request.
+func settle(b *Balancer, now time.Duration, id string, s Send, e AttemptResult) []Action {
+	return b.Handle(now, AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: e, Answered: e == Success})
+}
+
+// traffic sends n requests one after another; fate decides how attempts at a server end. It
+// returns how many first tries each server got in the second half.
+func traffic(b *Balancer, n int, class string, fate func(server string) AttemptResult) map[string]int {
+	got := map[string]int{}
+	for i := range n {
+		id, now := fmt.Sprint(class, i), b.now+20*msec
+		for _, s := range sends(b.Handle(now, Request{ID: id, Class: class, Deadline: now + time.Second})) {
+			if i >= n/2 {
+				got[s.Endpoint]++
+			}
+			for k := 0; k < 5; k++ {
+				e := fate(s.Endpoint)
+				now += 10 * msec
+				again := sends(b.Handle(now, AttemptEnded{ID: id, Attempt: k, Endpoint: s.Endpoint, Result: e, Answered: e == Success}))
+				if len(again) == 0 {
+					break
+				}
+				s = again[0]
+			}
+		}
+	}
+	return got
+}
+
+// zoned lists servers of two zones, each in both groups.
+func zoned(n int) []Endpoint {
+	l := servers(n)
+	for i := range l {
+		l[i].Zone = []string{"north", "north", "east", "east"}[i%4]
+	}
+	return l
+}
+
+// inZone sets a copy's zone, by its number: the copies of a zone are numbered in a row.
+func inZone(s *Settings, index, copies int) {
+	s.Replicas, s.ReplicaIndex, s.ZoneCount = copies, index, 2
+	s.Zone = []string{"north", "east"}[2*index/copies]
+}
--- /dev/null
+++ b/outlier_test.go
@@ -0,0 +1,151 @@
+package balancer
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// A server that errs at once drains its count; without ejection it would win every draw.
+func TestFastErrorsAreEjected(t *testing.T) {
+	for _, e := range []AttemptResult{ServerError, ConnectFailed, ConnectionLost} {
+		b := newBalancer(t, nil)
+		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
+		got := traffic(b, 600, "get", func(s string) AttemptResult {
+			if s == "s03" {
+				return e
+			}
+			return Success
+		})
+		if got["s03"] > 10 {
+			t.Errorf("ending %d: the bad server got %d of 300 first tries", e, got["s03"])
+		}
+	}
+}
+
+// When every server fails alike the trouble is below them: nobody may be starved of calls.
+func TestFailuresEverywhereEjectFew(t *testing.T) {
+	b := newBalancer(t, nil)
+	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
+	got := traffic(b, 800, "get", func(string) AttemptResult { return ServerError })
+	if len(got) < 8 {
+		t.Errorf("only %d of 10 servers are still used", len(got))
+	}
+}
+
+// A machine gone quiet shows nothing but an old unanswered call while others answer.
+func TestSilentServerIsPassedOver(t *testing.T) {
+	b := newBalancer(t, nil)
+	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
+	stuck, now := 0, time.Duration(0)
+	for i := range 600 {
+		id := fmt.Sprint(i)
+		now += 20 * msec
+		for _, s := range sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Minute})) {
+			if s.Endpoint == "s03" {
+				stuck++
+			} else {
+				settle(b, now+10*msec, id, s, Success)
+			}
+		}
+	}
+	if stuck == 0 || stuck > 6 {
+		t.Errorf("the silent server holds %d calls", stuck)
+	}
+}
+
+// After an ejection the first trial must not be a request that cannot be repeated.
+func TestTrialIsNeverUnsafe(t *testing.T) {
+	b := newBalancer(t, nil)
+	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
+	s := b.servers["s03"]
+	s.level, s.until = 1, 0
+	if got := traffic(b, 400, "pay", func(string) AttemptResult { return Success }); got["s03"] != 0 {
+		t.Errorf("a server on trial got %d unsafe requests", got["s03"])
+	}
+	if got := traffic(b, 400, "get", func(string) AttemptResult { return Success }); got["s03"] == 0 {
+		t.Error("the server was never tried again")
+	}
+}
+
+// In overload every server is missed: the more is shed, the fewer may be ruled out for their health.
+func TestSheddingLeavesMoreServersIn(t *testing.T) {
+	for _, c := range []struct {
+		shed float64
+		want int
+	}{{0, 4}, {0.5, 2}, {0.9, 0}} {
+		b := newBalancer(t, nil)
+		b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(20)})
+		for _, s := range b.ready.all[:10] {
+			s.until = time.Minute
+		}
+		b.shed = c.shed
+		out := 0
+		b.ruleOut(b.whole, &request{class: b.classes["get"]}, true)
+		for _, s := range b.ready.all {
+			if s.out {
+				out++
+			}
+		}
+		if out != c.want {
+			t.Errorf("shed %.1f: %d ruled out, want %d", c.shed, out, c.want)
+		}
+	}
+}
+
+// Connection tables filled by other copies refuse at once: a server that refused gets no more own
+// calls than it had, however many others refuse too, and is tried again later.
+func TestRefusingServerKeepsOnlyWhatItHad(t *testing.T) {
+	b := newBalancer(t, func(s *Settings) { s.Tier, s.Replicas = 1, 1 })
+	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
+	now, id := msec, 0
+	full := map[string]bool{"s00": true, "s02": true, "s03": true, "s05": true, "s06": true, "s08": true}
+	refused := func(n int) (count int) {
+		for range n {
+			now += 5 * msec
+			id++
+			todo := sends(b.Handle(now, Request{ID: fmt.Sprint(id), Class: "get", Deadline: now + time.Second}))
+			for try := 0; len(todo) > 0; try++ {
+				end := Success
+				if full[todo[0].Endpoint] {
+					end = ConnectFailed
+					count++
+				}
+				now += 20 * msec
+				todo = sends(b.Handle(now, AttemptEnded{
+					ID: fmt.Sprint(id), Attempt: try, Endpoint: todo[0].Endpoint,
+					Result: end, Answered: end == Success,
+				}))
+			}
+		}
+		return count
+	}
+	// Six of ten are full: without memory each request meets more than one refusal.
+	if got := refused(24); got < 3 || got > 16 {
+		t.Errorf("%d refusals of 24 requests: full servers are still drawn, or none was found", got)
+	}
+	now += time.Minute
+	if refused(20) == 0 {
+		t.Error("full servers were never tried again")
+	}
+}
+
+// A choked server answers, but late: one overlong answer must be enough to pass it over for a while,
+// for a node of many calls it too seldom to wait for a mean. Where overlong answers are common none is.
+func TestOverlongAnswerEjects(t *testing.T) {
+	for _, c := range []struct {
+		common float64
+		want   bool
+	}{{0.02, true}, {0.5, false}} {
+		b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
+		b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
+		traffic(b, 40, "get", func(string) AttemptResult { return Success })
+		b.errors = c.common
+		now := b.now
+		s := sends(b.Handle(now, Request{ID: "slow", Class: "get", Deadline: now + time.Second}))[0]
+		settle(b, now+400*msec, "slow", s, Success)
+		if out := b.servers[s.Endpoint].until > b.now; out != c.want {
+			t.Errorf("with %.2f of answers overlong: ejected %v, want %v", c.common, out, c.want)
+		}
+	}
+}
--- /dev/null
+++ b/retry_test.go
@@ -0,0 +1,95 @@
+package balancer
+
+import (
+	"testing"
+	"time"
+)
+
+// A call is cut short only where calls hang, where it may run again, and where another has time and budget.
+func TestPatienceEndsEarlyOnlyWhereAnotherTryMayFollow(t *testing.T) {
+	for _, c := range []struct {
+		name            string
+		tier            int
+		class           string
+		failing, tokens float64
+		left, want      time.Duration
+	}{
+		{"calls hang", 1, "get", 0.2, 5, 800 * msec, 400 * msec},
+		{"in the first tier", 0, "get", 0.2, 5, 400 * msec, 400 * msec},
+		{"must not run twice", 1, "pay", 0.2, 5, 800 * msec, 800 * msec},
+		{"none fails", 1, "get", 0, 5, 800 * msec, 800 * msec},
+		{"the budget is spent", 1, "get", 0.2, 0, 800 * msec, 800 * msec},
+		{"answers may take that long", 1, "get", 0.2, 5, 500 * msec, 500 * msec},
+	} {
+		b := newBalancer(t, func(s *Settings) { s.Tier = c.tier })
+		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
+		b.classes[c.class].failing, b.tokens = c.failing, c.tokens
+		s := sends(b.Handle(0, Request{ID: "a", Class: c.class, Deadline: c.left}))[0]
+		if s.Timeout != c.want {
+			t.Errorf("%s: time-out %v, want %v", c.name, s.Timeout, c.want)
+		}
+	}
+}
+
+// An attempt that never left the host costs no server anything: the one that follows is free, but counts
+// against the most that a request may have.
+func TestVoidCostsNoRetryBudget(t *testing.T) {
+	b := newBalancer(t, func(s *Settings) { s.MaxAttempts = 4 })
+	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
+	b.tokens = 0.05
+	sent := sends(b.Handle(0, Request{ID: "r", Class: "get", Deadline: time.Second}))
+	for n := 0; len(sent) > 0; n++ {
+		if n == 4 {
+			t.Fatal("more attempts than allowed")
+		}
+		if b.tokens != 0.05 {
+			t.Errorf("attempt %d: the budget is %v", n, b.tokens)
+		}
+		acts := b.Handle(0, AttemptEnded{ID: "r", Attempt: n, Endpoint: sent[0].Endpoint, Result: NotSent})
+		if sent = sends(acts); len(sent) == 0 && n != 3 {
+			t.Errorf("%d attempts, want 4", n+1)
+		}
+	}
+	if b.requests["r"] != nil {
+		t.Error("the request has no answer")
+	}
+}
+
+// An unmarked repeat shows by a deadline shorter than other tries have.
+func TestShortDeadlineTellsARepeat(t *testing.T) {
+	b := newBalancer(t, nil)
+	b.Handle(0, Request{ID: "first", Class: "get", Deadline: 1500 * msec})
+	b.Handle(5*time.Second, Request{ID: "again", Class: "get", Deadline: 5*time.Second + 900*msec})
+	if r := b.requests["first"]; r == nil || r.repeat || r.arrived != 0 {
+		t.Errorf("a first try was taken for a repeat: %+v", r)
+	}
+	// The repeat's aim of 500 ms ended 100 ms before it came: without a server it is still held.
+	r := b.requests["again"]
+	if r == nil || !r.repeat || r.arrived != 5*time.Second-600*msec {
+		t.Errorf("the repeat was not seen: %+v", r)
+	}
+}
+
+// A request that its client writes slowly is no odd one among those that are given the same time, and an odd
+// one is a repeat only if it is so by its first byte.
+func TestSlowlyWrittenRequestIsNoRepeat(t *testing.T) {
+	b := newBalancer(t, nil)
+	b.Handle(time.Second, Request{ID: "first", Class: "get", Deadline: 2500 * msec})
+	for _, c := range []struct {
+		id                    string
+		now, firstByte, given time.Duration
+		repeat                bool
+		arrived               time.Duration
+	}{
+		{"slow", 5 * time.Second, 4400 * msec, 1500 * msec, false, 5 * time.Second},
+		{"slow and odd", 6 * time.Second, 5500 * msec, 1300 * msec, false, 5300 * msec},
+		{"slow repeat", 7 * time.Second, 6950 * msec, 900 * msec, true, 6350 * msec},
+		{"first byte after now", 8 * time.Second, 9 * time.Second, 500 * msec, false, 8 * time.Second},
+	} {
+		b.Handle(c.now, Request{ID: c.id, Class: "get", FirstByte: c.firstByte, Deadline: c.firstByte + c.given})
+		if r := b.requests[c.id]; r == nil || r.repeat != c.repeat || r.arrived != c.arrived {
+			t.Errorf("%s: %+v", c.id, r)
+		}
+		b.classes["get"].votes = 1
+	}
+}
--- /dev/null
+++ b/subsetting_test.go
@@ -0,0 +1,119 @@
+package balancer
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+)
+
+func TestCopiesShareTheOrder(t *testing.T) {
+	a, b := newBalancer(t, nil), newBalancer(t, nil)
+	l := servers(7)
+	a.Handle(0, EndpointUpdate{Complete: true, Endpoints: l})
+	for i := len(l) - 1; i >= 0; i-- {
+		b.Handle(0, EndpointUpdate{Endpoints: l[i : i+1]})
+	}
+	for i := range l {
+		if a.ready.all[i].ID != b.ready.all[i].ID {
+			t.Fatalf("order differs at %d: %s, %s", i, a.ready.all[i].ID, b.ready.all[i].ID)
+		}
+	}
+}
+
+// The pools of many nodes cover each group evenly, and a busy node takes a wider one.
+func TestPoolsCoverTheGroupsEvenly(t *testing.T) {
+	count := map[string]int{}
+	const nodes = 60
+	for i := range nodes {
+		b := newBalancer(t, func(s *Settings) { s.Tier, s.Replicas, s.ReplicaIndex = 1, nodes, i })
+		b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(40)})
+		b.choose(&request{class: b.classes["get"]})
+		for _, s := range append(append([]*server{}, b.pool.left...), b.pool.right...) {
+			count[s.ID]++
+		}
+		if idle := b.width; idle >= 20 {
+			t.Fatalf("an idle node's pool has %d servers", idle)
+		}
+		b.busy = 8
+		if b.fitPool(); b.width < 12 {
+			t.Fatalf("a busy node's pool has %d servers", b.width)
+		}
+	}
+	least, most := nodes, 0
+	for _, s := range servers(40) {
+		least, most = min(least, count[s.ID]), max(most, count[s.ID])
+	}
+	if least < 4 || most-least > 3 {
+		t.Errorf("servers are in %d to %d pools", least, most)
+	}
+}
+
+// The pools of a zone's copies cover its servers evenly, however the copies are numbered, and take in the
+// other zone when they are wider than their own.
+func TestPoolsPreferTheirZoneAndCoverItEvenly(t *testing.T) {
+	for _, numbered := range []string{"in a row", "in turns"} {
+		count := map[string]int{}
+		const copies = 60
+		for i := range copies {
+			b := newBalancer(t, func(s *Settings) {
+				inZone(s, i, copies)
+				if s.Tier = 1; numbered == "in turns" {
+					s.Zone = []string{"north", "east"}[i%2]
+				}
+			})
+			b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: zoned(40)})
+			b.fitPool()
+			for _, s := range slices.Concat(b.pool.left, b.pool.right) {
+				if count[s.ID]++; s.Zone != b.set.Zone {
+					t.Fatalf("copy %d in %s has %s of %s in a pool of %d", i, b.set.Zone, s.ID, s.Zone, b.width)
+				}
+			}
+			b.busy = 100
+			if b.fitPool(); len(b.pool.left)+len(b.pool.right) != 40 {
+				t.Fatalf("a copy's widest pool has %d and %d servers", len(b.pool.left), len(b.pool.right))
+			}
+		}
+		least, most := copies, 0
+		for _, s := range servers(40) {
+			least, most = min(least, count[s.ID]), max(most, count[s.ID])
+		}
+		if least < 4 || most-least > 4 {
+			t.Errorf("numbered %s: servers are in %d to %d pools", numbered, least, most)
+		}
+	}
+}
+
+// Lists of 1,024 servers and as many copies are used whole: all copies' pools together hold each server, each
+// as often as the others, and a copy that is refused by its pool finds the rest.
+func TestThousandServersAndCopies(t *testing.T) {
+	const many = 1024
+	var list []Endpoint
+	for i := range many {
+		list = append(list, Endpoint{ID: fmt.Sprintf("s%04d", i), Zone: "z", Capacity: 1})
+	}
+	pooled := map[string]int{}
+	for i := range many {
+		b := newBalancer(t, func(s *Settings) { s.Replicas, s.ReplicaIndex, s.Zone, s.ZoneCount, s.Tier = many, i, "z", 1, 1 })
+		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: list})
+		acts := b.Handle(0, Request{ID: "r", Class: "get", Deadline: time.Second})
+		if len(sends(acts)) != 1 {
+			t.Fatalf("copy %d: a request led to %v", i, acts)
+		}
+		for _, s := range b.ready.all {
+			if s.pooled {
+				pooled[s.ID]++
+			}
+		}
+	}
+	if len(pooled) != many {
+		t.Errorf("%d of %d servers are in a pool", len(pooled), many)
+	}
+	least, most := many, 0
+	for _, n := range pooled {
+		least, most = min(least, n), max(most, n)
+	}
+	if least < poolOverlap || most > 2*least {
+		t.Errorf("servers are in %d to %d pools, want alike and at least %d", least, most, poolOverlap)
+	}
+}
