--- a/cmd/balancer/crowd_test.go
+++ b/cmd/balancer/descriptors_test.go
@@ -1,14 +1,9 @@
 package main
 
 import (
-	"bufio"
-	"errors"
 	"fmt"
-	"io"
-	"net"
 	"net/http"
 	"net/http/httptest"
-	"os"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -16,126 +11,6 @@
 	"time"
 )
 
-// crowd is idle clients: each connects, does what its kind does, and stays until the node ends the
-// connection; then it comes again.
-type crowd struct {
-	address string
-	kind    string
-	turns   chan struct{} // one for each connection to be made
-	stop    chan struct{}
-	wg      sync.WaitGroup
-	ended   atomic.Int64 // connections that the node has ended
-	asking  atomic.Int64 // requests that are not answered
-	quiet   atomic.Bool  // no request is sent any more
-
-	mu    sync.Mutex
-	conns map[net.Conn]struct{}
-}
-
-// Connections of a crowd: all at once at first, then one each time, and no more than so many in all.
-const (
-	comeAgain = 2 * time.Millisecond
-	mostTurns = 20_000
-)
-
-// gather has many idle clients come at once, and come again for as long as the test runs.
-func gather(t *testing.T, address, kind string, many int) *crowd {
-	c := &crowd{
-		address: address, kind: kind, turns: make(chan struct{}, many), stop: make(chan struct{}),
-		conns: map[net.Conn]struct{}{},
-	}
-	for i := range many {
-		c.turns <- struct{}{}
-		c.wg.Add(1)
-		go func() {
-			defer c.wg.Done()
-			for n := i; ; n++ {
-				select {
-				case <-c.stop:
-					return
-				case <-c.turns:
-					c.come(n)
-				}
-			}
-		}()
-	}
-	c.wg.Add(1)
-	go func() {
-		defer c.wg.Done()
-		again := time.NewTicker(comeAgain)
-		defer again.Stop()
-		for range mostTurns - many {
-			select {
-			case <-c.stop:
-				return
-			case <-again.C:
-			}
-			select {
-			case c.turns <- struct{}{}:
-			default: // all are there
-			}
-		}
-	}()
-	t.Cleanup(func() {
-		c.mu.Lock()
-		close(c.stop)
-		for nc := range c.conns {
-			nc.Close()
-		}
-		c.mu.Unlock()
-		c.wg.Wait()
-	})
-	return c
-}
-
-// come is one connection of a client.
-func (c *crowd) come(n int) {
-	nc, err := net.Dial("tcp", c.address)
-	if err != nil {
-		return
-	}
-	defer nc.Close()
-	c.mu.Lock()
-	select {
-	case <-c.stop:
-		c.mu.Unlock()
-		return
-	default:
-	}
-	c.conns[nc] = struct{}{}
-	c.mu.Unlock()
-	kind := c.kind
-	if kind == "mixed" {
-		kind = []string{"silent", "half", "resting"}[n%3]
-	}
-	switch kind {
-	case "half":
-		io.WriteString(nc, "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Req")
-	case "resting":
-		c.asking.Add(1) // before the look at quiet: whoever finds no one asking after it was set can rely on that
-		if !c.quiet.Load() {
-			fmt.Fprintf(nc, "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: idle-%p-%d\r\nX-Deadline: 40\r\n\r\n", nc, n)
-			nc.Read(make([]byte, 1))
-		}
-		c.asking.Add(-1)
-	}
-	io.Copy(io.Discard, nc) // until the node ends it
-	c.mu.Lock()
-	delete(c.conns, nc)
-	c.mu.Unlock()
-	c.ended.Add(1)
-}
-
-// descriptors is how many a process holds.
-func descriptors(t *testing.T, pid int) int {
-	t.Helper()
-	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return len(open)
-}
-
 // mostUsed is how many descriptors a node may use: callers and servers leave it 24, of which it has six of its
 // own (listener, poller, log) and at most eight connections to discovery.
 func mostUsed(sockets int) int { return sockets - 24 + 6 + 8 }
@@ -256,36 +131,6 @@
 	t.Logf("list taken after %v, %d shut, at most %d of %d descriptors", took, shut, most, sockets)
 }
 
-// waitFor waits for what must come.
-func waitFor(t *testing.T, c <-chan struct{}, what string) {
-	t.Helper()
-	select {
-	case <-c:
-	case <-time.After(limit):
-		t.Fatalf("waited in vain for %s", what)
-	}
-}
-
-// askOnce makes a request on a connection of its own. The error says that it was ended with no answer.
-func askOnce(address string) (status int, body string, err error) {
-	nc, err := net.Dial("tcp", address)
-	if err != nil {
-		return 0, "", err
-	}
-	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(limit))
-	io.WriteString(nc, "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: good\r\nX-Deadline: 40\r\n\r\n")
-	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
-	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return 0, "no answer", nil
-	}
-	if err != nil {
-		return 0, "", err
-	}
-	text, err := io.ReadAll(resp.Body)
-	return resp.StatusCode, string(text), err
-}
-
 // TestHeldRequestsLeaveDescriptors has a node hold as many requests as it may while it knows no server and
 // idle clients fill the rest of its descriptors. The list that comes then sets off all of them at once, to
 // a server that answers none until each has come to it or has been refused: descriptors are left all the
--- a/cmd/balancer/fleet_test.go
+++ b/cmd/balancer/helpers_test.go
@@ -1,15 +1,14 @@
 package main
 
 import (
+	"bufio"
 	"bytes"
 	"fmt"
-	"net"
-	"net/http"
+	"io/fs"
 	"os"
 	"os/exec"
 	"path/filepath"
 	"regexp"
-	"strconv"
 	"strings"
 	"sync"
 	"syscall"
@@ -17,6 +16,13 @@
 	"time"
 )
 
+// limit is how long a test waits for what must come; only a failing one waits so long.
+const limit = 60 * time.Second
+
+const settings = `{"lanes":[{"name":"view","effect":"read_like","target-ms":20000,"deadline-ms":40000}],
+	"limits":{"max-attempts":3,"conn-idle-ms":60000,"connect-timeout-ms":20000,"cancelling":true,
+	"retry-after":true,"max-retry-after-ms":2000},"tick-ms":5,"balancers":1,"registry-mode":"pushed"}`
+
 // program is what deploy/balancer.toml builds, made once for all tests that start many processes.
 var program = struct {
 	once     sync.Once
@@ -31,6 +37,50 @@
 	os.Exit(code)
 }
 
+// build makes what deploy/balancer.toml builds, in a folder of the test's own, and returns the
+// commands that it names as run and sim.
+func build(t *testing.T) (dir, run, sim string) {
+	t.Helper()
+	deploy, err := os.ReadFile("../../deploy/balancer.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	command := func(key string) string {
+		m := regexp.MustCompile(`(?m)^` + key + ` = "(.*)"`).FindSubmatch(deploy)
+		if m == nil {
+			t.Fatalf("deploy/balancer.toml has no %s", key)
+		}
+		return string(m[1])
+	}
+	lookAtSources(t)
+	dir = t.TempDir()
+	out, err := exec.Command("go", "build", "-o", filepath.Join(dir, "bin")+"/", "../...").CombinedOutput()
+	if err != nil {
+		t.Fatalf("%v\n%s", err, out)
+	}
+	return dir, command("run"), command("sim")
+}
+
+// lookAtSources has go test know what the program is built from: the test's own binary holds little of that,
+// and a result kept from before a change would stand for the changed program.
+func lookAtSources(t *testing.T) {
+	t.Helper()
+	err := filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
+		switch {
+		case err != nil:
+			return err
+		case d.Name() == ".git" || d.Name() == "journal":
+			return filepath.SkipDir
+		case strings.HasSuffix(path, ".go") || d.Name() == "go.mod":
+			_, err = os.ReadFile(path)
+		}
+		return err
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
 // buildOnce is build for tests that write nothing to the folder.
 func buildOnce(t *testing.T) {
 	t.Helper()
@@ -72,31 +122,6 @@
 	return p.log.String()
 }
 
-// launch runs the program with a configuration, and with a hard limit on descriptors unless sockets is 0.
-func launch(t *testing.T, config string, sockets int) *process {
-	t.Helper()
-	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	text := program.run
-	if sockets > 0 {
-		text = fmt.Sprintf("ulimit -n %d; %s", sockets, text)
-	}
-	p := &process{cmd: exec.Command("/bin/sh", "-c", text), over: make(chan struct{})}
-	p.cmd.Dir, p.cmd.Env = program.dir, append(os.Environ(), "BALANCER_CONFIG="+path)
-	p.cmd.Stdout, p.cmd.Stderr = p, p
-	if err := p.cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	go func() {
-		p.cmd.Wait()
-		close(p.over)
-	}()
-	t.Cleanup(func() { p.end(syscall.SIGKILL) })
-	return p
-}
-
 // end signals the process, if it runs, and waits until it has ended.
 func (p *process) end(s syscall.Signal) {
 	p.cmd.Process.Signal(s)
@@ -113,8 +138,6 @@
 	}
 }
 
-var servingAt = regexp.MustCompile(`msg=serving .*address=(\S+)`)
-
 // address is where the process listens, once it does.
 func (p *process) address(t *testing.T) string {
 	t.Helper()
@@ -129,155 +152,66 @@
 	return found[1]
 }
 
-// eventually asks until something holds.
-func eventually(t *testing.T, what string, holds func() bool) {
+// hup replaces a process's configuration as a whole, and tells it.
+func (p *process) hup(t *testing.T, config string) {
 	t.Helper()
-	for end := time.Now().Add(limit); !holds(); time.Sleep(2 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
-		}
+	path := strings.TrimPrefix(p.cmd.Env[len(p.cmd.Env)-1], "BALANCER_CONFIG=")
+	if err := os.WriteFile(path+".new", []byte(config), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Rename(path+".new", path); err != nil {
+		t.Fatal(err)
+	}
+	if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
+		t.Fatal(err)
 	}
 }
 
-// outage is what discovery is like while it is down.
-type outage int
-
-const (
-	none outage = iota
-	mute        // calls are accepted and never answered, not even after its return
-	refusing
-)
-
-func (o outage) String() string { return [...]string{"up", "mute", "refusing"}[o] }
-
-// registry is discovery's stand-in. Its port stays its own while it refuses: the socket is bound all the time.
-type registry struct {
-	addr string
-	fd   int
-
-	mu     sync.Mutex
-	server *http.Server // nil while it refuses
-	down   outage
-	rev    int
-	list   string
-	heard  map[int]chan struct{} // closed when a call from that version comes, so that its list has been taken
-}
-
-func newRegistry(t *testing.T, rev int, list string, down outage) *registry {
+// launch runs the program with a configuration, and with a hard limit on descriptors unless sockets is 0.
+func launch(t *testing.T, config string, sockets int) *process {
 	t.Helper()
-	// The kernel keeps a port for a socket that listens no more only if it was bound to that port by number.
-	bound := func(port int) (int, int, error) {
-		fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
-			t.Fatal(err) // what is left of its connections must not keep it from listening again
-		}
-		if err := syscall.Bind(fd, &syscall.SockaddrInet4{Port: port, Addr: [4]byte{127, 0, 0, 1}}); err != nil {
-			syscall.Close(fd)
-			return 0, 0, err
-		}
-		at, err := syscall.Getsockname(fd)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return fd, at.(*syscall.SockaddrInet4).Port, nil
+	path := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
+		t.Fatal(err)
 	}
-	var fd, port int
-	eventually(t, "a port", func() bool {
-		free, number, err := bound(0)
-		if err != nil {
-			t.Fatal(err)
-		}
-		syscall.Close(free)
-		fd, port, err = bound(number)
-		return err == nil
-	})
-	d := &registry{fd: fd, addr: fmt.Sprintf("127.0.0.1:%d", port), heard: map[int]chan struct{}{}}
-	d.is(t, rev, list, down)
-	t.Cleanup(func() {
-		d.is(t, rev, list, refusing)
-		syscall.Close(fd)
-	})
-	return d
+	text := program.run
+	if sockets > 0 {
+		text = fmt.Sprintf("ulimit -n %d; %s", sockets, text)
+	}
+	p := &process{cmd: exec.Command("/bin/sh", "-c", text), over: make(chan struct{})}
+	p.cmd.Dir, p.cmd.Env = program.dir, append(os.Environ(), "BALANCER_CONFIG="+path)
+	p.cmd.Stdout, p.cmd.Stderr = p, p
+	if err := p.cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	go func() {
+		p.cmd.Wait()
+		close(p.over)
+	}()
+	t.Cleanup(func() { p.end(syscall.SIGKILL) })
+	return p
 }
 
-// is changes what discovery has to tell, and whether it tells it.
-func (d *registry) is(t *testing.T, rev int, list string, down outage) {
+var servingAt = regexp.MustCompile(`msg=serving .*address=(\S+)`)
+
+// eventually asks until something holds.
+func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.rev, d.list, d.down = rev, list, down
-	switch {
-	case down == refusing && d.server != nil:
-		syscall.Shutdown(d.fd, syscall.SHUT_RDWR) // it listens no more, and stays bound
-		d.server.Close()
-		d.server = nil
-	case down != refusing && d.server == nil:
-		if err := syscall.Listen(d.fd, 1024); err != nil {
-			t.Fatal(err)
-		}
-		dup, err := syscall.Dup(d.fd)
-		if err != nil {
-			t.Fatal(err)
-		}
-		f := os.NewFile(uintptr(dup), "discovery")
-		ln, err := net.FileListener(f)
-		f.Close()
-		if err != nil {
-			t.Fatal(err)
+	for end := time.Now().Add(limit); !holds(); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("waited in vain for %s", what)
 		}
-		d.server = &http.Server{Handler: d}
-		go d.server.Serve(ln)
-	}
-}
-
-// tells is closed once a node has taken the list of a version, and calls for what is newer.
-func (d *registry) tells(rev int) chan struct{} {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.heard[rev] == nil {
-		d.heard[rev] = make(chan struct{})
 	}
-	return d.heard[rev]
 }
 
-func (d *registry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	from, err := strconv.Atoi(r.URL.Query().Get("from"))
-	if err != nil {
-		from = -1
-	}
-	heard := d.tells(from)
-	d.mu.Lock()
+// waitFor waits for what must come.
+func waitFor(t *testing.T, c <-chan struct{}, what string) {
+	t.Helper()
 	select {
-	case <-heard:
-	default:
-		close(heard)
+	case <-c:
+	case <-time.After(limit):
+		t.Fatalf("waited in vain for %s", what)
 	}
-	down, rev, list := d.down, d.rev, d.list
-	d.mu.Unlock()
-	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
-	if down == none && from != rev {
-		fmt.Fprintf(w, `{"rev":%d,"all":true,"targets":[%s]}`, rev, list)
-		return
-	}
-	if down == none {
-		over := time.NewTimer(time.Duration(hold) * time.Millisecond)
-		defer over.Stop()
-		select {
-		case <-r.Context().Done():
-		case <-over.C:
-			d.mu.Lock()
-			down = d.down
-			d.mu.Unlock()
-			if down == none {
-				fmt.Fprintf(w, `{"rev":%d,"all":false,"targets":[]}`, rev)
-				return
-			}
-		}
-	}
-	<-r.Context().Done()
 }
 
 // target is a server's entry in a list.
@@ -294,3 +228,51 @@
 		"limits":{"cores":1,"memory_mb":192,"sockets":%d},"known":{"rev":1,"all":true,"targets":[%s]},"settings":%s}`,
 		listen, discovery, sockets, known, set)
 }
+
+// start runs the node with a configuration until it serves. It returns its log from then on.
+func start(t *testing.T, dir, run, config string) (cmd *exec.Cmd, address string, log <-chan string) {
+	t.Helper()
+	path := filepath.Join(dir, "config.json")
+	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	cmd = exec.Command("/bin/sh", "-c", run)
+	cmd.Dir, cmd.Env = dir, append(os.Environ(), "BALANCER_CONFIG="+path)
+	stderr, err := cmd.StderrPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { cmd.Process.Kill() })
+	said := make(chan string, 1000)
+	go func() {
+		defer close(said)
+		lines := bufio.NewScanner(stderr)
+		for lines.Scan() {
+			said <- lines.Text()
+		}
+	}()
+	serving := await(t, said, "msg=serving")
+	return cmd, regexp.MustCompile(`address=(\S+)`).FindStringSubmatch(serving)[1], said
+}
+
+// await returns the first line of a log that holds what is wanted.
+func await(t *testing.T, log <-chan string, want string) string {
+	t.Helper()
+	over := time.After(limit)
+	for {
+		select {
+		case line, ok := <-log:
+			if !ok {
+				t.Fatalf("the log ends without %q", want)
+			}
+			if strings.Contains(line, want) {
+				return line
+			}
+		case <-over:
+			t.Fatalf("the log never says %q", want)
+		}
+	}
+}
--- /dev/null
+++ b/cmd/balancer/registry_test.go
@@ -0,0 +1,154 @@
+package main
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"strconv"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// outage is what discovery is like while it is down.
+type outage int
+
+func (o outage) String() string { return [...]string{"up", "mute", "refusing"}[o] }
+
+const (
+	none outage = iota
+	mute        // calls are accepted and never answered, not even after its return
+	refusing
+)
+
+// registry is discovery's stand-in. Its port stays its own while it refuses: the socket is bound all the time.
+type registry struct {
+	addr string
+	fd   int
+
+	mu     sync.Mutex
+	server *http.Server // nil while it refuses
+	down   outage
+	rev    int
+	list   string
+	heard  map[int]chan struct{} // closed when a call from that version comes, so that its list has been taken
+}
+
+// is changes what discovery has to tell, and whether it tells it.
+func (d *registry) is(t *testing.T, rev int, list string, down outage) {
+	t.Helper()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.rev, d.list, d.down = rev, list, down
+	switch {
+	case down == refusing && d.server != nil:
+		syscall.Shutdown(d.fd, syscall.SHUT_RDWR) // it listens no more, and stays bound
+		d.server.Close()
+		d.server = nil
+	case down != refusing && d.server == nil:
+		if err := syscall.Listen(d.fd, 1024); err != nil {
+			t.Fatal(err)
+		}
+		dup, err := syscall.Dup(d.fd)
+		if err != nil {
+			t.Fatal(err)
+		}
+		f := os.NewFile(uintptr(dup), "discovery")
+		ln, err := net.FileListener(f)
+		f.Close()
+		if err != nil {
+			t.Fatal(err)
+		}
+		d.server = &http.Server{Handler: d}
+		go d.server.Serve(ln)
+	}
+}
+
+// tells is closed once a node has taken the list of a version, and calls for what is newer.
+func (d *registry) tells(rev int) chan struct{} {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.heard[rev] == nil {
+		d.heard[rev] = make(chan struct{})
+	}
+	return d.heard[rev]
+}
+
+func (d *registry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	from, err := strconv.Atoi(r.URL.Query().Get("from"))
+	if err != nil {
+		from = -1
+	}
+	heard := d.tells(from)
+	d.mu.Lock()
+	select {
+	case <-heard:
+	default:
+		close(heard)
+	}
+	down, rev, list := d.down, d.rev, d.list
+	d.mu.Unlock()
+	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
+	if down == none && from != rev {
+		fmt.Fprintf(w, `{"rev":%d,"all":true,"targets":[%s]}`, rev, list)
+		return
+	}
+	if down == none {
+		over := time.NewTimer(time.Duration(hold) * time.Millisecond)
+		defer over.Stop()
+		select {
+		case <-r.Context().Done():
+		case <-over.C:
+			d.mu.Lock()
+			down = d.down
+			d.mu.Unlock()
+			if down == none {
+				fmt.Fprintf(w, `{"rev":%d,"all":false,"targets":[]}`, rev)
+				return
+			}
+		}
+	}
+	<-r.Context().Done()
+}
+
+func newRegistry(t *testing.T, rev int, list string, down outage) *registry {
+	t.Helper()
+	// The kernel keeps a port for a socket that listens no more only if it was bound to that port by number.
+	bound := func(port int) (int, int, error) {
+		fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
+			t.Fatal(err) // what is left of its connections must not keep it from listening again
+		}
+		if err := syscall.Bind(fd, &syscall.SockaddrInet4{Port: port, Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+			syscall.Close(fd)
+			return 0, 0, err
+		}
+		at, err := syscall.Getsockname(fd)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return fd, at.(*syscall.SockaddrInet4).Port, nil
+	}
+	var fd, port int
+	eventually(t, "a port", func() bool {
+		free, number, err := bound(0)
+		if err != nil {
+			t.Fatal(err)
+		}
+		syscall.Close(free)
+		fd, port, err = bound(number)
+		return err == nil
+	})
+	d := &registry{fd: fd, addr: fmt.Sprintf("127.0.0.1:%d", port), heard: map[int]chan struct{}{}}
+	d.is(t, rev, list, down)
+	t.Cleanup(func() {
+		d.is(t, rev, list, refusing)
+		syscall.Close(fd)
+	})
+	return d
+}
--- a/cmd/balancer/reload_test.go
+++ b/cmd/balancer/reload_test.go
@@ -8,6 +8,7 @@
 	"net/http"
 	"net/http/httptest"
 	"os"
+	"path/filepath"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -16,51 +17,6 @@
 	"time"
 )
 
-// hup replaces a process's configuration as a whole, and tells it.
-func (p *process) hup(t *testing.T, config string) {
-	t.Helper()
-	path := strings.TrimPrefix(p.cmd.Env[len(p.cmd.Env)-1], "BALANCER_CONFIG=")
-	if err := os.WriteFile(path+".new", []byte(config), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	if err := os.Rename(path+".new", path); err != nil {
-		t.Fatal(err)
-	}
-	if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
-		t.Fatal(err)
-	}
-}
-
-// client asks on one connection, and on a new one where the node has closed it.
-type client struct {
-	address, name string
-	asked         int
-	nc            net.Conn
-	br            *bufio.Reader
-}
-
-func (c *client) ask(target string) (status int, body string, err error) {
-	if c.nc == nil {
-		if c.nc, err = net.Dial("tcp", c.address); err != nil {
-			return 0, "", err
-		}
-		c.br = bufio.NewReader(c.nc)
-	}
-	c.nc.SetDeadline(time.Now().Add(2 * limit))
-	c.asked++
-	fmt.Fprintf(c.nc, "GET %s HTTP/1.1\r\nHost: h\r\nX-Request-Id: %s-%d\r\nX-Deadline: 20\r\n\r\n", target, c.name, c.asked)
-	resp, err := http.ReadResponse(c.br, nil)
-	if err != nil {
-		return 0, "", err
-	}
-	text, err := io.ReadAll(resp.Body)
-	if resp.Close {
-		c.nc.Close()
-		c.nc = nil
-	}
-	return resp.StatusCode, string(text), err
-}
-
 // TestManySIGHUPsUnderLoad replaces the configuration many times in a row, without waiting for the node, while
 // callers ask: a class comes and goes, deadlines change, discovery moves to and fro, and every fifth file is
 // bad. No answer is lost or spoilt, the last file is in force in the end, and a request that is out when the
@@ -167,3 +123,87 @@
 	}
 	t.Logf("%d answers, and %d times in force", answered.Load(), strings.Count(p.said(), "is in force"))
 }
+
+// TestSIGHUPUnderLoad replaces the file while requests are under way: a broken one is logged and
+// changes nothing, nor does the same once more, and a new one moves the node to the servers that another
+// discovery names. No request is lost, and the caller's connection is kept.
+func TestSIGHUPUnderLoad(t *testing.T) {
+	dir, run, _ := build(t)
+	list := func(name string) *httptest.Server {
+		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			fmt.Fprint(w, name)
+		}))
+		t.Cleanup(server.Close)
+		text := fmt.Sprintf(`{"rev":3,"all":true,"targets":[{"uid":%q,"endpoint":%q,"az":"a","model":"m",
+			"pod_group":0,"state":"in_service","capacity_hint":1,"boot_ms":0}]}`, name, strings.TrimPrefix(server.URL, "http://"))
+		discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			if r.URL.RawQuery != "" {
+				<-r.Context().Done() // nothing new
+				return
+			}
+			fmt.Fprint(w, text)
+		}))
+		t.Cleanup(discovery.Close)
+		return discovery
+	}
+	old, next := list("old"), list("next")
+	config := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
+		"limits":{"cores":1,"memory_mb":64,"sockets":256},"settings":%s}`,
+		strings.TrimPrefix(old.URL, "http://"), settings)
+	cmd, address, log := start(t, dir, run, config)
+	c, err := net.Dial("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(4 * limit))
+	br := bufio.NewReader(c)
+	asked := 0
+	ask := func() string {
+		asked++
+		fmt.Fprintf(c, "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: r%d\r\nX-Deadline: 40\r\n\r\n", asked)
+		resp, err := http.ReadResponse(br, nil)
+		if err != nil {
+			t.Fatalf("request %d: %v", asked, err)
+		}
+		body, err := io.ReadAll(resp.Body)
+		if err != nil || resp.StatusCode != http.StatusOK {
+			t.Fatalf("request %d: %d %q, %v", asked, resp.StatusCode, body, err)
+		}
+		return string(body)
+	}
+	hup := func(text string) {
+		t.Helper()
+		if err := os.WriteFile(filepath.Join(dir, "config.json"), []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
+			t.Fatal(err)
+		}
+	}
+	for _, text := range []string{config[:len(config)/2], config} {
+		hup(text)
+		if text != config {
+			await(t, log, "the new configuration is bad")
+		} else {
+			await(t, log, "the configuration is read again")
+		}
+		for range 20 {
+			if body := ask(); body != "old" {
+				t.Fatalf("served by %q", body)
+			}
+		}
+	}
+	hup(strings.Replace(config, strings.TrimPrefix(old.URL, "http://"), strings.TrimPrefix(next.URL, "http://"), 1))
+	for end := time.Now().Add(limit); ask() != "next"; {
+		if time.Now().After(end) {
+			t.Fatal("the new discovery's server gets nothing")
+		}
+	}
+	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Fatal(err)
+	}
+	if err := cmd.Wait(); err != nil {
+		t.Fatalf("exit: %v", err)
+	}
+}
