--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -30,7 +30,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	node.Limit(cfg)
+	node.LimitResources(cfg)
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("node", cfg.Name, "zone", cfg.Zone)
 	n, err := node.New(cfg, log)
 	if err != nil {
--- a/cmd/fleetscale/main.go
+++ b/cmd/fleetscale/main.go
@@ -115,7 +115,7 @@
 	if err != nil {
 		return fmt.Errorf("its own program: %w", err)
 	}
-	runner := fleet.Runner{Self: []string{self, "child"}, Log: slog.New(slog.NewTextHandler(stderr, nil))}
+	runner := fleet.Runner{ChildCommand: []string{self, "child"}, Log: slog.New(slog.NewTextHandler(stderr, nil))}
 	switch command {
 	case "sweep":
 		result, err := runner.Sweep(ctx, c.Sweep.Args, c.Sweep.Over, c.Sweep.Values)
--- a/internal/fleet/args.go
+++ b/internal/fleet/args.go
@@ -8,10 +8,10 @@
 
 // Bounds of a run.
 const (
-	mostHollow = 1100
-	mostReal   = 1100
-	mostFor    = 10 * time.Minute
-	mostCalls  = 400000 // a second over all nodes
+	maxHollowNodes    = 1100
+	maxRealNodes      = 1100
+	maxRunLength      = 10 * time.Minute
+	maxCallsPerSecond = 400000 // a second over all nodes
 	// Margin is how much longer than its length a run may take in all: to build the program and start
 	// the nodes, for the last news and answers, and to end its children.
 	Margin = 2 * time.Minute
@@ -44,18 +44,18 @@
 		return nil
 	}
 	for _, err := range []error{
-		between("nodes", float64(a.Nodes), 0, mostHollow), between("real", float64(a.Real), 0, mostReal),
+		between("nodes", float64(a.Nodes), 0, maxHollowNodes), between("real", float64(a.Real), 0, maxRealNodes),
 		between("servers", float64(a.Servers), 2, 5000), between("services", float64(a.Services), 1, 1000),
 		between("changes", a.Changes, 0, 6000), between("configs", a.Configs, 0, 600),
-		between("depth", float64(a.Depth), 1, mostReal), between("rate", a.Rate, 0, 10000),
+		between("depth", float64(a.Depth), 1, maxRealNodes), between("rate", a.Rate, 0, 10000),
 	} {
 		if err != nil {
 			return err
 		}
 	}
 	switch {
-	case a.For < time.Second || a.For > mostFor:
-		return fmt.Errorf("--for must be from 1s to %v, not %v", mostFor, a.For)
+	case a.For < time.Second || a.For > maxRunLength:
+		return fmt.Errorf("--for must be from 1s to %v, not %v", maxRunLength, a.For)
 	case a.Service < 0 || a.Service > time.Second:
 		return fmt.Errorf("--service must be from 0s to 1s, not %v", a.Service)
 	case a.Nodes+a.Real == 0:
@@ -66,8 +66,8 @@
 		return fmt.Errorf("--real %d makes no whole chains of --depth %d", a.Real, a.Depth)
 	case a.Configs > 0 && a.Real == 0:
 		return errors.New("--configs needs --real nodes")
-	case a.Rate*float64(a.Nodes+a.Real) > mostCalls:
-		return fmt.Errorf("--rate %v at %d nodes is more than %d calls a second", a.Rate, a.Nodes+a.Real, mostCalls)
+	case a.Rate*float64(a.Nodes+a.Real) > maxCallsPerSecond:
+		return fmt.Errorf("--rate %v at %d nodes is more than %d calls a second", a.Rate, a.Nodes+a.Real, maxCallsPerSecond)
 	case a.Services*a.Servers > 200000:
 		return fmt.Errorf("--services %d of --servers %d are more than 200000 entries", a.Services, a.Servers)
 	}
--- a/internal/fleet/arrivals.go
+++ b/internal/fleet/arrivals.go
@@ -27,7 +27,7 @@
 
 // coarse is how far the runtime's timers may be out while a process is idle; what is left then is slept by a
 // thread of its own.
-const coarse = 2 * time.Millisecond
+const timerResolution = 2 * time.Millisecond
 
 // Play calls send at each arrival, from now on until a time has gone by or ctx ends. send gets the time that
 // was drawn, and must not wait for an answer; that it comes late is its own to note.
@@ -35,8 +35,8 @@
 	start := time.Now()
 	for at := a.Next(); at < length && ctx.Err() == nil; at = a.Next() {
 		drawn := start.Add(at)
-		if wait := time.Until(drawn); wait > coarse {
-			pause(ctx, wait-coarse)
+		if wait := time.Until(drawn); wait > timerResolution {
+			pause(ctx, wait-timerResolution)
 		}
 		if wait := time.Until(drawn); wait > 0 && ctx.Err() == nil {
 			left := syscall.NsecToTimespec(int64(wait))
--- a/internal/fleet/caller.go
+++ b/internal/fleet/caller.go
@@ -14,23 +14,23 @@
 
 const (
 	served outcome = iota
-	refused
+	rejected
 	failed
-	unknown // the node does not know the class
+	unknownClass // the node does not know the class
 )
 
 // caller makes calls as PROTOCOL has them, one at a time on each connection.
-type caller struct{ client *http.Client }
+type client struct{ http *http.Client }
 
-func newCaller() *caller {
-	return &caller{&http.Client{Transport: &http.Transport{
+func newClient() *client {
+	return &client{&http.Client{Transport: &http.Transport{
 		DisableCompression: true, MaxIdleConnsPerHost: 1000,
 		IdleConnTimeout: 30 * time.Second,
 	}}}
 }
 
 // call asks a node or a server, which has until deadline, and reads the answer to its end.
-func (c *caller) call(ctx context.Context, address, class, id string, deadline time.Time) (outcome, error) {
+func (c *client) call(ctx context.Context, address, class, id string, deadline time.Time) (outcome, error) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/"+class+"/k", nil)
@@ -39,7 +39,7 @@
 	}
 	req.Header.Set("X-Request-Id", id)
 	req.Header.Set("X-Deadline", fmt.Sprintf("%.4f", time.Until(deadline).Seconds()))
-	resp, err := c.client.Do(req)
+	resp, err := c.http.Do(req)
 	if err != nil {
 		return failed, fmt.Errorf("call: %w", err)
 	}
@@ -49,9 +49,9 @@
 	case err != nil:
 		return failed, fmt.Errorf("call: %w", err)
 	case resp.StatusCode == http.StatusNotFound:
-		return unknown, nil
+		return unknownClass, nil
 	case resp.StatusCode == http.StatusTooManyRequests || resp.StatusCode == http.StatusServiceUnavailable:
-		return refused, nil
+		return rejected, nil
 	case resp.StatusCode != http.StatusOK:
 		return failed, fmt.Errorf("call: status %d", resp.StatusCode)
 	case !strings.Contains(string(body), id):
@@ -60,4 +60,4 @@
 	return served, nil
 }
 
-func (c *caller) close() { c.client.CloseIdleConnections() }
+func (c *client) close() { c.http.CloseIdleConnections() }
--- a/internal/fleet/child.go
+++ b/internal/fleet/child.go
@@ -27,7 +27,7 @@
 const serviceName = "Host"
 
 // endWait is how long a child may take to end by itself once its input is closed.
-const endWait = 2 * time.Second
+const childStopTimeout = 2 * time.Second
 
 // pipes joins a standard input and output to one connection.
 type pipes struct {
@@ -53,16 +53,16 @@
 
 // child is a process of this program's own that plays a part.
 type child struct {
-	cmd    *exec.Cmd
-	client *rpc.Client
-	over   chan struct{} // closed once it has ended
-	end    sync.Once
+	cmd      *exec.Cmd
+	client   *rpc.Client
+	exited   chan struct{} // closed once it has ended
+	stopOnce sync.Once
 }
 
 // startChild starts the program self, which must call Child with its last argument.
 func startChild(self []string, role string) (*child, error) {
 	args := append(append([]string(nil), self[1:]...), role)
-	c := &child{cmd: exec.Command(self[0], args...), over: make(chan struct{})}
+	c := &child{cmd: exec.Command(self[0], args...), exited: make(chan struct{})}
 	c.cmd.Stderr = os.Stderr
 	c.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	in, err := c.cmd.StdinPipe()
@@ -78,14 +78,14 @@
 	}
 	c.client = jsonrpc.NewClient(pipes{out, in})
 	go func() {
-		defer close(c.over)
+		defer close(c.exited)
 		c.cmd.Wait()
 	}()
 	return c, nil
 }
 
 // ask has the child do something, and waits for its reply.
-func (c *child) ask(ctx context.Context, what string, spec, reply any) error {
+func (c *child) call(ctx context.Context, what string, spec, reply any) error {
 	call := c.client.Go(serviceName+"."+what, spec, reply, make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
@@ -95,20 +95,20 @@
 		return nil
 	case <-ctx.Done():
 		return fmt.Errorf("child: %s: %w", what, ctx.Err())
-	case <-c.over:
+	case <-c.exited:
 		return fmt.Errorf("child: %s: %w", what, errors.New("it has ended"))
 	}
 }
 
 // stop ends the child and waits until it is gone.
 func (c *child) stop() {
-	c.end.Do(func() {
+	c.stopOnce.Do(func() {
 		c.client.Close()
 		select {
-		case <-c.over:
-		case <-time.After(endWait):
+		case <-c.exited:
+		case <-time.After(childStopTimeout):
 			c.cmd.Process.Kill()
-			<-c.over
+			<-c.exited
 		}
 	})
 }
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -16,15 +16,15 @@
 
 // NodeSpec is what one node's configuration is made from.
 type NodeSpec struct {
-	Name      string
-	Index     int // among the copies of its service
-	Copies    int
-	Tier      int
-	Listen    string // 127.0.0.1:0 for a port of the system's choice
-	Discovery string
-	Asked     bool     // lists are asked for, not pushed
-	Classes   []string // beside the class of the calls
-	Seed      uint64
+	Name          string
+	Index         int // among the copies of its service
+	Replicas      int
+	Tier          int
+	Listen        string // 127.0.0.1:0 for a port of the system's choice
+	Discovery     string
+	PollDiscovery bool     // lists are asked for, not pushed
+	Classes       []string // beside the class of the calls
+	Seed          uint64
 }
 
 // Configuration is the file that a node reads, with the limits of the target: 128 MB, 1,024 descriptors.
@@ -38,7 +38,7 @@
 		})
 	}
 	mode := "pushed"
-	if s.Asked {
+	if s.PollDiscovery {
 		mode = "on_request"
 	}
 	text, err := json.MarshalIndent(object{
@@ -46,7 +46,7 @@
 		"limits": object{"cores": 1, "memory_mb": 128, "sockets": 1024},
 		"known":  object{"rev": 0, "all": true, "targets": []any{}},
 		"settings": object{
-			"balancers": s.Copies, "me": s.Index, "tier": s.Tier, "zone": zones[s.Index%len(zones)],
+			"balancers": s.Replicas, "me": s.Index, "tier": s.Tier, "zone": zones[s.Index%len(zones)],
 			"localities": zones, "registry-mode": mode, "tick-ms": 5, "lanes": classes,
 			"blend": object{"whole": 0.65, "worst-class": 0.2},
 			"limits": object{
--- a/internal/fleet/figures_test.go
+++ b/internal/fleet/figures_test.go
@@ -44,7 +44,7 @@
 	sent := 0
 	NewArrivals(1000, 3, 0).Play(context.Background(), 200*time.Millisecond, func(drawn time.Time) {
 		sent++
-		if early := time.Until(drawn); early > coarse {
+		if early := time.Until(drawn); early > timerResolution {
 			t.Errorf("sent %v early", early)
 		}
 	})
--- a/internal/fleet/growth.go
+++ b/internal/fleet/growth.go
@@ -19,7 +19,7 @@
 	if err := args.Check(); err != nil {
 		return report, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, args.bound()-2*endWait)
+	ctx, cancel := context.WithTimeout(ctx, args.bound()-2*childStopTimeout)
 	defer cancel()
 	dir, err := os.MkdirTemp("", "fleetscale")
 	if err != nil {
@@ -28,7 +28,7 @@
 	defer os.RemoveAll(dir)
 	report.Args, report.Machine = args, Machine{runtime.NumCPU(), runtime.Version(), loadAverage()}
 	if args.Program == "" {
-		if args.Program, err = build(ctx, dir); err != nil {
+		if args.Program, err = buildProgram(ctx, dir); err != nil {
 			return report, err
 		}
 	}
@@ -46,7 +46,7 @@
 
 // playDay plays one day and ends all that it started.
 func (r Runner) playDay(ctx context.Context, dir string, args GrowthArgs, size growthSize) (GrowthFigures, error) {
-	d := &growthDay{Runner: r, args: args, size: size, dir: dir, caller: newCaller()}
+	d := &growthDay{Runner: r, args: args, size: size, dir: dir, client: newClient()}
 	defer d.stop()
 	if err := d.start(ctx); err != nil {
 		return GrowthFigures{}, err
@@ -69,27 +69,27 @@
 	servers   *child
 	endpoints []string // of all servers of the day
 	nodes     []*realNode
-	caller    *caller
+	client    *client
 }
 
 // start brings up the servers, the registry and the nodes, until all nodes are ready.
 func (d *growthDay) start(ctx context.Context) (err error) {
-	if d.servers, err = startChild(d.Self, roleListed); err != nil {
+	if d.servers, err = startChild(d.ChildCommand, roleListed); err != nil {
 		return err
 	}
-	spec := ListedServersSpec{d.size.servers + replaced(d.size.servers), d.args.Service, d.args.Seed}
-	if err := d.servers.ask(ctx, "Start", spec, &d.endpoints); err != nil {
+	spec := ListedServersSpec{d.size.servers + replacedCount(d.size.servers), d.args.Service, d.args.Seed}
+	if err := d.servers.call(ctx, "Start", spec, &d.endpoints); err != nil {
 		return err
 	}
-	if d.registry, err = startChild(d.Self, roleRegistry); err != nil {
+	if d.registry, err = startChild(d.ChildCommand, roleRegistry); err != nil {
 		return err
 	}
-	list := RegistrySpec{Services: [][]Target{nil}, Addresses: make([]int, d.args.Real)}
+	list := RegistrySpec{Services: [][]ListEntry{nil}, Addresses: make([]int, d.args.Real)}
 	for i := range d.size.servers {
 		list.Services[0] = append(list.Services[0], d.target(i))
 	}
 	var addresses []string
-	if err := d.registry.ask(ctx, "Start", list, &addresses); err != nil {
+	if err := d.registry.call(ctx, "Start", list, &addresses); err != nil {
 		return err
 	}
 	return d.startNodes(ctx, addresses)
@@ -97,12 +97,12 @@
 
 // startNodes starts the nodes, each with a registry address of its own.
 func (d *growthDay) startNodes(ctx context.Context, addresses []string) error {
-	ctx, cancel := context.WithTimeout(ctx, startWait)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for i, address := range addresses {
 		n, err := startReal(ctx, d.args.Program, d.dir, NodeSpec{
-			Name: fmt.Sprintf("n%d", i), Index: i, Copies: d.size.nodes,
-			Listen: "127.0.0.1:0", Discovery: address, Asked: d.args.Mode == "asked", Seed: d.args.Seed + uint64(i),
+			Name: fmt.Sprintf("n%d", i), Index: i, Replicas: d.size.nodes,
+			Listen: "127.0.0.1:0", Discovery: address, PollDiscovery: d.args.Mode == "asked", Seed: d.args.Seed + uint64(i),
 		})
 		if err != nil {
 			return err
@@ -118,8 +118,8 @@
 }
 
 // target is a server's entry while it is in service. The first servers booted long ago.
-func (d *growthDay) target(i int) Target {
-	return Target{
+func (d *growthDay) target(i int) ListEntry {
+	return ListEntry{
 		UID: fmt.Sprintf("s-%d", i), Endpoint: d.endpoints[i], Zone: zones[i%len(zones)], Model: "m1",
 		Cell: i % 10, State: inService, Capacity: d.size.capacity,
 	}
@@ -135,7 +135,7 @@
 			c.stop()
 		}
 	}
-	d.caller.close()
+	d.client.close()
 }
 
 // play makes the calls and the events of the day, and measures. The first error ends all of it.
@@ -181,15 +181,15 @@
 
 // makeCalls calls each node for the length of the day, and waits for the answers.
 func (d *growthDay) makeCalls(ctx context.Context) Tally {
-	calls := &traveller{
-		caller: d.caller, name: "day", rate: d.args.Rate, seed: d.args.Seed, late: newLatencies(),
+	calls := &loadGenerator{
+		client: d.client, name: "day", rate: d.args.Rate, seed: d.args.Seed, lateness: newLatencies(),
 		latency: newLatencies(),
 	}
 	for _, n := range d.nodes {
-		calls.heads = append(calls.heads, n.address)
+		calls.addresses = append(calls.addresses, n.address)
 	}
 	calls.play(ctx, d.args.For)
-	return calls.way().Tally
+	return calls.figures().Tally
 }
 
 // watchDescriptors samples the nodes' open descriptors until ctx ends, and returns the most of each.
@@ -232,11 +232,11 @@
 		f.PeakMemory += float64(peak) / nodes
 	}
 	var connections int64
-	if err := d.servers.ask(ctx, "Accepted", struct{}{}, &connections); err != nil {
+	if err := d.servers.call(ctx, "Accepted", struct{}{}, &connections); err != nil {
 		return err
 	}
 	var counted Counted
-	if err := d.registry.ask(ctx, "Traffic", struct{}{}, &counted); err != nil {
+	if err := d.registry.call(ctx, "Traffic", struct{}{}, &counted); err != nil {
 		return err
 	}
 	f.Connections = float64(connections) / nodes
--- a/internal/fleet/growth_test.go
+++ b/internal/fleet/growth_test.go
@@ -129,7 +129,7 @@
 			t.Errorf("server %d: %v", server, kinds)
 		}
 	}
-	if len(steps) != 240 || seen[listServer] != 120 || seen[drainServer] != 120 || seen[breakWatches] != len(breaks) ||
+	if len(steps) != 240 || seen[listServer] != 120 || seen[drainServer] != 120 || seen[breakWatches] != len(watchBreaks) ||
 		last-first > 7*time.Second || last-first < 6*time.Second {
 		t.Errorf("%d servers, events %v, replaced within %v", len(steps), seen, last-first)
 	}
@@ -157,7 +157,7 @@
 	if err := h.Start(ListedServersSpec{Count: 2}, &endpoints); err != nil {
 		t.Fatal(err)
 	}
-	c := newCaller()
+	c := newClient()
 	defer c.close()
 	for i, at := range []int{0, 0, 1} {
 		if got, err := c.call(context.Background(), endpoints[at], callClass, fmt.Sprint(i), time.Now().Add(limit)); got != served {
@@ -201,7 +201,7 @@
 		}
 		for i, f := range []GrowthFigures{report.Usual, report.Large} {
 			servers := []int{20, 40}[i]
-			if f.Servers != servers || f.Changes != 3*replaced(servers) || f.Calls.Answered() != f.Calls.Offered || f.Calls.Offered < 10 ||
+			if f.Servers != servers || f.Changes != 3*replacedCount(servers) || f.Calls.Answered() != f.Calls.Offered || f.Calls.Offered < 10 ||
 				f.Calls.Served < 1 || f.CPUSeconds <= 0 || f.PeakMemory < 1e6 || f.Descriptors < 3 || f.Connections < 1 ||
 				f.ListBytes < float64(servers)*100 || f.ListPayload <= f.ListBytes || f.ListCalls < 1 {
 				t.Errorf("%s: %+v", mode, f)
--- a/internal/fleet/growthargs.go
+++ b/internal/fleet/growthargs.go
@@ -7,11 +7,11 @@
 
 // Bounds of a growth run.
 const (
-	mostListed      = 3200 // servers
-	mostFleet       = 900  // nodes that the settings tell
-	mostGrowthNodes = 50   // real nodes
-	mostGrowthRate  = 300  // calls a second at a node
-	mostGrowthFor   = time.Minute
+	maxListedServers = 3200 // servers
+	maxFleetNodes    = 900  // nodes that the settings tell
+	maxGrowthNodes   = 50   // real nodes
+	maxGrowthRate    = 300  // calls a second at a node
+	maxGrowthLength  = time.Minute
 )
 
 // GrowthArgs are what a growth run is asked to do.
@@ -34,21 +34,21 @@
 		name               string
 		value, least, most float64
 	}{
-		{"servers", float64(a.Servers), 10, mostListed},
+		{"servers", float64(a.Servers), 10, maxListedServers},
 		{"factor", float64(a.Factor), 2, 16},
-		{"real", float64(a.Real), 1, mostGrowthNodes},
-		{"fleet", float64(a.Fleet), float64(a.Real), mostFleet},
-		{"rate", a.Rate, 1, mostGrowthRate},
+		{"real", float64(a.Real), 1, maxGrowthNodes},
+		{"fleet", float64(a.Fleet), float64(a.Real), maxFleetNodes},
+		{"rate", a.Rate, 1, maxGrowthRate},
 	} {
 		if !(one.value >= one.least && one.value <= one.most) {
 			return fmt.Errorf("--%s must be from %v to %v, not %v", one.name, one.least, one.most, one.value)
 		}
 	}
 	switch {
-	case a.Servers*a.Factor > mostListed:
-		return fmt.Errorf("--servers %d times --factor %d is more than %d", a.Servers, a.Factor, mostListed)
-	case a.For < time.Second || a.For > mostGrowthFor:
-		return fmt.Errorf("--for must be from 1s to %v, not %v", mostGrowthFor, a.For)
+	case a.Servers*a.Factor > maxListedServers:
+		return fmt.Errorf("--servers %d times --factor %d is more than %d", a.Servers, a.Factor, maxListedServers)
+	case a.For < time.Second || a.For > maxGrowthLength:
+		return fmt.Errorf("--for must be from 1s to %v, not %v", maxGrowthLength, a.For)
 	case a.Service < 0 || a.Service > time.Second:
 		return fmt.Errorf("--service must be from 0s to 1s, not %v", a.Service)
 	}
@@ -71,7 +71,7 @@
 
 // large keeps the capacity of all servers together, counted for each node, as it is at the usual size.
 func (a GrowthArgs) large() growthSize {
-	size := growthSize{servers: a.Servers * a.Factor, nodes: min(a.Fleet*a.Factor, mostFleet)}
+	size := growthSize{servers: a.Servers * a.Factor, nodes: min(a.Fleet*a.Factor, maxFleetNodes)}
 	size.capacity = float64(size.nodes) / float64(a.Fleet) / float64(a.Factor)
 	return size
 }
--- a/internal/fleet/growthevents.go
+++ b/internal/fleet/growthevents.go
@@ -42,21 +42,21 @@
 		case breakWatches:
 			broken = true
 		default:
-			changes = append(changes, ChangeSpec{0, []Target{d.changed(e)}})
+			changes = append(changes, ChangeSpec{0, []ListEntry{d.changed(e)}})
 		}
 	}
 	if len(changes) > 0 {
-		if err := d.registry.ask(ctx, "ChangeInTurn", changes, &struct{}{}); err != nil {
+		if err := d.registry.call(ctx, "ChangeInTurn", changes, &struct{}{}); err != nil {
 			return 0, err
 		}
 	}
 	if broken {
-		if err := d.registry.ask(ctx, "BreakWatches", struct{}{}, &struct{}{}); err != nil {
+		if err := d.registry.call(ctx, "BreakWatches", struct{}{}, &struct{}{}); err != nil {
 			return 0, err
 		}
 	}
 	if len(ended) > 0 {
-		if err := d.servers.ask(ctx, "Close", ended, &struct{}{}); err != nil {
+		if err := d.servers.call(ctx, "Close", ended, &struct{}{}); err != nil {
 			return 0, err
 		}
 	}
@@ -64,7 +64,7 @@
 }
 
 // changed is the entry of a server after an event that changes the list.
-func (d *growthDay) changed(e dayEvent) Target {
+func (d *growthDay) changed(e dayEvent) ListEntry {
 	entry := d.target(e.server)
 	switch e.kind {
 	case listServer:
--- a/internal/fleet/growthplan.go
+++ b/internal/fleet/growthplan.go
@@ -19,7 +19,7 @@
 const replacedShare = 0.6
 
 // breaks are when all open watches of the list are broken.
-var breaks = []float64{0.1, 0.3, 0.45, 0.7}
+var watchBreaks = []float64{0.1, 0.3, 0.45, 0.7}
 
 // eventKind says what an event of a growth day does.
 type eventKind int
@@ -51,14 +51,14 @@
 }
 
 // replaced is how many of so many servers a day replaces.
-func replaced(servers int) int { return int(replacedShare * float64(servers)) }
+func replacedCount(servers int) int { return int(replacedShare * float64(servers)) }
 
 // planDay lays out a day: servers that are drawn anew for each seed are replaced one after another, evenly over
 // the time, and the watches break.
 func planDay(servers int, length time.Duration, seed uint64) []dayEvent {
 	share := func(s float64) time.Duration { return time.Duration(s * float64(length)) }
 	var events []dayEvent
-	count := replaced(servers)
+	count := replacedCount(servers)
 	for i, old := range rand.New(rand.NewPCG(seed, uint64(servers))).Perm(servers)[:count] {
 		listed := share(replaceBegins + replaceTakes*float64(i)/float64(count))
 		drains := share(replaceBegins + replaceTakes*(float64(i)+0.5)/float64(count))
@@ -66,7 +66,7 @@
 			dayEvent{drains + share(drainTakes), removeServer, old},
 			dayEvent{drains + share(drainTakes+closeAfter), closeServer, old})
 	}
-	for _, at := range breaks {
+	for _, at := range watchBreaks {
 		events = append(events, dayEvent{at: share(at), kind: breakWatches})
 	}
 	slices.SortStableFunc(events, func(a, b dayEvent) int { return cmp.Compare(a.at, b.at) })
--- a/internal/fleet/hollows.go
+++ b/internal/fleet/hollows.go
@@ -27,19 +27,19 @@
 
 // lastNews is how long news is waited for after the end of a run: a node that hears of a change later does
 // not count as having heard of it. The target allows 11 s.
-const lastNews = 12 * time.Second
+const finalUpdateWait = 12 * time.Second
 
 // players is how many goroutines make the calls of all hollow nodes.
-const players = 4
+const loadGoroutines = 4
 
 // HollowSpec asks for hollow nodes: node i hears from Discovery[i] the list of service i mod Services.
 type HollowSpec struct {
-	Discovery []string
-	Services  int
-	Asked     bool
-	Service   time.Duration // mean of an attempt's time
-	Seed      uint64
-	Wait      time.Duration // for all nodes to be ready
+	Discovery     []string
+	Services      int
+	PollDiscovery bool
+	Service       time.Duration // mean of an attempt's time
+	Seed          uint64
+	Wait          time.Duration // for all nodes to be ready
 }
 
 // HollowStart says what the nodes hold once all are ready.
@@ -67,19 +67,19 @@
 
 // Tally counts calls and their answers.
 type Tally struct {
-	Offered int64 `json:"offered"`
-	Served  int64 `json:"served"`
-	Refused int64 `json:"refused"`
-	Failed  int64 `json:"failed"`
+	Offered  int64 `json:"offered"`
+	Served   int64 `json:"served"`
+	Rejected int64 `json:"refused"`
+	Failed   int64 `json:"failed"`
 }
 
 // Answered is how many calls were answered at all.
-func (t Tally) Answered() int64 { return t.Served + t.Refused + t.Failed }
+func (t Tally) Answered() int64 { return t.Served + t.Rejected + t.Failed }
 
 func (t *Tally) add(u Tally) {
 	t.Offered += u.Offered
 	t.Served += u.Served
-	t.Refused += u.Refused
+	t.Rejected += u.Rejected
 	t.Failed += u.Failed
 }
 
@@ -92,17 +92,17 @@
 // InForce says how long changes took to be in force: at half of their nodes, at 99 in 100, and at all.
 type InForce struct {
 	Changes int    `json:"changes"`
-	Heard   int    `json:"heard"`  // pairs of a change and a node that took it over
+	Applied int    `json:"heard"`  // pairs of a change and a node that took it over
 	Missed  int    `json:"missed"` // pairs that did not come about
 	Half    Spread `json:"half"`
-	Most    Spread `json:"p99"`
+	P99     Spread `json:"p99"`
 	All     Spread `json:"all"`
 }
 
 // HollowReport is what the nodes did.
 type HollowReport struct {
 	Phases    [phases]Tally
-	Late      Quantiles // of sends, against the times drawn
+	Lateness  Quantiles // of sends, against the times drawn
 	Latency   Quantiles // from the time drawn to the answer
 	InForce   map[string]InForce
 	HeapBytes int64 // heap in use more than without nodes, after a collection at the end
@@ -115,7 +115,7 @@
 	nodes    []*hollow
 	phase    atomic.Int32
 	tallies  [phases]struct{ offered, served, refused, failed atomic.Int64 }
-	late     *latencies
+	lateness *latencies
 	latency  *latencies
 	playing  sync.WaitGroup
 	empty    int64 // heap in use without nodes, in bytes
@@ -125,24 +125,24 @@
 // hollow is a node and the versions that it took over.
 type hollow struct {
 	*node.Hollow
-	mu    sync.Mutex
-	taken []taken // the oldest first
+	mu      sync.Mutex
+	applied []appliedVersion // the oldest first
 }
 
-type taken struct {
+type appliedVersion struct {
 	rev int64
 	at  time.Time
 }
 
 // since is when a node took over a version or a newer one.
-func (h *hollow) since(rev int64) (time.Time, bool) {
+func (h *hollow) appliedAt(rev int64) (time.Time, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	i := sort.Search(len(h.taken), func(i int) bool { return h.taken[i].rev >= rev })
-	if i == len(h.taken) {
+	i := sort.Search(len(h.applied), func(i int) bool { return h.applied[i].rev >= rev })
+	if i == len(h.applied) {
 		return time.Time{}, false
 	}
-	return h.taken[i].at, true
+	return h.applied[i].at, true
 }
 
 // warnings counts a log's warnings, and writes nothing.
@@ -159,7 +159,7 @@
 
 // Start makes the nodes, and waits until all are ready.
 func (h *Hollows) Start(spec HollowSpec, started *HollowStart) error {
-	h.services, h.late, h.latency = spec.Services, newLatencies(), newLatencies()
+	h.services, h.lateness, h.latency = spec.Services, newLatencies(), newLatencies()
 	h.warnings = &warnings{Handler: slog.NewTextHandler(io.Discard, nil)}
 	log := slog.New(h.warnings)
 	before := memory()
@@ -168,8 +168,8 @@
 	copies := (len(spec.Discovery) + spec.Services - 1) / spec.Services
 	for i, address := range spec.Discovery {
 		text, err := NodeSpec{
-			Name: fmt.Sprintf("h%d", i), Index: i / spec.Services, Copies: copies, Tier: 1,
-			Listen: "127.0.0.1:0", Discovery: address, Asked: spec.Asked, Seed: spec.Seed + uint64(i),
+			Name: fmt.Sprintf("h%d", i), Index: i / spec.Services, Replicas: copies, Tier: 1,
+			Listen: "127.0.0.1:0", Discovery: address, PollDiscovery: spec.PollDiscovery, Seed: spec.Seed + uint64(i),
 		}.Configuration()
 		if err != nil {
 			return err
@@ -184,7 +184,7 @@
 			return time.Duration(draws.ExpFloat64() * float64(spec.Service)), balancer.Success // the loop alone draws
 		}, func(rev int64, at time.Time) {
 			one.mu.Lock()
-			one.taken = append(one.taken, taken{rev, at})
+			one.applied = append(one.applied, appliedVersion{rev, at})
 			one.mu.Unlock()
 		}); err != nil {
 			return err
@@ -227,12 +227,12 @@
 		return nil
 	}
 	// The arrivals of many nodes together are a Poisson process too, each at a node drawn anew.
-	for i := range players {
+	for i := range loadGoroutines {
 		h.playing.Add(1)
 		go func() {
 			defer h.playing.Done()
-			at := rand.New(rand.NewPCG(load.Seed, uint64(players+i)))
-			NewArrivals(load.Rate*float64(len(h.nodes))/players, load.Seed, uint64(i)).Play(context.Background(), load.For,
+			at := rand.New(rand.NewPCG(load.Seed, uint64(loadGoroutines+i)))
+			NewArrivals(load.Rate*float64(len(h.nodes))/loadGoroutines, load.Seed, uint64(i)).Play(context.Background(), load.For,
 				func(drawn time.Time) { h.call(h.nodes[at.IntN(len(h.nodes))], drawn) })
 		}()
 	}
@@ -242,13 +242,13 @@
 func (h *Hollows) call(n *hollow, drawn time.Time) {
 	t := &h.tallies[h.phase.Load()]
 	t.offered.Add(1)
-	h.late.add(time.Since(drawn))
+	h.lateness.add(time.Since(drawn))
 	n.Call(callClass, time.Duration(callDeadline*float64(time.Second)), func(a node.Answer) {
 		switch a {
 		case node.Served:
 			h.latency.add(time.Since(drawn))
 			t.served.Add(1)
-		case node.Refused:
+		case node.Rejected:
 			t.refused.Add(1)
 		default:
 			t.failed.Add(1)
@@ -268,7 +268,7 @@
 // Report waits for the calls that are out and for the news that is under way, and says what came of them.
 func (h *Hollows) Report(changes []ListChange, report *HollowReport) error {
 	h.playing.Wait()
-	for end := time.Now().Add(lastNews); ; time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(finalUpdateWait); ; time.Sleep(20 * time.Millisecond) {
 		missed, out := 0, int64(0)
 		report.InForce = h.inForce(changes)
 		for _, f := range report.InForce {
@@ -284,7 +284,7 @@
 		}
 	}
 	report.HeapBytes = int64(memory().HeapAlloc) - h.empty
-	report.Late, report.Latency, report.Warnings = h.late.quantiles(), h.latency.quantiles(), h.warnings.count.Load()
+	report.Lateness, report.Latency, report.Warnings = h.lateness.quantiles(), h.latency.quantiles(), h.warnings.count.Load()
 	return nil
 }
 
@@ -300,12 +300,12 @@
 		f.Changes++
 		var took []float64
 		for i := c.Service; i < len(h.nodes); i += h.services {
-			at, ok := h.nodes[i].since(c.Rev)
+			at, ok := h.nodes[i].appliedAt(c.Rev)
 			if !ok {
 				f.Missed++
 				continue
 			}
-			f.Heard++
+			f.Applied++
 			took = append(took, float64(at.UnixNano()-c.AtNS)/1e6)
 		}
 		if len(took) > 0 {
@@ -318,7 +318,7 @@
 	}
 	for group, f := range figures {
 		t := times[group]
-		f.Half, f.Most, f.All = spread(t[0]), spread(t[1]), spread(t[2])
+		f.Half, f.P99, f.All = spread(t[0]), spread(t[1]), spread(t[2])
 		figures[group] = f
 	}
 	return figures
--- a/internal/fleet/list.go
+++ b/internal/fleet/list.go
@@ -10,10 +10,10 @@
 )
 
 // keptChanges is how many changes a list remembers; who holds an older version gets the whole list.
-const keptChanges = 4096
+const maxChanges = 4096
 
 // Target is an entry of a list, as PROTOCOL has it.
-type Target struct {
+type ListEntry struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
 	Zone     string  `json:"az"`
@@ -32,54 +32,54 @@
 )
 
 // answerBody is what a list's calls are answered with.
-type answerBody struct {
-	Rev     int64    `json:"rev"`
-	All     bool     `json:"all"`
-	Targets []Target `json:"targets"`
+type listBody struct {
+	Rev     int64       `json:"rev"`
+	All     bool        `json:"all"`
+	Entries []ListEntry `json:"targets"`
 }
 
 // list is the servers of one service and what became of them.
 type list struct {
 	mu      sync.Mutex
 	rev     int64
-	order   []string // uids, as first listed
-	targets map[string]Target
+	uids    []string // uids, as first listed
+	entries map[string]ListEntry
 	changes []change // the oldest first; the last few
 	newer   chan struct{}
 	answers map[int64][]byte // of this version, by the version held; -1: the whole list
 }
 
 type change struct {
-	rev    int64
-	target Target
+	rev   int64
+	entry ListEntry
 }
 
-func newList(targets []Target) *list {
-	l := &list{rev: 1, targets: map[string]Target{}, newer: make(chan struct{}), answers: map[int64][]byte{}}
+func newList(targets []ListEntry) *list {
+	l := &list{rev: 1, entries: map[string]ListEntry{}, newer: make(chan struct{}), answers: map[int64][]byte{}}
 	for _, t := range targets {
-		l.order = append(l.order, t.UID)
-		l.targets[t.UID] = t
+		l.uids = append(l.uids, t.UID)
+		l.entries[t.UID] = t
 	}
 	return l
 }
 
 // change makes a new version of some entries and wakes the watches.
-func (l *list) change(targets []Target) int64 {
+func (l *list) change(targets []ListEntry) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.rev++
 	for _, t := range targets {
-		if _, listed := l.targets[t.UID]; t.State == terminated {
-			delete(l.targets, t.UID)
+		if _, listed := l.entries[t.UID]; t.State == terminated {
+			delete(l.entries, t.UID)
 		} else {
 			if !listed {
-				l.relist(t.UID)
+				l.addUID(t.UID)
 			}
-			l.targets[t.UID] = t
+			l.entries[t.UID] = t
 		}
 		l.changes = append(l.changes, change{l.rev, t})
 	}
-	if extra := len(l.changes) - keptChanges; extra > 0 {
+	if extra := len(l.changes) - maxChanges; extra > 0 {
 		l.changes = l.changes[extra:] // append drops them once it needs more memory
 	}
 	clear(l.answers)
@@ -89,18 +89,18 @@
 }
 
 // relist gives a new uid its place.
-func (l *list) relist(uid string) {
-	for _, known := range l.order {
+func (l *list) addUID(uid string) {
+	for _, known := range l.uids {
 		if known == uid {
 			return
 		}
 	}
-	l.order = append(l.order, uid)
+	l.uids = append(l.uids, uid)
 }
 
 // held is the answer to who holds a version (-1: none): what is newer, and whether there is anything; newer
 // is closed once there is more.
-func (l *list) held(from int64) (body []byte, news bool, newer <-chan struct{}, err error) {
+func (l *list) answerFor(from int64) (body []byte, news bool, newer <-chan struct{}, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	body, ok := l.answers[from]
@@ -114,7 +114,7 @@
 }
 
 // errSilent says that a call is never answered.
-var errSilent = errors.New("the registry is silent")
+var errUnresponsive = errors.New("the registry is silent")
 
 // wait is the answer to a watch from a version (-1: to a call for the whole list), after a hold where there
 // is nothing newer. It fails once down is closed, or ctx ends.
@@ -122,14 +122,14 @@
 	over := time.NewTimer(hold)
 	defer over.Stop()
 	for waited := hold == 0; ; {
-		body, news, newer, err := l.held(from)
+		body, news, newer, err := l.answerFor(from)
 		if err != nil {
 			return nil, err
 		}
 		if news || waited {
 			select {
 			case <-down:
-				return nil, errSilent
+				return nil, errUnresponsive
 			default:
 				return body, nil
 			}
@@ -139,7 +139,7 @@
 		case <-over.C:
 			waited = true
 		case <-down:
-			return nil, errSilent
+			return nil, errUnresponsive
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -147,26 +147,26 @@
 }
 
 // since is what changed after a version, each entry once and as it is now; or all, where that is not known.
-func (l *list) since(from int64) answerBody {
+func (l *list) since(from int64) listBody {
 	if from == l.rev {
-		return answerBody{Rev: l.rev, Targets: []Target{}}
+		return listBody{Rev: l.rev, Entries: []ListEntry{}}
 	}
 	known := from >= 1 && from < l.rev && len(l.changes) > 0 && l.changes[0].rev <= from+1
 	if !known {
-		all := answerBody{Rev: l.rev, All: true, Targets: []Target{}}
-		for _, uid := range l.order {
-			if t, ok := l.targets[uid]; ok {
-				all.Targets = append(all.Targets, t)
+		all := listBody{Rev: l.rev, All: true, Entries: []ListEntry{}}
+		for _, uid := range l.uids {
+			if t, ok := l.entries[uid]; ok {
+				all.Entries = append(all.Entries, t)
 			}
 		}
 		return all
 	}
-	news := answerBody{Rev: l.rev, Targets: []Target{}}
+	news := listBody{Rev: l.rev, Entries: []ListEntry{}}
 	seen := map[string]bool{}
 	for i := len(l.changes) - 1; i >= 0 && l.changes[i].rev > from; i-- {
-		if t := l.changes[i].target; !seen[t.UID] {
+		if t := l.changes[i].entry; !seen[t.UID] {
 			seen[t.UID] = true
-			news.Targets = append(news.Targets, t)
+			news.Entries = append(news.Entries, t)
 		}
 	}
 	return news
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -24,7 +24,7 @@
 		if err != nil {
 			return 0, fmt.Errorf("machine: %w", err)
 		}
-		busy += time.Duration(n) * tick
+		busy += time.Duration(n) * clockTick
 	}
 	return busy, nil
 }
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -11,7 +11,7 @@
 )
 
 // tick is the unit of the processor times in /proc/PID/stat.
-const tick = 10 * time.Millisecond
+const clockTick = 10 * time.Millisecond
 
 // Usage is what a process has used.
 type Usage struct {
@@ -37,7 +37,7 @@
 		}
 		return n
 	}
-	u := Usage{CPU: time.Duration(number(14)+number(15)) * tick, RSS: number(24) * int64(os.Getpagesize())}
+	u := Usage{CPU: time.Duration(number(14)+number(15)) * clockTick, RSS: number(24) * int64(os.Getpagesize())}
 	if err != nil {
 		return Usage{}, fmt.Errorf("usage: %w", err)
 	}
@@ -56,7 +56,7 @@
 			exact += time.Duration(ns)
 		}
 	}
-	u.CPU = max(u.CPU-tick, exact)
+	u.CPU = max(u.CPU-clockTick, exact)
 	return u, nil
 }
 
--- a/internal/fleet/realnodes.go
+++ b/internal/fleet/realnodes.go
@@ -18,7 +18,7 @@
 )
 
 // build makes the real nodes' program in a folder.
-func build(ctx context.Context, dir string) (string, error) {
+func buildProgram(ctx context.Context, dir string) (string, error) {
 	path := filepath.Join(dir, "balancer")
 	out, err := exec.CommandContext(ctx, "go", "build", "-o", path, "balancer/cmd/balancer").CombinedOutput()
 	if err != nil {
@@ -33,14 +33,14 @@
 	path    string // of its configuration
 	address string
 	cmd     *exec.Cmd
-	over    chan struct{} // closed once it has ended
+	exited  chan struct{} // closed once it has ended
 }
 
 var servingAt = regexp.MustCompile(`msg=serving .*address=(\S+)`)
 
 // startReal starts a node, with a limit of 1,024 descriptors, and waits until it listens.
 func startReal(ctx context.Context, program, dir string, spec NodeSpec) (*realNode, error) {
-	n := &realNode{spec: spec, path: filepath.Join(dir, spec.Name+".json"), over: make(chan struct{})}
+	n := &realNode{spec: spec, path: filepath.Join(dir, spec.Name+".json"), exited: make(chan struct{})}
 	if err := n.write(); err != nil {
 		return nil, err
 	}
@@ -56,7 +56,7 @@
 	}
 	serving, last := make(chan string, 1), ""
 	go func() {
-		defer close(n.over)
+		defer close(n.exited)
 		for lines := bufio.NewScanner(log); lines.Scan(); {
 			last = lines.Text()
 			if m := servingAt.FindStringSubmatch(last); m != nil {
@@ -70,7 +70,7 @@
 	select {
 	case n.address = <-serving:
 		return n, nil
-	case <-n.over:
+	case <-n.exited:
 		return nil, fmt.Errorf("%s: it ended before it served: %s", spec.Name, last)
 	case <-ctx.Done():
 		n.stop()
@@ -110,7 +110,7 @@
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("%s is not ready: %w", n.spec.Name, ctx.Err())
-		case <-n.over:
+		case <-n.exited:
 			return fmt.Errorf("%s has ended", n.spec.Name)
 		case <-time.After(10 * time.Millisecond):
 		}
@@ -120,7 +120,7 @@
 // alive says that the process has not ended.
 func (n *realNode) alive() bool {
 	select {
-	case <-n.over:
+	case <-n.exited:
 		return false
 	default:
 		return true
@@ -130,7 +130,7 @@
 // stop kills the node, as nodes of later tiers end, and waits until it is gone.
 func (n *realNode) stop() {
 	n.cmd.Process.Kill()
-	<-n.over
+	<-n.exited
 }
 
 // Configs says how changes of the configuration came into force at the real nodes.
@@ -167,9 +167,9 @@
 			limit, cancel := context.WithTimeout(ctx, configLimit)
 			defer cancel()
 			for i := 0; limit.Err() == nil; i++ {
-				got, err := r.caller.call(limit, n.address, class, fmt.Sprintf("%s-%s-%d", class, n.spec.Name, i),
+				got, err := r.client.call(limit, n.address, class, fmt.Sprintf("%s-%s-%d", class, n.spec.Name, i),
 					time.Now().Add(time.Second))
-				if err == nil && got != unknown {
+				if err == nil && got != unknownClass {
 					took.add(time.Since(begun))
 					inForce.Add(1)
 					return
--- a/internal/fleet/registry.go
+++ b/internal/fleet/registry.go
@@ -12,7 +12,7 @@
 )
 
 // mostHold is the longest wait of a watch.
-const mostHold = time.Minute
+const maxHold = time.Minute
 
 // Registry stands in for discovery: the lists of some services, each at addresses of its own. An address
 // stands for the registry itself where lists are asked for, and for one node's agent where they are pushed;
@@ -21,15 +21,15 @@
 	Traffic *Series
 	lists   []*list
 
-	mu      sync.Mutex
-	down    chan struct{} // closed while the registry is silent
-	silent  bool
-	broken  chan struct{} // closed, and replaced, when the open watches are broken
-	servers []*http.Server
+	mu           sync.Mutex
+	down         chan struct{} // closed while the registry is silent
+	unresponsive bool
+	broken       chan struct{} // closed, and replaced, when the open watches are broken
+	servers      []*http.Server
 }
 
 // NewRegistry holds a list for each service.
-func NewRegistry(services [][]Target) *Registry {
+func NewRegistry(services [][]ListEntry) *Registry {
 	r := &Registry{Traffic: NewSeries(), down: make(chan struct{}), broken: make(chan struct{})}
 	for _, targets := range services {
 		r.lists = append(r.lists, newList(targets))
@@ -48,7 +48,7 @@
 	}
 	l := r.lists[service]
 	s := &http.Server{
-		Handler:           http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { r.tell(w, q, l) }),
+		Handler:           http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { r.serveList(w, q, l) }),
 		ReadHeaderTimeout: 10 * time.Second,
 	}
 	r.mu.Lock()
@@ -59,7 +59,7 @@
 }
 
 // Change makes one new version of a service's list.
-func (r *Registry) Change(service int, targets []Target) (int64, error) {
+func (r *Registry) Change(service int, targets []ListEntry) (int64, error) {
 	if service < 0 || service >= len(r.lists) {
 		return 0, fmt.Errorf("registry: no service %d", service)
 	}
@@ -72,16 +72,16 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
-	case on && !r.silent:
+	case on && !r.unresponsive:
 		close(r.down)
-	case !on && r.silent:
+	case !on && r.unresponsive:
 		r.down = make(chan struct{})
 	}
-	r.silent = on
+	r.unresponsive = on
 }
 
 // silence is closed once a call that comes now can't be answered any more.
-func (r *Registry) silence() <-chan struct{} {
+func (r *Registry) unresponsiveSignal() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.down
@@ -126,7 +126,7 @@
 }
 
 // tell answers one call.
-func (r *Registry) tell(w http.ResponseWriter, q *http.Request, l *list) {
+func (r *Registry) serveList(w http.ResponseWriter, q *http.Request, l *list) {
 	r.Traffic.Add(Traffic{Calls: 1})
 	if q.Method != http.MethodGet || q.URL.Path != "/registry/instances" {
 		http.NotFound(w, q)
@@ -139,13 +139,13 @@
 	}
 	ctx, cancel := r.watchContext(q.Context())
 	defer cancel()
-	body, err := l.wait(ctx, from, hold, r.silence())
+	body, err := l.wait(ctx, from, hold, r.unresponsiveSignal())
 	switch {
 	case err == nil:
 		w.Header().Set("Content-Type", "application/json")
 		n, _ := w.Write(body) // whose connection is broken asks again
 		r.Traffic.Add(Traffic{Lists: int64(n)})
-	case errors.Is(err, errSilent):
+	case errors.Is(err, errUnresponsive):
 		<-q.Context().Done()
 	case errors.Is(context.Cause(ctx), errBroken):
 		panic(http.ErrAbortHandler) // closes the connection
@@ -166,7 +166,7 @@
 	if err != nil {
 		return 0, 0, fmt.Errorf("hold_ms: %w", err)
 	}
-	return from, min(max(time.Duration(ms)*time.Millisecond, 0), mostHold), nil
+	return from, min(max(time.Duration(ms)*time.Millisecond, 0), maxHold), nil
 }
 
 // meteredListener counts what passes over its connections.
--- a/internal/fleet/registry_test.go
+++ b/internal/fleet/registry_test.go
@@ -13,10 +13,10 @@
 // limit is how long a test waits for what must come; only a failing one waits so long.
 const limit = 60 * time.Second
 
-func targets(n int) []Target { return newRotation(0, n, "127.0.0.1:1").targets }
+func targets(n int) []ListEntry { return newRotation(0, n, "127.0.0.1:1").entries }
 
 // tell asks an address of a registry.
-func tell(t *testing.T, address, query string) answerBody {
+func tell(t *testing.T, address, query string) listBody {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
@@ -27,7 +27,7 @@
 	return body
 }
 
-func tryTell(ctx context.Context, address, query string) (a answerBody, err error) {
+func tryTell(ctx context.Context, address, query string) (a listBody, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/registry/instances"+query, nil)
 	if err != nil {
 		return a, err
@@ -47,7 +47,7 @@
 	return a, json.Unmarshal(text, &a)
 }
 
-func newTestRegistry(t *testing.T, services ...[]Target) (*Registry, string) {
+func newTestRegistry(t *testing.T, services ...[]ListEntry) (*Registry, string) {
 	t.Helper()
 	r := NewRegistry(services)
 	t.Cleanup(func() { r.Close() })
@@ -58,7 +58,7 @@
 	return r, address
 }
 
-func makeChange(t *testing.T, r *Registry, targets ...Target) {
+func makeChange(t *testing.T, r *Registry, targets ...ListEntry) {
 	t.Helper()
 	if _, err := r.Change(0, targets); err != nil {
 		t.Fatal(err)
@@ -67,10 +67,10 @@
 
 func TestRegistryTellsWholeListsAndChanges(t *testing.T) {
 	r, address := newTestRegistry(t, targets(3))
-	if a := tell(t, address, ""); a.Rev != 1 || !a.All || len(a.Targets) != 3 || a.Targets[0].State != inService {
+	if a := tell(t, address, ""); a.Rev != 1 || !a.All || len(a.Entries) != 3 || a.Entries[0].State != inService {
 		t.Errorf("the whole list: %+v", a)
 	}
-	if a := tell(t, address, "?from=1&hold_ms=1"); a.Rev != 1 || a.All || len(a.Targets) != 0 {
+	if a := tell(t, address, "?from=1&hold_ms=1"); a.Rev != 1 || a.All || len(a.Entries) != 0 {
 		t.Errorf("a hold without news: %+v", a)
 	}
 	one := targets(3)[1]
@@ -78,23 +78,23 @@
 	makeChange(t, r, one)
 	one.State = terminated
 	makeChange(t, r, one)
-	if a := tell(t, address, "?from=1&hold_ms=60000"); a.Rev != 3 || a.All || len(a.Targets) != 1 || a.Targets[0].State != terminated {
+	if a := tell(t, address, "?from=1&hold_ms=60000"); a.Rev != 3 || a.All || len(a.Entries) != 1 || a.Entries[0].State != terminated {
 		t.Errorf("two changes of one entry: %+v", a)
 	}
-	if a := tell(t, address, "?from=2&hold_ms=60000"); a.Rev != 3 || len(a.Targets) != 1 {
+	if a := tell(t, address, "?from=2&hold_ms=60000"); a.Rev != 3 || len(a.Entries) != 1 {
 		t.Errorf("the last change: %+v", a)
 	}
-	if a := tell(t, address, ""); a.Rev != 3 || len(a.Targets) != 2 {
+	if a := tell(t, address, ""); a.Rev != 3 || len(a.Entries) != 2 {
 		t.Errorf("the whole list without what has gone: %+v", a)
 	}
 	if a := tell(t, address, "?from=77&hold_ms=60000"); a.Rev != 3 || !a.All {
 		t.Errorf("from a version that never was: %+v", a)
 	}
-	for range keptChanges {
+	for range maxChanges {
 		makeChange(t, r, targets(3)[0])
 	}
-	if a := tell(t, address, "?from=1&hold_ms=60000"); !a.All || len(a.Targets) != 2 {
-		t.Errorf("from a version that is forgotten: all %v, %d entries", a.All, len(a.Targets))
+	if a := tell(t, address, "?from=1&hold_ms=60000"); !a.All || len(a.Entries) != 2 {
+		t.Errorf("from a version that is forgotten: all %v, %d entries", a.All, len(a.Entries))
 	}
 	for _, query := range []string{"?from=x&hold_ms=1", "?from=1", "?from=1&hold_ms=x"} {
 		if a, err := tryTell(context.Background(), address, query); err == nil {
@@ -110,7 +110,7 @@
 
 func TestWatchWaitsForNews(t *testing.T) {
 	r, address := newTestRegistry(t, targets(2))
-	got := make(chan answerBody, 1)
+	got := make(chan listBody, 1)
 	go func() {
 		a, err := tryTell(context.Background(), address, "?from=1&hold_ms=60000")
 		if err != nil {
@@ -124,7 +124,7 @@
 	makeChange(t, r, targets(2)[1])
 	select {
 	case a := <-got:
-		if a.Rev != 2 || len(a.Targets) != 1 {
+		if a.Rev != 2 || len(a.Entries) != 1 {
 			t.Errorf("%+v", a)
 		}
 	case <-time.After(limit):
@@ -191,7 +191,7 @@
 		t.Error("a broken watch was answered")
 	}
 	makeChange(t, r, targets(2)[0])
-	if a := tell(t, address, "?from=1&hold_ms=60000"); a.Rev != 2 || len(a.Targets) != 1 {
+	if a := tell(t, address, "?from=1&hold_ms=60000"); a.Rev != 2 || len(a.Entries) != 1 {
 		t.Errorf("after the break: %+v", a)
 	}
 }
@@ -205,8 +205,8 @@
 
 func TestRotationKeepsTheListWhole(t *testing.T) {
 	r := newRotation(0, 12, "127.0.0.1:1")
-	l := newList(r.targets)
-	listed := func() int { return len(l.since(-1).Targets) }
+	l := newList(r.entries)
+	listed := func() int { return len(l.since(-1).Entries) }
 	for i := range 3 * 12 {
 		l.change(r.next())
 		if n := listed(); n < 11 || n > 12 || i%3 == 2 && n != 12 {
@@ -224,7 +224,7 @@
 	if n := listed(); n != 12 {
 		t.Fatalf("%d servers are listed after the return", n)
 	}
-	for _, target := range l.since(-1).Targets {
+	for _, target := range l.since(-1).Entries {
 		if target.BootMS == 0 {
 			t.Errorf("%s has not started anew", target.UID)
 		}
--- a/internal/fleet/registryhost.go
+++ b/internal/fleet/registryhost.go
@@ -7,14 +7,14 @@
 
 // RegistrySpec asks for a registry with a list for each service, and addresses for the lists.
 type RegistrySpec struct {
-	Services  [][]Target
+	Services  [][]ListEntry
 	Addresses []int // the service that each address tells of
 }
 
 // ChangeSpec asks for a new version of a list.
 type ChangeSpec struct {
 	Service int
-	Targets []Target
+	Entries []ListEntry
 }
 
 // Changed says what version came of it, and when.
@@ -45,14 +45,14 @@
 // Change makes a new version of a list.
 func (h *RegistryHost) Change(spec ChangeSpec, changed *Changed) (err error) {
 	changed.AtNS = time.Now().UnixNano()
-	changed.Rev, err = h.registry.Change(spec.Service, spec.Targets)
+	changed.Rev, err = h.registry.Change(spec.Service, spec.Entries)
 	return err
 }
 
 // ChangeInTurn makes new versions one after another, in the order given.
 func (h *RegistryHost) ChangeInTurn(specs []ChangeSpec, _ *struct{}) error {
 	for _, spec := range specs {
-		if _, err := h.registry.Change(spec.Service, spec.Targets); err != nil {
+		if _, err := h.registry.Change(spec.Service, spec.Entries); err != nil {
 			return err
 		}
 	}
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -28,20 +28,20 @@
 // HollowFigures are of the hollow nodes' process. Its CPU holds all that the process does: module, loops,
 // discovery clients, the generator of the calls, and the servers' answers in memory.
 type HollowFigures struct {
-	Nodes      int                `json:"nodes"`
-	ReadyMS    float64            `json:"all_ready_after_ms"`
-	CoresNode  float64            `json:"cores_per_node"`
-	HeapNode   float64            `json:"heap_bytes_per_node"`
-	HeapAfter  float64            `json:"heap_bytes_per_node_at_end"` // with what the run notes of each change
-	StackNode  float64            `json:"stack_bytes_per_node"`
-	RSS        int64              `json:"rss_bytes"`
-	Calls      Tally              `json:"calls"`
-	Late       Quantiles          `json:"late"`
-	Latency    Quantiles          `json:"latency"`
-	Kept       bool               `json:"schedule_kept"`
-	InForce    map[string]InForce `json:"in_force"` // by the kind of change
-	Warnings   int64              `json:"log_warnings"`
-	StormCalls *Tally             `json:"calls_in_storm,omitempty"`
+	Nodes        int                `json:"nodes"`
+	ReadyMS      float64            `json:"all_ready_after_ms"`
+	CoresNode    float64            `json:"cores_per_node"`
+	HeapNode     float64            `json:"heap_bytes_per_node"`
+	HeapAfter    float64            `json:"heap_bytes_per_node_at_end"` // with what the run notes of each change
+	StackNode    float64            `json:"stack_bytes_per_node"`
+	RSS          int64              `json:"rss_bytes"`
+	Calls        Tally              `json:"calls"`
+	Lateness     Quantiles          `json:"late"`
+	Latency      Quantiles          `json:"latency"`
+	ScheduleKept bool               `json:"schedule_kept"`
+	InForce      map[string]InForce `json:"in_force"` // by the kind of change
+	Warnings     int64              `json:"log_warnings"`
+	StormCalls   *Tally             `json:"calls_in_storm,omitempty"`
 }
 
 // RealFigures are of the real nodes' processes, over the rounds in which calls went through them (with no
@@ -111,29 +111,29 @@
 	row("a node and its agent or registry", "in %.0f B/s, out %.0f B/s", p.PerNode.BytesIn, p.PerNode.BytesOut)
 	r := p.Registry
 	row("registry and agents", "%d connections, %.1f calls/s, peak %.0f, in %.0f B/s, out %.0f B/s, %.3f cores, %.1f MB",
-		r.Open, r.Calls, r.Peak, r.BytesIn, r.BytesOut, r.Cores, mega(r.RSS))
+		r.Open, r.Calls, r.Peak, r.BytesIn, r.BytesOut, r.Cores, megabytes(r.RSS))
 	if h := p.Hollow; h != nil {
 		row("a hollow node", "%.3f%% of a core, heap %.0f KB (at the end %.0f KB), stacks %.0f KB; all ready after %.0f ms",
 			100*h.CoresNode, h.HeapNode/1e3, h.HeapAfter/1e3, h.StackNode/1e3, h.ReadyMS)
 		if h.Calls.Offered > 0 {
 			row("hollow calls", "%d offered, %d served, %d refused, %d failed; 50/99/99.9 in 100: %.2f/%.2f/%.2f ms; %s",
-				h.Calls.Offered, h.Calls.Served, h.Calls.Refused, h.Calls.Failed, h.Latency.P50, h.Latency.P99, h.Latency.P999, schedule(h.Kept, h.Late))
+				h.Calls.Offered, h.Calls.Served, h.Calls.Rejected, h.Calls.Failed, h.Latency.P50, h.Latency.P99, h.Latency.P999, scheduleText(h.ScheduleKept, h.Lateness))
 		}
 		for _, group := range groups {
 			if f, ok := h.InForce[group]; ok {
 				row("in force: "+group, "%d changes; at 50/99/100 in 100 nodes: median %.1f/%.1f/%.1f ms, worst %.1f/%.1f/%.1f ms; %d heard, %d missed",
-					f.Changes, f.Half.Median, f.Most.Median, f.All.Median, f.Half.Worst, f.Most.Worst, f.All.Worst, f.Heard, f.Missed)
+					f.Changes, f.Half.Median, f.P99.Median, f.All.Median, f.Half.Worst, f.P99.Worst, f.All.Worst, f.Applied, f.Missed)
 			}
 		}
 	}
 	if f := p.Real; f != nil {
 		row("a real node", "%.3f%% of a core (most %.3f%%), %.1f MB (most %.1f MB); %d of %d alive at the end",
-			100*f.CoresMean, 100*f.CoresMax, f.RSSMean/1e6, mega(f.RSSMax), f.Alive, f.Nodes)
+			100*f.CoresMean, 100*f.CoresMax, f.RSSMean/1e6, megabytes(f.RSSMax), f.Alive, f.Nodes)
 	}
 	if c := p.Chain; c != nil {
-		for i, v := range []Way{c.Direct, c.Through} {
+		for i, v := range []PathFigures{c.Direct, c.Through} {
 			row(fmt.Sprintf("depth %d, %s", c.Depth, [...]string{"direct", "through nodes"}[i]), "%d offered, %d served, %d refused, %d failed; 50/99/99.9 in 100: %.2f/%.2f/%.2f ms; %s; %.1f cores in use",
-				v.Offered, v.Served, v.Refused, v.Failed, v.Latency.P50, v.Latency.P99, v.Latency.P999, schedule(v.Kept, v.Late), v.Cores)
+				v.Offered, v.Served, v.Rejected, v.Failed, v.Latency.P50, v.Latency.P99, v.Latency.P999, scheduleText(v.ScheduleKept, v.Lateness), v.Cores)
 		}
 		row(fmt.Sprintf("added by %d nodes", c.Depth), "50/99/99.9 in 100: %.2f/%.2f/%.2f ms", c.AddedP50, c.AddedP99, c.AddedP999)
 	}
@@ -147,7 +147,7 @@
 		row("newest list", "at all hollow nodes %.0f ms after the return; %d without it", s.NewestAllMS, s.Missed)
 		if p.Hollow != nil && p.Hollow.StormCalls != nil {
 			t := p.Hollow.StormCalls
-			row("hollow calls meanwhile", "%d offered, %d served, %d refused, %d failed", t.Offered, t.Served, t.Refused, t.Failed)
+			row("hollow calls meanwhile", "%d offered, %d served, %d refused, %d failed", t.Offered, t.Served, t.Rejected, t.Failed)
 		}
 	}
 	if err := w.Flush(); err != nil {
@@ -156,9 +156,9 @@
 	return nil
 }
 
-func mega(bytes int64) float64 { return float64(bytes) / 1e6 }
+func megabytes(bytes int64) float64 { return float64(bytes) / 1e6 }
 
-func schedule(kept bool, late Quantiles) string {
+func scheduleText(kept bool, late Quantiles) string {
 	said := "schedule kept"
 	if !kept {
 		said = "SCHEDULE NOT KEPT"
--- a/internal/fleet/rotation.go
+++ b/internal/fleet/rotation.go
@@ -12,8 +12,8 @@
 	service int
 
 	mu      sync.Mutex
-	targets []Target // as they are when in service
-	at      int      // the server whose turn it is
+	entries []ListEntry // as they are when in service
+	at      int         // the server whose turn it is
 	step    int
 	lost    bool // the first zone is
 }
@@ -21,7 +21,7 @@
 func newRotation(service, servers int, endpoint string) *rotation {
 	r := &rotation{service: service}
 	for i := range servers {
-		r.targets = append(r.targets, Target{
+		r.entries = append(r.entries, ListEntry{
 			UID: fmt.Sprintf("s-%d-%d", service, i), Endpoint: endpoint,
 			Zone: zones[i%len(zones)], Model: "m1", Cell: i % 10, State: inService, Capacity: 1,
 		})
@@ -30,16 +30,16 @@
 }
 
 // next is the next change of one server, or none if all that could change are lost.
-func (r *rotation) next() []Target {
+func (r *rotation) next() []ListEntry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for range r.targets {
-		if !r.lost || r.targets[r.at].Zone != zones[0] {
+	for range r.entries {
+		if !r.lost || r.entries[r.at].Zone != zones[0] {
 			break
 		}
-		r.at, r.step = (r.at+1)%len(r.targets), 0
+		r.at, r.step = (r.at+1)%len(r.entries), 0
 	}
-	t := &r.targets[r.at]
+	t := &r.entries[r.at]
 	if r.lost && t.Zone == zones[0] {
 		return nil
 	}
@@ -48,28 +48,28 @@
 	if r.step++; r.step == 3 {
 		t.BootMS = time.Now().UnixMilli()
 		news.BootMS = t.BootMS
-		r.step, r.at = 0, (r.at+1)%len(r.targets)
+		r.step, r.at = 0, (r.at+1)%len(r.entries)
 	}
-	return []Target{news}
+	return []ListEntry{news}
 }
 
 // restart is the last server, started anew.
-func (r *rotation) restart() []Target {
+func (r *rotation) restart() []ListEntry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := &r.targets[len(r.targets)-1]
+	t := &r.entries[len(r.entries)-1]
 	t.BootMS = time.Now().UnixMilli()
-	return []Target{*t}
+	return []ListEntry{*t}
 }
 
 // zone is all servers of the first zone, gone, or back with a new start.
-func (r *rotation) zone(back bool) []Target {
+func (r *rotation) zone(back bool) []ListEntry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lost = !back
-	var news []Target
-	for i := range r.targets {
-		t := &r.targets[i]
+	var news []ListEntry
+	for i := range r.entries {
+		t := &r.entries[i]
 		if t.Zone != zones[0] {
 			continue
 		}
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -12,13 +12,13 @@
 
 // The kinds of list changes, whose times are told apart.
 const (
-	groupChange   = "a server's state" // one server of the list drains, goes, or comes back
-	groupSilent   = "told at the return"
-	groupZoneLost = "a zone lost"
-	groupZoneBack = "a zone back"
+	groupChange      = "a server's state" // one server of the list drains, goes, or comes back
+	groupAfterOutage = "told at the return"
+	groupZoneLost    = "a zone lost"
+	groupZoneBack    = "a zone back"
 )
 
-var groups = []string{groupChange, groupSilent, groupZoneLost, groupZoneBack}
+var groups = []string{groupChange, groupAfterOutage, groupZoneLost, groupZoneBack}
 
 // When a storm begins and ends, as shares of a run's length, and how long its return is watched.
 const (
@@ -28,30 +28,30 @@
 )
 
 // startWait is how long the nodes may take to be ready.
-const startWait = time.Minute
+const startTimeout = time.Minute
 
 // Runner makes runs.
 type Runner struct {
-	Self []string // the command that calls Child with one more argument, the role
-	Log  *slog.Logger
+	ChildCommand []string // the command that calls Child with one more argument, the role
+	Log          *slog.Logger
 }
 
 // run is one run under way. Its children are stopped at its end, whatever that is.
 type run struct {
 	Runner
-	args     Args
-	dir      string
-	registry *child
-	hollows  *child
-	servers  *child
-	at       ServerAddresses
-	real     []*realNode // chain by chain, tier by tier
-	caller   *caller
-	lists    []*rotation // of the services, then of the real nodes' tiers
+	args            Args
+	dir             string
+	registry        *child
+	hollows         *child
+	servers         *child
+	serverAddresses ServerAddresses
+	real            []*realNode // chain by chain, tier by tier
+	client          *client
+	lists           []*rotation // of the services, then of the real nodes' tiers
 
-	mu      sync.Mutex
-	changes []ListChange
-	silent  bool
+	mu                   sync.Mutex
+	changes              []ListChange
+	registryUnresponsive bool
 }
 
 // Run makes one run. It ends within its bound, with its children gone.
@@ -59,9 +59,9 @@
 	if err := args.Check(); err != nil {
 		return Point{}, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, args.bound()-2*endWait)
+	ctx, cancel := context.WithTimeout(ctx, args.bound()-2*childStopTimeout)
 	defer cancel()
-	one := &run{Runner: r, args: args, caller: newCaller()}
+	one := &run{Runner: r, args: args, client: newClient()}
 	defer one.stop()
 	if one.dir, err = os.MkdirTemp("", "fleetscale"); err != nil {
 		return Point{}, fmt.Errorf("run: %w", err)
@@ -94,7 +94,7 @@
 		}
 	}
 	wg.Wait()
-	r.caller.close()
+	r.client.close()
 	os.RemoveAll(r.dir)
 }
 
@@ -106,7 +106,7 @@
 	}
 	var realCores []float64
 	if r.hollows != nil {
-		if err := r.hollows.ask(ctx, "Load", HollowLoad{r.args.Rate, r.args.For, r.args.Seed}, &struct{}{}); err != nil {
+		if err := r.hollows.call(ctx, "Load", HollowLoad{r.args.Rate, r.args.For, r.args.Seed}, &struct{}{}); err != nil {
 			return err
 		}
 	}
@@ -148,7 +148,7 @@
 		return fmt.Errorf("run: %w", err)
 	}
 	var counted Counted
-	if err := r.registry.ask(ctx, "Traffic", struct{}{}, &counted); err != nil {
+	if err := r.registry.call(ctx, "Traffic", struct{}{}, &counted); err != nil {
 		return err
 	}
 	r.fill(p, before, after, realCores, counted)
--- a/internal/fleet/run_test.go
+++ b/internal/fleet/run_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Runner{Self: []string{self, "child"}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
+	return Runner{ChildCommand: []string{self, "child"}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
 }
 
 func base() Args {
@@ -84,11 +84,11 @@
 			t.Fatalf("%s: parts %+v", mode, p)
 		}
 		f := h.InForce[groupChange]
-		if f.Changes < 4 || f.Missed != 0 || f.Heard != 3*f.Changes || f.All.Worst <= 0 || f.Half.Median > f.All.Worst {
+		if f.Changes < 4 || f.Missed != 0 || f.Applied != 3*f.Changes || f.All.Worst <= 0 || f.Half.Median > f.All.Worst {
 			t.Errorf("%s: in force %+v", mode, f)
 		}
 		if h.Calls.Offered < 100 || h.Calls.Answered() != h.Calls.Offered || h.Calls.Served == 0 || h.Latency.Count != h.Calls.Served ||
-			h.Late.Count != h.Calls.Offered || h.Latency.P50 <= 0 {
+			h.Lateness.Count != h.Calls.Offered || h.Latency.P50 <= 0 {
 			t.Errorf("%s: calls %+v, latency %+v", mode, h.Calls, h.Latency)
 		}
 		if h.CoresNode <= 0 || h.HeapNode <= 0 || h.HeapAfter <= 0 || h.RSS <= 0 || h.ReadyMS <= 0 {
@@ -129,8 +129,8 @@
 	if c == nil || c.Depth != 2 || c.Chains != 1 || p.Hollow != nil {
 		t.Fatalf("chain %+v", c)
 	}
-	for name, way := range map[string]Way{"direct": c.Direct, "through": c.Through} {
-		if way.Offered < 20 || way.Served < way.Offered*9/10 || way.Answered() != way.Offered || way.Late.Count != way.Offered ||
+	for name, way := range map[string]PathFigures{"direct": c.Direct, "through": c.Through} {
+		if way.Offered < 20 || way.Served < way.Offered*9/10 || way.Answered() != way.Offered || way.Lateness.Count != way.Offered ||
 			way.Latency.Count == 0 || way.Latency.P50 <= 0 || way.Latency.P999 > way.Latency.Max {
 			t.Errorf("%s: %+v", name, way)
 		}
--- a/internal/fleet/runchanges.go
+++ b/internal/fleet/runchanges.go
@@ -9,14 +9,14 @@
 )
 
 // change makes a new version of a list and notes it.
-func (r *run) change(ctx context.Context, l *rotation, targets []Target, group string) error {
+func (r *run) change(ctx context.Context, l *rotation, targets []ListEntry, group string) error {
 	var changed Changed
-	if err := r.registry.ask(ctx, "Change", ChangeSpec{l.service, targets}, &changed); err != nil {
+	if err := r.registry.call(ctx, "Change", ChangeSpec{l.service, targets}, &changed); err != nil {
 		return err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.silent { // it is told at the return only
+	if r.registryUnresponsive { // it is told at the return only
 		return nil
 	}
 	if l.service < r.args.Services && r.args.Nodes > 0 {
--- a/internal/fleet/runfigures.go
+++ b/internal/fleet/runfigures.go
@@ -81,7 +81,7 @@
 	changes := r.changes
 	r.mu.Unlock()
 	var report HollowReport
-	if err := r.hollows.ask(ctx, "Report", changes, &report); err != nil {
+	if err := r.hollows.call(ctx, "Report", changes, &report); err != nil {
 		return err
 	}
 	n := float64(r.args.Nodes)
@@ -89,7 +89,7 @@
 		Nodes: r.args.Nodes, ReadyMS: ms(started.Took),
 		CoresNode: cores(after.hollows.CPU-before.hollows.CPU, before.at, after.at) / n,
 		HeapNode:  float64(started.HeapBytes) / n, HeapAfter: float64(report.HeapBytes) / n, StackNode: float64(started.StackMem) / n, RSS: after.hollows.RSS,
-		Late: report.Late, Latency: report.Latency, Kept: report.Late.P99 <= keptWithin,
+		Lateness: report.Lateness, Latency: report.Latency, ScheduleKept: report.Lateness.P99 <= maxSendLateness,
 		InForce: report.InForce, Warnings: report.Warnings,
 	}
 	for _, t := range report.Phases {
--- a/internal/fleet/runstart.go
+++ b/internal/fleet/runstart.go
@@ -7,15 +7,15 @@
 
 // start brings up the registry, the servers and the nodes, until all nodes are ready.
 func (r *run) start(ctx context.Context) (started HollowStart, err error) {
-	if r.registry, err = startChild(r.Self, roleRegistry); err != nil {
+	if r.registry, err = startChild(r.ChildCommand, roleRegistry); err != nil {
 		return started, err
 	}
 	chains := r.args.Real / r.args.Depth
 	if chains > 0 {
-		if r.servers, err = startChild(r.Self, roleServers); err != nil {
+		if r.servers, err = startChild(r.ChildCommand, roleServers); err != nil {
 			return started, err
 		}
-		if err = r.servers.ask(ctx, "Start", ServersSpec{chains, r.args.Depth, r.args.Service, r.args.Seed}, &r.at); err != nil {
+		if err = r.servers.call(ctx, "Start", ServersSpec{chains, r.args.Depth, r.args.Service, r.args.Seed}, &r.serverAddresses); err != nil {
 			return started, err
 		}
 	}
@@ -32,11 +32,11 @@
 	for c := range chains {
 		for k := range r.args.Depth {
 			spec.Addresses = append(spec.Addresses, len(r.lists))
-			r.lists = append(r.lists, newRotation(len(r.lists), r.args.Servers, r.at.Through[c][k]))
+			r.lists = append(r.lists, newRotation(len(r.lists), r.args.Servers, r.serverAddresses.Through[c][k]))
 		}
 	}
 	for _, l := range r.lists {
-		spec.Services = append(spec.Services, l.targets)
+		spec.Services = append(spec.Services, l.entries)
 	}
 	asked := r.args.Mode == "asked"
 	if asked { // one address for each list, whoever asks
@@ -46,7 +46,7 @@
 		}
 	}
 	var addresses []string
-	if err = r.registry.ask(ctx, "Start", spec, &addresses); err != nil {
+	if err = r.registry.call(ctx, "Start", spec, &addresses); err != nil {
 		return started, err
 	}
 	discovery := func(node, list int) string {
@@ -64,14 +64,14 @@
 }
 
 func (r *run) startHollow(ctx context.Context, discovery func(node, list int) string, asked bool) (started HollowStart, err error) {
-	spec := HollowSpec{Services: r.args.Services, Asked: asked, Service: r.args.Service, Seed: r.args.Seed, Wait: startWait}
+	spec := HollowSpec{Services: r.args.Services, PollDiscovery: asked, Service: r.args.Service, Seed: r.args.Seed, Wait: startTimeout}
 	for i := range r.args.Nodes {
 		spec.Discovery = append(spec.Discovery, discovery(i, i%r.args.Services))
 	}
-	if r.hollows, err = startChild(r.Self, roleHollows); err != nil {
+	if r.hollows, err = startChild(r.ChildCommand, roleHollows); err != nil {
 		return started, err
 	}
-	if err = r.hollows.ask(ctx, "Start", spec, &started); err != nil {
+	if err = r.hollows.call(ctx, "Start", spec, &started); err != nil {
 		return started, err
 	}
 	r.Log.Info("hollow nodes are ready", "nodes", started.Ready, "after", started.Took)
@@ -82,11 +82,11 @@
 	if r.args.Real == 0 {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, startWait)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	program := r.args.Program
 	if program == "" {
-		if program, err = build(ctx, r.dir); err != nil {
+		if program, err = buildProgram(ctx, r.dir); err != nil {
 			return err
 		}
 	}
@@ -96,8 +96,8 @@
 			nodes = append(nodes, nil)
 		}
 		n, err := startReal(ctx, program, r.dir, NodeSpec{
-			Name: fmt.Sprintf("n%d", i), Copies: 1, Tier: i % r.args.Depth,
-			Listen: "127.0.0.1:0", Discovery: discovery(i), Asked: asked, Seed: r.args.Seed + uint64(i),
+			Name: fmt.Sprintf("n%d", i), Replicas: 1, Tier: i % r.args.Depth,
+			Listen: "127.0.0.1:0", Discovery: discovery(i), PollDiscovery: asked, Seed: r.args.Seed + uint64(i),
 		})
 		if err != nil {
 			return err
@@ -111,5 +111,5 @@
 		}
 	}
 	r.Log.Info("real nodes are ready", "nodes", len(r.real))
-	return r.servers.ask(ctx, "Link", nodes, &struct{}{})
+	return r.servers.call(ctx, "Link", nodes, &struct{}{})
 }
--- a/internal/fleet/servers.go
+++ b/internal/fleet/servers.go
@@ -26,13 +26,13 @@
 
 // Servers is the host of the stand-ins of servers, as a service for a parent process.
 type Servers struct {
-	caller  *caller
+	client  *client
 	through [][]*server
 }
 
 // server answers a request, after its time and after its own call to the next tier, where there is one.
 type server struct {
-	caller  *caller
+	client  *client
 	service time.Duration
 	next    atomic.Pointer[string]
 	calls   atomic.Int64
@@ -42,13 +42,13 @@
 
 // Start opens the servers.
 func (s *Servers) Start(spec ServersSpec, at *ServerAddresses) error {
-	s.caller = newCaller()
+	s.client = newClient()
 	open := func(name string, n int) (*server, string, error) {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, "", fmt.Errorf("servers: %w", err)
 		}
-		one := &server{caller: s.caller, service: spec.Service, name: name, seed: spec.Seed + uint64(n)}
+		one := &server{client: s.client, service: spec.Service, name: name, seed: spec.Seed + uint64(n)}
 		go (&http.Server{Handler: one, ReadHeaderTimeout: time.Minute}).Serve(ln)
 		return one, ln.Addr().String(), nil
 	}
@@ -100,7 +100,7 @@
 		pause(r.Context(), time.Duration(rng.ExpFloat64()*float64(s.service)))
 	}
 	if next := s.next.Load(); next != nil {
-		got, err := s.caller.call(r.Context(), *next, callClass, fmt.Sprintf("%s-%x", s.name, n), deadline)
+		got, err := s.client.call(r.Context(), *next, callClass, fmt.Sprintf("%s-%x", s.name, n), deadline)
 		if err != nil || got != served {
 			http.Error(w, fmt.Sprintf("the next tier: %v, %v", got, err), http.StatusInternalServerError)
 			return
--- a/internal/fleet/storm.go
+++ b/internal/fleet/storm.go
@@ -34,7 +34,7 @@
 	if r.hollows == nil {
 		return nil
 	}
-	return r.hollows.ask(ctx, "Phase", phase, &struct{}{})
+	return r.hollows.call(ctx, "Phase", phase, &struct{}{})
 }
 
 func (r *run) lose(ctx context.Context, s *stormTimes) error {
@@ -43,10 +43,10 @@
 		return r.changeZone(ctx, false, groupZoneLost)
 	}
 	r.mu.Lock()
-	r.silent = true
+	r.registryUnresponsive = true
 	r.mu.Unlock()
 	var at int64
-	err := r.registry.ask(ctx, "Silence", true, &at)
+	err := r.registry.call(ctx, "Silence", true, &at)
 	s.lost = time.Unix(0, at)
 	return err
 }
@@ -60,21 +60,21 @@
 	var last []ListChange
 	for _, l := range r.lists {
 		var changed Changed
-		if err := r.registry.ask(ctx, "Change", ChangeSpec{l.service, l.restart()}, &changed); err != nil {
+		if err := r.registry.call(ctx, "Change", ChangeSpec{l.service, l.restart()}, &changed); err != nil {
 			return err
 		}
 		if l.service < r.args.Services && r.args.Nodes > 0 {
-			last = append(last, ListChange{Group: groupSilent, Service: l.service, Rev: changed.Rev})
+			last = append(last, ListChange{Group: groupAfterOutage, Service: l.service, Rev: changed.Rev})
 		}
 	}
 	var at int64
-	if err := r.registry.ask(ctx, "Silence", false, &at); err != nil {
+	if err := r.registry.call(ctx, "Silence", false, &at); err != nil {
 		return err
 	}
 	s.back = time.Unix(0, at)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.silent = false
+	r.registryUnresponsive = false
 	for _, c := range last {
 		c.AtNS = at
 		r.changes = append(r.changes, c)
@@ -111,7 +111,7 @@
 		f.PeakToMean = f.PeakAfter / f.Before
 	}
 	if h != nil {
-		for _, group := range []string{groupSilent, groupZoneBack} {
+		for _, group := range []string{groupAfterOutage, groupZoneBack} {
 			if in, ok := h.InForce[group]; ok {
 				f.NewestAllMS, f.Missed = in.All.Worst, in.Missed
 			}
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -165,7 +165,7 @@
 		}
 		told = how
 		begun := c.markDeparted()
-		f.post(clientDeparted{call: c, how: how, at: f.clock.now(), retryAfter: f.rules.Load().retryAfter})
+		f.post(clientDeparted{request: c, how: how, at: f.clock.now(), retryAfter: f.rules.Load().retryAfter})
 		switch {
 		case how == disconnected:
 			return response{}, false
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -17,7 +17,7 @@
 // Answers.
 const (
 	Served Answer = iota
-	Refused
+	Rejected
 	Failed
 )
 
@@ -25,20 +25,20 @@
 // real discovery client. Its calls come from the program it is in, and its attempts end in memory. Many fit
 // one process, which is how the cost of a fleet's control is measured on one machine.
 type Hollow struct {
-	loop      *loop
-	discovery *discovery
-	push      bool
-	serve     func(server string) (time.Duration, balancer.AttemptResult)
-	onList    func(rev int64, at time.Time)
-	over      chan struct{} // closed once the loop takes no more events
+	loop        *loop
+	discovery   *discovery
+	listsPushed bool
+	serve       func(server string) (time.Duration, balancer.AttemptResult)
+	onList      func(rev int64, at time.Time)
+	ended       chan struct{} // closed once the loop takes no more events
 
 	mu    sync.Mutex
-	lists []heardList // posted, and not yet taken over; the oldest first
+	lists []postedList // posted, and not yet taken over; the oldest first
 	calls int64
 }
 
 // heardList tells by its first entry which version a list is that the loop takes over.
-type heardList struct {
+type postedList struct {
 	first *listEntry
 	rev   int64
 }
@@ -54,13 +54,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("hollow node: %w", err)
 	}
-	h := &Hollow{push: !set.PollDiscovery, serve: serve, onList: onList, over: make(chan struct{})}
+	h := &Hollow{listsPushed: !set.PollDiscovery, serve: serve, onList: onList, ended: make(chan struct{})}
 	h.loop = newLoop(balancer, newClock(), log)
 	h.loop.rules.Store(newRequestRules(1, set))
-	h.loop.start, h.loop.updateEndpoints, h.loop.listsPushed = h.start, h.taken, h.push
+	h.loop.start, h.loop.updateEndpoints, h.loop.listsPushed = h.start, h.listApplied, h.listsPushed
 	h.discovery = newDiscovery(cfg, -1, h.post, log)
 	h.loop.subscribe = h.discovery.subscribe
-	if h.loop.cachedList = (endpointList{complete: true}); !h.push {
+	if h.loop.cachedList = (endpointList{complete: true}); !h.listsPushed {
 		h.loop.useCachedList() // the module asks for more
 	}
 	return h, nil
@@ -69,15 +69,15 @@
 // Run follows discovery and answers calls until ctx ends; calls that are out then are never answered.
 func (h *Hollow) Run(ctx context.Context) {
 	go func() {
-		defer close(h.over)
+		defer close(h.ended)
 		h.loop.run(ctx)
 	}()
-	if h.push {
+	if h.listsPushed {
 		h.discovery.runPushed(ctx)
 	} else {
 		h.discovery.runPolled(ctx)
 	}
-	<-h.over
+	<-h.ended
 	h.discovery.address().client.CloseIdleConnections()
 }
 
@@ -101,11 +101,11 @@
 			case responseServed:
 				done(Served)
 			case responseRejected:
-				done(Refused)
+				done(Rejected)
 			default:
 				done(Failed)
 			}
-		case <-h.over:
+		case <-h.ended:
 		}
 	}()
 }
@@ -114,17 +114,17 @@
 func (h *Hollow) post(e event) {
 	if news, ok := e.(listReceived); ok && len(news.list.entries) > 0 {
 		h.mu.Lock()
-		h.lists = append(h.lists, heardList{&news.list.entries[0], news.list.version})
+		h.lists = append(h.lists, postedList{&news.list.entries[0], news.list.version})
 		h.mu.Unlock()
 	}
 	select {
 	case h.loop.events <- e:
-	case <-h.over:
+	case <-h.ended:
 	}
 }
 
 // taken tells of a list that the loop takes over. One that changed nothing is passed over.
-func (h *Hollow) taken(targets []listEntry, _ bool) {
+func (h *Hollow) listApplied(targets []listEntry, _ bool) {
 	if len(targets) == 0 {
 		return
 	}
@@ -154,7 +154,7 @@
 		case <-timer.C:
 		case <-a.ctx.Done():
 			ending = balancer.Cancelled
-		case <-h.over:
+		case <-h.ended:
 		}
 		a.cancel()
 		h.post(attemptEnded{a, attemptOutcome{result: ending, endedAt: h.loop.clock.now()}})
--- a/internal/node/listparser_test.go
+++ b/internal/node/listparser_test.go
@@ -237,8 +237,8 @@
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			l, back := bootLoop(b, newMachine(), true), testBackend(10)
 			all := parsed(b, manyServers(servers, "", false))
-			l.convertBoots(all.entries)
-			l.apply(all)
+			l.setStartTimes(all.entries)
+			l.applyEntries(all)
 			back.updateEndpoints(all.entries, true)
 			var changes [2]endpointList
 			for i, state := range []balancer.EndpointState{balancer.Draining, balancer.Ready} {
@@ -249,11 +249,11 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				news := changes[i%2]
-				l.convertBoots(news.entries)
+				l.setStartTimes(news.entries)
 				if l.isUnchanged(news) {
 					b.Fatal("no change")
 				}
-				l.apply(news)
+				l.applyEntries(news)
 				back.updateEndpoints(news.entries, false)
 			}
 		})
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -100,9 +100,9 @@
 type event interface{}
 
 type (
-	requestReceived struct{ call *request }
+	requestReceived struct{ request *request }
 	clientDeparted  struct {
-		call       *request
+		request    *request
 		how        departure
 		at         time.Duration
 		retryAfter time.Duration // when to come back, for a refusal
@@ -125,7 +125,7 @@
 
 // pending is a call that the module still knows: unanswered, or with attempts out.
 type requestState struct {
-	call       *request
+	request    *request
 	attempts   []*attempt
 	inFlight   int
 	answered   bool
@@ -154,7 +154,7 @@
 }
 
 // stats count what happened, for the log.
-type stats struct {
+type trafficCounts struct {
 	Requests, Served, Rejected, Failed, Departed, Sends int
 	Results                                             [8]int
 	LagMax, LagSum                                      time.Duration
@@ -179,11 +179,11 @@
 	pending    map[string]*requestState
 	timers     timerHeap
 	endpoints  map[string]listEntry
-	boots      *bootClock
+	bootClock  *bootClock
 	cachedList endpointList // as the node last had it; of use, and kept, only until a list is heard
-	listHeard  bool         // the list is as new as it can be had
+	listKnown  bool         // the list is as new as it can be had
 	ready      atomic.Bool  // a listed server may be sent to
-	stats      stats
+	traffic    trafficCounts
 
 	readyServers int // how many of listed are ready
 }
@@ -191,7 +191,7 @@
 func newLoop(b *balancer.Balancer, c clock, log *slog.Logger) *loop {
 	return &loop{
 		clock: c, balancer: b, connectionStats: func() []any { return nil }, events: make(chan event, 1024), log: log,
-		pending: map[string]*requestState{}, endpoints: map[string]listEntry{}, boots: newBootClock(c),
+		pending: map[string]*requestState{}, endpoints: map[string]listEntry{}, bootClock: newBootClock(c),
 	}
 }
 
@@ -206,7 +206,7 @@
 	defer timer.Stop()
 	report := time.NewTicker(statsInterval)
 	defer report.Stop()
-	defer l.report()
+	defer l.logTraffic()
 	for {
 		l.fireTimers()
 		if len(l.timers) > 0 {
@@ -217,7 +217,7 @@
 			l.handleEvent(e)
 		case <-timer.C:
 		case <-report.C:
-			l.report()
+			l.logTraffic()
 		case <-ctx.Done():
 			return
 		}
@@ -240,29 +240,29 @@
 func (l *loop) handleEvent(e event) {
 	switch e := e.(type) {
 	case requestReceived:
-		l.noteLag(e.call.receivedAt)
-		if l.pending[e.call.id] != nil {
+		l.noteLag(e.request.receivedAt)
+		if l.pending[e.request.id] != nil {
 			// The module ignores a second request with an id that it knows, so nobody would answer.
-			e.call.response <- response{kind: responseDuplicateID}
+			e.request.response <- response{kind: responseDuplicateID}
 			return
 		}
 		// Callers' goroutines check by the rules that they find; the module knows only those in force now.
-		if rules := l.rules.Load(); e.call.revision != rules.revision {
-			if no := rules.validate(e.call); no != nil {
-				e.call.response <- response{kind: responseInvalid, reason: no}
+		if rules := l.rules.Load(); e.request.revision != rules.revision {
+			if no := rules.validate(e.request); no != nil {
+				e.request.response <- response{kind: responseInvalid, reason: no}
 				return
 			}
 		}
-		l.stats.Requests++
-		l.pending[e.call.id] = &requestState{call: e.call}
-		l.decide(e.call.receivedAt, balancer.Request{
-			ID: e.call.id, Class: e.call.class, FirstByte: e.call.firstByte,
-			Deadline: e.call.deadline, ExpectedWork: e.call.expectedWork,
+		l.traffic.Requests++
+		l.pending[e.request.id] = &requestState{request: e.request}
+		l.decide(e.request.receivedAt, balancer.Request{
+			ID: e.request.id, Class: e.request.class, FirstByte: e.request.firstByte,
+			Deadline: e.request.deadline, ExpectedWork: e.request.expectedWork,
 		})
 	case clientDeparted:
 		l.noteLag(e.at)
-		if p := l.pending[e.call.id]; p != nil && p.call == e.call && !p.answered {
-			l.clientDeparted(p, e)
+		if p := l.pending[e.request.id]; p != nil && p.request == e.request && !p.answered {
+			l.handleDeparture(p, e)
 		}
 	case attemptEnded:
 		l.noteLag(e.result.endedAt)
@@ -284,7 +284,7 @@
 		}
 		l.applyList(e.list, false)
 	case listConfirmed:
-		l.boots.confirm()
+		l.bootClock.confirm()
 	case subscriptionFailed:
 		l.decide(l.clock.now(), balancer.SubscriptionFailed{})
 	case discoveryUnresponsive:
@@ -295,12 +295,12 @@
 // depart has no further attempt made for a caller that has left, or whose leaving can't be seen: to the
 // module its client has gone. One that has only stopped sending gets the answer of an attempt that has
 // begun, which goes on unless the caller is known to be gone.
-func (l *loop) clientDeparted(p *requestState, e clientDeparted) {
+func (l *loop) handleDeparture(p *requestState, e clientDeparted) {
 	first := p.departed == present
 	p.departed, p.retryAfter = e.how, e.retryAfter
 	if first {
-		l.stats.Departed++
-		l.decide(e.at, balancer.ClientGone{ID: e.call.id})
+		l.traffic.Departed++
+		l.decide(e.at, balancer.ClientGone{ID: e.request.id})
 	}
 	if e.how == disconnected {
 		p.answered = true // nobody reads one
@@ -332,9 +332,9 @@
 		ran = ran || !a.ended && a.hasBegun()
 	}
 	if ran {
-		l.finish(p.call.id, response{kind: responseFailed})
+		l.finish(p.request.id, response{kind: responseFailed})
 	} else {
-		l.finish(p.call.id, response{kind: responseRejected, retryAfter: p.retryAfter})
+		l.finish(p.request.id, response{kind: responseRejected, retryAfter: p.retryAfter})
 	}
 }
 
@@ -350,7 +350,7 @@
 // end passes on how an attempt ended. The first success is the caller's answer.
 func (l *loop) endAttempt(a *attempt, r attemptOutcome) {
 	p := l.pending[a.call.id]
-	l.stats.Results[r.result]++
+	l.traffic.Results[r.result]++
 	p.inFlight--
 	a.ended = true
 	switch r.result {
@@ -359,7 +359,7 @@
 		p.mayHaveRun = p.mayHaveRun || a.hasBegun()
 	}
 	if r.result == balancer.Success && !p.answered {
-		l.stats.Served++
+		l.traffic.Served++
 		l.respond(p, response{kind: responseServed, body: r.body, contentType: r.contentType})
 	}
 	l.decide(r.endedAt, balancer.AttemptEnded{
@@ -374,14 +374,14 @@
 
 func (l *loop) respond(p *requestState, a response) {
 	p.answered = true
-	p.call.response <- a
+	p.request.response <- a
 	l.cancelAttempts(p)
 }
 
 // forget drops a call once nothing of it is left, as the module does.
 func (l *loop) forget(p *requestState) {
 	if p.answered && p.inFlight == 0 {
-		delete(l.pending, p.call.id)
+		delete(l.pending, p.request.id)
 	}
 }
 
@@ -389,7 +389,7 @@
 // holds counts as told from a process's first moment: until it is known, or can't be had, no server may be
 // sent to by an old list, and what callers ask for is held.
 func (l *loop) useCachedList() {
-	if !l.listHeard {
+	if !l.listKnown {
 		l.applyList(l.cachedList, true)
 	}
 }
@@ -398,32 +398,32 @@
 // discovery has moved, is not passed on where lists are pushed: the module takes each list for a change
 // and cuts its pool anew, so telling it of nothing would move requests and open connections for nothing.
 func (l *loop) applyList(news endpointList, cached bool) {
-	l.listHeard, l.cachedList = true, endpointList{}
-	l.convertBoots(news.entries)
+	l.listKnown, l.cachedList = true, endpointList{}
+	l.setStartTimes(news.entries)
 	if !cached {
-		defer l.boots.confirm()
+		defer l.bootClock.confirm()
 	}
 	if !cached && l.listsPushed && l.isUnchanged(news) {
 		return
 	}
-	e := balancer.EndpointUpdate{Complete: news.complete, Cached: cached, Endpoints: l.apply(news)}
+	e := balancer.EndpointUpdate{Complete: news.complete, Cached: cached, Endpoints: l.applyEntries(news)}
 	l.updateEndpoints(news.entries, news.complete)
 	l.decide(l.clock.now(), e)
 	l.ready.Store(l.readyServers > 0)
 }
 
 // convertBoots sets the clock time of each entry's start, as it was converted when its boot_ms was first seen.
-func (l *loop) convertBoots(targets []listEntry) {
-	l.boots.observe()
+func (l *loop) setStartTimes(targets []listEntry) {
+	l.bootClock.observe()
 	for i := range targets {
 		t := &targets[i]
 		held, isHeld := l.endpoints[t.ID]
-		t.StartedAt = l.boots.started(t.bootMS, held, isHeld)
+		t.StartedAt = l.bootClock.started(t.bootMS, held, isHeld)
 	}
 }
 
 // apply takes over the entries of a list, and returns them as the module is to be told of them.
-func (l *loop) apply(news endpointList) []balancer.Endpoint {
+func (l *loop) applyEntries(news endpointList) []balancer.Endpoint {
 	if news.complete {
 		clear(l.endpoints)
 		l.readyServers = 0
@@ -495,12 +495,12 @@
 	p := l.pending[s.ID]
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &attempt{
-		ctx: ctx, cancel: cancel, call: p.call, number: len(p.attempts),
-		to: l.endpoints[s.Endpoint].instance(), sent: l.now, deadline: min(l.now+s.Timeout, p.call.deadline), notAfter: s.NotAfter,
+		ctx: ctx, cancel: cancel, call: p.request, number: len(p.attempts),
+		to: l.endpoints[s.Endpoint].instance(), sent: l.now, deadline: min(l.now+s.Timeout, p.request.deadline), notAfter: s.NotAfter,
 	}
 	p.attempts = append(p.attempts, a)
 	p.inFlight++
-	l.stats.Sends++
+	l.traffic.Sends++
 	l.start(a)
 }
 
@@ -510,9 +510,9 @@
 		return
 	}
 	if a.kind == responseRejected {
-		l.stats.Rejected++
+		l.traffic.Rejected++
 	} else {
-		l.stats.Failed++
+		l.traffic.Failed++
 	}
 	l.respond(p, a)
 	l.forget(p)
@@ -521,15 +521,15 @@
 // lag notes how long after an event the loop got to it.
 func (l *loop) noteLag(at time.Duration) {
 	d := -l.clock.until(at)
-	l.stats.LagMax = max(l.stats.LagMax, d)
-	l.stats.LagSum += d
-	l.stats.Events++
+	l.traffic.LagMax = max(l.traffic.LagMax, d)
+	l.traffic.LagSum += d
+	l.traffic.Events++
 }
 
 // report logs what happened since the last report.
-func (l *loop) report() {
-	s := l.stats
-	l.stats = stats{}
+func (l *loop) logTraffic() {
+	s := l.traffic
+	l.traffic = trafficCounts{}
 	if s.Events == 0 {
 		return
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -71,7 +71,7 @@
 }
 
 // Limit keeps the process within its core and its memory.
-func Limit(cfg Config) {
+func LimitResources(cfg Config) {
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * 3 / 4)
 }
@@ -162,7 +162,7 @@
 	cfg.Listen, cfg.Sockets, cfg.MemoryMB = n.cfg.Listen, n.cfg.Sockets, n.cfg.MemoryMB
 	cfg.Settings.PollDiscovery = n.cfg.Settings.PollDiscovery
 	cfg.Known = nil // of use at a start alone
-	changed, same := changes(n.cfg, cfg), reflect.DeepEqual(n.cfg.Settings, cfg.Settings)
+	changed, same := changedNames(n.cfg, cfg), reflect.DeepEqual(n.cfg.Settings, cfg.Settings)
 	n.revision++
 	log := n.log.With("revision", n.revision, "changed", changed)
 	log.Info("the configuration is read again", "discovery", cfg.Discovery)
@@ -179,7 +179,7 @@
 }
 
 // changes names what differs between two configurations, of all that takes force at once.
-func changes(old, cfg Config) (names []string) {
+func changedNames(old, cfg Config) (names []string) {
 	was, is := reflect.ValueOf(old.Settings), reflect.ValueOf(cfg.Settings)
 	for i := range was.NumField() {
 		name := was.Type().Field(i).Name
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -212,10 +212,10 @@
 	other.Settings.MaxAttempts++
 	other.Discovery = "127.0.0.1:2"
 	want := "MaxAttempts, class view, class extra comes, class keyed goes, discovery"
-	if got := strings.Join(changes(cfg, other), ", "); got != want {
+	if got := strings.Join(changedNames(cfg, other), ", "); got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
-	if got := changes(cfg, cfg); len(got) > 0 {
+	if got := changedNames(cfg, cfg); len(got) > 0 {
 		t.Errorf("got %q of the same", got)
 	}
 }
