--- a/internal/node/callers.go
+++ b/internal/node/callers.go
@@ -108,8 +108,8 @@
 	readEnded         bool
 	readAborted       bool      // leaving, whatever still comes
 	deadline          time.Time // as net/http wants it
-	serving           bool      // a request's head is read, and it is not answered
-	complete          bool      // and its body is read to the end as well
+	requestOpen       bool      // a request's head is read, and it is not answered
+	requestComplete   bool      // and its body is read to the end as well
 	readAhead         []byte    // what came meanwhile, to be read once that is answered
 	readAheadReserved int       // bytes reserved for ahead
 	departed          departure
@@ -138,7 +138,7 @@
 const readAheadStep = 4 << 10
 
 // aheadEach is how much one caller may send ahead, in bytes: the longest request that there is.
-const readAheadPerConn = maxHeader + maxBody
+const readAheadPerConn = maxHeaderBytes + maxBody
 
 // aheadShare is the part of the node's memory that all callers together may fill with what they send ahead.
 const readAheadMemoryShare = 16
@@ -175,7 +175,7 @@
 func (c *downstreamConn) takeHead(r *http.Request) (requestHead, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.requests.take(r)
+	return c.requests.takeHead(r)
 }
 
 // bodyError is the error in the framing of the body that net/http has just read.
@@ -203,11 +203,11 @@
 func (c *downstreamConn) beginWatch() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.serving {
-		c.complete, c.readAborted = true, false
+	if c.requestOpen {
+		c.requestComplete, c.readAborted = true, false
 		c.noteBytes()
 	}
-	return c.serving
+	return c.requestOpen
 }
 
 // hear notes that the caller has said something. The caller holds mu.
@@ -320,7 +320,7 @@
 func (c *downstreamConn) beginRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.serving, c.complete = true, false
+	c.requestOpen, c.requestComplete = true, false
 	c.caughtUp, c.watchEnded = make(chan struct{}), make(chan struct{})
 	if c.departureChanged == nil {
 		c.departureChanged = make(chan struct{}, 1)
@@ -411,7 +411,7 @@
 func (c *downstreamConn) Write(p []byte) (int, error) {
 	if !bytes.HasPrefix(p, []byte("HTTP/1.1 1")) {
 		c.mu.Lock()
-		c.requestBegun, c.serving, c.complete = len(c.readAhead) > 0, false, false
+		c.requestBegun, c.requestOpen, c.requestComplete = len(c.readAhead) > 0, false, false
 		c.mu.Unlock()
 	}
 	return c.Conn.Write(p)
@@ -479,7 +479,7 @@
 func (c *downstreamConn) abortRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.complete || hasUnreadOrClosed(c.Conn) {
+	if c.requestComplete || hasUnreadOrClosed(c.Conn) {
 		return false
 	}
 	c.readEnded, c.readAborted = true, true
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -21,10 +21,10 @@
 	readTimeout       = 2500 * time.Millisecond // for a request, from its connection's start or its first bytes
 	idleTimeout       = 4 * time.Second         // a caller that asks no more is let go
 	writeTimeout      = 5 * time.Second
-	maxHeader         = 16 << 10
-	maxID             = 128
+	maxHeaderBytes    = 16 << 10
+	maxRequestIDBytes = 128
 	maxDeadline       = time.Hour
-	deadlineSlack     = 2 // times the class's deadline that X-Deadline may be
+	maxDeadlineFactor = 2 // times the class's deadline that X-Deadline may be
 	drainPollInterval = 20 * time.Millisecond
 )
 
@@ -49,7 +49,7 @@
 		Handler:                      f,
 		ReadTimeout:                  readTimeout,
 		IdleTimeout:                  idleTimeout,
-		MaxHeaderBytes:               maxHeader,
+		MaxHeaderBytes:               maxHeaderBytes,
 		DisableGeneralOptionsHandler: true,
 		ConnState:                    callers.connStateChanged,
 		ConnContext:                  withConn,
@@ -92,7 +92,7 @@
 }
 
 // health tells the front whether to send callers here.
-func (f *frontend) health(w http.ResponseWriter, r *http.Request) {
+func (f *frontend) serveHealth(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.Method != http.MethodGet && r.Method != http.MethodHead || r.ContentLength != 0:
 		http.Error(w, "only GET is served", http.StatusMethodNotAllowed)
@@ -119,7 +119,7 @@
 		return
 	}
 	if path, _, _ := strings.Cut(r.RequestURI, "?"); path == "/health/ready" {
-		f.health(w, r)
+		f.serveHealth(w, r)
 		return
 	}
 	c, err := f.readRequest(r, conn, head)
@@ -138,21 +138,21 @@
 	// A caller that has left, or whose leaving can't be seen, has nothing begun for it: what it sent ahead
 	// is refused in turn. One that has only stopped sending may read that.
 	if conn.awaitCaughtUp() != present || !f.conns.admitRequest(conn) {
-		f.write(w, conn, response{kind: responseRejected, retryAfter: f.rules.Load().retryAfter})
+		f.writeResponse(w, conn, response{kind: responseRejected, retryAfter: f.rules.Load().retryAfter})
 		return
 	}
 	f.post(requestReceived{c})
-	a, reads := f.await(conn, c, r.ProtoAtLeast(1, 1))
+	a, reads := f.awaitResponse(conn, c, r.ProtoAtLeast(1, 1))
 	if !reads {
 		w.Header().Set("Connection", "close")
 		a.kind = responseFailed // net/http would make a 200 of silence
 	}
-	f.write(w, conn, a)
+	f.writeResponse(w, conn, a)
 }
 
 // await waits for the answer to a call, or for its caller to be gone: then nobody reads one. The mark on
 // the call is there before the loop hears of a departure, for a connection to a server may come up just then.
-func (f *frontend) await(conn *downstreamConn, c *request, interims bool) (a response, reads bool) {
+func (f *frontend) awaitResponse(conn *downstreamConn, c *request, interims bool) (a response, reads bool) {
 	for told := present; ; {
 		select {
 		case a := <-c.response:
@@ -244,11 +244,11 @@
 		return no
 	}
 	switch {
-	case c.id == "" || len(c.id) > maxID || len(r.Header["X-Request-Id"]) > 1:
+	case c.id == "" || len(c.id) > maxRequestIDBytes || len(r.Header["X-Request-Id"]) > 1:
 		return &requestError{http.StatusBadRequest, "X-Request-Id is missing, too long, or comes twice"}
 	case err != nil:
 		return &requestError{http.StatusBadRequest, err.Error()}
-	case wait > deadlineSlack*rules.classes[c.class].Deadline:
+	case wait > maxDeadlineFactor*rules.classes[c.class].Deadline:
 		return &requestError{http.StatusBadRequest, "X-Deadline is far beyond the class's"}
 	case r.ContentLength > maxBody:
 		return &requestError{http.StatusRequestEntityTooLarge, "the body is too long"}
@@ -286,7 +286,7 @@
 
 // write gives the answer to the caller. A connection that is to be closed stays open as long as more requests
 // were read on it, which would get no answer.
-func (f *frontend) write(w http.ResponseWriter, conn *downstreamConn, a response) {
+func (f *frontend) writeResponse(w http.ResponseWriter, conn *downstreamConn, a response) {
 	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	h := w.Header()
 	if (f.conns.overLimit() || f.closing.Load()) && !conn.endWatch() {
--- a/internal/node/listener.go
+++ b/internal/node/listener.go
@@ -36,9 +36,9 @@
 	draining, closed     chan struct{}
 
 	// Used by Accept alone.
-	backoff  time.Duration // the last wait; 0: the last accept did not fail
-	logged   time.Duration // when a failure was last logged; 0: never
-	unlogged int           // failures since then
+	backoff    time.Duration // the last wait; 0: the last accept did not fail
+	lastLogged time.Duration // when a failure was last logged; 0: never
+	unlogged   int           // failures since then
 }
 
 func newDownstreamListener(ln net.Listener, s *downstreamConns, log *slog.Logger) *downstreamListener {
@@ -102,9 +102,9 @@
 	}
 	l.backoff = min(max(2*l.backoff, minAcceptBackoff), limit)
 	l.unlogged++
-	if now := l.conns.clock.now(); l.logged == 0 || now-l.logged >= acceptLogInterval {
+	if now := l.conns.clock.now(); l.lastLogged == 0 || now-l.lastLogged >= acceptLogInterval {
 		l.log.Warn("accept failed; trying again", "error", err, "failures", l.unlogged, "backoff", l.backoff)
-		l.logged, l.unlogged = now, 0
+		l.lastLogged, l.unlogged = now, 0
 	}
 	wait := time.NewTimer(l.backoff)
 	defer wait.Stop()
--- a/internal/node/requestscanner_test.go
+++ b/internal/node/requestscanner_test.go
@@ -51,7 +51,7 @@
 	want := scanned(text, 0)
 	for _, size := range []int{1, 2, 3, 7, 64} {
 		got := scanned(text, size)
-		if !slices.Equal(got.heads, want.heads) || !errors.Is(got.err, want.err) || got.ofBody != want.ofBody ||
+		if !slices.Equal(got.heads, want.heads) || !errors.Is(got.err, want.err) || got.errInBody != want.errInBody ||
 			got.state != want.state {
 			t.Fatalf("in pieces of %d: %+v, at once: %+v", size, got, want)
 		}
@@ -60,7 +60,7 @@
 		if len(want.heads) == 0 {
 			break
 		}
-		if _, err := want.take(r); err != nil {
+		if _, err := want.takeHead(r); err != nil {
 			t.Fatalf("net/http reads %s %s with length %d elsewhere: %v", r.Method, r.RequestURI, r.ContentLength, err)
 		}
 	}
@@ -85,17 +85,17 @@
 	{"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2 \r\nok\r\n0\r\n\r\n", 1, errChunkSize},
 	{"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok0\r\n\r\n", 1, errChunkEnd},
 	{"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\nA: b\n\nGET /b HTTP/1.1\r\n\r\n", 1, errTrailer},
-	{"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n0\r\n\r\n", 0, errTwoLengths},
-	{"POST /a HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 0, errCodingTooEarly},
+	{"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n0\r\n\r\n", 0, errLengthAndCoding},
+	{"POST /a HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 0, errCodingInHTTP10},
 	{"POST /a HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n", 0, errCoding},
 	{"POST /a HTTP/1.1\r\nContent-Length:\r\n 1\r\n\r\na", 0, errContentLength},
 	{"POST /a HTTP/1.1\r\nContent-Length: 1\r\n \r\n\r\na", 0, errFoldedFraming},
 	{"POST /a HTTP/1.1\r\n Content-Length: 1\r\n\r\na", 0, errFieldLine},
-	{"POST /a HTTP/1.1\r\nContent-Length: 1" + strings.Repeat(" ", maxFieldKept) + "\r\n\r\na", 0, errContentLength},
-	{"GET /a HTTP/1.1\r\n" + strings.Repeat("N", maxFieldKept) + ": v\r\n\r\n", 1, nil},
+	{"POST /a HTTP/1.1\r\nContent-Length: 1" + strings.Repeat(" ", maxBufferedField) + "\r\n\r\na", 0, errContentLength},
+	{"GET /a HTTP/1.1\r\n" + strings.Repeat("N", maxBufferedField) + ": v\r\n\r\n", 1, nil},
 	{"GET /" + strings.Repeat("a", maxRequestLine) + " HTTP/1.1\r\n\r\n", 0, errRequestLine},
 	{"GET /a HTTP/2.0\r\n\r\n", 0, errRequestLine},
-	{strings.Repeat("GET /a HTTP/1.1\r\n\r\n", maxHeadsAhead+1), maxHeadsAhead, errTooManyAhead},
+	{strings.Repeat("GET /a HTTP/1.1\r\n\r\n", maxPipelinedHeads+1), maxPipelinedHeads, errTooManyPipelined},
 }
 
 func TestScannerFollowsRequestsHoweverTheyArrive(t *testing.T) {
