--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -165,7 +165,7 @@
 			b := testBackend(10)
 			h := testHost(b, s.addr())
 			b.open = 1
-			b.idle[h] = []*upstreamConn{{Conn: nc, to: h}} // with no reader
+			b.idle[h] = []*upstreamConn{{Conn: nc, instance: h}} // with no reader
 			if say == "" {
 				other.Close()
 			} else {
@@ -201,7 +201,7 @@
 	waiter := make(chan upstreamReply, 1)
 	b.open = 1
 	a := testAttempt(b, "127.0.0.1:1")
-	c := b.startReader(nc, a.to, waiter)
+	c := b.startReader(nc, a.instance, waiter)
 	if b.beginWrite(a.ctx, c, waiter, a) != useAnotherConn || b.open != 0 {
 		t.Errorf("a request is written to a closed connection, or it is still counted: %d open", b.open)
 	}
@@ -219,7 +219,7 @@
 		b := testBackend(10)
 		a := testAttempt(b, s.addr())
 		if want == balancer.TimedOut {
-			a.deadline = a.sent + 100*time.Millisecond
+			a.deadline = a.sentAt + 100*time.Millisecond
 		} else {
 			go func() { <-got; a.cancel() }()
 		}
@@ -263,12 +263,18 @@
 		do   func(*upstreamPool, *attempt)
 		want balancer.AttemptResult
 	}{
-		{"drains", func(b *upstreamPool, a *attempt) { now(b, a.to, func(e *listEntry) { e.State = balancer.Draining }) }, balancer.NotSent},
-		{"gone", func(b *upstreamPool, a *attempt) { now(b, a.to, func(e *listEntry) { e.State = balancer.Removed }) }, balancer.NotSent},
+		{"drains", func(b *upstreamPool, a *attempt) {
+			now(b, a.instance, func(e *listEntry) { e.State = balancer.Draining })
+		}, balancer.NotSent},
+		{"gone", func(b *upstreamPool, a *attempt) {
+			now(b, a.instance, func(e *listEntry) { e.State = balancer.Removed })
+		}, balancer.NotSent},
 		{"left out of a whole list", func(b *upstreamPool, a *attempt) { b.updateEndpoints(nil, true) }, balancer.NotSent},
-		{"started anew", func(b *upstreamPool, a *attempt) { now(b, a.to, func(e *listEntry) { e.bootMS = 1 }) }, balancer.NotSent},
-		{"moved", func(b *upstreamPool, a *attempt) { now(b, a.to, func(e *listEntry) { e.address = "127.0.0.1:2" }) }, balancer.NotSent},
-		{"its caller left", func(b *upstreamPool, a *attempt) { a.call.markDeparted() }, balancer.NotSent},
+		{"started anew", func(b *upstreamPool, a *attempt) { now(b, a.instance, func(e *listEntry) { e.bootMS = 1 }) }, balancer.NotSent},
+		{"moved", func(b *upstreamPool, a *attempt) {
+			now(b, a.instance, func(e *listEntry) { e.address = "127.0.0.1:2" })
+		}, balancer.NotSent},
+		{"its caller left", func(b *upstreamPool, a *attempt) { a.request.markDeparted() }, balancer.NotSent},
 		{"called off", func(b *upstreamPool, a *attempt) { a.cancel() }, balancer.Cancelled},
 		{"repeats are discarded no longer", func(b *upstreamPool, a *attempt) { a.notAfter = b.clock.now() }, balancer.NotSent},
 		{"its time is over", func(b *upstreamPool, a *attempt) { a.deadline = b.clock.now() }, balancer.NotSent},
@@ -322,7 +328,7 @@
 				return drippingConn{nc.(*net.TCPConn)}, nc.(*net.TCPConn).SetWriteBuffer(1)
 			}
 			a := testAttempt(b, s.addr())
-			a.call.body = []byte(long)
+			a.request.body = []byte(long)
 			if r := run(t, b, a); r.result != balancer.Success || string(r.body) != long {
 				t.Errorf("ending %d, a body of %d bytes, want %d", r.result, len(r.body), len(long))
 			}
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -188,7 +188,7 @@
 					waits <- d
 					return clock
 				}
-				n.discovery.address().client.Transport.(*http.Transport).DialContext = func(context.Context, string, string) (net.Conn, error) {
+				n.discovery.currentAddress().client.Transport.(*http.Transport).DialContext = func(context.Context, string, string) (net.Conn, error) {
 					dials <- struct{}{}
 					return nil, syscall.ECONNREFUSED
 				}
@@ -340,11 +340,11 @@
 		{`{"rev":%d,"all":false,"targets":[` + entry("s1", "127.0.0.1:1", "in_service") + `]}`, listReceived{}},
 	} {
 		ag.tell(false, c.text)
-		if _, err := d.watchOnce(t.Context(), d.address(), false); err != nil {
+		if _, err := d.watchOnce(t.Context(), d.currentAddress(), false); err != nil {
 			t.Fatal(err)
 		}
-		if len(events) != 1 || d.address().version != int64(ag.rev) {
-			t.Fatalf("call %d: %d events at rev %d, want 1 at %d", i, len(events), d.address().version, ag.rev)
+		if len(events) != 1 || d.currentAddress().version != int64(ag.rev) {
+			t.Fatalf("call %d: %d events at rev %d, want 1 at %d", i, len(events), d.currentAddress().version, ag.rev)
 		}
 		if got, want := reflect.TypeOf(<-events), reflect.TypeOf(c.want); got != want {
 			t.Errorf("call %d: posted %v, want %v", i, got, want)
--- a/internal/node/endpointlist.go
+++ b/internal/node/endpointlist.go
@@ -37,7 +37,7 @@
 	for i := range targets {
 		t := &targets[i]
 		held, isHeld := l.endpoints[t.ID]
-		t.StartedAt = l.bootClock.started(t.bootMS, held, isHeld)
+		t.StartedAt = l.bootClock.startTime(t.bootMS, held, isHeld)
 	}
 }
 
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -128,7 +128,7 @@
 
 // end passes on how an attempt ended. The first success is the caller's answer.
 func (l *loop) endAttempt(a *attempt, r attemptOutcome) {
-	p := l.pending[a.call.id]
+	p := l.pending[a.request.id]
 	l.traffic.Results[r.result]++
 	p.inFlight--
 	a.ended = true
@@ -142,8 +142,8 @@
 		l.respond(p, response{kind: responseServed, body: r.body, contentType: r.contentType})
 	}
 	l.decide(r.endedAt, balancer.AttemptEnded{
-		ID: a.call.id, Attempt: a.number, Endpoint: a.to.uid, Result: r.result,
-		Latency: r.endedAt - a.sent, Answered: p.answered, HeldUp: a.heldUp,
+		ID: a.request.id, Attempt: a.number, Endpoint: a.instance.uid, Result: r.result,
+		Latency: r.endedAt - a.sentAt, Answered: p.answered, HeldUp: a.heldUp,
 	})
 	if p.departed != present {
 		l.respondUnlessBegun(p)
@@ -178,8 +178,8 @@
 	p := l.pending[s.ID]
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &attempt{
-		ctx: ctx, cancel: cancel, call: p.request, number: len(p.attempts),
-		to: l.endpoints[s.Endpoint].instance(), sent: l.now, deadline: min(l.now+s.Timeout, p.request.deadline), notAfter: s.NotAfter,
+		ctx: ctx, cancel: cancel, request: p.request, number: len(p.attempts),
+		instance: l.endpoints[s.Endpoint].instance(), sentAt: l.now, deadline: min(l.now+s.Timeout, p.request.deadline), notAfter: s.NotAfter,
 	}
 	p.attempts = append(p.attempts, a)
 	p.inFlight++
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -45,8 +45,8 @@
 
 // hasBegun says that a byte of an attempt may have been written.
 func (a *attempt) hasBegun() bool {
-	a.call.mu.Lock()
-	defer a.call.mu.Unlock()
+	a.request.mu.Lock()
+	defer a.request.mu.Unlock()
 	return a.begun
 }
 
--- a/internal/node/upstreampool_test.go
+++ b/internal/node/upstreampool_test.go
@@ -37,8 +37,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	now := b.clock.now()
 	return &attempt{
-		ctx: ctx, cancel: cancel, to: testHost(b, endpoint), sent: now, deadline: now + limit,
-		call: &request{id: "id", method: "POST", target: "/note/k", body: []byte("body")},
+		ctx: ctx, cancel: cancel, instance: testHost(b, endpoint), sentAt: now, deadline: now + limit,
+		request: &request{id: "id", method: "POST", target: "/note/k", body: []byte("body")},
 	}
 }
 
@@ -121,7 +121,7 @@
 	b.reuseDelay = 100 * limit
 	send := func(id string) attemptOutcome {
 		a := testAttempt(b, s.addr())
-		a.call.id = id
+		a.request.id = id
 		return run(t, b, a)
 	}
 	if r := send("one"); string(r.body) != "for one" {
@@ -256,7 +256,7 @@
 	end := make(chan attemptOutcome, 1)
 	go func() { end <- b.do(a) }()
 	wait(t, held.up, "the connection")
-	a.call.markDeparted()
+	a.request.markDeparted()
 	close(held.through)
 	wait(t, end, "the attempt's end")
 	if r := run(t, b, testAttempt(b, s.addr())); r.result != balancer.Success || s.opened() != 1 || s.seen() != 1 {
@@ -303,7 +303,7 @@
 				return syscall.Recvfrom(fd, p, flags)
 			}
 			var has bool
-			err = rawConn(ours).Control(func(fd uintptr) { has = peekBy(recv, fd) })
+			err = rawConn(ours).Control(func(fd uintptr) { has = hasUnreadBy(recv, fd) })
 			if err != nil || has != c.has {
 				t.Errorf("something there: %v (%v), want %v", has, err, c.has)
 			}
