--- a/internal/node/answer.go
+++ b/internal/node/answer.go
@@ -21,15 +21,15 @@
 // nor io.ReadAll has a bound of its own: one endless head would fill the memory.
 type limitedReader struct {
 	io.Reader
-	left int
+	remaining int
 }
 
 func (b *limitedReader) Read(p []byte) (int, error) {
-	if b.left <= 0 {
+	if b.remaining <= 0 {
 		return 0, errResponseTooLong
 	}
-	n, err := b.Reader.Read(p[:min(len(p), b.left)])
-	b.left -= n
+	n, err := b.Reader.Read(p[:min(len(p), b.remaining)])
+	b.remaining -= n
 	return n, err
 }
 
@@ -57,7 +57,7 @@
 // but then the next answer could not be told from that. Only a 200 is worth waiting for the end of the
 // connection; no other answer without a length proves anything.
 func (b *upstreamPool) readResponse(c *upstreamConn) (upstreamReply, bool) {
-	c.limited.left = maxResponseOverhead
+	c.limited.remaining = maxResponseOverhead
 	resp, err := readHead(c.reader)
 	if err != nil {
 		return upstreamReply{err: fmt.Errorf("answer: %w", err)}, false
@@ -120,7 +120,7 @@
 
 // readBody reads a body of up to maxBody bytes to its end.
 func readBody(in *limitedReader, resp *http.Response) ([]byte, error) {
-	in.left += maxBody + 1
+	in.remaining += maxBody + 1
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBody+1))
 	if err == nil && len(body) > maxBody {
 		err = errResponseTooLong
--- a/internal/node/answer_test.go
+++ b/internal/node/answer_test.go
@@ -71,7 +71,7 @@
 			a := testAttempt(b, s.addr())
 			switch c.end {
 			case "time-out":
-				a.deadline = a.sent + 200*time.Millisecond
+				a.deadline = a.sentAt + 200*time.Millisecond
 			case "cancel":
 				go func() { <-answered; a.cancel() }()
 			}
--- a/internal/node/backend.go
+++ b/internal/node/backend.go
@@ -35,10 +35,10 @@
 type attempt struct {
 	ctx               context.Context
 	cancel            context.CancelFunc
-	call              *request
+	request           *request
 	number            int
-	to                endpointInstance
-	sent, deadline    time.Duration
+	instance          endpointInstance
+	sentAt, deadline  time.Duration
 	notAfter          time.Duration // it must not begin later: the servers discard its repeats no longer; 0: no such time
 	begun             bool          // a byte of it may have been written. Guarded by call.mu
 	ended             bool          // and its result is passed on
@@ -72,7 +72,7 @@
 // closed by the server leaves the idle ones at once.
 type upstreamConn struct {
 	net.Conn
-	to         endpointInstance
+	instance   endpointInstance
 	limited    *limitedReader
 	reader     *bufio.Reader      // over in; empty between answers
 	waiter     chan upstreamReply // the attempt on it takes one reply here; nil while idle. Guarded by backend.mu
@@ -228,25 +228,25 @@
 func encodeRequest(a *attempt) (text, wait []byte, err error) {
 	h := http.Header{
 		"User-Agent":   {""}, // none
-		"X-Request-Id": {a.call.id},
+		"X-Request-Id": {a.request.id},
 		"X-Deadline":   {strings.Repeat("0", deadlineValueWidth)},
 	}
-	if a.call.key != "" {
-		h["Idempotency-Key"] = []string{a.call.key}
+	if a.request.key != "" {
+		h["Idempotency-Key"] = []string{a.request.key}
 	}
-	if a.call.contentType != "" {
-		h["Content-Type"] = []string{a.call.contentType}
+	if a.request.contentType != "" {
+		h["Content-Type"] = []string{a.request.contentType}
 	}
 	r := http.Request{
-		Method: a.call.method, URL: &url.URL{Opaque: a.call.target}, Host: "backend.local",
-		Header: h, ContentLength: int64(len(a.call.body)),
+		Method: a.request.method, URL: &url.URL{Opaque: a.request.target}, Host: "backend.local",
+		Header: h, ContentLength: int64(len(a.request.body)),
 	}
-	if len(a.call.body) > 0 {
-		r.Body = io.NopCloser(bytes.NewReader(a.call.body))
+	if len(a.request.body) > 0 {
+		r.Body = io.NopCloser(bytes.NewReader(a.request.body))
 	}
 	// The complete request in one write: what Write returns tells whether its last byte left.
 	var buf bytes.Buffer
-	buf.Grow(512 + len(a.call.body))
+	buf.Grow(512 + len(a.request.body))
 	if err := r.Write(&buf); err != nil {
 		return nil, nil, fmt.Errorf("request: %w", err)
 	}
@@ -259,7 +259,7 @@
 // watch starts the reader of a connection that an attempt is about to use.
 func (b *upstreamPool) startReader(nc net.Conn, to endpointInstance, waiter chan upstreamReply) *upstreamConn {
 	in := &limitedReader{Reader: nc}
-	c := &upstreamConn{Conn: nc, to: to, limited: in, reader: bufio.NewReader(in), waiter: waiter}
+	c := &upstreamConn{Conn: nc, instance: to, limited: in, reader: bufio.NewReader(in), waiter: waiter}
 	go b.readLoop(c)
 	return c
 }
@@ -290,7 +290,7 @@
 		c.waiter = nil
 		b.closeConn(c)
 		return useAnotherConn
-	case ctx.Err() != nil || overdue || !b.isReady(c.to) || !a.call.beginAttempt(a):
+	case ctx.Err() != nil || overdue || !b.isReady(c.instance) || !a.request.beginAttempt(a):
 		c.waiter, c.idleSince = nil, b.clock.now()
 		b.putIdle(c)
 		if ctx.Err() != nil {
@@ -348,15 +348,15 @@
 	c.closed = true
 	b.open--
 	c.Close()
-	free := b.idle[c.to]
+	free := b.idle[c.instance]
 	for i, o := range free {
 		if o == c {
-			b.idle[c.to] = append(free[:i], free[i+1:]...)
+			b.idle[c.instance] = append(free[:i], free[i+1:]...)
 			break
 		}
 	}
-	if len(b.idle[c.to]) == 0 {
-		delete(b.idle, c.to)
+	if len(b.idle[c.instance]) == 0 {
+		delete(b.idle, c.instance)
 	}
 }
 
@@ -392,11 +392,11 @@
 // rest keeps a connection for the next attempt, if its server is still the one that it was made to. The
 // caller holds mu.
 func (b *upstreamPool) putIdle(c *upstreamConn) {
-	if !b.isReady(c.to) {
+	if !b.isReady(c.instance) {
 		b.closeConn(c)
 		return
 	}
-	b.idle[c.to] = append(b.idle[c.to], c)
+	b.idle[c.instance] = append(b.idle[c.instance], c)
 }
 
 // read watches a connection: it hands each answer to the attempt that waits for it, and drops the
@@ -447,11 +447,11 @@
 
 // peek looks into the kernel's buffer of a connection: whether its other side has said something that
 // was not read yet, or has closed.
-func hasUnread(fd uintptr) bool { return peekBy(syscall.Recvfrom, fd) }
+func hasUnread(fd uintptr) bool { return hasUnreadBy(syscall.Recvfrom, fd) }
 
 // peekBy is peek by a given recvfrom. An interrupted call says nothing of the connection and is made again:
 // the runtime's poller tells of a change only once, so that what is missed here would be waited for in vain.
-func peekBy(recv func(fd int, p []byte, flags int) (int, syscall.Sockaddr, error), fd uintptr) bool {
+func hasUnreadBy(recv func(fd int, p []byte, flags int) (int, syscall.Sockaddr, error), fd uintptr) bool {
 	var one [1]byte
 	for {
 		_, _, err := recv(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -537,7 +537,7 @@
 			for len(free) > 0 && b.clock.now()-free[0].idleSince >= b.idleTimeout {
 				c := free[0]
 				b.closeConn(c)
-				free = b.idle[c.to]
+				free = b.idle[c.instance]
 			}
 		}
 		b.mu.Unlock()
--- a/internal/node/backend_test.go
+++ b/internal/node/backend_test.go
@@ -34,8 +34,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	now := b.clock.now()
 	return &attempt{
-		ctx: ctx, cancel: cancel, to: testHost(b, endpoint), sent: now, deadline: now + limit,
-		call: &request{id: "id", method: "POST", target: "/note/k", body: []byte("body")},
+		ctx: ctx, cancel: cancel, instance: testHost(b, endpoint), sentAt: now, deadline: now + limit,
+		request: &request{id: "id", method: "POST", target: "/note/k", body: []byte("body")},
 	}
 }
 
@@ -225,7 +225,7 @@
 			b := testBackend(10)
 			h := testHost(b, s.addr())
 			b.open = 1
-			b.idle[h] = []*upstreamConn{{Conn: nc, to: h}} // with no reader
+			b.idle[h] = []*upstreamConn{{Conn: nc, instance: h}} // with no reader
 			if say == "" {
 				other.Close()
 			} else {
@@ -261,7 +261,7 @@
 	waiter := make(chan upstreamReply, 1)
 	b.open = 1
 	a := testAttempt(b, "127.0.0.1:1")
-	c := b.startReader(nc, a.to, waiter)
+	c := b.startReader(nc, a.instance, waiter)
 	if b.beginWrite(a.ctx, c, waiter, a) != useAnotherConn || b.open != 0 {
 		t.Errorf("a request is written to a closed connection, or it is still counted: %d open", b.open)
 	}
@@ -279,7 +279,7 @@
 		b := testBackend(10)
 		a := testAttempt(b, s.addr())
 		if want == balancer.TimedOut {
-			a.deadline = a.sent + 100*time.Millisecond
+			a.deadline = a.sentAt + 100*time.Millisecond
 		} else {
 			go func() { <-got; a.cancel() }()
 		}
@@ -350,7 +350,7 @@
 	b.reuseDelay = 100 * limit
 	send := func(id string) attemptOutcome {
 		a := testAttempt(b, s.addr())
-		a.call.id = id
+		a.request.id = id
 		return run(t, b, a)
 	}
 	if r := send("one"); string(r.body) != "for one" {
--- a/internal/node/boottime.go
+++ b/internal/node/boottime.go
@@ -64,7 +64,7 @@
 
 // started is the clock time of the start that an entry tells of; 0: long ago. held is the entry with the same uid
 // in the list that the node holds, if there is one: while boot_ms stays the same, so does the result.
-func (b *bootClock) started(bootMS float64, held listEntry, isHeld bool) time.Duration {
+func (b *bootClock) startTime(bootMS float64, held listEntry, isHeld bool) time.Duration {
 	switch {
 	case isHeld && held.bootMS == bootMS:
 		return held.StartedAt
--- a/internal/node/dial.go
+++ b/internal/node/dial.go
@@ -71,7 +71,7 @@
 func (b *upstreamPool) connect(ctx context.Context, a *attempt, waiter chan upstreamReply) (c *upstreamConn, fresh bool, err error) {
 	mayWait := func(wait time.Duration) bool { return b.mayBeginIn(a, wait) }
 	heldUp, err := dialWithBackoff(ctx, mayWait, func() error {
-		c, fresh, err = b.connectOnce(ctx, a.to, waiter)
+		c, fresh, err = b.connectOnce(ctx, a.instance, waiter)
 		return err
 	})
 	a.heldUp = a.heldUp || heldUp
@@ -83,7 +83,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	begin := b.clock.now() + wait
-	return begin < a.deadline && (a.notAfter == 0 || begin < a.notAfter) && b.isReady(a.to)
+	return begin < a.deadline && (a.notAfter == 0 || begin < a.notAfter) && b.isReady(a.instance)
 }
 
 // connectOnce does so with one dial at most.
--- a/internal/node/dial_test.go
+++ b/internal/node/dial_test.go
@@ -79,12 +79,12 @@
 		{"local until its server is gone", local, 1e6, func(b *upstreamPool, a *attempt) { b.updateEndpoints(nil, true) }, balancer.NotSent, true},
 		{"local until it is called off", local, 1e6, func(b *upstreamPool, a *attempt) { a.cancel() }, balancer.NotSent, true},
 		{"local until a connection is idle", local, 1e6, func(b *upstreamPool, a *attempt) {
-			nc, err := net.Dial("tcp", a.to.address)
+			nc, err := net.Dial("tcp", a.instance.address)
 			if err != nil {
 				t.Error(err)
 				return
 			}
-			b.adopt(nc, a.to)
+			b.adopt(nc, a.instance)
 		}, balancer.Success, true},
 		{"refused", refused, 1e6, nil, balancer.ConnectFailed, false},
 		{"no way to the host", dialError("connect", syscall.EHOSTUNREACH), 1e6, nil, balancer.ConnectFailed, false},
@@ -141,7 +141,7 @@
 					return time.After(wait)
 				}
 				f := &failingDial{err: dialError("connect", syscall.ENETUNREACH), times: times}
-				d.address().dial = f.dial
+				d.currentAddress().dial = f.dial
 				ctx, cancel := context.WithCancel(context.Background())
 				defer cancel()
 				if asked {
@@ -197,7 +197,7 @@
 				return drippingConn{nc.(*net.TCPConn)}, nc.(*net.TCPConn).SetWriteBuffer(1)
 			}
 			a := testAttempt(b, s.addr())
-			a.call.body = []byte(long)
+			a.request.body = []byte(long)
 			if r := run(t, b, a); r.result != balancer.Success || string(r.body) != long {
 				t.Errorf("ending %d, a body of %d bytes, want %d", r.result, len(r.body), len(long))
 			}
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -44,13 +44,13 @@
 
 // discovery follows the list of servers and posts its changes.
 type discovery struct {
-	post        func(event)
-	log         *slog.Logger
-	wanted      chan struct{}
-	hold        time.Duration
-	grace       time.Duration
-	startupWait time.Duration
-	after       func(time.Duration) <-chan time.Time // time.After: what goes by after a call that failed
+	post            func(event)
+	log             *slog.Logger
+	subscribeSignal chan struct{}
+	hold            time.Duration
+	grace           time.Duration
+	startupWait     time.Duration
+	after           func(time.Duration) <-chan time.Time // time.After: what goes by after a call that failed
 
 	mu      sync.Mutex
 	current *registryAddress // where the list is watched now
@@ -91,7 +91,7 @@
 
 func newDiscovery(cfg Config, rev int64, post func(event), log *slog.Logger) *discovery {
 	d := &discovery{
-		post: post, log: log, current: newRegistryAddress(cfg.Discovery, rev), wanted: make(chan struct{}, 1),
+		post: post, log: log, current: newRegistryAddress(cfg.Discovery, rev), subscribeSignal: make(chan struct{}, 1),
 		hold: pollHold, grace: pollGrace, startupWait: startupWait, after: time.After,
 	}
 	if !cfg.Settings.PollDiscovery {
@@ -103,7 +103,7 @@
 	return d
 }
 
-func (d *discovery) address() *registryAddress {
+func (d *discovery) currentAddress() *registryAddress {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.current
@@ -129,7 +129,7 @@
 // subscribe starts a watch where discovery is asked. It never blocks.
 func (d *discovery) subscribe() {
 	select {
-	case d.wanted <- struct{}{}:
+	case d.subscribeSignal <- struct{}{}:
 	default:
 	}
 }
@@ -142,7 +142,7 @@
 	doubt := true // whether the agent answers at all
 	var at *registryAddress
 	for ctx.Err() == nil {
-		p := d.address()
+		p := d.currentAddress()
 		doubt = doubt || p != at
 		at = p
 		answers, err := d.watchOnce(ctx, p, doubt)
@@ -193,7 +193,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-d.wanted:
+		case <-d.subscribeSignal:
 		}
 		for d.pollOnce(ctx) {
 		}
@@ -203,7 +203,7 @@
 // askOnce makes one call, and tells whether another is to follow unasked. A call that failed by local trouble
 // never came to discovery: the module need not wait after it, and is not told.
 func (d *discovery) pollOnce(ctx context.Context) (again bool) {
-	p := d.address()
+	p := d.currentAddress()
 	_, err := d.watchOnce(ctx, p, false)
 	if err == nil || p.ctx.Err() != nil || ctx.Err() != nil {
 		return ctx.Err() == nil
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -197,7 +197,7 @@
 					waits <- d
 					return clock
 				}
-				n.discovery.address().client.Transport.(*http.Transport).DialContext = func(context.Context, string, string) (net.Conn, error) {
+				n.discovery.currentAddress().client.Transport.(*http.Transport).DialContext = func(context.Context, string, string) (net.Conn, error) {
 					dials <- struct{}{}
 					return nil, syscall.ECONNREFUSED
 				}
--- a/internal/node/edge_test.go
+++ b/internal/node/edge_test.go
@@ -57,12 +57,18 @@
 		do   func(*upstreamPool, *attempt)
 		want balancer.AttemptResult
 	}{
-		{"drains", func(b *upstreamPool, a *attempt) { now(b, a.to, func(e *listEntry) { e.State = balancer.Draining }) }, balancer.NotSent},
-		{"gone", func(b *upstreamPool, a *attempt) { now(b, a.to, func(e *listEntry) { e.State = balancer.Removed }) }, balancer.NotSent},
+		{"drains", func(b *upstreamPool, a *attempt) {
+			now(b, a.instance, func(e *listEntry) { e.State = balancer.Draining })
+		}, balancer.NotSent},
+		{"gone", func(b *upstreamPool, a *attempt) {
+			now(b, a.instance, func(e *listEntry) { e.State = balancer.Removed })
+		}, balancer.NotSent},
 		{"left out of a whole list", func(b *upstreamPool, a *attempt) { b.updateEndpoints(nil, true) }, balancer.NotSent},
-		{"started anew", func(b *upstreamPool, a *attempt) { now(b, a.to, func(e *listEntry) { e.bootMS = 1 }) }, balancer.NotSent},
-		{"moved", func(b *upstreamPool, a *attempt) { now(b, a.to, func(e *listEntry) { e.address = "127.0.0.1:2" }) }, balancer.NotSent},
-		{"its caller left", func(b *upstreamPool, a *attempt) { a.call.markDeparted() }, balancer.NotSent},
+		{"started anew", func(b *upstreamPool, a *attempt) { now(b, a.instance, func(e *listEntry) { e.bootMS = 1 }) }, balancer.NotSent},
+		{"moved", func(b *upstreamPool, a *attempt) {
+			now(b, a.instance, func(e *listEntry) { e.address = "127.0.0.1:2" })
+		}, balancer.NotSent},
+		{"its caller left", func(b *upstreamPool, a *attempt) { a.request.markDeparted() }, balancer.NotSent},
 		{"called off", func(b *upstreamPool, a *attempt) { a.cancel() }, balancer.Cancelled},
 		{"repeats are discarded no longer", func(b *upstreamPool, a *attempt) { a.notAfter = b.clock.now() }, balancer.NotSent},
 		{"its time is over", func(b *upstreamPool, a *attempt) { a.deadline = b.clock.now() }, balancer.NotSent},
@@ -100,7 +106,7 @@
 	end := make(chan attemptOutcome, 1)
 	go func() { end <- b.do(a) }()
 	wait(t, held.up, "the connection")
-	a.call.markDeparted()
+	a.request.markDeparted()
 	close(held.through)
 	wait(t, end, "the attempt's end")
 	if r := run(t, b, testAttempt(b, s.addr())); r.result != balancer.Success || s.opened() != 1 || s.seen() != 1 {
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -78,7 +78,7 @@
 		h.discovery.runPolled(ctx)
 	}
 	<-h.over
-	h.discovery.address().client.CloseIdleConnections()
+	h.discovery.currentAddress().client.CloseIdleConnections()
 }
 
 // Ready says whether a listed server may be sent to.
@@ -143,7 +143,7 @@
 
 // start ends an attempt in memory after the time drawn for it, or when it times out or is withdrawn.
 func (h *Hollow) start(a *attempt) {
-	delay, ending := h.serve(a.to.uid)
+	delay, ending := h.serve(a.instance.uid)
 	if left := h.loop.clock.until(a.deadline); delay > left {
 		delay, ending = left, balancer.TimedOut
 	}
--- a/internal/node/listparser.go
+++ b/internal/node/listparser.go
@@ -29,7 +29,7 @@
 
 func (t listEntry) instance() endpointInstance { return endpointInstance{t.ID, t.address, t.bootMS} }
 
-var states = map[string]balancer.EndpointState{
+var endpointStates = map[string]balancer.EndpointState{
 	"in_service": balancer.Ready, "terminating": balancer.Draining, "terminated": balancer.Removed,
 }
 
@@ -46,7 +46,7 @@
 
 // target checks an entry and converts it.
 func (e *wireEntry) toListEntry() (listEntry, error) {
-	state, ok := states[e.State]
+	state, ok := endpointStates[e.State]
 	_, err := netip.ParseAddrPort(e.Endpoint)
 	switch {
 	case e.UID == "":
@@ -67,11 +67,11 @@
 // listParser reads one list entry by entry, so that neither its text nor its entries are held twice. Keys come in
 // any order and any case, and the last of equal ones counts, as with json.Unmarshal.
 type listParser struct {
-	decoder     *json.Decoder
-	version     *int64
-	complete    *bool
-	entriesRead []listEntry
-	seen        map[string]bool // the uids of targets
+	decoder  *json.Decoder
+	version  *int64
+	complete *bool
+	entries  []listEntry
+	seen     map[string]bool // the uids of targets
 }
 
 // parseList reads a list that is in memory.
@@ -87,11 +87,11 @@
 	if p.version == nil || p.complete == nil {
 		return endpointList{}, fmt.Errorf("list: rev or all is missing")
 	}
-	return endpointList{version: *p.version, complete: *p.complete, entries: p.entriesRead}, nil
+	return endpointList{version: *p.version, complete: *p.complete, entries: p.entries}, nil
 }
 
 func (p *listParser) parse() error {
-	if err := p.delim('{'); err != nil {
+	if err := p.expectDelim('{'); err != nil {
 		return err
 	}
 	for p.decoder.More() {
@@ -99,11 +99,11 @@
 		if err != nil {
 			return fmt.Errorf("list: %w", err)
 		}
-		if err := p.field(key.(string)); err != nil {
+		if err := p.parseField(key.(string)); err != nil {
 			return err
 		}
 	}
-	if err := p.delim('}'); err != nil {
+	if err := p.expectDelim('}'); err != nil {
 		return err
 	}
 	switch _, err := p.decoder.Token(); {
@@ -116,14 +116,14 @@
 }
 
 // field reads the value of a key of the list.
-func (p *listParser) field(key string) (err error) {
+func (p *listParser) parseField(key string) (err error) {
 	switch {
 	case strings.EqualFold(key, "rev"):
 		err = p.decoder.Decode(&p.version)
 	case strings.EqualFold(key, "all"):
 		err = p.decoder.Decode(&p.complete)
 	case strings.EqualFold(key, "targets"):
-		return p.entries()
+		return p.parseEntries()
 	default:
 		err = p.decoder.Decode(&ignoredValue{})
 	}
@@ -134,8 +134,8 @@
 }
 
 // entries reads the value of targets, which may be null.
-func (p *listParser) entries() error {
-	p.entriesRead, p.seen = nil, map[string]bool{}
+func (p *listParser) parseEntries() error {
+	p.entries, p.seen = nil, map[string]bool{}
 	open, err := p.decoder.Token()
 	switch {
 	case err != nil:
@@ -146,14 +146,14 @@
 		return fmt.Errorf("list: targets: got %v", open)
 	}
 	for p.decoder.More() {
-		if err := p.entry(); err != nil {
-			return fmt.Errorf("list: targets[%d]: %w", len(p.entriesRead), err)
+		if err := p.parseEntry(); err != nil {
+			return fmt.Errorf("list: targets[%d]: %w", len(p.entries), err)
 		}
 	}
-	return p.delim(']')
+	return p.expectDelim(']')
 }
 
-func (p *listParser) entry() error {
+func (p *listParser) parseEntry() error {
 	var e wireEntry
 	if err := p.decoder.Decode(&e); err != nil {
 		return err
@@ -166,12 +166,12 @@
 		return fmt.Errorf("uid %q comes twice", t.ID)
 	}
 	p.seen[t.ID] = true
-	p.entriesRead = append(p.entriesRead, t)
+	p.entries = append(p.entries, t)
 	return nil
 }
 
 // delim reads a bracket.
-func (p *listParser) delim(want json.Delim) error {
+func (p *listParser) expectDelim(want json.Delim) error {
 	switch got, err := p.decoder.Token(); {
 	case err != nil:
 		return fmt.Errorf("list: %w", err)
@@ -194,12 +194,12 @@
 }
 
 func newListBody(body io.Reader) *listBody {
-	return &listBody{limitedReader: limitedReader{Reader: body, left: maxListBytes + 1}}
+	return &listBody{limitedReader: limitedReader{Reader: body, remaining: maxListBytes + 1}}
 }
 
 func (b *listBody) Read(p []byte) (int, error) {
 	n, err := b.limitedReader.Read(p)
-	if b.left == 0 {
+	if b.remaining == 0 {
 		return n, errResponseTooLong
 	}
 	if err != nil && !errors.Is(err, io.EOF) {
--- a/internal/node/listparser_test.go
+++ b/internal/node/listparser_test.go
@@ -128,11 +128,11 @@
 		cfg := testConfig("")
 		cfg.Discovery = ag.Addr().String()
 		d := newDiscovery(cfg, -1, func(e event) { got = e.(listReceived).list.entries }, testLog())
-		if _, err := d.watchOnce(t.Context(), d.address(), false); (err == nil) != (c.want > 0) || len(got) != c.want {
+		if _, err := d.watchOnce(t.Context(), d.currentAddress(), false); (err == nil) != (c.want > 0) || len(got) != c.want {
 			t.Errorf("%s: %d servers, %v, want %d", c.name, len(got), err, c.want)
 		}
-		if held := d.address().version >= 0; held != (c.want > 0) {
-			t.Errorf("%s: rev %d is held", c.name, d.address().version)
+		if held := d.currentAddress().version >= 0; held != (c.want > 0) {
+			t.Errorf("%s: rev %d is held", c.name, d.currentAddress().version)
 		}
 	}
 }
@@ -156,8 +156,8 @@
 		cfg := testConfig("")
 		cfg.Discovery, cfg.Settings.PollDiscovery = agent.addr(), true
 		d := newDiscovery(cfg, 7, func(e event) { t.Errorf("%s: posted %v", c.name, e) }, testLog())
-		if _, err := d.watchOnce(t.Context(), d.address(), false); err == nil || d.address().version != c.want {
-			t.Errorf("%s: %v; rev %d is held, want %d", c.name, err, d.address().version, c.want)
+		if _, err := d.watchOnce(t.Context(), d.currentAddress(), false); err == nil || d.currentAddress().version != c.want {
+			t.Errorf("%s: %v; rev %d is held, want %d", c.name, err, d.currentAddress().version, c.want)
 		}
 	}
 }
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -72,8 +72,8 @@
 
 // hasBegun says that a byte of an attempt may have been written.
 func (a *attempt) hasBegun() bool {
-	a.call.mu.Lock()
-	defer a.call.mu.Unlock()
+	a.request.mu.Lock()
+	defer a.request.mu.Unlock()
 	return a.begun
 }
 
@@ -349,7 +349,7 @@
 
 // end passes on how an attempt ended. The first success is the caller's answer.
 func (l *loop) endAttempt(a *attempt, r attemptOutcome) {
-	p := l.pending[a.call.id]
+	p := l.pending[a.request.id]
 	l.stats.Results[r.result]++
 	p.inFlight--
 	a.ended = true
@@ -363,8 +363,8 @@
 		l.respond(p, response{kind: responseServed, body: r.body, contentType: r.contentType})
 	}
 	l.decide(r.endedAt, balancer.AttemptEnded{
-		ID: a.call.id, Attempt: a.number, Endpoint: a.to.uid, Result: r.result,
-		Latency: r.endedAt - a.sent, Answered: p.answered, HeldUp: a.heldUp,
+		ID: a.request.id, Attempt: a.number, Endpoint: a.instance.uid, Result: r.result,
+		Latency: r.endedAt - a.sentAt, Answered: p.answered, HeldUp: a.heldUp,
 	})
 	if p.departed != present {
 		l.respondUnlessBegun(p)
@@ -418,7 +418,7 @@
 	for i := range targets {
 		t := &targets[i]
 		held, isHeld := l.endpoints[t.ID]
-		t.StartedAt = l.boots.started(t.bootMS, held, isHeld)
+		t.StartedAt = l.boots.startTime(t.bootMS, held, isHeld)
 	}
 }
 
@@ -495,8 +495,8 @@
 	p := l.pending[s.ID]
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &attempt{
-		ctx: ctx, cancel: cancel, call: p.call, number: len(p.attempts),
-		to: l.endpoints[s.Endpoint].instance(), sent: l.now, deadline: min(l.now+s.Timeout, p.call.deadline), notAfter: s.NotAfter,
+		ctx: ctx, cancel: cancel, request: p.call, number: len(p.attempts),
+		instance: l.endpoints[s.Endpoint].instance(), sentAt: l.now, deadline: min(l.now+s.Timeout, p.call.deadline), notAfter: s.NotAfter,
 	}
 	p.attempts = append(p.attempts, a)
 	p.inFlight++
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -630,11 +630,11 @@
 		{`{"rev":%d,"all":false,"targets":[` + entry("s1", "127.0.0.1:1", "in_service") + `]}`, listReceived{}},
 	} {
 		ag.tell(false, c.text)
-		if _, err := d.watchOnce(t.Context(), d.address(), false); err != nil {
+		if _, err := d.watchOnce(t.Context(), d.currentAddress(), false); err != nil {
 			t.Fatal(err)
 		}
-		if len(events) != 1 || d.address().version != int64(ag.rev) {
-			t.Fatalf("call %d: %d events at rev %d, want 1 at %d", i, len(events), d.address().version, ag.rev)
+		if len(events) != 1 || d.currentAddress().version != int64(ag.rev) {
+			t.Fatalf("call %d: %d events at rev %d, want 1 at %d", i, len(events), d.currentAddress().version, ag.rev)
 		}
 		if got, want := reflect.TypeOf(<-events), reflect.TypeOf(c.want); got != want {
 			t.Errorf("call %d: posted %v, want %v", i, got, want)
--- a/internal/node/peek_test.go
+++ b/internal/node/peek_test.go
@@ -45,7 +45,7 @@
 				return syscall.Recvfrom(fd, p, flags)
 			}
 			var has bool
-			err = rawConn(ours).Control(func(fd uintptr) { has = peekBy(recv, fd) })
+			err = rawConn(ours).Control(func(fd uintptr) { has = hasUnreadBy(recv, fd) })
 			if err != nil || has != c.has {
 				t.Errorf("something there: %v (%v), want %v", has, err, c.has)
 			}
