--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -3,7 +3,6 @@
 import (
 	"net"
 	"net/http"
-	"slices"
 	"strings"
 	"sync"
 	"testing"
@@ -12,22 +11,6 @@
 	"balancer"
 )
 
-// reload puts a configuration in force and waits until it is.
-func reload(t *testing.T, n *Node, cfg Config) {
-	t.Helper()
-	n.Reload(cfg)
-	n.mu.Lock()
-	revision := n.revision
-	n.mu.Unlock()
-	until(t, "the new settings", func() bool { return n.loop.rules.Load().revision == revision })
-}
-
-// with is a configuration with other classes.
-func with(cfg Config, change func(classes []balancer.Class) []balancer.Class) Config {
-	cfg.Settings.Classes = change(slices.Clone(cfg.Settings.Classes))
-	return cfg
-}
-
 // scripted is a server that holds each request until it is told whether to answer or to reset.
 type scripted struct {
 	*fakeServer
@@ -212,10 +195,10 @@
 	other.Settings.MaxAttempts++
 	other.Discovery = "127.0.0.1:2"
 	want := "MaxAttempts, class view, class extra added, class keyed removed, discovery"
-	if got := strings.Join(changes(cfg, other), ", "); got != want {
+	if got := strings.Join(changedNames(cfg, other), ", "); got != want {
 		t.Errorf("got %q, want %q", got, want)
 	}
-	if got := changes(cfg, cfg); len(got) > 0 {
+	if got := changedNames(cfg, cfg); len(got) > 0 {
 		t.Errorf("got %q of the same", got)
 	}
 }
--- a/internal/node/traffic_test.go
+++ b/internal/node/traffic_test.go
@@ -21,8 +21,8 @@
 		t.Fatal(err)
 	}
 	defer n.listener.Close()
-	n.loop.stats.Events = 1 // a line without events is left out
-	n.loop.report()
+	n.loop.traffic.Events = 1 // a line without events is left out
+	n.loop.logTraffic()
 	_, figures, found := strings.Cut(log.String(), "msg=traffic ")
 	if !found {
 		t.Fatalf("no traffic line: %s", log.String())
