--- a/admission_test.go
+++ b/admission_test.go
@@ -15,7 +15,7 @@
 	if b.admission.limit != floor {
 		t.Fatalf("a new window is %.1f, want its floor, %.1f", b.admission.limit, floor)
 	}
-	r := &request{class: b.classes["get"], attempts: []*attempt{{sent: 0}}}
+	r := &request{class: b.classes.byName["get"], attempts: []*attempt{{sent: 0}}}
 	answers := func(n int, ending AttemptResult, share float64) {
 		for range n {
 			b.now, b.inFlight.now = time.Duration(share*r.class.target(0)), int(b.admission.limit)
@@ -41,7 +41,7 @@
 	}{{450 * msec, false}, {40 * msec, true}} {
 		b := newBalancer(t, nil)
 		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
-		c := b.classes["get"] // known to answer in 40 ms when there is room
+		c := b.classes.byName["get"] // known to answer in 40 ms when there is room
 		c.samples, c.mean, c.base = 100, float64(40*msec), float64(40*msec)
 		b.admission.limit = 15 // less than its growth may reach with the ten calls that are out here
 		start, now := b.admission.limit, time.Duration(0)
@@ -69,7 +69,7 @@
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 	b.admission.limit, b.inFlight.mean = 100, 100
-	r := &request{class: b.classes["get"], attempts: []*attempt{{sent: 0}}}
+	r := &request{class: b.classes.byName["get"], attempts: []*attempt{{sent: 0}}}
 	for range 50 {
 		b.shedding.share = shed
 		b.now, b.inFlight.now = time.Duration(after(r.class)), int(b.admission.limit)
@@ -125,7 +125,7 @@
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 	b.admission.limit, b.inFlight.mean, b.admission.initialGrowth = 80, 40, false
-	r := &request{class: b.classes["get"], attempts: []*attempt{{sent: 0}}}
+	r := &request{class: b.classes.byName["get"], attempts: []*attempt{{sent: 0}}}
 	for range 8 {
 		b.now = msec
 		b.adjustLimit(r, AttemptEnded{Result: Rejected})
@@ -154,10 +154,10 @@
 		s.Classes[0].PriorityWeight, s.Classes[2].PriorityWeight, s.WorstClassWeight = 1, 12, 0
 	})
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
-	for _, c := range b.classOrder {
+	for _, c := range b.classes.ordered {
 		c.arrivals, c.served = 10, 5
 	}
-	low, high := &request{class: b.classes["get"]}, &request{class: b.classes["pay"]}
+	low, high := &request{class: b.classes.byName["get"]}, &request{class: b.classes.byName["pay"]}
 	if l, h := b.limitShare(low), b.limitShare(high); l != 1 || h != 1 {
 		t.Errorf("nothing shed: parts of the window %.2f and %.2f, want 1", l, h)
 	}
@@ -175,7 +175,7 @@
 	first := sends(b.Handle(0, Request{ID: "a", Class: "get", Deadline: time.Second}))
 	b.Handle(msec, Request{ID: "new", Class: "get", Deadline: time.Second})
 	b.Handle(2*msec, Request{ID: "repeat", Class: "get", Deadline: time.Second, Retry: true})
-	b.classes["get"].LateValue = 0.5
+	b.classes.byName["get"].LateValue = 0.5
 	b.inFlight.now = int(minLimitPerEndpoint*b.endpointsPerReplica()) + 2
 	b.admission.limit = float64(b.inFlight.now) // one comes free by the next answer
 	next := sends(settle(b, 10*msec, "a", first[0], Success))
--- a/balancer.go
+++ b/balancer.go
@@ -9,46 +9,55 @@
 
 import (
 	"math/rand/v2"
-	"strings"
 	"time"
 )
 
-// Balancer decides for one node. See the package comment for its contract.
+// seedStream is the second half of the random generator's seed.
+const seedStream = 0x51a7e
+
+// Balancer decides for one replica. See the package comment for its contract. Each mechanism has a file,
+// which names its source, and keeps its state in a type of its own.
 type Balancer struct {
-	settings   Settings
-	rng        *rand.Rand
-	now        time.Duration
-	actions    []Action
-	endpoints  map[string]*endpoint
-	ready      endpointSet // the ready servers
-	subset     subset
-	requests   map[string]*request
-	queue      []*request
-	classes    map[string]*class
-	classOrder []*class // every class in the order of the settings, then the unknown one
+	settings     Settings
+	rng          *rand.Rand
+	now          time.Duration
+	actions      []Action // of the event that is being handled
+	shuttingDown bool
 
-	badResults   badResults
-	lastSuccess  time.Duration
-	retries      retryBudget
-	inFlight     inFlightCount
-	admission    concurrencyLimit
-	shedding     sheddingRate
-	shuttingDown bool // the host ends
-	slowStart    slowStart
+	// The endpoint list and the replica's subset of it.
 	subscription subscription
+	endpoints    map[string]*endpoint // by id: listed, or with attempts in flight
+	ready        endpointSet
+	subset       subset
+
+	// Requests and their attempts.
+	classes  classTable
+	requests map[string]*request // by id: not answered, or with attempts in flight
+	queue    []*request          // those that wait for capacity, in order of arrival
+	inFlight inFlightCount
+	retries  retryBudget
+
+	// Load and health.
+	admission   concurrencyLimit
+	shedding    sheddingRate
+	badResults  badResults
+	lastSuccess time.Duration
+	slowStart   slowStart
 }
 
-// New returns a Balancer that knows no servers yet. The error names the setting at fault.
-func New(set Settings, seed uint64) (*Balancer, error) {
-	if err := set.Validate(); err != nil {
+// New returns a Balancer that knows no endpoints yet. The error is a *SettingError.
+func New(settings Settings, seed uint64) (*Balancer, error) {
+	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
 	b := &Balancer{
-		rng:       rand.New(rand.NewPCG(seed, 0x51a7e)),
-		endpoints: map[string]*endpoint{}, requests: map[string]*request{},
-		badResults: badResults{firstBadShare}, retries: newRetryBudget(),
+		rng:        rand.New(rand.NewPCG(seed, seedStream)),
+		endpoints:  map[string]*endpoint{},
+		requests:   map[string]*request{},
+		badResults: badResults{firstBadShare},
+		retries:    newRetryBudget(),
 	}
-	b.applySettings(set)
+	b.applySettings(settings)
 	return b, nil
 }
 
@@ -60,25 +69,17 @@
 	case EndpointUpdate:
 		b.updateEndpoints(e)
 	case SubscriptionFailed:
-		b.subscription.failures++
-		b.scheduleSubscribe()
+		b.retrySubscribe()
 	case Request:
 		b.accept(e)
 	case AttemptEnded:
 		b.endAttempt(e)
 	case StreamStarted:
-		if req := b.requests[e.ID]; req != nil {
-			req.streaming = true
-		}
+		b.startStream(e)
 	case ClientGone:
-		if req := b.requests[e.ID]; req != nil {
-			b.finish(req)
-		}
+		b.abandon(e)
 	case Shutdown:
-		b.shuttingDown = true
-		for _, req := range b.unanswered() {
-			b.answer(req)
-		}
+		b.shutdown()
 	case Reconfigure:
 		b.reconfigure(e.Settings)
 	case Timer:
@@ -89,22 +90,12 @@
 
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
+// handleTimer leads a timer to what asked for it. A host may round a time down, so a timer can come a little
+// early: nothing relies on its being late enough, and a review that finds nothing due asks for another.
 func (b *Balancer) handleTimer(e Timer) {
 	if e.Token == subscriptionToken {
-		if b.subscription.due(b.now, b.settings.Tick) {
-			b.emit(Subscribe{})
-		}
+		b.subscribeIfDue()
 		return
 	}
-	// A host may round a time down, so a timer can come a hair early: nothing relies on its being
-	// late enough, and a review that finds nothing due yet asks for another.
-	if req := b.requests[strings.TrimPrefix(e.Token, "r:")]; req != nil {
-		if b.now+b.settings.Tick >= req.timerAt {
-			req.timerAt = 0
-		}
-		if req.queued {
-			b.enqueue(req)
-			b.dispatchQueued()
-		}
-	}
+	b.reviewQueued(e.Token)
 }
--- a/heldup_test.go
+++ b/heldup_test.go
@@ -15,7 +15,7 @@
 		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 		traffic(b, 200, "get", func(string) AttemptResult { return Success })
 		now, before := b.now, *b // what follows reads its figures only
-		known, failing := map[string]endpoint{}, *b.classes["get"].classStats
+		known, failing := map[string]endpoint{}, *b.classes.byName["get"].classStats
 		for id, s := range b.endpoints {
 			known[id] = withoutSends(*s)
 		}
@@ -32,7 +32,7 @@
 			t.Errorf("ending %d: errors %v, window %v, crowding %v; had %v, %v, %v", e,
 				b.badResults.share, b.admission.limit, b.admission.meanOverTarget, before.badResults.share, before.admission.limit, before.admission.meanOverTarget)
 		}
-		if now := *b.classes["get"].classStats; now.mean != failing.mean || now.failureShare != failing.failureShare {
+		if now := *b.classes.byName["get"].classStats; now.mean != failing.mean || now.failureShare != failing.failureShare {
 			t.Errorf("ending %d: mean %v, failing %v; had %v, %v", e, now.mean, now.failureShare, failing.mean, failing.failureShare)
 		}
 		for id, s := range b.endpoints {
--- a/outlier.go
+++ b/outlier.go
@@ -53,7 +53,7 @@
 
 // classAndTotal returns the statistics of a class, and of the unknown class, which stands for all together.
 func (b *Balancer) classAndTotal(c *class) [2]*classStats {
-	return [2]*classStats{c.classStats, b.classes[""].classStats}
+	return [2]*classStats{c.classStats, b.classes.unknown().classStats}
 }
 
 // observeFailureRate takes in a result that tells of the endpoint, for its class and for all together.
--- a/outlier_test.go
+++ b/outlier_test.go
@@ -81,7 +81,7 @@
 		}
 		b.shedding.share = c.shed
 		out := 0
-		b.excludeUnhealthy(candidates{groups: b.subset.all, excludeOutliers: true}, &request{class: b.classes["get"]})
+		b.excludeUnhealthy(candidates{groups: b.subset.all, excludeOutliers: true}, &request{class: b.classes.byName["get"]})
 		for _, s := range b.ready.all {
 			if s.excluded {
 				out++
--- a/pick_test.go
+++ b/pick_test.go
@@ -83,7 +83,7 @@
 	b.endpoints["s02"].latency.logRatio = math.Log(2)
 	got := map[string]int{}
 	for range 9000 {
-		got[b.choose(&request{class: b.classes["get"]}).ID]++
+		got[b.choose(&request{class: b.classes.byName["get"]}).ID]++
 	}
 	// A pair's other side is drawn alike, so the zero tie leaves each its share of all weights.
 	total := 2 + 0.25
--- a/reconfigure.go
+++ b/reconfigure.go
@@ -1,60 +1,48 @@
-// What follows from new settings: which promises stay, and what learned under the old ones holds on.
+// Reconfiguration while running: which promises stay, and which observations still hold under new settings.
 
 package balancer
 
 import (
-	"cmp"
 	"maps"
 	"slices"
 )
 
-// applySettings puts settings in force. A class that the settings before them had, too, keeps what was
-// learned of it.
-func (b *Balancer) applySettings(set Settings) {
-	old := b.classes
-	b.settings, b.classes, b.classOrder = set, map[string]*class{}, nil
-	b.ready.setZone(set.Zone)
-	odd := slices.MaxFunc(set.Classes, func(a, b Class) int { return cmp.Compare(a.Deadline, b.Deadline) })
-	unknown := Class{ // not idempotent
-		LatencyObjective: odd.LatencyObjective,
-		Deadline:         odd.Deadline,
-		PriorityWeight:   odd.PriorityWeight,
-	}
-	for _, c := range append(slices.Clone(set.Classes), unknown) {
-		objective := float64(c.LatencyObjective)
-		k := &class{c, &classStats{mean: objective / 4, deviation: objective / 8, base: objective / 4}}
-		if was := old[c.Name]; was != nil {
-			if k.classStats = was.classStats; was.Deadline != c.Deadline {
-				k.timeoutVotes = 0 // the time that is usual was a part of that
-			}
-		}
-		b.classes[c.Name] = k
-		b.classOrder = append(b.classOrder, k)
-	}
+// applySettings puts settings in force.
+func (b *Balancer) applySettings(settings Settings) {
+	b.settings = settings
+	b.classes = newClassTable(settings.Classes, b.classes)
+	b.ready.setZone(settings.Zone)
 }
 
-// reconfigure takes over new settings. Requests hold the class that they came with, so what their clients
-// were promised stays; the servers' health, warmth and counts do not depend on settings. The pool is cut anew
-// only if this node's place among the copies is another, and held requests are looked at again.
-func (b *Balancer) reconfigure(set Settings) {
-	if set.Validate() != nil {
+// reconfigure replaces the settings by new ones. Requests keep the class that they were accepted with, so
+// what their clients were promised stays; the endpoints' health, slow start and counts do not depend on
+// settings. The subset is made anew only if this replica's position among the replicas has changed, and the
+// requests in the queue are looked at again.
+func (b *Balancer) reconfigure(settings Settings) {
+	if settings.Validate() != nil {
 		return
 	}
 	old := b.settings
-	set.PollDiscovery = old.PollDiscovery // the host subscribes, or not, for its life
-	b.applySettings(set)
+	settings.PollDiscovery = old.PollDiscovery // the host subscribes, or not, as long as it runs
+	b.applySettings(settings)
 	b.slowStart.basis.known = false
-	if set.Replicas != old.Replicas || set.ReplicaIndex != old.ReplicaIndex || set.Zone != old.Zone ||
-		set.ZoneCount != old.ZoneCount {
+	if settings.Replicas != old.Replicas || settings.ReplicaIndex != old.ReplicaIndex ||
+		settings.Zone != old.Zone || settings.ZoneCount != old.ZoneCount {
 		b.subset.size = 0
 	}
-	for _, ep := range b.endpoints { // what is still out of a class that has gone may bring its share back
-		maps.DeleteFunc(ep.failures, func(l *classStats, _ failureRate) bool {
-			return !slices.ContainsFunc(b.classOrder, func(k *class) bool { return k.classStats == l })
-		})
-	}
+	b.forgetRemovedClasses()
 	for _, req := range slices.Clone(b.queue) {
 		b.enqueue(req)
 	}
 	b.dispatchQueued()
 }
+
+// forgetRemovedClasses drops the endpoints' failure rates of classes that the settings no longer have. An
+// attempt that is still in flight may bring one back.
+func (b *Balancer) forgetRemovedClasses() {
+	for _, ep := range b.endpoints {
+		maps.DeleteFunc(ep.failures, func(stats *classStats, _ failureRate) bool {
+			return !b.classes.has(stats)
+		})
+	}
+}
--- a/reconfigure_test.go
+++ b/reconfigure_test.go
@@ -72,7 +72,7 @@
 		return Success
 	})
 	open := sends(b.Handle(b.now, Request{ID: "open", Class: "get", Deadline: b.now + time.Second}))[0]
-	mean, calls, until := b.classes["get"].mean, b.endpoints[open.Endpoint].inFlight, b.endpoints["s02"].ejection.until
+	mean, calls, until := b.classes.byName["get"].mean, b.endpoints[open.Endpoint].inFlight, b.endpoints["s02"].ejection.until
 	if calls == 0 || until == 0 {
 		t.Fatalf("%d calls out, ejected until %v: nothing to keep", calls, until)
 	}
@@ -81,7 +81,7 @@
 	set.Classes[0].LatencyObjective *= 2
 	set.Classes = append(set.Classes, Class{Name: "new", LatencyObjective: time.Second, Deadline: 2 * time.Second})
 	b.Handle(b.now, Reconfigure{set})
-	if got := b.classes["get"].mean; got != mean {
+	if got := b.classes.byName["get"].mean; got != mean {
 		t.Errorf("mean latency %v, want %v", got, mean)
 	}
 	if got := b.endpoints[open.Endpoint].inFlight; got != calls {
@@ -90,7 +90,7 @@
 	if got := b.endpoints["s02"].ejection.until; got != until {
 		t.Errorf("ejected until %v, want %v", got, until)
 	}
-	if b.classes["get"].LatencyObjective != set.Classes[0].LatencyObjective || b.classes["new"] == nil {
+	if b.classes.byName["get"].LatencyObjective != set.Classes[0].LatencyObjective || b.classes.byName["new"] == nil {
 		t.Error("the new settings are not in force")
 	}
 }
@@ -111,8 +111,8 @@
 		b.Handle(now, AttemptEnded{ID: "r", Endpoint: s.Endpoint, Result: Success, Answered: true})
 	}
 	b.Handle(now, Reconfigure{testSettings()})
-	if len(b.classes) != 4 || len(b.classOrder) != 4 {
-		t.Errorf("%d classes, %d in order, want 4", len(b.classes), len(b.classOrder))
+	if len(b.classes.byName) != 4 || len(b.classes.ordered) != 4 {
+		t.Errorf("%d classes, %d in order, want 4", len(b.classes.byName), len(b.classes.ordered))
 	}
 	for id, s := range b.endpoints {
 		if len(s.failures) > 4 {
--- a/requests.go
+++ b/requests.go
@@ -1,52 +1,53 @@
-// The life cycle of a request.
+// The life cycle of a request: accepted, queued or sent, attempts ended, answered, forgotten.
 
 package balancer
 
 import (
 	"cmp"
 	"slices"
+	"strings"
 	"time"
 )
 
+// requestTokenPrefix stands before a request's id in the token of its timer.
+const requestTokenPrefix = "r:"
+
 // request is an accepted request, kept until it is answered and its attempts have ended.
 type request struct {
 	id        string
 	class     *class
-	arrived   time.Duration
+	arrived   time.Duration // when the client's first attempt arrived, as far as it is known
 	deadline  time.Duration
+	work      float64 // that the client expects, in ns; 0: unknown
+	retry     bool    // the client's, by its mark or its timeout
 	attempts  []*attempt
-	inFlight  int
-	work      float64 // hinted, in ns; 0: not told
-	retry     bool    // by the client, where clients say so
+	inFlight  int // attempts that have not ended
 	queued    bool
 	answered  bool
 	streaming bool
-	timerAt   time.Duration
+	timerAt   time.Duration // when its timer is due
 }
 
 // attempt is one send of a request.
 type attempt struct {
 	request  *request
 	endpoint *endpoint
-	number   int
+	number   int // from 0
 	sent     time.Duration
-	zone     string
+	zone     string // of the endpoint at that time
 	cell     int
 	ended    bool
-	neverRan bool // proven never to have run
-	notSent  bool // nor to have asked anything of a server
+	neverRan bool // proved never to have run
+	notSent  bool // nor to have reached an endpoint
 }
 
+// accept takes a new request.
 func (b *Balancer) accept(e Request) {
 	if b.requests[e.ID] != nil {
 		return
 	}
-	c := b.classes[e.Class]
-	if c == nil {
-		c = b.classOrder[len(b.classOrder)-1] // unknown: unsafe
-	}
 	req := &request{
-		id: e.ID, class: c, arrived: b.now, deadline: e.Deadline, retry: e.Retry,
+		id: e.ID, class: b.classes.get(e.Class), arrived: b.now, deadline: e.Deadline, retry: e.Retry,
 		work: max(0, float64(e.ExpectedWork)),
 	}
 	if req.work > 0 {
@@ -54,12 +55,8 @@
 	}
 	b.requests[e.ID] = req
 	b.slowStart.arrivals.observe(b.now, b.settings.SlowStartDuration)
-	b.inferFirstArrival(req, e.FirstByte)
-	for _, k := range b.classOrder {
-		k.arrivals *= 0.99
-		k.served *= 0.99
-	}
-	c.arrivals++
+	b.inferFirstAttempt(req, e.FirstByte)
+	b.classes.countArrival(req.class)
 	if b.shuttingDown {
 		b.answer(req)
 		return
@@ -67,7 +64,7 @@
 	b.dispatch(req)
 }
 
-// dispatch sends a request, or holds it while no server may take it.
+// dispatch sends a request, or queues it while no endpoint may take it.
 func (b *Balancer) dispatch(req *request) {
 	if !b.atCapacity(req) {
 		if ep := b.choose(req); ep != nil {
@@ -78,8 +75,9 @@
 	b.enqueue(req)
 }
 
+// send begins the next attempt of a request.
 func (b *Balancer) send(req *request, ep *endpoint) {
-	before := b.dedupDeadline(req)
+	notAfter := b.dedupDeadline(req)
 	a := &attempt{
 		request: req, endpoint: ep, number: len(req.attempts), sent: b.now, zone: ep.Zone, cell: ep.Cell,
 	}
@@ -94,10 +92,10 @@
 	ep.attempts = append(ep.attempts, a)
 	b.inFlight.begin()
 	timeout := max(b.attemptTimeout(req), b.settings.Tick)
-	b.emit(Send{ID: req.id, Endpoint: ep.ID, Timeout: timeout, NotAfter: before})
+	b.emit(Send{ID: req.id, Endpoint: ep.ID, Timeout: timeout, NotAfter: notAfter})
 }
 
-// enqueue keeps a request back; its timer makes sure that it is answered.
+// enqueue keeps a request in the queue as long as that makes sense. Its timer makes sure that it is answered.
 func (b *Balancer) enqueue(req *request) {
 	if b.now >= b.queueDeadline(req) {
 		b.answer(req)
@@ -112,7 +110,7 @@
 
 func (b *Balancer) dequeue(req *request) {
 	req.queued = false
-	b.queue = slices.DeleteFunc(b.queue, func(h *request) bool { return h == req })
+	b.queue = slices.DeleteFunc(b.queue, func(queued *request) bool { return queued == req })
 }
 
 // setTimer asks for a review of a request, unless one is due by then already.
@@ -122,32 +120,32 @@
 		return
 	}
 	req.timerAt = at
-	b.emit(SetTimer{At: at, Token: "r:" + req.id})
+	b.emit(SetTimer{At: at, Token: requestTokenPrefix + req.id})
+}
+
+// reviewQueued looks again at a request, by the token of its timer, and then at the queue.
+func (b *Balancer) reviewQueued(token string) {
+	req := b.requests[strings.TrimPrefix(token, requestTokenPrefix)]
+	if req == nil {
+		return
+	}
+	if b.now+b.settings.Tick >= req.timerAt {
+		req.timerAt = 0
+	}
+	if req.queued {
+		b.enqueue(req)
+		b.dispatchQueued()
+	}
 }
 
+// endAttempt takes in the result of an attempt. Where the host held it up, it shows nothing.
 func (b *Balancer) endAttempt(e AttemptEnded) {
 	req := b.requests[e.ID]
 	if req == nil || e.Attempt < 0 || e.Attempt >= len(req.attempts) || req.attempts[e.Attempt].ended {
 		return
 	}
 	a := req.attempts[e.Attempt]
-	a.ended = true
-	a.neverRan = e.Result == Rejected || e.Result == ConnectFailed || e.Result == NotSent
-	a.notSent = e.Result == NotSent
-	req.inFlight--
-	b.inFlight.end()
-	a.endpoint.inFlight--
-	// A hung server's waits tell nothing of how crowded the others are.
-	if !e.HeldUp && !b.isUnresponsive(a.endpoint) {
-		b.adjustLimit(req, e)
-	}
-	a.endpoint.attempts = slices.DeleteFunc(a.endpoint.attempts, func(o *attempt) bool { return o == a })
-	if !e.HeldUp {
-		b.observeAttempt(a, e.Result)
-	}
-	if !a.endpoint.listed && a.endpoint.inFlight == 0 && b.endpoints[a.endpoint.ID] == a.endpoint {
-		delete(b.endpoints, a.endpoint.ID)
-	}
+	b.closeAttempt(a, e)
 	switch {
 	case e.Answered:
 		if e.Result == Success && !req.answered && b.now <= req.arrived+req.class.LatencyObjective {
@@ -161,22 +159,41 @@
 	b.dispatchQueued()
 }
 
-// answer gives the final answer: a refusal where the rules let it promise that a retry is
-// harmless, else a failure. With an attempt still out it waits for that.
+// closeAttempt takes an attempt off the counts and lets the mechanisms learn from it.
+func (b *Balancer) closeAttempt(a *attempt, e AttemptEnded) {
+	ep := a.endpoint
+	a.ended = true
+	a.neverRan = e.Result == Rejected || e.Result == ConnectFailed || e.Result == NotSent
+	a.notSent = e.Result == NotSent
+	a.request.inFlight--
+	b.inFlight.end()
+	ep.inFlight--
+	// The waits of an unresponsive endpoint say nothing of how loaded the others are.
+	if !e.HeldUp && !b.isUnresponsive(ep) {
+		b.adjustLimit(a.request, e)
+	}
+	ep.attempts = slices.DeleteFunc(ep.attempts, func(other *attempt) bool { return other == a })
+	if !e.HeldUp {
+		b.observeAttempt(a, e.Result)
+	}
+	if !ep.listed && ep.inFlight == 0 && b.endpoints[ep.ID] == ep {
+		delete(b.endpoints, ep.ID)
+	}
+}
+
+// answer gives the final answer: a rejection where the rules let it promise that a retry does no harm, else a
+// failure.
 func (b *Balancer) answer(req *request) {
 	if req.answered || req.streaming {
 		return
 	}
-	harmless := !slices.ContainsFunc(req.attempts, func(a *attempt) bool {
-		effect, scope := req.class.Effect, req.class.Scope
-		return !a.neverRan && (effect == NonIdempotent || effect == IdempotentByKey && scope != ScopeAll)
-	})
 	if len(req.attempts) == 0 {
 		b.shedding.shed()
 	}
-	if harmless {
-		// A client sent away for long comes back when its aim is mostly over, and its late answer
-		// takes the room of one in time; the window, not the clients' absence, holds the load off.
+	if req.harmlessToRetry() {
+		// A client that is told to wait long comes back when its latency objective is mostly used up, and its
+		// late answer takes capacity from one in time; the concurrency limit, not the clients' absence, holds
+		// the load off.
 		b.emit(Reject{ID: req.id, RetryAfter: min(b.settings.MaxRetryAfter, b.settings.Tick)})
 	} else {
 		b.emit(Fail{ID: req.id})
@@ -184,18 +201,43 @@
 	b.finish(req)
 }
 
-// unanswered lists the requests that are owed an answer, in an order that is the same each time.
-func (b *Balancer) unanswered() (list []*request) {
+// harmlessToRetry says that a retry by the client does no harm, whatever endpoint it comes to.
+func (req *request) harmlessToRetry() bool {
+	effect, scope := req.class.Effect, req.class.Scope
+	harmful := effect == NonIdempotent || effect == IdempotentByKey && scope != ScopeAll
+	return !harmful || !slices.ContainsFunc(req.attempts, func(a *attempt) bool { return !a.neverRan })
+}
+
+// startStream takes in that the answer has begun: the attempt is the client's from here on.
+func (b *Balancer) startStream(e StreamStarted) {
+	if req := b.requests[e.ID]; req != nil {
+		req.streaming = true
+	}
+}
+
+// abandon ends a request whose client is gone.
+func (b *Balancer) abandon(e ClientGone) {
+	if req := b.requests[e.ID]; req != nil {
+		b.finish(req)
+	}
+}
+
+// shutdown answers all requests, in an order that is the same each time.
+func (b *Balancer) shutdown() {
+	b.shuttingDown = true
+	var unanswered []*request
 	for _, req := range b.requests {
 		if !req.answered {
-			list = append(list, req)
+			unanswered = append(unanswered, req)
 		}
 	}
-	slices.SortFunc(list, func(p, q *request) int { return cmp.Compare(p.id, q.id) })
-	return list
+	slices.SortFunc(unanswered, func(p, q *request) int { return cmp.Compare(p.id, q.id) })
+	for _, req := range unanswered {
+		b.answer(req)
+	}
 }
 
-// finish ends a request and calls off what is still out for it.
+// finish ends a request and cancels its attempts in flight.
 func (b *Balancer) finish(req *request) {
 	if req.answered {
 		return
@@ -210,7 +252,7 @@
 	b.forget(req)
 }
 
-// forget drops a request once nothing of it is left.
+// forget drops a request once it is answered and its attempts have ended.
 func (b *Balancer) forget(req *request) {
 	if req.answered && req.inFlight == 0 {
 		delete(b.requests, req.id)
--- a/retry_test.go
+++ b/retry_test.go
@@ -23,7 +23,7 @@
 	} {
 		b := newBalancer(t, func(s *Settings) { s.Tier = c.tier })
 		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
-		b.classes[c.class].failureShare, b.retries.tokens = c.failing, c.tokens
+		b.classes.byName[c.class].failureShare, b.retries.tokens = c.failing, c.tokens
 		s := sends(b.Handle(0, Request{ID: "a", Class: c.class, Deadline: c.left}))[0]
 		if s.Timeout != c.want {
 			t.Errorf("%s: time-out %v, want %v", c.name, s.Timeout, c.want)
@@ -90,6 +90,6 @@
 		if r := b.requests[c.id]; r == nil || r.retry != c.repeat || r.arrived != c.arrived {
 			t.Errorf("%s: %+v", c.id, r)
 		}
-		b.classes["get"].timeoutVotes = 1
+		b.classes.byName["get"].timeout.votes = 1
 	}
 }
--- a/shedding.go
+++ b/shedding.go
@@ -20,7 +20,7 @@
 // loses more than half of the limit, so that none starves.
 func (b *Balancer) limitShare(req *request) float64 {
 	var sum, arrivals float64
-	for _, c := range b.classOrder {
+	for _, c := range b.classes.ordered {
 		sum += c.arrivals * b.classPriority(c, false)
 		arrivals += c.arrivals
 	}
@@ -35,7 +35,7 @@
 func (b *Balancer) classPriority(c *class, retry bool) float64 {
 	var total float64
 	worst := c
-	for _, k := range b.classOrder {
+	for _, k := range b.classes.ordered {
 		total += k.PriorityWeight * k.arrivals
 		if k.arrivals > 1 && k.served*worst.arrivals < worst.served*k.arrivals {
 			worst = k
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -67,7 +67,7 @@
 	b := newBalancer(t, func(s *Settings) { s.Tier, s.Replicas = 1, 50 })
 	list := servers(40)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: list})
-	b.choose(&request{class: b.classes["get"]})
+	b.choose(&request{class: b.classes.byName["get"]})
 	for _, s := range append(append([]*endpoint{}, b.subset.own.left...), b.subset.own.right...) {
 		for i := range list {
 			if list[i].ID == s.ID {
@@ -78,7 +78,7 @@
 	b.Handle(time.Second, EndpointUpdate{Complete: true, Endpoints: list})
 	cold := 0
 	for range 1000 {
-		if s := b.choose(&request{class: b.classes["get"]}); s.StartedAt > 0 {
+		if s := b.choose(&request{class: b.classes.byName["get"]}); s.StartedAt > 0 {
 			cold++
 		}
 	}
--- a/subscription.go
+++ b/subscription.go
@@ -46,3 +46,16 @@
 		b.emit(SetTimer{At: at, Token: subscriptionToken})
 	}
 }
+
+// retrySubscribe takes in that a Subscribe failed or that the subscription ended.
+func (b *Balancer) retrySubscribe() {
+	b.subscription.failures++
+	b.scheduleSubscribe()
+}
+
+// subscribeIfDue sends the planned Subscribe.
+func (b *Balancer) subscribeIfDue() {
+	if b.subscription.due(b.now, b.settings.Tick) {
+		b.emit(Subscribe{})
+	}
+}
--- a/subsetting_test.go
+++ b/subsetting_test.go
@@ -28,7 +28,7 @@
 	for i := range nodes {
 		b := newBalancer(t, func(s *Settings) { s.Tier, s.Replicas, s.ReplicaIndex = 1, nodes, i })
 		b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(40)})
-		b.choose(&request{class: b.classes["get"]})
+		b.choose(&request{class: b.classes.byName["get"]})
 		for _, s := range append(append([]*endpoint{}, b.subset.own.left...), b.subset.own.right...) {
 			count[s.ID]++
 		}
