--- /dev/null
+++ b/internal/node/requestbodyscanner.go
@@ -0,0 +1,55 @@
+package node
+
+import (
+	"bytes"
+	"strconv"
+)
+
+// bodyError is what is wrong with the body of the request that was taken last.
+func (s *requestScanner) bodyError() error {
+	if len(s.heads) == 0 && s.errInBody {
+		return s.err
+	}
+	return nil
+}
+
+// skip passes over the bytes of a body or a chunk.
+func (s *requestScanner) skipBody(p []byte) []byte {
+	n := min(s.remaining, uint64(len(p)))
+	if s.remaining -= n; s.remaining == 0 {
+		if s.state == scanChunk {
+			s.state = scanChunkEnd
+		} else {
+			s.endRequest()
+		}
+	}
+	return p[n:]
+}
+
+// takeChunkSize reads the line before a chunk: hexadecimal digits and nothing else, then the line's end or
+// an extension, which is dropped.
+func (s *requestScanner) parseChunkSize(line []byte) error {
+	line, hasEnd := bytes.CutSuffix(line, []byte("\r\n"))
+	digits, _, _ := bytes.Cut(line, []byte(";"))
+	size, err := strconv.ParseUint(string(digits), 16, 64)
+	if !hasEnd || err != nil || len(digits) > maxChunkDigits || bytes.IndexByte(line, '\r') >= 0 {
+		return errChunkSize
+	}
+	s.remaining, s.state = size, scanChunk
+	if size == 0 {
+		s.remaining, s.state = maxTrailers, scanTrailers
+	}
+	return nil
+}
+
+// takeTrailer reads a line behind the last chunk. Its fields are dropped.
+func (s *requestScanner) parseTrailerLine(line []byte) error {
+	switch {
+	case string(line) == "\r\n":
+		s.endRequest()
+	case !bytes.HasSuffix(line, []byte("\r\n")):
+		return errTrailer
+	}
+	s.remaining -= uint64(len(line))
+	return nil
+}
--- a/internal/node/requestscanner.go
+++ b/internal/node/requestscanner.go
@@ -2,9 +2,6 @@
 
 import (
 	"bytes"
-	"hash/maphash"
-	"net/http"
-	"strconv"
 	"time"
 )
 
@@ -40,19 +37,6 @@
 	errFramingDisagrees framingError = "the request is not where the one before it ends"
 )
 
-// chunkedLength stands in for the length of a body in chunks, as http.Request.ContentLength has it.
-const chunkedLength = -1
-
-// requestHead is what the scanner knows of one request once its head is complete.
-type requestHead struct {
-	firstByte  time.Duration // clock time when its first byte was read
-	lineHash   uint64        // hash of the request line
-	bodyLength int64         // of the body, or chunkedLength
-}
-
-// requestLines is the seed for the hashes of request lines.
-var requestLineSeed = maphash.MakeSeed()
-
 // scanState is what the next byte of a connection belongs to.
 type scanState int
 
@@ -67,15 +51,6 @@
 	scanTrailers
 )
 
-// fieldKind tells what a folded line continues.
-type fieldKind int
-
-const (
-	fieldNone fieldKind = iota
-	fieldFraming
-	fieldOther
-)
-
 // requestScanner follows the framing of the requests on one downstream connection, and is fed every byte as
 // it is read from the kernel. It knows what net/http hides: when the first byte of each request came, also
 // of one behind another, and whether Content-Length, which net/http drops then, came beside
@@ -122,33 +97,6 @@
 // anotherBegun says that a request behind those that were taken has begun.
 func (s *requestScanner) anotherBegun() bool { return len(s.heads) > 0 || s.midRequest() }
 
-// take returns the next head, which must be the one that net/http has read.
-func (s *requestScanner) takeHead(r *http.Request) (requestHead, error) {
-	if len(s.heads) == 0 {
-		if s.err != nil {
-			return requestHead{}, s.err
-		}
-		return requestHead{}, errFramingDisagrees
-	}
-	head := s.heads[0]
-	if s.heads = s.heads[1:]; len(s.heads) == 0 {
-		s.heads = nil
-	}
-	line := maphash.String(requestLineSeed, r.Method+" "+r.RequestURI+" "+r.Proto)
-	if head.lineHash != line || head.bodyLength != r.ContentLength {
-		return requestHead{}, errFramingDisagrees
-	}
-	return head, nil
-}
-
-// bodyError is what is wrong with the body of the request that was taken last.
-func (s *requestScanner) bodyError() error {
-	if len(s.heads) == 0 && s.errInBody {
-		return s.err
-	}
-	return nil
-}
-
 func (s *requestScanner) fail(err error) {
 	s.err = err
 	s.errInBody = s.state > scanFieldLine
@@ -167,19 +115,6 @@
 	return p
 }
 
-// skip passes over the bytes of a body or a chunk.
-func (s *requestScanner) skipBody(p []byte) []byte {
-	n := min(s.remaining, uint64(len(p)))
-	if s.remaining -= n; s.remaining == 0 {
-		if s.state == scanChunk {
-			s.state = scanChunkEnd
-		} else {
-			s.endRequest()
-		}
-	}
-	return p[n:]
-}
-
 // collectLine adds to the current line up to its end.
 func (s *requestScanner) collectLine(p []byte) []byte {
 	part, rest, complete := p, []byte(nil), false
@@ -242,100 +177,6 @@
 	}
 }
 
-// withoutLineEnd is a line of a head without its end, which net/http takes with or without CR.
-func withoutLineEnd(line []byte) []byte {
-	return bytes.TrimSuffix(bytes.TrimSuffix(line, []byte("\n")), []byte("\r"))
-}
-
-func (s *requestScanner) parseRequestLine(line []byte) error {
-	method, rest, _ := bytes.Cut(line, []byte(" "))
-	_, proto, _ := bytes.Cut(rest, []byte(" "))
-	version, isHTTP1 := bytes.CutPrefix(proto, []byte("HTTP/1."))
-	if !isHTTP1 || len(version) != 1 {
-		return errRequestLine
-	}
-	s.current.lineHash = maphash.Bytes(requestLineSeed, line)
-	s.http10 = version[0] == '0'
-	s.isPost = string(method) == http.MethodPost
-	s.state = scanFieldLine
-	return nil
-}
-
-func (s *requestScanner) parseFieldLine(line []byte) error {
-	if len(line) == 0 {
-		return s.endHead()
-	}
-	if line[0] == ' ' || line[0] == '\t' {
-		return s.parseFoldedLine()
-	}
-	name, value, found := bytes.Cut(line, []byte(":"))
-	if !found && !s.truncated {
-		return errFieldLine
-	}
-	value = bytes.Trim(value, " \t")
-	switch {
-	case bytes.EqualFold(name, []byte("Content-Length")):
-		s.previousField = fieldFraming
-		return s.parseContentLength(value)
-	case bytes.EqualFold(name, []byte("Transfer-Encoding")):
-		s.previousField = fieldFraming
-		return s.parseTransferEncoding(value)
-	}
-	s.previousField = fieldOther
-	return nil
-}
-
-// takeFold reads a line that continues the one before it (obs-fold).
-func (s *requestScanner) parseFoldedLine() error {
-	switch s.previousField {
-	case fieldNone:
-		return errFieldLine
-	case fieldFraming:
-		return errFoldedFraming
-	}
-	return nil
-}
-
-func (s *requestScanner) parseContentLength(value []byte) error {
-	length, err := strconv.ParseUint(string(value), 10, 63)
-	again := s.hasLength && int64(length) != s.current.bodyLength
-	if err != nil || s.truncated || again {
-		return errContentLength
-	}
-	s.hasLength, s.current.bodyLength = true, int64(length)
-	return nil
-}
-
-func (s *requestScanner) parseTransferEncoding(value []byte) error {
-	if s.hasCoding || s.truncated || !bytes.EqualFold(value, []byte("chunked")) {
-		return errCoding
-	}
-	s.hasCoding = true
-	return nil
-}
-
-// endHead checks the head as a whole and queues it.
-func (s *requestScanner) endHead() error {
-	switch {
-	case s.hasCoding && s.hasLength:
-		return errLengthAndCoding
-	case s.hasCoding && s.http10:
-		return errCodingInHTTP10
-	case len(s.heads) >= maxPipelinedHeads:
-		return errTooManyPipelined
-	case s.hasCoding:
-		s.current.bodyLength = chunkedLength
-		s.state = scanChunkSize
-	case s.current.bodyLength > 0:
-		s.remaining = uint64(s.current.bodyLength)
-		s.state = scanBody
-	default:
-		s.endRequest()
-	}
-	s.heads = append(s.heads, s.current)
-	return nil
-}
-
 // end notes that a request is complete.
 func (s *requestScanner) endRequest() {
 	s.state, s.blankAllowed, s.line = scanIdle, 0, nil
@@ -343,31 +184,3 @@
 		s.blankAllowed = maxBlankBytes
 	}
 }
-
-// takeChunkSize reads the line before a chunk: hexadecimal digits and nothing else, then the line's end or
-// an extension, which is dropped.
-func (s *requestScanner) parseChunkSize(line []byte) error {
-	line, hasEnd := bytes.CutSuffix(line, []byte("\r\n"))
-	digits, _, _ := bytes.Cut(line, []byte(";"))
-	size, err := strconv.ParseUint(string(digits), 16, 64)
-	if !hasEnd || err != nil || len(digits) > maxChunkDigits || bytes.IndexByte(line, '\r') >= 0 {
-		return errChunkSize
-	}
-	s.remaining, s.state = size, scanChunk
-	if size == 0 {
-		s.remaining, s.state = maxTrailers, scanTrailers
-	}
-	return nil
-}
-
-// takeTrailer reads a line behind the last chunk. Its fields are dropped.
-func (s *requestScanner) parseTrailerLine(line []byte) error {
-	switch {
-	case string(line) == "\r\n":
-		s.endRequest()
-	case !bytes.HasSuffix(line, []byte("\r\n")):
-		return errTrailer
-	}
-	s.remaining -= uint64(len(line))
-	return nil
-}
