--- a/internal/node/departure.go
+++ b/internal/node/departure.go
@@ -2,27 +2,45 @@
 
 import (
 	"errors"
+	"fmt"
 	"io"
 	"os"
 	"syscall"
 )
 
-// departure is what is known of a caller's leaving while its request waits. The greater holds.
+// departure is what the node knows about a client's leaving while its request is open. It only ever
+// increases during a request: of two observations, the greater holds.
 type departure int
 
 const (
-	present      departure = iota
-	unobservable           // too much is sent ahead to be kept, so its leaving can't be seen
-	halfClosed             // it sends no more; whether it still reads is not known
-	disconnected           // it has reset its connection
+	present      departure = iota // nothing was seen of a departure
+	unobservable                  // the read-ahead buffer is full, so that a close behind it could not be seen
+	halfClosed                    // a FIN was received; the client may still read the response
+	disconnected                  // the connection was reset or has failed
 )
 
-// errUnwatched ends the watch for a caller's leaving.
-var errReadAheadFull = errors.New("too much is sent ahead")
+// String returns the departure's name for logs and test failures.
+func (d departure) String() string {
+	switch d {
+	case present:
+		return "present"
+	case unobservable:
+		return "unobservable"
+	case halfClosed:
+		return "half-closed"
+	case disconnected:
+		return "disconnected"
+	}
+	return fmt.Sprintf("departure(%d)", int(d))
+}
+
+// errReadAheadFull ends the departure watch when the client has pipelined more than may be buffered.
+var errReadAheadFull = errors.New("the read-ahead buffer is full")
 
-// startWatch tells whether a request waits. If so, it is complete, for net/http watches only behind a body's
-// end, and no wait for another is left to be ended: neither this connection's being let go or cut off nor what
-// was seen beside an earlier request holds any longer.
+// beginWatch reports whether a request is open, so that the read that net/http begins now is its watch for
+// the client's departure. net/http begins that watch only once the body has been read to its end, so the
+// request is complete. No wait for another request is left to be interrupted, and so an earlier eviction or
+// abort of this connection is void.
 func (c *downstreamConn) beginWatch() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -33,8 +51,9 @@
 	return c.requestOpen
 }
 
-// watch reads whatever the caller sends ahead, so that no close or reset can hide behind it, until the
-// deadline for reading, a reset, or the bound. After a close it waits for a reset.
+// watchForDeparture reads whatever the client pipelines behind an open request, since a FIN or RST can only
+// be seen once the bytes before it are read. It returns at the read deadline, on a reset, or when the
+// read-ahead buffer is full. After a FIN it goes on to wait for a reset.
 func (c *downstreamConn) watchForDeparture() error {
 	defer close(c.watchEnded)
 	defer c.markCaughtUp()
@@ -43,13 +62,13 @@
 			c.noteRead(0, err)
 			return err
 		}
-		into := c.readAheadBuffer()
-		if into == nil {
+		buffer := c.readAheadBuffer()
+		if buffer == nil {
 			c.noteDeparture(unobservable)
 			return errReadAheadFull
 		}
-		n, err := c.Conn.Read(into)
-		c.scan(into[:n])
+		n, err := c.Conn.Read(buffer)
+		c.scan(buffer[:n])
 		c.appendReadAhead(n)
 		c.noteRead(n, err)
 		switch {
@@ -62,66 +81,66 @@
 	}
 }
 
-// awaitUnread waits until the kernel has something of the caller: bytes, its close or a reset.
+// awaitUnread waits until the kernel has received something from the client: bytes, a FIN or an RST. Before
+// it waits, it notes that everything received so far has been read.
 func (c *downstreamConn) awaitUnread() error {
 	raw := rawConn(c.Conn)
 	if raw == nil {
 		return nil
 	}
 	return raw.Read(func(fd uintptr) bool {
-		has := hasUnread(fd)
-		if !has {
+		unread := hasUnread(fd)
+		if !unread {
 			c.markCaughtUp()
 		}
-		return has
+		return unread
 	})
 }
 
-// awaitReset waits, after the caller's close, for a reset or the deadline for reading.
+// awaitReset waits, after the client's FIN, for a reset or the read deadline. It asks for the socket's error,
+// because a read would not wait but return the end of the stream at once.
 func (c *downstreamConn) awaitReset() error {
 	raw := rawConn(c.Conn)
 	if raw == nil {
 		return io.EOF
 	}
-	var cause error
+	var socketErr error
 	err := raw.Read(func(fd uintptr) bool {
-		no, err := syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_ERROR)
-		if err == nil && no != 0 {
-			err = syscall.Errno(no)
+		errno, err := syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_ERROR)
+		if err == nil && errno != 0 {
+			err = syscall.Errno(errno)
 		}
-		cause = err
+		socketErr = err
 		return err != nil
 	})
 	if err == nil {
 		c.noteDeparture(disconnected)
-		err = cause
+		err = socketErr
 	}
 	return err
 }
 
-// look notes that all that the caller had sent is read, or as much as can be kept.
+// markCaughtUp notes that the watch has read everything that had arrived, or as much as can be buffered.
 func (c *downstreamConn) markCaughtUp() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	select {
-	case <-c.caughtUp:
-	default:
+	if !isClosed(c.caughtUp) {
 		close(c.caughtUp)
 	}
 }
 
-// settle waits until the watch beside the request has read all that had come, and tells what is known of
-// the caller's leaving then.
+// awaitCaughtUp waits until the watch has read everything that had arrived, and returns the departure known
+// then.
 func (c *downstreamConn) awaitCaughtUp() departure {
 	c.mu.Lock()
-	looked := c.caughtUp
+	caughtUp := c.caughtUp
 	c.mu.Unlock()
-	<-looked
+	<-caughtUp
 	return c.departure()
 }
 
-// endWatch ends the watch beside a request, which settle has seen at work: what comes from now on stays
-// unread. It tells whether another request, or a part of one, was read behind this one.
+// endWatch ends the watch of an open request, which must have begun (see awaitCaughtUp); bytes that arrive
+// from now on stay unread. It reports whether another request, or a part of one, was read behind this one.
 func (c *downstreamConn) endWatch() (another bool) {
 	c.Conn.SetReadDeadline(pastDeadline)
 	<-c.watchEnded
@@ -130,8 +149,9 @@
 	return c.requests.anotherBegun()
 }
 
-// came notes what a read brought. Only os.ErrDeadlineExceeded is the node's own deadline: ETIMEDOUT, a
-// Timeout() as well, is a connection that is broken.
+// noteRead notes what the result of a read says about the client. Of the timeouts only
+// os.ErrDeadlineExceeded is the node's own deadline: ETIMEDOUT, for which Timeout() is true as well, means
+// that the connection has failed.
 func (c *downstreamConn) noteRead(n int, err error) {
 	switch {
 	case n > 0:
@@ -145,14 +165,14 @@
 	}
 }
 
-// depart notes that the caller may leave, or has left.
-func (c *downstreamConn) noteDeparture(how departure) {
+// noteDeparture records an observation, and notifies the handler of the open request if it is news.
+func (c *downstreamConn) noteDeparture(observed departure) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if how <= c.departed {
+	if observed <= c.departed {
 		return
 	}
-	c.departed = how
+	c.departed = observed
 	select {
 	case c.departureChanged <- struct{}{}:
 	default:
--- a/internal/node/descriptorbudget.go
+++ b/internal/node/descriptorbudget.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"fmt"
 	"net"
 	"net/http"
 	"slices"
@@ -10,15 +11,16 @@
 	"time"
 )
 
-// graces tell how long a caller's connection is spared, when there are too many, in each of the states in
-// which it holds a place and no request is open on it.
+// gracePeriods are how long a connection without an open request is exempt from eviction, for each of the
+// states that it may be in.
 type gracePeriods struct{ lingering, newConn, partialRequest, idle time.Duration }
 
-// pressing shortens the graces while descriptors are about to run out.
+// pressureDivisor shortens the grace periods while descriptors are about to run out.
 const pressureDivisor = 5
 
-// A good caller sends its request as soon as it has connected, and in one piece; one idle for a moment may
-// meet its next request on the way.
+// defaultGracePeriods follow from how well-behaved clients use a connection: they send a request as soon as
+// they have connected, and in one piece. A connection that has just become idle may already have its next
+// request on the way.
 func defaultGracePeriods() gracePeriods {
 	return gracePeriods{
 		lingering: 50 * time.Millisecond, newConn: 100 * time.Millisecond, partialRequest: time.Second,
@@ -26,55 +28,77 @@
 	}
 }
 
-// callers are the callers' connections, within their share of the node's descriptors. Whoever holds a
-// place without a request makes room first; only if nobody does, requests are refused.
+// downstreamConns is the set of connections from clients, kept within its share of the process's file
+// descriptors. When there are too many, connections without an open request are evicted, those that are the
+// least useful first. A request is rejected only when open requests alone exceed the share.
 type downstreamConns struct {
 	clock           clock
-	capacity        int        // descriptors for callers and servers together
-	upstreamReserve int        // of these the servers' connections may always have
-	upstreamCount   func() int // how many they have
-	rejectReserve   int        // descriptors beyond room for callers whose requests are read only to be refused
+	capacity        int        // descriptors for downstream and upstream connections together
+	upstreamReserve int        // the part of capacity that is always left to upstream connections
+	upstreamCount   func() int // how many upstream connections there are
+	rejectReserve   int        // descriptors beyond capacity, for connections whose requests are read only to be rejected
 
-	readAheadLimit    int64        // bytes that all may send ahead together
-	readAheadReserved atomic.Int64 // bytes reserved for that
+	readAheadLimit    int64        // bytes that all read-ahead buffers together may have
+	readAheadReserved atomic.Int64 // bytes that they have reserved
 
 	mu           sync.Mutex
 	conns        map[*downstreamConn]struct{}
-	evicting     int // let go and not closed yet
-	active       int // with a request open
+	evicting     int // connections that are being evicted and not closed yet
+	active       int // connections with an open request
 	gracePeriods gracePeriods
 	counts       downstreamCounts
 }
 
-// callerCounts tell, for the log, what became of connections.
+// downstreamCounts count, for the log, what happened to connections.
 type downstreamCounts struct{ Accepted, AcceptFailed, Evicted, Rejected, ClosedUnread int }
 
-// activity is what a connection does, and since when.
+// connActivity is what a connection is doing, and since when.
 type connActivity struct {
 	phase   connPhase
 	since   time.Duration
-	evicted bool // let go, and counted as leaving
+	evicted bool // being evicted, and counted in downstreamConns.evicting
 }
 
+// connPhase is the phase of a connection's life cycle, from the first request to the close.
 type connPhase int
 
 const (
-	phaseNew       connPhase = iota // new, no request read
+	phaseNew       connPhase = iota // no request has been read yet
 	phaseReading                    // a request's head is read, its body may not be
-	phaseActive                     // a request is with the module
-	phaseIdle                       // answered
-	phaseLingering                  // answered for good; what still comes is thrown away
+	phaseActive                     // a request is open: it waits for its response
+	phaseIdle                       // the response is written, and no other request has begun
+	phaseLingering                  // the last response is written; what still arrives is discarded
 )
 
-// newCallers takes the node's memory in bytes, of which what callers send ahead may fill a share.
-func newDownstreamConns(c clock, room, spare int, memory int64, servers func() int) *downstreamConns {
+// String returns the phase's name for logs and errors.
+func (p connPhase) String() string {
+	switch p {
+	case phaseNew:
+		return "new"
+	case phaseReading:
+		return "reading"
+	case phaseActive:
+		return "active"
+	case phaseIdle:
+		return "idle"
+	case phaseLingering:
+		return "lingering"
+	}
+	return fmt.Sprintf("connPhase(%d)", int(p))
+}
+
+// newDownstreamConns takes the numbers of descriptors as downstreamConns documents them, and the node's
+// memory limit in bytes, of which the read-ahead buffers may use a share.
+func newDownstreamConns(c clock, capacity, rejectReserve int, memory int64, upstreamCount func() int) *downstreamConns {
 	return &downstreamConns{
-		clock: c, readAheadLimit: memory / readAheadMemoryShare, capacity: room, upstreamReserve: room / 4, upstreamCount: servers, rejectReserve: spare,
+		clock: c, capacity: capacity, upstreamReserve: capacity / 4, upstreamCount: upstreamCount,
+		rejectReserve: rejectReserve, readAheadLimit: memory / readAheadMemoryShare,
 		conns: map[*downstreamConn]struct{}{}, gracePeriods: defaultGracePeriods(),
 	}
 }
 
-// track follows what net/http tells of a connection, and makes room when there are too many.
+// connStateChanged is the ConnState hook of the http.Server. Each change is an occasion to evict, as it may
+// have added a connection or made one evictable.
 func (s *downstreamConns) connStateChanged(nc net.Conn, state http.ConnState) {
 	c := nc.(*downstreamConn)
 	s.mu.Lock()
@@ -100,14 +124,14 @@
 	s.evictExcess()
 }
 
-// acceptFailed counts a failed accept.
+// countFailedAccept counts a failed accept.
 func (s *downstreamConns) countFailedAccept() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.AcceptFailed++
 }
 
-// move notes what a connection does from now on. The caller holds mu.
+// setPhase notes what a connection does from now on, which ends an eviction that was begun. s.mu is held.
 func (s *downstreamConns) setPhase(c *downstreamConn, p connPhase) {
 	if c.evicted {
 		s.evicting--
@@ -121,18 +145,19 @@
 	c.connActivity = connActivity{phase: p, since: s.clock.now()}
 }
 
-// linger notes that net/http has answered for good and waits for the answer to arrive.
+// startLingering notes that net/http has written its last response and waits for the client to receive it.
 func (s *downstreamConns) startLingering(c *downstreamConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, held := s.conns[c]; held {
+	if _, known := s.conns[c]; known {
 		s.setPhase(c, phaseLingering)
 	}
 }
 
-// open notes that a connection's request goes to the module, unless as many are there as servers'
-// connections are kept for. That there are too many connections is no reason: others' silence must not cost
-// a good caller its answer. If its connection was to be let go, another goes in its place.
+// admitRequest notes that a connection's request is open, and reports whether it may go to the decision
+// module. It may not if open requests hold more than half of the capacity. An excess of connections is no
+// reason to reject: silent clients must not cost a well-behaved one its response. If this connection was
+// being evicted, another is evicted in its place.
 func (s *downstreamConns) admitRequest(c *downstreamConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,12 +170,13 @@
 	return true
 }
 
-// most is how many connections callers may hold now: what servers leave. The caller holds mu.
+// limit is how many downstream connections there may be now: what upstream connections leave of the
+// capacity. s.mu is held.
 func (s *downstreamConns) limit() int {
 	return max(s.capacity/2, s.capacity-max(s.upstreamReserve, s.upstreamCount()))
 }
 
-// over is by how many there are too many. The caller holds mu.
+// excess is how many connections there are beyond the limit, not counting those being evicted. s.mu is held.
 func (s *downstreamConns) excess() int { return len(s.conns) - s.evicting - s.limit() }
 
 func (s *downstreamConns) overLimit() bool {
@@ -159,15 +185,16 @@
 	return s.excess() > 0
 }
 
-// left is how many descriptors callers leave for connections to servers.
+// upstreamAllowance is how many descriptors downstream connections leave for upstream ones.
 func (s *downstreamConns) upstreamAllowance() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.capacity + s.rejectReserve - len(s.conns)
 }
 
-// full says that one more would take a descriptor that is kept for others. Whoever is turned away shows nowhere
-// else, so room is made for the next one here.
+// atHardLimit reports whether one more connection would take a descriptor that is reserved for others. Such a
+// connection is closed without reaching net/http and so without a call of connStateChanged, which is why
+// others are evicted here, for the next one.
 func (s *downstreamConns) atHardLimit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,94 +206,110 @@
 	return true
 }
 
-// makeRoom lets connections without a request go while there are too many: those first that are of least
-// use to a good caller, and of these who has been so for longest. One idle for a moment only is spared:
-// a client sends again just once what crosses a close. While there are too many, each answer closes its
-// connection, which nothing can cross. The caller holds mu.
+// evictExcess evicts connections without an open request while there are too many: by rank, and among equals
+// the one that has been in its phase for longest. Connections within their grace period are exempt, because a
+// client retries a request that crosses a close only once. (While there are too many, each response closes
+// its connection as well, which no request can cross.) s.mu is held.
 func (s *downstreamConns) evictExcess() {
 	if s.excess() <= 0 {
 		return
 	}
 	now := s.clock.now()
-	var free []*downstreamConn
+	var evictable []*downstreamConn
 	for c := range s.conns {
 		if !c.evicted && s.evictionRank(c, now) > 0 {
-			free = append(free, c)
+			evictable = append(evictable, c)
 		}
 	}
-	slices.SortFunc(free, func(a, b *downstreamConn) int {
+	slices.SortFunc(evictable, func(a, b *downstreamConn) int {
 		return cmp.Or(cmp.Compare(s.evictionRank(a, now), s.evictionRank(b, now)), cmp.Compare(a.since, b.since))
 	})
-	for _, c := range free {
+	for _, c := range evictable {
 		if s.evict(c); s.excess() <= 0 {
 			return
 		}
 	}
 }
 
-// useless ranks the connections that may be let go, from 1; 0 is none of them.
+// evictionRank is the order of eviction: 1 is evicted first, and 0 not at all. s.mu is held.
 func (s *downstreamConns) evictionRank(c *downstreamConn, now time.Duration) int {
 	age := now - c.since
 	if s.excess() > s.rejectReserve/2 {
 		age *= pressureDivisor
 	}
-	switch half := c.phase == phaseReading || c.phase != phaseActive && c.hasRequestBytes(); {
+	partial := c.phase == phaseReading || c.phase != phaseActive && c.hasRequestBytes()
+	switch {
 	case c.phase == phaseLingering && age >= s.gracePeriods.lingering:
 		return 1
-	case half && age >= s.gracePeriods.partialRequest:
+	case partial && age >= s.gracePeriods.partialRequest:
 		return 2
-	case c.phase == phaseNew && !half && age >= s.gracePeriods.newConn:
+	case c.phase == phaseNew && !partial && age >= s.gracePeriods.newConn:
 		return 3
-	case c.phase == phaseIdle && !half && age >= s.gracePeriods.idle:
+	case c.phase == phaseIdle && !partial && age >= s.gracePeriods.idle:
 		return 4
 	}
 	return 0
 }
 
-// letGo lets a connection go if it may be, and counts it as leaving. The caller holds mu.
+// evict begins to evict a connection, unless a request has begun or arrived on it meanwhile, and counts it as
+// being evicted. s.mu is held.
 func (s *downstreamConns) evict(c *downstreamConn) {
-	gone := !c.evicted
+	if c.evicted {
+		return
+	}
+	evicting := true
 	switch {
-	case c.evicted:
 	case c.phase == phaseLingering:
 		c.Close()
 	case c.phase == phaseReading || c.phase == phaseNew && c.hasRequestBytes():
-		gone = c.abortRead()
+		evicting = c.abortRead()
 	default:
-		gone = c.evictIfQuiet()
+		evicting = c.evictIfQuiet()
 	}
-	if gone && !c.evicted {
+	if evicting {
 		c.evicted = true
 		s.evicting++
 		s.counts.Evicted++
 	}
 }
 
-// letQuietGo closes the callers' idle connections, and those that have sent nothing for a while: whoever has
-// just been accepted has its request on the way. It returns how many of all are left.
+// evictQuiet evicts idle connections and those on which nothing has arrived for a while; a client that has
+// just connected has its request on the way. It returns how many connections of all kinds are left.
 func (s *downstreamConns) evictQuiet() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.now()
 	for c := range s.conns {
-		if c.phase == phaseIdle || c.phase == phaseNew && !c.hasRequestBytes() && now-c.since >= s.gracePeriods.newConn {
+		silent := c.phase == phaseNew && !c.hasRequestBytes() && now-c.since >= s.gracePeriods.newConn
+		if c.phase == phaseIdle || silent {
 			s.evict(c)
 		}
 	}
 	return len(s.conns)
 }
 
-// held is how many connections there are.
+// count is how many connections there are.
 func (s *downstreamConns) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// report tells what became of connections since the last report, and how many there are.
-func (s *downstreamConns) takeCounts() (c downstreamCounts, held int) {
+// phaseCounts is how many connections are in each phase, for the log.
+func (s *downstreamConns) phaseCounts() map[connPhase]int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	counts := map[connPhase]int{}
+	for c := range s.conns {
+		counts[c.phase]++
+	}
+	return counts
+}
+
+// takeCounts returns what happened to connections since the last call, and how many there are.
+func (s *downstreamConns) takeCounts() (counts downstreamCounts, conns int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c, s.counts = s.counts, downstreamCounts{}
-	return c, len(s.conns)
+	counts, s.counts = s.counts, downstreamCounts{}
+	return counts, len(s.conns)
 }
--- a/internal/node/downstreamconn.go
+++ b/internal/node/downstreamconn.go
@@ -11,44 +11,48 @@
 	"time"
 )
 
-// callerConn is a caller's connection that can be let go while it waits for a request, and only then.
+// downstreamConn is a connection from a client. It sits between net/http and the socket, and adds four
+// things: the framing of the requests (requestScanner), the watch for the client's departure while a request
+// is open (departure.go), a read timeout for each request, and eviction without the loss of a request.
 //
-// Close, in the gap between net/http's read of a request and its report of StateActive, would lose
-// that request. A read deadline in the past ends the wait, or comes too late for it: the request is
-// then either read and answered, or left unread, and its client sends it again. Whether one has
-// begun to be read is noted here, since net/http reads its first byte early when the client is quick:
-// behind an answer, before it reports StateIdle.
+// Eviction does not close the connection. net/http reads the first bytes of a request some time before it
+// reports StateActive, and a Close in between would lose that request. Instead, a read deadline in the past
+// ends net/http's wait for a request. If a request has arrived by then, either it is read and answered, or it
+// is left unread and its client may safely send it again. Whether a request has begun is tracked here and
+// not taken from ConnState: behind a response, net/http may read the first byte of a pipelined request before
+// it reports StateIdle.
 type downstreamConn struct {
 	net.Conn
 	mu                sync.Mutex
-	requestBegun      bool // bytes were read since the last answer
-	readEnded         bool
-	readAborted       bool      // leaving, whatever still comes
-	deadline          time.Time // as net/http wants it
-	requestOpen       bool      // a request's head is read, and it is not answered
-	requestComplete   bool      // and its body is read to the end as well
-	readAhead         []byte    // what came meanwhile, to be read once that is answered
-	readAheadReserved int       // bytes reserved for ahead
+	requestBegun      bool      // bytes of a request were read since the last response
+	readEnded         bool      // the read deadline is in the past, to evict the connection
+	readAborted       bool      // readEnded holds even if more bytes arrive
+	deadline          time.Time // the read deadline that net/http wants
+	requestOpen       bool      // a request's head is read and its response has not begun
+	requestComplete   bool      // the body of the open request is read to its end
+	readAhead         []byte    // pipelined bytes, to be read once the open request is answered
+	readAheadReserved int       // bytes reserved for readAhead
 	departed          departure
-	caughtUp          chan struct{} // closed once the watch beside the request has read all that had come
-	watchEnded        chan struct{} // closed once that watch has ended
-	departureChanged  chan struct{} // gets one when departed changes
+	caughtUp          chan struct{} // closed once the departure watch has read all that had arrived
+	watchEnded        chan struct{} // closed once the departure watch has ended
+	departureChanged  chan struct{} // receives a value when departed changes
 	requests          requestScanner
-	readTimeout       time.Duration // for reading the rest of a request that has begun; 0: none
-	requestDeadline   time.Time     // when that ends; zero while no request is being read
+	readTimeout       time.Duration // for reading the rest of a request that has begun; 0: no limit
+	requestDeadline   time.Time     // when readTimeout expires; zero while no request is being read
 
 	conns        *downstreamConns
-	connActivity // guarded by callers.mu
+	connActivity // guarded by conns.mu
 }
 
-// longAgo is a deadline that ends a wait at once, whatever becomes of the wall clock.
+// pastDeadline is a deadline that ends a wait at once. It is so far back that a step of the wall clock can't
+// bring it into the future.
 var pastDeadline = time.Now().Add(-time.Hour)
 
 type connKey struct{}
 
-// withConn has a request's context tell its connection.
-func withConn(ctx context.Context, nc net.Conn) context.Context {
-	return context.WithValue(ctx, connKey{}, nc)
+// withConn is the ConnContext of the http.Server: it makes the connection available to the handler.
+func withConn(ctx context.Context, conn net.Conn) context.Context {
+	return context.WithValue(ctx, connKey{}, conn)
 }
 
 func connOf(ctx context.Context) *downstreamConn {
@@ -56,10 +60,10 @@
 	return c
 }
 
-// Read watches for the caller's leaving while a request waits: net/http does so by a read of one byte,
-// which any byte that comes early would end.
+// Read reads for net/http. While a request is open, net/http watches for the client's departure by a read of
+// one byte, which any pipelined byte would end; that read is replaced by watchForDeparture.
 func (c *downstreamConn) Read(p []byte) (int, error) {
-	if len(p) == 1 && c.beginWatch() { // any other read by net/http fills a buffer
+	if len(p) == 1 && c.beginWatch() { // any other read by net/http fills a longer buffer
 		return 0, c.watchForDeparture()
 	}
 	if n := c.takeReadAhead(p); n > 0 {
@@ -72,7 +76,7 @@
 	return n, err
 }
 
-// scan follows the framing of what was just read from the kernel.
+// scan follows the framing of bytes that were just read from the kernel.
 func (c *downstreamConn) scan(p []byte) {
 	at := c.conns.clock.now()
 	c.mu.Lock()
@@ -80,23 +84,24 @@
 	c.requests.feed(p, at)
 }
 
-// takeHead returns what is known of the request that net/http has just read the head of, or the error in
-// its framing.
+// takeHead returns the scanner's head of the request that net/http has just read the head of, or the error
+// in its framing.
 func (c *downstreamConn) takeHead(r *http.Request) (requestHead, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requests.takeHead(r)
 }
 
-// bodyError is the error in the framing of the body that net/http has just read.
+// bodyError returns the error in the framing of the body that net/http has just read, or nil.
 func (c *downstreamConn) bodyError() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requests.bodyError()
 }
 
-// limitReading gives the rest of a request its own time: net/http waits for its first four bytes as long as
-// for a request that has not begun, and counts a connection's first request from the connection's start.
+// limitRequestTime gives the rest of a request that has begun its own read timeout. The timeouts of net/http
+// do not: it waits for a request's first four bytes as long as for an idle connection, and counts the time
+// of a connection's first request from the connection's start.
 func (c *downstreamConn) limitRequestTime() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,10 +109,10 @@
 		return
 	}
 	c.requestDeadline = time.Now().Add(c.readTimeout)
-	c.setReadDeadline(c.deadline)
+	_ = c.setReadDeadline(c.deadline) // if the connection is closed, the read that follows reports it
 }
 
-// serve notes that a request's head is read.
+// beginRequest notes that net/http has read a request's head.
 func (c *downstreamConn) beginRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,12 +121,12 @@
 	if c.departureChanged == nil {
 		c.departureChanged = make(chan struct{}, 1)
 	}
-	if c.departed == unobservable { // there may be room again
+	if c.departed == unobservable { // the read-ahead buffer may have been emptied since
 		c.departed = present
 	}
 }
 
-// hear notes that the caller has said something. The caller holds mu.
+// noteBytes notes that bytes were read from the client, which revokes an eviction. c.mu is held.
 func (c *downstreamConn) noteBytes() {
 	c.requestBegun = true
 	if c.readEnded && !c.readAborted {
@@ -136,8 +141,10 @@
 	return c.requestBegun
 }
 
-// Write begins before the client can have sent its next request, unless that has been read ahead. An
-// interim response (of which net/http writes 100 Continue) answers nothing.
+// Write writes for net/http. The first write of a final response ends the open request. It does so before
+// the bytes are written, because the client may send its next request as soon as it has them; bytes of that
+// request that were read ahead already count as begun. An interim response (net/http writes 100 Continue)
+// leaves the request open.
 func (c *downstreamConn) Write(p []byte) (int, error) {
 	if !bytes.HasPrefix(p, []byte("HTTP/1.1 1")) {
 		c.mu.Lock()
@@ -147,7 +154,8 @@
 	return c.Conn.Write(p)
 }
 
-// interim has a caller that has closed for good answer with a reset, and one that still reads wait on.
+// sendInterimResponse probes a client that has sent a FIN: if it has closed its socket, its kernel responds
+// with a reset; if it has only shut down its sending side, it skips the response and waits on.
 func (c *downstreamConn) sendInterimResponse() {
 	c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := io.WriteString(c, "HTTP/1.1 102 Processing\r\n\r\n"); err != nil {
@@ -155,18 +163,20 @@
 	}
 }
 
+// SetReadDeadline sets the deadline that net/http wants. The zero time, which net/http and the frontend set
+// once a request has been read, also ends that request's own read timeout.
 func (c *downstreamConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if t.IsZero() { // net/http and the frontend set none once a request is read
+	if t.IsZero() {
 		c.requestDeadline = time.Time{}
 	}
 	return c.setReadDeadline(t)
 }
 
-// setReadDeadline sets the deadline for reading, or the end of the time for the request that is being read:
-// one that has begun shortly before its connection would time out has the same time as others. The caller
-// holds mu.
+// setReadDeadline sets the read deadline, unless the connection is being evicted. While a request is being
+// read, its own deadline replaces the wanted one, so that a request which begins shortly before the idle
+// timeout has as much time as any other. c.mu is held.
 func (c *downstreamConn) setReadDeadline(t time.Time) error {
 	if !c.requestDeadline.IsZero() {
 		t = c.requestDeadline
@@ -178,8 +188,9 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// CloseWrite lets net/http linger after an answer to a request that it did not read whole: at once
-// closed, the connection would be reset, and the answer could be lost.
+// CloseWrite is what net/http looks for to close a connection with unread request bytes in two steps: it
+// sends a FIN, and closes some time later. A close at once would reset the connection, and the reset could
+// discard the response before the client has read it.
 func (c *downstreamConn) CloseWrite() error {
 	c.conns.startLingering(c)
 	if half, ok := c.Conn.(*net.TCPConn); ok {
@@ -188,8 +199,9 @@
 	return errors.ErrUnsupported
 }
 
-// letGo has the connection closed unless a request has begun on it, be it one that nobody has read yet: the
-// close would be a reset, and the client could ask only once more.
+// evictIfQuiet ends the wait for a request, unless one has begun, including one that has arrived and not been
+// read: closing over unread bytes resets the connection, and a client retries such a request only once. It
+// reports whether the connection is being evicted.
 func (c *downstreamConn) evictIfQuiet() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -200,9 +212,9 @@
 	return c.readEnded
 }
 
-// cutOff ends the wait for the rest of a request, unless it is complete: then nothing is waited for, and a
-// deadline in the past would end the watch for its caller's leaving. Nor does it if more has come that nobody
-// has read yet: it may be the rest.
+// abortRead ends the wait for the rest of a request, and reports whether it did. It does not if the request
+// is complete, when a deadline in the past would end the departure watch instead, or if bytes have arrived
+// that nobody has read, which may be the rest.
 func (c *downstreamConn) abortRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/node/downstreamlistener.go
+++ b/internal/node/downstreamlistener.go
@@ -10,53 +10,54 @@
 )
 
 const (
-	// The wait after a failed accept: it doubles with each further failure.
+	// Bounds of the exponential backoff after a failed accept, which doubles with each failure in a row.
 	minAcceptBackoff = 5 * time.Millisecond
 	maxAcceptBackoff = 100 * time.Millisecond
 
-	// shutWait is for how long the queue must be empty before a listener that is shut is closed. While
-	// it is shut, no backoff is longer.
+	// emptyQueueWait is how long the accept queue must stay empty before a draining listener is closed. It
+	// bounds the backoff as well while the listener drains.
 	emptyQueueWait = 20 * time.Millisecond
 
 	// acceptLogInterval is the least time between two log lines about failed accepts.
 	acceptLogInterval = 5 * time.Second
 )
 
-// callerListener accepts downstream connections as callerConns. Only a closed listener ends it: any other
-// error of accept is the system's trouble for a moment, and net/http, which would end the server on most
-// of them, never gets to see it.
+// downstreamListener accepts downstream connections and wraps them as downstreamConns. Accept returns an
+// error only once the listener is closed. Every other error of accept(2) (EMFILE, ENOBUFS, ECONNABORTED) is
+// retried with exponential backoff here, because http.Server.Serve would return on most of them and so end
+// the process for a temporary shortage.
 type downstreamListener struct {
 	net.Listener
 	conns *downstreamConns
 	log   *slog.Logger
 
-	readTimeout time.Duration // for reading the rest of a request that has begun; 0: none
+	readTimeout time.Duration // handed to each connection; see downstreamConn.readTimeout
 
 	drainOnce, closeOnce sync.Once
 	draining, closed     chan struct{}
 
 	// Used by Accept alone.
-	backoff    time.Duration // the last wait; 0: the last accept did not fail
-	lastLogged time.Duration // when a failure was last logged; 0: never
+	backoff    time.Duration // the last backoff; 0 if the last accept succeeded
+	lastLogged time.Duration // clock time when a failure was last logged; 0 if none was
 	unlogged   int           // failures since then
 }
 
-func newDownstreamListener(ln net.Listener, s *downstreamConns, log *slog.Logger) *downstreamListener {
+func newDownstreamListener(ln net.Listener, conns *downstreamConns, log *slog.Logger) *downstreamListener {
 	return &downstreamListener{
-		Listener: ln, conns: s, log: log,
+		Listener: ln, conns: conns, log: log,
 		draining: make(chan struct{}), closed: make(chan struct{}),
 	}
 }
 
-// deadlines are what a listener needs to be shut without a loss.
+// deadlineSetter is a listener whose Accept can be interrupted without closing it, as *net.TCPListener's.
 type deadlineSetter interface{ SetDeadline(time.Time) error }
 
-// shut has whoever waits to be accepted accepted, and then closes: the kernel resets those that are left,
-// and a request may be complete on them already.
+// drainQueue has Accept take what is in the accept queue and then close the listener. Closing it at once
+// would make the kernel reset the queued connections, on which complete requests may already have arrived.
 func (l *downstreamListener) drainQueue() {
 	l.drainOnce.Do(func() { close(l.draining) })
 	if d, ok := l.Listener.(deadlineSetter); !ok || d.SetDeadline(pastDeadline) != nil {
-		l.Close()
+		_ = l.Close() // nothing more can be done for a listener that can't be closed
 	}
 }
 
@@ -66,38 +67,41 @@
 	return l.Listener.Close()
 }
 
-// Accept returns the next connection, or net.ErrClosed. It never lets the node run out of descriptors:
-// beyond the hard limit whoever came last is closed unheard.
+// Accept returns the next connection, or net.ErrClosed. A connection that would exceed the hard limit on
+// descriptors is closed unread, so that the process never runs out of them.
 func (l *downstreamListener) Accept() (net.Conn, error) {
 	for !isClosed(l.closed) {
-		last := isClosed(l.draining)
-		if last { // a deadline in the past would keep it from looking
-			l.Listener.(deadlineSetter).SetDeadline(time.Now().Add(emptyQueueWait))
+		draining := isClosed(l.draining)
+		if draining {
+			// With drainQueue's deadline in the past Accept would not look into the queue. If this fails, that
+			// deadline still holds and ends the loop.
+			_ = l.Listener.(deadlineSetter).SetDeadline(time.Now().Add(emptyQueueWait))
 		}
-		c, err := l.Listener.Accept()
+		conn, err := l.Listener.Accept()
 		switch {
 		case err == nil && l.conns.atHardLimit():
-			c.Close()
+			conn.Close()
 		case err == nil:
 			l.backoff = 0
-			return &downstreamConn{Conn: c, conns: l.conns, readTimeout: l.readTimeout}, nil
+			return &downstreamConn{Conn: conn, conns: l.conns, readTimeout: l.readTimeout}, nil
 		case errors.Is(err, net.ErrClosed):
 			return nil, net.ErrClosed
-		case errors.Is(err, os.ErrDeadlineExceeded) && last:
-			l.Close()
-		case errors.Is(err, os.ErrDeadlineExceeded): // shut has interrupted the wait
+		case errors.Is(err, os.ErrDeadlineExceeded) && draining:
+			_ = l.Close() // the loop ends either way
+		case errors.Is(err, os.ErrDeadlineExceeded): // drainQueue has interrupted the wait
 		default:
-			l.backOff(err, last)
+			l.backOff(err, draining)
 		}
 	}
 	return nil, net.ErrClosed
 }
 
-// failed counts and logs a failed accept, and waits before the next one. Being shut ends the wait.
-func (l *downstreamListener) backOff(err error, last bool) {
+// backOff counts and logs a failed accept, and waits before the next one. The beginning of draining
+// interrupts the wait, because time to accept what is queued is short then.
+func (l *downstreamListener) backOff(err error, draining bool) {
 	l.conns.countFailedAccept()
 	limit, interrupt := maxAcceptBackoff, l.draining
-	if last {
+	if draining {
 		limit, interrupt = emptyQueueWait, nil
 	}
 	l.backoff = min(max(2*l.backoff, minAcceptBackoff), limit)
@@ -106,16 +110,16 @@
 		l.log.Warn("accept failed; trying again", "error", err, "failures", l.unlogged, "backoff", l.backoff)
 		l.lastLogged, l.unlogged = now, 0
 	}
-	wait := time.NewTimer(l.backoff)
-	defer wait.Stop()
+	timer := time.NewTimer(l.backoff)
+	defer timer.Stop()
 	select {
-	case <-wait.C:
+	case <-timer.C:
 	case <-interrupt:
 	case <-l.closed:
 	}
 }
 
-// hasEnded says that a channel is closed.
+// isClosed reports, without waiting, whether a channel that is only ever closed has been closed.
 func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
--- a/internal/node/readahead.go
+++ b/internal/node/readahead.go
@@ -1,15 +1,23 @@
 package node
 
-// aheadStep is the least that is kept of what a caller sends ahead, in bytes.
-const readAheadStep = 4 << 10
+// Read-ahead: while a request is open, the departure watch reads whatever the client pipelines behind it, so
+// that a close or reset behind those bytes is seen. They are buffered here and served to net/http once the
+// request is answered.
 
-// aheadEach is how much one caller may send ahead, in bytes: the longest request that there is.
-const readAheadPerConn = maxHeaderBytes + maxBody
+const (
+	// readAheadStep is the smallest read-ahead buffer, in bytes; it doubles as it fills.
+	readAheadStep = 4 << 10
 
-// aheadShare is the part of the node's memory that all callers together may fill with what they send ahead.
-const readAheadMemoryShare = 16
+	// readAheadPerConn bounds the read-ahead buffer of one connection, in bytes: the longest request allowed.
+	readAheadPerConn = maxHeaderBytes + maxBody
 
-// keepAhead reserves bytes for what a caller sends ahead, or gives some back.
+	// readAheadMemoryShare is the divisor that gives the part of the node's memory limit which the read-ahead
+	// buffers of all connections together may use.
+	readAheadMemoryShare = 16
+)
+
+// reserveReadAhead reserves n bytes of the read-ahead memory of all connections, or releases them if n is
+// negative. It reports false, and reserves nothing, if the limit would be exceeded.
 func (s *downstreamConns) reserveReadAhead(n int) bool {
 	if s.readAheadReserved.Add(int64(n)) > s.readAheadLimit && n > 0 {
 		s.readAheadReserved.Add(int64(-n))
@@ -18,7 +26,8 @@
 	return true
 }
 
-// spare is room for more that is sent ahead, or nil at the bound of this connection's or of all.
+// readAheadBuffer returns the unused part of the read-ahead buffer, which it grows when it is full. It
+// returns nil at the limit of this connection or of all connections.
 func (c *downstreamConn) readAheadBuffer() []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -33,7 +42,7 @@
 	return c.readAhead[len(c.readAhead):cap(c.readAhead)]
 }
 
-// keep adds bytes that were read into the spare room.
+// appendReadAhead adds the n bytes that were read into the unused part of the buffer.
 func (c *downstreamConn) appendReadAhead(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -42,7 +51,7 @@
 	}
 }
 
-// takeAhead takes bytes that were read ahead.
+// takeReadAhead moves buffered bytes into p and returns how many.
 func (c *downstreamConn) takeReadAhead(p []byte) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,7 +62,7 @@
 	return n
 }
 
-// dropAhead gives back the room for what is sent ahead. The caller holds mu.
+// releaseReadAhead drops the buffer and its reservation. c.mu is held.
 func (c *downstreamConn) releaseReadAhead() {
 	c.conns.reserveReadAhead(-c.readAheadReserved)
 	c.readAhead, c.readAheadReserved = nil, 0
