--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -6,38 +6,52 @@
 	"time"
 )
 
-// ending tells, from the moment that the node was told to end, until when it accepts connections, until
-// when callers may go on using those that they have, and when whatever is left is answered at once.
-type drainSchedule struct{ stopAccepting, closeConns, answerAll time.Duration }
+// drainPollInterval is how often a draining frontend checks whether its connections are closed.
+const drainPollInterval = 20 * time.Millisecond
 
-// drain lets the callers go, and everything taken is answered: for a while they are served as ever on the
-// connections that they have, for their requests would fail elsewhere until they are sent to another node;
-// then each answer closes its connection. It returns once all are gone, or with an error when ctx ends.
-// http.Server.Shutdown would wait for seconds on connections that never sent a request, past SIGKILL,
-// and close idle ones under a request just read.
-func (f *frontend) drain(ctx context.Context, ln *downstreamListener, served <-chan struct{}, e drainSchedule) error {
+// drainSchedule is the timetable of a graceful shutdown, each entry being a span since its beginning.
+type drainSchedule struct {
+	stopAccepting time.Duration // until then, new connections are accepted
+	closeConns    time.Duration // until then, clients may send further requests on their connections
+	answerAll     time.Duration // what is unanswered then is answered at once
+}
+
+// drain shuts the front end down gracefully: every request that was read is answered. Up to closeConns,
+// clients are served as ever on the connections that they have, because until their load balancer has noticed
+// that this node is not ready, their requests would fail elsewhere. From then on each response closes its
+// connection. drain returns nil once all connections are closed, or an error when ctx ends.
+//
+// http.Server.Shutdown does not do: it waits for seconds on connections that never sent a request, past
+// SIGKILL, and closes an idle connection on which a request has just been read.
+func (f *frontend) drain(ctx context.Context, ln *downstreamListener, served <-chan struct{}, schedule drainSchedule) error {
 	begin := f.clock.now()
 	passed := func(at time.Duration) bool { return f.clock.now()-begin >= at }
 	f.draining.Store(true)
-	sleep(ctx, e.stopAccepting)
+	sleep(ctx, schedule.stopAccepting)
 	ln.drainQueue()
-	defer ln.Close()
-	for ctx.Err() == nil && !passed(e.closeConns) && (!isClosed(served) || f.conns.count() > 0) {
+	defer func() { _ = ln.Close() }() // the process ends, and its listener with it
+	for ctx.Err() == nil && !passed(schedule.closeConns) && (!isClosed(served) || f.conns.count() > 0) {
 		sleep(ctx, drainPollInterval)
 	}
 	f.closing.Store(true)
-	for told := false; ; sleep(ctx, drainPollInterval) {
-		accepting := !isClosed(served) // asked first: whoever was accepted is counted below
+	return f.awaitDrained(ctx, ln, served, func() bool { return passed(schedule.answerAll) })
+}
+
+// awaitDrained evicts quiet connections until none is left and the server accepts no more. Once the time to
+// answer all has come, it has the loop answer every open request.
+func (f *frontend) awaitDrained(ctx context.Context, ln *downstreamListener, served <-chan struct{}, answerAll func() bool) error {
+	for notified := false; ; sleep(ctx, drainPollInterval) {
+		accepting := !isClosed(served) // read first, so that the count below has whatever was accepted
 		left := f.conns.evictQuiet()
 		switch {
 		case !accepting && left == 0:
 			return nil
 		case ctx.Err() != nil:
-			return fmt.Errorf("callers are left: %w", ctx.Err())
-		case !told && passed(e.answerAll):
-			ln.Close() // it is still open only if accept fails on end
+			return fmt.Errorf("%d downstream connections are left, by phase %v: %w", left, f.conns.phaseCounts(), ctx.Err())
+		case !notified && answerAll():
+			_ = ln.Close() // it is still open only if every accept fails, and needs no answer
 			f.post(shutdownDeadline{})
-			told = true
+			notified = true
 		}
 	}
 }
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"errors"
 	"io"
 	"log/slog"
 	"net/http"
@@ -10,49 +9,46 @@
 	"time"
 )
 
-// Limits on what a caller may make the node wait for.
+// Limits on the time that a client may take, and on a request's head.
 const (
-	readTimeout       = 2500 * time.Millisecond // for a request, from its connection's start or its first bytes
-	idleTimeout       = 4 * time.Second         // a caller that asks no more is let go
-	writeTimeout      = 5 * time.Second
-	maxHeaderBytes    = 16 << 10
-	maxRequestIDBytes = 128
-	maxDeadline       = time.Hour
-	maxDeadlineFactor = 2 // times the class's deadline that X-Deadline may be
-	drainPollInterval = 20 * time.Millisecond
+	readTimeout    = 2500 * time.Millisecond // for reading a request, from its first bytes or the connection's start
+	idleTimeout    = 4 * time.Second         // after which an idle connection is closed
+	writeTimeout   = 5 * time.Second         // for writing a response
+	maxHeaderBytes = 16 << 10                // bytes of a request's head; net/http allows some more
 )
 
-// frontend serves callers: exactly one answer for each request taken.
+// frontend is the HTTP server for clients. It reads and checks requests, passes them to the loop, and writes
+// exactly one final response for each.
 type frontend struct {
 	clock    clock
 	post     func(event)
 	ready    func() bool
 	rules    *atomic.Pointer[requestRules]
-	draining atomic.Bool // unready
-	closing  atomic.Bool // each answer closes its connection
+	draining atomic.Bool // the health check says that the node is not ready
+	closing  atomic.Bool // each response closes its connection
 	server   *http.Server
 
 	conns *downstreamConns
 }
 
-func newFrontend(c clock, callers *downstreamConns, rules *atomic.Pointer[requestRules], post func(event), ready func() bool,
+func newFrontend(c clock, conns *downstreamConns, rules *atomic.Pointer[requestRules], post func(event), ready func() bool,
 	log *slog.Logger,
 ) *frontend {
-	f := &frontend{clock: c, post: post, ready: ready, conns: callers, rules: rules}
+	f := &frontend{clock: c, post: post, ready: ready, conns: conns, rules: rules}
 	f.server = &http.Server{
 		Handler:                      f,
 		ReadTimeout:                  readTimeout,
 		IdleTimeout:                  idleTimeout,
 		MaxHeaderBytes:               maxHeaderBytes,
 		DisableGeneralOptionsHandler: true,
-		ConnState:                    callers.connStateChanged,
+		ConnState:                    conns.connStateChanged,
 		ConnContext:                  withConn,
 		ErrorLog:                     slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
 	return f
 }
 
-// health tells the front whether to send callers here.
+// serveHealth answers the health check by which clients, or the load balancer before them, choose a node.
 func (f *frontend) serveHealth(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.Method != http.MethodGet && r.Method != http.MethodHead || r.ContentLength != 0:
@@ -70,13 +66,13 @@
 
 // ServeHTTP answers one request.
 func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	// Whatever is answered before the request has been read whole closes the connection: cheap, and
-	// net/http would otherwise wait for the rest of a body.
+	// A response to a request that has not been read to its end closes the connection. Otherwise net/http would
+	// wait for the rest of the body.
 	w.Header().Set("Connection", "close")
 	conn := connOf(r.Context())
 	head, err := conn.takeHead(r)
 	if err != nil {
-		http.Error(w, err.Error(), http.StatusBadRequest)
+		writeInvalid(w, err)
 		return
 	}
 	if path, _, _ := strings.Cut(r.RequestURI, "?"); path == "/health/ready" {
@@ -85,19 +81,13 @@
 	}
 	c, err := f.readRequest(r, conn, head)
 	if err != nil {
-		status := http.StatusBadRequest
-		var no *requestError
-		if errors.As(err, &no) {
-			status = no.status
-		}
-		http.Error(w, err.Error(), status)
+		writeInvalid(w, err)
 		return
 	}
-	rc := http.NewResponseController(w)
-	rc.SetReadDeadline(time.Time{}) // it was for reading the request
+	http.NewResponseController(w).SetReadDeadline(time.Time{}) // the deadline was for reading the request
 	w.Header().Del("Connection")
-	// A caller that has left, or whose leaving can't be seen, has nothing begun for it: what it sent ahead
-	// is refused in turn. One that has only stopped sending may read that.
+	// If the client has left, or its departure could not be seen, no attempt may begin: its pipelined requests
+	// are rejected one after another. A client that has only shut down its sending side may read the responses.
 	if conn.awaitCaughtUp() != present || !f.conns.admitRequest(conn) {
 		f.writeResponse(w, conn, response{kind: responseRejected, retryAfter: f.rules.Load().retryAfter})
 		return
@@ -106,25 +96,26 @@
 	a, reads := f.awaitResponse(conn, c, r.ProtoAtLeast(1, 1))
 	if !reads {
 		w.Header().Set("Connection", "close")
-		a.kind = responseFailed // net/http would make a 200 of silence
+		a.kind = responseFailed // if nothing were written, net/http would send a 200
 	}
 	f.writeResponse(w, conn, a)
 }
 
-// await waits for the answer to a call, or for its caller to be gone: then nobody reads one. The mark on
-// the call is there before the loop hears of a departure, for a connection to a server may come up just then.
+// awaitResponse waits for the response to a request, or until its client has disconnected and nobody reads
+// one. The request is marked as departed before the loop is notified, because an attempt's connection to a
+// server may be established at that very moment, and the attempt must not begin any more.
 func (f *frontend) awaitResponse(conn *downstreamConn, c *request, interims bool) (a response, reads bool) {
-	for told := present; ; {
+	for notified := present; ; {
 		select {
 		case a := <-c.response:
 			return a, true
 		case <-conn.departureChanged:
 		}
 		how := conn.departure()
-		if how <= told {
+		if how <= notified {
 			continue
 		}
-		told = how
+		notified = how
 		begun := c.markDeparted()
 		f.post(clientDeparted{call: c, how: how, at: f.clock.now(), retryAfter: f.rules.Load().retryAfter})
 		switch {
@@ -136,8 +127,8 @@
 	}
 }
 
-// readCall reads a complete request and checks what the node and the servers rely on. What it rejects here
-// has been forwarded to no server. The time that the client waits runs from the request's first byte.
+// readRequest reads a complete request and checks what the node and the servers rely on; nothing has been
+// forwarded of a request that is invalid. The client's deadline counts from the request's first byte.
 func (f *frontend) readRequest(r *http.Request, conn *downstreamConn, head requestHead) (*request, error) {
 	c := &request{
 		method: r.Method, target: r.RequestURI, id: r.Header.Get("X-Request-Id"),
@@ -155,7 +146,7 @@
 	return c, nil
 }
 
-// readBody reads the body, with a length or in chunks, whose trailers are dropped.
+// readBody reads the body, which has a length or comes in chunks. Trailers are dropped.
 func (c *request) readBody(r *http.Request, conn *downstreamConn) error {
 	if r.ContentLength == 0 {
 		return nil
@@ -165,13 +156,13 @@
 	framing := conn.bodyError()
 	switch {
 	case len(c.body) > maxBody:
-		return &requestError{http.StatusRequestEntityTooLarge, "the body is too long"}
+		return errBodyTooLong
 	case framing != nil:
-		return &requestError{http.StatusBadRequest, framing.Error()}
+		return framing
 	case err != nil:
-		return &requestError{http.StatusBadRequest, "the body is not complete"}
+		return errBodyIncomplete
 	case len(c.body) > 0 && c.method == http.MethodGet:
-		return &requestError{http.StatusBadRequest, "GET has no body"}
+		return errBodyOfGet
 	}
 	return nil
 }
--- a/internal/node/requestvalidation.go
+++ b/internal/node/requestvalidation.go
@@ -1,20 +1,57 @@
 package node
 
 import (
-	"balancer"
-	"errors"
 	"math"
 	"net/http"
 	"strconv"
 	"strings"
 	"time"
+
+	"balancer"
+)
+
+const (
+	// maxRequestIDBytes is the longest X-Request-Id, in bytes.
+	maxRequestIDBytes = 128
+
+	// maxDeadline is the longest time that X-Deadline or X-Cost-Hint may name.
+	maxDeadline = time.Hour
+
+	// maxDeadlineFactor is how many times its class's deadline a request's X-Deadline may be.
+	maxDeadlineFactor = 2
+)
+
+// requestError says why a request is invalid. It is answered with status and reason before any server is
+// involved.
+type requestError struct {
+	status int // of HTTP
+	reason string
+}
+
+func (e *requestError) Error() string { return e.reason }
+
+// Errors of requests whose framing is sound (see framingError) and which are invalid nevertheless.
+var (
+	errMethodNotServed   = &requestError{http.StatusMethodNotAllowed, "only GET and POST are served"}
+	errMethodOfClass     = &requestError{http.StatusMethodNotAllowed, "the class is not asked for by this method"}
+	errUnknownClass      = &requestError{http.StatusNotFound, "the path names no class"}
+	errMalformedKey      = &requestError{http.StatusBadRequest, "Idempotency-Key is empty or comes twice"}
+	errKeyOfClass        = &requestError{http.StatusBadRequest, "Idempotency-Key does not fit the class"}
+	errRequestID         = &requestError{http.StatusBadRequest, "X-Request-Id is missing, too long, or comes twice"}
+	errDeadlineMissing   = &requestError{http.StatusBadRequest, "X-Deadline is missing or comes twice"}
+	errDeadlineMalformed = &requestError{http.StatusBadRequest, "X-Deadline is no plain number"}
+	errDeadlineRange     = &requestError{http.StatusBadRequest, "X-Deadline is no number or out of range"}
+	errDeadlineOfClass   = &requestError{http.StatusBadRequest, "X-Deadline is far beyond the class's"}
+	errBodyTooLong       = &requestError{http.StatusRequestEntityTooLarge, "the body is too long"}
+	errBodyIncomplete    = &requestError{http.StatusBadRequest, "the body is not complete"}
+	errBodyOfGet         = &requestError{http.StatusBadRequest, "GET has no body"}
 )
 
-// rules are what requests are checked against: the part of one revision of the settings that callers see.
+// requestRules are the part of one revision of the settings that requests are checked against.
 type requestRules struct {
-	revision   int // of the configuration, 1 being the one that the node started with
+	revision   int // of the configuration; the node starts with revision 1
 	classes    map[string]balancer.Class
-	retryAfter time.Duration // when to come back after a refusal for want of descriptors; 0: clients take none
+	retryAfter time.Duration // Retry-After of rejections for want of descriptors; 0: clients take none
 }
 
 func newRequestRules(revision int, set balancer.Settings) *requestRules {
@@ -28,82 +65,76 @@
 	return r
 }
 
-// admit tells what is wrong with a request in the class that it names, and notes the revision that it fits.
+// validate checks a request against the class that it names, and notes the revision that it was checked by.
 func (r *requestRules) validate(c *request) *requestError {
 	class, known := r.classes[c.class]
 	switch {
 	case !known:
-		return &requestError{http.StatusNotFound, "the path names no class"}
+		return errUnknownClass
 	case (class.Effect == balancer.Idempotent) != (c.method == http.MethodGet):
-		return &requestError{http.StatusMethodNotAllowed, "the class is not asked for by this method"}
+		return errMethodOfClass
 	case (c.key != "") != (class.Effect == balancer.IdempotentByKey):
-		return &requestError{http.StatusBadRequest, "Idempotency-Key does not fit the class"}
+		return errKeyOfClass
 	}
 	c.revision = r.revision
 	return nil
 }
 
-// rejected is a request that can't be used: it is answered without a look at any server.
-type requestError struct {
-	status int
-	reason string
-}
-
-func (r *requestError) Error() string { return r.reason }
-
-// check tells what is wrong with a request's head, and fills in its class and how long it may take. A
-// class that does not exist would be sent on as an unsafe one, only for the servers to turn it away,
-// and the module would take that for their ill health.
+// validateHead checks a request's head, and sets its class, deadline and expected work. It has to reject an
+// unknown class: a server would answer such a request with an error, and the decision module would take that
+// as a sign of the server's ill health.
 func (f *frontend) validateHead(c *request, r *http.Request) error {
 	path, _, _ := strings.Cut(c.target, "?")
 	c.class, _, _ = strings.Cut(strings.TrimPrefix(path, "/"), "/")
-	rules := f.rules.Load()
-	wait, err := parseDeadline(r.Header["X-Deadline"])
-	keyed := len(r.Header["Idempotency-Key"])
+	keys := len(r.Header["Idempotency-Key"])
 	switch {
 	case c.method != http.MethodGet && c.method != http.MethodPost:
-		return &requestError{http.StatusMethodNotAllowed, "only GET and POST are served"}
+		return errMethodNotServed
 	case !strings.HasPrefix(path, "/"):
-		return &requestError{http.StatusNotFound, "the path names no class"}
-	case keyed > 1 || keyed == 1 && c.key == "":
-		return &requestError{http.StatusBadRequest, "Idempotency-Key is empty or comes twice"}
+		return errUnknownClass
+	case keys > 1 || keys == 1 && c.key == "":
+		return errMalformedKey
 	}
-	if no := rules.validate(c); no != nil {
-		return no
+	rules := f.rules.Load()
+	if err := rules.validate(c); err != nil {
+		return err
+	}
+	if c.id == "" || len(c.id) > maxRequestIDBytes || len(r.Header["X-Request-Id"]) > 1 {
+		return errRequestID
 	}
+	wait, err := parseDeadline(r.Header["X-Deadline"])
 	switch {
-	case c.id == "" || len(c.id) > maxRequestIDBytes || len(r.Header["X-Request-Id"]) > 1:
-		return &requestError{http.StatusBadRequest, "X-Request-Id is missing, too long, or comes twice"}
 	case err != nil:
-		return &requestError{http.StatusBadRequest, err.Error()}
+		return err
 	case wait > maxDeadlineFactor*rules.classes[c.class].Deadline:
-		return &requestError{http.StatusBadRequest, "X-Deadline is far beyond the class's"}
+		return errDeadlineOfClass
 	case r.ContentLength > maxBody:
-		return &requestError{http.StatusRequestEntityTooLarge, "the body is too long"}
+		return errBodyTooLong
 	case r.ContentLength > 0 && c.method == http.MethodGet:
-		return &requestError{http.StatusBadRequest, "GET has no body"}
+		return errBodyOfGet
 	}
 	c.deadline, c.expectedWork = wait, parseWorkHint(r.Header.Get("X-Cost-Hint"))
 	return nil
 }
 
-// parseWait reads X-Deadline: seconds in digits, with decimals or without, and nothing else that
-// strconv would take (signs, exponents, hexadecimals, underscores).
+// parseDeadline parses X-Deadline: seconds in decimal digits with an optional fraction. The other forms that
+// strconv takes (signs, exponents, hexadecimals, underscores) are rejected.
 func parseDeadline(values []string) (time.Duration, error) {
 	if len(values) != 1 {
-		return 0, errors.New("X-Deadline is missing or comes twice")
+		return 0, errDeadlineMissing
 	}
 	if strings.Trim(values[0], "0123456789.") != "" {
-		return 0, errors.New("X-Deadline is no plain number")
+		return 0, errDeadlineMalformed
 	}
-	s, err := strconv.ParseFloat(values[0], 64)
-	if err != nil || !(s > 0 && s <= maxDeadline.Seconds()) {
-		return 0, errors.New("X-Deadline is no number or out of range")
+	seconds, err := strconv.ParseFloat(values[0], 64)
+	if err != nil || !(seconds > 0 && seconds <= maxDeadline.Seconds()) {
+		return 0, errDeadlineRange
 	}
-	return time.Duration(math.Round(s * 1e9)), nil
+	return time.Duration(math.Round(seconds * 1e9)), nil
 }
 
-// parseHint reads X-Cost-Hint, in microseconds. What can't be read is no hint: it is only advice.
+// parseWorkHint parses X-Cost-Hint, in microseconds. The hint is only advice, so that a malformed one counts
+// as none (0) and is no reason to reject the request.
 func parseWorkHint(text string) time.Duration {
 	us, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(us > 0 && us <= float64(maxDeadline.Microseconds())) {
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -1,13 +1,15 @@
 package node
 
 import (
+	"errors"
 	"net/http"
 	"strconv"
 	"time"
 )
 
-// write gives the answer to the caller. A connection that is to be closed stays open as long as more requests
-// were read on it, which would get no answer.
+// writeResponse writes the final response of a request. It closes the connection with the response while
+// there are too many connections or the node shuts down, but not if a pipelined request was read on it, which
+// would then get no response.
 func (f *frontend) writeResponse(w http.ResponseWriter, conn *downstreamConn, a response) {
 	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	h := w.Header()
@@ -16,13 +18,7 @@
 	}
 	switch a.kind {
 	case responseServed:
-		if a.contentType == "" {
-			h["Content-Type"] = nil // none, rather than a guess
-		} else {
-			h.Set("Content-Type", a.contentType)
-		}
-		h.Set("Content-Length", strconv.Itoa(len(a.body)))
-		w.Write(a.body)
+		writeServed(w, a)
 	case responseRejected:
 		if a.retryAfter > 0 {
 			h.Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', -1, 64))
@@ -31,8 +27,31 @@
 	case responseFailed:
 		http.Error(w, "failed", http.StatusBadGateway)
 	case responseInvalid:
-		http.Error(w, a.reason.Error(), a.reason.status)
+		writeInvalid(w, a.reason)
 	case responseDuplicateID:
 		http.Error(w, "X-Request-Id is in use", http.StatusConflict)
 	}
 }
+
+// writeServed forwards the response of a server.
+func writeServed(w http.ResponseWriter, a response) {
+	h := w.Header()
+	if a.contentType == "" {
+		h["Content-Type"] = nil // keeps net/http from guessing one
+	} else {
+		h.Set("Content-Type", a.contentType)
+	}
+	h.Set("Content-Length", strconv.Itoa(len(a.body)))
+	w.Write(a.body)
+}
+
+// writeInvalid answers a request that is invalid: with the status of a requestError, or with 400 for an error
+// in its framing.
+func writeInvalid(w http.ResponseWriter, err error) {
+	status := http.StatusBadRequest
+	var invalid *requestError
+	if errors.As(err, &invalid) {
+		status = invalid.status
+	}
+	http.Error(w, err.Error(), status)
+}
