--- a/internal/node/departure.go
+++ b/internal/node/departure.go
@@ -165,7 +165,7 @@
 	}
 }
 
-// noteDeparture records an observation, and notifies the handler of the open request if it is news.
+// noteDeparture records an observation. If it exceeds what was known, the handler of the open request is notified.
 func (c *downstreamConn) noteDeparture(observed departure) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/node/requestbodyscanner.go
+++ b/internal/node/requestbodyscanner.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// bodyError is what is wrong with the body of the request that was taken last.
+// bodyError returns the error in the body of the request whose head was taken last, or nil.
 func (s *requestScanner) bodyError() error {
 	if len(s.heads) == 0 && s.errInBody {
 		return s.err
@@ -13,7 +13,7 @@
 	return nil
 }
 
-// skip passes over the bytes of a body or a chunk.
+// skipBody skips bytes of a body or a chunk, and returns those behind it.
 func (s *requestScanner) skipBody(p []byte) []byte {
 	n := min(s.remaining, uint64(len(p)))
 	if s.remaining -= n; s.remaining == 0 {
@@ -26,8 +26,8 @@
 	return p[n:]
 }
 
-// takeChunkSize reads the line before a chunk: hexadecimal digits and nothing else, then the line's end or
-// an extension, which is dropped.
+// parseChunkSize parses the line before a chunk (RFC 9112, section 7.1): hexadecimal digits only, followed by
+// the line's end or an extension, which is ignored.
 func (s *requestScanner) parseChunkSize(line []byte) error {
 	line, hasEnd := bytes.CutSuffix(line, []byte("\r\n"))
 	digits, _, _ := bytes.Cut(line, []byte(";"))
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// takeTrailer reads a line behind the last chunk. Its fields are dropped.
+// parseTrailerLine parses a line behind the last chunk. Trailer fields are ignored.
 func (s *requestScanner) parseTrailerLine(line []byte) error {
 	switch {
 	case string(line) == "\r\n":
--- a/internal/node/requestheadscanner.go
+++ b/internal/node/requestheadscanner.go
@@ -8,29 +8,30 @@
 	"time"
 )
 
-// chunkedLength stands in for the length of a body in chunks, as http.Request.ContentLength has it.
+// chunkedLength is the bodyLength of a chunked body, as in http.Request.ContentLength.
 const chunkedLength = -1
 
-// requestHead is what the scanner knows of one request once its head is complete.
+// requestHead is what the scanner knows about one request once its head is complete.
 type requestHead struct {
 	firstByte  time.Duration // clock time when its first byte was read
 	lineHash   uint64        // hash of the request line
-	bodyLength int64         // of the body, or chunkedLength
+	bodyLength int64         // in bytes, or chunkedLength
 }
 
-// requestLines is the seed for the hashes of request lines.
+// requestLineSeed is the seed for the hashes of request lines.
 var requestLineSeed = maphash.MakeSeed()
 
-// fieldKind tells what a folded line continues.
+// fieldKind is the kind of a header field, which decides whether the field may be folded.
 type fieldKind int
 
 const (
-	fieldNone fieldKind = iota
-	fieldFraming
+	fieldNone    fieldKind = iota // no field precedes
+	fieldFraming                  // Content-Length or Transfer-Encoding
 	fieldOther
 )
 
-// take returns the next head, which must be the one that net/http has read.
+// takeHead removes and returns the next head. It fails if net/http has read another one here, because the two
+// then disagree about where the request before it ends.
 func (s *requestScanner) takeHead(r *http.Request) (requestHead, error) {
 	if len(s.heads) == 0 {
 		if s.err != nil {
@@ -49,7 +50,7 @@
 	return head, nil
 }
 
-// withoutLineEnd is a line of a head without its end, which net/http takes with or without CR.
+// withoutLineEnd strips the end of a line in a head, which net/http accepts with or without CR.
 func withoutLineEnd(line []byte) []byte {
 	return bytes.TrimSuffix(bytes.TrimSuffix(line, []byte("\n")), []byte("\r"))
 }
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// takeFold reads a line that continues the one before it (obs-fold).
+// parseFoldedLine parses a line that continues the field line before it (obs-fold, RFC 9112, section 5.2).
 func (s *requestScanner) parseFoldedLine() error {
 	switch s.previousField {
 	case fieldNone:
@@ -105,8 +106,8 @@
 
 func (s *requestScanner) parseContentLength(value []byte) error {
 	length, err := strconv.ParseUint(string(value), 10, 63)
-	again := s.hasLength && int64(length) != s.current.bodyLength
-	if err != nil || s.truncated || again {
+	differs := s.hasLength && int64(length) != s.current.bodyLength
+	if err != nil || s.truncated || differs {
 		return errContentLength
 	}
 	s.hasLength, s.current.bodyLength = true, int64(length)
@@ -121,7 +122,7 @@
 	return nil
 }
 
-// endHead checks the head as a whole and queues it.
+// endHead checks how the fields of a complete head go together, queues the head, and begins its body.
 func (s *requestScanner) endHead() error {
 	switch {
 	case s.hasCoding && s.hasLength:
--- a/internal/node/requestscanner.go
+++ b/internal/node/requestscanner.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Bounds on what one downstream connection may make the scanner hold or skip.
+// Limits on what one downstream connection may make the scanner buffer or skip.
 const (
-	maxRequestLine    = maxHeaderBytes + 4<<10 // bytes; net/http allows a head no more
-	maxBufferedField  = 256                    // bytes of a field line; a longer one can't be a good Content-Length
+	maxRequestLine    = maxHeaderBytes + 4<<10 // bytes; the limit of net/http for a complete head
+	maxBufferedField  = 256                    // bytes of a field line that are buffered; a valid Content-Length is shorter
 	maxChunkLine      = 4 << 10                // bytes of a chunk's size and extensions, as in net/http
 	maxTrailers       = 4 << 10                // bytes of all trailers of a request, as in net/http
 	maxChunkDigits    = 16                     // hexadecimal digits of a chunk's size, as in net/http
-	maxPipelinedHeads = 2048                   // more than the requests of use that fit in aheadEach bytes
-	maxBlankBytes     = 4                      // CR and LF that net/http skips behind a POST
+	maxPipelinedHeads = 2048                   // more than the valid requests that fit in readAheadPerConn bytes
+	maxBlankBytes     = 4                      // bytes of CR and LF that net/http skips after a POST
 )
 
-// framingError says why the framing of a request is ambiguous or can't be read.
+// framingError says why the framing of a request is ambiguous or malformed. Its text is sent to the client.
 type framingError string
 
 func (e framingError) Error() string { return string(e) }
 
-// Errors in the framing of a request.
+// Errors in the framing of a request, all answered with 400.
 const (
 	errRequestLine      framingError = "the request line can't be read"
 	errFieldLine        framingError = "a header field can't be read"
@@ -41,29 +41,31 @@
 type scanState int
 
 const (
-	scanIdle scanState = iota
-	scanRequestLine
+	scanIdle        scanState = iota // between two requests
+	scanRequestLine                  // the states of a head, up to scanFieldLine
 	scanFieldLine
-	scanBody // with a Content-Length
-	scanChunkSize
+	scanBody      // a body with a Content-Length
+	scanChunkSize // the states of a chunked body
 	scanChunk
 	scanChunkEnd
 	scanTrailers
 )
 
-// requestScanner follows the framing of the requests on one downstream connection, and is fed every byte as
-// it is read from the kernel. It knows what net/http hides: when the first byte of each request came, also
-// of one behind another, and whether Content-Length, which net/http drops then, came beside
-// Transfer-Encoding. It is as strict as net/http or stricter; what it rejects is answered with an error and
-// ends the connection, so that no request can hide in the body of another. After an error it scans no more.
+// requestScanner follows the framing of the requests on one downstream connection (RFC 9112, sections 2, 6 and
+// 7), and is fed every byte as it is read from the kernel. It learns what net/http does not report: when the
+// first byte of each request was read, pipelined ones included, and whether Content-Length came beside
+// Transfer-Encoding, in which case net/http drops the former. It is at least as strict as net/http. What it
+// rejects is answered with an error that closes the connection, so that no request can be smuggled in the body
+// of another. After an error it scans no more.
 //
-// It holds one line, as far as it is of use, and a few words for each request that is read ahead.
+// It buffers one line at most, and a requestHead for each pipelined request. requestheadscanner.go parses the
+// lines of heads, requestbodyscanner.go those of bodies.
 type requestScanner struct {
 	state        scanState
 	line         []byte // the current line so far
-	truncated    bool   // a field line was longer than what is kept of it
-	remaining    uint64 // bytes of the body, the chunk or the trailers that may still come
-	blankAllowed int    // bytes that may be skipped before the next request line
+	truncated    bool   // the field line is longer than the buffered part of it
+	remaining    uint64 // bytes of the body or chunk that are still to come, or that trailers may still have
+	blankAllowed int    // bytes of CR and LF that may be skipped before the next request line
 
 	current       requestHead
 	http10        bool
@@ -72,12 +74,12 @@
 	hasCoding     bool
 	previousField fieldKind // of the line before
 
-	heads     []requestHead // complete, and not taken yet
+	heads     []requestHead // complete heads that net/http has not reached yet
 	err       error
-	errInBody bool // err is in the body that belongs to the last head, not in the next head
+	errInBody bool // err is in the body of the last complete head, not in the head after it
 }
 
-// feed scans bytes that were read at a clock time.
+// feed scans bytes that were read at the given clock time.
 func (s *requestScanner) feed(p []byte, at time.Duration) {
 	for len(p) > 0 && s.err == nil {
 		switch s.state {
@@ -91,19 +93,20 @@
 	}
 }
 
-// midRequest says that a request has begun and is not complete.
+// midRequest reports whether a request has begun and is not complete.
 func (s *requestScanner) midRequest() bool { return s.err == nil && s.state != scanIdle }
 
-// anotherBegun says that a request behind those that were taken has begun.
+// anotherBegun reports whether a request has begun behind those whose heads were taken.
 func (s *requestScanner) anotherBegun() bool { return len(s.heads) > 0 || s.midRequest() }
 
+// fail ends the scan. The state says whether the error is in a head or in a body: those of heads come first.
 func (s *requestScanner) fail(err error) {
 	s.err = err
 	s.errInBody = s.state > scanFieldLine
 	s.line = nil
 }
 
-// begin notes the first byte of a request, behind line ends that net/http skips after a POST.
+// beginRequest notes the first byte of a request, after the line ends that net/http skips behind a POST.
 func (s *requestScanner) beginRequest(p []byte, at time.Duration) []byte {
 	if s.blankAllowed > 0 && (p[0] == '\r' || p[0] == '\n') {
 		s.blankAllowed--
@@ -115,14 +118,15 @@
 	return p
 }
 
-// collectLine adds to the current line up to its end.
+// collectLine adds bytes to the current line, parses the line once it is complete, and returns the bytes
+// behind it.
 func (s *requestScanner) collectLine(p []byte) []byte {
 	part, rest, complete := p, []byte(nil), false
 	if end := bytes.IndexByte(p, '\n'); end >= 0 {
 		part, rest, complete = p[:end+1], p[end+1:], true
 	}
-	most, tooLong := s.lineLimit()
-	if over := len(s.line) + len(part) - most; over > 0 {
+	limit, tooLong := s.lineLimit()
+	if over := len(s.line) + len(part) - limit; over > 0 {
 		if tooLong != nil {
 			s.fail(tooLong)
 			return nil
@@ -135,13 +139,14 @@
 		s.line, s.truncated = s.line[:0], false
 	}
 	if s.state == scanIdle {
-		s.line = nil // an idle connection holds nothing
+		s.line = nil // an idle connection holds no buffer
 	}
 	return rest
 }
 
-// lineLimit is how much of the current line is kept, in bytes, and the error if it is longer.
-func (s *requestScanner) lineLimit() (most int, tooLong error) {
+// lineLimit returns how much of the current line is buffered, in bytes, and the error if it is longer. Without
+// an error, the rest of the line is skipped.
+func (s *requestScanner) lineLimit() (limit int, tooLong error) {
 	switch s.state {
 	case scanRequestLine:
 		return maxRequestLine, errRequestLine
@@ -155,7 +160,7 @@
 	return maxBufferedField, nil
 }
 
-// takeLine reads a line that is complete.
+// parseLine parses the current line, which is complete.
 func (s *requestScanner) parseLine() {
 	var err error
 	switch s.state {
@@ -177,7 +182,7 @@
 	}
 }
 
-// end notes that a request is complete.
+// endRequest notes that a request is complete.
 func (s *requestScanner) endRequest() {
 	s.state, s.blankAllowed, s.line = scanIdle, 0, nil
 	if s.isPost {
