--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -1,4 +1,8 @@
-// Command balancer is one load-balancing node on real sockets, told all by BALANCER_CONFIG.
+// Command balancer runs one load-balancing node. It takes no arguments: the environment variable BALANCER_CONFIG
+// names its configuration, a JSON file, and the log goes to standard error.
+//
+// SIGHUP reloads the configuration. SIGTERM or SIGINT starts a graceful shutdown. The exit status is 0 after a
+// complete shutdown and 1 after an error, which is written to standard error. docs/OPERATIONS.md has the details.
 package main
 
 import (
@@ -30,7 +34,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	node.Limit(cfg)
+	node.LimitResources(cfg)
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil)).With("node", cfg.Name, "zone", cfg.Zone)
 	n, err := node.New(cfg, log)
 	if err != nil {
@@ -40,7 +44,7 @@
 	go func() {
 		for range again {
 			if cfg, err := node.LoadConfig(); err != nil {
-				log.Error("the new configuration is bad; the old one stays", "error", err)
+				log.Error("configuration rejected, the previous one stays in force", "error", err)
 			} else {
 				n.Reload(cfg)
 			}
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -47,7 +47,7 @@
 		case !accepting && left == 0:
 			return nil
 		case ctx.Err() != nil:
-			return fmt.Errorf("%d downstream connections are left, by phase %v: %w", left, f.conns.phaseCounts(), ctx.Err())
+			return fmt.Errorf("connections are left open: %d, by phase %v: %w", left, f.conns.phaseCounts(), ctx.Err())
 		case !notified && answerAll():
 			_ = ln.Close() // it is still open only if every accept fails, and needs no answer
 			f.post(shutdownDeadline{})
