--- /dev/null
+++ b/internal/node/departure.go
@@ -0,0 +1,186 @@
+package node
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"syscall"
+)
+
+// departure is what the node knows about a client's leaving while its request is open. It only ever
+// increases during a request: of two observations, the greater holds.
+type departure int
+
+const (
+	present      departure = iota // nothing was seen of a departure
+	unobservable                  // the read-ahead buffer is full, so that a close behind it could not be seen
+	halfClosed                    // a FIN was received; the client may still read the response
+	disconnected                  // the connection was reset or has failed
+)
+
+// String returns the departure's name for logs and test failures.
+func (d departure) String() string {
+	switch d {
+	case present:
+		return "present"
+	case unobservable:
+		return "unobservable"
+	case halfClosed:
+		return "half-closed"
+	case disconnected:
+		return "disconnected"
+	}
+	return fmt.Sprintf("departure(%d)", int(d))
+}
+
+// errReadAheadFull ends the departure watch when the client has pipelined more than may be buffered.
+var errReadAheadFull = errors.New("the read-ahead buffer is full")
+
+// beginWatch reports whether a request is open, so that the read that net/http begins now is its watch for
+// the client's departure. net/http begins that watch only once the body has been read to its end, so the
+// request is complete. No wait for another request is left to be interrupted, and so an earlier eviction or
+// abort of this connection is void.
+func (c *downstreamConn) beginWatch() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.requestOpen {
+		c.requestComplete, c.readAborted = true, false
+		c.noteBytes()
+	}
+	return c.requestOpen
+}
+
+// watchForDeparture reads whatever the client pipelines behind an open request, since a FIN or RST can only
+// be seen once the bytes before it are read. It returns at the read deadline, on a reset, or when the
+// read-ahead buffer is full. After a FIN it goes on to wait for a reset.
+func (c *downstreamConn) watchForDeparture() error {
+	defer close(c.watchEnded)
+	defer c.markCaughtUp()
+	for {
+		if err := c.awaitUnread(); err != nil {
+			c.noteRead(0, err)
+			return err
+		}
+		buffer := c.readAheadBuffer()
+		if buffer == nil {
+			c.noteDeparture(unobservable)
+			return errReadAheadFull
+		}
+		n, err := c.Conn.Read(buffer)
+		c.scan(buffer[:n])
+		c.appendReadAhead(n)
+		c.noteRead(n, err)
+		switch {
+		case errors.Is(err, io.EOF):
+			c.markCaughtUp()
+			return c.awaitReset()
+		case err != nil:
+			return err
+		}
+	}
+}
+
+// awaitUnread waits until the kernel has received something from the client: bytes, a FIN or an RST. Before
+// it waits, it notes that everything received so far has been read.
+func (c *downstreamConn) awaitUnread() error {
+	raw := rawConn(c.Conn)
+	if raw == nil {
+		return nil
+	}
+	return raw.Read(func(fd uintptr) bool {
+		unread := hasUnread(fd)
+		if !unread {
+			c.markCaughtUp()
+		}
+		return unread
+	})
+}
+
+// awaitReset waits, after the client's FIN, for a reset or the read deadline. It asks for the socket's error,
+// because a read would not wait but return the end of the stream at once.
+func (c *downstreamConn) awaitReset() error {
+	raw := rawConn(c.Conn)
+	if raw == nil {
+		return io.EOF
+	}
+	var socketErr error
+	err := raw.Read(func(fd uintptr) bool {
+		errno, err := syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_ERROR)
+		if err == nil && errno != 0 {
+			err = syscall.Errno(errno)
+		}
+		socketErr = err
+		return err != nil
+	})
+	if err == nil {
+		c.noteDeparture(disconnected)
+		err = socketErr
+	}
+	return err
+}
+
+// markCaughtUp notes that the watch has read everything that had arrived, or as much as can be buffered.
+func (c *downstreamConn) markCaughtUp() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !isClosed(c.caughtUp) {
+		close(c.caughtUp)
+	}
+}
+
+// awaitCaughtUp waits until the watch has read everything that had arrived, and returns the departure known
+// then.
+func (c *downstreamConn) awaitCaughtUp() departure {
+	c.mu.Lock()
+	caughtUp := c.caughtUp
+	c.mu.Unlock()
+	<-caughtUp
+	return c.departure()
+}
+
+// endWatch ends the watch of an open request, which must have begun (see awaitCaughtUp); bytes that arrive
+// from now on stay unread. It reports whether another request, or a part of one, was read behind this one.
+func (c *downstreamConn) endWatch() (another bool) {
+	c.Conn.SetReadDeadline(pastDeadline)
+	<-c.watchEnded
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.requests.anotherBegun()
+}
+
+// noteRead notes what the result of a read says about the client. Of the timeouts only
+// os.ErrDeadlineExceeded is the node's own deadline: ETIMEDOUT, for which Timeout() is true as well, means
+// that the connection has failed.
+func (c *downstreamConn) noteRead(n int, err error) {
+	switch {
+	case n > 0:
+		c.mu.Lock()
+		c.noteBytes()
+		c.mu.Unlock()
+	case errors.Is(err, io.EOF):
+		c.noteDeparture(halfClosed)
+	case err != nil && !errors.Is(err, os.ErrDeadlineExceeded):
+		c.noteDeparture(disconnected)
+	}
+}
+
+// noteDeparture records an observation. If it exceeds what was known, the handler of the open request is notified.
+func (c *downstreamConn) noteDeparture(observed departure) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if observed <= c.departed {
+		return
+	}
+	c.departed = observed
+	select {
+	case c.departureChanged <- struct{}{}:
+	default:
+	}
+}
+
+func (c *downstreamConn) departure() departure {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.departed
+}
