--- a/internal/node/dial.go
+++ b/internal/node/dial.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"net"
 	"syscall"
 	"time"
@@ -65,39 +64,3 @@
 		}
 	}
 }
-
-// connect takes a rested idle connection, or opens a fresh one. Local trouble is waited out for as long as the
-// attempt may begin.
-func (b *upstreamPool) connect(ctx context.Context, a *attempt, waiter chan upstreamReply) (c *upstreamConn, fresh bool, err error) {
-	mayWait := func(wait time.Duration) bool { return b.mayBeginIn(a, wait) }
-	heldUp, err := dialWithBackoff(ctx, mayWait, func() error {
-		c, fresh, err = b.connectOnce(ctx, a.instance, waiter)
-		return err
-	})
-	a.heldUp = a.heldUp || heldUp
-	return c, fresh, err
-}
-
-// mayBeginIn says that an attempt has time left after a wait, and that its server is still to be used.
-func (b *upstreamPool) mayBeginIn(a *attempt, wait time.Duration) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	begin := b.clock.now() + wait
-	return begin < a.deadline && (a.notAfter == 0 || begin < a.notAfter) && b.isReady(a.instance)
-}
-
-// connectOnce does so with one dial at most.
-func (b *upstreamPool) connectOnce(ctx context.Context, to endpointInstance, waiter chan upstreamReply) (c *upstreamConn, fresh bool, err error) {
-	c, err = b.takeIdle(to, waiter)
-	if c != nil || err != nil {
-		return c, false, err
-	}
-	nc, err := b.dial(ctx, "tcp", to.address)
-	if err != nil {
-		b.mu.Lock()
-		b.open--
-		b.mu.Unlock()
-		return nil, true, fmt.Errorf("connect: %w", err)
-	}
-	return b.startReader(nc, to, waiter), true, nil
-}
--- a/internal/node/listparser.go
+++ b/internal/node/listparser.go
@@ -185,25 +185,3 @@
 type ignoredValue struct{}
 
 func (*ignoredValue) UnmarshalJSON([]byte) error { return nil }
-
-// listBody is the body of discovery's answer, up to maxList bytes. It notes why it could not be read to its end:
-// to the parser that looks like a malformed list.
-type listBody struct {
-	limitedReader
-	err error
-}
-
-func newListBody(body io.Reader) *listBody {
-	return &listBody{limitedReader: limitedReader{Reader: body, remaining: maxListBytes + 1}}
-}
-
-func (b *listBody) Read(p []byte) (int, error) {
-	n, err := b.limitedReader.Read(p)
-	if b.remaining == 0 {
-		return n, errResponseTooLong
-	}
-	if err != nil && !errors.Is(err, io.EOF) {
-		b.err = err
-	}
-	return n, err
-}
--- a/internal/node/answer.go
+++ b/internal/node/upstreamresponse.go
@@ -11,28 +11,9 @@
 	"balancer"
 )
 
-// errTooLong ends an answer that is longer than one may be, be it by its head or by what comes before it.
-var errResponseTooLong = errors.New("the answer is too long")
-
 // errCut says that an answer is not complete, or can't be told to be.
 var errIncompleteResponse = errors.New("the answer is not complete")
 
-// bounded reads up to a number of bytes that its reader sets anew for each answer. Neither http.ReadResponse
-// nor io.ReadAll has a bound of its own: one endless head would fill the memory.
-type limitedReader struct {
-	io.Reader
-	remaining int
-}
-
-func (b *limitedReader) Read(p []byte) (int, error) {
-	if b.remaining <= 0 {
-		return 0, errResponseTooLong
-	}
-	n, err := b.Reader.Read(p[:min(len(p), b.remaining)])
-	b.remaining -= n
-	return n, err
-}
-
 // framing is what tells where the body of an answer ends (RFC 9112, section 6.3).
 type bodyFraming int
 
@@ -127,3 +108,8 @@
 	}
 	return body, err
 }
+
+const (
+	maxBody             = 64 << 10 // the longest body of a request or an answer
+	maxResponseOverhead = 16 << 10 // all of an answer but its body: heads, 1xx before them, chunks' sizes
+)
