--- a/internal/node/boottime.go
+++ b/internal/node/boottime.go
@@ -7,35 +7,37 @@
 )
 
 const (
-	// offsetTolerance is the difference between two readings of the wall clock against the monotonic one that is
-	// no step: the two are read one after the other, and the wall clock is slewed all the time.
+	// offsetTolerance is the difference between two offsets of the wall clock from the monotonic one that does not
+	// count as a step: the two clocks are read one after the other, and the wall clock is slewed continuously.
 	offsetTolerance = 10 * time.Millisecond
-	// futureTolerance is how far in the future a start may lie and still count as now: boot_ms is rounded, and
-	// machines agree on the time only so far.
+	// futureTolerance is how far in the future a start may lie and still count as now: boot_ms is rounded, and the
+	// clocks of machines differ slightly.
 	futureTolerance = 100 * time.Millisecond
-	// maxOffsets is how many offsets between the two clocks are kept, the latest seen.
+	// maxOffsets is the number of offsets between the two clocks that are stored, those seen last.
 	maxOffsets = 16
-	// maxBoot is the latest boot_ms that fits a time.Duration together with any clock time.
-	maxBoot = 9e12
+	// maxConvertibleBootMS is the latest boot_ms, in Unix milliseconds, whose sum with any clock time fits a
+	// time.Duration.
+	maxConvertibleBootMS = 9e12
 )
 
 // bootClock converts boot_ms, which is Unix time, to times of the node's clock, which is monotonic.
 //
-// The wall clock may be set at any moment, also between a server's start and the list that tells of it, and
-// nothing in boot_ms says which of the settings it was read under. So the offsets between the two clocks that
-// this process has seen are kept, a start is converted by each, and the latest result that is not in the future
-// holds: a server taken for younger than it is gets less for a while, one taken for older may be overloaded.
+// The wall clock may be set at any moment, also between the start of an endpoint and the list that announces it,
+// and boot_ms does not show which setting of the clock it was read under. So the offsets between the two clocks
+// that this process has observed are stored, a start is converted by each of them, and the latest result that is
+// not in the future holds. An endpoint that is taken for younger than it is receives less traffic for a while; one
+// that is taken for older may be overloaded during its slow start.
 //
-// What the node itself knows bounds the result. No start lies in the future. And an entry whose boot_ms changes
-// had not restarted when the list was last known to be current (lists may come late: then the server counts as
-// younger by that). An entry that is not in the list before has no such bound: it may have run all the while and
-// have been registered late, or left out while it could not be reached.
+// What the node itself knows bounds the result. No start lies in the future. And an entry whose boot_ms changes had
+// not restarted when the list was last known to be current (lists may be late; then the endpoint counts as younger
+// by that delay). An entry that the previous list does not have is not bounded so: the endpoint may have run
+// already, and may have been registered late or left out while it was unreachable.
 //
 // It belongs to the goroutine of the loop.
 type bootClock struct {
 	clock     clock
-	offsets   []time.Duration // clock time less Unix time; the one seen last is the last
-	currentAt time.Duration   // when the list held was last known to be current; 0: not yet
+	offsets   []time.Duration // clock time minus Unix time, in the order in which they were last seen
+	currentAt time.Duration   // clock time when the node's list was last known to be current; 0: not yet
 }
 
 func newBootClock(c clock) *bootClock {
@@ -44,7 +46,7 @@
 	return b
 }
 
-// observe notes the offset between the two clocks.
+// observe records the present offset between the two clocks.
 func (b *bootClock) observe() {
 	offset := b.clock.now() - b.clock.unix()
 	b.offsets = slices.DeleteFunc(b.offsets, func(known time.Duration) bool {
@@ -56,43 +58,45 @@
 	}
 }
 
-// confirm notes that discovery has answered: the list that the node now holds is current.
+// confirm records that discovery has answered, so that the node's list is current now.
 func (b *bootClock) confirm() {
 	b.observe()
 	b.currentAt = b.clock.now()
 }
 
-// started is the clock time of the start that an entry tells of; 0: long ago. held is the entry with the same uid
-// in the list that the node holds, if there is one: while boot_ms stays the same, so does the result.
-func (b *bootClock) startTime(bootMS float64, held listEntry, isHeld bool) time.Duration {
+// startTime returns the clock time of the start that an entry announces; 0: long ago. previous is the entry with the
+// same uid in the node's list, if listed: while boot_ms remains the same, so does the result.
+func (b *bootClock) startTime(bootMS float64, previous listEntry, listed bool) time.Duration {
 	switch {
-	case isHeld && held.bootMS == bootMS:
-		return held.StartedAt
+	case listed && previous.bootMS == bootMS:
+		return previous.StartedAt
 	case bootMS == 0:
 		return 0
 	}
-	at := max(1, b.convert(bootMS))
-	if isHeld {
-		at = max(at, b.currentAt, held.StartedAt+1) // + 1: another life has another time
+	start := max(1, b.convert(bootMS))
+	if listed {
+		start = max(start, b.currentAt, previous.StartedAt+1) // + 1, as another instance has another start
 	}
-	return at
+	return start
 }
 
-// convert is the latest time that the offsets make of a start and that is not in the future, or now if there is none.
+// convert returns the latest clock time that the offsets yield for a start and that is not in the future, or the
+// present one if there is none.
 func (b *bootClock) convert(bootMS float64) time.Duration {
 	now := b.clock.now()
-	boot := time.Duration(math.Round(min(bootMS, maxBoot)*1000)) * time.Microsecond // exact, as one in ns is not
+	// Rounding to microseconds makes this exact; as a float64, nanoseconds since 1970 are not.
+	boot := time.Duration(math.Round(min(bootMS, maxConvertibleBootMS)*1000)) * time.Microsecond
 	var (
 		latest time.Duration
 		found  bool
 	)
 	for _, offset := range b.offsets {
-		at := boot + offset
-		if at > now+futureTolerance {
+		start := boot + offset
+		if start > now+futureTolerance {
 			continue
 		}
-		if !found || at > latest {
-			latest, found = at, true
+		if !found || start > latest {
+			latest, found = start, true
 		}
 	}
 	if !found {
--- a/internal/node/listbody.go
+++ b/internal/node/listbody.go
@@ -5,17 +5,11 @@
 	"io"
 )
 
-func (b *limitedReader) Read(p []byte) (int, error) {
-	if b.remaining <= 0 {
-		return 0, errResponseTooLong
-	}
-	n, err := b.Reader.Read(p[:min(len(p), b.remaining)])
-	b.remaining -= n
-	return n, err
-}
+// maxListBytes is the longest endpoint list, in bytes. One of 3,200 endpoints that is indented has about 1 MB.
+const maxListBytes = 4 << 20
 
-// listBody is the body of discovery's answer, up to maxList bytes. It notes why it could not be read to its end:
-// to the parser that looks like a malformed list.
+// listBody is the body of a registry response, of up to maxListBytes. It records why it could not be read to its
+// end, as the parser reports a truncated list like a malformed one.
 type listBody struct {
 	limitedReader
 	err error
--- a/internal/node/listparser.go
+++ b/internal/node/listparser.go
@@ -6,34 +6,50 @@
 	"errors"
 	"fmt"
 	"io"
-	"math"
 	"net/netip"
 	"strings"
 
 	"balancer"
 )
 
-// list is what discovery tells: the complete list of servers, or the entries that changed.
+// endpointList is a list as the registry sends it: all endpoints, or the entries that changed since a version.
 type endpointList struct {
 	version  int64
 	complete bool
 	entries  []listEntry
 }
 
-// target is an entry of a list: the module's view of a server, where it listens, and when it last started.
+// listEntry is an entry of a list: the endpoint as the policy knows it, with its address and its start.
 type listEntry struct {
-	balancer.Endpoint // its Boot is set by the loop
+	balancer.Endpoint // its StartedAt is set by the loop
 	address           string
 	bootMS            float64 // as listed: Unix time in milliseconds; 0: long ago
 }
 
-func (t listEntry) instance() endpointInstance { return endpointInstance{t.ID, t.address, t.bootMS} }
+func (e listEntry) instance() endpointInstance { return endpointInstance{e.ID, e.address, e.bootMS} }
 
+// endpointStates maps the states of the registry to those of the policy.
 var endpointStates = map[string]balancer.EndpointState{
-	"in_service": balancer.Ready, "terminating": balancer.Draining, "terminated": balancer.Removed,
+	"in_service":  balancer.Ready,
+	"terminating": balancer.Draining,
+	"terminated":  balancer.Removed,
 }
 
-// listEntry is an entry of a list as discovery writes it.
+// Limits of the figures in an entry. Larger ones are malformed.
+const (
+	maxCapacity = 1e12 // capacity_hint, in the unit of the settings
+	maxBootMS   = 1e13 // boot_ms, Unix time in milliseconds
+	maxCell     = 1e9  // pod_group, by amount
+)
+
+var (
+	errNoUID         = errors.New("uid is empty")
+	errOutOfRange    = errors.New("capacity_hint, boot_ms or pod_group is out of range")
+	errNoVersion     = errors.New("rev or all is missing")
+	errTrailingBytes = errors.New("something follows its end")
+)
+
+// wireEntry is an entry of a list in its JSON form.
 type wireEntry struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -44,52 +60,56 @@
 	Boot     float64 `json:"boot_ms"`
 }
 
-// target checks an entry and converts it.
+// toListEntry validates an entry and converts it. An endpoint that was removed needs no address.
 func (e *wireEntry) toListEntry() (listEntry, error) {
 	state, ok := endpointStates[e.State]
 	_, err := netip.ParseAddrPort(e.Endpoint)
 	switch {
 	case e.UID == "":
-		return listEntry{}, errors.New("uid is empty")
+		return listEntry{}, errNoUID
 	case !ok:
 		return listEntry{}, fmt.Errorf("unknown state %q", e.State)
 	case err != nil && state != balancer.Removed:
 		return listEntry{}, err
-	case !(e.Size >= 0 && e.Size <= 1e12) || !(e.Boot >= 0 && e.Boot <= 1e13) || !(math.Abs(e.Cell) <= 1e9):
-		return listEntry{}, errors.New("capacity_hint, boot_ms or pod_group is out of range")
+	case !inRange(e.Size, 0, maxCapacity), !inRange(e.Boot, 0, maxBootMS), !inRange(e.Cell, -maxCell, maxCell):
+		return listEntry{}, errOutOfRange
 	}
 	return listEntry{address: e.Endpoint, bootMS: e.Boot, Endpoint: balancer.Endpoint{
-		ID: e.UID, Zone: e.Zone,
-		Cell: int(e.Cell), State: state, Capacity: e.Size,
+		ID: e.UID, Zone: e.Zone, Cell: int(e.Cell), State: state, Capacity: e.Size,
 	}}, nil
 }
 
-// listParser reads one list entry by entry, so that neither its text nor its entries are held twice. Keys come in
-// any order and any case, and the last of equal ones counts, as with json.Unmarshal.
+// inRange reports whether a figure is within limits.
+func inRange(v, least, most float64) bool { return v >= least && v <= most }
+
+// listParser is a streaming parser of one list. It reads entry by entry, so that neither the text nor the entries
+// are in memory twice. Keys may have any order and any case, and the last of equal ones counts, as with
+// json.Unmarshal.
 type listParser struct {
 	decoder  *json.Decoder
 	version  *int64
 	complete *bool
 	entries  []listEntry
-	seen     map[string]bool // the uids of targets
+	seen     map[string]bool // the uids of entries
 }
 
-// parseList reads a list that is in memory.
+// parseList parses a list that is in memory.
 func parseList(text []byte) (endpointList, error) { return readList(bytes.NewReader(text)) }
 
-// readList reads a list to the end of its text. A malformed one is dropped: a part of a list would look as if the
-// rest had gone.
+// readList parses a list up to the end of its text. Nothing of a malformed one is returned: a part of a list would
+// look as if all other endpoints had been removed.
 func readList(text io.Reader) (endpointList, error) {
 	p := listParser{decoder: json.NewDecoder(text)}
 	if err := p.parse(); err != nil {
 		return endpointList{}, err
 	}
 	if p.version == nil || p.complete == nil {
-		return endpointList{}, fmt.Errorf("list: rev or all is missing")
+		return endpointList{}, fmt.Errorf("list: %w", errNoVersion)
 	}
 	return endpointList{version: *p.version, complete: *p.complete, entries: p.entries}, nil
 }
 
+// parse parses the object of the list, which must be all of the text.
 func (p *listParser) parse() error {
 	if err := p.expectDelim('{'); err != nil {
 		return err
@@ -112,10 +132,10 @@
 	case err != nil:
 		return fmt.Errorf("list: after its end: %w", err)
 	}
-	return errors.New("list: something follows its end")
+	return fmt.Errorf("list: %w", errTrailingBytes)
 }
 
-// field reads the value of a key of the list.
+// parseField parses the value of a key of the list.
 func (p *listParser) parseField(key string) (err error) {
 	switch {
 	case strings.EqualFold(key, "rev"):
@@ -133,7 +153,7 @@
 	return nil
 }
 
-// entries reads the value of targets, which may be null.
+// parseEntries parses the value of targets, which may be null.
 func (p *listParser) parseEntries() error {
 	p.entries, p.seen = nil, map[string]bool{}
 	open, err := p.decoder.Token()
@@ -153,24 +173,25 @@
 	return p.expectDelim(']')
 }
 
+// parseEntry parses one entry and rejects one whose uid has occurred before.
 func (p *listParser) parseEntry() error {
-	var e wireEntry
-	if err := p.decoder.Decode(&e); err != nil {
+	var wire wireEntry
+	if err := p.decoder.Decode(&wire); err != nil {
 		return err
 	}
-	t, err := e.toListEntry()
+	entry, err := wire.toListEntry()
 	if err != nil {
 		return err
 	}
-	if p.seen[t.ID] {
-		return fmt.Errorf("uid %q comes twice", t.ID)
+	if p.seen[entry.ID] {
+		return fmt.Errorf("uid %q occurs twice", entry.ID)
 	}
-	p.seen[t.ID] = true
-	p.entries = append(p.entries, t)
+	p.seen[entry.ID] = true
+	p.entries = append(p.entries, entry)
 	return nil
 }
 
-// delim reads a bracket.
+// expectDelim reads a bracket or a brace.
 func (p *listParser) expectDelim(want json.Delim) error {
 	switch got, err := p.decoder.Token(); {
 	case err != nil:
@@ -181,7 +202,7 @@
 	return nil
 }
 
-// ignoredValue takes any value and keeps nothing.
+// ignoredValue accepts any JSON value and stores nothing.
 type ignoredValue struct{}
 
 func (*ignoredValue) UnmarshalJSON([]byte) error { return nil }
--- a/internal/node/registryaddress.go
+++ b/internal/node/registryaddress.go
@@ -10,63 +10,55 @@
 	"time"
 )
 
-// place is an address of discovery, with all that holds there only.
+// noVersion stands for no list at all: the next poll requests the complete list.
+const noVersion = -1
+
+// Limits of the connections to an address of the registry. One that is never established occupies a slot until its
+// dial is abandoned.
+const (
+	agentDialTimeout = 2 * agentCheckTimeout
+	maxAgentConns    = 8
+)
+
+// registryAddress is an address of the registry or of its agent, with the state that is valid for this address
+// only: its HTTP client and the version of the list.
 type registryAddress struct {
-	ctx     context.Context // ends when the watch moves elsewhere
+	ctx     context.Context // ends when the watch moves to another address
 	abandon context.CancelFunc
 	addr    string
 	client  *http.Client
 	dial    dialFunc
-	version int64 // the version held; -1: none, so the whole list is asked for
+	version int64 // of the list received last, or noVersion
 }
 
-func newRegistryAddress(addr string, rev int64) *registryAddress {
-	p := &registryAddress{addr: addr, version: rev, dial: (&net.Dialer{}).DialContext}
-	p.client = &http.Client{Transport: &http.Transport{
+func newRegistryAddress(addr string, version int64) *registryAddress {
+	a := &registryAddress{addr: addr, version: version, dial: (&net.Dialer{}).DialContext}
+	a.client = &http.Client{Transport: &http.Transport{
 		DisableCompression: true,
-		MaxConnsPerHost:    maxAgentConns, DialContext: p.connect,
+		MaxConnsPerHost:    maxAgentConns,
+		DialContext:        a.connect,
 	}}
-	p.ctx, p.abandon = context.WithCancel(context.Background())
-	return p
+	a.ctx, a.abandon = context.WithCancel(context.Background())
+	return a
 }
 
-// connect opens a connection to the agent within agentDial, be it dialled once or several times.
-func (p *registryAddress) connect(ctx context.Context, network, address string) (nc net.Conn, err error) {
+// connect opens a connection within agentDialTimeout. That covers all dials if a local fault is retried.
+func (a *registryAddress) connect(ctx context.Context, network, address string) (nc net.Conn, err error) {
 	ctx, cancel := context.WithTimeout(ctx, agentDialTimeout)
 	defer cancel()
-	end, _ := ctx.Deadline()
-	mayWait := func(wait time.Duration) bool { return time.Until(end) > wait }
+	deadline, _ := ctx.Deadline()
+	mayWait := func(wait time.Duration) bool { return time.Until(deadline) > wait }
 	_, err = dialWithBackoff(ctx, mayWait, func() error {
-		nc, err = p.dial(ctx, network, address)
+		nc, err = a.dial(ctx, network, address)
 		return err
 	})
 	return nc, err
 }
 
-// probe asks the agent for what needs no hold until it answers, or ctx ends. It begins a while after the
-// call beside it, which a sound agent answers first.
-func (d *discovery) checkAgent(ctx context.Context, p *registryAddress, from int64) bool {
-	sleep(ctx, agentCheckTimeout)
-	for ctx.Err() == nil {
-		again := time.After(retryInterval)
-		one, cancel := context.WithTimeout(ctx, agentCheckTimeout)
-		resp, err := d.get(one, p, from, time.Millisecond)
-		cancel()
-		if err == nil {
-			resp.Body.Close()
-			return true
-		}
-		select {
-		case <-ctx.Done():
-		case <-again:
-		}
-	}
-	return false
-}
-
-// call asks for what is newer than a version, or for the whole list if that is negative.
-func (d *discovery) get(ctx context.Context, p *registryAddress, from int64, hold time.Duration) (*http.Response, error) {
-	u := url.URL{Scheme: "http", Host: p.addr, Path: "/registry/instances"}
+// get requests what is newer than a version, or the complete list for noVersion. The response may be withheld for
+// up to hold while nothing is newer.
+func (a *registryAddress) get(ctx context.Context, from int64, hold time.Duration) (*http.Response, error) {
+	u := url.URL{Scheme: "http", Host: a.addr, Path: "/registry/instances"}
 	if from >= 0 {
 		u.RawQuery = url.Values{
 			"from":    {strconv.FormatInt(from, 10)},
@@ -77,9 +69,38 @@
 	if err != nil {
 		return nil, fmt.Errorf("watch: %w", err)
 	}
-	resp, err := p.client.Do(req)
+	resp, err := a.client.Do(req)
 	if err != nil {
 		return nil, fmt.Errorf("watch: %w", err)
 	}
 	return resp, nil
 }
+
+// checkAgent is a health check of the agent: it polls without a hold until a response arrives, which it reports, or
+// until ctx ends. It begins after a delay, in which a healthy agent responds to the watch beside it.
+func (a *registryAddress) checkAgent(ctx context.Context, from int64) bool {
+	sleep(ctx, agentCheckTimeout)
+	for ctx.Err() == nil {
+		next := time.After(retryInterval)
+		if a.responds(ctx, from) {
+			return true
+		}
+		select {
+		case <-ctx.Done():
+		case <-next:
+		}
+	}
+	return false
+}
+
+// responds reports whether the head of a response without a hold arrives within agentCheckTimeout.
+func (a *registryAddress) responds(ctx context.Context, from int64) bool {
+	ctx, cancel := context.WithTimeout(ctx, agentCheckTimeout)
+	defer cancel()
+	resp, err := a.get(ctx, from, time.Millisecond)
+	if err != nil {
+		return false
+	}
+	resp.Body.Close()
+	return true
+}
--- a/internal/node/sleep.go
+++ b/internal/node/sleep.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// sleep waits for a while or until ctx ends.
+// sleep returns after a duration or when ctx ends, whichever is first.
 func sleep(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-t.C:
+	case <-timer.C:
 	}
 }
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -2,74 +2,77 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"net/http"
 	"time"
 )
 
-// Times of a watch. The worst that they make of a call that was lost comes to less than toldLatest: from the
-// moment when discovery falls silent, the call is given up on after hold and grace; a dial and a head that
-// never come cost probeWait and probeInterval once more where lists are pushed; where they are asked for, at
-// most probeInterval or a quarter of ask-within-ms (6 s at the most) goes by before the next call, whichever
-// is longer. TestLostCallIsMadeUpForInTime adds them up.
+// Durations of a watch.
 //
-// An agent that is silent answers nothing, not even once it is back, so a call is given
-// up on a little after its hold is over. Where lists are pushed, what the agent gets at discovery's return
-// counts as told at once, and servers that drain must be left alone 250 ms later: the hold is shorter than
-// an outage, so that one is noticed before it is over, and from then on the agent, which is local and
-// answers at no cost, is probed several times within those 250 ms.
+// A poll that is lost must be replaced within notifiedWithin. The worst case is shorter: from the moment when
+// discovery falls silent, the poll is abandoned after hold and grace; where lists are pushed, a dial and a response
+// head that never arrive cost agentCheckTimeout and retryInterval once more; where the registry is polled, the next
+// poll follows after retryInterval or a quarter of the poll interval from the settings (which is 6 s at most),
+// whichever is longer. TestLostCallIsMadeUpForInTime adds these up.
+//
+// An agent that is silent does not respond even after it has returned, so a poll is abandoned shortly after its hold.
+// Where lists are pushed, what the agent receives when discovery returns counts as known to the node at once, and
+// draining endpoints must be avoided 250 ms later. So the hold is shorter than an outage: the outage is noticed
+// before it ends, and from then on the agent, which is local and responds at no cost, is checked several times
+// within those 250 ms.
 const (
 	pushHold          = time.Second
 	pushGrace         = 250 * time.Millisecond
-	pollHold          = 2 * time.Second // discovery itself bears these calls
+	pollHold          = 2 * time.Second // longer, as the registry itself bears these polls
 	pollGrace         = 500 * time.Millisecond
-	agentCheckTimeout = 150 * time.Millisecond // for the head of an answer that needs no hold
-	retryInterval     = 100 * time.Millisecond // from a failure that came at once to the next call
-	// From the start of a call that was answered at once to the start of the next. While a long list changes many
-	// times a second, several changes share a call, which costs a node more than what the call tells. A watch goes
-	// on for 200 ms without a call, and what changes meanwhile must be in force 250 ms later.
+	agentCheckTimeout = 150 * time.Millisecond // for the head of a response that needs no hold
+	retryInterval     = 100 * time.Millisecond // from an immediate failure to the next poll
+	// watchInterval is the shortest time from the start of a poll to the start of the next. While a long list
+	// changes many times a second, several changes share a poll, which costs a node more than its content does. An
+	// open watch allows 200 ms without a poll, and changes must be in force 250 ms later.
 	watchInterval  = 20 * time.Millisecond
-	startupWait    = time.Second     // that a new process waits for the list before it counts as ready
-	notifiedWithin = 6 * time.Second // after which a change counts as told, heard or not
-	maxListBytes   = 4 << 20         // bytes of a list; one of 3,200 servers that is indented has about 1 MB
-	// A connection that never comes up holds its place among those to the agent until its dial is given up.
-	agentDialTimeout = 2 * agentCheckTimeout
-	maxAgentConns    = 8
+	notifiedWithin = 6 * time.Second // after which a change counts as known to the node, received or not
 )
 
-// push watches from the start until ctx ends. The next call follows each answer within watchInterval: a watch is
-// lost when it is late.
+// errStaleList reports an incremental update that is older than the list that the node has.
+var errStaleList = errors.New("the update is older than the list")
+
+// statusError is a response of the registry with a status other than 200.
+type statusError int
+
+func (e statusError) Error() string { return fmt.Sprintf("status %d", int(e)) }
+
+// runPushed watches until ctx ends. Each poll follows the previous response within watchInterval, as a watch counts
+// as lost when the next poll is late.
 func (d *discovery) runPushed(ctx context.Context) {
 	late := time.AfterFunc(d.startupWait, func() { d.post(discoveryUnresponsive{}) })
 	defer late.Stop()
-	doubt := true // whether the agent answers at all
-	var at *registryAddress
+	suspect := true // whether it is in doubt that the agent responds at all
+	var watched *registryAddress
 	for ctx.Err() == nil {
-		p := d.currentAddress()
-		doubt = doubt || p != at
-		at = p
-		answers, err := d.watchOnce(ctx, p, doubt)
+		address := d.currentAddress()
+		suspect = suspect || address != watched
+		watched = address
+		responds, err := d.watchOnce(ctx, address, suspect)
 		switch {
 		case ctx.Err() != nil:
 			return
-		case err == nil || answers || p.ctx.Err() != nil:
-			doubt = false
+		case err == nil || responds || address.ctx.Err() != nil:
+			suspect = false
 			continue
-		case !doubt:
-			d.log.Warn("discovery does not answer; asking again", "error", err)
-			doubt = true
-		}
-		select {
-		case <-ctx.Done():
-		case <-p.ctx.Done():
-		case <-d.after(retryInterval):
+		case !suspect:
+			d.log.Warn("discovery does not respond; retrying", "error", err)
+			suspect = true
 		}
+		d.awaitRetry(ctx, address)
 	}
 }
 
-// ask serves Subscribes until ctx ends: a watch that goes on until it fails, which is reported once. What the
-// module waits for then is a part of ask-within-ms, which may be next to nothing, and a refused call ends at
-// once: so that no two follow each other at once, the next one waits for probeInterval, or until the watch moves.
+// runPolled serves subscriptions until ctx ends. A subscription is a series of watches until one fails, which is
+// posted once; the policy then subscribes anew after its own delay. That is a part of the configured poll interval
+// and may be close to 0, and a refused connection fails at once. So the next poll also waits for retryInterval, or
+// until the watch moves to another address.
 func (d *discovery) runPolled(ctx context.Context) {
 	for {
 		select {
@@ -82,12 +85,12 @@
 	}
 }
 
-// askOnce makes one call, and tells whether another is to follow unasked. A call that failed by local trouble
-// never came to discovery: the module need not wait after it, and is not told.
+// pollOnce makes one poll, and reports whether another one follows without a new subscription. A poll that failed
+// by a local fault never reached discovery: the policy need not delay the next one, and is not notified.
 func (d *discovery) pollOnce(ctx context.Context) (again bool) {
-	p := d.currentAddress()
-	_, err := d.watchOnce(ctx, p, false)
-	if err == nil || p.ctx.Err() != nil || ctx.Err() != nil {
+	address := d.currentAddress()
+	_, err := d.watchOnce(ctx, address, false)
+	if err == nil || address.ctx.Err() != nil || ctx.Err() != nil {
 		return ctx.Err() == nil
 	}
 	again = isLocalDialError(err)
@@ -95,75 +98,83 @@
 	if !again {
 		d.post(subscriptionFailed{})
 	}
+	d.awaitRetry(ctx, address)
+	return again && ctx.Err() == nil
+}
+
+// awaitRetry waits for retryInterval, or until ctx ends or the watch moves to another address.
+func (d *discovery) awaitRetry(ctx context.Context, address *registryAddress) {
 	select {
 	case <-ctx.Done():
-	case <-p.ctx.Done():
+	case <-address.ctx.Done():
 	case <-d.after(retryInterval):
 	}
-	return again && ctx.Err() == nil
 }
 
-// watch makes one call and posts what it tells. In doubt, the agent is probed beside it: once it answers
-// that, the call is known to be lost and is dropped, and answers is set.
+// watchOnce makes one poll and posts its result. A suspect agent is checked beside the poll: if the agent
+// responds to the check, the poll is known to be lost and is abandoned, and responds is true.
 //
-// It returns watchInterval after it was called or later, if the call succeeds, so that calls in a row are paced.
-func (d *discovery) watchOnce(ctx context.Context, p *registryAddress, doubt bool) (answers bool, err error) {
+// A successful poll returns after watchInterval at the earliest, which paces consecutive polls.
+func (d *discovery) watchOnce(
+	ctx context.Context, address *registryAddress, suspect bool,
+) (responds bool, err error) {
 	started := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, d.hold+d.grace)
 	defer cancel()
-	defer context.AfterFunc(p.ctx, cancel)()
-	if doubt {
-		probed, from := make(chan bool, 1), p.version
+	defer context.AfterFunc(address.ctx, cancel)()
+	if suspect {
+		checked, from := make(chan bool, 1), address.version
 		go func() {
-			ok := d.checkAgent(ctx, p, from)
-			probed <- ok
+			ok := address.checkAgent(ctx, from)
+			checked <- ok
 			if ok {
 				cancel()
 			}
 		}()
-		defer func() { cancel(); answers = <-probed }()
+		defer func() { cancel(); responds = <-checked }()
 	}
-	if err := d.receive(ctx, p); err != nil {
+	if err := d.receive(ctx, address); err != nil {
 		return false, err
 	}
 	sleep(ctx, watchInterval-time.Since(started))
 	return false, nil
 }
 
-// take makes one call and posts what it tells.
-func (d *discovery) receive(ctx context.Context, p *registryAddress) error {
-	resp, err := d.get(ctx, p, p.version, d.hold)
+// receive makes one poll, reads the list in its response and posts it. After a malformed or stale list, the next
+// poll requests the complete list, as it is unknown which changes were missed.
+func (d *discovery) receive(ctx context.Context, address *registryAddress) error {
+	resp, err := address.get(ctx, address.version, d.hold)
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("watch: status %d", resp.StatusCode)
+		return fmt.Errorf("watch: %w", statusError(resp.StatusCode))
 	}
 	body := newListBody(resp.Body)
-	l, err := readList(body)
+	list, err := readList(body)
 	if body.err != nil {
 		return fmt.Errorf("watch: %w", body.err)
 	}
-	if err == nil && !l.complete && l.version < p.version {
-		err = fmt.Errorf("list: rev %d comes after %d", l.version, p.version)
+	if err == nil && !list.complete && list.version < address.version {
+		err = fmt.Errorf("list: %w: version %d after %d", errStaleList, list.version, address.version)
 	}
 	if err != nil {
-		p.version = -1 // what the dropped answer told is missing: the whole list mends that
+		address.version = noVersion
 		return err
 	}
-	p.version = l.version
-	if !l.complete && len(l.entries) == 0 {
-		d.postFrom(p, listConfirmed{}) // a hold that ended without news
+	address.version = list.version
+	if !list.complete && len(list.entries) == 0 {
+		d.postFrom(address, listConfirmed{}) // the hold ended without a change
 		return nil
 	}
-	d.postFrom(p, listReceived{list: l})
+	d.postFrom(address, listReceived{list: list})
 	return nil
 }
 
-// postFrom posts what a place told, unless the watch has moved elsewhere.
-func (d *discovery) postFrom(p *registryAddress, e event) {
-	if p.ctx.Err() == nil {
+// postFrom posts an event from an address, unless the watch has moved to another one.
+func (d *discovery) postFrom(address *registryAddress, e event) {
+	if address.ctx.Err() == nil {
 		d.post(e)
 	}
 }
