--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -9,178 +9,219 @@
 	"balancer"
 )
 
-// attempt is one send of a call to a server.
+var (
+	// errAttemptObsolete reports that an attempt became pointless or harmful before it was begun.
+	errAttemptObsolete = errors.New("the attempt is obsolete")
+	// errConnUnusable reports that a request could not be begun on an open connection.
+	errConnUnusable = errors.New("the connection is unusable")
+)
+
+// attempt is one attempt to have a request served by one endpoint: the first one, a retry or a hedged request.
 type attempt struct {
-	ctx               context.Context
+	ctx               context.Context // ends when the attempt is cancelled
 	cancel            context.CancelFunc
 	request           *request
-	number            int
+	number            int // of the attempt within its request, from 0
 	instance          endpointInstance
-	sentAt, deadline  time.Duration
-	notAfter          time.Duration // it must not begin later: the servers discard its repeats no longer; 0: no such time
-	begun             bool          // a byte of it may have been written. Guarded by call.mu
-	ended             bool          // and its result is passed on
-	heldUp            bool          // local trouble kept it from beginning for a while; read once it has ended
-	outlivesHalfClose bool          // it goes on until its caller is known to be gone
+	sentAt, deadline  time.Duration // clock times
+	notAfter          time.Duration // clock time after which endpoints no longer discard a repeat; 0: no limit
+	begun             bool          // a byte of it may have been written. Guarded by request.mu
+	ended             bool          // its result has been passed on; used by the loop alone
+	heldUp            bool          // a local fault delayed its connection; read once it has ended
+	outlivesHalfClose bool          // a cancellation waits until the client is known to have disconnected
 }
 
-// result is how an attempt ended.
+// attemptOutcome is how an attempt ended.
 type attemptOutcome struct {
 	result      balancer.AttemptResult
-	endedAt     time.Duration // when: for an answer, when its last byte was read
+	endedAt     time.Duration // clock time; of a response, when its last byte was read
 	body        []byte
 	contentType string
 }
 
-// run makes an attempt and tells how it ended. Its connection is closed by then, or idle again.
-func (b *upstreamPool) do(a *attempt) attemptOutcome {
-	ctx, cancel := context.WithTimeout(a.ctx, b.clock.until(a.deadline))
+// do carries out an attempt and returns its outcome. By then its connection is closed, or idle again.
+func (p *upstreamPool) do(a *attempt) attemptOutcome {
+	ctx, cancel := context.WithTimeout(a.ctx, p.clock.until(a.deadline))
 	defer cancel()
-	r := b.roundTrip(ctx, a)
-	if r.endedAt == 0 {
-		r.endedAt = b.clock.now()
+	outcome := p.roundTrip(ctx, a)
+	if outcome.endedAt == 0 {
+		outcome.endedAt = p.clock.now()
 	}
-	return r
+	return outcome
 }
 
-func (b *upstreamPool) roundTrip(ctx context.Context, a *attempt) attemptOutcome {
-	var (
-		c      *upstreamConn
-		waiter chan upstreamReply
-	)
-	text, wait, err := encodeRequest(a)
-	if err != nil || b.remainingTime(a) == 0 {
+// roundTrip connects, writes the request and awaits its response. ctx ends at the attempt's deadline, too.
+func (p *upstreamPool) roundTrip(ctx context.Context, a *attempt) attemptOutcome {
+	encoded, err := encodeRequest(a)
+	if err != nil || p.remainingTime(a) == 0 {
+		return attemptOutcome{result: balancer.NotSent}
+	}
+	c, waiter, err := p.acquire(ctx, a)
+	if err != nil {
+		return attemptOutcome{result: a.resultNotBegun(err)}
+	}
+	// At the deadline or at a cancellation the connection is closed, which ends the wait for the reply.
+	stop := context.AfterFunc(ctx, func() { p.abandon(c, waiter) })
+	defer stop()
+	// The remaining time is filled in last, so that no wait for a connection or a lock makes it too long.
+	if !writeDeadlineValue(encoded.deadlineValue, p.remainingTime(a)) {
+		p.abandon(c, waiter)
 		return attemptOutcome{result: balancer.NotSent}
 	}
+	written, writeErr := c.Write(encoded.text)
+	if writeErr != nil {
+		p.abandon(c, waiter)
+	} else {
+		p.noteWritten(c)
+	}
+	reply := <-waiter
+	// The system reports a reset only once, to the write or to the read. So after a failed write, what the
+	// reader took for an orderly close may have been a reset.
+	if reply.err == nil && (writeErr == nil || !reply.endedByClose) {
+		return reply.attemptOutcome
+	}
+	return attemptOutcome{result: a.resultWithoutResponse(ctx, written == len(encoded.text))}
+}
+
+// acquire returns a connection on which the first byte of the attempt's request may be written next, and the
+// channel that receives the reply. An idle connection that turns out to be closed is replaced by another one.
+func (p *upstreamPool) acquire(ctx context.Context, a *attempt) (*upstreamConn, chan upstreamReply, error) {
 	for {
-		waiter = make(chan upstreamReply, 1)
-		var (
-			fresh bool
-			err   error
-		)
-		c, fresh, err = b.connect(ctx, a, waiter)
-		switch {
-		case errors.Is(err, errNoDescriptor), isLocalDialError(err):
-			return attemptOutcome{result: balancer.NotSent}
-		case err != nil && errors.Is(a.ctx.Err(), context.Canceled):
-			return attemptOutcome{result: balancer.Cancelled}
-		case err != nil:
-			return attemptOutcome{result: balancer.ConnectFailed}
-		}
-		may := b.beginWrite(ctx, c, waiter, a)
-		if may == mayWrite {
-			break
+		waiter := make(chan upstreamReply, 1)
+		c, fresh, err := p.connect(ctx, a, waiter)
+		if err != nil {
+			return nil, nil, err
 		}
+		permission := p.beginWrite(ctx, c, waiter, a)
 		switch {
-		case errors.Is(a.ctx.Err(), context.Canceled):
-			return attemptOutcome{result: balancer.Cancelled}
-		case may == attemptObsolete:
-			return attemptOutcome{result: balancer.NotSent}
+		case permission == mayWrite:
+			return c, waiter, nil
+		case permission == attemptObsolete:
+			return nil, nil, errAttemptObsolete
 		case fresh || ctx.Err() != nil:
-			return attemptOutcome{result: balancer.ConnectFailed}
+			return nil, nil, fmt.Errorf("%w: %v", errConnUnusable, permission)
 		}
 	}
-	// A timed-out or cancelled attempt closes its connection, which ends the wait below.
-	stop := context.AfterFunc(ctx, func() { b.abandon(c, waiter) })
-	defer stop()
-	// The last thing before the write, so that no wait for a connection or a lock makes it too long.
-	if !writeDeadlineValue(wait, b.remainingTime(a)) {
-		b.abandon(c, waiter)
-		return attemptOutcome{result: balancer.NotSent}
-	}
-	sent, err := c.Write(text)
-	if err != nil {
-		b.abandon(c, waiter)
-	} else {
-		b.noteWritten(c)
+}
+
+// resultNotBegun returns the result of an attempt that failed to acquire a connection. Local faults are no
+// evidence against the endpoint.
+func (a *attempt) resultNotBegun(err error) balancer.AttemptResult {
+	switch {
+	case errors.Is(err, errNoDescriptor), isLocalDialError(err):
+		return balancer.NotSent
+	case errors.Is(a.ctx.Err(), context.Canceled):
+		return balancer.Cancelled
+	case errors.Is(err, errAttemptObsolete):
+		return balancer.NotSent
 	}
-	got := <-waiter
+	return balancer.ConnectFailed
+}
+
+// resultWithoutResponse returns the result of an attempt that was begun and has no usable response.
+func (a *attempt) resultWithoutResponse(ctx context.Context, written bool) balancer.AttemptResult {
 	switch {
-	// The system tells of a reset once, to the write or to the read: after a failed write, what the reader
-	// took for the end of the connection may have been a reset.
-	case got.err == nil && !(got.endedByClose && err != nil):
-		return got.attemptOutcome
 	case errors.Is(a.ctx.Err(), context.Canceled):
-		return attemptOutcome{result: balancer.Cancelled}
-	case sent < len(text):
-		// The server never got the last byte, so it has not begun: sending again is harmless.
-		return attemptOutcome{result: balancer.ConnectFailed}
+		return balancer.Cancelled
+	case !written:
+		// An endpoint starts on a request at its last byte, which it never received: a retry is harmless.
+		return balancer.ConnectFailed
 	case ctx.Err() != nil:
-		return attemptOutcome{result: balancer.TimedOut}
+		return balancer.TimedOut
+	}
+	return balancer.ConnectionLost
+}
+
+// connect takes a reusable idle connection, or opens a new one, which fresh reports. A local fault is retried
+// with backoff for as long as the attempt may begin.
+func (p *upstreamPool) connect(
+	ctx context.Context, a *attempt, waiter chan upstreamReply,
+) (c *upstreamConn, fresh bool, err error) {
+	mayWait := func(wait time.Duration) bool { return p.mayBeginIn(a, wait) }
+	heldUp, err := dialWithBackoff(ctx, mayWait, func() error {
+		c, fresh, err = p.connectOnce(ctx, a.instance, waiter)
+		return err
+	})
+	a.heldUp = a.heldUp || heldUp
+	return c, fresh, err
+}
+
+// connectOnce is connect with at most one dial.
+func (p *upstreamPool) connectOnce(
+	ctx context.Context, to endpointInstance, waiter chan upstreamReply,
+) (c *upstreamConn, fresh bool, err error) {
+	c, err = p.takeIdle(to, waiter)
+	if c != nil || err != nil {
+		return c, false, err
 	}
-	return attemptOutcome{result: balancer.ConnectionLost}
+	nc, err := p.dial(ctx, "tcp", to.address)
+	if err != nil {
+		p.mu.Lock()
+		p.open--
+		p.mu.Unlock()
+		return nil, true, fmt.Errorf("connect to %s: %w", to.uid, err)
+	}
+	return p.startReader(nc, to, waiter), true, nil
+}
+
+// mayBeginIn reports whether an attempt has time left after a wait, and its endpoint is still ready.
+func (p *upstreamPool) mayBeginIn(a *attempt, wait time.Duration) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	begin := p.clock.now() + wait
+	return begin < a.deadline && (a.notAfter == 0 || begin < a.notAfter) && p.isReady(a.instance)
 }
 
-// permission says whether the first byte of a request may be written.
+// writePermission is whether the first byte of a request may be written.
 type writePermission int
 
 const (
 	mayWrite        writePermission = iota
-	useAnotherConn                  // not on this connection, which is closed
-	attemptObsolete                 // not at all: this attempt has become pointless or harmful while it waited
+	useAnotherConn                  // not on this connection, or not now: the attempt's context has ended
+	attemptObsolete                 // not at all: the attempt became pointless or harmful while it waited
 )
 
-// begin has a request written next, unless the server has closed the connection or said something
-// meanwhile, which can be no answer to it: then the connection is closed, and another will do. The list,
-// the caller and the clock may have moved on while the connection came up, so this is where they are
-// asked: nothing is begun at a server that drains, is gone or started anew, for a caller that left, or
-// when the servers discard no repeats any more. The connection itself is kept for others then.
-func (b *upstreamPool) beginWrite(ctx context.Context, c *upstreamConn, waiter chan upstreamReply, a *attempt) writePermission {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (w writePermission) String() string {
+	switch w {
+	case mayWrite:
+		return "may write"
+	case useAnotherConn:
+		return "use another connection"
+	case attemptObsolete:
+		return "attempt obsolete"
+	}
+	return fmt.Sprintf("writePermission(%d)", int(w))
+}
+
+// beginWrite decides whether the first byte of a request is written next, and notes the attempt as begun if so.
+//
+// The list, the client and the clock may have changed while the connection was opened, so they are checked here:
+// no attempt is begun at an endpoint that drains, was removed or has restarted, for a client that has departed, or
+// once endpoints no longer discard repeats. The connection itself is kept for other attempts then. But if the
+// endpoint has closed the connection or has sent bytes, which cannot be a response to this request, the connection
+// is closed, and the attempt may use another one.
+func (p *upstreamPool) beginWrite(
+	ctx context.Context, c *upstreamConn, waiter chan upstreamReply, a *attempt,
+) writePermission {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	if c.waiter != waiter {
 		return useAnotherConn
 	}
-	overdue := a.notAfter > 0 && b.clock.now() >= a.notAfter || b.remainingTime(a) == 0
+	overdue := a.notAfter > 0 && p.clock.now() >= a.notAfter || p.remainingTime(a) == 0
 	switch {
 	case hasUnreadOrClosed(c.Conn):
 		c.waiter = nil
-		b.closeConn(c)
+		p.closeConn(c)
 		return useAnotherConn
-	case ctx.Err() != nil || overdue || !b.isReady(c.instance) || !a.request.beginAttempt(a):
-		c.waiter, c.idleSince = nil, b.clock.now()
-		b.putIdle(c)
+	case ctx.Err() != nil || overdue || !p.isReady(c.instance) || !a.request.beginAttempt(a):
+		c.waiter, c.idleSince = nil, p.clock.now()
+		p.putIdle(c)
 		if ctx.Err() != nil {
-			return useAnotherConn // the time is over, or the attempt was called off
+			return useAnotherConn
 		}
 		return attemptObsolete
 	}
 	c.stage = stageWriting
 	return mayWrite
 }
-
-// connect takes a rested idle connection, or opens a fresh one. Local trouble is waited out for as long as the
-// attempt may begin.
-func (b *upstreamPool) connect(ctx context.Context, a *attempt, waiter chan upstreamReply) (c *upstreamConn, fresh bool, err error) {
-	mayWait := func(wait time.Duration) bool { return b.mayBeginIn(a, wait) }
-	heldUp, err := dialWithBackoff(ctx, mayWait, func() error {
-		c, fresh, err = b.connectOnce(ctx, a.instance, waiter)
-		return err
-	})
-	a.heldUp = a.heldUp || heldUp
-	return c, fresh, err
-}
-
-// mayBeginIn says that an attempt has time left after a wait, and that its server is still to be used.
-func (b *upstreamPool) mayBeginIn(a *attempt, wait time.Duration) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	begin := b.clock.now() + wait
-	return begin < a.deadline && (a.notAfter == 0 || begin < a.notAfter) && b.isReady(a.instance)
-}
-
-// connectOnce does so with one dial at most.
-func (b *upstreamPool) connectOnce(ctx context.Context, to endpointInstance, waiter chan upstreamReply) (c *upstreamConn, fresh bool, err error) {
-	c, err = b.takeIdle(to, waiter)
-	if c != nil || err != nil {
-		return c, false, err
-	}
-	nc, err := b.dial(ctx, "tcp", to.address)
-	if err != nil {
-		b.mu.Lock()
-		b.open--
-		b.mu.Unlock()
-		return nil, true, fmt.Errorf("connect: %w", err)
-	}
-	return b.startReader(nc, to, waiter), true, nil
-}
--- a/internal/node/dial.go
+++ b/internal/node/dial.go
@@ -11,16 +11,16 @@
 // dialFunc opens a connection, as net.Dialer.DialContext does.
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Backoff between dials that failed by local trouble: short, as a request waits for them, and long enough not
-// to spin while the trouble lasts.
+// Exponential backoff between dials that failed by a local fault. It is short, as a request waits for the
+// connection, and long enough not to spin while the fault lasts.
 const (
 	minRedialBackoff = 5 * time.Millisecond
 	maxRedialBackoff = 40 * time.Millisecond
 )
 
-// localTroubles are the errors of socket and connect that tell of this machine and not of the one that is
-// dialled. All others, such as ECONNREFUSED, ECONNRESET, EHOSTUNREACH, ETIMEDOUT and a connection that does
-// not come up in time, are the other side's.
+// localDialErrors are the errors of socket and connect that concern this machine and not the one that is dialled.
+// All others, such as ECONNREFUSED, ECONNRESET, EHOSTUNREACH, ETIMEDOUT and a dial that times out, are attributed
+// to the other side.
 var localDialErrors = []error{
 	syscall.EMFILE,        // the process has no descriptor left
 	syscall.ENFILE,        // the machine has no descriptor left
@@ -29,36 +29,38 @@
 	syscall.EADDRNOTAVAIL, // no local port is free
 	syscall.EADDRINUSE,    // the local port was taken meanwhile
 	syscall.EAGAIN,        // no local port or routing entry is free
-	syscall.ENETUNREACH,   // the machine has no route, as while an interface is set up anew
+	syscall.ENETUNREACH,   // the machine has no route, as while an interface is reconfigured
 	syscall.ENETDOWN,      // the machine's interface is down
 	syscall.EPERM,         // the machine's packet filter rejects it
 	syscall.EACCES,        // the machine's security policy rejects it
-	syscall.EINTR,         // a signal came
+	syscall.EINTR,         // a signal arrived
 }
 
-// isLocalTrouble says that a connection could not be opened for a reason of this machine's own.
+// isLocalDialError reports whether a connection could not be opened because of a fault of this machine.
 func isLocalDialError(err error) bool {
-	for _, trouble := range localDialErrors {
-		if errors.Is(err, trouble) {
+	for _, local := range localDialErrors {
+		if errors.Is(err, local) {
 			return true
 		}
 	}
 	return false
 }
 
-// retryLocalTrouble dials until that succeeds or fails by the other side's doing, and until mayWait rejects the
-// next backoff or ctx ends. It says whether local trouble held up the dial whose error it returns.
-func dialWithBackoff(ctx context.Context, mayWait func(time.Duration) bool, dial func() error) (heldUp bool, err error) {
-	for wait := minRedialBackoff; ; wait = min(2*wait, maxRedialBackoff) {
+// dialWithBackoff dials until the dial succeeds or fails through the other side, or until mayWait denies the next
+// backoff or ctx ends. heldUp reports whether a local fault delayed or prevented the connection.
+func dialWithBackoff(
+	ctx context.Context, mayWait func(time.Duration) bool, dial func() error,
+) (heldUp bool, err error) {
+	for backoff := minRedialBackoff; ; backoff = min(2*backoff, maxRedialBackoff) {
 		err = dial()
 		if !isLocalDialError(err) {
 			return heldUp, err
 		}
 		heldUp = true
-		if !mayWait(wait) {
+		if !mayWait(backoff) {
 			return heldUp, err
 		}
-		sleep(ctx, wait)
+		sleep(ctx, backoff)
 		if ctx.Err() != nil {
 			return heldUp, err
 		}
--- a/internal/node/socketpeek.go
+++ b/internal/node/socketpeek.go
@@ -5,46 +5,56 @@
 	"syscall"
 )
 
-// rawConn is the connection below the runtime's, or nil if there is none.
+// The functions below look into a socket's receive buffer without reading from it (recv with MSG_PEEK). An idle
+// connection is checked so before its reuse, and a reader that waits so needs no buffer of its own.
+
+// recvFunc receives from a socket, as syscall.Recvfrom does.
+type recvFunc func(fd int, p []byte, flags int) (int, syscall.Sockaddr, error)
+
+// rawConn returns the socket of a connection, or nil if it has none.
 func rawConn(nc net.Conn) syscall.RawConn {
-	if sc, ok := nc.(syscall.Conn); ok {
-		if raw, err := sc.SyscallConn(); err == nil {
-			return raw
-		}
+	sc, ok := nc.(syscall.Conn)
+	if !ok {
+		return nil
+	}
+	raw, err := sc.SyscallConn()
+	if err != nil {
+		return nil
 	}
-	return nil
+	return raw
 }
 
-// peek looks into the kernel's buffer of a connection: whether its other side has said something that
-// was not read yet, or has closed.
+// hasUnread reports whether a socket has bytes that were not read yet, or its other side has closed, or it has
+// failed: in all three cases a read does not block.
 func hasUnread(fd uintptr) bool { return hasUnreadBy(syscall.Recvfrom, fd) }
 
-// peekBy is peek by a given recvfrom. An interrupted call says nothing of the connection and is made again:
-// the runtime's poller tells of a change only once, so that what is missed here would be waited for in vain.
-func hasUnreadBy(recv func(fd int, p []byte, flags int) (int, syscall.Sockaddr, error), fd uintptr) bool {
-	var one [1]byte
+// hasUnreadBy is hasUnread with a given recv. An interrupted call is repeated, as it gives no information about
+// the socket: the runtime's poller is edge-triggered, so that what is missed here is not reported again.
+func hasUnreadBy(recv recvFunc, fd uintptr) bool {
+	var buf [1]byte
 	for {
-		_, _, err := recv(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		_, _, err := recv(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		if err != syscall.EINTR {
 			return err != syscall.EAGAIN
 		}
 	}
 }
 
-// awaitBytes waits until a connection has bytes to read, has been closed by either side, or has failed.
+// awaitReadable waits until a connection has bytes to read, has been closed by either side, or has failed.
 func awaitReadable(nc net.Conn) {
 	if raw := rawConn(nc); raw != nil {
-		raw.Read(hasUnread) // an error shows at the next read
+		_ = raw.Read(hasUnread) // The next read of the connection returns the same error.
 	}
 }
 
-// spokenOrClosed asks the same without waiting.
-func hasUnreadOrClosed(nc net.Conn) (is bool) {
+// hasUnreadOrClosed reports the same without waiting.
+func hasUnreadOrClosed(nc net.Conn) bool {
 	raw := rawConn(nc)
 	if raw == nil {
 		return false
 	}
-	// Control and not Read: the connection's reader holds the lock that Read takes.
-	err := raw.Control(func(fd uintptr) { is = hasUnread(fd) })
-	return is || err != nil
+	var readable bool
+	// Control and not Read, as the connection's reader holds the lock that Read takes.
+	err := raw.Control(func(fd uintptr) { readable = hasUnread(fd) })
+	return readable || err != nil
 }
--- a/internal/node/upstreamconn.go
+++ b/internal/node/upstreamconn.go
@@ -4,102 +4,135 @@
 	"bufio"
 	"context"
 	"errors"
+	"fmt"
 	"net"
 	"time"
 )
 
-// reply is what came back on a connection: a complete answer, or why there is none.
-type upstreamReply struct {
-	attemptOutcome
-	endedByClose bool // nothing but the end of the connection told that it is complete
-	err          error
-}
+// errUnsolicited reports that an endpoint has sent bytes or has closed the connection while no request was
+// being written or awaited a response.
+var errUnsolicited = errors.New("the endpoint sent bytes or closed with no request outstanding")
 
-// conn is a connection to a server. Its reader watches it for as long as it is open, so that one
-// closed by the server leaves the idle ones at once.
+// upstreamConn is a persistent connection to an endpoint. It carries one request at a time, without pipelining.
+// A goroutine reads it for as long as it is open, so that a connection that the endpoint closes leaves the idle
+// ones at once.
 type upstreamConn struct {
 	net.Conn
 	instance   endpointInstance
 	limited    *limitedReader
-	reader     *bufio.Reader      // over in; empty between answers
-	waiter     chan upstreamReply // the attempt on it takes one reply here; nil while idle. Guarded by backend.mu
-	idleSince  time.Duration
-	reusableAt time.Duration // when it may carry another request
-	stage      exchangeStage // guarded by backend.mu
-	closed     bool          // guarded by backend.mu
+	reader     *bufio.Reader      // reads from limited; empty between responses
+	waiter     chan upstreamReply // receives one reply for the attempt in progress; nil if none is. Guarded by pool.mu
+	idleSince  time.Duration      // clock time
+	reusableAt time.Duration      // clock time from which it may carry another request
+	stage      exchangeStage      // guarded by pool.mu
+	closed     bool               // guarded by pool.mu
 }
 
-// stage is how far the request on a connection is.
+// exchangeStage is how far the request on a connection has been written.
 type exchangeStage int
 
 const (
-	stageIdle exchangeStage = iota // no byte of a request is written: whatever comes in answers none
-	stageWriting
-	stageWritten // whole
+	stageIdle    exchangeStage = iota // no byte is written: nothing that arrives can be a response
+	stageWriting                      // a part of it may be written
+	stageWritten                      // all of it is written
 )
 
-// watch starts the reader of a connection that an attempt is about to use.
-func (b *upstreamPool) startReader(nc net.Conn, to endpointInstance, waiter chan upstreamReply) *upstreamConn {
-	in := &limitedReader{Reader: nc}
-	c := &upstreamConn{Conn: nc, instance: to, limited: in, reader: bufio.NewReader(in), waiter: waiter}
-	go b.readLoop(c)
+func (s exchangeStage) String() string {
+	switch s {
+	case stageIdle:
+		return "not begun"
+	case stageWriting:
+		return "being written"
+	case stageWritten:
+		return "written"
+	}
+	return fmt.Sprintf("exchangeStage(%d)", int(s))
+}
+
+// upstreamReply is the result of reading from a connection: a complete response, or the reason why there is none.
+type upstreamReply struct {
+	attemptOutcome
+	endedByClose bool // only the end of the connection marked the end of the response
+	err          error
+}
+
+// startReader makes a new connection known to the pool with its first attempt registered, and starts its reader.
+func (p *upstreamPool) startReader(nc net.Conn, to endpointInstance, waiter chan upstreamReply) *upstreamConn {
+	limited := &limitedReader{Reader: nc}
+	c := &upstreamConn{
+		Conn:     nc,
+		instance: to,
+		limited:  limited,
+		reader:   bufio.NewReader(limited),
+		waiter:   waiter,
+	}
+	go p.readLoop(c)
 	return c
 }
 
-// giveUp closes a connection under the attempt that waits on it, unless its reply has come: then the
-// connection may serve another attempt already.
-func (b *upstreamPool) abandon(c *upstreamConn, waiter chan upstreamReply) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if c.waiter == waiter {
-		c.waiter = nil
-		b.closeConn(c)
-		waiter <- upstreamReply{err: context.Canceled}
+// readLoop reads a connection until it is closed.
+func (p *upstreamPool) readLoop(c *upstreamConn) {
+	for p.readNext(c) {
 	}
 }
 
-// wrote notes that a request is written whole, and frees the connection if it is answered already.
-func (b *upstreamPool) noteWritten(c *upstreamConn) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// readNext waits until bytes arrive or the connection ends, reads one response and passes it to the attempt that
+// awaits it. It reports whether the connection remains open. Until a request is being written, it leaves what
+// arrives in the kernel's buffer, where beginWrite detects it.
+func (p *upstreamPool) readNext(c *upstreamConn) bool {
+	awaitReadable(c.Conn)
+	p.mu.Lock()
+	stage, expected := c.stage, c.waiter != nil && c.stage != stageIdle
+	p.mu.Unlock()
+	reply, reusable := upstreamReply{err: fmt.Errorf("%w (request %v)", errUnsolicited, stage)}, false
+	if expected {
+		reply, reusable = p.readResponse(c)
+	}
+	waiter, reusable := p.endExchange(c, reply.endedAt, reusable)
+	if waiter != nil {
+		waiter <- reply
+	}
+	return reusable
+}
+
+// endExchange ends the exchange on a connection once its response is read, and returns the waiting attempt, or nil
+// if it has been abandoned meanwhile. It closes the connection unless that is reusable.
+func (p *upstreamPool) endExchange(c *upstreamConn, endedAt time.Duration, reusable bool) (chan upstreamReply, bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	waiter := c.waiter
+	c.waiter = nil
+	if waiter == nil || !reusable {
+		p.closeConn(c)
+		return waiter, false
+	}
+	c.idleSince, c.reusableAt = endedAt, endedAt+p.reuseDelay
+	// A response that arrives early must not admit another request before this one is written.
+	if c.stage == stageWritten {
+		p.putIdle(c)
+	}
+	return waiter, true
+}
+
+// noteWritten records that a request is completely written, and makes the connection idle if its response has
+// been read already.
+func (p *upstreamPool) noteWritten(c *upstreamConn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	c.stage = stageWritten
 	if c.waiter == nil && !c.closed {
-		b.putIdle(c)
+		p.putIdle(c)
 	}
 }
 
-// read watches a connection: it hands each answer to the attempt that waits for it, and drops the
-// connection when it ends or says something that no request asked for. Until a request is being
-// written it leaves what comes to the kernel, where begin sees it.
-func (b *upstreamPool) readLoop(c *upstreamConn) {
-	for keep := true; keep; {
-		awaitReadable(c.Conn)
-		b.mu.Lock()
-		asked := c.waiter != nil && c.stage != stageIdle
-		b.mu.Unlock()
-		r := upstreamReply{err: errUnsolicited}
-		if asked {
-			r, keep = b.readResponse(c)
-		} else {
-			keep = false
-		}
-		b.mu.Lock()
-		waiter := c.waiter
+// abandon closes a connection whose attempt has ended without a response. Once the reply has arrived it does
+// nothing, as the connection may carry another attempt by then.
+func (p *upstreamPool) abandon(c *upstreamConn, waiter chan upstreamReply) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if c.waiter == waiter {
 		c.waiter = nil
-		if waiter != nil && keep {
-			c.idleSince, c.reusableAt = r.endedAt, r.endedAt+b.reuseDelay
-			if c.stage == stageWritten { // an answer that came early must not let another request into this one
-				b.putIdle(c)
-			}
-		} else {
-			keep = false
-			b.closeConn(c)
-		}
-		b.mu.Unlock()
-		if waiter != nil {
-			waiter <- r
-		}
+		p.closeConn(c)
+		waiter <- upstreamReply{err: context.Canceled}
 	}
 }
-
-var errUnsolicited = errors.New("the server spoke or closed before it was asked")
--- a/internal/node/upstreampool.go
+++ b/internal/node/upstreampool.go
@@ -11,209 +11,230 @@
 	"balancer"
 )
 
-// restFor is how long a connection rests after an answer before it carries another request. A second copy
-// of the answer may come some milliseconds late, and nothing in it tells that it is no answer to the next
-// request: that one's client would get another's body. One that comes during the rest closes the connection.
-// It is the slack of the protocol's limits; a copy that is later still can't be told from an answer.
-// The price is connections: as many more to a server as a node's calls end there during the rest.
+// reuseDelay is how long a connection stays unused after a response before it may carry another request. A
+// duplicate of the response may arrive some milliseconds late, and nothing in it distinguishes it from the
+// response to the next request: that request's client would receive the body of another. A duplicate that
+// arrives during the delay closes the connection instead. The delay equals the slack of the protocol's limits;
+// a duplicate that arrives even later cannot be distinguished from a response. The cost is additional connections to an
+// endpoint: as many as requests of this node end there during the delay.
 const reuseDelay = 50 * time.Millisecond
 
-// host is one life of a server at one address. A server that starts anew, or another at an address that
-// one has left, must not be met over its predecessor's connections.
+// Fractions of the configured idle timeout of connections.
+const (
+	reuseDelayDivisor    = 4  // the reuse delay is at most this part of the idle timeout
+	idleMarginDivisor    = 10 // the node closes an idle connection earlier than the endpoint by this part
+	sweepIntervalDivisor = 20 // idle connections are checked for expiry at this part of the idle timeout
+)
+
+// minSweepInterval is the shortest time between two checks of the idle connections for expiry.
+const minSweepInterval = time.Millisecond
+
+// errNoDescriptor reports that the node has no file descriptor left for a connection. No endpoint is at fault.
+var errNoDescriptor = errors.New("no file descriptor left for an upstream connection")
+
+// endpointInstance is one process of an endpoint at one address. An endpoint that has restarted, or another
+// endpoint at an address that was in use before, must not be reached over connections to its predecessor.
 type endpointInstance struct {
 	uid, address string
-	bootMS       float64
+	bootMS       float64 // start of the process as listed: Unix time in milliseconds
 }
 
-// backend runs attempts over pools of kept connections, the last used first of those that have rested. http.Transport would
-// send some requests again by itself, and does not tell whether the last byte was written.
+// upstreamPool is a pool of persistent HTTP/1.1 connections to the endpoints, and carries out attempts over
+// them. Among the idle connections to an endpoint it prefers the one used last (LIFO), so that surplus
+// connections expire. http.Transport does not fit: it retries some requests by itself, and it does not report
+// whether the last byte of a request was written.
 type upstreamPool struct {
 	clock               clock
 	dial                dialFunc
-	maxConns            int        // connections open or being opened
-	descriptorAllowance func() int // for how many callers leave descriptors
+	maxConns            int        // limit of connections that are open or being opened
+	descriptorAllowance func() int // the limit that downstream connections leave at the moment
 
-	mu          sync.Mutex
-	dialTimeout time.Duration // that a connection may take to come up
+	mu          sync.Mutex // guards what follows
+	dialTimeout time.Duration
 	idleTimeout time.Duration
 	reuseDelay  time.Duration
-	idle        map[endpointInstance][]*upstreamConn // the oldest first
-	open        int
-	connsMade   int
-	endpoints   map[string]listEntry // the listed servers by uid
+	idle        map[endpointInstance][]*upstreamConn // in the order in which they became idle
+	open        int                                  // connections that are open or being opened
+	connsMade   int                                  // connections opened since the start, for the log
+	endpoints   map[string]listEntry                 // the listed endpoints by uid
 }
 
-func newUpstreamPool(cfg Config, c clock, most int) *upstreamPool {
-	b := &upstreamPool{
-		clock: c, maxConns: most, idle: map[endpointInstance][]*upstreamConn{}, endpoints: map[string]listEntry{},
-		descriptorAllowance: func() int { return most },
-	}
-	b.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
-		b.mu.Lock()
-		dialer := net.Dialer{Timeout: b.dialTimeout, KeepAlive: -1}
-		b.mu.Unlock()
+func newUpstreamPool(cfg Config, c clock, maxConns int) *upstreamPool {
+	p := &upstreamPool{
+		clock:               c,
+		maxConns:            maxConns,
+		descriptorAllowance: func() int { return maxConns },
+		idle:                map[endpointInstance][]*upstreamConn{},
+		endpoints:           map[string]listEntry{},
+	}
+	p.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+		p.mu.Lock()
+		dialer := net.Dialer{Timeout: p.dialTimeout, KeepAlive: -1}
+		p.mu.Unlock()
 		return dialer.DialContext(ctx, network, address)
 	}
-	b.configure(cfg)
-	return b
-}
-
-// configure takes over the times for connections; those that are open or being opened go by what they had.
-func (b *upstreamPool) configure(cfg Config) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.dialTimeout = cfg.ConnectTimeout
-	b.reuseDelay = min(reuseDelay, cfg.ConnIdle/4)
-	// Closed a little before the server does, or a request might cross its close and end as a reset.
-	b.idleTimeout = cfg.ConnIdle - cfg.ConnIdle/10
+	p.configure(cfg)
+	return p
 }
 
-// sweepEvery is how often idle connections are looked at.
-func (b *upstreamPool) sweepInterval() time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return max(b.idleTimeout/20, time.Millisecond)
+// configure applies the timeouts of a configuration. Dials in progress keep the timeout that they began with.
+func (p *upstreamPool) configure(cfg Config) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.dialTimeout = cfg.ConnectTimeout
+	p.reuseDelay = min(reuseDelay, cfg.ConnIdle/reuseDelayDivisor)
+	// The node closes a connection shortly before the endpoint does. Otherwise a request could cross the
+	// endpoint's close on the way and end in a reset.
+	p.idleTimeout = cfg.ConnIdle - cfg.ConnIdle/idleMarginDivisor
 }
 
-// errNoRoom says that the node is out of descriptors, which is no server's fault.
-var errNoDescriptor = errors.New("no descriptor left for a connection")
-
-// serves says that the list has a server as ready, in the same life and at the same address. The caller
-// holds mu.
-func (b *upstreamPool) isReady(h endpointInstance) bool {
-	t, listed := b.endpoints[h.uid]
-	return listed && t.State == balancer.Ready && t.instance() == h
+// connections returns the number of connections that are open or being opened.
+func (p *upstreamPool) connections() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.open
 }
 
-// take returns the idle connection used last of those that have rested, or nil once there is room to open
-// one. When short, the connection idle for longest is closed first.
-func (b *upstreamPool) takeIdle(to endpointInstance, waiter chan upstreamReply) (*upstreamConn, error) {
-	most := min(b.maxConns, b.descriptorAllowance()) // before the lock: callers ask for connections under theirs
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	free, now := b.idle[to], b.clock.now()
-	for i := len(free) - 1; i >= 0; i-- {
-		if c := free[i]; now >= c.reusableAt {
-			b.idle[to] = slices.Delete(free, i, i+1)
+// takeIdle returns the reusable idle connection to an instance that was used last, and registers waiter for its
+// next response. It returns nil once a descriptor is reserved for a new connection; at the limit, the connection
+// that has been idle for longest is closed for it.
+func (p *upstreamPool) takeIdle(to endpointInstance, waiter chan upstreamReply) (*upstreamConn, error) {
+	// The allowance is read before locking: the downstream side counts upstream connections while it holds its lock.
+	limit := min(p.maxConns, p.descriptorAllowance())
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	idle, now := p.idle[to], p.clock.now()
+	for i := len(idle) - 1; i >= 0; i-- {
+		if c := idle[i]; now >= c.reusableAt {
+			p.idle[to] = slices.Delete(idle, i, i+1)
 			c.waiter, c.stage = waiter, stageIdle
 			return c, nil
 		}
 	}
-	if b.open >= most {
-		var oldest *upstreamConn
-		for _, free := range b.idle {
-			if len(free) > 0 && (oldest == nil || free[0].idleSince < oldest.idleSince) {
-				oldest = free[0]
-			}
-		}
+	if p.open >= limit {
+		oldest := p.longestIdle()
 		if oldest == nil {
 			return nil, errNoDescriptor
 		}
-		b.closeConn(oldest)
+		p.closeConn(oldest)
 	}
-	b.open++
-	b.connsMade++
+	p.open++
+	p.connsMade++
 	return nil, nil
 }
 
-// drop closes a connection and forgets it. The caller holds mu.
-func (b *upstreamPool) closeConn(c *upstreamConn) {
+// longestIdle returns the connection that has been idle for longest, or nil if none is idle. The caller holds mu.
+func (p *upstreamPool) longestIdle() *upstreamConn {
+	var oldest *upstreamConn
+	for _, idle := range p.idle {
+		if len(idle) > 0 && (oldest == nil || idle[0].idleSince < oldest.idleSince) {
+			oldest = idle[0]
+		}
+	}
+	return oldest
+}
+
+// putIdle keeps a connection for further attempts if the instance that it leads to is still ready, and closes it
+// otherwise. The caller holds mu.
+func (p *upstreamPool) putIdle(c *upstreamConn) {
+	if !p.isReady(c.instance) {
+		p.closeConn(c)
+		return
+	}
+	p.idle[c.instance] = append(p.idle[c.instance], c)
+}
+
+// closeConn closes a connection and removes it from the pool. The caller holds mu.
+func (p *upstreamPool) closeConn(c *upstreamConn) {
 	if c.closed {
 		return
 	}
 	c.closed = true
-	b.open--
+	p.open--
 	c.Close()
-	free := b.idle[c.instance]
-	for i, o := range free {
-		if o == c {
-			b.idle[c.instance] = append(free[:i], free[i+1:]...)
-			break
-		}
+	idle := p.idle[c.instance]
+	if i := slices.Index(idle, c); i >= 0 {
+		p.idle[c.instance] = slices.Delete(idle, i, i+1)
 	}
-	if len(b.idle[c.instance]) == 0 {
-		delete(b.idle, c.instance)
+	if len(p.idle[c.instance]) == 0 {
+		delete(p.idle, c.instance)
 	}
 }
 
-// connections is how many are open or being opened.
-func (b *upstreamPool) connections() int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.open
+// closeIdle closes the idle connections to an instance. The caller holds mu.
+func (p *upstreamPool) closeIdle(to endpointInstance) {
+	for idle := p.idle[to]; len(idle) > 0; idle = p.idle[to] {
+		p.closeConn(idle[len(idle)-1])
+	}
 }
 
-// rest keeps a connection for the next attempt, if its server is still the one that it was made to. The
-// caller holds mu.
-func (b *upstreamPool) putIdle(c *upstreamConn) {
-	if !b.isReady(c.instance) {
-		b.closeConn(c)
-		return
-	}
-	b.idle[c.instance] = append(b.idle[c.instance], c)
+// isReady reports whether the list has an endpoint as ready, in the same instance. The caller holds mu.
+func (p *upstreamPool) isReady(to endpointInstance) bool {
+	entry, listed := p.endpoints[to.uid]
+	return listed && entry.State == balancer.Ready && entry.instance() == to
 }
 
-// servers follows the list: idle connections to a server that left, drains or started anew are closed. Of a
-// list of changes, only the entries that it names are looked at.
-func (b *upstreamPool) updateEndpoints(targets []listEntry, full bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, t := range targets {
-		b.applyEntry(t)
+// updateEndpoints applies an update of the endpoint list, and closes idle connections to endpoints that were
+// removed, that drain or that have restarted. Of an incremental update only the named entries are visited, as
+// updates of a long list are frequent.
+func (p *upstreamPool) updateEndpoints(entries []listEntry, complete bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, entry := range entries {
+		p.applyEntry(entry)
 	}
-	if full {
-		b.removeUnlisted(targets)
+	if complete {
+		p.removeUnlisted(entries)
 	}
 }
 
-// follow takes over one entry of the list. The caller holds mu.
-func (b *upstreamPool) applyEntry(t listEntry) {
-	old, known := b.endpoints[t.ID]
-	if known && (t.State != balancer.Ready || t.instance() != old.instance()) {
-		b.closeIdle(old.instance())
+// applyEntry applies one entry of an endpoint list. The caller holds mu.
+func (p *upstreamPool) applyEntry(entry listEntry) {
+	previous, known := p.endpoints[entry.ID]
+	if known && (entry.State != balancer.Ready || entry.instance() != previous.instance()) {
+		p.closeIdle(previous.instance())
 	}
-	if t.State == balancer.Removed {
-		delete(b.endpoints, t.ID)
+	if entry.State == balancer.Removed {
+		delete(p.endpoints, entry.ID)
 	} else {
-		b.endpoints[t.ID] = t
+		p.endpoints[entry.ID] = entry
 	}
 }
 
-// dropUnnamed forgets the servers that a complete list does not name. The caller holds mu.
-func (b *upstreamPool) removeUnlisted(targets []listEntry) {
-	named := make(map[string]bool, len(targets))
-	for _, t := range targets {
-		named[t.ID] = true
+// removeUnlisted removes the endpoints that a complete list does not name. The caller holds mu.
+func (p *upstreamPool) removeUnlisted(entries []listEntry) {
+	listed := make(map[string]bool, len(entries))
+	for _, entry := range entries {
+		listed[entry.ID] = true
 	}
-	for id, t := range b.endpoints {
-		if !named[id] {
-			b.closeIdle(t.instance())
-			delete(b.endpoints, id)
+	for id, entry := range p.endpoints {
+		if !listed[id] {
+			p.closeIdle(entry.instance())
+			delete(p.endpoints, id)
 		}
 	}
 }
 
-// dropIdle closes the idle connections to a host. The caller holds mu.
-func (b *upstreamPool) closeIdle(h endpointInstance) {
-	for free := b.idle[h]; len(free) > 0; free = b.idle[h] {
-		b.closeConn(free[len(free)-1])
-	}
-}
-
-// sweep closes connections that have been idle for too long, until ctx ends.
-func (b *upstreamPool) closeExpired(ctx context.Context) {
+// closeExpired closes connections whose idle timeout has passed, until ctx ends.
+func (p *upstreamPool) closeExpired(ctx context.Context) {
 	for {
-		if sleep(ctx, b.sweepInterval()); ctx.Err() != nil {
+		if sleep(ctx, p.sweepInterval()); ctx.Err() != nil {
 			return
 		}
-		b.mu.Lock()
-		for _, free := range b.idle {
-			for len(free) > 0 && b.clock.now()-free[0].idleSince >= b.idleTimeout {
-				c := free[0]
-				b.closeConn(c)
-				free = b.idle[c.instance]
+		p.mu.Lock()
+		for instance, idle := range p.idle {
+			for len(idle) > 0 && p.clock.now()-idle[0].idleSince >= p.idleTimeout {
+				p.closeConn(idle[0])
+				idle = p.idle[instance]
 			}
 		}
-		b.mu.Unlock()
+		p.mu.Unlock()
 	}
 }
+
+// sweepInterval returns the time between two checks of the idle connections for expiry.
+func (p *upstreamPool) sweepInterval() time.Duration {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return max(p.idleTimeout/sweepIntervalDivisor, minSweepInterval)
+}
--- a/internal/node/upstreamrequest.go
+++ b/internal/node/upstreamrequest.go
@@ -11,51 +11,63 @@
 	"time"
 )
 
-// encode writes the request to a server. Method, target, body, id and idempotency key pass through unchanged.
-// wait is the part of text that holds the value of X-Deadline, to be filled in by putWait.
-func encodeRequest(a *attempt) (text, wait []byte, err error) {
-	h := http.Header{
-		"User-Agent":   {""}, // none
+// upstreamHost is the Host of each request to an endpoint. HTTP/1.1 requires one, and the protocol leaves it open.
+const upstreamHost = "backend.local"
+
+// headSizeHint is the number of bytes reserved for the head of a request before it is encoded.
+const headSizeHint = 512
+
+// The value of X-Deadline in a request to an endpoint: the time that the node will wait, in seconds.
+const (
+	deadlineValueWidth = len("3600.000")      // bytes; enough for maxDeadline with milliseconds
+	minRemainingTime   = time.Millisecond     // an attempt with less time left is not begun
+	transitAllowance   = 5 * time.Millisecond // subtracted for the ways from the client and to the endpoint
+)
+
+// encodedRequest is a request in its HTTP/1.1 form, ready to be written to an endpoint.
+type encodedRequest struct {
+	text          []byte
+	deadlineValue []byte // the part of text that holds the value of X-Deadline, which is filled in last
+}
+
+// encodeRequest encodes the request of an attempt. Method, target, body, request id and idempotency key pass
+// through unchanged.
+func encodeRequest(a *attempt) (encodedRequest, error) {
+	header := http.Header{
+		"User-Agent":   {""}, // suppresses the default
 		"X-Request-Id": {a.request.id},
 		"X-Deadline":   {strings.Repeat("0", deadlineValueWidth)},
 	}
 	if a.request.key != "" {
-		h["Idempotency-Key"] = []string{a.request.key}
+		header["Idempotency-Key"] = []string{a.request.key}
 	}
 	if a.request.contentType != "" {
-		h["Content-Type"] = []string{a.request.contentType}
+		header["Content-Type"] = []string{a.request.contentType}
 	}
-	r := http.Request{
-		Method: a.request.method, URL: &url.URL{Opaque: a.request.target}, Host: "backend.local",
-		Header: h, ContentLength: int64(len(a.request.body)),
+	httpRequest := http.Request{
+		Method: a.request.method, URL: &url.URL{Opaque: a.request.target}, Host: upstreamHost,
+		Header: header, ContentLength: int64(len(a.request.body)),
 	}
 	if len(a.request.body) > 0 {
-		r.Body = io.NopCloser(bytes.NewReader(a.request.body))
+		httpRequest.Body = io.NopCloser(bytes.NewReader(a.request.body))
 	}
-	// The complete request in one write: what Write returns tells whether its last byte left.
+	// The request goes out in a single write, whose result shows whether its last byte was written.
 	var buf bytes.Buffer
-	buf.Grow(512 + len(a.request.body))
-	if err := r.Write(&buf); err != nil {
-		return nil, nil, fmt.Errorf("request: %w", err)
+	buf.Grow(headSizeHint + len(a.request.body))
+	if err := httpRequest.Write(&buf); err != nil {
+		return encodedRequest{}, fmt.Errorf("encode request %s: %w", a.request.id, err)
 	}
-	text = buf.Bytes()
-	const field = "\r\nX-Deadline: " // no value before it can hold a line end
-	at := bytes.Index(text, []byte(field)) + len(field)
-	return text, text[at : at+deadlineValueWidth], nil
+	text := buf.Bytes()
+	const field = "\r\nX-Deadline: " // cannot be part of an earlier value, as no value contains a line end
+	start := bytes.Index(text, []byte(field)) + len(field)
+	return encodedRequest{text: text, deadlineValue: text[start : start+deadlineValueWidth]}, nil
 }
 
-// X-Deadline on the way to a server: how long the node will wait, in seconds.
-const (
-	deadlineValueWidth = len("3600.000")      // bytes of its value, which fit maxWait to the millisecond
-	minRemainingTime   = time.Millisecond     // an attempt with less time left is not begun
-	transitAllowance   = 5 * time.Millisecond // taken off for the ways from the client and to the server
-)
-
-// waitToTell is how long a server is told that it has, or 0 if the time is over. It is what is left on the
-// node's clock less the time in transit, of which a short wait keeps the greater part: the node's clock knows
-// neither when the client sent the request nor when the server will read it.
-func (b *upstreamPool) remainingTime(a *attempt) time.Duration {
-	left := b.clock.until(a.deadline)
+// remainingTime returns the time that an endpoint has for an attempt, or 0 if the time is over. That is the time
+// until the deadline by the node's clock, less an allowance for the time in transit, as the clock shows neither
+// when the client sent the request nor when the endpoint will read it. Of a short time the greater part remains.
+func (p *upstreamPool) remainingTime(a *attempt) time.Duration {
+	left := p.clock.until(a.deadline)
 	left -= min(transitAllowance, left/4)
 	if left < minRemainingTime {
 		return 0
@@ -63,15 +75,15 @@
 	return left
 }
 
-// putWait writes a wait over the value of X-Deadline, which is waitWidth long, and never rounds it up. It
-// reports whether there is any time left to tell.
-func writeDeadlineValue(value []byte, wait time.Duration) bool {
-	if wait <= 0 {
+// writeDeadlineValue writes the remaining time over a value of X-Deadline, which has deadlineValueWidth bytes, and
+// never rounds it up. It reports false if no time remains.
+func writeDeadlineValue(value []byte, remaining time.Duration) bool {
+	if remaining <= 0 {
 		return false
 	}
 	var buf [32]byte
-	wait = wait.Truncate(time.Millisecond)
-	text := strconv.AppendFloat(buf[:0], wait.Seconds(), 'f', deadlineValueWidth, 64)
+	remaining = remaining.Truncate(time.Millisecond)
+	text := strconv.AppendFloat(buf[:0], remaining.Seconds(), 'f', deadlineValueWidth, 64)
 	copy(value, text[:deadlineValueWidth])
 	return true
 }
--- a/internal/node/upstreamresponse.go
+++ b/internal/node/upstreamresponse.go
@@ -11,18 +11,42 @@
 	"balancer"
 )
 
-// errCut says that an answer is not complete, or can't be told to be.
-var errIncompleteResponse = errors.New("the answer is not complete")
+const (
+	// maxBody is the longest body of a request or a response, in bytes.
+	maxBody = 64 << 10
+	// maxResponseOverhead limits everything in a response besides its body, in bytes: the head, the interim
+	// responses before it and the framing of chunks.
+	maxResponseOverhead = 16 << 10
+)
 
-// framing is what tells where the body of an answer ends (RFC 9112, section 6.3).
+var (
+	// errIncompleteResponse reports a response that is not complete, or that cannot be known to be.
+	errIncompleteResponse = errors.New("the response is incomplete")
+	// errUnexpectedTransferCoding reports a transfer coding in a response that predates HTTP/1.1.
+	errUnexpectedTransferCoding = errors.New("a transfer coding in a response older than HTTP/1.1")
+)
+
+// bodyFraming is what marks the end of a response's body (RFC 9112, section 6.3).
 type bodyFraming int
 
 const (
-	framedByLength bodyFraming = iota // a Content-Length, or chunks
-	framedByClose                     // the end of the connection: a FIN; a reset is no end
+	framedByLength bodyFraming = iota // a Content-Length, or the last chunk
+	framedByClose                     // the end of the connection: a FIN; a reset does not count
 	framingTooLong                    // a Content-Length beyond maxBody
 )
 
+func (f bodyFraming) String() string {
+	switch f {
+	case framedByLength:
+		return "length or chunks"
+	case framedByClose:
+		return "end of connection"
+	case framingTooLong:
+		return "length beyond the limit"
+	}
+	return fmt.Sprintf("bodyFraming(%d)", int(f))
+}
+
 func framingOf(resp *http.Response) bodyFraming {
 	switch {
 	case resp.ContentLength > maxBody:
@@ -33,83 +57,87 @@
 	return framedByClose
 }
 
-// readAnswer reads one answer, and tells whether the connection is of further use. Only a complete 200 is a
-// success. What can't be read may have run. An answer is good even if more follows that belongs to none,
-// but then the next answer could not be told from that. Only a 200 is worth waiting for the end of the
-// connection; no other answer without a length proves anything.
-func (b *upstreamPool) readResponse(c *upstreamConn) (upstreamReply, bool) {
+// readResponse reads one response, and reports whether the connection is reusable.
+//
+// Only a complete 200 is a success, and only a complete response proves that a request never ran. A response
+// without a length ends with the connection; the body is read to that end for a 200 alone, as it makes no other
+// response conclusive. Bytes that follow a response do not invalidate it, but the connection is not reusable then,
+// as they could not be distinguished from the next response.
+func (p *upstreamPool) readResponse(c *upstreamConn) (reply upstreamReply, reusable bool) {
 	c.limited.remaining = maxResponseOverhead
 	resp, err := readHead(c.reader)
 	if err != nil {
-		return upstreamReply{err: fmt.Errorf("answer: %w", err)}, false
+		return upstreamReply{err: fmt.Errorf("read response head: %w", err)}, false
 	}
 	ok, framing := resp.StatusCode == http.StatusOK, framingOf(resp)
 	if ok && framing == framingTooLong {
-		return upstreamReply{err: errIncompleteResponse}, false
+		return upstreamReply{err: fmt.Errorf("%w: its body has a %v", errIncompleteResponse, framing)}, false
 	}
 	var body []byte
 	if framing == framedByLength || ok {
 		body, err = readBody(c.limited, resp)
 	}
 	if ok && err != nil {
-		return upstreamReply{err: errors.Join(errIncompleteResponse, err)}, false
+		err = fmt.Errorf("%w: read its body, which ends by %v: %w", errIncompleteResponse, framing, err)
+		return upstreamReply{err: err}, false
 	}
-	r := upstreamReply{attemptOutcome: attemptOutcome{endedAt: b.clock.now()}, endedByClose: framing == framedByClose}
+	complete := framing == framedByLength && err == nil
+	reply.endedAt, reply.endedByClose = p.clock.now(), framing == framedByClose
 	switch {
 	case ok:
-		r.result, r.body, r.contentType = balancer.Success, body, resp.Header.Get("Content-Type")
-	case provesNotRun(resp) && framing == framedByLength && err == nil:
-		r.result = balancer.Rejected // only a complete answer proves that it never ran
+		reply.result, reply.body, reply.contentType = balancer.Success, body, resp.Header.Get("Content-Type")
+	case complete && provesNotRun(resp):
+		reply.result = balancer.Rejected
 	default:
-		r.result = balancer.ServerError
+		reply.result = balancer.ServerError
 	}
-	return r, err == nil && framing == framedByLength && !resp.Close && c.reader.Buffered() == 0
+	return reply, complete && !resp.Close && c.reader.Buffered() == 0
 }
 
-// provesNotRun says that an answer, if it is complete, tells that the request never ran.
+// provesNotRun reports whether a response, if it is complete, proves that the request never ran.
 func provesNotRun(resp *http.Response) bool {
 	return (resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout) &&
 		resp.Header.Get("X-Not-Run") == "1"
 }
 
-// readHead reads the head of the final answer, past the 1xx before it. http.ReadResponse ignores and removes
-// a Transfer-Encoding in an answer older than HTTP/1.1, whose body would then be the chunks themselves: its
-// framing is faulty (RFC 9112, section 6.1). So that it can be seen, such a head is parsed as HTTP/1.1.
-func readHead(br *bufio.Reader) (*http.Response, error) {
+// readHead reads the head of the final response, past interim (1xx) responses.
+//
+// http.ReadResponse ignores and removes a Transfer-Encoding in a response older than HTTP/1.1, and would then
+// return the framing of the chunks as the body. Such a response is faulty (RFC 9112, section 6.1). To make the
+// field visible, the head is parsed as if it were of HTTP/1.1.
+func readHead(reader *bufio.Reader) (*http.Response, error) {
+	const http11 = "HTTP/1.1"
 	for old := false; ; {
-		version, err := br.Peek(len("HTTP/1.1"))
+		version, err := reader.Peek(len(http11))
 		if err != nil {
 			return nil, err
 		}
 		if major, minor, ok := http.ParseHTTPVersion(string(version)); ok && (major < 1 || major == 1 && minor < 1) {
 			old = true
-			br.Discard(len(version))
-			br = bufio.NewReader(io.MultiReader(strings.NewReader("HTTP/1.1"), br))
+			if _, err := reader.Discard(len(version)); err != nil {
+				return nil, err
+			}
+			reader = bufio.NewReader(io.MultiReader(strings.NewReader(http11), reader))
 		}
-		resp, err := http.ReadResponse(br, nil)
+		resp, err := http.ReadResponse(reader, nil)
 		switch {
 		case err != nil:
 			return nil, err
 		case old && len(resp.TransferEncoding) > 0:
-			return nil, errors.New("a transfer coding in an answer older than HTTP/1.1")
-		case resp.StatusCode >= 200:
+			return nil, errUnexpectedTransferCoding
+		case resp.StatusCode >= http.StatusOK:
 			resp.Close = resp.Close || old
 			return resp, nil
 		}
 	}
 }
 
-// readBody reads a body of up to maxBody bytes to its end.
-func readBody(in *limitedReader, resp *http.Response) ([]byte, error) {
-	in.remaining += maxBody + 1
+// readBody reads a body to its end, and fails if it has more than maxBody bytes.
+func readBody(limited *limitedReader, resp *http.Response) ([]byte, error) {
+	limited.remaining += maxBody + 1
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBody+1))
 	if err == nil && len(body) > maxBody {
 		err = errResponseTooLong
 	}
 	return body, err
 }
-
-const (
-	maxBody             = 64 << 10 // the longest body of a request or an answer
-	maxResponseOverhead = 16 << 10 // all of an answer but its body: heads, 1xx before them, chunks' sizes
-)
