--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -62,7 +62,7 @@
 			suspect = false
 			continue
 		case !suspect:
-			d.log.Warn("discovery does not respond; retrying", "error", err)
+			d.log.Warn("discovery does not answer, retrying", "error", err)
 			suspect = true
 		}
 		d.awaitRetry(ctx, address)
@@ -94,7 +94,7 @@
 		return ctx.Err() == nil
 	}
 	again = isLocalDialError(err)
-	d.log.Warn("the subscription failed", "error", err)
+	d.log.Warn("discovery poll failed, retrying", "error", err)
 	if !again {
 		d.post(subscriptionFailed{})
 	}
