--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -1,4 +1,9 @@
-// Command balancer is one load-balancing node on real sockets, told all by BALANCER_CONFIG.
+// Command balancer is one load-balancing node on real sockets.
+//
+// The file that the environment variable BALANCER_CONFIG names holds its whole configuration. SIGTERM and SIGINT
+// drain the node and end it; SIGHUP has the file read again. The exit code is 0 after a complete drain, and 1, with
+// a line on standard error, when the configuration can't be used, when the node can't serve, or when requests are
+// left at the end of draining.
 package main
 
 import (
@@ -19,11 +24,11 @@
 	}
 }
 
-// run serves until SIGTERM or SIGINT and the end of what was taken. SIGHUP, which ends a program that
-// does not catch it, is caught before anything else: it has the configuration read again.
+// run serves until SIGTERM or SIGINT, and then until the node has drained.
 func run() error {
-	again := make(chan os.Signal, 1)
-	signal.Notify(again, syscall.SIGHUP)
+	// SIGHUP ends a program that does not catch it, so it is caught before anything else.
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
 	cfg, err := node.LoadConfig()
 	if err != nil {
 		return err
@@ -37,14 +42,25 @@
 		return err
 	}
 	log.Info("serving", "address", n.Addr())
-	go func() {
-		for range again {
-			if cfg, err := node.LoadConfig(); err != nil {
-				log.Error("the new configuration is bad; the old one stays", "error", err)
-			} else {
-				n.Reload(cfg)
-			}
-		}
-	}()
+	running, ended := context.WithCancel(context.Background())
+	defer ended()
+	go reloadOnSignal(running, hangups, n, log) // also while the node drains
 	return n.Run(ctx)
 }
+
+// reloadOnSignal reads the configuration again at each signal, until ctx ends.
+func reloadOnSignal(ctx context.Context, signals <-chan os.Signal, n *node.Node, log *slog.Logger) {
+	for {
+		select {
+		case <-signals:
+		case <-ctx.Done():
+			return
+		}
+		cfg, err := node.LoadConfig()
+		if err != nil {
+			log.Error("the new configuration is bad; the old one stays", "error", err)
+			continue
+		}
+		n.Reload(cfg)
+	}
+}
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -1,12 +1,9 @@
-// Package node is the real node round the balancer module: HTTP/1.1 callers on one side, servers and
-// discovery on the other. Every decision is the module's; this package carries it out.
 package node
 
 import (
 	"encoding/json"
 	"errors"
 	"fmt"
-	"math"
 	"net/netip"
 	"os"
 	"strconv"
@@ -16,26 +13,60 @@
 	"balancer/internal/settings"
 )
 
-// Config is what a node is told at its start.
+// configVariable is the environment variable that names the configuration file.
+const configVariable = "BALANCER_CONFIG"
+
+// Config is the configuration of a node. LoadConfig and ParseConfig return checked ones.
 type Config struct {
-	Name      string
-	Zone      string
-	Listen    string
-	Discovery string
-	Seed      uint64
-	MemoryMB  int
-	Sockets   int
-	Known     json.RawMessage // the list as the node last had it, perhaps old
-
-	Settings       balancer.Settings
-	ConnIdle       time.Duration // a server closes a connection idle for so long
-	ConnectTimeout time.Duration
+	Name      string          // of the node, for its log
+	Zone      string          // where the node runs
+	Listen    string          // address and port for clients' connections
+	Discovery string          // address and port of the agent or the registry
+	Seed      uint64          // of the module's random draws
+	MemoryMB  int             // limit of the process's memory, in megabytes
+	Sockets   int             // limit of the process's descriptors
+	Known     json.RawMessage // the endpoint list as the node last had it; it may be old
+
+	Settings       balancer.Settings // of the module
+	ConnIdle       time.Duration     // after which an endpoint closes an idle connection
+	ConnectTimeout time.Duration     // for a connection to an endpoint to come up
 }
 
-// leastSockets leaves room for the node's own descriptors and a few connections on each side.
-const minSockets = 64
+// Limits of the configuration's values.
+const (
+	minSockets   = 64 // descriptors: the node's own, and a few connections on each side
+	maxSockets   = 1 << 20
+	minMemoryMB  = 16
+	maxMemoryMB  = 1 << 20
+	maxTimeoutMS = 1e9 // milliseconds, of conn-idle-ms and connect-timeout-ms
+	seedBase     = 16  // the seed is written in hexadecimal
+	seedBits     = 64
+)
+
+// ConfigError says which field of the configuration can't be used. Errors in the module's settings wrap a
+// *balancer.SettingError as well.
+type ConfigError struct {
+	Field string // by its path in the file, such as limits.sockets
+	Err   error  // the reason, which names the field too
+}
+
+// Error names the field and the reason.
+func (e *ConfigError) Error() string { return "config: " + e.Err.Error() }
+
+// Unwrap returns the reason.
+func (e *ConfigError) Unwrap() error { return e.Err }
+
+// unreadable is a ConfigError for a field whose value can't be read.
+func unreadable(field string, err error) error {
+	return &ConfigError{Field: field, Err: fmt.Errorf("%s: %w", field, err)}
+}
 
-// configFile mirrors the file that BALANCER_CONFIG names.
+// outOfRange is a ConfigError for a field whose value is too small or too large.
+func outOfRange(field string, value float64) error {
+	return &ConfigError{Field: field, Err: fmt.Errorf("%s %w: %v", field, balancer.ErrOutOfRange, value)}
+}
+
+// configFile mirrors the configuration file.
 type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -49,7 +80,7 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// settingsFile holds the settings that the node needs beside the module's.
+// settingsFile mirrors the settings that the node needs besides the module's.
 type settingsFile struct {
 	Zone   string `json:"zone"`
 	Limits struct {
@@ -58,11 +89,11 @@
 	} `json:"limits"`
 }
 
-// LoadConfig reads and checks the file that BALANCER_CONFIG names.
+// LoadConfig reads and checks the file that the environment variable BALANCER_CONFIG names.
 func LoadConfig() (Config, error) {
-	path := os.Getenv("BALANCER_CONFIG")
+	path := os.Getenv(configVariable)
 	if path == "" {
-		return Config{}, errors.New("config: BALANCER_CONFIG is not set")
+		return Config{}, errors.New("config: " + configVariable + " is not set")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -71,54 +102,85 @@
 	return ParseConfig(text)
 }
 
-// ParseConfig reads a configuration. The error names the first field at fault.
+// ParseConfig reads and checks a configuration file. The error is a *ConfigError for the first field that can't be
+// used, unless the file as a whole can't be read.
 func ParseConfig(text []byte) (Config, error) {
 	var f configFile
 	if err := json.Unmarshal(text, &f); err != nil {
 		return Config{}, fmt.Errorf("config: %w", err)
 	}
+	s, set, err := parseSettings(f.Settings)
+	if err != nil {
+		return Config{}, err
+	}
+	seed, err := f.validate()
+	if err != nil {
+		return Config{}, err
+	}
+	if err := s.validate(); err != nil {
+		return Config{}, err
+	}
+	return Config{
+		Name: f.Name, Zone: s.Zone, Listen: f.Listen, Discovery: f.Discovery, Seed: seed,
+		MemoryMB: int(f.Limits.MemoryMB), Sockets: int(f.Limits.Sockets), Known: f.Known, Settings: set,
+		ConnIdle:       settings.Milliseconds(s.Limits.ConnIdle),
+		ConnectTimeout: settings.Milliseconds(s.Limits.ConnectTimeout),
+	}, nil
+}
+
+// parseSettings reads the settings object twice: for the node and for the module, which checks its own part.
+func parseSettings(text json.RawMessage) (settingsFile, balancer.Settings, error) {
 	var s settingsFile
-	if len(f.Settings) == 0 {
-		return Config{}, errors.New("config: settings are missing")
+	if len(text) == 0 {
+		return s, balancer.Settings{}, &ConfigError{Field: "settings", Err: errors.New("settings are missing")}
 	}
-	if err := json.Unmarshal(f.Settings, &s); err != nil {
-		return Config{}, fmt.Errorf("config: settings: %w", err)
+	if err := json.Unmarshal(text, &s); err != nil {
+		return s, balancer.Settings{}, unreadable("settings", err)
 	}
-	set, err := settings.Parse(f.Settings)
+	set, err := settings.Parse(text)
 	if err != nil {
-		return Config{}, fmt.Errorf("config: %w", err)
+		return s, set, &ConfigError{Field: "settings", Err: err} // it begins with "settings"
 	}
-	if _, err := balancer.New(set, 0); err != nil {
-		return Config{}, fmt.Errorf("config: settings: %w", err)
+	if err := set.Validate(); err != nil {
+		return s, set, unreadable("settings", err)
 	}
-	for _, a := range [][2]string{{"listen", f.Listen}, {"discovery", f.Discovery}} {
-		if _, err := netip.ParseAddrPort(a[1]); err != nil {
-			return Config{}, fmt.Errorf("config: %s: %w", a[0], err)
+	return s, set, nil
+}
+
+// validate checks the fields outside the settings, and returns the seed, which is written in hexadecimal.
+func (f *configFile) validate() (seed uint64, err error) {
+	for _, a := range []struct{ field, address string }{
+		{"listen", f.Listen},
+		{"discovery", f.Discovery},
+	} {
+		if _, err := netip.ParseAddrPort(a.address); err != nil {
+			return 0, unreadable(a.field, err)
 		}
 	}
-	seed, err := strconv.ParseUint(f.Seed, 16, 64)
-	if err != nil {
-		return Config{}, fmt.Errorf("config: seed: %w", err)
+	if seed, err = strconv.ParseUint(f.Seed, seedBase, seedBits); err != nil {
+		return 0, unreadable("seed", err)
 	}
-	if !(f.Limits.MemoryMB >= 16 && f.Limits.MemoryMB <= 1<<20) {
-		return Config{}, fmt.Errorf("config: limits.memory_mb is out of range: %v", f.Limits.MemoryMB)
+	if !(f.Limits.MemoryMB >= minMemoryMB && f.Limits.MemoryMB <= maxMemoryMB) {
+		return 0, outOfRange("limits.memory_mb", f.Limits.MemoryMB)
 	}
-	if !(f.Limits.Sockets >= minSockets && f.Limits.Sockets <= 1<<20) {
-		return Config{}, fmt.Errorf("config: limits.sockets is out of range: %v", f.Limits.Sockets)
+	if !(f.Limits.Sockets >= minSockets && f.Limits.Sockets <= maxSockets) {
+		return 0, outOfRange("limits.sockets", f.Limits.Sockets)
 	}
+	return seed, nil
+}
+
+// validate checks the settings that only the node uses.
+func (s *settingsFile) validate() error {
 	for _, t := range []struct {
-		name string
-		ms   float64
-	}{{"conn-idle-ms", s.Limits.ConnIdle}, {"connect-timeout-ms", s.Limits.ConnectTimeout}} {
-		if !(t.ms > 0 && t.ms <= 1e9) {
-			return Config{}, fmt.Errorf("config: settings.limits.%s is out of range: %v", t.name, t.ms)
+		field string
+		ms    float64
+	}{
+		{"settings.limits.conn-idle-ms", s.Limits.ConnIdle},
+		{"settings.limits.connect-timeout-ms", s.Limits.ConnectTimeout},
+	} {
+		if !(t.ms > 0 && t.ms <= maxTimeoutMS) {
+			return outOfRange(t.field, t.ms)
 		}
 	}
-	return Config{
-		Name: f.Name, Zone: s.Zone, Listen: f.Listen, Discovery: f.Discovery, Seed: seed,
-		MemoryMB: int(f.Limits.MemoryMB), Sockets: int(f.Limits.Sockets), Known: f.Known, Settings: set,
-		ConnIdle: millis(s.Limits.ConnIdle), ConnectTimeout: millis(s.Limits.ConnectTimeout),
-	}, nil
+	return nil
 }
-
-func millis(ms float64) time.Duration { return time.Duration(math.Round(ms * 1e6)) }
--- /dev/null
+++ b/internal/node/doc.go
@@ -0,0 +1,47 @@
+// Package node is the load-balancing node on real sockets. It accepts HTTP/1.1 requests from clients, forwards
+// them to the endpoints that discovery lists, and takes every decision (which endpoint, retries, rejections) from
+// the decision module, package balancer. The node carries the decisions out and makes none itself.
+//
+// # State and its owners
+//
+// The loop's goroutine owns the module (a *balancer.Balancer) and all that goes with it: the pending requests, the
+// timers, the endpoint list and the figures of the traffic line. Other goroutines reach it only by posting events
+// (events.go). It never waits for I/O, and it answers a request by a send on that request's buffered channel.
+//
+// The following state is shared, and guarded by a mutex or atomic where it stands:
+//
+//   - downstreamConns: the clients' connections and their part of the descriptors;
+//   - upstreamPool: the connections to endpoints, and the list as far as the pool needs it;
+//   - discovery: the address that is watched;
+//   - request: whether its client has departed and whether an attempt has begun;
+//   - loop.rules and loop.ready: set by the loop, read by the front end;
+//   - Node: what Reload changes.
+//
+// # Goroutines
+//
+// Node.Run starts the first four kinds, and it has waited for all of these when it returns:
+//
+//   - The loop ends when Run cancels its context, after all the others of this list.
+//   - Discovery (one goroutine, and one more while an agent's health check runs beside a watch) ends when Run
+//     cancels its context; a call that is open is aborted by that.
+//   - The sweep that closes expired idle connections to endpoints ends with the same context.
+//   - The HTTP server's accept loop ends when the listener is closed, by draining. If accepting fails for good, Run
+//     returns its error.
+//
+// Run waits for the following in the ordinary case, and not if the drain limit passes first:
+//
+//   - One goroutine of net/http for each client's connection. It ends when the connection is closed; draining
+//     closes each one behind its last answer.
+//
+// Run does not wait for the following. They hold no state that outlives the process, and waiting for them would
+// delay the end of a node whose requests are all answered:
+//
+//   - One goroutine for each attempt ends with the attempt: by an answer, an error, its cancellation or its
+//     deadline. A hedged request, or an attempt whose client has departed, may still be in flight when all requests
+//     are answered.
+//   - One reader for each connection to an endpoint ends when that connection is closed, by either side. Idle
+//     connections stay open until the process exits.
+//
+// A Hollow node has the loop, discovery and its attempts, and for each pending request a goroutine that waits for
+// the answer. Hollow.Run waits for the loop and for discovery.
+package node
--- a/internal/node/drainschedule.go
+++ b/internal/node/drainschedule.go
@@ -1,38 +1,46 @@
 package node
 
-import (
-	"time"
-)
+import "time"
 
-// How a node ends, as the protocol has it: new connections come for up to 400 ms more, and it is killed no
-// sooner than the longest deadline, killCap at most, and killAfter later.
+// How a node is ended, as the protocol has it: new connections may come for 400 ms after the signal, and the node
+// is killed no sooner than the longest deadline of a class, or maxDeadlineCounted if that is less, and killDelay
+// later.
 const (
-	drainAccept = 500 * time.Millisecond // those 400 ms, and the slack of the protocol's limits twice
-	drainQuiet  = 100 * time.Millisecond // from then on callers are served on, for the last to be heard
-	killCap     = 3 * time.Second
-	killAfter   = 700 * time.Millisecond
-	killMargin  = 100 * time.Millisecond // from the end to the kill
-	lastMargin  = 150 * time.Millisecond // from the last answers to the end
+	// acceptPeriod is how long a draining node accepts connections: those 400 ms, and twice the tolerance that the
+	// protocol's times have.
+	acceptPeriod = 500 * time.Millisecond
+	// quietPeriod is how long clients are served on after that, at least, so that the requests on the connections
+	// that came last are received.
+	quietPeriod        = 100 * time.Millisecond
+	maxDeadlineCounted = 3 * time.Second
+	killDelay          = 700 * time.Millisecond
+	killMargin         = 100 * time.Millisecond // from the latest end of the node to the kill
+	finalAnswerMargin  = 150 * time.Millisecond // from the final answers to the latest end of the node
 )
 
-// drainMost is how long the node may take to end.
+// drainLimit is how long the node may take to drain.
 func drainLimit(cfg Config) time.Duration {
 	var longest time.Duration
-	for _, c := range cfg.Settings.Classes {
-		longest = max(longest, c.Deadline)
+	for _, class := range cfg.Settings.Classes {
+		longest = max(longest, class.Deadline)
 	}
-	return min(longest, killCap) + killAfter - killMargin
+	return min(longest, maxDeadlineCounted) + killDelay - killMargin
 }
 
-// endingOf is how a node ends: it serves for as long as most answers, which take less than half of their
-// aim, come before the end. Callers that it lets go sooner would find no node at all. Where deadlines are so
-// short that there is no time for all of that, the last answers go first.
+// drainScheduleOf works out the steps of draining. The node keeps its clients' connections until it must close
+// them for most answers, which take less than half of their latency objective, to come in time: a client whose
+// connection is closed sooner might find no other node yet. Where deadlines are so short that there is no time
+// for all of that, the final answers have priority.
 func drainScheduleOf(cfg Config) drainSchedule {
-	var aim time.Duration
-	for _, c := range cfg.Settings.Classes {
-		aim = max(aim, c.LatencyObjective)
+	var objective time.Duration
+	for _, class := range cfg.Settings.Classes {
+		objective = max(objective, class.LatencyObjective)
+	}
+	answerAll := drainLimit(cfg) - finalAnswerMargin
+	closeConns := min(max(acceptPeriod+quietPeriod, answerAll-objective/2), answerAll-drainPollInterval)
+	return drainSchedule{
+		stopAccepting: min(acceptPeriod, closeConns),
+		closeConns:    closeConns,
+		answerAll:     answerAll,
 	}
-	last := drainLimit(cfg) - lastMargin
-	serve := min(max(drainAccept+drainQuiet, last-aim/2), last-drainPollInterval)
-	return drainSchedule{stopAccepting: min(drainAccept, serve), closeConns: serve, answerAll: last}
 }
--- a/internal/node/endpointlist.go
+++ b/internal/node/endpointlist.go
@@ -1,81 +1,89 @@
 package node
 
-import (
-	"balancer"
-)
+import "balancer"
 
-// useCachedList begins with the list that the node last had, unless a newer one has been heard. What the agent
-// holds counts as told from a process's first moment: until it is known, or can't be had, no server may be
-// sent to by an old list, and what callers ask for is held.
+// This file keeps the endpoint list as the loop holds it: the entries by uid, how many of them are ready, and the
+// cached list that stands in until discovery has been heard. The list itself is parsed in listparser.go.
+
+// noListVersion stands for the version of the list where the node holds none: discovery then asks for the complete
+// list.
+const noListVersion int64 = -1
+
+// useCachedList starts with the list that the node last had, unless a newer one has been applied. The agent's
+// list is binding from the first moment of the process. So until that list has come, or discovery counts as
+// unresponsive, no request is sent by the cached list, and the module queues what clients send.
 func (l *loop) useCachedList() {
 	if !l.listKnown {
 		l.applyList(l.cachedList, true)
 	}
 }
 
-// takeList keeps where the servers listen, and passes the list on. A list that changes nothing, as after
-// discovery has moved, is not passed on where lists are pushed: the module takes each list for a change
-// and cuts its pool anew, so telling it of nothing would move requests and open connections for nothing.
-func (l *loop) applyList(news endpointList, cached bool) {
+// applyList takes over a list, or changes to it, and passes it to the upstream pool and to the module. Where
+// lists are pushed, one that changes nothing, as it comes after discovery has moved to another address, is not
+// passed on: the module treats every list as a change and selects its subset anew, which would move requests
+// and open connections without need.
+func (l *loop) applyList(update endpointList, cached bool) {
 	l.listKnown, l.cachedList = true, endpointList{}
-	l.setStartTimes(news.entries)
+	l.setStartTimes(update.entries)
 	if !cached {
 		defer l.bootClock.confirm()
 	}
-	if !cached && l.listsPushed && l.isUnchanged(news) {
+	if !cached && l.listsPushed && l.isUnchanged(update) {
 		return
 	}
-	e := balancer.EndpointUpdate{Complete: news.complete, Cached: cached, Endpoints: l.applyEntries(news)}
-	l.updateEndpoints(news.entries, news.complete)
+	e := balancer.EndpointUpdate{Complete: update.complete, Cached: cached, Endpoints: l.applyEntries(update)}
+	l.updateEndpoints(update.entries, update.complete)
 	l.decide(l.clock.now(), e)
 	l.ready.Store(l.readyServers > 0)
 }
 
-// convertBoots sets the clock time of each entry's start, as it was converted when its boot_ms was first seen.
-func (l *loop) setStartTimes(targets []listEntry) {
+// setStartTimes sets the clock time of each entry's start. An entry that is already held keeps the time that was
+// worked out when its boot_ms was first seen.
+func (l *loop) setStartTimes(entries []listEntry) {
 	l.bootClock.observe()
-	for i := range targets {
-		t := &targets[i]
-		held, isHeld := l.endpoints[t.ID]
-		t.StartedAt = l.bootClock.started(t.bootMS, held, isHeld)
+	for i := range entries {
+		entry := &entries[i]
+		held, isHeld := l.endpoints[entry.ID]
+		entry.StartedAt = l.bootClock.started(entry.bootMS, held, isHeld)
 	}
 }
 
-// apply takes over the entries of a list, and returns them as the module is to be told of them.
-func (l *loop) applyEntries(news endpointList) []balancer.Endpoint {
-	if news.complete {
+// applyEntries takes over the entries of a list and returns them in the module's form.
+func (l *loop) applyEntries(update endpointList) []balancer.Endpoint {
+	if update.complete {
 		clear(l.endpoints)
 		l.readyServers = 0
 	}
-	servers := make([]balancer.Endpoint, len(news.entries))
-	for i, t := range news.entries {
-		servers[i] = t.Endpoint
-		l.applyEntry(t)
+	endpoints := make([]balancer.Endpoint, len(update.entries))
+	for i, entry := range update.entries {
+		endpoints[i] = entry.Endpoint
+		l.applyEntry(entry)
 	}
-	return servers
+	return endpoints
 }
 
-// applyEntry takes over an entry of a list.
-func (l *loop) applyEntry(t listEntry) {
-	if old, ok := l.endpoints[t.ID]; ok && old.State == balancer.Ready {
+// applyEntry takes over one entry and keeps the count of ready endpoints.
+func (l *loop) applyEntry(entry listEntry) {
+	if old, listed := l.endpoints[entry.ID]; listed && old.State == balancer.Ready {
 		l.readyServers--
 	}
-	if t.State == balancer.Removed {
-		delete(l.endpoints, t.ID)
+	if entry.State == balancer.Removed {
+		delete(l.endpoints, entry.ID)
 		return
 	}
-	l.endpoints[t.ID] = t
-	if t.State == balancer.Ready {
+	l.endpoints[entry.ID] = entry
+	if entry.State == balancer.Ready {
 		l.readyServers++
 	}
 }
 
-// holds says that a list tells nothing new.
-func (l *loop) isUnchanged(news endpointList) bool {
-	for _, t := range news.entries {
-		if held, ok := l.endpoints[t.ID]; ok && held != t || !ok && t.State != balancer.Removed {
+// isUnchanged reports whether applying a list would change nothing.
+func (l *loop) isUnchanged(update endpointList) bool {
+	for _, entry := range update.entries {
+		held, isHeld := l.endpoints[entry.ID]
+		if isHeld && held != entry || !isHeld && entry.State != balancer.Removed {
 			return false
 		}
 	}
-	return !news.complete || len(news.entries) == len(l.endpoints)
+	return !update.complete || len(update.entries) == len(l.endpoints)
 }
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -6,29 +6,56 @@
 	"balancer"
 )
 
-// event is what the other parts tell the loop: one of the types below.
-type event interface{}
-
-type (
-	requestReceived struct{ request *request }
-	clientDeparted  struct {
-		request    *request
-		how        departure
-		at         time.Duration
-		retryAfter time.Duration // when to come back, for a refusal
-	}
-	attemptEnded struct {
-		attempt *attempt
-		result  attemptOutcome
-	}
-	listReceived          struct{ list endpointList }
-	listConfirmed         struct{} // discovery has answered that nothing has changed
-	subscriptionFailed    struct{}
-	discoveryUnresponsive struct{} // discovery says nothing: the list that the node last had must do
-	settingsChanged       struct {
-		settings balancer.Settings
-		rules    *requestRules
-		inForce  func(at time.Duration)
-	}
-	shutdownDeadline struct{} // the node ends: what is unanswered is answered now
-)
+// event is a message to the loop from another goroutine: one of the types of this file. String names it for
+// logs and for messages of tests.
+type event interface{ String() string }
+
+// requestReceived carries a complete request that the front end has checked.
+type requestReceived struct{ request *request }
+
+// clientDeparted reports that the client of a waiting request has closed its connection, or may have.
+type clientDeparted struct {
+	request    *request
+	how        departure
+	at         time.Duration // clock time when it was seen
+	retryAfter time.Duration // for the answer, should the request be rejected
+}
+
+// attemptEnded carries the outcome of an attempt. It is posted once for each attempt that was started.
+type attemptEnded struct {
+	attempt *attempt
+	result  attemptOutcome
+}
+
+// listReceived carries an endpoint list, or the changes to it, from discovery.
+type listReceived struct{ list endpointList }
+
+// listConfirmed reports that discovery has answered and that nothing has changed.
+type listConfirmed struct{}
+
+// subscriptionFailed reports that a poll of discovery has failed.
+type subscriptionFailed struct{}
+
+// discoveryUnresponsive reports that discovery has not answered since the start of the process, so that the
+// cached list has to do.
+type discoveryUnresponsive struct{}
+
+// settingsChanged carries new settings. The loop calls inForce once the module has them.
+type settingsChanged struct {
+	settings balancer.Settings
+	rules    *requestRules
+	inForce  func(at time.Duration)
+}
+
+// shutdownDeadline reports that the time for draining is over: every request that still waits is answered now.
+type shutdownDeadline struct{}
+
+func (requestReceived) String() string       { return "request received" }
+func (clientDeparted) String() string        { return "client departed" }
+func (attemptEnded) String() string          { return "attempt ended" }
+func (listReceived) String() string          { return "list received" }
+func (listConfirmed) String() string         { return "list confirmed" }
+func (subscriptionFailed) String() string    { return "subscription failed" }
+func (discoveryUnresponsive) String() string { return "discovery unresponsive" }
+func (settingsChanged) String() string       { return "settings changed" }
+func (shutdownDeadline) String() string      { return "shutdown deadline" }
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -11,62 +11,78 @@
 	"balancer"
 )
 
-// Answer says how a call that was made on a Hollow ended.
+// Answer says how a call that was made on a Hollow node ended.
 type Answer int
 
-// Answers.
+// The answers of a Hollow node.
 const (
-	Served Answer = iota
-	Rejected
-	Failed
+	Served   Answer = iota // by an endpoint
+	Rejected               // not forwarded
+	Failed                 // forwarded, and no answer came back
 )
 
-// Hollow is a node without sockets to callers and servers: the real module, the real event loop and the
-// real discovery client. Its calls come from the program it is in, and its attempts end in memory. Many fit
-// one process, which is how the cost of a fleet's control is measured on one machine.
+// String names the answer for logs.
+func (a Answer) String() string {
+	switch a {
+	case Served:
+		return "served"
+	case Rejected:
+		return "rejected"
+	case Failed:
+		return "failed"
+	}
+	return fmt.Sprintf("Answer(%d)", int(a))
+}
+
+// Hollow is a node without sockets to clients and endpoints: the real module, the real event loop and the real
+// discovery client. The program that it is part of makes its calls, and its attempts end in memory. Many fit into
+// one process, so that the cost of a fleet's control plane can be measured on one machine, as Kubernetes does with
+// the hollow nodes of kubemark.
 type Hollow struct {
 	loop        *loop
 	discovery   *discovery
 	listsPushed bool
-	serve       func(server string) (time.Duration, balancer.AttemptResult)
-	onList      func(rev int64, at time.Time)
-	ended       chan struct{} // closed once the loop takes no more events
+	serve       ServeFunc
+	onList      func(version int64, at time.Time)
+	ended       chan struct{} // closed once the loop has ended
 
 	mu    sync.Mutex
-	lists []postedList // posted, and not yet taken over; the oldest first
-	calls int64
+	lists []postedList // posted to the loop and not yet applied, the oldest first
+	calls int64        // how many were made; the last one's id
 }
 
-// heardList tells by its first entry which version a list is that the loop takes over.
+// ServeFunc draws the outcome of an attempt at an endpoint, and the time that it takes. It must not block.
+type ServeFunc func(endpoint string) (time.Duration, balancer.AttemptResult)
+
+// postedList remembers the version of a list that was posted. The loop passes on the entries alone, so the list is
+// recognised by the address of its first entry.
 type postedList struct {
-	first *listEntry
-	rev   int64
+	first   *listEntry
+	version int64
 }
 
-// NewHollow puts a hollow node together; cfg.Listen is not used. serve draws how an attempt at a server ends
-// and after how long. onList is called, from the goroutine of the loop, as the module is about to be told of a
-// list that changes something; neither may block.
-func NewHollow(cfg Config, log *slog.Logger, serve func(server string) (time.Duration, balancer.AttemptResult),
-	onList func(rev int64, at time.Time),
-) (*Hollow, error) {
+// NewHollow sets up a hollow node; cfg.Listen is not used. The loop's goroutine calls serve for each attempt, and
+// onList just before the module gets a list that changes something; neither may block.
+func NewHollow(cfg Config, log *slog.Logger, serve ServeFunc, onList func(version int64, at time.Time)) (*Hollow, error) {
 	set := moduleSettings(cfg)
-	balancer, err := balancer.New(set, cfg.Seed)
+	module, err := balancer.New(set, cfg.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("hollow node: %w", err)
 	}
 	h := &Hollow{listsPushed: !set.PollDiscovery, serve: serve, onList: onList, ended: make(chan struct{})}
-	h.loop = newLoop(balancer, newClock(), log)
+	h.loop = newLoop(module, newClock(), log)
 	h.loop.rules.Store(newRequestRules(1, set))
 	h.loop.start, h.loop.updateEndpoints, h.loop.listsPushed = h.start, h.listApplied, h.listsPushed
-	h.discovery = newDiscovery(cfg, -1, h.post, log)
+	h.discovery = newDiscovery(cfg, noListVersion, h.post, log)
 	h.loop.subscribe = h.discovery.subscribe
-	if h.loop.cachedList = (endpointList{complete: true}); !h.listsPushed {
-		h.loop.useCachedList() // the module asks for more
+	h.loop.cachedList = endpointList{complete: true}
+	if !h.listsPushed {
+		h.loop.useCachedList() // the module subscribes for a newer list
 	}
 	return h, nil
 }
 
-// Run follows discovery and answers calls until ctx ends; calls that are out then are never answered.
+// Run follows discovery and answers calls until ctx ends. Calls that are pending then are never answered.
 func (h *Hollow) Run(ctx context.Context) {
 	go func() {
 		defer close(h.ended)
@@ -81,40 +97,48 @@
 	h.discovery.address().client.CloseIdleConnections()
 }
 
-// Ready says whether a listed server may be sent to.
+// Ready reports whether a listed endpoint is ready.
 func (h *Hollow) Ready() bool { return h.loop.ready.Load() }
 
-// Call makes a call that its caller gives up on after deadline. It blocks only while the loop's queue is
-// full; done is called once, from another goroutine, unless the node ends first.
+// Call makes a call whose client waits until the deadline, counted from now. It blocks only while the loop's queue
+// is full. done is called once, from another goroutine, unless the node ends first.
 func (h *Hollow) Call(class string, deadline time.Duration, done func(Answer)) {
 	h.mu.Lock()
 	h.calls++
 	id := strconv.FormatInt(h.calls, 10)
 	h.mu.Unlock()
 	now := h.loop.clock.now()
-	c := &request{id: id, class: class, receivedAt: now, deadline: now + deadline, revision: 1, response: make(chan response, 1)}
-	h.post(requestReceived{c})
+	r := &request{
+		id: id, class: class, receivedAt: now, deadline: now + deadline, revision: 1,
+		response: make(chan response, 1),
+	}
+	h.post(requestReceived{r})
 	go func() {
 		select {
-		case a := <-c.response:
-			switch a.kind {
-			case responseServed:
-				done(Served)
-			case responseRejected:
-				done(Rejected)
-			default:
-				done(Failed)
-			}
+		case answer := <-r.response:
+			done(answerOf(answer.kind))
 		case <-h.ended:
 		}
 	}()
 }
 
-// post hands the loop an event, unless it has ended.
+// answerOf returns the answer that a response stands for.
+func answerOf(kind responseKind) Answer {
+	switch kind {
+	case responseServed:
+		return Served
+	case responseRejected:
+		return Rejected
+	default:
+		return Failed
+	}
+}
+
+// post queues an event for the loop, unless the loop has ended.
 func (h *Hollow) post(e event) {
-	if news, ok := e.(listReceived); ok && len(news.list.entries) > 0 {
+	if received, ok := e.(listReceived); ok && len(received.list.entries) > 0 {
 		h.mu.Lock()
-		h.lists = append(h.lists, postedList{&news.list.entries[0], news.list.version})
+		h.lists = append(h.lists, postedList{&received.list.entries[0], received.list.version})
 		h.mu.Unlock()
 	}
 	select {
@@ -123,29 +147,36 @@
 	}
 }
 
-// taken tells of a list that the loop takes over. One that changed nothing is passed over.
-func (h *Hollow) listApplied(targets []listEntry, _ bool) {
-	if len(targets) == 0 {
+// listApplied reports the version of a list that the loop applies. Lists that were posted before it and changed
+// nothing are dropped.
+func (h *Hollow) listApplied(entries []listEntry, _ bool) {
+	if len(entries) == 0 {
 		return
 	}
+	if version, found := h.takePosted(&entries[0]); found {
+		h.onList(version, time.Now())
+	}
+}
+
+// takePosted removes a list from those that were posted, together with the older ones, and returns its version.
+func (h *Hollow) takePosted(first *listEntry) (version int64, found bool) {
 	h.mu.Lock()
+	defer h.mu.Unlock()
 	for len(h.lists) > 0 {
-		l := h.lists[0]
+		posted := h.lists[0]
 		h.lists = h.lists[1:]
-		if l.first == &targets[0] {
-			h.mu.Unlock()
-			h.onList(l.rev, time.Now())
-			return
+		if posted.first == first {
+			return posted.version, true
 		}
 	}
-	h.mu.Unlock()
+	return 0, false
 }
 
-// start ends an attempt in memory after the time drawn for it, or when it times out or is withdrawn.
+// start runs an attempt in memory: it ends after the time drawn for it, at its deadline, or when it is cancelled.
 func (h *Hollow) start(a *attempt) {
-	delay, ending := h.serve(a.to.uid)
+	delay, result := h.serve(a.to.uid)
 	if left := h.loop.clock.until(a.deadline); delay > left {
-		delay, ending = left, balancer.TimedOut
+		delay, result = left, balancer.TimedOut
 	}
 	go func() {
 		timer := time.NewTimer(delay)
@@ -153,10 +184,10 @@
 		select {
 		case <-timer.C:
 		case <-a.ctx.Done():
-			ending = balancer.Cancelled
+			result = balancer.Cancelled
 		case <-h.ended:
 		}
 		a.cancel()
-		h.post(attemptEnded{a, attemptOutcome{result: ending, endedAt: h.loop.clock.now()}})
+		h.post(attemptEnded{a, attemptOutcome{result: result, endedAt: h.loop.clock.now()}})
 	}()
 }
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"container/heap"
 	"context"
 	"log/slog"
 	"sync/atomic"
@@ -10,48 +9,57 @@
 	"balancer"
 )
 
-// loop is the only goroutine that touches the Balancer. It never blocks on I/O: answers go to
-// channels with room, and attempts run in goroutines of their own.
+// eventQueueLength is how many events may wait for the loop before post blocks.
+const eventQueueLength = 1024
+
+// loop is the node's event loop: a single goroutine that feeds events to the decision module and carries out the
+// actions that the module returns (the reactor pattern). It alone touches the Balancer and all fields that are
+// not marked otherwise. It never blocks on I/O: answers go to buffered channels, and each attempt runs in a
+// goroutine of its own.
 type loop struct {
 	clock           clock
 	balancer        *balancer.Balancer
 	events          chan event
-	start           func(*attempt) // begins an attempt; must not block
-	subscribe       func()
-	updateEndpoints func([]listEntry, bool) // tells the backend of the list; must not block
-	listsPushed     bool                    // lists are pushed
-	connectionStats func() []any            // more for the log's report
+	start           func(*attempt) // starts an attempt; must not block
+	subscribe       func()         // starts a poll of discovery; must not block
+	updateEndpoints func(entries []listEntry, complete bool)
+	listsPushed     bool         // discovery pushes lists; otherwise they are polled
+	connectionStats func() []any // further attributes for the traffic line
 	log             *slog.Logger
-	rules           atomic.Pointer[requestRules] // as the module has them; set by the loop alone once it runs
-
-	now        time.Duration
-	pending    map[string]*requestState
-	timers     timerHeap
-	endpoints  map[string]listEntry
-	bootClock  *bootClock
-	cachedList endpointList // as the node last had it; of use, and kept, only until a list is heard
-	listKnown  bool         // the list is as new as it can be had
-	ready      atomic.Bool  // a listed server may be sent to
-	traffic    trafficCounts
-
-	readyServers int // how many of listed are ready
+
+	// rules are those of the settings that the module has. Other goroutines read them; once the loop runs, it
+	// alone sets them.
+	rules atomic.Pointer[requestRules]
+	ready atomic.Bool // whether a listed endpoint is ready; read by the front end
+
+	now     time.Duration // clock time of the latest event that the module was given; it never goes back
+	pending map[string]*requestState
+	timers  timerHeap
+	traffic trafficCounts
+
+	endpoints    map[string]listEntry // the endpoint list by uid
+	readyServers int                  // how many of endpoints are ready
+	bootClock    *bootClock
+	cachedList   endpointList // as the node last had it; dropped once listKnown
+	listKnown    bool         // a list has been applied: discovery's, or the cached one in its place
 }
 
 func newLoop(b *balancer.Balancer, c clock, log *slog.Logger) *loop {
 	return &loop{
-		clock: c, balancer: b, connectionStats: func() []any { return nil }, events: make(chan event, 1024), log: log,
+		clock: c, balancer: b, connectionStats: func() []any { return nil }, events: make(chan event, eventQueueLength), log: log,
 		pending: map[string]*requestState{}, endpoints: map[string]listEntry{}, bootClock: newBootClock(c),
 	}
 }
 
+// post queues an event for the loop. It blocks while the queue is full.
 func (l *loop) post(e event) { l.events <- e }
 
-// run handles events until ctx ends.
+// run handles events and timers until ctx ends.
 func (l *loop) run(ctx context.Context) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	report := time.NewTicker(statsInterval)
-	defer report.Stop()
+	trafficTicker := time.NewTicker(statsInterval)
+	defer trafficTicker.Stop()
 	defer l.logTraffic()
 	for {
 		l.fireTimers()
@@ -62,7 +70,7 @@
 		case e := <-l.events:
 			l.handleEvent(e)
 		case <-timer.C:
-		case <-report.C:
+		case <-trafficTicker.C:
 			l.logTraffic()
 		case <-ctx.Done():
 			return
@@ -70,51 +78,24 @@
 	}
 }
 
-// take hands one event to the module, at the time when it happened rather than when the loop got to it.
+// handleEvent handles one event.
 func (l *loop) handleEvent(e event) {
 	switch e := e.(type) {
 	case requestReceived:
-		l.noteLag(e.request.receivedAt)
-		if l.pending[e.request.id] != nil {
-			// The module ignores a second request with an id that it knows, so nobody would answer.
-			e.request.response <- response{kind: responseDuplicateID}
-			return
-		}
-		// Callers' goroutines check by the rules that they find; the module knows only those in force now.
-		if rules := l.rules.Load(); e.request.revision != rules.revision {
-			if no := rules.validate(e.request); no != nil {
-				e.request.response <- response{kind: responseInvalid, reason: no}
-				return
-			}
-		}
-		l.traffic.Requests++
-		l.pending[e.request.id] = &requestState{request: e.request}
-		l.decide(e.request.receivedAt, balancer.Request{
-			ID: e.request.id, Class: e.request.class, FirstByte: e.request.firstByte,
-			Deadline: e.request.deadline, ExpectedWork: e.request.expectedWork,
-		})
+		l.handleRequest(e.request)
 	case clientDeparted:
-		l.noteLag(e.at)
-		if p := l.pending[e.request.id]; p != nil && p.request == e.request && !p.answered {
-			l.handleDeparture(p, e)
-		}
+		l.handleDeparture(e)
 	case attemptEnded:
-		l.noteLag(e.result.endedAt)
 		l.endAttempt(e.attempt, e.result)
 	case settingsChanged:
 		l.decide(l.clock.now(), balancer.Reconfigure{Settings: e.settings})
 		l.rules.Store(e.rules)
 		e.inForce(l.clock.now())
 	case shutdownDeadline:
-		l.decide(l.clock.now(), balancer.Shutdown{})
-		for _, p := range l.pending { // to the module these are answered
-			if p.departed != present && !p.answered {
-				l.respondToDeparted(p)
-			}
-		}
+		l.answerAll()
 	case listReceived:
 		if !e.list.complete {
-			l.useCachedList()
+			l.useCachedList() // it holds what these changes are changes to
 		}
 		l.applyList(e.list, false)
 	case listConfirmed:
@@ -126,63 +107,101 @@
 	}
 }
 
-// end passes on how an attempt ended. The first success is the caller's answer.
-func (l *loop) endAttempt(a *attempt, r attemptOutcome) {
-	p := l.pending[a.call.id]
-	l.traffic.Results[r.result]++
-	p.inFlight--
+// handleRequest passes a request to the module, as of the time when it was received rather than when the loop
+// came to it.
+func (l *loop) handleRequest(r *request) {
+	l.noteLag(r.receivedAt)
+	if l.pending[r.id] != nil {
+		// The module ignores a request with an id that is pending, so nothing else would answer this one.
+		r.response <- response{kind: responseDuplicateID}
+		return
+	}
+	// The front end checked the request by the rules of that moment; the module only knows the present ones.
+	if rules := l.rules.Load(); r.revision != rules.revision {
+		if invalid := rules.validate(r); invalid != nil {
+			r.response <- response{kind: responseInvalid, reason: invalid}
+			return
+		}
+	}
+	l.traffic.Requests++
+	l.pending[r.id] = &requestState{request: r}
+	l.decide(r.receivedAt, balancer.Request{
+		ID: r.id, Class: r.class, FirstByte: r.firstByte, Deadline: r.deadline, ExpectedWork: r.expectedWork,
+	})
+}
+
+// answerAll answers every request that is not answered, at the end of draining. To the module, the requests of
+// departed clients are answered already, so it returns no action for them.
+func (l *loop) answerAll() {
+	l.decide(l.clock.now(), balancer.Shutdown{})
+	for _, state := range l.pending {
+		if state.departed != present && !state.answered {
+			l.respondToDeparted(state)
+		}
+	}
+}
+
+// endAttempt passes the outcome of an attempt to the module. The first success answers the request.
+func (l *loop) endAttempt(a *attempt, outcome attemptOutcome) {
+	l.noteLag(outcome.endedAt)
+	state := l.pending[a.call.id]
+	l.traffic.Results[outcome.result]++
+	state.inFlight--
 	a.ended = true
-	switch r.result {
+	switch outcome.result {
 	case balancer.ConnectFailed, balancer.Rejected, balancer.NotSent:
 	default:
-		p.mayHaveRun = p.mayHaveRun || a.hasBegun()
+		state.mayHaveRun = state.mayHaveRun || a.hasBegun()
 	}
-	if r.result == balancer.Success && !p.answered {
+	if outcome.result == balancer.Success && !state.answered {
 		l.traffic.Served++
-		l.respond(p, response{kind: responseServed, body: r.body, contentType: r.contentType})
+		l.respond(state, response{kind: responseServed, body: outcome.body, contentType: outcome.contentType})
 	}
-	l.decide(r.endedAt, balancer.AttemptEnded{
-		ID: a.call.id, Attempt: a.number, Endpoint: a.to.uid, Result: r.result,
-		Latency: r.endedAt - a.sent, Answered: p.answered, HeldUp: a.heldUp,
+	l.decide(outcome.endedAt, balancer.AttemptEnded{
+		ID: a.call.id, Attempt: a.number, Endpoint: a.to.uid, Result: outcome.result,
+		Latency: outcome.endedAt - a.sent, Answered: state.answered, HeldUp: a.heldUp,
 	})
-	if p.departed != present {
-		l.respondUnlessBegun(p)
+	if state.departed != present {
+		l.respondUnlessBegun(state)
 	}
-	l.forget(p)
+	l.forget(state)
 }
 
-// handle feeds the module and carries out what it decides.
+// decide gives the module an event and carries out the actions that it returns. The module's time must not go
+// back, so an event that happened before the last one counts as simultaneous with it.
 func (l *loop) decide(at time.Duration, e balancer.Event) {
 	l.now = max(l.now, at)
-	for _, a := range l.balancer.Handle(l.now, e) {
-		switch a := a.(type) {
+	for _, action := range l.balancer.Handle(l.now, e) {
+		switch action := action.(type) {
 		case balancer.Send:
-			l.send(a)
+			l.startAttempt(action)
 		case balancer.Cancel:
-			if p := l.pending[a.ID]; p != nil && a.Attempt < len(p.attempts) {
-				l.cancel(p, p.attempts[a.Attempt])
+			if state := l.pending[action.ID]; state != nil && action.Attempt < len(state.attempts) {
+				l.cancel(state, state.attempts[action.Attempt])
 			}
 		case balancer.Reject:
-			l.finish(a.ID, response{kind: responseRejected, retryAfter: a.RetryAfter})
+			l.finish(action.ID, response{kind: responseRejected, retryAfter: action.RetryAfter})
 		case balancer.Fail:
-			l.finish(a.ID, response{kind: responseFailed})
+			l.finish(action.ID, response{kind: responseFailed})
 		case balancer.SetTimer:
-			heap.Push(&l.timers, timerEntry{a.At, a.Token})
+			l.setTimer(action.At, action.Token)
 		case balancer.Subscribe:
 			l.subscribe()
 		}
 	}
 }
 
-func (l *loop) send(s balancer.Send) {
-	p := l.pending[s.ID]
+// startAttempt starts the attempt that the module has decided on.
+func (l *loop) startAttempt(s balancer.Send) {
+	state := l.pending[s.ID]
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &attempt{
-		ctx: ctx, cancel: cancel, call: p.request, number: len(p.attempts),
-		to: l.endpoints[s.Endpoint].instance(), sent: l.now, deadline: min(l.now+s.Timeout, p.request.deadline), notAfter: s.NotAfter,
+		ctx: ctx, cancel: cancel, call: state.request, number: len(state.attempts),
+		to: l.endpoints[s.Endpoint].instance(), sent: l.now, notAfter: s.NotAfter,
+		deadline: min(l.now+s.Timeout, state.request.deadline),
 	}
-	p.attempts = append(p.attempts, a)
-	p.inFlight++
+	state.attempts = append(state.attempts, a)
+	state.inFlight++
 	l.traffic.Sends++
 	l.start(a)
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -13,11 +13,12 @@
 	"balancer"
 )
 
-// reserved descriptors are for the listener, discovery, the log, the runtime, and callers whose
-// requests are read only to be refused.
+// reservedDescriptors is how many descriptors are kept for the listener, discovery, the log and the Go runtime, and
+// for clients whose requests are only read to be rejected.
 const reservedDescriptors = 48
 
-// Node is one load balancer on sockets.
+// Node is one load balancer on sockets. New makes one, Run serves until its context ends, and Reload puts another
+// configuration into force meanwhile.
 type Node struct {
 	loop        *loop
 	frontend    *frontend
@@ -27,107 +28,140 @@
 	listsPushed bool
 	log         *slog.Logger
 
-	mu            sync.Mutex // what Reload changes
+	mu            sync.Mutex // guards what Reload changes
 	cfg           Config
-	revision      int
+	revision      int // of the configuration; 1 is the one of the start
 	drainSchedule drainSchedule
 	drainLimit    time.Duration
 }
 
-// Limit keeps the process within its core and its memory.
+// LimitResources keeps the process within one core and within its memory.
 func LimitResources(cfg Config) {
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * 3 / 4)
 }
 
-// New puts a node together and begins to listen. Nothing is served before Run.
+// New sets up a node and begins to listen. Nothing is served before Run.
 func New(cfg Config, log *slog.Logger) (*Node, error) {
 	set := moduleSettings(cfg)
-	balancer, err := balancer.New(set, cfg.Seed)
+	module, err := balancer.New(set, cfg.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("node: %w", err)
 	}
-	room := cfg.Sockets - reservedDescriptors
 	clock := newClock()
-	l := newLoop(balancer, clock, log)
+	l := newLoop(module, clock, log)
 	l.rules.Store(newRequestRules(1, set))
+	descriptors := cfg.Sockets - reservedDescriptors
 	n := &Node{
-		cfg: cfg, revision: 1, loop: l, log: log, listsPushed: !cfg.Settings.PollDiscovery, drainSchedule: drainScheduleOf(cfg), drainLimit: drainLimit(cfg),
-		upstream: newUpstreamPool(cfg, clock, room/2),
-	}
-	callers := newDownstreamConns(clock, room, reservedDescriptors/2, int64(cfg.MemoryMB)<<20, n.upstream.connections)
-	n.upstream.descriptorAllowance = callers.upstreamAllowance
-	n.frontend = newFrontend(clock, callers, &l.rules, l.post, l.ready.Load, log)
-	l.connectionStats = func() []any {
-		c, held := callers.takeCounts()
-		return []any{
-			"callers", held, "accepted", c.Accepted, "accept_failed", c.AcceptFailed, "let_go", c.Evicted, "crowded", c.Rejected,
-			"turned_away", c.ClosedUnread, "servers", n.upstream.connections(),
-		}
-	}
-	l.start = func(a *attempt) {
-		go func() {
-			r := n.upstream.do(a)
-			a.cancel()
-			l.post(attemptEnded{a, r})
-		}()
+		loop: l, upstream: newUpstreamPool(cfg, clock, descriptors/2), listsPushed: !set.PollDiscovery, log: log,
+		cfg: cfg, revision: 1, drainSchedule: drainScheduleOf(cfg), drainLimit: drainLimit(cfg),
 	}
+	conns := newDownstreamConns(clock, descriptors, reservedDescriptors/2, int64(cfg.MemoryMB)<<20, n.upstream.connections)
+	n.upstream.descriptorAllowance = conns.upstreamAllowance
+	n.frontend = newFrontend(clock, conns, &l.rules, l.post, l.ready.Load, log)
+	l.connectionStats = n.connectionStats
+	l.start = n.startAttempt
 	l.updateEndpoints, l.listsPushed = n.upstream.updateEndpoints, n.listsPushed
-	known, err := parseList(cfg.Known)
-	n.cfg.Known = nil // it is parsed, and long
-	rev := int64(-1)
-	if err != nil {
-		log.Warn("the known list is dropped", "error", err)
-		known = endpointList{complete: true}
-	} else {
-		rev = known.version
-	}
-	n.discovery = newDiscovery(cfg, rev, l.post, log)
-	l.subscribe = n.discovery.subscribe
-	if l.cachedList = known; !n.listsPushed {
-		l.useCachedList() // the module asks for more
-	}
+	n.startDiscovery(cfg)
 	if n.listener, err = net.Listen("tcp", cfg.Listen); err != nil {
 		return nil, fmt.Errorf("node: %w", err)
 	}
 	return n, nil
 }
 
-// Addr is where the node listens.
+// startDiscovery sets up discovery and hands the cached list to the loop. Where lists are polled the loop applies
+// it at once, and the module subscribes for a newer one.
+func (n *Node) startDiscovery(cfg Config) {
+	cached, err := parseList(cfg.Known)
+	version := cached.version
+	if err != nil {
+		n.log.Warn("the known list is dropped", "error", err)
+		cached, version = endpointList{complete: true}, noListVersion
+	}
+	n.cfg.Known = nil // it is long, and only counts at the start
+	n.discovery = newDiscovery(cfg, version, n.loop.post, n.log)
+	n.loop.subscribe = n.discovery.subscribe
+	n.loop.cachedList = cached
+	if !n.listsPushed {
+		n.loop.useCachedList()
+	}
+}
+
+// startAttempt runs an attempt in a goroutine of its own, which posts the outcome.
+func (n *Node) startAttempt(a *attempt) {
+	go func() {
+		outcome := n.upstream.do(a)
+		a.cancel()
+		n.loop.post(attemptEnded{a, outcome})
+	}()
+}
+
+// connectionStats returns the attributes of the traffic line that tell of connections, and resets their counts.
+func (n *Node) connectionStats() []any {
+	counts, open := n.frontend.conns.takeCounts()
+	return []any{
+		"callers", open, "accepted", counts.Accepted, "accept_failed", counts.AcceptFailed, "let_go", counts.Evicted,
+		"crowded", counts.Rejected, "turned_away", counts.ClosedUnread, "servers", n.upstream.connections(),
+	}
+}
+
+// Addr returns the address on which the node listens.
 func (n *Node) Addr() string { return n.listener.Addr().String() }
 
-// Run serves until ctx ends, and then until all that was taken is answered.
+// Run serves until ctx ends, and then drains: until all requests that were received are answered, or the drain
+// limit has passed. It returns once the goroutines that it started have ended; the package comment says which.
 func (n *Node) Run(ctx context.Context) error {
-	inner, stop := context.WithCancel(context.Background())
+	stop := n.startBackground()
 	defer stop()
-	go n.loop.run(inner)
-	go n.upstream.closeExpired(inner)
-	if n.listsPushed {
-		go n.discovery.runPushed(inner)
-	} else {
-		go n.discovery.runPolled(inner)
-	}
 	var serveErr error
-	gone := make(chan struct{})
+	served := make(chan struct{})
 	ln := newDownstreamListener(n.listener, n.frontend.conns, n.log)
 	ln.readTimeout = n.frontend.server.ReadTimeout
 	go func() {
-		defer close(gone)
+		defer close(served)
 		serveErr = n.frontend.server.Serve(ln)
 	}()
 	select {
-	case <-gone:
+	case <-served:
 		return fmt.Errorf("node: %w", serveErr)
 	case <-ctx.Done():
 	}
 	n.log.Info("draining")
 	n.mu.Lock()
-	most, ending := n.drainLimit, n.drainSchedule
+	limit, schedule := n.drainLimit, n.drainSchedule
 	n.mu.Unlock()
-	limit, cancel := context.WithTimeout(inner, most)
+	drainCtx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	if err := n.frontend.drain(limit, ln, gone, ending); err != nil {
+	if err := n.frontend.drain(drainCtx, ln, served, schedule); err != nil {
 		return fmt.Errorf("node: drain: %w", err)
 	}
 	return nil
 }
+
+// startBackground starts the loop, and discovery and the sweep of idle connections, which post to it. The function
+// that it returns ends them and waits for them, the loop last: post must not block for want of a reader.
+func (n *Node) startBackground() (stop func()) {
+	loopCtx, stopLoop := context.WithCancel(context.Background())
+	feederCtx, stopFeeders := context.WithCancel(context.Background())
+	var loop, feeders sync.WaitGroup
+	start := func(group *sync.WaitGroup, ctx context.Context, run func(context.Context)) {
+		group.Add(1)
+		go func() {
+			defer group.Done()
+			run(ctx)
+		}()
+	}
+	start(&loop, loopCtx, n.loop.run)
+	start(&feeders, feederCtx, n.upstream.closeExpired)
+	if n.listsPushed {
+		start(&feeders, feederCtx, n.discovery.runPushed)
+	} else {
+		start(&feeders, feederCtx, n.discovery.runPolled)
+	}
+	return func() {
+		stopFeeders()
+		feeders.Wait()
+		stopLoop()
+		loop.Wait()
+	}
+}
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -9,21 +9,42 @@
 	"balancer"
 )
 
-// moduleSettings are the settings as the module is told them. Its waits between calls for the list are parts of
-// AskWithin; no call may wait past the time when a change counts as told whether heard or not.
+// moduleSettings returns the settings in the form that the module gets. It paces its polls of discovery by parts
+// of PollWithin; a change counts as notified after notifiedWithin, so no poll may be put off longer than that.
 func moduleSettings(cfg Config) balancer.Settings {
 	set := cfg.Settings
 	set.PollWithin = min(set.PollWithin, notifiedWithin)
 	return set
 }
 
-// Reload puts a configuration in force in a running node: all that the module, the checks on requests, the
-// connections to servers and discovery go by. Requests already taken keep what their clients were promised,
-// and what was learned of servers stays. It says what has to wait for the next start, and it returns before
-// the module has the new settings: the log tells when.
+// Reload puts a configuration into force in a running node: all that the module, the checks on requests, the
+// upstream connections and discovery go by. Requests that were received before keep their deadlines, and what was
+// learned about endpoints is kept. A change that needs a restart is logged and left out. Reload returns before the
+// module has the new settings; the log says when they are in force.
 func (n *Node) Reload(cfg Config) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
+	cfg = n.withoutRestartChanges(cfg)
+	cfg.Known = nil // it only counts at the start
+	changed, sameSettings := changedNames(n.cfg, cfg), reflect.DeepEqual(n.cfg.Settings, cfg.Settings)
+	n.revision++
+	log := n.log.With("revision", n.revision, "changed", changed)
+	log.Info("the configuration is read again", "discovery", cfg.Discovery)
+	since := n.loop.clock.now()
+	n.cfg, n.drainSchedule, n.drainLimit = cfg, drainScheduleOf(cfg), drainLimit(cfg)
+	n.upstream.configure(cfg)
+	n.discovery.setAddress(cfg.Discovery)
+	if sameSettings {
+		return
+	}
+	set := moduleSettings(cfg)
+	inForce := func(at time.Duration) { log.Info("the configuration is in force", "after", at-since) }
+	n.loop.post(settingsChanged{settings: set, rules: newRequestRules(n.revision, set), inForce: inForce})
+}
+
+// withoutRestartChanges returns a configuration in which all that needs a restart is as it was, and logs a warning
+// for each such change. The caller holds mu.
+func (n *Node) withoutRestartChanges(cfg Config) Config {
 	for _, f := range []struct {
 		name    string
 		changed bool
@@ -38,52 +59,50 @@
 	}
 	cfg.Listen, cfg.Sockets, cfg.MemoryMB = n.cfg.Listen, n.cfg.Sockets, n.cfg.MemoryMB
 	cfg.Settings.PollDiscovery = n.cfg.Settings.PollDiscovery
-	cfg.Known = nil // of use at a start alone
-	changed, same := changedNames(n.cfg, cfg), reflect.DeepEqual(n.cfg.Settings, cfg.Settings)
-	n.revision++
-	log := n.log.With("revision", n.revision, "changed", changed)
-	log.Info("the configuration is read again", "discovery", cfg.Discovery)
-	since := n.loop.clock.now()
-	n.cfg, n.drainSchedule, n.drainLimit = cfg, drainScheduleOf(cfg), drainLimit(cfg)
-	n.upstream.configure(cfg)
-	n.discovery.setAddress(cfg.Discovery)
-	if !same {
-		set := moduleSettings(cfg)
-		n.loop.post(settingsChanged{settings: set, rules: newRequestRules(n.revision, set), inForce: func(at time.Duration) {
-			log.Info("the configuration is in force", "after", at-since)
-		}})
+	return cfg
+}
+
+// changedNames names, for the log, what differs between two configurations of all that comes into force at once.
+func changedNames(old, cfg Config) []string {
+	names := changedSettings(old.Settings, cfg.Settings)
+	names = append(names, changedClasses(old.Settings.Classes, cfg.Settings.Classes)...)
+	if old.ConnIdle != cfg.ConnIdle || old.ConnectTimeout != cfg.ConnectTimeout {
+		names = append(names, "connections to servers")
 	}
+	if old.Discovery != cfg.Discovery {
+		names = append(names, "discovery")
+	}
+	return names
 }
 
-// changes names what differs between two configurations, of all that takes force at once.
-func changedNames(old, cfg Config) (names []string) {
-	was, is := reflect.ValueOf(old.Settings), reflect.ValueOf(cfg.Settings)
-	for i := range was.NumField() {
-		name := was.Type().Field(i).Name
-		if name != "Classes" && !reflect.DeepEqual(was.Field(i).Interface(), is.Field(i).Interface()) {
+// changedSettings names the fields that differ, but for the classes.
+func changedSettings(old, set balancer.Settings) (names []string) {
+	before, after := reflect.ValueOf(old), reflect.ValueOf(set)
+	for i := range before.NumField() {
+		name := before.Type().Field(i).Name
+		if name != "Classes" && !reflect.DeepEqual(before.Field(i).Interface(), after.Field(i).Interface()) {
 			names = append(names, name)
 		}
 	}
-	classes := map[string]balancer.Class{}
-	for _, c := range old.Settings.Classes {
-		classes[c.Name] = c
+	return names
+}
+
+// changedClasses names the classes that were added, changed or removed.
+func changedClasses(old, classes []balancer.Class) (names []string) {
+	removed := map[string]balancer.Class{}
+	for _, class := range old {
+		removed[class.Name] = class
 	}
-	for _, c := range cfg.Settings.Classes {
-		if before, had := classes[c.Name]; !had {
-			names = append(names, "class "+c.Name+" comes")
-		} else if before != c {
-			names = append(names, "class "+c.Name)
+	for _, class := range classes {
+		if before, existed := removed[class.Name]; !existed {
+			names = append(names, "class "+class.Name+" comes")
+		} else if before != class {
+			names = append(names, "class "+class.Name)
 		}
-		delete(classes, c.Name)
+		delete(removed, class.Name)
 	}
-	for _, name := range slices.Sorted(maps.Keys(classes)) {
+	for _, name := range slices.Sorted(maps.Keys(removed)) {
 		names = append(names, "class "+name+" goes")
 	}
-	if old.ConnIdle != cfg.ConnIdle || old.ConnectTimeout != cfg.ConnectTimeout {
-		names = append(names, "connections to servers")
-	}
-	if old.Discovery != cfg.Discovery {
-		names = append(names, "discovery")
-	}
 	return names
 }
--- a/internal/node/trafficlog.go
+++ b/internal/node/trafficlog.go
@@ -6,37 +6,49 @@
 	"balancer"
 )
 
-// stats count what happened, for the log.
+// statsInterval is the time between two traffic lines in the log.
+const statsInterval = 10 * time.Second
+
+// resultCount is how many values balancer.AttemptResult has.
+const resultCount = 8
+
+// trafficCounts are the figures of the traffic line, counted since the line before.
 type trafficCounts struct {
-	Requests, Served, Rejected, Failed, Departed, Sends int
-	Results                                             [8]int
-	LagMax, LagSum                                      time.Duration
-	Events                                              int
+	Requests int // received and passed to the module
+	Served   int // answered with an endpoint's answer
+	Rejected int // answered 503
+	Failed   int // answered 502
+	Departed int // whose client has closed its connection, or may have
+	Sends    int // attempts started
+	Results  [resultCount]int
+	LagMax   time.Duration // longest time from an event to its handling
+	LagSum   time.Duration // over all events
+	Events   int           // that the lag was measured of
 }
 
-// statsEvery is how often the log tells what happened, when anything did.
-const statsInterval = 10 * time.Second
-
-// lag notes how long after an event the loop got to it.
-func (l *loop) noteLag(at time.Duration) {
-	d := -l.clock.until(at)
-	l.traffic.LagMax = max(l.traffic.LagMax, d)
-	l.traffic.LagSum += d
-	l.traffic.Events++
+// noteLag counts the time from an event to its handling.
+func (c *trafficCounts) noteLag(lag time.Duration) {
+	c.LagMax = max(c.LagMax, lag)
+	c.LagSum += lag
+	c.Events++
 }
 
-// report logs what happened since the last report.
+// noteLag measures how long after it happened an event is handled.
+func (l *loop) noteLag(at time.Duration) { l.traffic.noteLag(-l.clock.until(at)) }
+
+// logTraffic logs what happened since the last traffic line, if anything did.
 func (l *loop) logTraffic() {
-	s := l.traffic
+	counts := l.traffic
 	l.traffic = trafficCounts{}
-	if s.Events == 0 {
+	if counts.Events == 0 {
 		return
 	}
-	e := s.Results
-	l.log.With(l.connectionStats()...).Info("traffic", "requests", s.Requests, "served", s.Served, "refused", s.Rejected,
-		"failed", s.Failed, "gone", s.Departed, "sends", s.Sends, "success", e[balancer.Success],
-		"failure", e[balancer.ServerError], "overloaded", e[balancer.Rejected],
-		"timed_out", e[balancer.TimedOut], "unreachable", e[balancer.ConnectFailed],
-		"broken", e[balancer.ConnectionLost], "withdrawn", e[balancer.Cancelled], "void", e[balancer.NotSent],
-		"pending", len(l.pending), "lag_max", s.LagMax, "lag_mean", s.LagSum/time.Duration(s.Events))
+	results := counts.Results
+	l.log.With(l.connectionStats()...).Info("traffic", "requests", counts.Requests, "served", counts.Served,
+		"refused", counts.Rejected, "failed", counts.Failed, "gone", counts.Departed, "sends", counts.Sends,
+		"success", results[balancer.Success], "failure", results[balancer.ServerError],
+		"overloaded", results[balancer.Rejected], "timed_out", results[balancer.TimedOut],
+		"unreachable", results[balancer.ConnectFailed], "broken", results[balancer.ConnectionLost],
+		"withdrawn", results[balancer.Cancelled], "void", results[balancer.NotSent],
+		"pending", len(l.pending), "lag_max", counts.LagMax, "lag_mean", counts.LagSum/time.Duration(counts.Events))
 }
