--- a/internal/node/endpointlist.go
+++ b/internal/node/endpointlist.go
@@ -44,7 +44,7 @@
 	for i := range entries {
 		entry := &entries[i]
 		held, isHeld := l.endpoints[entry.ID]
-		entry.StartedAt = l.bootClock.started(entry.bootMS, held, isHeld)
+		entry.StartedAt = l.bootClock.startTime(entry.bootMS, held, isHeld)
 	}
 }
 
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -94,7 +94,7 @@
 		h.discovery.runPolled(ctx)
 	}
 	<-h.ended
-	h.discovery.address().client.CloseIdleConnections()
+	h.discovery.currentAddress().client.CloseIdleConnections()
 }
 
 // Ready reports whether a listed endpoint is ready.
@@ -174,7 +174,7 @@
 
 // start runs an attempt in memory: it ends after the time drawn for it, at its deadline, or when it is cancelled.
 func (h *Hollow) start(a *attempt) {
-	delay, result := h.serve(a.to.uid)
+	delay, result := h.serve(a.instance.uid)
 	if left := h.loop.clock.until(a.deadline); delay > left {
 		delay, result = left, balancer.TimedOut
 	}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -144,7 +144,7 @@
 // endAttempt passes the outcome of an attempt to the module. The first success answers the request.
 func (l *loop) endAttempt(a *attempt, outcome attemptOutcome) {
 	l.noteLag(outcome.endedAt)
-	state := l.pending[a.call.id]
+	state := l.pending[a.request.id]
 	l.traffic.Results[outcome.result]++
 	state.inFlight--
 	a.ended = true
@@ -158,8 +158,8 @@
 		l.respond(state, response{kind: responseServed, body: outcome.body, contentType: outcome.contentType})
 	}
 	l.decide(outcome.endedAt, balancer.AttemptEnded{
-		ID: a.call.id, Attempt: a.number, Endpoint: a.to.uid, Result: outcome.result,
-		Latency: outcome.endedAt - a.sent, Answered: state.answered, HeldUp: a.heldUp,
+		ID: a.request.id, Attempt: a.number, Endpoint: a.instance.uid, Result: outcome.result,
+		Latency: outcome.endedAt - a.sentAt, Answered: state.answered, HeldUp: a.heldUp,
 	})
 	if state.departed != present {
 		l.respondUnlessBegun(state)
@@ -196,8 +196,8 @@
 	state := l.pending[s.ID]
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &attempt{
-		ctx: ctx, cancel: cancel, call: state.request, number: len(state.attempts),
-		to: l.endpoints[s.Endpoint].instance(), sent: l.now, notAfter: s.NotAfter,
+		ctx: ctx, cancel: cancel, request: state.request, number: len(state.attempts),
+		instance: l.endpoints[s.Endpoint].instance(), sentAt: l.now, notAfter: s.NotAfter,
 		deadline: min(l.now+s.Timeout, state.request.deadline),
 	}
 	state.attempts = append(state.attempts, a)
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -48,8 +48,8 @@
 
 // hasBegun reports whether a byte of the attempt may have been written.
 func (a *attempt) hasBegun() bool {
-	a.call.mu.Lock()
-	defer a.call.mu.Unlock()
+	a.request.mu.Lock()
+	defer a.request.mu.Unlock()
 	return a.begun
 }
 
