--- a/internal/fleet/args.go
+++ b/internal/fleet/args.go
@@ -11,13 +11,13 @@
 	maxHollowNodes    = 1100
 	maxRealNodes      = 1100
 	maxRunLength      = 10 * time.Minute
-	maxCallsPerSecond = 400000 // a second over all nodes
-	// Margin is how much longer than its length a run may take in all: to build the program and start
-	// the nodes, for the last news and answers, and to end its children.
+	maxCallsPerSecond = 400000 // over all nodes
+	// Margin is how much longer than its length a run may take in all: to build the program and start the nodes, to
+	// wait for the last updates and answers, and to end its children.
 	Margin = 2 * time.Minute
 )
 
-// Args are what a run is asked to do.
+// Args are the arguments of a run.
 type Args struct {
 	Nodes    int           `help:"Hollow nodes: the real module, loop and discovery client, without sockets to callers and servers." default:"0" json:"nodes"`
 	Real     int           `help:"Real nodes, one process each, in chains of --depth." default:"0" json:"real"`
@@ -35,7 +35,7 @@
 	Program  string        `help:"The real nodes' program; built by go build where none is named." type:"path" json:"program,omitempty"`
 }
 
-// Check names the first argument at fault.
+// Check returns an error that names the first argument that can't be used.
 func (a Args) Check() error {
 	between := func(name string, v, least, most float64) error {
 		if !(v >= least && v <= most) {
@@ -74,5 +74,5 @@
 	return nil
 }
 
-// bound is how long the run may take in all.
+// bound returns how long the run may take in all.
 func (a Args) bound() time.Duration { return a.For + Margin }
--- a/internal/fleet/chain.go
+++ b/internal/fleet/chain.go
@@ -7,26 +7,28 @@
 	"time"
 )
 
-// Way is what calls met on one way through a chain.
+// PathFigures are the figures of calls on one path through a chain: directly from server to server, or through the
+// nodes between them.
 type PathFigures struct {
 	Tally
-	Lateness     Quantiles `json:"late"`    // of sends, against the times drawn
+	Lateness     Quantiles `json:"late"`    // of sends, after the times drawn
 	Latency      Quantiles `json:"latency"` // of served calls, from the time drawn to the answer, without the first second
 	ScheduleKept bool      `json:"schedule_kept"`
 	Cores        float64   `json:"machine_cores"` // processor cores in use over the whole machine meanwhile
 }
 
-// keptWithin is how late 99 in 100 sends may be for the schedule to count as kept.
-const maxSendLateness = 1.0 // ms
+// maxSendLateness is how late the 99th percentile of sends may be, in milliseconds, for the schedule to count as
+// kept.
+const maxSendLateness = 1.0
 
-// chainWarm is for connections to be opened; the latency of its calls is left out.
+// chainWarmUp is the time in which connections are opened. The latency of its calls is left out.
 const chainWarmUp = time.Second
 
-// chainRound is how long calls go one way before they go the other: what else the machine does is then much
-// the same for both.
+// chainRound is how long calls take one path before they take the other. Since the two alternate, other load on the
+// machine affects both alike.
 const chainRound = time.Second
 
-// traveller makes calls at the heads of chains, at a rate each, in an open loop.
+// loadGenerator makes calls at some addresses, in an open loop at the same rate for each.
 type loadGenerator struct {
 	client    *client
 	addresses []string
@@ -35,7 +37,7 @@
 	seed      uint64
 	lateness  *latencies
 	latency   *latencies
-	warmUp    time.Duration // left of it
+	warmUp    time.Duration // what is left of it
 	rounds    int
 	cores     float64 // in use over the whole machine, summed over the rounds
 
@@ -48,11 +50,11 @@
 	warm := time.Now().Add(t.warmUp)
 	t.warmUp -= min(t.warmUp, length)
 	t.rounds++
-	var players, calls sync.WaitGroup
+	var senders, calls sync.WaitGroup
 	for c, head := range t.addresses {
-		players.Add(1)
+		senders.Add(1)
 		go func() {
-			defer players.Done()
+			defer senders.Done()
 			n := 0
 			NewArrivals(t.rate, t.seed, uint64(t.rounds*len(t.addresses)+c)).Play(ctx, length, func(drawn time.Time) {
 				t.lateness.add(time.Since(drawn))
@@ -66,7 +68,7 @@
 			})
 		}()
 	}
-	players.Wait()
+	senders.Wait()
 	calls.Wait()
 }
 
@@ -88,7 +90,7 @@
 	}
 }
 
-// way is what the calls met.
+// figures returns what the calls showed.
 func (t *loadGenerator) figures() PathFigures {
 	w := PathFigures{Tally: t.tally, Lateness: t.lateness.quantiles(), Latency: t.latency.quantiles(), Cores: t.cores / float64(t.rounds)}
 	w.ScheduleKept = w.Lateness.P99 <= maxSendLateness
@@ -108,8 +110,8 @@
 	AddedP999 float64 `json:"added_p99_9_ms"`
 }
 
-// chain plays in turns directly and through the nodes. It tells what each node used while calls went through
-// it, in cores.
+// chain makes calls in turns directly and through the nodes. It also returns the cores that each node used while
+// calls went through it.
 func (r *run) chain(ctx context.Context) (*Chain, []float64, error) {
 	rounds := max(1, int(r.args.For/(2*chainRound)))
 	length := r.args.For / time.Duration(2*rounds)
--- a/internal/fleet/child.go
+++ b/internal/fleet/child.go
@@ -23,10 +23,10 @@
 	roleListed   = "listed-servers"
 )
 
-// serviceName is what a child's service goes by, whatever its role.
+// serviceName is the name of a child's RPC service, whatever its role.
 const serviceName = "Host"
 
-// endWait is how long a child may take to end by itself once its input is closed.
+// childStopTimeout is how long a child may take to end by itself once its input is closed.
 const childStopTimeout = 2 * time.Second
 
 // pipes joins a standard input and output to one connection.
@@ -35,14 +35,18 @@
 	io.WriteCloser
 }
 
-// Child plays the part of a child process: it does what its parent asks for on standard input, until that
-// is closed.
+// Child is the main function of a child process: it serves the requests of its parent, JSON-RPC on standard input
+// and output, until its input is closed.
 func Child(role string) error {
-	host, ok := map[string]any{roleRegistry: &RegistryHost{}, roleHollows: &Hollows{}, roleServers: &Servers{}, roleListed: &ListedServers{}}[role]
+	services := map[string]any{
+		roleRegistry: &RegistryHost{}, roleHollows: &Hollows{}, roleServers: &Servers{}, roleListed: &ListedServers{},
+	}
+	host, ok := services[role]
 	if !ok {
 		return fmt.Errorf("child: no role %q", role)
 	}
-	signal.Ignore(syscall.SIGINT, syscall.SIGTERM) // which may be meant for all of a terminal's; the parent ends its children
+	// A terminal sends these signals to all of its processes. The parent ends its children itself.
+	signal.Ignore(syscall.SIGINT, syscall.SIGTERM)
 	s := rpc.NewServer()
 	if err := s.RegisterName(serviceName, host); err != nil {
 		return fmt.Errorf("child: %w", err)
@@ -51,7 +55,7 @@
 	return nil
 }
 
-// child is a process of this program's own that plays a part.
+// child is a child process that runs this program in one of the roles.
 type child struct {
 	cmd      *exec.Cmd
 	client   *rpc.Client
@@ -59,6 +63,9 @@
 	stopOnce sync.Once
 }
 
+// errEnded says that a child process has ended.
+var errEnded = errors.New("it has ended")
+
 // startChild starts the program self, which must call Child with its last argument.
 func startChild(self []string, role string) (*child, error) {
 	args := append(append([]string(nil), self[1:]...), role)
@@ -79,12 +86,12 @@
 	c.client = jsonrpc.NewClient(pipes{out, in})
 	go func() {
 		defer close(c.exited)
-		c.cmd.Wait()
+		_ = c.cmd.Wait() // one that is killed ends with an error; only that it has ended counts
 	}()
 	return c, nil
 }
 
-// ask has the child do something, and waits for its reply.
+// call calls a method of the child's service, and waits for its reply.
 func (c *child) call(ctx context.Context, what string, spec, reply any) error {
 	call := c.client.Go(serviceName+"."+what, spec, reply, make(chan *rpc.Call, 1))
 	select {
@@ -96,18 +103,18 @@
 	case <-ctx.Done():
 		return fmt.Errorf("child: %s: %w", what, ctx.Err())
 	case <-c.exited:
-		return fmt.Errorf("child: %s: %w", what, errors.New("it has ended"))
+		return fmt.Errorf("child: %s: %w", what, errEnded)
 	}
 }
 
 // stop ends the child and waits until it is gone.
 func (c *child) stop() {
 	c.stopOnce.Do(func() {
-		c.client.Close()
+		_ = c.client.Close() // it closes the child's input, and fails only if the child has ended
 		select {
 		case <-c.exited:
 		case <-time.After(childStopTimeout):
-			c.cmd.Process.Kill()
+			_ = c.cmd.Process.Kill() // it fails only if the child has just ended
 			<-c.exited
 		}
 	})
--- a/internal/fleet/caller.go
+++ b/internal/fleet/client.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// outcome is how a call ended, as its caller sees it.
+// outcome is how a call ended, as its client sees it.
 type outcome int
 
 const (
@@ -19,7 +19,7 @@
 	unknownClass // the node does not know the class
 )
 
-// caller makes calls as PROTOCOL has them, one at a time on each connection.
+// client makes calls as PROTOCOL has them, one at a time on each connection.
 type client struct{ http *http.Client }
 
 func newClient() *client {
@@ -29,7 +29,10 @@
 	}}}
 }
 
-// call asks a node or a server, which has until deadline, and reads the answer to its end.
+// maxAnswer is how much of an answer's body is read, in bytes.
+const maxAnswer = 64 << 10
+
+// call makes a call to a node or a server, which has until deadline, and reads the answer to its end.
 func (c *client) call(ctx context.Context, address, class, id string, deadline time.Time) (outcome, error) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
@@ -44,7 +47,7 @@
 		return failed, fmt.Errorf("call: %w", err)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, 64<<10))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
 	switch {
 	case err != nil:
 		return failed, fmt.Errorf("call: %w", err)
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// The class that all calls are of, and how long a caller waits.
+// The class of all calls, and how long a client waits.
 const (
 	callClass    = "view"
 	callDeadline = 3.0 // seconds
@@ -14,20 +14,20 @@
 // zones are two regions of three zones each.
 var zones = []string{"north-1", "north-2", "north-3", "south-1", "south-2", "south-3"}
 
-// NodeSpec is what one node's configuration is made from.
+// NodeSpec is what the configuration of one node is made from.
 type NodeSpec struct {
 	Name          string
-	Index         int // among the copies of its service
+	Index         int // among the replicas of its service
 	Replicas      int
 	Tier          int
 	Listen        string // 127.0.0.1:0 for a port of the system's choice
 	Discovery     string
-	PollDiscovery bool     // lists are asked for, not pushed
+	PollDiscovery bool     // lists are polled, not pushed
 	Classes       []string // beside the class of the calls
 	Seed          uint64
 }
 
-// Configuration is the file that a node reads, with the limits of the target: 128 MB, 1,024 descriptors.
+// Configuration returns the file that the node reads, with the limits of the target: 128 MB, 1,024 descriptors.
 func (s NodeSpec) Configuration() ([]byte, error) {
 	type object = map[string]any
 	var classes []object
--- a/internal/fleet/growth.go
+++ b/internal/fleet/growth.go
@@ -13,8 +13,8 @@
 // descriptorsEvery is how often the nodes' descriptors are counted.
 const descriptorsEvery = 50 * time.Millisecond
 
-// Growth plays the same day at the usual size and at the large one with real nodes, and judges what a node needs
-// more. It ends within its bound, with its children gone.
+// Growth plays the same day with real nodes at the usual size and at the large one, and compares the growth of what a
+// node needs with the limits. It ends within its bound, and its children with it.
 func (r Runner) Growth(ctx context.Context, args GrowthArgs) (report GrowthReport, err error) {
 	if err := args.Check(); err != nil {
 		return report, err
@@ -25,7 +25,7 @@
 	if err != nil {
 		return report, fmt.Errorf("growth: %w", err)
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }() // what is left of it stays in the folder for temporary files
 	report.Args, report.Machine = args, Machine{runtime.NumCPU(), runtime.Version(), loadAverage()}
 	if args.Program == "" {
 		if args.Program, err = buildProgram(ctx, dir); err != nil {
@@ -59,7 +59,7 @@
 	return figures, nil
 }
 
-// growthDay is one day under way.
+// growthDay is one day while it is played.
 type growthDay struct {
 	Runner
 	args      GrowthArgs
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// target is a server's entry while it is in service. The first servers booted long ago.
+// target returns a server's entry while it is in service. The servers listed first started long ago.
 func (d *growthDay) target(i int) ListEntry {
 	return ListEntry{
 		UID: fmt.Sprintf("s-%d", i), Endpoint: d.endpoints[i], Zone: zones[i%len(zones)], Model: "m1",
@@ -125,7 +125,7 @@
 	}
 }
 
-// stop ends all that the day started.
+// stop ends all processes of the day.
 func (d *growthDay) stop() {
 	for _, n := range d.nodes {
 		n.stop()
--- a/internal/fleet/growthargs.go
+++ b/internal/fleet/growthargs.go
@@ -8,13 +8,13 @@
 // Bounds of a growth run.
 const (
 	maxListedServers = 3200 // servers
-	maxFleetNodes    = 900  // nodes that the settings tell
+	maxFleetNodes    = 900  // nodes, as the settings have them
 	maxGrowthNodes   = 50   // real nodes
 	maxGrowthRate    = 300  // calls a second at a node
 	maxGrowthLength  = time.Minute
 )
 
-// GrowthArgs are what a growth run is asked to do.
+// GrowthArgs are the arguments of a growth run.
 type GrowthArgs struct {
 	Servers int           `help:"Servers listed at the usual size." default:"200" json:"servers"`
 	Factor  int           `help:"How many times as many servers the large size has." default:"16" json:"factor"`
@@ -28,7 +28,7 @@
 	Program string        `help:"The nodes' program; built by go build where none is named." type:"path" json:"program,omitempty"`
 }
 
-// Check names the first argument at fault.
+// Check returns an error that names the first argument that can't be used.
 func (a GrowthArgs) Check() error {
 	for _, one := range []struct {
 		name               string
@@ -55,21 +55,22 @@
 	return nil
 }
 
-// bound is how long both days may take in all.
+// bound returns how long both days may take in all.
 func (a GrowthArgs) bound() time.Duration { return 2*a.For + Margin }
 
 // growthSize is the size of the fleet on one day.
 type growthSize struct {
 	servers  int
-	nodes    int     // of the fleet, as the settings tell
+	nodes    int     // of the fleet, as the settings have them
 	capacity float64 // of each server; 1 at the usual size
 }
 
+// usual returns the usual size.
 func (a GrowthArgs) usual() growthSize {
 	return growthSize{servers: a.Servers, nodes: a.Fleet, capacity: 1}
 }
 
-// large keeps the capacity of all servers together, counted for each node, as it is at the usual size.
+// large returns the large size. All servers together have the same capacity for each node as at the usual size.
 func (a GrowthArgs) large() growthSize {
 	size := growthSize{servers: a.Servers * a.Factor, nodes: min(a.Fleet*a.Factor, maxFleetNodes)}
 	size.capacity = float64(size.nodes) / float64(a.Fleet) / float64(a.Factor)
--- a/internal/fleet/growthlimits.go
+++ b/internal/fleet/growthlimits.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 )
 
-// GrowthFigures are what a node needed in the mean over one day, from the start of its process on.
+// GrowthFigures are what a node needed on one day, as the mean over the nodes, from the start of its process on.
 type GrowthFigures struct {
 	Servers     int     `json:"servers"`
 	FleetNodes  int     `json:"fleet_nodes"` // as the settings tell
@@ -16,7 +16,7 @@
 	PeakMemory  float64 `json:"peak_memory_bytes"`
 	Descriptors float64 `json:"descriptors"` // the most at once, by samples
 	Connections float64 `json:"connections_made"`
-	ListBytes   float64 `json:"list_bytes"`         // with the first list, without the heads of HTTP
+	ListBytes   float64 `json:"list_bytes"`         // with the first list, without the headers of HTTP
 	ListPayload float64 `json:"list_payload_bytes"` // the same with them
 	ListCalls   float64 `json:"list_calls"`         // at the registry; one may bring many changes
 	Served      float64 `json:"served_share"`
@@ -79,7 +79,7 @@
 	Within bool    `json:"within"`
 }
 
-// row judges a figure.
+// row compares a figure with its limit.
 func (l growthLimit) row(usual, large GrowthFigures) GrowthRow {
 	r := GrowthRow{What: l.what, Usual: l.of(usual) / l.unit, Large: l.of(large) / l.unit}
 	r.Limit = l.factor*r.Usual + l.base + l.perThousand*float64(large.Servers)/1000
--- a/internal/fleet/growthplan.go
+++ b/internal/fleet/growthplan.go
@@ -18,7 +18,7 @@
 // replacedShare is the share of the servers that is replaced.
 const replacedShare = 0.6
 
-// breaks are when all open watches of the list are broken.
+// watchBreaks are when all open watches of the list are broken, as shares of the day.
 var watchBreaks = []float64{0.1, 0.3, 0.45, 0.7}
 
 // eventKind says what an event of a growth day does.
@@ -27,8 +27,8 @@
 const (
 	listServer   eventKind = iota // a new server is listed
 	drainServer                   // a server begins to drain
-	removeServer                  // it leaves the list
-	closeServer                   // it ends
+	removeServer                  // a server is removed from the list
+	closeServer                   // a server ends
 	breakWatches
 )
 
@@ -39,7 +39,7 @@
 	server int // the servers listed first, then those that replace some of them
 }
 
-// dueEvents is how many of the events of a plan are due at a time.
+// dueEvents returns how many of the events of a plan are due at a time.
 func dueEvents(plan []dayEvent, at time.Duration) int {
 	n, _ := slices.BinarySearchFunc(plan, at, func(e dayEvent, at time.Duration) int {
 		if e.at <= at {
@@ -50,7 +50,7 @@
 	return n
 }
 
-// replaced is how many of so many servers a day replaces.
+// replacedCount returns how many of so many servers a day replaces.
 func replacedCount(servers int) int { return int(replacedShare * float64(servers)) }
 
 // planDay lays out a day: servers that are drawn anew for each seed are replaced one after another, evenly over
--- a/internal/fleet/latency.go
+++ b/internal/fleet/latency.go
@@ -7,7 +7,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Quantiles are times in milliseconds that so many in 100 do not exceed.
+// Quantiles are the quantiles of some times, in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -16,21 +16,24 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// latencies gathers times from many goroutines, in microseconds up to two minutes.
+// longestLatency is the longest time that a histogram tells apart; longer ones count as this long.
+const longestLatency = 2 * time.Minute
+
+// latencies is an HdrHistogram of times in microseconds, to three digits. Many goroutines may add to it.
 type latencies struct {
 	mu   sync.Mutex
 	hist *hdrhistogram.Histogram
 }
 
 func newLatencies() *latencies {
-	return &latencies{hist: hdrhistogram.New(1, (2 * time.Minute).Microseconds(), 3)}
+	return &latencies{hist: hdrhistogram.New(1, longestLatency.Microseconds(), 3)}
 }
 
 func (l *latencies) add(d time.Duration) {
-	us := min(max(d.Microseconds(), 0), (2 * time.Minute).Microseconds())
+	us := min(max(d.Microseconds(), 0), longestLatency.Microseconds())
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.hist.RecordValue(us) // in range, so it can't fail
+	_ = l.hist.RecordValue(us) // it fails only out of the histogram's range
 }
 
 func (l *latencies) quantiles() Quantiles {
--- a/internal/fleet/list.go
+++ b/internal/fleet/list.go
@@ -9,10 +9,13 @@
 	"time"
 )
 
-// keptChanges is how many changes a list remembers; who holds an older version gets the whole list.
+// maxChanges is how many changes a list keeps. Who holds a version that is older gets the complete list.
 const maxChanges = 4096
 
-// Target is an entry of a list, as PROTOCOL has it.
+// noVersion stands for the version of a list where its caller holds none.
+const noVersion = -1
+
+// ListEntry is an entry of an endpoint list, as PROTOCOL has it.
 type ListEntry struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -24,31 +27,32 @@
 	BootMS   int64   `json:"boot_ms"`
 }
 
-// The states of a target.
+// The states of an entry.
 const (
 	inService   = "in_service"
 	terminating = "terminating"
 	terminated  = "terminated" // only among changes
 )
 
-// answerBody is what a list's calls are answered with.
+// listBody is the body of an answer to a call for a list.
 type listBody struct {
 	Rev     int64       `json:"rev"`
 	All     bool        `json:"all"`
 	Entries []ListEntry `json:"targets"`
 }
 
-// list is the servers of one service and what became of them.
+// list is the endpoint list of one service, with its latest changes.
 type list struct {
 	mu      sync.Mutex
 	rev     int64
-	uids    []string // uids, as first listed
+	uids    []string // in the order in which they were first listed
 	entries map[string]ListEntry
 	changes []change // the oldest first; the last few
 	newer   chan struct{}
-	answers map[int64][]byte // of this version, by the version held; -1: the whole list
+	answers map[int64][]byte // of the present version, by the version that a caller holds
 }
 
+// change is one changed entry of a version.
 type change struct {
 	rev   int64
 	entry ListEntry
@@ -63,7 +67,7 @@
 	return l
 }
 
-// change makes a new version of some entries and wakes the watches.
+// change makes a new version in which some entries are changed, and answers the open watches.
 func (l *list) change(targets []ListEntry) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -88,7 +92,7 @@
 	return l.rev
 }
 
-// relist gives a new uid its place.
+// addUID appends a uid, unless it was listed before and so has its place.
 func (l *list) addUID(uid string) {
 	for _, known := range l.uids {
 		if known == uid {
@@ -98,9 +102,9 @@
 	l.uids = append(l.uids, uid)
 }
 
-// held is the answer to who holds a version (-1: none): what is newer, and whether there is anything; newer
-// is closed once there is more.
-func (l *list) answerFor(from int64) (body []byte, news bool, newer <-chan struct{}, err error) {
+// answerFor returns the answer to who holds a version, or noVersion: what is newer, and whether anything is. newer
+// is closed by the next change.
+func (l *list) answerFor(from int64) (body []byte, changed bool, newer <-chan struct{}, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	body, ok := l.answers[from]
@@ -113,20 +117,20 @@
 	return body, from != l.rev, l.newer, nil
 }
 
-// errSilent says that a call is never answered.
-var errUnresponsive = errors.New("the registry is silent")
+// errUnresponsive says that a call is never answered.
+var errUnresponsive = errors.New("the registry is unresponsive")
 
-// wait is the answer to a watch from a version (-1: to a call for the whole list), after a hold where there
-// is nothing newer. It fails once down is closed, or ctx ends.
+// wait returns the answer to a watch from a version, or to a call for the complete list (from noVersion). Where
+// nothing is newer it comes after the hold. It fails once down is closed, or ctx ends.
 func (l *list) wait(ctx context.Context, from int64, hold time.Duration, down <-chan struct{}) ([]byte, error) {
 	over := time.NewTimer(hold)
 	defer over.Stop()
 	for waited := hold == 0; ; {
-		body, news, newer, err := l.answerFor(from)
+		body, changed, newer, err := l.answerFor(from)
 		if err != nil {
 			return nil, err
 		}
-		if news || waited {
+		if changed || waited {
 			select {
 			case <-down:
 				return nil, errUnresponsive
@@ -146,28 +150,34 @@
 	}
 }
 
-// since is what changed after a version, each entry once and as it is now; or all, where that is not known.
+// since returns what changed after a version, each entry once and as it is now. Where the changes are no longer
+// kept, it returns the complete list.
 func (l *list) since(from int64) listBody {
 	if from == l.rev {
 		return listBody{Rev: l.rev, Entries: []ListEntry{}}
 	}
 	known := from >= 1 && from < l.rev && len(l.changes) > 0 && l.changes[0].rev <= from+1
 	if !known {
-		all := listBody{Rev: l.rev, All: true, Entries: []ListEntry{}}
-		for _, uid := range l.uids {
-			if t, ok := l.entries[uid]; ok {
-				all.Entries = append(all.Entries, t)
-			}
-		}
-		return all
+		return l.complete()
 	}
-	news := listBody{Rev: l.rev, Entries: []ListEntry{}}
+	update := listBody{Rev: l.rev, Entries: []ListEntry{}}
 	seen := map[string]bool{}
 	for i := len(l.changes) - 1; i >= 0 && l.changes[i].rev > from; i-- {
 		if t := l.changes[i].entry; !seen[t.UID] {
 			seen[t.UID] = true
-			news.Entries = append(news.Entries, t)
+			update.Entries = append(update.Entries, t)
+		}
+	}
+	return update
+}
+
+// complete returns the complete list.
+func (l *list) complete() listBody {
+	all := listBody{Rev: l.rev, All: true, Entries: []ListEntry{}}
+	for _, uid := range l.uids {
+		if t, ok := l.entries[uid]; ok {
+			all.Entries = append(all.Entries, t)
 		}
 	}
-	return news
+	return all
 }
--- a/internal/fleet/listedservers.go
+++ b/internal/fleet/listedservers.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// ListedServersSpec asks for stand-in servers, each at an endpoint of its own.
+// ListedServersSpec describes stand-in servers, each at an endpoint of its own.
 type ListedServersSpec struct {
 	Count   int
 	Service time.Duration // mean time that a server takes for a request, drawn anew for each
 	Seed    uint64
 }
 
-// ListedServers is the host of the servers that a growth run lists, as a service for a parent process. Their
-// number of calls at once is not limited.
+// ListedServers is the RPC service of the servers that a growth run lists, for a parent process. Their concurrency is
+// not limited.
 type ListedServers struct {
 	servers  []*http.Server
 	accepted atomic.Int64
@@ -37,7 +37,7 @@
 		one := &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute, ConnState: h.count}
 		h.servers = append(h.servers, one)
 		*endpoints = append(*endpoints, ln.Addr().String())
-		go one.Serve(ln)
+		go func() { _ = one.Serve(ln) }() // it returns when Close ends the server, or with the process
 	}
 	return nil
 }
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// machineBusy is the processor time that all of the machine has spent since its start.
+// machineBusy returns the processor time that all programs on the machine have used since its start.
 func machineBusy() (time.Duration, error) {
 	text, err := os.ReadFile("/proc/stat")
 	if err != nil {
@@ -29,7 +29,7 @@
 	return busy, nil
 }
 
-// loadAverage is the machine's load over the last minute, or "" if it does not tell.
+// loadAverage returns the machine's load average over the last minute, or "" if that can't be read.
 func loadAverage() string {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// tick is the unit of the processor times in /proc/PID/stat.
+// clockTick is the unit of the processor times in /proc/PID/stat.
 const clockTick = 10 * time.Millisecond
 
 // Usage is what a process has used.
@@ -19,8 +19,8 @@
 	RSS int64 // bytes in memory now
 }
 
-// UsageOf reads what a process has used. Its CPU comes from schedstat of its threads, which counts
-// nanoseconds, and is never under what stat says to its tick: a thread that has ended counts only there.
+// UsageOf reads what a process has used. The processor time comes from schedstat of its threads, which counts
+// nanoseconds, unless stat has more by at least a clock tick: threads that have ended count only there.
 func UsageOf(pid int) (Usage, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -60,7 +60,7 @@
 	return u, nil
 }
 
-// PeakMemory is the most memory that a process has held so far, in bytes.
+// PeakMemory returns the most memory that a process has held so far, in bytes.
 func PeakMemory(pid int) (int64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -78,7 +78,7 @@
 	return 0, fmt.Errorf("peak memory: /proc/%d/status has none", pid)
 }
 
-// Descriptors is how many file descriptors a process has open.
+// Descriptors returns how many file descriptors a process has open.
 func Descriptors(pid int) (int, error) {
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
--- a/internal/fleet/realnodes.go
+++ b/internal/fleet/realnodes.go
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// build makes the real nodes' program in a folder.
+// buildProgram builds the real nodes' program in a folder.
 func buildProgram(ctx context.Context, dir string) (string, error) {
 	path := filepath.Join(dir, "balancer")
 	out, err := exec.CommandContext(ctx, "go", "build", "-o", path, "balancer/cmd/balancer").CombinedOutput()
@@ -64,8 +64,8 @@
 				break
 			}
 		}
-		io.Copy(io.Discard, log)
-		n.cmd.Wait()
+		_, _ = io.Copy(io.Discard, log) // so that the node never waits for a reader of its log
+		_ = n.cmd.Wait()                // one that is killed ends with an error; only that it has ended counts
 	}()
 	select {
 	case n.address = <-serving:
@@ -78,12 +78,13 @@
 	}
 }
 
+// write writes the node's configuration file.
 func (n *realNode) write() error {
 	text, err := n.spec.Configuration()
 	if err != nil {
 		return err
 	}
-	// In one step: the node may be reading.
+	// The rename replaces the file in one step, since the node may be reading it.
 	if err := os.WriteFile(n.path+".new", text, 0o600); err != nil {
 		return fmt.Errorf("%s: %w", n.spec.Name, err)
 	}
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// ready waits until the node may be put to use.
+// ready waits until the node passes its health check.
 func (n *realNode) ready(ctx context.Context) error {
 	for {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.address+"/health/ready", nil)
@@ -127,13 +128,13 @@
 	}
 }
 
-// stop kills the node, as nodes of later tiers end, and waits until it is gone.
+// stop kills the node and waits until it has ended. Draining would only lengthen the run.
 func (n *realNode) stop() {
-	n.cmd.Process.Kill()
+	_ = n.cmd.Process.Kill() // it fails only if the node has just ended
 	<-n.exited
 }
 
-// Configs says how changes of the configuration came into force at the real nodes.
+// Configs are the figures of how changes of the configuration came into force at the real nodes.
 type Configs struct {
 	Changes    int       `json:"changes"`
 	Sent       int       `json:"sent"`         // pairs of a change and a node
@@ -143,12 +144,12 @@
 	Took       Quantiles `json:"took"` // of those in force
 }
 
-// configLimit is within how long a change must be in force everywhere.
+// configLimit is the time within which a change must be in force everywhere.
 const configLimit = 11 * time.Second
 
-// addClass adds a class to the configuration of all nodes. The function that it returns waits until that is in
-// force at each, which it is when a request of the class is no longer answered as unknown, or is known not to
-// be in time, and tells at how many it is.
+// addClass adds a class to the configuration of all nodes. The function that it returns waits until the class is in
+// force at each node or configLimit has passed, and returns at how many nodes it is. It is in force at a node that no
+// longer answers a request of the class as of an unknown class.
 func (r *run) addClass(ctx context.Context, class string, took *latencies) (wait func() int, err error) {
 	var wg sync.WaitGroup
 	var inForce atomic.Int32
--- a/internal/fleet/registry.go
+++ b/internal/fleet/registry.go
@@ -11,18 +11,18 @@
 	"time"
 )
 
-// mostHold is the longest wait of a watch.
+// maxHold is the longest wait of a watch.
 const maxHold = time.Minute
 
-// Registry stands in for discovery: the lists of some services, each at addresses of its own. An address
-// stands for the registry itself where lists are asked for, and for one node's agent where they are pushed;
-// the agents hear of a change in memory and at once, and have nothing to say while the registry is silent.
+// Registry is a stand-in for discovery: it serves the lists of some services, each at addresses of its own. An
+// address stands for the registry itself where lists are polled, and for one node's agent where they are pushed.
+// The agents read changes in memory and at once, and have no answer while the registry is unresponsive.
 type Registry struct {
 	Traffic *Series
 	lists   []*list
 
 	mu           sync.Mutex
-	down         chan struct{} // closed while the registry is silent
+	down         chan struct{} // closed while the registry is unresponsive
 	unresponsive bool
 	broken       chan struct{} // closed, and replaced, when the open watches are broken
 	servers      []*http.Server
@@ -37,7 +37,7 @@
 	return r
 }
 
-// Listen opens an address where the list of a service is told. Addresses stay open until Close.
+// Listen opens an address where the list of a service is served. It stays open until Close.
 func (r *Registry) Listen(service int) (string, error) {
 	if service < 0 || service >= len(r.lists) {
 		return "", fmt.Errorf("registry: no service %d", service)
@@ -54,7 +54,7 @@
 	r.mu.Lock()
 	r.servers = append(r.servers, s)
 	r.mu.Unlock()
-	go s.Serve(&meteredListener{ln, r.Traffic})
+	go func() { _ = s.Serve(&meteredListener{ln, r.Traffic}) }() // it returns when Close ends the server
 	return ln.Addr().String(), nil
 }
 
@@ -66,8 +66,8 @@
 	return r.lists[service].change(targets), nil
 }
 
-// Silence has the registry accept calls and answer none, those already waiting included, until it ends;
-// what was asked meanwhile is not answered afterwards either.
+// Silence begins or ends an outage in which the registry accepts calls and answers none, including those that wait
+// already. A call that comes during the outage is not answered after it either.
 func (r *Registry) Silence(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -80,7 +80,7 @@
 	r.unresponsive = on
 }
 
-// silence is closed once a call that comes now can't be answered any more.
+// unresponsiveSignal returns a channel that is closed once a call that comes now can't be answered any more.
 func (r *Registry) unresponsiveSignal() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -98,7 +98,7 @@
 	r.broken = make(chan struct{})
 }
 
-// watchContext ends with its parent, or by errBroken when the open watches are broken.
+// watchContext returns a context that ends with its parent, or with errBroken when the open watches are broken.
 func (r *Registry) watchContext(parent context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
 	r.mu.Lock()
@@ -125,7 +125,7 @@
 	return errors.Join(errs...)
 }
 
-// tell answers one call.
+// serveList answers one call for a list.
 func (r *Registry) serveList(w http.ResponseWriter, q *http.Request, l *list) {
 	r.Traffic.Add(Traffic{Calls: 1})
 	if q.Method != http.MethodGet || q.URL.Path != "/registry/instances" {
@@ -143,7 +143,7 @@
 	switch {
 	case err == nil:
 		w.Header().Set("Content-Type", "application/json")
-		n, _ := w.Write(body) // whose connection is broken asks again
+		n, _ := w.Write(body) // a caller whose connection is broken calls again
 		r.Traffic.Add(Traffic{Lists: int64(n)})
 	case errors.Is(err, errUnresponsive):
 		<-q.Context().Done()
@@ -154,10 +154,11 @@
 	}
 }
 
-// watchOf reads a watch: the version held and the wait. The whole list is asked for without both.
+// watchOf reads the parameters of a watch: the version that the caller holds, and how long it waits. A call without
+// both is for the complete list.
 func watchOf(q *http.Request) (from int64, hold time.Duration, err error) {
 	if q.URL.RawQuery == "" {
-		return -1, 0, nil
+		return noVersion, 0, nil
 	}
 	if from, err = strconv.ParseInt(q.URL.Query().Get("from"), 10, 64); err != nil {
 		return 0, 0, fmt.Errorf("from: %w", err)
@@ -169,7 +170,7 @@
 	return from, min(max(time.Duration(ms)*time.Millisecond, 0), maxHold), nil
 }
 
-// meteredListener counts what passes over its connections.
+// meteredListener counts the traffic of its connections.
 type meteredListener struct {
 	net.Listener
 	traffic *Series
@@ -185,6 +186,7 @@
 	return &meteredConn{Conn: c, traffic: l.traffic}, nil
 }
 
+// meteredConn is a connection of a meteredListener.
 type meteredConn struct {
 	net.Conn
 	traffic *Series
--- a/internal/fleet/registryhost.go
+++ b/internal/fleet/registryhost.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// RegistrySpec asks for a registry with a list for each service, and addresses for the lists.
+// RegistrySpec are the lists of a registry, one for each service, and its addresses.
 type RegistrySpec struct {
 	Services  [][]ListEntry
-	Addresses []int // the service that each address tells of
+	Addresses []int // the service whose list each address serves
 }
 
-// ChangeSpec asks for a new version of a list.
+// ChangeSpec is a change that makes a new version of a list.
 type ChangeSpec struct {
 	Service int
 	Entries []ListEntry
 }
 
-// Changed says what version came of it, and when.
+// Changed is the version that a change has made.
 type Changed struct {
 	Rev  int64
 	AtNS int64 // Unix time just before
 }
 
-// RegistryHost is the host of the registry and the agents, as a service for a parent process.
+// RegistryHost is the RPC service of the registry and the agents, for a parent process.
 type RegistryHost struct{ registry *Registry }
 
-// Start opens the addresses.
+// Start opens the addresses, and returns them.
 func (h *RegistryHost) Start(spec RegistrySpec, addresses *[]string) error {
 	if h.registry != nil {
 		return errors.New("registry: started twice")
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// Silence begins or ends a silence, and tells when.
+// Silence begins or ends an outage of the registry, and returns when that was.
 func (h *RegistryHost) Silence(on bool, atNS *int64) error {
 	*atNS = time.Now().UnixNano()
 	h.registry.Silence(on)
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// Traffic tells what passed.
+// Traffic returns what was counted since the start.
 func (h *RegistryHost) Traffic(_ struct{}, counted *Counted) error {
 	*counted = h.registry.Traffic.Counted()
 	return nil
--- a/internal/fleet/rotation.go
+++ b/internal/fleet/rotation.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// rotation is one list as the run changes it: one server after the other drains, goes and comes back. One
-// server at most is out at a time, but for a zone that is lost.
+// rotation changes one list: one server after the other drains, is removed and is listed again. At most one server
+// is missing at a time, except in the outage of a zone.
 type rotation struct {
 	service int
 
 	mu      sync.Mutex
-	entries []ListEntry // as they are when in service
+	entries []ListEntry // as they are while in service
 	at      int         // the server whose turn it is
 	step    int
-	lost    bool // the first zone is
+	lost    bool // the first zone is in an outage
 }
 
 func newRotation(service, servers int, endpoint string) *rotation {
@@ -29,7 +29,7 @@
 	return r
 }
 
-// next is the next change of one server, or none if all that could change are lost.
+// next returns the next change of one server, or none if all that could change are in the outage.
 func (r *rotation) next() []ListEntry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -43,17 +43,17 @@
 	if r.lost && t.Zone == zones[0] {
 		return nil
 	}
-	news := *t
-	news.State = []string{terminating, terminated, inService}[r.step]
+	changed := *t
+	changed.State = []string{terminating, terminated, inService}[r.step]
 	if r.step++; r.step == 3 {
 		t.BootMS = time.Now().UnixMilli()
-		news.BootMS = t.BootMS
+		changed.BootMS = t.BootMS
 		r.step, r.at = 0, (r.at+1)%len(r.entries)
 	}
-	return []ListEntry{news}
+	return []ListEntry{changed}
 }
 
-// restart is the last server, started anew.
+// restart returns the change in which the last server has restarted.
 func (r *rotation) restart() []ListEntry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -62,12 +62,12 @@
 	return []ListEntry{*t}
 }
 
-// zone is all servers of the first zone, gone, or back with a new start.
+// zone returns the change in which all servers of the first zone are removed, or are back after a restart.
 func (r *rotation) zone(back bool) []ListEntry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lost = !back
-	var news []ListEntry
+	var changed []ListEntry
 	for i := range r.entries {
 		t := &r.entries[i]
 		if t.Zone != zones[0] {
@@ -79,7 +79,7 @@
 			t.BootMS = time.Now().UnixMilli()
 			n = *t
 		}
-		news = append(news, n)
+		changed = append(changed, n)
 	}
-	return news
+	return changed
 }
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -36,7 +36,7 @@
 	Log          *slog.Logger
 }
 
-// run is one run under way. Its children are stopped at its end, whatever that is.
+// run is one run while it is made. Its children are stopped at its end, also after an error.
 type run struct {
 	Runner
 	args            Args
@@ -54,7 +54,7 @@
 	registryUnresponsive bool
 }
 
-// Run makes one run. It ends within its bound, with its children gone.
+// Run makes one run. It ends within its bound, and its children with it.
 func (r Runner) Run(ctx context.Context, args Args) (p Point, err error) {
 	if err := args.Check(); err != nil {
 		return Point{}, err
@@ -95,7 +95,7 @@
 	}
 	wg.Wait()
 	r.client.close()
-	os.RemoveAll(r.dir)
+	_ = os.RemoveAll(r.dir) // what is left of it stays in the folder for temporary files
 }
 
 // measure lets the run go on for its length, and fills the point.
--- a/internal/fleet/runchanges.go
+++ b/internal/fleet/runchanges.go
@@ -16,7 +16,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.registryUnresponsive { // it is told at the return only
+	if r.registryUnresponsive { // it is only sent after the outage
 		return nil
 	}
 	if l.service < r.args.Services && r.args.Nodes > 0 {
@@ -39,8 +39,8 @@
 			return nil
 		}
 		l := r.lists[i%len(r.lists)]
-		if news := l.next(); news != nil {
-			if err := r.change(ctx, l, news, groupChange); err != nil {
+		if changed := l.next(); changed != nil {
+			if err := r.change(ctx, l, changed, groupChange); err != nil {
 				return err
 			}
 		}
--- a/internal/fleet/series.go
+++ b/internal/fleet/series.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// BucketWidth is short enough for a peak to show, and long enough for a mean to fill.
+// BucketWidth is the time that one bucket of a Series counts. It is short enough for peaks to show, and long enough
+// for calls to fall into most buckets.
 const BucketWidth = 100 * time.Millisecond
 
-// Traffic is what passed at a stand-in: new connections, calls, and bytes of TCP payload each way. Lists are the
-// bytes of the lists in it, without the heads of HTTP.
+// Traffic is the traffic at a stand-in: new connections, calls, and bytes of TCP payload each way. Lists are the bytes
+// of the lists in it, without the headers of HTTP.
 type Traffic struct {
 	Conns int64 `json:"conns"`
 	Calls int64 `json:"calls"`
@@ -34,10 +35,10 @@
 	open    int64
 }
 
-// NewSeries counts from now.
+// NewSeries returns a series whose first bucket begins now.
 func NewSeries() *Series { return &Series{start: time.Now()} }
 
-// Add counts traffic that passes now.
+// Add counts traffic in the present bucket.
 func (s *Series) Add(t Traffic) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,8 +70,8 @@
 	return Counted{s.start.UnixNano(), s.open, append([]Traffic(nil), s.buckets...)}
 }
 
-// Between sums the whole buckets from one time to another, and gives the most calls in one of them and the
-// seconds they span.
+// Between sums the complete buckets from one time to another. It also returns the most calls in one of them, and how
+// many seconds they span.
 func (c Counted) Between(from, to time.Time) (sum Traffic, peak int64, seconds float64) {
 	width := int64(BucketWidth)
 	first := (from.UnixNano() - c.StartNS + width - 1) / width
--- a/internal/fleet/servers.go
+++ b/internal/fleet/servers.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// ServersSpec asks for chains of servers: one server for each tier of each chain, twice. Those through nodes
-// call the node of the next tier, the direct ones the next server itself.
+// ServersSpec describes chains of servers: for each tier of each chain there are two servers. One calls the node of
+// the next tier, the other calls the next server directly.
 type ServersSpec struct {
 	Chains, Depth int
 	Service       time.Duration // mean of the time that each server takes, drawn anew for each request
@@ -24,13 +24,14 @@
 	Through, Direct [][]string
 }
 
-// Servers is the host of the stand-ins of servers, as a service for a parent process.
+// Servers is the RPC service of the stand-in servers of chains, for a parent process.
 type Servers struct {
 	client  *client
 	through [][]*server
 }
 
-// server answers a request, after its time and after its own call to the next tier, where there is one.
+// server is a stand-in server: it answers a request after a service time that it draws, and after its own call to
+// the next tier, if there is one.
 type server struct {
 	client  *client
 	service time.Duration
@@ -40,7 +41,7 @@
 	seed    uint64
 }
 
-// Start opens the servers.
+// Start opens the servers, and returns their addresses.
 func (s *Servers) Start(spec ServersSpec, at *ServerAddresses) error {
 	s.client = newClient()
 	open := func(name string, n int) (*server, string, error) {
@@ -49,7 +50,8 @@
 			return nil, "", fmt.Errorf("servers: %w", err)
 		}
 		one := &server{client: s.client, service: spec.Service, name: name, seed: spec.Seed + uint64(n)}
-		go (&http.Server{Handler: one, ReadHeaderTimeout: time.Minute}).Serve(ln)
+		listener := &http.Server{Handler: one, ReadHeaderTimeout: time.Minute}
+		go func() { _ = listener.Serve(ln) }() // to the end of the process
 		return one, ln.Addr().String(), nil
 	}
 	for c := range spec.Chains {
@@ -75,8 +77,8 @@
 	return nil
 }
 
-// Link tells the servers through nodes where their own nodes are: nodes holds an address for each chain and
-// tier; the node of the first tier is the clients'.
+// Link gives the servers that call nodes the addresses of these: nodes holds one for each chain and tier. The node
+// of the first tier is called by the load generator alone.
 func (s *Servers) Link(nodes [][]string, _ *struct{}) error {
 	for c, chain := range nodes {
 		for k := 1; k < len(chain); k++ {
@@ -86,6 +88,7 @@
 	return nil
 }
 
+// ServeHTTP answers one request.
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("X-Request-Id")
 	left, err := strconv.ParseFloat(r.Header.Get("X-Deadline"), 64)
--- a/internal/fleet/slope.go
+++ b/internal/fleet/slope.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Line is a fit y = Base + Slope x by least squares, with the share R2 of the variance that it explains.
+// Line is a fit y = Base + Slope x by ordinary least squares. R2 is its coefficient of determination.
 type Line struct {
 	Slope float64 `json:"slope"`
 	Base  float64 `json:"base"`
--- a/internal/fleet/storm.go
+++ b/internal/fleet/storm.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// stormTimes are when a storm began and ended.
+// stormTimes are when an outage began and ended.
 type stormTimes struct{ lost, back time.Time }
 
-// storm loses a zone or the registry for a part of the run. While the registry is silent each list changes
-// at least once, so that there is news at its return.
+// storm makes an outage of a zone or of the registry for a part of the run. During an outage of the registry each
+// list changes at least once, so that there is an update to send when it is back.
 func (r *run) storm(ctx context.Context) (*stormTimes, error) {
 	start := time.Now()
 	share := func(s float64) time.Time { return start.Add(time.Duration(s * float64(r.args.For))) }
@@ -30,6 +30,7 @@
 	return s, r.phase(ctx, afterStorm)
 }
 
+// phase has the hollow nodes' calls counted in another phase from now on.
 func (r *run) phase(ctx context.Context, phase int) error {
 	if r.hollows == nil {
 		return nil
@@ -37,6 +38,7 @@
 	return r.hollows.call(ctx, "Phase", phase, &struct{}{})
 }
 
+// lose begins the outage.
 func (r *run) lose(ctx context.Context, s *stormTimes) error {
 	if r.args.Storm == "zone" {
 		s.lost = time.Now()
@@ -51,12 +53,13 @@
 	return err
 }
 
+// restore ends the outage.
 func (r *run) restore(ctx context.Context, s *stormTimes) error {
 	if r.args.Storm == "zone" {
 		s.back = time.Now()
 		return r.changeZone(ctx, true, groupZoneBack)
 	}
-	// The newest version of each list is made last; what else changed while the registry was silent comes with it.
+	// The newest version of each list is made last; all other changes of the outage are sent along with it.
 	var last []ListChange
 	for _, l := range r.lists {
 		var changed Changed
@@ -82,6 +85,7 @@
 	return nil
 }
 
+// changeZone removes the servers of the first zone from all lists, or lists them again.
 func (r *run) changeZone(ctx context.Context, back bool, group string) error {
 	for _, l := range r.lists {
 		if targets := l.zone(back); len(targets) > 0 {
@@ -93,7 +97,7 @@
 	return nil
 }
 
-// figures compares the registry's load at the return with the mean before.
+// figures compares the registry's load after the outage with the mean before it.
 func (s *stormTimes) figures(kind string, counted Counted, begin, end time.Time, h *HollowFigures) *StormFigures {
 	f := &StormFigures{Kind: kind, LostSec: s.back.Sub(s.lost).Seconds()}
 	watched := s.back.Add(stormWatch)
@@ -102,7 +106,7 @@
 	}
 	before, _, beforeSec := counted.Between(begin, s.lost)
 	during, _, duringSec := counted.Between(s.lost, s.back)
-	// The bucket of the return itself counts as after it.
+	// The bucket in which the outage ends counts as after it.
 	after, peak, afterSec := counted.Between(s.back.Add(-BucketWidth), watched)
 	f.Before, f.During = float64(before.Calls)/beforeSec, float64(during.Calls)/duringSec
 	f.After, f.AfterSec, f.PeakBytes = float64(after.Calls)/afterSec, afterSec, float64(after.Out)/afterSec
--- a/internal/fleet/sweep.go
+++ b/internal/fleet/sweep.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Plan is what a sweep runs: the arguments with one of them varied.
+// Plan returns the runs of a sweep: the arguments with one of them varied.
 func Plan(args Args, over string, values []int) ([]Args, error) {
 	set, ok := map[string]func(a *Args, v int){
 		"nodes":   func(a *Args, v int) { a.Nodes = v },
@@ -65,7 +65,7 @@
 	return report, nil
 }
 
-// figures are those of a point that a sweep fits.
+// figures returns those of a point's figures that a sweep fits.
 func (p Point) figures() map[string]float64 {
 	f := map[string]float64{
 		"node bytes in/s": p.PerNode.BytesIn, "node bytes out/s": p.PerNode.BytesOut,
