--- a/internal/fleet/growth.go
+++ b/internal/fleet/growth.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"os"
 	"runtime"
-	"sync"
 	"time"
 )
 
@@ -102,7 +101,7 @@
 	for i, address := range addresses {
 		n, err := startReal(ctx, d.args.Program, d.dir, NodeSpec{
 			Name: fmt.Sprintf("n%d", i), Index: i, Replicas: d.size.nodes,
-			Listen: "127.0.0.1:0", Discovery: address, PollDiscovery: d.args.Mode == "asked", Seed: d.args.Seed + uint64(i),
+			Listen: "127.0.0.1:0", Discovery: address, PollDiscovery: d.args.Mode == modePolled, Seed: d.args.Seed + uint64(i),
 		})
 		if err != nil {
 			return err
@@ -146,26 +145,19 @@
 		return f, err
 	}
 	begun := time.Now()
-	running, cancel := context.WithCancelCause(ctx)
-	defer cancel(nil)
-	var wg sync.WaitGroup
-	wg.Add(2)
-	go func() {
-		defer wg.Done()
-		if err := d.playEvents(running, &f); err != nil {
-			cancel(err)
-		}
-	}()
-	watching, watched := context.WithCancel(running)
+	activities := newActivities(ctx)
+	defer activities.cancel(nil)
+	activities.start(func(ctx context.Context) error { return d.playEvents(ctx, &f) })
+	watching, stopWatching := context.WithCancel(activities.ctx)
+	defer stopWatching()
 	var descriptors []int
-	go func() {
-		defer wg.Done()
+	activities.start(func(context.Context) error {
 		descriptors = d.watchDescriptors(watching)
-	}()
-	f.Calls = d.makeCalls(running)
-	watched()
-	wg.Wait()
-	if err := context.Cause(running); err != nil {
+		return nil
+	})
+	f.Calls = d.makeCalls(activities.ctx)
+	stopWatching()
+	if err := activities.wait(); err != nil {
 		return f, err
 	}
 	after, err := machineBusy()
--- a/internal/fleet/hollows.go
+++ b/internal/fleet/hollows.go
@@ -8,12 +8,10 @@
 	"log/slog"
 	"math/rand/v2"
 	"runtime"
-	"sort"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"balancer"
 	"balancer/internal/node"
 )
 
@@ -25,14 +23,14 @@
 	phases
 )
 
-// lastNews is how long news is waited for after the end of a run: a node that hears of a change later does
-// not count as having heard of it. The target allows 11 s.
+// finalUpdateWait is how long the last updates are waited for after the end of a run. A node that applies a change
+// later counts as having missed it. The target allows 11 s.
 const finalUpdateWait = 12 * time.Second
 
-// players is how many goroutines make the calls of all hollow nodes.
+// loadGoroutines is how many goroutines make the calls of all hollow nodes.
 const loadGoroutines = 4
 
-// HollowSpec asks for hollow nodes: node i hears from Discovery[i] the list of service i mod Services.
+// HollowSpec describes hollow nodes: node i gets the list of service i mod Services from Discovery[i].
 type HollowSpec struct {
 	Discovery     []string
 	Services      int
@@ -42,7 +40,7 @@
 	Wait          time.Duration // for all nodes to be ready
 }
 
-// HollowStart says what the nodes hold once all are ready.
+// HollowStart is what the nodes use once all are ready.
 type HollowStart struct {
 	Ready     int           // nodes that are ready
 	HeapBytes int64         // heap in use more than without nodes, after a collection
@@ -50,56 +48,14 @@
 	Took      time.Duration // until all were ready
 }
 
-// HollowLoad asks for calls.
+// HollowLoad describes the calls to make.
 type HollowLoad struct {
 	Rate float64 // a second at each node
 	For  time.Duration
 	Seed uint64
 }
 
-// ListChange is a change of a service's list, told to the nodes at a time.
-type ListChange struct {
-	Group   string
-	Service int
-	Rev     int64
-	AtNS    int64 // Unix time when the registry could tell it
-}
-
-// Tally counts calls and their answers.
-type Tally struct {
-	Offered  int64 `json:"offered"`
-	Served   int64 `json:"served"`
-	Rejected int64 `json:"refused"`
-	Failed   int64 `json:"failed"`
-}
-
-// Answered is how many calls were answered at all.
-func (t Tally) Answered() int64 { return t.Served + t.Rejected + t.Failed }
-
-func (t *Tally) add(u Tally) {
-	t.Offered += u.Offered
-	t.Served += u.Served
-	t.Rejected += u.Rejected
-	t.Failed += u.Failed
-}
-
-// Spread is the median and the worst of some times, in milliseconds.
-type Spread struct {
-	Median float64 `json:"median_ms"`
-	Worst  float64 `json:"worst_ms"`
-}
-
-// InForce says how long changes took to be in force: at half of their nodes, at 99 in 100, and at all.
-type InForce struct {
-	Changes int    `json:"changes"`
-	Applied int    `json:"heard"`  // pairs of a change and a node that took it over
-	Missed  int    `json:"missed"` // pairs that did not come about
-	Half    Spread `json:"half"`
-	P99     Spread `json:"p99"`
-	All     Spread `json:"all"`
-}
-
-// HollowReport is what the nodes did.
+// HollowReport are the figures of the nodes at the end of a run.
 type HollowReport struct {
 	Phases    [phases]Tally
 	Lateness  Quantiles // of sends, against the times drawn
@@ -109,96 +65,32 @@
 	Warnings  int64 // lines of the nodes' logs at the level of a warning or above
 }
 
-// Hollows is the host of hollow nodes, as a service for a parent process.
+// Hollows is the RPC service of hollow nodes, for a parent process.
 type Hollows struct {
 	services int
 	nodes    []*hollow
 	phase    atomic.Int32
-	tallies  [phases]struct{ offered, served, refused, failed atomic.Int64 }
+	tallies  [phases]struct{ offered, served, rejected, failed atomic.Int64 }
 	lateness *latencies
 	latency  *latencies
-	playing  sync.WaitGroup
-	empty    int64 // heap in use without nodes, in bytes
-	warnings *warnings
-}
-
-// hollow is a node and the versions that it took over.
-type hollow struct {
-	*node.Hollow
-	mu      sync.Mutex
-	applied []appliedVersion // the oldest first
-}
-
-type appliedVersion struct {
-	rev int64
-	at  time.Time
-}
+	senders  sync.WaitGroup // the goroutines that make calls
 
-// since is when a node took over a version or a newer one.
-func (h *hollow) appliedAt(rev int64) (time.Time, bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	i := sort.Search(len(h.applied), func(i int) bool { return h.applied[i].rev >= rev })
-	if i == len(h.applied) {
-		return time.Time{}, false
-	}
-	return h.applied[i].at, true
-}
-
-// warnings counts a log's warnings, and writes nothing.
-type warnings struct {
-	slog.Handler
-	count atomic.Int64
-}
-
-func (w *warnings) Enabled(_ context.Context, l slog.Level) bool { return l >= slog.LevelWarn }
-func (w *warnings) Handle(context.Context, slog.Record) error {
-	w.count.Add(1)
-	return nil
+	heapWithoutNodes int64 // in bytes
+	warnings         *warnings
 }
 
-// Start makes the nodes, and waits until all are ready.
+// Start starts the nodes, and waits until all are ready.
 func (h *Hollows) Start(spec HollowSpec, started *HollowStart) error {
 	h.services, h.lateness, h.latency = spec.Services, newLatencies(), newLatencies()
 	h.warnings = &warnings{Handler: slog.NewTextHandler(io.Discard, nil)}
-	log := slog.New(h.warnings)
 	before := memory()
-	h.empty = int64(before.HeapAlloc)
+	h.heapWithoutNodes = int64(before.HeapAlloc)
 	begun := time.Now()
-	copies := (len(spec.Discovery) + spec.Services - 1) / spec.Services
-	for i, address := range spec.Discovery {
-		text, err := NodeSpec{
-			Name: fmt.Sprintf("h%d", i), Index: i / spec.Services, Replicas: copies, Tier: 1,
-			Listen: "127.0.0.1:0", Discovery: address, PollDiscovery: spec.PollDiscovery, Seed: spec.Seed + uint64(i),
-		}.Configuration()
-		if err != nil {
-			return err
-		}
-		cfg, err := node.ParseConfig(text)
-		if err != nil {
-			return err
-		}
-		one := &hollow{}
-		draws := rand.New(rand.NewPCG(spec.Seed, uint64(i)))
-		if one.Hollow, err = node.NewHollow(cfg, log, func(string) (time.Duration, balancer.AttemptResult) {
-			return time.Duration(draws.ExpFloat64() * float64(spec.Service)), balancer.Success // the loop alone draws
-		}, func(rev int64, at time.Time) {
-			one.mu.Lock()
-			one.applied = append(one.applied, appliedVersion{rev, at})
-			one.mu.Unlock()
-		}); err != nil {
-			return err
-		}
-		h.nodes = append(h.nodes, one)
-		go one.Run(context.Background()) // to the end of the process
+	if err := h.startNodes(spec); err != nil {
+		return err
 	}
 	for {
-		started.Ready = 0
-		for _, n := range h.nodes {
-			if n.Ready() {
-				started.Ready++
-			}
-		}
+		started.Ready = h.readyNodes()
 		started.Took = time.Since(begun)
 		if started.Ready == len(h.nodes) {
 			break
@@ -209,28 +101,57 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	after := memory()
-	started.HeapBytes = int64(after.HeapAlloc) - h.empty
+	started.HeapBytes = int64(after.HeapAlloc) - h.heapWithoutNodes
 	started.StackMem = int64(after.StackInuse) - int64(before.StackInuse)
 	return nil
 }
 
-// memory is what is in use after a collection.
+// startNodes starts the nodes, which run to the end of the process.
+func (h *Hollows) startNodes(spec HollowSpec) error {
+	log := slog.New(h.warnings)
+	replicas := (len(spec.Discovery) + spec.Services - 1) / spec.Services
+	for i, address := range spec.Discovery {
+		nodeSpec := NodeSpec{
+			Name: fmt.Sprintf("h%d", i), Index: i / spec.Services, Replicas: replicas, Tier: 1,
+			Listen: "127.0.0.1:0", Discovery: address, PollDiscovery: spec.PollDiscovery, Seed: spec.Seed + uint64(i),
+		}
+		one, err := newHollow(nodeSpec, spec.Service, rand.New(rand.NewPCG(spec.Seed, uint64(i))), log)
+		if err != nil {
+			return err
+		}
+		h.nodes = append(h.nodes, one)
+		go one.Run(context.Background())
+	}
+	return nil
+}
+
+// readyNodes returns how many nodes are ready.
+func (h *Hollows) readyNodes() (ready int) {
+	for _, n := range h.nodes {
+		if n.Ready() {
+			ready++
+		}
+	}
+	return ready
+}
+
+// memory returns what is in use after a garbage collection.
 func memory() (m runtime.MemStats) {
 	runtime.GC()
 	runtime.ReadMemStats(&m)
 	return m
 }
 
-// Load begins calls at all nodes and does not wait for their end.
+// Load starts the calls at all nodes, and does not wait for their end.
 func (h *Hollows) Load(load HollowLoad, _ *struct{}) error {
 	if load.Rate <= 0 {
 		return nil
 	}
 	// The arrivals of many nodes together are a Poisson process too, each at a node drawn anew.
 	for i := range loadGoroutines {
-		h.playing.Add(1)
+		h.senders.Add(1)
 		go func() {
-			defer h.playing.Done()
+			defer h.senders.Done()
 			at := rand.New(rand.NewPCG(load.Seed, uint64(loadGoroutines+i)))
 			NewArrivals(load.Rate*float64(len(h.nodes))/loadGoroutines, load.Seed, uint64(i)).Play(context.Background(), load.For,
 				func(drawn time.Time) { h.call(h.nodes[at.IntN(len(h.nodes))], drawn) })
@@ -239,6 +160,7 @@
 	return nil
 }
 
+// call makes one call at a node, and counts its answer.
 func (h *Hollows) call(n *hollow, drawn time.Time) {
 	t := &h.tallies[h.phase.Load()]
 	t.offered.Add(1)
@@ -249,14 +171,14 @@
 			h.latency.add(time.Since(drawn))
 			t.served.Add(1)
 		case node.Rejected:
-			t.refused.Add(1)
+			t.rejected.Add(1)
 		default:
 			t.failed.Add(1)
 		}
 	})
 }
 
-// Phase has the calls from now on counted in another phase.
+// Phase has the calls counted in another phase from now on.
 func (h *Hollows) Phase(phase int, _ *struct{}) error {
 	if phase < 0 || phase >= phases {
 		return errors.New("hollow nodes: no such phase")
@@ -265,9 +187,10 @@
 	return nil
 }
 
-// Report waits for the calls that are out and for the news that is under way, and says what came of them.
+// Report waits for the calls that are in flight and for the updates that the nodes have not applied yet, and returns
+// the figures.
 func (h *Hollows) Report(changes []ListChange, report *HollowReport) error {
-	h.playing.Wait()
+	h.senders.Wait()
 	for end := time.Now().Add(finalUpdateWait); ; time.Sleep(20 * time.Millisecond) {
 		missed, out := 0, int64(0)
 		report.InForce = h.inForce(changes)
@@ -276,64 +199,14 @@
 		}
 		for i := range h.tallies {
 			t := &h.tallies[i]
-			report.Phases[i] = Tally{t.offered.Load(), t.served.Load(), t.refused.Load(), t.failed.Load()}
+			report.Phases[i] = Tally{t.offered.Load(), t.served.Load(), t.rejected.Load(), t.failed.Load()}
 			out += report.Phases[i].Offered - report.Phases[i].Answered()
 		}
 		if missed == 0 && out == 0 || time.Now().After(end) {
 			break
 		}
 	}
-	report.HeapBytes = int64(memory().HeapAlloc) - h.empty
+	report.HeapBytes = int64(memory().HeapAlloc) - h.heapWithoutNodes
 	report.Lateness, report.Latency, report.Warnings = h.lateness.quantiles(), h.latency.quantiles(), h.warnings.count.Load()
 	return nil
 }
-
-// inForce works out, for each group of changes, when they were in force.
-func (h *Hollows) inForce(changes []ListChange) map[string]InForce {
-	figures := map[string]InForce{}
-	times := map[string]*[3][]float64{}
-	for _, c := range changes {
-		f := figures[c.Group]
-		if times[c.Group] == nil {
-			times[c.Group] = &[3][]float64{}
-		}
-		f.Changes++
-		var took []float64
-		for i := c.Service; i < len(h.nodes); i += h.services {
-			at, ok := h.nodes[i].appliedAt(c.Rev)
-			if !ok {
-				f.Missed++
-				continue
-			}
-			f.Applied++
-			took = append(took, float64(at.UnixNano()-c.AtNS)/1e6)
-		}
-		if len(took) > 0 {
-			sort.Float64s(took)
-			for k, share := range []float64{0.5, 0.99, 1} {
-				times[c.Group][k] = append(times[c.Group][k], atShare(took, share))
-			}
-		}
-		figures[c.Group] = f
-	}
-	for group, f := range figures {
-		t := times[group]
-		f.Half, f.P99, f.All = spread(t[0]), spread(t[1]), spread(t[2])
-		figures[group] = f
-	}
-	return figures
-}
-
-// atShare is the least of the sorted values that so large a share does not exceed.
-func atShare(sorted []float64, share float64) float64 {
-	n := int(share*float64(len(sorted))+0.999999) - 1
-	return sorted[min(max(n, 0), len(sorted)-1)]
-}
-
-func spread(values []float64) Spread {
-	if len(values) == 0 {
-		return Spread{}
-	}
-	sort.Float64s(values)
-	return Spread{atShare(values, 0.5), values[len(values)-1]}
-}
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// The kinds of list changes, whose times are told apart.
+// The kinds of list changes, whose times are reported apart.
 const (
 	groupChange      = "a server's state" // one server of the list drains, goes, or comes back
 	groupAfterOutage = "told at the return"
@@ -20,14 +20,14 @@
 
 var groups = []string{groupChange, groupAfterOutage, groupZoneLost, groupZoneBack}
 
-// When a storm begins and ends, as shares of a run's length, and how long its return is watched.
+// When an outage begins and ends, as shares of a run's length, and how long its end is watched.
 const (
 	stormBegins = 0.25
 	stormEnds   = 0.6
 	stormWatch  = 10 * time.Second
 )
 
-// startWait is how long the nodes may take to be ready.
+// startTimeout is how long the nodes may take to be ready.
 const startTimeout = time.Minute
 
 // Runner makes runs.
@@ -74,7 +74,7 @@
 	return p, one.measure(ctx, &p, started)
 }
 
-// stop ends all that the run started.
+// stop ends all processes of the run.
 func (r *run) stop() {
 	var wg sync.WaitGroup
 	for _, n := range r.real {
@@ -97,68 +97,3 @@
 	r.client.close()
 	_ = os.RemoveAll(r.dir) // what is left of it stays in the folder for temporary files
 }
-
-// measure lets the run go on for its length, and fills the point.
-func (r *run) measure(ctx context.Context, p *Point, started HollowStart) error {
-	before, err := r.usage()
-	if err != nil {
-		return err
-	}
-	var realCores []float64
-	if r.hollows != nil {
-		if err := r.hollows.call(ctx, "Load", HollowLoad{r.args.Rate, r.args.For, r.args.Seed}, &struct{}{}); err != nil {
-			return err
-		}
-	}
-	// Everything beside the calls; the first error ends all of it.
-	running, cancel := context.WithCancelCause(ctx)
-	defer cancel(nil)
-	var wg sync.WaitGroup
-	side := func(what func(context.Context) error) {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			if err := what(running); err != nil {
-				cancel(err)
-			}
-		}()
-	}
-	var storm *stormTimes
-	if r.args.Changes > 0 {
-		side(func(ctx context.Context) error { return r.rotate(ctx, r.args.For) })
-	}
-	if r.args.Storm != "none" {
-		side(func(ctx context.Context) (err error) { storm, err = r.storm(ctx); return err })
-	}
-	if r.args.Configs > 0 {
-		p.Configs = &Configs{LimitSec: configLimit.Seconds()}
-		side(func(ctx context.Context) error { return r.reconfigure(ctx, p.Configs) })
-	}
-	if len(r.real) > 0 && r.args.Rate > 0 {
-		side(func(ctx context.Context) (err error) { p.Chain, realCores, err = r.chain(ctx); return err })
-	}
-	r.Log.Info("measuring", "for", r.args.For)
-	pause(running, time.Until(before.at.Add(r.args.For)))
-	after, err := r.usage() // the nodes' last answers and last news are left out
-	if err != nil {
-		cancel(err)
-	}
-	wg.Wait()
-	if err := context.Cause(running); err != nil {
-		return fmt.Errorf("run: %w", err)
-	}
-	var counted Counted
-	if err := r.registry.call(ctx, "Traffic", struct{}{}, &counted); err != nil {
-		return err
-	}
-	r.fill(p, before, after, realCores, counted)
-	if r.hollows != nil {
-		if err := r.hollowFigures(ctx, p, before, after, started); err != nil {
-			return err
-		}
-	}
-	if storm != nil {
-		p.Storm = storm.figures(r.args.Storm, counted, before.at, after.at, p.Hollow)
-	}
-	return nil
-}
--- /dev/null
+++ b/internal/fleet/runmeasure.go
@@ -0,0 +1,77 @@
+package fleet
+
+import (
+	"context"
+	"fmt"
+	"time"
+)
+
+// measure lets the run go on for its length, and fills the point.
+func (r *run) measure(ctx context.Context, p *Point, started HollowStart) error {
+	before, err := r.usage()
+	if err != nil {
+		return err
+	}
+	if r.hollows != nil {
+		if err := r.hollows.call(ctx, "Load", HollowLoad{r.args.Rate, r.args.For, r.args.Seed}, &struct{}{}); err != nil {
+			return err
+		}
+	}
+	activities := newActivities(ctx)
+	defer activities.cancel(nil)
+	outcome := r.startActivities(activities, p)
+	r.Log.Info("measuring", "for", r.args.For)
+	pause(activities.ctx, time.Until(before.at.Add(r.args.For)))
+	after, err := r.usage() // before the nodes' last answers and updates, which are left out
+	if err != nil {
+		activities.cancel(err)
+	}
+	if err := activities.wait(); err != nil {
+		return fmt.Errorf("run: %w", err)
+	}
+	var counted Counted
+	if err := r.registry.call(ctx, "Traffic", struct{}{}, &counted); err != nil {
+		return err
+	}
+	r.fill(p, before, after, outcome.realCores, counted)
+	if r.hollows != nil {
+		if err := r.hollowFigures(ctx, p, before, after, started); err != nil {
+			return err
+		}
+	}
+	if outcome.storm != nil {
+		p.Storm = outcome.storm.figures(r.args.Storm, counted, before.at, after.at, p.Hollow)
+	}
+	return nil
+}
+
+// activityOutcome is what the activities of a run leave for its figures. It is complete once they have ended.
+type activityOutcome struct {
+	storm     *stormTimes
+	realCores []float64 // of each real node while calls went through it
+}
+
+// startActivities starts all that happens in a run besides the calls at hollow nodes.
+func (r *run) startActivities(a *activities, p *Point) *activityOutcome {
+	outcome := &activityOutcome{}
+	if r.args.Changes > 0 {
+		a.start(func(ctx context.Context) error { return r.rotate(ctx, r.args.For) })
+	}
+	if r.args.Storm != "none" {
+		a.start(func(ctx context.Context) (err error) {
+			outcome.storm, err = r.storm(ctx)
+			return err
+		})
+	}
+	if r.args.Configs > 0 {
+		p.Configs = &Configs{LimitSec: configLimit.Seconds()}
+		a.start(func(ctx context.Context) error { return r.reconfigure(ctx, p.Configs) })
+	}
+	if len(r.real) > 0 && r.args.Rate > 0 {
+		a.start(func(ctx context.Context) (err error) {
+			p.Chain, outcome.realCores, err = r.chain(ctx)
+			return err
+		})
+	}
+	return outcome
+}
--- a/internal/fleet/runstart.go
+++ b/internal/fleet/runstart.go
@@ -5,66 +5,84 @@
 	"fmt"
 )
 
-// start brings up the registry, the servers and the nodes, until all nodes are ready.
+// start starts the registry, the servers and the nodes, and waits until all nodes are ready.
 func (r *run) start(ctx context.Context) (started HollowStart, err error) {
 	if r.registry, err = startChild(r.ChildCommand, roleRegistry); err != nil {
 		return started, err
 	}
-	chains := r.args.Real / r.args.Depth
-	if chains > 0 {
-		if r.servers, err = startChild(r.ChildCommand, roleServers); err != nil {
-			return started, err
+	if err = r.startServers(ctx); err != nil {
+		return started, err
+	}
+	polled := r.args.Mode == modePolled
+	spec, hollowLists := r.makeLists(polled)
+	var addresses []string
+	if err = r.registry.call(ctx, "Start", spec, &addresses); err != nil {
+		return started, err
+	}
+	discovery := func(node, list int) string {
+		if polled {
+			return addresses[list]
 		}
-		if err = r.servers.call(ctx, "Start", ServersSpec{chains, r.args.Depth, r.args.Service, r.args.Seed}, &r.serverAddresses); err != nil {
+		return addresses[node]
+	}
+	if r.args.Nodes > 0 {
+		if started, err = r.startHollow(ctx, discovery, polled); err != nil {
 			return started, err
 		}
 	}
-	var spec RegistrySpec
-	for s := range r.args.Services {
-		if r.args.Nodes > 0 {
-			r.lists = append(r.lists, newRotation(s, r.args.Servers, "127.0.0.1:1"))
+	return started, r.startReal(ctx, func(i int) string { return discovery(r.args.Nodes+i, hollowLists+i) }, polled)
+}
+
+// startServers starts the servers of the chains, if there are any.
+func (r *run) startServers(ctx context.Context) (err error) {
+	chains := r.args.Real / r.args.Depth
+	if chains == 0 {
+		return nil
+	}
+	if r.servers, err = startChild(r.ChildCommand, roleServers); err != nil {
+		return err
+	}
+	spec := ServersSpec{chains, r.args.Depth, r.args.Service, r.args.Seed}
+	return r.servers.call(ctx, "Start", spec, &r.serverAddresses)
+}
+
+// hollowEndpoint is the endpoint of all servers that hollow nodes are listed, which never connect to it.
+const hollowEndpoint = "127.0.0.1:1"
+
+// makeLists makes the lists: those of the services, which the hollow nodes get, and then one for each real node. It
+// returns what the registry is started with, and how many lists are the hollow nodes'. Where lists are pushed, each
+// node has an address of its own, its agent's; where they are polled, each list has one.
+func (r *run) makeLists(polled bool) (spec RegistrySpec, hollowLists int) {
+	if r.args.Nodes > 0 {
+		for s := range r.args.Services {
+			r.lists = append(r.lists, newRotation(s, r.args.Servers, hollowEndpoint))
 		}
 	}
-	hollowLists := len(r.lists)
+	hollowLists = len(r.lists)
 	for i := range r.args.Nodes {
 		spec.Addresses = append(spec.Addresses, i%r.args.Services)
 	}
-	for c := range chains {
-		for k := range r.args.Depth {
+	for _, chain := range r.serverAddresses.Through {
+		for _, endpoint := range chain {
 			spec.Addresses = append(spec.Addresses, len(r.lists))
-			r.lists = append(r.lists, newRotation(len(r.lists), r.args.Servers, r.serverAddresses.Through[c][k]))
+			r.lists = append(r.lists, newRotation(len(r.lists), r.args.Servers, endpoint))
 		}
 	}
-	for _, l := range r.lists {
-		spec.Services = append(spec.Services, l.entries)
-	}
-	asked := r.args.Mode == "asked"
-	if asked { // one address for each list, whoever asks
+	if polled {
 		spec.Addresses = nil
-		for s := range r.lists {
-			spec.Addresses = append(spec.Addresses, s)
-		}
 	}
-	var addresses []string
-	if err = r.registry.call(ctx, "Start", spec, &addresses); err != nil {
-		return started, err
-	}
-	discovery := func(node, list int) string {
-		if asked {
-			return addresses[list]
-		}
-		return addresses[node]
-	}
-	if r.args.Nodes > 0 {
-		if started, err = r.startHollow(ctx, discovery, asked); err != nil {
-			return started, err
+	for i, l := range r.lists {
+		spec.Services = append(spec.Services, l.entries)
+		if polled {
+			spec.Addresses = append(spec.Addresses, i)
 		}
 	}
-	return started, r.startReal(ctx, func(i int) string { return discovery(r.args.Nodes+i, hollowLists+i) }, asked)
+	return spec, hollowLists
 }
 
-func (r *run) startHollow(ctx context.Context, discovery func(node, list int) string, asked bool) (started HollowStart, err error) {
-	spec := HollowSpec{Services: r.args.Services, PollDiscovery: asked, Service: r.args.Service, Seed: r.args.Seed, Wait: startTimeout}
+// startHollow starts the hollow nodes.
+func (r *run) startHollow(ctx context.Context, discovery func(node, list int) string, polled bool) (started HollowStart, err error) {
+	spec := HollowSpec{Services: r.args.Services, PollDiscovery: polled, Service: r.args.Service, Seed: r.args.Seed, Wait: startTimeout}
 	for i := range r.args.Nodes {
 		spec.Discovery = append(spec.Discovery, discovery(i, i%r.args.Services))
 	}
@@ -78,7 +96,8 @@
 	return started, nil
 }
 
-func (r *run) startReal(ctx context.Context, discovery func(i int) string, asked bool) (err error) {
+// startReal starts the real nodes, and gives the servers of the chains their addresses.
+func (r *run) startReal(ctx context.Context, discovery func(i int) string, polled bool) (err error) {
 	if r.args.Real == 0 {
 		return nil
 	}
@@ -97,7 +116,7 @@
 		}
 		n, err := startReal(ctx, program, r.dir, NodeSpec{
 			Name: fmt.Sprintf("n%d", i), Replicas: 1, Tier: i % r.args.Depth,
-			Listen: "127.0.0.1:0", Discovery: discovery(i), PollDiscovery: asked, Seed: r.args.Seed + uint64(i),
+			Listen: "127.0.0.1:0", Discovery: discovery(i), PollDiscovery: polled, Seed: r.args.Seed + uint64(i),
 		})
 		if err != nil {
 			return err
