--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -1,9 +1,8 @@
-// Command balancer is one load-balancing node on real sockets.
+// Command balancer runs one load-balancing node. It takes no arguments: the environment variable BALANCER_CONFIG
+// names its configuration, a JSON file, and the log goes to standard error.
 //
-// The file that the environment variable BALANCER_CONFIG names holds its whole configuration. SIGTERM and SIGINT
-// drain the node and end it; SIGHUP has the file read again. The exit code is 0 after a complete drain, and 1, with
-// a line on standard error, when the configuration can't be used, when the node can't serve, or when requests are
-// left at the end of draining.
+// SIGHUP reloads the configuration. SIGTERM or SIGINT starts a graceful shutdown. The exit status is 0 after a
+// complete shutdown and 1 after an error, which is written to standard error. docs/OPERATIONS.md has the details.
 package main
 
 import (
@@ -58,7 +57,7 @@
 		}
 		cfg, err := node.LoadConfig()
 		if err != nil {
-			log.Error("the new configuration is bad; the old one stays", "error", err)
+			log.Error("configuration rejected, the previous one stays in force", "error", err)
 			continue
 		}
 		n.Reload(cfg)
--- a/cmd/balancer/reload_test.go
+++ b/cmd/balancer/reload_test.go
@@ -87,7 +87,7 @@
 	}
 	p.hup(t, strings.Replace(config(0, ""), `"target-ms":20000`, `"target-ms":-1`, 1))
 	eventually(t, "the bad file to be named", func() bool {
-		return strings.Contains(p.said(), "the old one stays") && strings.Contains(p.said(), "LatencyObjective")
+		return strings.Contains(p.said(), "the previous one stays in force") && strings.Contains(p.said(), "LatencyObjective")
 	})
 	p.hup(t, config(1, "last"))
 	c := client{address: address, name: "last"}
@@ -121,7 +121,7 @@
 	if state := p.cmd.ProcessState; !state.Success() {
 		t.Errorf("it ends with %v: %s", state, p.said())
 	}
-	t.Logf("%d answers, and %d times in force", answered.Load(), strings.Count(p.said(), "is in force"))
+	t.Logf("%d answers, and %d times in force", answered.Load(), strings.Count(p.said(), "are in force"))
 }
 
 // TestSIGHUPUnderLoad replaces the file while requests are under way: a broken one is logged and
@@ -184,9 +184,9 @@
 	for _, text := range []string{config[:len(config)/2], config} {
 		hup(text)
 		if text != config {
-			await(t, log, "the new configuration is bad")
+			await(t, log, "configuration rejected")
 		} else {
-			await(t, log, "the configuration is read again")
+			await(t, log, "configuration reloaded")
 		}
 		for range 20 {
 			if body := ask(); body != "old" {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -75,7 +75,7 @@
 	cached, err := parseList(cfg.Known)
 	version := cached.version
 	if err != nil {
-		n.log.Warn("the known list is dropped", "error", err)
+		n.log.Warn("cached endpoint list is not usable", "error", err)
 		cached, version = endpointList{complete: true}, noListVersion
 	}
 	n.cfg.Known = nil // it is long, and only counts at the start
@@ -100,8 +100,9 @@
 func (n *Node) connectionStats() []any {
 	counts, open := n.frontend.conns.takeCounts()
 	return []any{
-		"callers", open, "accepted", counts.Accepted, "accept_failed", counts.AcceptFailed, "let_go", counts.Evicted,
-		"crowded", counts.Rejected, "turned_away", counts.ClosedUnread, "servers", n.upstream.connections(),
+		slog.Group("downstream", "open", open, "accepted", counts.Accepted, "accept_failed", counts.AcceptFailed,
+			"evicted", counts.Evicted, "over_capacity", counts.Rejected, "closed_unread", counts.ClosedUnread),
+		slog.Group("upstream", "open", n.upstream.connections()),
 	}
 }
 
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -29,7 +29,7 @@
 	changed, sameSettings := changedNames(n.cfg, cfg), reflect.DeepEqual(n.cfg.Settings, cfg.Settings)
 	n.revision++
 	log := n.log.With("revision", n.revision, "changed", changed)
-	log.Info("the configuration is read again", "discovery", cfg.Discovery)
+	log.Info("configuration reloaded", "discovery", cfg.Discovery)
 	since := n.loop.clock.now()
 	n.cfg, n.drainSchedule, n.drainLimit = cfg, drainScheduleOf(cfg), drainLimit(cfg)
 	n.upstream.configure(cfg)
@@ -38,7 +38,7 @@
 		return
 	}
 	set := moduleSettings(cfg)
-	inForce := func(at time.Duration) { log.Info("the configuration is in force", "after", at-since) }
+	inForce := func(at time.Duration) { log.Info("new settings are in force", "after", at-since) }
 	n.loop.post(settingsChanged{settings: set, rules: newRequestRules(n.revision, set), inForce: inForce})
 }
 
@@ -54,7 +54,7 @@
 		{"settings.registry-mode", cfg.Settings.PollDiscovery != n.cfg.Settings.PollDiscovery},
 	} {
 		if f.changed {
-			n.log.Warn("a change in the configuration waits for the next start", "field", f.name)
+			n.log.Warn("configuration change needs a restart", "field", f.name)
 		}
 	}
 	cfg.Listen, cfg.Sockets, cfg.MemoryMB = n.cfg.Listen, n.cfg.Sockets, n.cfg.MemoryMB
@@ -67,7 +67,7 @@
 	names := changedSettings(old.Settings, cfg.Settings)
 	names = append(names, changedClasses(old.Settings.Classes, cfg.Settings.Classes)...)
 	if old.ConnIdle != cfg.ConnIdle || old.ConnectTimeout != cfg.ConnectTimeout {
-		names = append(names, "connections to servers")
+		names = append(names, "upstream time-outs")
 	}
 	if old.Discovery != cfg.Discovery {
 		names = append(names, "discovery")
@@ -95,14 +95,14 @@
 	}
 	for _, class := range classes {
 		if before, existed := removed[class.Name]; !existed {
-			names = append(names, "class "+class.Name+" comes")
+			names = append(names, "class "+class.Name+" added")
 		} else if before != class {
 			names = append(names, "class "+class.Name)
 		}
 		delete(removed, class.Name)
 	}
 	for _, name := range slices.Sorted(maps.Keys(removed)) {
-		names = append(names, "class "+name+" goes")
+		names = append(names, "class "+name+" removed")
 	}
 	return names
 }
--- a/internal/node/trafficlog.go
+++ b/internal/node/trafficlog.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"log/slog"
 	"time"
 
 	"balancer"
@@ -44,11 +45,13 @@
 		return
 	}
 	results := counts.Results
-	l.log.With(l.connectionStats()...).Info("traffic", "requests", counts.Requests, "served", counts.Served,
-		"refused", counts.Rejected, "failed", counts.Failed, "gone", counts.Departed, "sends", counts.Sends,
-		"success", results[balancer.Success], "failure", results[balancer.ServerError],
-		"overloaded", results[balancer.Rejected], "timed_out", results[balancer.TimedOut],
-		"unreachable", results[balancer.ConnectFailed], "broken", results[balancer.ConnectionLost],
-		"withdrawn", results[balancer.Cancelled], "void", results[balancer.NotSent],
-		"pending", len(l.pending), "lag_max", counts.LagMax, "lag_mean", counts.LagSum/time.Duration(counts.Events))
+	l.log.With(l.connectionStats()...).Info("traffic",
+		slog.Group("requests", "received", counts.Requests, "served", counts.Served, "rejected", counts.Rejected,
+			"failed", counts.Failed, "departed", counts.Departed, "pending", len(l.pending)),
+		slog.Group("attempts", "started", counts.Sends, "success", results[balancer.Success],
+			"server_error", results[balancer.ServerError], "rejected", results[balancer.Rejected],
+			"timed_out", results[balancer.TimedOut], "connect_failed", results[balancer.ConnectFailed],
+			"connection_lost", results[balancer.ConnectionLost], "cancelled", results[balancer.Cancelled],
+			"not_sent", results[balancer.NotSent]),
+		slog.Group("lag", "max", counts.LagMax, "mean", counts.LagSum/time.Duration(counts.Events)))
 }
