--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -174,7 +174,7 @@
 	for _, action := range l.balancer.Handle(l.now, e) {
 		switch action := action.(type) {
 		case balancer.Send:
-			l.startAttempt(action)
+			l.send(action)
 		case balancer.Cancel:
 			if state := l.pending[action.ID]; state != nil && action.Attempt < len(state.attempts) {
 				l.cancel(state, state.attempts[action.Attempt])
@@ -191,8 +191,8 @@
 	}
 }
 
-// startAttempt starts the attempt that the module has decided on.
-func (l *loop) startAttempt(s balancer.Send) {
+// send starts the attempt that the module has decided on.
+func (l *loop) send(s balancer.Send) {
 	state := l.pending[s.ID]
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &attempt{
