--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -105,126 +105,118 @@
 	}
 }
 
-const fallMultiple, fallFor = 3.0, 2 * time.Second // the budget of testSettings' site
+const overloadMultiple, overloadWindow = 3.0, 2 * time.Second // the limit of testSettings' deployment
 
-// coldLoad has copies send at three quarters of what 6 servers can do, one of them fresh from second 1
-// on. It tells how many calls the fresh one got, and the most that came in any fallFor against the
-// budget of fallMultiple times what it can do then.
-func coldLoad(set Settings, copies int, send func(copy int, now time.Duration, id string) string) (int, float64) {
-	const capacity = 50.0 // a warm server's calls a second
-	rng := rand.New(rand.NewPCG(3, 3))
-	var cold []time.Duration
-	for i := range int(0.75 * 6 * capacity * 12) {
-		now := time.Second + time.Duration(float64(i)/(0.75*6*capacity)*float64(time.Second))
-		if send(rng.IntN(copies), now, fmt.Sprint(i)) == "s02" {
-			cold = append(cold, now)
+const coldCapacity, coldMean = 50.0, 20 * msec // of a warm server: a second's work of 50 requests of mean work
+
+// coldResult tells what a server got that was cold at first: how many requests, the most work that came in any
+// overloadWindow, as a part of its limit, and its share of all work from second 3 to 6.
+type coldResult struct {
+	requests     int
+	worst, early float64
+}
+
+// playColdServer has replicas send at three quarters of what 6 servers can do, one of them, s02, fresh from
+// second 1 on. work draws a request's work, in parts of the mean; send returns the server that gets it.
+func playColdServer(set Settings, replicas int, seed uint64, work func(*rand.Rand) float64,
+	send func(replica int, now time.Duration, id string, work float64) string,
+) (res coldResult) {
+	rng := rand.New(rand.NewPCG(seed, seed))
+	type taken struct {
+		at   time.Duration
+		work float64
+	}
+	var cold []taken
+	early, all := 0.0, 0.0
+	for i := range int(0.75 * 6 * coldCapacity * 12) {
+		now := time.Second + time.Duration(float64(i)/(0.75*6*coldCapacity)*float64(time.Second))
+		part := work(rng)
+		server := send(rng.IntN(replicas), now, fmt.Sprint(i), part)
+		inEarly := now > 3*time.Second && now < 6*time.Second // warmth 0.36 to 0.6, a fair share 0.06 to 0.1
+		if inEarly {
+			all += part
+		}
+		if server != "s02" {
+			continue
+		}
+		cold = append(cold, taken{now, part})
+		if inEarly {
+			early += part
 		}
 	}
-	worst := 0.0
 	for i := range cold {
-		n := 0
-		for _, at := range cold[i:] {
-			if at < cold[i]+fallFor {
-				n++
+		sum := 0.0
+		for _, c := range cold[i:] {
+			if c.at < cold[i].at+overloadWindow {
+				sum += c.work
 			}
 		}
-		grown := float64(cold[i]-time.Second) / float64(set.SlowStartDuration)
-		budget := fallMultiple * capacity * min(1, set.SlowStartFloor+(1-set.SlowStartFloor)*grown) * fallFor.Seconds()
-		worst = max(worst, float64(n)/budget)
+		grown := float64(cold[i].at-time.Second) / float64(set.SlowStartDuration)
+		limit := overloadMultiple * coldCapacity * min(1, set.SlowStartFloor+(1-set.SlowStartFloor)*grown) * overloadWindow.Seconds()
+		res.worst = max(res.worst, sum/limit)
 	}
-	return len(cold), worst
+	res.requests, res.early = len(cold), early/all
+	return res
 }
 
+// coldFleet is a replica set whose list names six servers, of which s02 starts at second 1.
+func coldFleet(t *testing.T, set Settings, replicas int) (fleet []*Balancer) {
+	t.Helper()
+	list := servers(6)
+	list[2].StartedAt = time.Second
+	for i := range replicas {
+		set.ReplicaIndex = i
+		b, err := New(set, uint64(i))
+		if err != nil {
+			t.Fatal(err)
+		}
+		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: list})
+		fleet = append(fleet, b)
+	}
+	return fleet
+}
+
+// sameWork gives each request the mean work.
+func sameWork(*rand.Rand) float64 { return 1 }
+
 func TestColdServerIsNotPushedOver(t *testing.T) {
 	set := testSettings()
-	for _, copies := range []int{12, 200} {
-		set.Tier, set.Replicas = 1, copies
-		list := servers(6)
-		list[2].StartedAt = time.Second
-		var bs []*Balancer
-		for i := range copies {
-			set.ReplicaIndex = i
-			b, err := New(set, uint64(i))
-			if err != nil {
-				t.Fatal(err)
-			}
-			b.Handle(0, EndpointUpdate{Complete: true, Endpoints: list})
-			bs = append(bs, b)
-		}
-		calls, worst := coldLoad(set, copies, func(copy int, now time.Duration, id string) string {
-			s := sends(bs[copy].Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second}))[0]
-			bs[copy].Handle(now+20*msec, AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: Success, Answered: true})
+	for _, replicas := range []int{12, 200} {
+		set.Tier, set.Replicas = 1, replicas
+		fleet := coldFleet(t, set, replicas)
+		res := playColdServer(set, replicas, 3, sameWork, func(replica int, now time.Duration, id string, _ float64) string {
+			b := fleet[replica]
+			s := sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second}))[0]
+			b.Handle(now+coldMean, AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: Success, Answered: true})
 			return s.Endpoint
 		})
-		if calls < 20 || worst > 1 {
-			t.Errorf("%d copies: %d calls to the cold server, %.2f of its budget", copies, calls, worst)
+		if res.requests < 20 || res.worst > 1 {
+			t.Errorf("%d replicas: %d requests to the cold server, %.2f of its limit", replicas, res.requests, res.worst)
 		}
 	}
-	// The check can fail: a policy that sends everything to the fresh server breaks the budget.
-	_, worst := coldLoad(set, 12, func(int, time.Duration, string) string { return "s02" })
-	if worst <= 1 {
-		t.Errorf("all calls to the cold server are %.2f of its budget", worst)
+	// The check can fail: a policy that sends everything to the fresh server breaks the limit.
+	res := playColdServer(set, 12, 3, sameWork, func(int, time.Duration, string, float64) string { return "s02" })
+	if res.worst <= 1 {
+		t.Errorf("all requests to the cold server are %.2f of its limit", res.worst)
 	}
 }
 
-// Where effort is hinted, a cold server's share is made of light requests. All copies together stay within
-// its budget of work, and yet give it more than half of what it can do while the rest is busy.
+// Where the expected work is hinted, a cold server's share is made of light requests. All replicas together stay
+// within its limit of work, and yet give it more than half of what it can do while the rest is busy.
 func TestColdServerIsUsedWithinItsBudget(t *testing.T) {
 	set := testSettings()
-	const capacity, mean = 50.0, 20 * msec // of a warm server: a second's work of 50 requests of mean effort
-	for _, copies := range []int{12, 100} {
-		set.Tier, set.Replicas = 1, copies
-		list := servers(6)
-		list[2].StartedAt = time.Second
-		var bs []*Balancer
-		for i := range copies {
-			set.ReplicaIndex = i
-			b, err := New(set, uint64(i))
-			if err != nil {
-				t.Fatal(err)
-			}
-			b.Handle(0, EndpointUpdate{Complete: true, Endpoints: list})
-			bs = append(bs, b)
-		}
-		rng := rand.New(rand.NewPCG(9, 9))
-		type taken struct {
-			at   time.Duration
-			work float64 // of the mean
-		}
-		var cold []taken
-		early, all := 0.0, 0.0
-		for i := range int(0.75 * 6 * capacity * 12) {
-			now := time.Second + time.Duration(float64(i)/(0.75*6*capacity)*float64(time.Second))
-			work := max(0.01, rng.ExpFloat64())
-			b, id := bs[rng.IntN(copies)], fmt.Sprint(i)
-			s := sends(b.Handle(now, Request{
-				ID: id, Class: "get", Deadline: now + time.Second,
-				ExpectedWork: time.Duration(work * float64(mean)),
-			}))[0]
-			b.Handle(now+time.Duration(work*float64(mean)), AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: Success, Answered: true})
-			if now > 3*time.Second && now < 6*time.Second { // warmth 0.36 to 0.6, a fair share 0.06 to 0.1
-				all += work
-				if s.Endpoint == "s02" {
-					early += work
-				}
-			}
-			if s.Endpoint == "s02" {
-				cold = append(cold, taken{now, work})
-			}
-		}
-		worst := 0.0
-		for i := range cold {
-			sum := 0.0
-			for _, c := range cold[i:] {
-				if c.at < cold[i].at+fallFor {
-					sum += c.work
-				}
-			}
-			grown := float64(cold[i].at-time.Second) / float64(set.SlowStartDuration)
-			worst = max(worst, sum/(fallMultiple*capacity*min(1, set.SlowStartFloor+(1-set.SlowStartFloor)*grown)*fallFor.Seconds()))
-		}
-		if worst > 1 || early < all/10 {
-			t.Errorf("%d copies: %.2f of the budget, %.3f of the work", copies, worst, early/all)
+	for _, replicas := range []int{12, 100} {
+		set.Tier, set.Replicas = 1, replicas
+		fleet := coldFleet(t, set, replicas)
+		work := func(rng *rand.Rand) float64 { return max(0.01, rng.ExpFloat64()) }
+		res := playColdServer(set, replicas, 9, work, func(replica int, now time.Duration, id string, work float64) string {
+			b, took := fleet[replica], time.Duration(work*float64(coldMean))
+			s := sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second, ExpectedWork: took}))[0]
+			b.Handle(now+took, AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: Success, Answered: true})
+			return s.Endpoint
+		})
+		if res.worst > 1 || res.early < 0.1 {
+			t.Errorf("%d replicas: %.2f of the limit, %.3f of the work", replicas, res.worst, res.early)
 		}
 	}
 }
