--- a/rules_test.go
+++ b/rules_test.go
@@ -32,170 +32,222 @@
 	return set
 }
 
-// run drives a Balancer with random legal events and odd ones, and returns all its actions.
+// randomRun drives a Balancer with random legal events and odd ones.
+type randomRun struct {
+	t        testing.TB
+	set      Settings
+	seed     uint64
+	steps    int
+	checker  *checker // nil: none
+	rng      *rand.Rand
+	now      time.Duration
+	balancer *Balancer
+	fleet    []Endpoint
+	attempts []runningAttempt
+	timers   []SetTimer
+	ids      []string
+	ended    map[string]bool // requests that have their final answer
+	log      []string        // all actions
+}
+
+type runningAttempt struct {
+	id      string
+	number  int
+	server  string
+	due     time.Duration
+	timeout bool
+}
+
+// run drives a Balancer, and returns all its actions.
 func run(t testing.TB, set Settings, seed uint64, steps int, c *checker) (log []string, b *Balancer) {
-	rng := rand.New(rand.NewPCG(seed, 1))
-	b, err := New(set, seed)
+	r := &randomRun{
+		t: t, set: set, seed: seed, steps: steps, checker: c, rng: rand.New(rand.NewPCG(seed, 1)),
+		fleet: servers(8), ended: map[string]bool{},
+	}
+	r.restart(seed)
+	r.give(EndpointUpdate{Complete: true, Cached: true, Endpoints: r.fleet})
+	for i := range steps {
+		r.step(i)
+	}
+	return r.log, r.balancer
+}
+
+// restart begins with a fresh Balancer.
+func (r *randomRun) restart(seed uint64) {
+	b, err := New(r.set, seed)
 	if err != nil {
-		t.Fatal(err)
+		r.t.Fatal(err)
+	}
+	r.balancer = b
+}
+
+// give hands an event to the Balancer, and notes what it decides.
+func (r *randomRun) give(e Event) {
+	if r.checker != nil {
+		r.checker.event(r.now, e)
 	}
-	type pending struct {
-		id      string
-		n       int
-		server  string
-		due     time.Duration
-		timeout bool
+	acts := r.balancer.Handle(r.now, e)
+	if r.checker != nil {
+		r.checker.actions(r.now, acts)
 	}
-	var out []pending
-	var timers []SetTimer
-	var ids []string
-	fleet := servers(8)
-	now := time.Duration(0)
-	give := func(e Event) {
-		if c != nil {
-			c.event(now, e)
+	for _, a := range acts {
+		r.log = append(r.log, fmt.Sprintf("%v %T%v", r.now, a, a))
+		switch a := a.(type) {
+		case Send:
+			r.begin(a)
+		case SetTimer:
+			r.timers = append(r.timers, a)
 		}
-		acts := b.Handle(now, e)
-		if c != nil {
-			c.actions(now, acts)
+	}
+}
+
+// begin draws how an attempt goes.
+func (r *randomRun) begin(a Send) {
+	number := 0
+	for _, p := range r.attempts {
+		if p.id == a.ID && p.number >= number {
+			number = p.number + 1
 		}
-		for _, a := range acts {
-			log = append(log, fmt.Sprintf("%v %T%v", now, a, a))
-			switch a := a.(type) {
-			case Send:
-				n := 0
-				for _, p := range out {
-					if p.id == a.ID && p.n >= n {
-						n = p.n + 1
-					}
-				}
-				if r := b.requests[a.ID]; r != nil {
-					n = len(r.attempts) - 1
-				}
-				took := time.Duration(rng.ExpFloat64() * float64(120*msec))
-				p := pending{a.ID, n, a.Endpoint, now + took, false}
-				if rng.IntN(8) == 0 || took > a.Timeout {
-					p.due, p.timeout = now+a.Timeout, true
-				}
-				out = append(out, p)
-			case SetTimer:
-				timers = append(timers, a)
-			}
+	}
+	if request := r.balancer.requests[a.ID]; request != nil {
+		number = len(request.attempts) - 1
+	}
+	took := time.Duration(r.rng.ExpFloat64() * float64(120*msec))
+	p := runningAttempt{a.ID, number, a.Endpoint, r.now + took, false}
+	if r.rng.IntN(8) == 0 || took > a.Timeout {
+		p.due, p.timeout = r.now+a.Timeout, true
+	}
+	r.attempts = append(r.attempts, p)
+}
+
+// step lets a tick go by.
+func (r *randomRun) step(i int) {
+	r.now += r.set.Tick
+	if r.rng.IntN(700) == 0 {
+		r.kill(r.seed + uint64(i))
+	}
+	r.fireTimers()
+	r.endAttempts()
+	if i < r.steps*3/4 && r.rng.IntN(3) == 0 {
+		id := fmt.Sprint("r", i)
+		class := []string{"get", "post", "pay", "odd"}[r.rng.IntN(4)]
+		r.ids = append(r.ids, id)
+		r.give(Request{ID: id, Class: class, Deadline: r.now + time.Duration(1+r.rng.IntN(1500))*msec})
+	}
+	if r.rng.IntN(60) == 0 {
+		r.changeList()
+	}
+	if r.rng.IntN(100) == 0 {
+		next := changed(r.set, r.rng)
+		r.give(Reconfigure{next})
+		if next.Validate() == nil {
+			r.set = next
 		}
 	}
-	give(EndpointUpdate{Complete: true, Cached: true, Endpoints: fleet})
-	ended := map[string]bool{}
-	for i := range steps {
-		now += set.Tick
-		if rng.IntN(700) == 0 { // a kill: everything held is void, and a fresh copy takes over
-			if rng.IntN(2) == 0 { // as a planned restart ends
-				give(Shutdown{})
-				for id, r := range b.requests {
-					if !r.answered {
-						t.Errorf("%s has no answer at the end", id)
-					}
-				}
-			}
-			out, timers = nil, nil
-			if b, err = New(set, seed+uint64(i)); err != nil {
-				t.Fatal(err)
-			}
-			if c != nil {
-				c.killed()
-			}
-			var listed []Endpoint
-			for _, s := range fleet {
-				if s.State != Removed {
-					listed = append(listed, s)
-				}
+	if r.rng.IntN(40) == 0 { // events of nothing that is known
+		r.give(AttemptEnded{ID: "nobody", Attempt: 3, Result: Success})
+		r.give(Timer{Token: "r:nobody"})
+		r.give(Timer{Token: "x"})
+		r.give(ClientGone{ID: "nobody"})
+	}
+	if r.rng.IntN(50) == 0 && len(r.ids) > 0 {
+		id := r.ids[r.rng.IntN(len(r.ids))]
+		r.give(ClientGone{ID: id})
+		r.ended[id] = true
+	}
+}
+
+// kill ends the Balancer with all that it holds, now and then as a planned restart does, and a fresh one takes over.
+func (r *randomRun) kill(seed uint64) {
+	if r.rng.IntN(2) == 0 {
+		r.give(Shutdown{})
+		for id, request := range r.balancer.requests {
+			if !request.answered {
+				r.t.Errorf("%s has no answer at the end", id)
 			}
-			give(EndpointUpdate{Complete: true, Cached: true, Endpoints: listed})
 		}
-		for k := 0; k < len(timers); k++ {
-			if w := timers[k]; w.At <= now {
-				timers = append(timers[:k], timers[k+1:]...)
-				k--
-				give(Timer{Token: w.Token})
-				if rng.IntN(20) == 0 {
-					give(Timer{Token: w.Token})
-				}
-			}
+	}
+	r.attempts, r.timers = nil, nil
+	r.restart(seed)
+	if r.checker != nil {
+		r.checker.killed()
+	}
+	r.give(EndpointUpdate{Complete: true, Cached: true, Endpoints: r.listed()})
+}
+
+// listed are the servers that are not removed.
+func (r *randomRun) listed() (list []Endpoint) {
+	for _, s := range r.fleet {
+		if s.State != Removed {
+			list = append(list, s)
 		}
-		for k := 0; k < len(out); k++ {
-			p := out[k]
-			if p.due > now {
-				continue
-			}
-			out = append(out[:k], out[k+1:]...)
-			k--
-			e := AttemptEnded{ID: p.id, Attempt: p.n, Endpoint: p.server, Result: Success}
-			switch {
-			case p.timeout:
-				e.Result = TimedOut
-			case rng.IntN(3) == 0:
-				e.Result = AttemptResult(1 + rng.IntN(int(NotSent)))
-			}
-			if r := b.requests[p.id]; e.Result == Success || r == nil || r.answered {
-				ended[p.id] = true
-			}
-			e.Answered = ended[p.id]
-			give(e)
-			if rng.IntN(10) == 0 {
-				give(e)
-			}
-			if rng.IntN(30) == 0 {
-				give(ClientGone{ID: p.id})
-				ended[p.id] = true
-			}
+	}
+	return list
+}
+
+// fireTimers fires those that are due, some of them twice.
+func (r *randomRun) fireTimers() {
+	for k := 0; k < len(r.timers); k++ {
+		timer := r.timers[k]
+		if timer.At > r.now {
+			continue
 		}
-		if i < steps*3/4 && rng.IntN(3) == 0 {
-			id := fmt.Sprint("r", i)
-			class := []string{"get", "post", "pay", "odd"}[rng.IntN(4)]
-			ids = append(ids, id)
-			give(Request{ID: id, Class: class, Deadline: now + time.Duration(1+rng.IntN(1500))*msec})
+		r.timers = append(r.timers[:k], r.timers[k+1:]...)
+		k--
+		r.give(Timer{Token: timer.Token})
+		if r.rng.IntN(20) == 0 {
+			r.give(Timer{Token: timer.Token})
 		}
-		if rng.IntN(60) == 0 {
-			s := &fleet[rng.IntN(len(fleet))]
-			s.State = EndpointState(rng.IntN(3))
-			if rng.IntN(2) == 0 {
-				s.State, s.StartedAt = Ready, now
-			}
-			switch rng.IntN(4) {
-			case 0:
-				var l []Endpoint
-				for _, s := range fleet {
-					if s.State != Removed {
-						l = append(l, s)
-					}
-				}
-				give(EndpointUpdate{Complete: true, Endpoints: l})
-			case 1:
-				give(SubscriptionFailed{})
-				give(EndpointUpdate{Endpoints: []Endpoint{*s}})
-			default:
-				give(EndpointUpdate{Endpoints: []Endpoint{*s}})
-			}
+	}
+}
+
+// endAttempts ends those that are due, some of them twice, and some with their client gone.
+func (r *randomRun) endAttempts() {
+	for k := 0; k < len(r.attempts); k++ {
+		p := r.attempts[k]
+		if p.due > r.now {
+			continue
 		}
-		if rng.IntN(100) == 0 {
-			next := changed(set, rng)
-			give(Reconfigure{next})
-			if next.Validate() == nil {
-				set = next
-			}
+		r.attempts = append(r.attempts[:k], r.attempts[k+1:]...)
+		k--
+		e := AttemptEnded{ID: p.id, Attempt: p.number, Endpoint: p.server, Result: Success}
+		switch {
+		case p.timeout:
+			e.Result = TimedOut
+		case r.rng.IntN(3) == 0:
+			e.Result = AttemptResult(1 + r.rng.IntN(int(NotSent)))
 		}
-		if rng.IntN(40) == 0 {
-			give(AttemptEnded{ID: "nobody", Attempt: 3, Result: Success})
-			give(Timer{Token: "r:nobody"})
-			give(Timer{Token: "x"})
-			give(ClientGone{ID: "nobody"})
+		if request := r.balancer.requests[p.id]; e.Result == Success || request == nil || request.answered {
+			r.ended[p.id] = true
 		}
-		if rng.IntN(50) == 0 && len(ids) > 0 {
-			id := ids[rng.IntN(len(ids))]
-			give(ClientGone{ID: id})
-			ended[id] = true
+		e.Answered = r.ended[p.id]
+		r.give(e)
+		if r.rng.IntN(10) == 0 {
+			r.give(e)
 		}
+		if r.rng.IntN(30) == 0 {
+			r.give(ClientGone{ID: p.id})
+			r.ended[p.id] = true
+		}
+	}
+}
+
+// changeList changes a server, and tells of it by a complete list, by a change, or by one after a failed watch.
+func (r *randomRun) changeList() {
+	s := &r.fleet[r.rng.IntN(len(r.fleet))]
+	s.State = EndpointState(r.rng.IntN(3))
+	if r.rng.IntN(2) == 0 {
+		s.State, s.StartedAt = Ready, r.now
+	}
+	switch r.rng.IntN(4) {
+	case 0:
+		r.give(EndpointUpdate{Complete: true, Endpoints: r.listed()})
+	case 1:
+		r.give(SubscriptionFailed{})
+		r.give(EndpointUpdate{Endpoints: []Endpoint{*s}})
+	default:
+		r.give(EndpointUpdate{Endpoints: []Endpoint{*s}})
 	}
-	return log, b
 }
 
 func TestRulesHoldOnRandomSequences(t *testing.T) {
