--- a/outagesim_test.go
+++ b/outagesim_test.go
@@ -1,7 +1,6 @@
 package balancer
 
 import (
-	"container/heap"
 	"fmt"
 	"math"
 	"math/rand/v2"
@@ -55,11 +54,7 @@
 			r.start(n)
 		}
 	})
-	for len(r.queue) > 0 && r.queue[0].at < outageTail {
-		e := heap.Pop(&r.queue).(simEvent)
-		r.now = e.at
-		e.do()
-	}
+	r.runUntil(outageTail - 1)
 	return r.result
 }
 
@@ -100,11 +95,10 @@
 // outageRun is the state of a run.
 type outageRun struct {
 	outage
-	t        testing.TB
-	rng      *rand.Rand
-	now      time.Duration
-	queue    simEvents
-	count    int
+	t   testing.TB
+	rng *rand.Rand
+	simulation
+	nextCall int
 	list     []Endpoint
 	backends map[string]*outageServer
 	fleet    []*outageNode
@@ -113,11 +107,6 @@
 	result   outageResult
 }
 
-func (r *outageRun) in(d time.Duration, do func()) {
-	r.count++
-	heap.Push(&r.queue, simEvent{r.now + max(0, d), r.count, do})
-}
-
 // addServer puts a server in the list at a place, in place of the one there.
 func (r *outageRun) addServer(place int, id string, model *servermodel.Server) {
 	r.backends[id] = &outageServer{id: id, model: model, slow: 1}
@@ -230,8 +219,8 @@
 		work *= s.slow
 		below *= belowSlowBy
 	}
-	r.count++
-	id := r.count
+	r.nextCall++
+	id := r.nextCall
 	r.finish(s)
 	offered := servermodel.Call{ID: id, Work: time.Duration(work), OffCPU: time.Duration(float64(q.work) * below)}
 	if !s.model.Offer(r.now, offered) {
--- a/simulation_test.go
+++ b/simulation_test.go
@@ -1,15 +1,40 @@
 package balancer
 
-import "time"
+import (
+	"container/heap"
+	"time"
+)
+
+// simulation runs planned steps in the order of their times, in simulated time. Steps of the same time run in the
+// order in which they were planned.
+type simulation struct {
+	now     time.Duration
+	queue   simEvents
+	planned int
+}
+
+// in plans a step for some time from now.
+func (s *simulation) in(d time.Duration, do func()) {
+	s.planned++
+	heap.Push(&s.queue, simEvent{s.now + max(0, d), s.planned, do})
+}
+
+// runUntil runs the steps planned for a time and all before, with those that they plan.
+func (s *simulation) runUntil(end time.Duration) {
+	for len(s.queue) > 0 && s.queue[0].at <= end {
+		e := heap.Pop(&s.queue).(simEvent)
+		s.now = e.at
+		e.do()
+	}
+}
 
-// simEvent is something that happens in simulated time; n keeps the order of those at one time.
 type simEvent struct {
 	at time.Duration
 	n  int
 	do func()
 }
 
-// simEvents is a heap of events, the next one first.
+// simEvents is a heap of planned steps.
 type simEvents []simEvent
 
 func (q simEvents) Len() int { return len(q) }
@@ -20,7 +45,7 @@
 func (q *simEvents) Push(x any)   { *q = append(*q, x.(simEvent)) }
 func (q *simEvents) Pop() any {
 	old := *q
-	last := old[len(old)-1]
+	e := old[len(old)-1]
 	*q = old[:len(old)-1]
-	return last
+	return e
 }
