--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -144,24 +144,10 @@
 	for name, say := range map[string]string{"a close": "", "an answer to nothing": "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale"} {
 		t.Run(name, func(t *testing.T) {
 			s := newServer(t, echo)
-			early, err := net.Listen("tcp", "127.0.0.1:0")
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer early.Close()
-			nc, err := net.Dial("tcp", early.Addr().String())
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer nc.Close()
+			nc, other := connPair(t)
 			if hasUnreadOrClosed(nc) {
 				t.Fatal("a silent open connection is said to have spoken or closed")
 			}
-			other, err := early.Accept()
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer other.Close()
 			b := testBackend(10)
 			h := testHost(b, s.addr())
 			b.open = 1
@@ -182,19 +168,7 @@
 // A fresh connection on which the server speaks or closes before it is asked counts as none: the attempt
 // ends, and does not dial without end.
 func TestServerThatClosesAtOnceIsUnreachable(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	nc, err := net.Dial("tcp", ln.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	other, err := ln.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
+	nc, other := connPair(t)
 	other.Close()
 	until(t, "the close to arrive", func() bool { return hasUnreadOrClosed(nc) })
 	b := testBackend(10)
--- a/internal/node/boottime_test.go
+++ b/internal/node/boottime_test.go
@@ -45,15 +45,6 @@
 	return strings.Replace(entry(uid, "127.0.0.1:1", "in_service"), `"boot_ms":0`, fmt.Sprintf(`"boot_ms":%d`, bootMS), 1)
 }
 
-func bootList(t testing.TB, full bool, entries ...string) endpointList {
-	t.Helper()
-	l, err := parseList([]byte(fmt.Sprintf(`{"rev":9,"all":%v,"targets":[%s]}`, full, strings.Join(entries, ","))))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return l
-}
-
 // untouched is a server that never restarts.
 var untouched = entry("other", "127.0.0.1:2", "in_service")
 
@@ -89,7 +80,7 @@
 							m.pass(10 * time.Millisecond)
 						}
 					}
-					l.handleEvent(listReceived{bootList(t, true, untouched, bootEntry("s", m.bootMS()-1e6))})
+					l.handleEvent(listReceived{listOf(t, true, untouched, bootEntry("s", m.bootMS()-1e6))})
 					m.pass(10 * time.Second)
 					set("before the start")
 					started, news := l.clock.now(), []string{bootEntry("s", m.bootMS())}
@@ -98,7 +89,7 @@
 					}
 					set("before the list")
 					m.pass(late)
-					l.handleEvent(listReceived{bootList(t, full, news...)})
+					l.handleEvent(listReceived{listOf(t, full, news...)})
 					name := fmt.Sprintf("set by %v %s; pushed: %v; full list: %v", steps, moment, push, full)
 					if got := l.endpoints["s"].StartedAt; got != started {
 						t.Errorf("%s: started at %v, taken for %v", name, started, got)
@@ -106,7 +97,7 @@
 					for range 3 {
 						set("after the list")
 						m.pass(time.Second)
-						l.handleEvent(listReceived{bootList(t, full, news...)})
+						l.handleEvent(listReceived{listOf(t, full, news...)})
 						if got := l.endpoints["s"].StartedAt; got != started {
 							t.Errorf("%s: started at %v, taken for %v when it is told again", name, started, got)
 						}
@@ -128,66 +119,66 @@
 	}{
 		{"in the future", func(m *machine, l *loop) {
 			m.pass(2 * time.Second)
-			l.handleEvent(listReceived{bootList(t, true, bootEntry("s1", m.bootMS()+hour))})
+			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", m.bootMS()+hour))})
 		}, 2 * time.Second},
 		{"beyond all times", func(m *machine, l *loop) {
 			m.pass(2 * time.Second)
-			l.handleEvent(listReceived{bootList(t, true, bootEntry("s1", 1e13))})
+			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", 1e13))})
 		}, 2 * time.Second},
 		{"a moment in the future is now, though another offset makes it an hour ago", func(m *machine, l *loop) {
 			m.unix -= time.Hour
 			m.pass(2 * time.Second)
-			l.handleEvent(listReceived{bootList(t, true, bootEntry("s1", m.bootMS()+50))})
+			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", m.bootMS()+50))})
 		}, 2 * time.Second},
 		{"before the process, and before the clock was set back", func(m *machine, l *loop) {
 			boot := m.bootMS() - 20_000
 			m.unix -= time.Hour
 			m.pass(2 * time.Second)
-			l.handleEvent(listReceived{bootList(t, true, bootEntry("s1", boot))})
+			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", boot))})
 		}, -20 * time.Second},
 		{"either of two times, as the clock was set back by less than its age", func(m *machine, l *loop) {
 			boot := m.bootMS() - 20_000
 			m.unix -= 5 * time.Second
 			m.pass(2 * time.Second)
-			l.handleEvent(listReceived{bootList(t, true, bootEntry("s1", boot))})
+			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", boot))})
 		}, -15 * time.Second},
 		{"in the list that the node last had", func(m *machine, l *loop) {
-			l.cachedList = bootList(t, true, bootEntry("s1", m.bootMS()-3000))
+			l.cachedList = listOf(t, true, bootEntry("s1", m.bootMS()-3000))
 			l.handleEvent(discoveryUnresponsive{})
 			m.unix += time.Hour
 			m.pass(2 * time.Second)
-			l.handleEvent(listReceived{bootList(t, true, bootEntry("s1", m.bootMS()-3000-2000-hour))})
+			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", m.bootMS()-3000-2000-hour))})
 		}, -3 * time.Second},
 		{"before the process, whose clock was off at its start", func(m *machine, l *loop) {
 			boot := m.bootMS() - 3000
 			m.unix += time.Hour // it is right from now on
 			m.pass(2 * time.Second)
-			l.handleEvent(listReceived{bootList(t, true, bootEntry("s1", boot+hour))})
+			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", boot+hour))})
 		}, -3 * time.Second},
 		{"since the list before, under a clock that the node never saw", func(m *machine, l *loop) {
-			l.handleEvent(listReceived{bootList(t, true, bootEntry("s1", 0))})
+			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", 0))})
 			m.pass(time.Second)
-			l.handleEvent(listReceived{bootList(t, false, bootEntry("s2", 0))})
+			l.handleEvent(listReceived{listOf(t, false, bootEntry("s2", 0))})
 			m.pass(time.Second)
-			l.handleEvent(listReceived{bootList(t, false, bootEntry("s1", m.bootMS()-hour))})
+			l.handleEvent(listReceived{listOf(t, false, bootEntry("s1", m.bootMS()-hour))})
 		}, time.Second},
 		{"since a watch told that nothing had changed", func(m *machine, l *loop) {
-			l.handleEvent(listReceived{bootList(t, true, bootEntry("s1", 0))})
+			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", 0))})
 			m.pass(time.Second)
 			l.handleEvent(listConfirmed{})
 			m.pass(time.Second)
-			l.handleEvent(listReceived{bootList(t, false, bootEntry("s1", m.bootMS()-hour))})
+			l.handleEvent(listReceived{listOf(t, false, bootEntry("s1", m.bootMS()-hour))})
 		}, time.Second},
 		{"new in the list: it may have run all the while", func(m *machine, l *loop) {
-			l.handleEvent(listReceived{bootList(t, true, bootEntry("s2", 0))})
+			l.handleEvent(listReceived{listOf(t, true, bootEntry("s2", 0))})
 			m.pass(2 * time.Second)
-			l.handleEvent(listReceived{bootList(t, false, bootEntry("s1", m.bootMS()-10_000))})
+			l.handleEvent(listReceived{listOf(t, false, bootEntry("s1", m.bootMS()-10_000))})
 		}, -8 * time.Second},
 		{"since the list that the node last had, which may be old", func(m *machine, l *loop) {
-			l.cachedList = bootList(t, true, bootEntry("s1", 0))
+			l.cachedList = listOf(t, true, bootEntry("s1", 0))
 			l.handleEvent(discoveryUnresponsive{})
 			m.pass(2 * time.Second)
-			l.handleEvent(listReceived{bootList(t, true, bootEntry("s1", m.bootMS()-10_000))})
+			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", m.bootMS()-10_000))})
 		}, -8 * time.Second},
 	} {
 		m := newMachine()
@@ -206,7 +197,7 @@
 	l := bootLoop(t, m, true)
 	seen := map[time.Duration]bool{}
 	for i := range int64(4) {
-		l.handleEvent(listReceived{bootList(t, true, bootEntry("s", m.bootMS()+1e6*(i+1)))})
+		l.handleEvent(listReceived{listOf(t, true, bootEntry("s", m.bootMS()+1e6*(i+1)))})
 		seen[l.endpoints["s"].StartedAt] = true
 	}
 	if len(seen) != 4 {
@@ -290,11 +281,11 @@
 	restart := func(before, after time.Duration) []int {
 		m := newMachine()
 		l := bootLoop(t, m, true)
-		l.handleEvent(listReceived{bootList(t, true, bootEntry("s", 0))})
+		l.handleEvent(listReceived{listOf(t, true, bootEntry("s", 0))})
 		d := newTraffic(l, m)
 		d.run(5)
 		m.unix += before
-		news := bootList(t, true, bootEntry("s", m.bootMS()))
+		news := listOf(t, true, bootEntry("s", m.bootMS()))
 		m.unix += after
 		l.handleEvent(listReceived{news})
 		return d.run(8)
--- a/internal/node/departure_test.go
+++ b/internal/node/departure_test.go
@@ -82,11 +82,7 @@
 	}
 	c.send(method, target, "leaving", body, "60")
 	if held {
-		until(t, "the request to be with the module", func() bool {
-			n.frontend.conns.mu.Lock()
-			defer n.frontend.conns.mu.Unlock()
-			return n.frontend.conns.active == 1
-		})
+		untilOpened(t, n, 1)
 	} else {
 		wait(t, dials.up, "the connection")
 	}
@@ -100,11 +96,7 @@
 	c.Close()
 	until(t, "the node to notice", func() bool { return n.frontend.conns.count() == 0 })
 	if held {
-		news, err := parseList([]byte(`{"rev":2,"all":true,"targets":[` + entry("s1", s.addr(), "in_service") + `]}`))
-		if err != nil {
-			t.Fatal(err)
-		}
-		n.loop.post(listReceived{list: news})
+		n.loop.post(listReceived{listOf(t, true, entry("s1", s.addr(), "in_service"))})
 	} else {
 		close(dials.through)
 	}
@@ -181,13 +173,6 @@
 			}
 		}
 	})
-	list := func(rev int, state string) event {
-		news, err := parseList([]byte(strings.Replace(whole(entry("s1", s.addr(), state), entry("s2", s.addr(), state)), "%d", fmt.Sprint(rev), 1)))
-		if err != nil {
-			t.Fatal(err)
-		}
-		return listReceived{list: news}
-	}
 	c := dial(t, n)
 	switch where {
 	case "held":
@@ -201,9 +186,9 @@
 		wait(t, got, "the attempt")
 	case "busy loop":
 		until(t, "the first list to be taken", n.loop.ready.Load)
-		news := list(2, "in_service").(listReceived)
-		news.list.complete, news.list.entries[0].Capacity = false, 2
-		n.loop.post(news)
+		news := listOf(t, false, entry("s1", s.addr(), state), entry("s2", s.addr(), state))
+		news.entries[0].Capacity = 2
+		n.loop.post(listReceived{news})
 		wait(t, stopped, "the loop")
 		c.get("leaving")
 		until(t, "the request to be queued", func() bool { return len(n.loop.events) == 1 })
@@ -232,7 +217,7 @@
 	until(t, "the node to notice", func() bool { return n.frontend.conns.count() == 0 })
 	switch where {
 	case "held":
-		n.loop.post(list(2, "in_service"))
+		n.loop.post(listReceived{listOf(t, true, entry("s1", s.addr(), "in_service"), entry("s2", s.addr(), "in_service"))})
 	case "dial", "retry":
 		close(dials.through)
 	case "in flight":
--- a/internal/node/descriptorbudget_test.go
+++ b/internal/node/descriptorbudget_test.go
@@ -9,21 +9,13 @@
 	"net"
 	"net/http"
 	"os"
-	"strings"
 	"sync"
 	"testing"
 	"time"
 )
 
 func TestCallersBeyondTheBudget(t *testing.T) {
-	hold, got := make(chan struct{}), make(chan struct{}, 100)
-	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
-		if strings.HasPrefix(r.Header.Get("X-Request-Id"), "held") {
-			got <- struct{}{}
-			<-hold
-		}
-		return echo(c, r, body)
-	})
+	s, got, release := newHoldingServer(t, "held")
 	const most = 4
 	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
 		n.frontend.conns.capacity, n.frontend.conns.upstreamReserve = 2*most, most
@@ -47,7 +39,7 @@
 	if r.StatusCode != 503 || r.Header.Get("Retry-After") == "" || !r.Close {
 		t.Errorf("got %d, Retry-After %q, close %v", r.StatusCode, r.Header.Get("Retry-After"), r.Close)
 	}
-	close(hold)
+	release()
 	for i, c := range held {
 		c.want(t, 200, fmt.Sprint("for held-", i))
 	}
@@ -56,25 +48,7 @@
 // A connection is let go only while it waits: not with a request read that net/http has not told of
 // yet, nor with the first byte of the next one, read early behind an answer.
 func TestLettingGoSparesARequestBegun(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
 	f := newDownstreamConns(newClock(), 2, 10, 16<<20, func() int { return 1 })
-	pair := func() (ours *downstreamConn, theirs net.Conn) {
-		theirs, err := net.Dial("tcp", ln.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { theirs.Close() })
-		c, err := newDownstreamListener(ln, f, testLog()).Accept()
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { c.Close() })
-		return c.(*downstreamConn), theirs
-	}
 	say := func(from, to net.Conn) {
 		t.Helper()
 		to.SetReadDeadline(time.Now().Add(limit))
@@ -85,8 +59,8 @@
 			t.Fatal(err)
 		}
 	}
-	a, caller := pair()
-	b, _ := pair()
+	a, caller := downstreamPair(t, f, 0)
+	b, _ := downstreamPair(t, f, 0)
 	say(caller, a) // a request
 	f.connStateChanged(a, http.StateNew)
 	f.connStateChanged(a, http.StateActive)
@@ -121,23 +95,8 @@
 
 // A request that lies in the kernel unread counts as begun: a close would reset it.
 func TestLettingGoSparesWhatNobodyHasRead(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	theirs, err := net.Dial("tcp", ln.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer theirs.Close()
 	f := newDownstreamConns(newClock(), 2, 10, 16<<20, func() int { return 1 })
-	nc, err := newDownstreamListener(ln, f, testLog()).Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer nc.Close()
-	c := nc.(*downstreamConn)
+	c, theirs := downstreamPair(t, f, 0)
 	f.connStateChanged(c, http.StateNew)
 	f.connStateChanged(c, http.StateIdle)
 	io.WriteString(theirs, "GET")
@@ -157,24 +116,9 @@
 // The rest of a request that lies in the kernel unread keeps the connection, though its first part came so long
 // ago that it would be cut off.
 func TestCuttingOffSparesWhatNobodyHasRead(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	theirs, err := net.Dial("tcp", ln.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer theirs.Close()
 	f := newDownstreamConns(newClock(), 2, 10, 16<<20, func() int { return 2 })
 	f.gracePeriods.partialRequest = 0
-	nc, err := newDownstreamListener(ln, f, testLog()).Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer nc.Close()
-	c := nc.(*downstreamConn)
+	c, theirs := downstreamPair(t, f, 0)
 	io.WriteString(theirs, "GET")
 	if text := make([]byte, 3); !readsWhole(c, text) {
 		t.Fatal("the first part is not read")
@@ -211,24 +155,20 @@
 		callers.Add(1)
 		go func() {
 			defer callers.Done()
-			var c net.Conn
-			var br *bufio.Reader
+			var c *caller
 			for j := range 60 {
 				if c == nil {
-					var err error
-					if c, err = net.Dial("tcp", n.Addr()); err != nil {
+					nc, err := net.Dial("tcp", n.Addr())
+					if err != nil {
 						t.Error(err)
 						return
 					}
-					c.SetDeadline(time.Now().Add(2 * limit))
-					br = bufio.NewReader(c)
+					nc.SetDeadline(time.Now().Add(2 * limit))
+					c = &caller{nc, bufio.NewReader(nc)}
 				}
 				id := fmt.Sprintf("c%d-%d", i, j)
-				fmt.Fprintf(c, "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: %s\r\nX-Deadline: 60\r\n\r\n", id)
-				r, err := http.ReadResponse(br, nil)
-				if err == nil {
-					_, err = io.Copy(io.Discard, r.Body)
-				}
+				c.get(id)
+				r, _, err := c.read()
 				if err == nil {
 					mu.Lock()
 					answered[id] = true
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -5,7 +5,6 @@
 	"context"
 	"fmt"
 	"io"
-	"log/slog"
 	"net"
 	"net/http"
 	"reflect"
@@ -28,11 +27,7 @@
 	wait(t, ag.asked, "a call beside it")
 	early := dial(t, n) // by a caller that does not ask whether the node is ready
 	early.get("early")
-	until(t, "it to be with the module", func() bool {
-		n.frontend.conns.mu.Lock()
-		defer n.frontend.conns.mu.Unlock()
-		return n.frontend.conns.active == 1
-	})
+	untilOpened(t, n, 1)
 	ag.tell(false, `{"rev":%d,"all":true,"targets":[`+entry("s1", old.addr(), "terminating")+","+entry("s2", s.addr(), "in_service")+`]}`)
 	early.want(t, 200, "for early")
 	until(t, "readiness", func() bool { return isReady(t, n) })
@@ -139,7 +134,7 @@
 	events := make(chan event, 10)
 	cfg := testConfig("")
 	cfg.Settings.PollDiscovery = true
-	d := newDiscovery(cfg, 7, func(e event) { events <- e }, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	d := newDiscovery(cfg, 7, func(e event) { events <- e }, testLog())
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go d.runPolled(ctx)
@@ -330,7 +325,7 @@
 	events := make(chan event, 10)
 	cfg := testConfig("")
 	cfg.Discovery = ag.Addr().String()
-	d := newDiscovery(cfg, 1, func(e event) { events <- e }, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	d := newDiscovery(cfg, 1, func(e event) { events <- e }, testLog())
 	for i, c := range []struct {
 		text string
 		want event
@@ -359,7 +354,7 @@
 	cfg := testConfig("")
 	cfg.Discovery = ag.Addr().String()
 	cfg.Settings.PollDiscovery = true
-	d := newDiscovery(cfg, 7, func(e event) { events <- e }, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	d := newDiscovery(cfg, 7, func(e event) { events <- e }, testLog())
 	ag.tell(false, whole(entry("s1", "127.0.0.1:1", "in_service")))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/node/discoveryfaults_test.go
+++ b/internal/node/discoveryfaults_test.go
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	a := &faultyAgent{Listener: ln, rev: 10, failed: make(chan struct{}, 1000)}
-	t.Cleanup(func() { a.Close() })
+	t.Cleanup(func() { a.Close(); a.dropAll() })
 	go a.serve(ln)
 	return a
 }
@@ -216,12 +216,7 @@
 			wait(t, ag.failed, "a call that fails")
 		}
 	}
-	until(t, "the server that joined to be known", func() bool {
-		n.upstream.mu.Lock()
-		defer n.upstream.mu.Unlock()
-		_, known := n.upstream.endpoints["s2"]
-		return known
-	})
+	untilListed(t, n, "s2")
 	seen := old.seen()
 	for range 5 {
 		ask()
--- a/internal/node/downstreamconn_test.go
+++ b/internal/node/downstreamconn_test.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"io"
-	"net"
 	"net/http"
 	"testing"
 	"time"
@@ -79,27 +78,11 @@
 // A request whose first bytes came just before its connection would have timed out, idle or new, has the time
 // for the rest that every request has.
 func TestRequestBegunBeforeATimeoutIsReadToItsEnd(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
 	for _, first := range []string{
 		"G", "GET", "GET /view/k HTTP/1.1\r\nHo",
 		"POST /note/k HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\n",
 	} {
-		theirs, err := net.Dial("tcp", ln.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer theirs.Close()
-		l := newDownstreamListener(ln, newDownstreamConns(newClock(), 10, 10, 16<<20, func() int { return 0 }), testLog())
-		l.readTimeout = 2 * limit
-		ours, err := l.Accept()
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer ours.Close()
+		ours, theirs := downstreamPair(t, newDownstreamConns(newClock(), 10, 10, 16<<20, func() int { return 0 }), 2*limit)
 		ours.SetReadDeadline(time.Now().Add(limit))
 		io.WriteString(theirs, first)
 		if text := make([]byte, len(first)); !readsWhole(ours, text) {
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -99,24 +99,12 @@
 		wait(t, got, "the unsafe attempt")
 		safe.get("safe")
 		wait(t, got, "the safe attempt")
-		l, err := parseList([]byte(`{"rev":2,"all":true,"targets":[]}`))
-		if err != nil {
-			t.Fatal(err)
-		}
-		n.loop.post(listReceived{l})
+		n.loop.post(listReceived{listOf(t, true)})
 		held := dial(t, n)
 		held.send("POST", "/note/k", "held", "x", "60")
-		until(t, "it to be with the module", func() bool {
-			n.frontend.conns.mu.Lock()
-			defer n.frontend.conns.mu.Unlock()
-			return n.frontend.conns.active == 3
-		})
+		untilOpened(t, n, 3)
 		after.get("before") // its answer keeps the order: the held one is with the module by then
-		until(t, "it to be with the module", func() bool {
-			n.frontend.conns.mu.Lock()
-			defer n.frontend.conns.mu.Unlock()
-			return n.frontend.conns.active == 4
-		})
+		untilOpened(t, n, 4)
 		n.loop.post(shutdownDeadline{})
 		for _, c := range []struct {
 			name   string
@@ -160,14 +148,7 @@
 }
 
 func TestEndOfNodeAnswersAllThatWasTaken(t *testing.T) {
-	hold, got := make(chan struct{}), make(chan struct{}, 1)
-	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
-		if r.Header.Get("X-Request-Id") == "held" {
-			got <- struct{}{}
-			<-hold
-		}
-		return echo(c, r, body)
-	})
+	s, got, release := newHoldingServer(t, "held")
 	n, stop := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
 		n.drainSchedule, n.drainLimit = drainSchedule{stopAccepting: time.Second, closeConns: 2 * time.Second, answerAll: limit}, 2*limit
 	})
@@ -197,7 +178,7 @@
 		t.Errorf("late: %d %q", r.StatusCode, body)
 	}
 	closed(t, idle.br, "an idle connection at the end")
-	close(hold)
+	release()
 	if r, body := held.answer(t); r.StatusCode != 200 || body != "for held" || !r.Close {
 		t.Errorf("held: %d %q, close %v", r.StatusCode, body, r.Close)
 	}
--- a/internal/node/frontend_test.go
+++ b/internal/node/frontend_test.go
@@ -158,14 +158,7 @@
 // A caller gives its last try all the time that it has left, more than tries are usually given. That must
 // not make every other caller's first try look like a repeat whose aim is over, to be refused at once.
 func TestALongLastTryLeavesFirstTriesAsTheyAre(t *testing.T) {
-	hold, got := make(chan struct{}), make(chan struct{}, 100)
-	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
-		if strings.HasPrefix(r.Header.Get("X-Request-Id"), "held") {
-			got <- struct{}{}
-			<-hold
-		}
-		return echo(c, r, body)
-	})
+	s, got, release := newHoldingServer(t, "held")
 	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), nil)
 	c := dial(t, n)
 	view := func(id, deadline string) {
@@ -196,7 +189,7 @@
 	if r, _ := c.answer(t); r.StatusCode != 503 || r.Header.Get("Retry-After") == "" {
 		t.Errorf("a repeat past its aim: got %d, Retry-After %q", r.StatusCode, r.Header.Get("Retry-After"))
 	}
-	close(hold)
+	release()
 	for i, b := range busy {
 		b.want(t, 200, fmt.Sprint("for held-", i))
 	}
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -11,6 +11,7 @@
 	"slices"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -83,7 +84,7 @@
 // startNode runs a node until the test ends, or until the returned function is called.
 func startNode(t *testing.T, cfg Config, change func(*Node)) (n *Node, stop func() error) {
 	t.Helper()
-	n, err := New(cfg, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	n, err := New(cfg, testLog())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -158,13 +159,96 @@
 	return `{"rev":%d,"all":true,"targets":[` + strings.Join(entries, ",") + `]}`
 }
 
+// watchStalls adds up, until the test ends, by how much this machine holds the test's process up: by how much
+// timers that are due are late, where that is more than usual. What the machine takes from the node is no fault
+// of the node's.
+func watchStalls(t *testing.T, usual time.Duration) (sum func() time.Duration) {
+	const step = 5 * time.Millisecond
+	var total atomic.Int64
+	over := make(chan struct{})
+	go func() {
+		defer close(over)
+		for t.Context().Err() == nil {
+			begin := time.Now()
+			time.Sleep(step)
+			if late := time.Since(begin) - step; late > usual {
+				total.Add(int64(late))
+			}
+		}
+	}()
+	t.Cleanup(func() { <-over })
+	return func() time.Duration { return time.Duration(total.Load()) }
+}
+
+// parsedList is the list of endpoints that a text holds.
+func parsedList(t testing.TB, text string) endpointList {
+	t.Helper()
+	l, err := parseList([]byte(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return l
+}
+
+// listOf is a list of endpoints, complete or of changes.
+func listOf(t testing.TB, complete bool, entries ...string) endpointList {
+	t.Helper()
+	return parsedList(t, fmt.Sprintf(`{"rev":9,"all":%v,"targets":[%s]}`, complete, strings.Join(entries, ",")))
+}
+
+// connPair is the two ends of a connection over loopback.
+func connPair(t *testing.T) (dialed, accepted net.Conn) {
+	t.Helper()
+	return connPairBy(t, func(ln net.Listener) net.Listener { return ln })
+}
+
+// connPairBy is connPair with the accepting listener wrapped.
+func connPairBy(t *testing.T, wrap func(net.Listener) net.Listener) (dialed, accepted net.Conn) {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	if dialed, err = net.Dial("tcp", ln.Addr().String()); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { dialed.Close() })
+	if accepted, err = wrap(ln).Accept(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { accepted.Close() })
+	return dialed, accepted
+}
+
+// downstreamPair is a downstream connection as the node's listener hands it to net/http, and its client's end.
+func downstreamPair(t *testing.T, conns *downstreamConns, readTimeout time.Duration) (ours *downstreamConn, theirs net.Conn) {
+	t.Helper()
+	theirs, accepted := connPairBy(t, func(ln net.Listener) net.Listener {
+		l := newDownstreamListener(ln, conns, testLog())
+		l.readTimeout = readTimeout
+		return l
+	})
+	return accepted.(*downstreamConn), theirs
+}
+
 // fakeServer is a server whose connections a test scripts by hand: after each request that is read
 // whole, then is called; it returns false to close the connection.
 type fakeServer struct {
 	net.Listener
 	mu       sync.Mutex
 	requests []string // ids
-	conns    int
+	conns    []net.Conn
+}
+
+// end closes the server and its connections.
+func (s *fakeServer) end() {
+	s.Close()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, c := range s.conns {
+		c.Close()
+	}
 }
 
 func (s *fakeServer) addr() string { return s.Addr().String() }
@@ -178,7 +262,7 @@
 func (s *fakeServer) opened() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.conns
+	return len(s.conns)
 }
 
 func newServer(t *testing.T, then func(c net.Conn, r *http.Request, body string) bool) *fakeServer {
@@ -187,8 +271,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
 	s := &fakeServer{Listener: ln}
+	t.Cleanup(s.end)
 	go func() {
 		for {
 			c, err := ln.Accept()
@@ -196,7 +280,7 @@
 				return
 			}
 			s.mu.Lock()
-			s.conns++
+			s.conns = append(s.conns, c)
 			s.mu.Unlock()
 			go func() {
 				defer c.Close()
@@ -234,6 +318,22 @@
 	return reply200(c, "for "+r.Header.Get("X-Request-Id"))
 }
 
+// newHoldingServer holds the requests whose id begins with a prefix until they are released, and serves them and
+// all others as echo does. It notes the arrival of each that it holds.
+func newHoldingServer(t *testing.T, prefix string) (s *fakeServer, held <-chan struct{}, release func()) {
+	t.Helper()
+	came, hold := make(chan struct{}, 1000), make(chan struct{})
+	release = sync.OnceFunc(func() { close(hold) })
+	t.Cleanup(release)
+	return newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+		if strings.HasPrefix(r.Header.Get("X-Request-Id"), prefix) {
+			came <- struct{}{}
+			<-hold
+		}
+		return echo(c, r, body)
+	}), came, release
+}
+
 // agent is discovery's agent: it answers watches with what it was given last, or is silent.
 type agent struct {
 	net.Listener
@@ -319,18 +419,24 @@
 		method, target, id, deadline, length, body)
 }
 
-// answer reads one answer.
-func (c *caller) answer(t *testing.T) (*http.Response, string) {
-	t.Helper()
+// read reads one answer to its end. Unlike answer it may be called from any goroutine.
+func (c *caller) read() (*http.Response, string, error) {
 	r, err := http.ReadResponse(c.br, nil)
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		return nil, "", err
 	}
 	body, err := io.ReadAll(r.Body)
+	return r, string(body), err
+}
+
+// answer reads one answer, which must be complete.
+func (c *caller) answer(t *testing.T) (*http.Response, string) {
+	t.Helper()
+	r, body, err := c.read()
 	if err != nil {
-		t.Fatalf("no whole answer: %v", err)
+		t.Fatalf("no complete answer: %v", err)
 	}
-	return r, string(body)
+	return r, body
 }
 
 func (c *caller) want(t *testing.T, status int, body string) {
@@ -416,3 +522,14 @@
 	}
 	return h
 }
+
+// untilListed waits until the node has an endpoint in its list.
+func untilListed(t *testing.T, n *Node, uid string) {
+	t.Helper()
+	until(t, "the endpoint to be known", func() bool {
+		n.upstream.mu.Lock()
+		defer n.upstream.mu.Unlock()
+		_, listed := n.upstream.endpoints[uid]
+		return listed
+	})
+}
--- a/internal/node/listener_test.go
+++ b/internal/node/listener_test.go
@@ -72,12 +72,7 @@
 	for _, cause := range acceptErrors {
 		t.Run(cause.Error(), func(t *testing.T) {
 			t.Parallel()
-			got, answer := make(chan struct{}, 2), make(chan struct{})
-			s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
-				got <- struct{}{}
-				<-answer
-				return echo(c, r, body)
-			})
+			s, got, release := newHoldingServer(t, "")
 			draining, resume := make(chan struct{}), make(chan struct{})
 			fail := failing(cause, 3)
 			n, stop := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
@@ -105,7 +100,7 @@
 			queued.get("queued")
 			close(resume)
 			wait(t, got, "the attempt for the queued request")
-			close(answer)
+			release()
 			held.want(t, 200, "for held")
 			queued.want(t, 200, "for queued")
 			if err := wait(t, end, "the node's end"); err != nil {
--- a/internal/node/listparser_test.go
+++ b/internal/node/listparser_test.go
@@ -196,7 +196,7 @@
 	for _, servers := range []int{100, 1600, 3200} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			l, back := bootLoop(b, newMachine(), true), testBackend(10)
-			all := parsed(b, manyServers(servers, "", false))
+			all := parsedList(b, manyServers(servers, "", false))
 			l.convertBoots(all.entries)
 			l.apply(all)
 			back.updateEndpoints(all.entries, true)
@@ -220,15 +220,6 @@
 	}
 }
 
-func parsed(tb testing.TB, text string) endpointList {
-	tb.Helper()
-	l, err := parseList([]byte(text))
-	if err != nil {
-		tb.Fatal(err)
-	}
-	return l
-}
-
 func TestMalformedListIsDroppedWhole(t *testing.T) {
 	for _, bad := range []string{
 		"", "{", "[]", `{"rev":2,"targets":[]}`, `{"all":true,"targets":[]}`,
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -2,12 +2,9 @@
 
 import (
 	"fmt"
-	"io"
-	"log/slog"
 	"math/rand/v2"
 	"net/http"
 	"runtime"
-	"strings"
 	"testing"
 
 	"balancer"
@@ -17,7 +14,7 @@
 // open connections for nothing.
 func TestWholeListWithoutNewsChangesNothing(t *testing.T) {
 	s := newServer(t, echo)
-	n, err := New(testConfig(whole(entry("s1", s.addr(), "in_service"))), slog.New(slog.NewTextHandler(io.Discard, nil)))
+	n, err := New(testConfig(whole(entry("s1", s.addr(), "in_service"))), testLog())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,19 +23,15 @@
 	told := 0
 	n.loop.updateEndpoints = func([]listEntry, bool) { told++ }
 	for i, c := range []struct {
-		text string
-		want int
+		entries []string
+		want    int
 	}{
-		{whole(entry("s1", s.addr(), "in_service")), 0},
-		{whole(entry("s1", s.addr(), "terminating")), 1},
-		{whole(entry("s1", "127.0.0.1:1", "in_service")), 2},
-		{whole(), 3},
+		{[]string{entry("s1", s.addr(), "in_service")}, 0},
+		{[]string{entry("s1", s.addr(), "terminating")}, 1},
+		{[]string{entry("s1", "127.0.0.1:1", "in_service")}, 2},
+		{nil, 3},
 	} {
-		l, err := parseList([]byte(strings.Replace(c.text, "%d", "9", 1)))
-		if err != nil {
-			t.Fatal(err)
-		}
-		if n.loop.handleEvent(listReceived{l}); told != c.want {
+		if n.loop.handleEvent(listReceived{listOf(t, true, c.entries...)}); told != c.want {
 			t.Errorf("list %d: told %d times, want %d", i, told, c.want)
 		}
 	}
@@ -57,7 +50,7 @@
 				entries = append(entries, entry(fmt.Sprint("s", s), "127.0.0.1:1", state))
 			}
 		}
-		l.handleEvent(listReceived{bootList(t, full, entries...)})
+		l.handleEvent(listReceived{listOf(t, full, entries...)})
 		want := false
 		for _, held := range l.endpoints {
 			want = want || held.State == balancer.Ready
@@ -77,7 +70,7 @@
 	}
 	defer n.listener.Close()
 	n.Reload(cfg)
-	n.loop.handleEvent(listReceived{bootList(t, true, entry("s2", "127.0.0.1:1", "in_service"))})
+	n.loop.handleEvent(listReceived{listOf(t, true, entry("s2", "127.0.0.1:1", "in_service"))})
 	if n.cfg.Known != nil || n.loop.cachedList.entries != nil {
 		t.Errorf("%s and %v are kept", n.cfg.Known, n.loop.cachedList)
 	}
--- a/internal/node/outlier_test.go
+++ b/internal/node/outlier_test.go
@@ -9,7 +9,6 @@
 	"slices"
 	"strings"
 	"sync"
-	"sync/atomic"
 	"testing"
 	"time"
 )
@@ -96,36 +95,49 @@
 	}
 }
 
-// load has callers send both classes, each waiting for its answer, and returns the share served.
-func load(t *testing.T, n *Node, most, each int) float64 {
-	var served atomic.Int64
-	var callers sync.WaitGroup
-	for i := range most {
+// sendEach has clients send requests on connections of their own, each request after the answer to the one
+// before. It returns the answers' status codes by client and request.
+func sendEach(t *testing.T, n *Node, clients, each int, send func(c *caller, client, i int)) [][]int {
+	status := make([][]int, clients)
+	var running sync.WaitGroup
+	for client := range status {
 		c := dial(t, n)
-		callers.Add(1)
+		running.Add(1)
 		go func() {
-			defer callers.Done()
-			for j := range each {
-				id := fmt.Sprintf("%p-%d-%d", c, i, j)
-				if j%3 == 0 {
-					c.get(id)
-				} else {
-					c.send("POST", "/note/k", id, "x", "60")
-				}
-				r, err := http.ReadResponse(c.br, nil)
+			defer running.Done()
+			for i := range each {
+				send(c, client, i)
+				r, _, err := c.read()
 				if err != nil {
 					t.Error(err)
 					return
 				}
-				io.Copy(io.Discard, r.Body)
-				if r.StatusCode == 200 {
-					served.Add(1)
-				}
+				status[client] = append(status[client], r.StatusCode)
 			}
 		}()
 	}
-	callers.Wait()
-	return float64(served.Load()) / float64(most*each)
+	running.Wait()
+	return status
+}
+
+// load sends requests of both classes, and returns the share served.
+func load(t *testing.T, n *Node, clients, each int) float64 {
+	served := 0
+	for _, codes := range sendEach(t, n, clients, each, func(c *caller, client, i int) {
+		id := fmt.Sprintf("%p-%d-%d", c, client, i)
+		if i%3 == 0 {
+			c.get(id)
+		} else {
+			c.send("POST", "/note/k", id, "x", "60")
+		}
+	}) {
+		for _, code := range codes {
+			if code == http.StatusOK {
+				served++
+			}
+		}
+	}
+	return float64(served) / float64(clients*each)
 }
 
 // Servers that fail one class at once, wholly or in part, serve the others well, so no run of bad endings
@@ -144,12 +156,7 @@
 				if bad[0] == "s5" {
 					list[2], list[3] = f.serve(t, "s5"), f.serve(t, "s6")
 					ag.tell(false, whole(list...))
-					until(t, "the new list", func() bool {
-						n.upstream.mu.Lock()
-						defer n.upstream.mu.Unlock()
-						_, listed := n.upstream.endpoints["s6"]
-						return listed
-					})
+					untilListed(t, n, "s6")
 				}
 				load(t, n, 20, 20) // to meet them
 				share := f.count()
@@ -194,34 +201,22 @@
 	cfg := testConfig(whole(f.serve(t, "s1"), f.serve(t, "s2"), f.serve(t, "s3"), f.serve(t, "s4")))
 	cfg.Settings.Tier = 1
 	n, _ := startNode(t, cfg, nil)
-	const callers, each = 8, 20
-	var served [2]atomic.Int64 // of the views and of the notes
-	var all sync.WaitGroup
-	for i := range callers {
-		c := dial(t, n)
-		all.Add(1)
-		go func() {
-			defer all.Done()
-			for j := range 2 * each {
-				method, target, body := "GET", "/view/k", ""
-				if j%2 == 1 {
-					method, target, body = "POST", "/note/k", "x"
-				}
-				c.send(method, target, fmt.Sprintf("%d-%d", i, j), body, "1")
-				r, err := http.ReadResponse(c.br, nil)
-				if err != nil {
-					t.Error(err)
-					return
-				}
-				io.Copy(io.Discard, r.Body)
-				if r.StatusCode == 200 {
-					served[j%2].Add(1)
-				}
+	const clients, each = 8, 20
+	var served [2]int // of the views and of the notes
+	for _, codes := range sendEach(t, n, clients, 2*each, func(c *caller, client, i int) {
+		method, target, body := "GET", "/view/k", ""
+		if i%2 == 1 {
+			method, target, body = "POST", "/note/k", "x"
+		}
+		c.send(method, target, fmt.Sprintf("%d-%d", client, i), body, "1")
+	}) {
+		for i, code := range codes {
+			if code == http.StatusOK {
+				served[i%2]++
 			}
-		}()
+		}
 	}
-	all.Wait()
-	views, notes := float64(served[0].Load())/(callers*each), float64(served[1].Load())/(callers*each)
+	views, notes := float64(served[0])/(clients*each), float64(served[1])/(clients*each)
 	if views < 0.9 || notes < 0.99 {
 		t.Errorf("%.2f of the views and %.2f of the notes were served", views, notes)
 	}
--- a/internal/node/readahead_test.go
+++ b/internal/node/readahead_test.go
@@ -4,18 +4,12 @@
 	"fmt"
 	"net"
 	"net/http"
-	"strings"
 	"testing"
 )
 
 // What a caller sends before its answer has come is its next request, in order and whole.
 func TestRequestsSentAheadAreAnsweredInOrder(t *testing.T) {
-	hold, got := make(chan struct{}), make(chan struct{}, 1000)
-	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
-		got <- struct{}{}
-		<-hold
-		return echo(c, r, body)
-	})
+	s, got, release := newHoldingServer(t, "")
 	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), nil)
 	c := dial(t, n)
 	c.get("r0")
@@ -27,7 +21,7 @@
 		sent += len(requestText(fmt.Sprint("r", i)))
 	}
 	until(t, "the bytes to be read", func() bool { return readAhead(n) == sent })
-	close(hold)
+	release()
 	for i := 0; i <= more; i++ {
 		c.want(t, 200, fmt.Sprint("for r", i))
 	}
@@ -80,11 +74,7 @@
 			}()
 			many.want(t, c.want, "")
 			if !c.begun { // whoever can be watched again waits for a server
-				news, err := parseList([]byte(strings.Replace(whole(entry("s1", s.addr(), "in_service")), "%d", "2", 1)))
-				if err != nil {
-					t.Fatal(err)
-				}
-				n.loop.post(listReceived{list: news})
+				n.loop.post(listReceived{listOf(t, true, entry("s1", s.addr(), "in_service"))})
 			}
 			served, cutOff := 0, 0
 			for i := range more {
--- a/internal/node/response_test.go
+++ b/internal/node/response_test.go
@@ -228,19 +228,7 @@
 // The system tells of a reset once. If a write was told, the next read finds what looks like the end of an
 // answer without a length: the part that came is no success.
 func TestResetToldToTheWriteIsNoEnd(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	nc, err := net.Dial("tcp", ln.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	server, err := ln.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
+	nc, server := connPair(t)
 	c := &lateWriteConn{TCPConn: nc.(*net.TCPConn), read: make(chan struct{}), wrote: make(chan struct{})}
 	c.reset = func() {
 		server.(*net.TCPConn).SetLinger(0)
@@ -253,8 +241,8 @@
 	}()
 	b := testBackend(10)
 	c.ended = func() { until(t, "the reader's end", func() bool { return b.connections() == 0 }) }
-	b.adopt(c, testHost(b, ln.Addr().String()))
-	if r := run(t, b, testAttempt(b, ln.Addr().String())); r.result != balancer.ConnectFailed || b.connections() != 0 {
+	b.adopt(c, testHost(b, nc.RemoteAddr().String()))
+	if r := run(t, b, testAttempt(b, nc.RemoteAddr().String())); r.result != balancer.ConnectFailed || b.connections() != 0 {
 		t.Errorf("ending %d, body %q, %d open; want %d", r.result, r.body, b.connections(), balancer.ConnectFailed)
 	}
 }
--- a/internal/node/responsedeadline_test.go
+++ b/internal/node/responsedeadline_test.go
@@ -7,7 +7,6 @@
 	"io"
 	"net"
 	"net/http"
-	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
@@ -19,25 +18,6 @@
 // troubleDeadline is the time of each request.
 const troubleDeadline = 400 * time.Millisecond
 
-// watchStalls adds up, until the test ends, by how much this machine holds the test's process up: by how much
-// timers that are due are late. What the machine takes from the node is no fault of the node's.
-func watchStalls(t *testing.T) (sum func() time.Duration) {
-	const step, usual = 5 * time.Millisecond, 10 * time.Millisecond
-	var total atomic.Int64
-	ctx, stop := context.WithCancel(context.Background())
-	t.Cleanup(stop)
-	go func() {
-		for ctx.Err() == nil {
-			begin := time.Now()
-			time.Sleep(step)
-			if late := time.Since(begin) - step; late > usual {
-				total.Add(int64(late))
-			}
-		}
-	}()
-	return func() time.Duration { return time.Duration(total.Load()) }
-}
-
 // trouble is what a node of TestTroubleFreesNoRequestOfItsAnswer meets.
 type trouble struct {
 	name      string
@@ -105,7 +85,7 @@
 
 func (c trouble) play(t *testing.T) {
 	n := c.startNode(t)
-	stalled := watchStalls(t)
+	stalled := watchStalls(t, 10*time.Millisecond)
 	ended := make(chan error, 6)
 	for i := range cap(ended) {
 		good, answered := dial(t, n), make(chan struct{})
@@ -167,10 +147,7 @@
 	} else {
 		c.send("GET", "/view/k", id, "", fmt.Sprint(troubleDeadline.Seconds()))
 	}
-	r, err := http.ReadResponse(c.br, nil)
-	if err == nil {
-		_, err = io.Copy(io.Discard, r.Body)
-	}
+	r, _, err := c.read()
 	if err != nil {
 		return fmt.Errorf("%s: no answer: %w", id, err)
 	}
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -9,7 +9,6 @@
 	"net"
 	"net/http"
 	"sync"
-	"sync/atomic"
 	"testing"
 	"time"
 )
@@ -74,27 +73,6 @@
 	}
 }
 
-// measureStalls sums up how late this process's own timers are, until it is asked for the sum: so long no
-// bound in time can hold that the process keeps to.
-func measureStalls() (sum func() time.Duration) {
-	const step = 5 * time.Millisecond
-	var late atomic.Int64
-	stop := make(chan struct{})
-	go func() {
-		for !isClosed(stop) {
-			begin := time.Now()
-			time.Sleep(step)
-			if over := time.Since(begin) - step; over > step {
-				late.Add(int64(over))
-			}
-		}
-	}()
-	return func() time.Duration {
-		close(stop)
-		return time.Duration(late.Load())
-	}
-}
-
 // Whatever the deadlines of the classes, a node that is told to end answers each request that it has read
 // before the kill that the protocol announces, and has ended by then: though clients send on their connections
 // for as long as these stay open, and though servers hang all the time, fail at once, or never accept.
@@ -169,14 +147,14 @@
 		}()
 	}
 	sent.Wait()
-	stalls := measureStalls()
+	stalled := watchStalls(t, 5*time.Millisecond)
 	begin := time.Now()
 	if err := stop(); err != nil {
 		t.Error(err)
 	}
 	ended := time.Since(begin)
 	running.Wait()
-	late := stalls()
+	late := stalled()
 	t.Logf("ended after %v; timers late by %v in all", ended, late)
 	if most := killAt(longest); ended > most+late {
 		t.Errorf("the node ended after %v, and was to be killed after %v", ended, most)
@@ -215,10 +193,7 @@
 		if i == 0 {
 			sent()
 		}
-		r, err := http.ReadResponse(c.br, nil)
-		if err == nil {
-			_, err = io.Copy(io.Discard, r.Body)
-		}
+		r, _, err := c.read()
 		if err != nil {
 			return
 		}
@@ -237,12 +212,7 @@
 		for _, pieces := range []int{1, 2} {
 			t.Run(fmt.Sprint(why, " pieces=", pieces), func(t *testing.T) {
 				t.Parallel()
-				got, answer := make(chan struct{}, 3), make(chan struct{})
-				s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
-					got <- struct{}{}
-					<-answer
-					return echo(c, r, body)
-				})
+				s, got, release := newHoldingServer(t, "")
 				var reads recordingConns
 				n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
 					reads = recordReads(n)
@@ -266,7 +236,7 @@
 					n.frontend.conns.capacity, n.frontend.conns.upstreamReserve = 1, 1
 					n.frontend.conns.mu.Unlock()
 				}
-				close(answer)
+				release()
 				for i := range 3 {
 					if r, body := c.answer(t); r.Close != (i == 2) {
 						t.Errorf("answer %d: %d %q, close %v", i, r.StatusCode, body, r.Close)
--- a/internal/node/upstreampool_test.go
+++ b/internal/node/upstreampool_test.go
@@ -166,14 +166,7 @@
 // A new server at the address of one that has gone does not get its predecessor's connections, nor does
 // one that started anew: whatever is still to come on them belongs to the old one.
 func TestConnectionsBelongToOneLifeOfAServer(t *testing.T) {
-	hold, got := make(chan struct{}), make(chan struct{}, 1)
-	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
-		if r.Header.Get("X-Request-Id") == "held" {
-			got <- struct{}{}
-			<-hold
-		}
-		return echo(c, r, body)
-	})
+	s, got, release := newHoldingServer(t, "held")
 	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), nil)
 	held, c := dial(t, n), dial(t, n)
 	held.get("held")
@@ -184,10 +177,7 @@
 		entry("s2", s.addr(), "in_service"),
 		strings.Replace(entry("s2", s.addr(), "in_service"), `"boot_ms":0`, `"boot_ms":5`, 1),
 	} {
-		l, err := parseList([]byte(strings.Replace(whole(next), "%d", "9", 1)))
-		if err != nil {
-			t.Fatal(err)
-		}
+		l := listOf(t, true, next)
 		n.loop.post(listReceived{l})
 		before := s.opened()
 		until(t, "the list to be taken", func() bool {
@@ -196,7 +186,7 @@
 			return n.upstream.endpoints["s2"] == l.entries[0]
 		})
 		if i == 0 { // a connection that was busy when the server went
-			close(hold)
+			release()
 			held.want(t, 200, "for held")
 		}
 		c.get(fmt.Sprint("next-", i))
@@ -267,11 +257,6 @@
 // A look at a connection that a signal interrupts is made again until it tells something: the poller has
 // told of what is there before, and does so only once.
 func TestInterruptedLookIsMadeAgain(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
 	for _, c := range []struct {
 		name string
 		do   func(theirs net.Conn)
@@ -282,16 +267,7 @@
 		{"nothing", func(net.Conn) {}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			theirs, err := net.Dial("tcp", ln.Addr().String())
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer theirs.Close()
-			ours, err := ln.Accept()
-			if err != nil {
-				t.Fatal(err)
-			}
-			defer ours.Close()
+			theirs, ours := connPair(t)
 			if c.do(theirs); c.has {
 				until(t, "it to arrive", func() bool { return hasUnreadOrClosed(ours) })
 			}
@@ -303,7 +279,7 @@
 				return syscall.Recvfrom(fd, p, flags)
 			}
 			var has bool
-			err = rawConn(ours).Control(func(fd uintptr) { has = peekBy(recv, fd) })
+			err := rawConn(ours).Control(func(fd uintptr) { has = peekBy(recv, fd) })
 			if err != nil || has != c.has {
 				t.Errorf("something there: %v (%v), want %v", has, err, c.has)
 			}
