--- a/cmd/balancer/clients_test.go
+++ b/cmd/balancer/clients_test.go
@@ -7,61 +7,92 @@
 	"io"
 	"net"
 	"net/http"
+	"net/http/httptest"
 	"os"
+	"strings"
 	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
 )
 
-// client asks on one connection, and on a new one where the node has closed it.
+// client sends requests on one connection, and on a new one where the node has closed it.
 type client struct {
 	address, name string
-	asked         int
-	nc            net.Conn
-	br            *bufio.Reader
+	sent, dials   int
+	conn          net.Conn
+	reader        *bufio.Reader
 }
 
-func (c *client) ask(target string) (status int, body string, err error) {
-	if c.nc == nil {
-		if c.nc, err = net.Dial("tcp", c.address); err != nil {
+// get sends a request and reads the answer. An error says that the connection ended with no complete answer.
+func (c *client) get(target string) (status int, body string, err error) {
+	if c.conn == nil {
+		if c.conn, err = net.Dial("tcp", c.address); err != nil {
 			return 0, "", err
 		}
-		c.br = bufio.NewReader(c.nc)
+		c.reader = bufio.NewReader(c.conn)
+		c.dials++
 	}
-	c.nc.SetDeadline(time.Now().Add(2 * limit))
-	c.asked++
-	fmt.Fprintf(c.nc, "GET %s HTTP/1.1\r\nHost: h\r\nX-Request-Id: %s-%d\r\nX-Deadline: 20\r\n\r\n", target, c.name, c.asked)
-	resp, err := http.ReadResponse(c.br, nil)
+	c.conn.SetDeadline(time.Now().Add(2 * limit))
+	c.sent++
+	fmt.Fprintf(c.conn, "GET %s HTTP/1.1\r\nHost: h\r\nX-Request-Id: %s-%d\r\nX-Deadline: 20\r\n\r\n", target, c.name, c.sent)
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return 0, "", err
 	}
 	text, err := io.ReadAll(resp.Body)
 	if resp.Close {
-		c.nc.Close()
-		c.nc = nil
+		c.close()
 	}
 	return resp.StatusCode, string(text), err
 }
 
-// askOnce makes a request on a connection of its own. The error says that it was ended with no answer.
-func askOnce(address string) (status int, body string, err error) {
-	nc, err := net.Dial("tcp", address)
-	if err != nil {
-		return 0, "", err
+func (c *client) close() {
+	if c.conn != nil {
+		c.conn.Close()
+		c.conn = nil
 	}
-	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(limit))
-	io.WriteString(nc, "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: good\r\nX-Deadline: 40\r\n\r\n")
-	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
-	if errors.Is(err, os.ErrDeadlineExceeded) {
+}
+
+// getOnce sends a request on a connection of its own. The error says that it was ended with no answer.
+func getOnce(address string) (status int, body string, err error) {
+	c := client{address: address, name: "good"}
+	defer c.close()
+	status, body, err = c.get("/view/k")
+	if status == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
 		return 0, "no answer", nil
 	}
-	if err != nil {
-		return 0, "", err
-	}
-	text, err := io.ReadAll(resp.Body)
-	return resp.StatusCode, string(text), err
+	return status, body, err
+}
+
+// newServer starts a server, and returns its entry in a list.
+func newServer(t *testing.T, name string, handle http.HandlerFunc) string {
+	t.Helper()
+	server := httptest.NewServer(handle)
+	t.Cleanup(server.Close)
+	return target(name, strings.TrimPrefix(server.URL, "http://"))
+}
+
+// newNamingServer starts a server that answers with its name.
+func newNamingServer(t *testing.T, name string) string {
+	return newServer(t, name, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, name) })
+}
+
+// newHoldingServer starts a server that answers with the id of each request. It holds those whose path ends in
+// /slow until they are released, and notes their arrival.
+func newHoldingServer(t *testing.T) (entry string, held <-chan struct{}, release func()) {
+	t.Helper()
+	came, hold := make(chan struct{}, 1), make(chan struct{})
+	entry = newServer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
+		if strings.HasSuffix(r.URL.Path, "/slow") {
+			came <- struct{}{}
+			<-hold
+		}
+		fmt.Fprint(w, "for ", r.Header.Get("X-Request-Id"))
+	})
+	release = sync.OnceFunc(func() { close(hold) })
+	t.Cleanup(release) // before the server closes, which waits for its requests
+	return entry, came, release
 }
 
 // crowd is idle clients: each connects, does what its kind does, and stays until the node ends the
--- a/cmd/balancer/descriptors_test.go
+++ b/cmd/balancer/descriptors_test.go
@@ -31,13 +31,8 @@
 // Descriptors for a server and for discovery are free throughout. Once discovery is back and its list is
 // taken, the first request that is answered is served by the server that the list names.
 func TestIdleClientsKeepNobodyOut(t *testing.T) {
-	buildOnce(t)
-	serve := func(name string) string {
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, name) }))
-		t.Cleanup(s.Close)
-		return target(name, strings.TrimPrefix(s.URL, "http://"))
-	}
-	old, next := serve("old"), serve("next")
+	build(t)
+	old, next := newNamingServer(t, "old"), newNamingServer(t, "next")
 	// What the node knows of servers when its discovery goes down: what it was told, its configuration's
 	// list, or nothing. Where it knows none, nobody can have been served and rest.
 	beginnings := []string{"told", "known", "nothing"}
@@ -66,7 +61,7 @@
 	p := launch(t, nodeConfig("127.0.0.1:0", d.addr, known, mode, sockets), sockets)
 	address := p.address(t)
 	if begin != "nothing" { // its list is in use
-		if status, body, err := askOnce(address); status != http.StatusOK || body != "old" {
+		if status, body, err := getOnce(address); status != http.StatusOK || body != "old" {
 			t.Fatalf("before: %d %q, %v", status, body, err)
 		}
 	}
@@ -109,7 +104,7 @@
 		if shut > 0 {
 			time.Sleep(pause)
 		}
-		status, body, err := askOnce(address)
+		status, body, err := getOnce(address)
 		if err == nil {
 			if status != http.StatusOK || body != "next" {
 				t.Errorf("after the list was taken, and %d connections shut: %d %q", shut, status, body)
@@ -136,7 +131,7 @@
 // a server that answers none until each has come to it or has been refused: descriptors are left all the
 // while, and the server gets as many as its share at least.
 func TestHeldRequestsLeaveDescriptors(t *testing.T) {
-	buildOnce(t)
+	build(t)
 	for _, sockets := range []int{64, 256, 1024} {
 		for _, c := range [][2]string{{"silent", "pushed"}, {"silent", "on_request"}, {"half", "pushed"}, {"half", "on_request"}} {
 			kind, mode := c[0], c[1]
--- a/cmd/balancer/helpers_test.go
+++ b/cmd/balancer/helpers_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"bufio"
 	"bytes"
 	"fmt"
 	"io/fs"
@@ -23,10 +22,10 @@
 	"limits":{"max-attempts":3,"conn-idle-ms":60000,"connect-timeout-ms":20000,"cancelling":true,
 	"retry-after":true,"max-retry-after-ms":2000},"tick-ms":5,"balancers":1,"registry-mode":"pushed"}`
 
-// program is what deploy/balancer.toml builds, made once for all tests that start many processes.
+// program is what deploy/balancer.toml builds, made once for all tests, and the commands that it names.
 var program = struct {
-	once     sync.Once
-	dir, run string
+	once          sync.Once
+	dir, run, sim string
 }{}
 
 func TestMain(m *testing.M) {
@@ -37,28 +36,35 @@
 	os.Exit(code)
 }
 
-// build makes what deploy/balancer.toml builds, in a folder of the test's own, and returns the
-// commands that it names as run and sim.
-func build(t *testing.T) (dir, run, sim string) {
+// build makes what deploy/balancer.toml builds. Tests write nothing to its folder.
+func build(t *testing.T) {
 	t.Helper()
-	deploy, err := os.ReadFile("../../deploy/balancer.toml")
-	if err != nil {
-		t.Fatal(err)
-	}
-	command := func(key string) string {
-		m := regexp.MustCompile(`(?m)^` + key + ` = "(.*)"`).FindSubmatch(deploy)
-		if m == nil {
-			t.Fatalf("deploy/balancer.toml has no %s", key)
+	lookAtSources(t) // each test's result depends on them
+	program.once.Do(func() {
+		deploy, err := os.ReadFile("../../deploy/balancer.toml")
+		if err != nil {
+			t.Fatal(err)
 		}
-		return string(m[1])
-	}
-	lookAtSources(t)
-	dir = t.TempDir()
-	out, err := exec.Command("go", "build", "-o", filepath.Join(dir, "bin")+"/", "../...").CombinedOutput()
-	if err != nil {
-		t.Fatalf("%v\n%s", err, out)
+		command := func(key string) string {
+			m := regexp.MustCompile(`(?m)^` + key + ` = "(.*)"`).FindSubmatch(deploy)
+			if m == nil {
+				t.Fatalf("deploy/balancer.toml has no %s", key)
+			}
+			return string(m[1])
+		}
+		run, sim := command("run"), command("sim")
+		if program.dir, err = os.MkdirTemp("", "balancer"); err != nil {
+			t.Fatal(err)
+		}
+		out, err := exec.Command("go", "build", "-o", filepath.Join(program.dir, "bin")+"/", "../...").CombinedOutput()
+		if err != nil {
+			t.Fatalf("%v\n%s", err, out)
+		}
+		program.run, program.sim = run, sim
+	})
+	if program.run == "" {
+		t.Fatal("the program was not built")
 	}
-	return dir, command("run"), command("sim")
 }
 
 // lookAtSources has go test know what the program is built from: the test's own binary holds little of that,
@@ -81,33 +87,14 @@
 	}
 }
 
-// buildOnce is build for tests that write nothing to the folder.
-func buildOnce(t *testing.T) {
-	t.Helper()
-	program.once.Do(func() {
-		dir, run, _ := build(t)
-		kept, err := os.MkdirTemp("", "balancer")
-		if err != nil {
-			t.Fatal(err)
-		}
-		program.dir = kept
-		if err := os.Rename(filepath.Join(dir, "bin"), filepath.Join(kept, "bin")); err != nil {
-			t.Fatal(err)
-		}
-		program.run = run
-	})
-	if program.run == "" {
-		t.Fatal("the program was not built")
-	}
-}
-
 // process is one run of the program.
 type process struct {
 	cmd  *exec.Cmd
 	over chan struct{} // closed once it has ended
 
-	mu  sync.Mutex
-	log bytes.Buffer
+	mu    sync.Mutex
+	log   bytes.Buffer
+	heard int // bytes of the log that await is past
 }
 
 func (p *process) Write(text []byte) (int, error) {
@@ -122,6 +109,23 @@
 	return p.log.String()
 }
 
+// await waits for a text in the log behind those that it waited for before.
+func (p *process) await(t *testing.T, want string) {
+	t.Helper()
+	eventually(t, fmt.Sprintf("%q in the log", want), func() bool {
+		log := p.said()
+		at := strings.Index(log[p.heard:], want)
+		if at < 0 {
+			return !p.alive()
+		}
+		p.heard += at + len(want)
+		return true
+	})
+	if !strings.HasSuffix(p.said()[:p.heard], want) {
+		t.Fatalf("it ended without %q: %s", want, p.said())
+	}
+}
+
 // end signals the process, if it runs, and waits until it has ended.
 func (p *process) end(s syscall.Signal) {
 	p.cmd.Process.Signal(s)
@@ -228,51 +232,3 @@
 		"limits":{"cores":1,"memory_mb":192,"sockets":%d},"known":{"rev":1,"all":true,"targets":[%s]},"settings":%s}`,
 		listen, discovery, sockets, known, set)
 }
-
-// start runs the node with a configuration until it serves. It returns its log from then on.
-func start(t *testing.T, dir, run, config string) (cmd *exec.Cmd, address string, log <-chan string) {
-	t.Helper()
-	path := filepath.Join(dir, "config.json")
-	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	cmd = exec.Command("/bin/sh", "-c", run)
-	cmd.Dir, cmd.Env = dir, append(os.Environ(), "BALANCER_CONFIG="+path)
-	stderr, err := cmd.StderrPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { cmd.Process.Kill() })
-	said := make(chan string, 1000)
-	go func() {
-		defer close(said)
-		lines := bufio.NewScanner(stderr)
-		for lines.Scan() {
-			said <- lines.Text()
-		}
-	}()
-	serving := await(t, said, "msg=serving")
-	return cmd, regexp.MustCompile(`address=(\S+)`).FindStringSubmatch(serving)[1], said
-}
-
-// await returns the first line of a log that holds what is wanted.
-func await(t *testing.T, log <-chan string, want string) string {
-	t.Helper()
-	over := time.After(limit)
-	for {
-		select {
-		case line, ok := <-log:
-			if !ok {
-				t.Fatalf("the log ends without %q", want)
-			}
-			if strings.Contains(line, want) {
-				return line
-			}
-		case <-over:
-			t.Fatalf("the log never says %q", want)
-		}
-	}
-}
--- a/cmd/balancer/main_test.go
+++ b/cmd/balancer/main_test.go
@@ -2,12 +2,10 @@
 
 import (
 	"bufio"
-	"bytes"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"net/http/httptest"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -18,9 +16,9 @@
 )
 
 func TestSimStarts(t *testing.T) {
-	dir, _, sim := build(t)
-	cmd := exec.Command("/bin/sh", "-c", sim)
-	cmd.Dir, cmd.Stdin = dir, strings.NewReader("sync\t1\neob\n")
+	build(t)
+	cmd := exec.Command("/bin/sh", "-c", program.sim)
+	cmd.Dir, cmd.Stdin = program.dir, strings.NewReader("sync\t1\neob\n")
 	out, err := cmd.CombinedOutput()
 	if err != nil || string(out) != "yield\n" {
 		t.Fatalf("%v, output %q", err, out)
@@ -30,42 +28,14 @@
 // TestRunServesAndEndsOnSIGTERM runs the real program: it serves a request, is told to end while
 // another is out, answers that one too, and exits with 0.
 func TestRunServesAndEndsOnSIGTERM(t *testing.T) {
-	dir, run, _ := build(t)
-	hold, got := make(chan struct{}), make(chan struct{}, 1)
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if strings.HasSuffix(r.URL.Path, "/slow") {
-			got <- struct{}{}
-			<-hold
-		}
-		fmt.Fprint(w, "made by the server for ", r.Header.Get("X-Request-Id"))
-	}))
-	defer server.Close()
-	endpoint := strings.TrimPrefix(server.URL, "http://")
-	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		<-r.Context().Done() // nothing new
-	}))
-	defer discovery.Close()
-	config := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
-		"limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":{"rev":1,"all":true,"targets":[
-		{"uid":"s-1","endpoint":%q,"az":"a","model":"m","pod_group":0,"state":"in_service",
-		"capacity_hint":1,"boot_ms":0}]},"settings":%s}`,
-		strings.TrimPrefix(discovery.URL, "http://"), endpoint, settings)
-	cmd, address, _ := start(t, dir, run, config)
-	ask := func(id, key string) (string, error) {
-		req, _ := http.NewRequest("GET", "http://"+address+"/view/"+key, nil)
-		req.Header.Set("X-Request-Id", id)
-		req.Header.Set("X-Deadline", "40")
-		resp, err := http.DefaultClient.Do(req)
-		if err != nil {
-			return "", err
-		}
-		defer resp.Body.Close()
-		var body bytes.Buffer
-		_, err = body.ReadFrom(resp.Body)
-		return body.String(), err
-	}
-	if body, err := ask("one", "fast"); err != nil || body != "made by the server for one" {
-		t.Fatalf("got %q, %v", body, err)
+	build(t)
+	list, held, release := newHoldingServer(t)
+	d := newRegistry(t, 1, "", mute)
+	p := launch(t, nodeConfig("127.0.0.1:0", d.addr, list, "pushed", 1024), 0)
+	address := p.address(t)
+	fast := client{address: address, name: "fast"}
+	if status, body, err := fast.get("/view/fast"); err != nil || status != http.StatusOK || body != "for fast-1" {
+		t.Fatalf("got %d %q, %v", status, body, err)
 	}
 	idle, err := net.Dial("tcp", address)
 	if err != nil {
@@ -92,28 +62,26 @@
 		}
 		status = resp.StatusCode
 	}
-	type reply struct {
-		body string
-		err  error
-	}
-	slow := make(chan reply, 1)
+	answer := make(chan string, 1)
 	go func() {
-		body, err := ask("two", "slow")
-		slow <- reply{body, err}
+		slow := client{address: address, name: "slow"}
+		status, body, err := slow.get("/view/slow")
+		answer <- fmt.Sprint(status, " ", body, " ", err)
 	}()
-	<-got
-	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
+	waitFor(t, held, "the request to be in flight")
+	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := idle.Read(make([]byte, 1)); err != io.EOF { // it lets its idle callers go
+	if _, err := idle.Read(make([]byte, 1)); err != io.EOF { // it closes its idle connections
 		t.Fatalf("an idle connection after SIGTERM: %v", err)
 	}
-	close(hold)
-	if r := <-slow; r.err != nil || r.body != "made by the server for two" {
-		t.Fatalf("the request in flight: %q, %v", r.body, r.err)
+	release()
+	if got := <-answer; got != "200 for slow-1 <nil>" {
+		t.Fatalf("the request in flight: %s", got)
 	}
-	if err := cmd.Wait(); err != nil {
-		t.Fatalf("exit: %v", err)
+	<-p.over
+	if state := p.cmd.ProcessState; !state.Success() {
+		t.Fatalf("it ends with %v: %s", state, p.said())
 	}
 	if c, err := net.Dial("tcp", address); err == nil {
 		c.Close()
@@ -122,7 +90,8 @@
 }
 
 func TestBadConfigExitsWithOneLine(t *testing.T) {
-	dir, run, _ := build(t)
+	build(t)
+	dir := t.TempDir()
 	for name, text := range map[string]string{"missing": "", "cut": `{"listen":`, "empty": `{}`} {
 		path := filepath.Join(dir, name)
 		if text != "" {
@@ -130,8 +99,8 @@
 				t.Fatal(err)
 			}
 		}
-		cmd := exec.Command("/bin/sh", "-c", run)
-		cmd.Dir, cmd.Env = dir, append(os.Environ(), "BALANCER_CONFIG="+path)
+		cmd := exec.Command("/bin/sh", "-c", program.run)
+		cmd.Dir, cmd.Env = program.dir, append(os.Environ(), "BALANCER_CONFIG="+path)
 		out, err := cmd.CombinedOutput()
 		if err == nil || !strings.HasPrefix(string(out), "balancer: config: ") ||
 			strings.Count(string(out), "\n") != 1 {
--- a/cmd/balancer/reload_test.go
+++ b/cmd/balancer/reload_test.go
@@ -1,14 +1,8 @@
 package main
 
 import (
-	"bufio"
 	"fmt"
-	"io"
-	"net"
 	"net/http"
-	"net/http/httptest"
-	"os"
-	"path/filepath"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -22,17 +16,8 @@
 // bad. No answer is lost or spoilt, the last file is in force in the end, and a request that is out when the
 // node is told to end, among further signals, is answered.
 func TestManySIGHUPsUnderLoad(t *testing.T) {
-	buildOnce(t)
-	slow, hold := make(chan struct{}, 1), make(chan struct{})
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if strings.HasSuffix(r.URL.Path, "/slow") {
-			slow <- struct{}{}
-			<-hold
-		}
-		fmt.Fprint(w, "for ", r.Header.Get("X-Request-Id"))
-	}))
-	defer server.Close()
-	list := target("s-1", strings.TrimPrefix(server.URL, "http://"))
+	build(t)
+	list, held, release := newHoldingServer(t)
 	discoveries := []*registry{newRegistry(t, 5, list, none), newRegistry(t, 9, list, none)}
 	config := func(i int, extra string) string {
 		text := nodeConfig("127.0.0.1:0", discoveries[i%2].addr, list, "pushed", 256)
@@ -54,9 +39,9 @@
 			defer wg.Done()
 			c := client{address: address, name: fmt.Sprint("c", i)}
 			for !stop.Load() {
-				status, body, err := c.ask("/view/k")
-				if err != nil || status != http.StatusOK || body != fmt.Sprintf("for c%d-%d", i, c.asked) {
-					t.Errorf("caller %d, request %d: %d %q, %v", i, c.asked, status, body, err)
+				status, body, err := c.get("/view/k")
+				if err != nil || status != http.StatusOK || body != fmt.Sprintf("for c%d-%d", i, c.sent) {
+					t.Errorf("caller %d, request %d: %d %q, %v", i, c.sent, status, body, err)
 					return
 				}
 				answered.Add(1)
@@ -68,8 +53,8 @@
 		defer wg.Done()
 		c := client{address: address, name: "extra"}
 		for !stop.Load() {
-			status, body, err := c.ask("/extra/k")
-			if err != nil || status != http.StatusNotFound && (status != http.StatusOK || body != fmt.Sprint("for extra-", c.asked)) {
+			status, body, err := c.get("/extra/k")
+			if err != nil || status != http.StatusNotFound && (status != http.StatusOK || body != fmt.Sprint("for extra-", c.sent)) {
 				t.Errorf("class that comes and goes: %d %q, %v", status, body, err)
 				return
 			}
@@ -92,10 +77,10 @@
 	p.hup(t, config(1, "last"))
 	c := client{address: address, name: "last"}
 	eventually(t, "the last file to be in force", func() bool {
-		status, _, err := c.ask("/last/k")
+		status, _, err := c.get("/last/k")
 		return err == nil && status == http.StatusOK
 	})
-	if status, _, err := c.ask("/extra/k"); status != http.StatusNotFound {
+	if status, _, err := c.get("/extra/k"); status != http.StatusNotFound {
 		t.Errorf("the class that has gone: %d, %v", status, err)
 	}
 	stop.Store(true)
@@ -103,17 +88,17 @@
 	out := make(chan string, 1)
 	go func() {
 		c := client{address: address, name: "out"}
-		status, body, err := c.ask("/view/slow")
+		status, body, err := c.get("/view/slow")
 		out <- fmt.Sprint(status, " ", body, " ", err)
 	}()
-	<-slow
+	waitFor(t, held, "the request to be in flight")
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 10 {
 		p.hup(t, config(i, ""))
 	}
-	close(hold)
+	release()
 	if got := <-out; got != "200 for out-1 <nil>" {
 		t.Errorf("the request that was out: %s", got)
 	}
@@ -128,82 +113,39 @@
 // changes nothing, nor does the same once more, and a new one moves the node to the servers that another
 // discovery names. No request is lost, and the caller's connection is kept.
 func TestSIGHUPUnderLoad(t *testing.T) {
-	dir, run, _ := build(t)
-	list := func(name string) *httptest.Server {
-		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			fmt.Fprint(w, name)
-		}))
-		t.Cleanup(server.Close)
-		text := fmt.Sprintf(`{"rev":3,"all":true,"targets":[{"uid":%q,"endpoint":%q,"az":"a","model":"m",
-			"pod_group":0,"state":"in_service","capacity_hint":1,"boot_ms":0}]}`, name, strings.TrimPrefix(server.URL, "http://"))
-		discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if r.URL.RawQuery != "" {
-				<-r.Context().Done() // nothing new
-				return
-			}
-			fmt.Fprint(w, text)
-		}))
-		t.Cleanup(discovery.Close)
-		return discovery
-	}
-	old, next := list("old"), list("next")
-	config := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
-		"limits":{"cores":1,"memory_mb":64,"sockets":256},"settings":%s}`,
-		strings.TrimPrefix(old.URL, "http://"), settings)
-	cmd, address, log := start(t, dir, run, config)
-	c, err := net.Dial("tcp", address)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(4 * limit))
-	br := bufio.NewReader(c)
-	asked := 0
-	ask := func() string {
-		asked++
-		fmt.Fprintf(c, "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: r%d\r\nX-Deadline: 40\r\n\r\n", asked)
-		resp, err := http.ReadResponse(br, nil)
-		if err != nil {
-			t.Fatalf("request %d: %v", asked, err)
-		}
-		body, err := io.ReadAll(resp.Body)
-		if err != nil || resp.StatusCode != http.StatusOK {
-			t.Fatalf("request %d: %d %q, %v", asked, resp.StatusCode, body, err)
-		}
-		return string(body)
-	}
-	hup := func(text string) {
-		t.Helper()
-		if err := os.WriteFile(filepath.Join(dir, "config.json"), []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
-			t.Fatal(err)
-		}
-	}
-	for _, text := range []string{config[:len(config)/2], config} {
-		hup(text)
-		if text != config {
-			await(t, log, "the new configuration is bad")
-		} else {
-			await(t, log, "the configuration is read again")
+	build(t)
+	old := newRegistry(t, 3, newNamingServer(t, "old"), none)
+	next := newRegistry(t, 3, newNamingServer(t, "next"), none)
+	config := nodeConfig("127.0.0.1:0", old.addr, "", "pushed", 256)
+	p := launch(t, config, 0)
+	c := client{address: p.address(t), name: "c"}
+	defer c.close()
+	get := func() string {
+		status, body, err := c.get("/view/k")
+		if err != nil || status != http.StatusOK {
+			t.Fatalf("request %d: %d %q, %v", c.sent, status, body, err)
 		}
+		return body
+	}
+	for _, reload := range []struct{ config, log string }{
+		{config[:len(config)/2], "the new configuration is bad"},
+		{config, "the configuration is read again"},
+	} {
+		p.hup(t, reload.config)
+		p.await(t, reload.log)
 		for range 20 {
-			if body := ask(); body != "old" {
+			if body := get(); body != "old" {
 				t.Fatalf("served by %q", body)
 			}
 		}
 	}
-	hup(strings.Replace(config, strings.TrimPrefix(old.URL, "http://"), strings.TrimPrefix(next.URL, "http://"), 1))
-	for end := time.Now().Add(limit); ask() != "next"; {
-		if time.Now().After(end) {
-			t.Fatal("the new discovery's server gets nothing")
-		}
-	}
-	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Fatal(err)
+	p.hup(t, strings.Replace(config, old.addr, next.addr, 1))
+	eventually(t, "the new discovery's server to get a request", func() bool { return get() == "next" })
+	if c.dials != 1 {
+		t.Errorf("%d connections for one client, want 1", c.dials)
 	}
-	if err := cmd.Wait(); err != nil {
-		t.Fatalf("exit: %v", err)
+	p.end(syscall.SIGTERM)
+	if state := p.cmd.ProcessState; !state.Success() {
+		t.Fatalf("it ends with %v: %s", state, p.said())
 	}
 }
--- a/cmd/balancer/restart_test.go
+++ b/cmd/balancer/restart_test.go
@@ -42,7 +42,7 @@
 // processes is measured beside and added, five times over, so that what counts is the program's own waiting;
 // that is 1 s at most (firstWait), so that a machine several times slower passes, too.
 func TestRestartedFleetIsReadyInTime(t *testing.T) {
-	buildOnce(t)
+	build(t)
 	for row, mode := range []string{"pushed", "on_request"} {
 		for _, down := range []outage{none, mute, refusing} {
 			net := 1 + 3*row + int(down) // an address of its own for each node, so that no other socket gets its port
