--- a/internal/node/listparser_test.go
+++ b/internal/node/listparser_test.go
@@ -127,11 +127,11 @@
 		cfg := testConfig("")
 		cfg.Discovery = ag.Addr().String()
 		d := newDiscovery(cfg, -1, func(e event) { got = e.(listReceived).list.entries }, testLog())
-		if _, err := d.watchOnce(t.Context(), d.address(), false); (err == nil) != (c.want > 0) || len(got) != c.want {
+		if _, err := d.watchOnce(t.Context(), d.currentAddress(), false); (err == nil) != (c.want > 0) || len(got) != c.want {
 			t.Errorf("%s: %d servers, %v, want %d", c.name, len(got), err, c.want)
 		}
-		if held := d.address().version >= 0; held != (c.want > 0) {
-			t.Errorf("%s: rev %d is held", c.name, d.address().version)
+		if held := d.currentAddress().version >= 0; held != (c.want > 0) {
+			t.Errorf("%s: rev %d is held", c.name, d.currentAddress().version)
 		}
 	}
 }
@@ -155,8 +155,8 @@
 		cfg := testConfig("")
 		cfg.Discovery, cfg.Settings.PollDiscovery = agent.addr(), true
 		d := newDiscovery(cfg, 7, func(e event) { t.Errorf("%s: posted %v", c.name, e) }, testLog())
-		if _, err := d.watchOnce(t.Context(), d.address(), false); err == nil || d.address().version != c.want {
-			t.Errorf("%s: %v; rev %d is held, want %d", c.name, err, d.address().version, c.want)
+		if _, err := d.watchOnce(t.Context(), d.currentAddress(), false); err == nil || d.currentAddress().version != c.want {
+			t.Errorf("%s: %v; rev %d is held, want %d", c.name, err, d.currentAddress().version, c.want)
 		}
 	}
 }
@@ -197,8 +197,8 @@
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			l, back := bootLoop(b, newMachine(), true), testBackend(10)
 			all := parsedList(b, manyServers(servers, "", false))
-			l.convertBoots(all.entries)
-			l.apply(all)
+			l.setStartTimes(all.entries)
+			l.applyEntries(all)
 			back.updateEndpoints(all.entries, true)
 			var changes [2]endpointList
 			for i, state := range []balancer.EndpointState{balancer.Draining, balancer.Ready} {
@@ -209,11 +209,11 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				news := changes[i%2]
-				l.convertBoots(news.entries)
+				l.setStartTimes(news.entries)
 				if l.isUnchanged(news) {
 					b.Fatal("no change")
 				}
-				l.apply(news)
+				l.applyEntries(news)
 				back.updateEndpoints(news.entries, false)
 			}
 		})
