--- a/admission_test.go
+++ b/admission_test.go
@@ -51,7 +51,7 @@
 			open = append(open, sends(b.Handle(now, Request{ID: fmt.Sprint(i), Class: "get", Deadline: now + time.Second}))...)
 			for len(open) > 0 && b.requests[open[0].ID].attempts[0].sent+tc.took <= now {
 				s := open[0]
-				open = append(open[1:], sends(settle(b, now, s.ID, s, Success))...)
+				open = append(open[1:], sends(endAttempt(b, now, s.ID, s, Success))...)
 			}
 		}
 		if grew := b.window > start; grew != tc.grow && tc.grow || b.window < windowFloor*b.fairServers() {
@@ -64,7 +64,7 @@
 }
 
 // steered is the window after many alike outcomes, each after share of what is aimed at, from 100.
-func steered(t *testing.T, shed float64, ending AttemptResult, after func(*class) float64) float64 {
+func windowAfter(t *testing.T, shed float64, ending AttemptResult, after func(*class) float64) float64 {
 	t.Helper()
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
@@ -81,7 +81,7 @@
 // While much is shed some servers choke for certain, so the window gets leaner.
 func TestWindowIsLeanerWhileMuchIsShed(t *testing.T) {
 	late := func(c *class) float64 { return 0.95 * c.target(0) }
-	calm, shedding := steered(t, 0, Success, late), steered(t, 0.8, Success, late)
+	calm, shedding := windowAfter(t, 0, Success, late), windowAfter(t, 0.8, Success, late)
 	if calm <= 100 || shedding >= 100 {
 		t.Errorf("window from 100: nothing shed %.1f, want growth; much shed %.1f, want shrinking", calm, shedding)
 	}
@@ -91,11 +91,11 @@
 // keeps itself up; spoilt answers and errors are no sign of a crowd.
 func TestSheddingDoesNotKeepItselfUp(t *testing.T) {
 	idle := func(c *class) float64 { return 1.05 * c.base }
-	if w := steered(t, 1, Success, idle); w <= 100 {
+	if w := windowAfter(t, 1, Success, idle); w <= 100 {
 		t.Errorf("idle servers' answers moved the window from 100 to %.1f", w)
 	}
 	for _, e := range []AttemptResult{ConnectionLost, ServerError} {
-		if w := steered(t, 0, e, idle); w != 100 {
+		if w := windowAfter(t, 0, e, idle); w != 100 {
 			t.Errorf("ending %v moved the window from 100 to %.1f", e, w)
 		}
 	}
@@ -111,7 +111,7 @@
 		now := time.Duration(i) * 33 * msec
 		for len(open) > 0 && b.requests[open[0].ID].attempts[0].sent+100*msec <= now {
 			s := open[0]
-			open = append(open[1:], sends(settle(b, now, s.ID, s, Success))...)
+			open = append(open[1:], sends(endAttempt(b, now, s.ID, s, Success))...)
 		}
 		open = append(open, sends(b.Handle(now, Request{ID: fmt.Sprint(i), Class: "get", Deadline: now + time.Second}))...)
 	}
@@ -178,7 +178,7 @@
 	b.classes["get"].LateValue = 0.5
 	b.inFlight = int(windowFloor*b.fairServers()) + 2
 	b.window = float64(b.inFlight) // one comes free by the next answer
-	next := sends(settle(b, 10*msec, "a", first[0], Success))
+	next := sends(endAttempt(b, 10*msec, "a", first[0], Success))
 	if len(next) == 0 || next[0].ID != "new" {
 		t.Errorf("after an answer %v was sent", next)
 	}
--- a/cmd/balancer/clients_test.go
+++ b/cmd/balancer/clients_test.go
@@ -70,7 +70,7 @@
 	t.Helper()
 	server := httptest.NewServer(handle)
 	t.Cleanup(server.Close)
-	return target(name, strings.TrimPrefix(server.URL, "http://"))
+	return listEntry(name, strings.TrimPrefix(server.URL, "http://"))
 }
 
 // newNamingServer starts a server that answers with its name.
@@ -98,21 +98,21 @@
 // crowd is idle clients: each connects, does what its kind does, and stays until the node ends the
 // connection; then it comes again.
 type crowd struct {
-	address string
-	kind    string
-	turns   chan struct{} // one for each connection to be made
-	stop    chan struct{}
-	wg      sync.WaitGroup
-	ended   atomic.Int64 // connections that the node has ended
-	asking  atomic.Int64 // requests that are not answered
-	quiet   atomic.Bool  // no request is sent any more
+	address  string
+	kind     string
+	permits  chan struct{} // one for each connection to be made
+	stop     chan struct{}
+	wg       sync.WaitGroup
+	ended    atomic.Int64 // connections that the node has ended
+	inFlight atomic.Int64 // requests that are not answered
+	resting  atomic.Bool  // no request is sent any more
 
 	mu    sync.Mutex
 	conns map[net.Conn]struct{}
 }
 
 // come is one connection of a client.
-func (c *crowd) come(n int) {
+func (c *crowd) connect(n int) {
 	nc, err := net.Dial("tcp", c.address)
 	if err != nil {
 		return
@@ -135,12 +135,12 @@
 	case "half":
 		io.WriteString(nc, "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Req")
 	case "resting":
-		c.asking.Add(1) // before the look at quiet: whoever finds no one asking after it was set can rely on that
-		if !c.quiet.Load() {
+		c.inFlight.Add(1) // before the look at quiet: whoever finds no one asking after it was set can rely on that
+		if !c.resting.Load() {
 			fmt.Fprintf(nc, "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: idle-%p-%d\r\nX-Deadline: 40\r\n\r\n", nc, n)
 			nc.Read(make([]byte, 1))
 		}
-		c.asking.Add(-1)
+		c.inFlight.Add(-1)
 	}
 	io.Copy(io.Discard, nc) // until the node ends it
 	c.mu.Lock()
@@ -151,18 +151,18 @@
 
 // Connections of a crowd: all at once at first, then one each time, and no more than so many in all.
 const (
-	comeAgain = 2 * time.Millisecond
-	mostTurns = 20_000
+	reconnectInterval = 2 * time.Millisecond
+	maxConnects       = 20_000
 )
 
 // gather has many idle clients come at once, and come again for as long as the test runs.
-func gather(t *testing.T, address, kind string, many int) *crowd {
+func newCrowd(t *testing.T, address, kind string, many int) *crowd {
 	c := &crowd{
-		address: address, kind: kind, turns: make(chan struct{}, many), stop: make(chan struct{}),
+		address: address, kind: kind, permits: make(chan struct{}, many), stop: make(chan struct{}),
 		conns: map[net.Conn]struct{}{},
 	}
 	for i := range many {
-		c.turns <- struct{}{}
+		c.permits <- struct{}{}
 		c.wg.Add(1)
 		go func() {
 			defer c.wg.Done()
@@ -170,8 +170,8 @@
 				select {
 				case <-c.stop:
 					return
-				case <-c.turns:
-					c.come(n)
+				case <-c.permits:
+					c.connect(n)
 				}
 			}
 		}()
@@ -179,16 +179,16 @@
 	c.wg.Add(1)
 	go func() {
 		defer c.wg.Done()
-		again := time.NewTicker(comeAgain)
+		again := time.NewTicker(reconnectInterval)
 		defer again.Stop()
-		for range mostTurns - many {
+		for range maxConnects - many {
 			select {
 			case <-c.stop:
 				return
 			case <-again.C:
 			}
 			select {
-			case c.turns <- struct{}{}:
+			case c.permits <- struct{}{}:
 			default: // all are there
 			}
 		}
@@ -206,7 +206,7 @@
 }
 
 // descriptors is how many a process holds.
-func descriptors(t *testing.T, pid int) int {
+func openDescriptors(t *testing.T, pid int) int {
 	t.Helper()
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
--- a/cmd/balancer/descriptors_test.go
+++ b/cmd/balancer/descriptors_test.go
@@ -13,18 +13,18 @@
 
 // mostUsed is how many descriptors a node may use: callers and servers leave it 24, of which it has six of its
 // own (listener, poller, log) and at most eight connections to discovery.
-func mostUsed(sockets int) int { return sockets - 24 + 6 + 8 }
+func maxDescriptors(sockets int) int { return sockets - 24 + 6 + 8 }
 
 // leastFree of these are free while the node has no connection to a server: their share, a quarter of all but 48.
-func leastFree(sockets int) int { return (sockets - 48) / 4 }
+func minFreeDescriptors(sockets int) int { return (sockets - 48) / 4 }
 
 // A good client may have so many connections shut unread by a crowded node before it is served, and pauses
 // after each. A node that makes room needs a fifth of a second of these pauses at most, for that long half a
 // request is spared; their sum is longer, and on a busy machine longer still. One that waits for its idle
 // clients to time out needs 2.5 s.
 const (
-	mostShut = 100
-	pause    = 10 * time.Millisecond
+	maxClosed = 100
+	pause     = 10 * time.Millisecond
 )
 
 // TestIdleClientsKeepNobodyOut fills a node's descriptors with idle clients while discovery is down.
@@ -40,14 +40,14 @@
 	for _, sockets := range []int{64, 256, 1024} {
 		for _, kind := range []string{"silent", "half", "resting", "mixed"} {
 			for _, mode := range []string{"pushed", "on_request"} {
-				for _, down := range []outage{mute, refusing} {
+				for _, down := range []registryState{unresponsive, refusing} {
 					begin := beginnings[row%len(beginnings)]
 					if row++; begin == "nothing" && kind == "resting" {
 						begin = "known"
 					}
 					t.Run(fmt.Sprintf("%d/%s/%s/%v/%s", sockets, kind, mode, down, begin), func(t *testing.T) {
 						t.Parallel()
-						keepsNobodyOut(t, sockets, kind, mode, down, begin, old, next)
+						checkIdleClients(t, sockets, kind, mode, down, begin, old, next)
 					})
 				}
 			}
@@ -55,8 +55,8 @@
 	}
 }
 
-func keepsNobodyOut(t *testing.T, sockets int, kind, mode string, down outage, begin, old, next string) {
-	d := newRegistry(t, 5, old, map[bool]outage{true: none, false: down}[begin == "told"])
+func checkIdleClients(t *testing.T, sockets int, kind, mode string, down registryState, begin, old, next string) {
+	d := newRegistry(t, 5, old, map[bool]registryState{true: available, false: down}[begin == "told"])
 	known := map[bool]string{true: old}[begin == "known"]
 	p := launch(t, nodeConfig("127.0.0.1:0", d.addr, known, mode, sockets), sockets)
 	address := p.address(t)
@@ -66,27 +66,27 @@
 		}
 	}
 	if begin == "told" {
-		waitFor(t, d.tells(5), "the first list to be taken")
-		d.is(t, 5, old, down)
+		waitFor(t, d.fetched(5), "the first list to be taken")
+		d.set(t, 5, old, down)
 	}
 	const beyond = 100
-	idle := gather(t, address, kind, sockets+beyond)
+	idle := newCrowd(t, address, kind, sockets+beyond)
 	most := 0
 	watch := func() {
-		most = max(most, descriptors(t, p.cmd.Process.Pid))
+		most = max(most, openDescriptors(t, p.cmd.Process.Pid))
 	}
 	eventually(t, "the node to hold as many as it will", func() bool {
 		watch()
 		return idle.ended.Load() >= beyond
 	})
-	idle.quiet.Store(true)
-	eventually(t, "the idle clients to rest", func() bool { return idle.asking.Load() == 0 || begin == "nothing" })
-	if begin == "nothing" && most > mostUsed(sockets)-leastFree(sockets) {
+	idle.resting.Store(true)
+	eventually(t, "the idle clients to rest", func() bool { return idle.inFlight.Load() == 0 || begin == "nothing" })
+	if begin == "nothing" && most > maxDescriptors(sockets)-minFreeDescriptors(sockets) {
 		t.Errorf("%d of %d descriptors were in use before the first server was known", most, sockets)
 	}
-	back := d.tells(6)
+	back := d.fetched(6)
 	since := time.Now()
-	d.is(t, 6, next, none)
+	d.set(t, 6, next, available)
 	eventually(t, "the list to be taken", func() bool {
 		watch()
 		select {
@@ -98,7 +98,7 @@
 	})
 	took := time.Since(since)
 	// What was held is answered, and the node is not full of requests any more.
-	eventually(t, "the idle clients to rest", func() bool { return idle.asking.Load() == 0 })
+	eventually(t, "the idle clients to rest", func() bool { return idle.inFlight.Load() == 0 })
 	shut := 0
 	for ; ; shut++ {
 		if shut > 0 {
@@ -111,16 +111,16 @@
 			}
 			break
 		}
-		if shut == mostShut {
+		if shut == maxClosed {
 			t.Errorf("%d connections were shut unread: %v", shut, err)
 			break
 		}
 	}
 	watch()
-	if most > mostUsed(sockets) {
+	if most > maxDescriptors(sockets) {
 		t.Errorf("%d of %d descriptors were in use", most, sockets)
 	}
-	if log := p.said(); !p.alive() || strings.Contains(log, "too many open files") {
+	if log := p.logText(); !p.alive() || strings.Contains(log, "too many open files") {
 		t.Errorf("running: %v, log:\n%s", p.alive(), log)
 	}
 	t.Logf("list taken after %v, %d shut, at most %d of %d descriptors", took, shut, most, sockets)
@@ -150,29 +150,29 @@
 				p := launch(t, nodeConfig("127.0.0.1:0", d.addr, "", mode, sockets), sockets)
 				address := p.address(t)
 				room := sockets - 48
-				held := gather(t, address, "resting", room/2)
-				eventually(t, "the requests to be sent", func() bool { return held.asking.Load() == int64(room/2) })
-				held.quiet.Store(true)
-				idle := gather(t, address, kind, sockets+100)
+				held := newCrowd(t, address, "resting", room/2)
+				eventually(t, "the requests to be sent", func() bool { return held.inFlight.Load() == int64(room/2) })
+				held.resting.Store(true)
+				idle := newCrowd(t, address, kind, sockets+100)
 				most := 0
-				look := func() { most = max(most, descriptors(t, p.cmd.Process.Pid)) }
+				look := func() { most = max(most, openDescriptors(t, p.cmd.Process.Pid)) }
 				eventually(t, "the node to hold as many as it will", func() bool {
 					look()
 					return idle.ended.Load() >= 100
 				})
-				if most > mostUsed(sockets)-leastFree(sockets) {
+				if most > maxDescriptors(sockets)-minFreeDescriptors(sockets) {
 					t.Errorf("%d of %d descriptors were in use before the first server was known", most, sockets)
 				}
 				var list []string // so many servers that the node admits all requests at once
 				for i := range room / 2 {
-					list = append(list, target(fmt.Sprint("next-", i), strings.TrimPrefix(s.URL, "http://")))
+					list = append(list, listEntry(fmt.Sprint("next-", i), strings.TrimPrefix(s.URL, "http://")))
 				}
-				d.is(t, 6, strings.Join(list, ","), none)
+				d.set(t, 6, strings.Join(list, ","), available)
 				eventually(t, "the server to get its share", func() bool {
 					look()
-					return came.Load() >= int64(leastFree(sockets)) || held.asking.Load() == 0
+					return came.Load() >= int64(minFreeDescriptors(sockets)) || held.inFlight.Load() == 0
 				})
-				if got := came.Load(); got < int64(leastFree(sockets)) {
+				if got := came.Load(); got < int64(minFreeDescriptors(sockets)) {
 					t.Errorf("%d of %d requests came to the server; the others were refused", got, room/2)
 				}
 				for range 200 { // all others have been decided on with these; a busy machine sees less, and passes
@@ -182,12 +182,12 @@
 				release()
 				eventually(t, "each request to be answered", func() bool {
 					look()
-					return held.asking.Load() == 0
+					return held.inFlight.Load() == 0
 				})
-				if most > mostUsed(sockets) {
+				if most > maxDescriptors(sockets) {
 					t.Errorf("%d of %d descriptors were in use", most, sockets)
 				}
-				if log := p.said(); !p.alive() || strings.Contains(log, "too many open files") {
+				if log := p.logText(); !p.alive() || strings.Contains(log, "too many open files") {
 					t.Errorf("running: %v, log:\n%s", p.alive(), log)
 				}
 				t.Logf("%d of %d came, at most %d of %d descriptors", came.Load(), room/2, most, sockets)
--- a/cmd/balancer/helpers_test.go
+++ b/cmd/balancer/helpers_test.go
@@ -39,7 +39,7 @@
 // build makes what deploy/balancer.toml builds. Tests write nothing to its folder.
 func build(t *testing.T) {
 	t.Helper()
-	lookAtSources(t) // each test's result depends on them
+	readSources(t) // each test's result depends on them
 	program.once.Do(func() {
 		deploy, err := os.ReadFile("../../deploy/balancer.toml")
 		if err != nil {
@@ -69,7 +69,7 @@
 
 // lookAtSources has go test know what the program is built from: the test's own binary holds little of that,
 // and a result kept from before a change would stand for the changed program.
-func lookAtSources(t *testing.T) {
+func readSources(t *testing.T) {
 	t.Helper()
 	err := filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
 		switch {
@@ -89,12 +89,12 @@
 
 // process is one run of the program.
 type process struct {
-	cmd  *exec.Cmd
-	over chan struct{} // closed once it has ended
+	cmd   *exec.Cmd
+	ended chan struct{} // closed once it has ended
 
-	mu    sync.Mutex
-	log   bytes.Buffer
-	heard int // bytes of the log that await is past
+	mu      sync.Mutex
+	log     bytes.Buffer
+	awaited int // bytes of the log that await is past
 }
 
 func (p *process) Write(text []byte) (int, error) {
@@ -103,7 +103,7 @@
 	return p.log.Write(text)
 }
 
-func (p *process) said() string {
+func (p *process) logText() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.String()
@@ -113,29 +113,29 @@
 func (p *process) await(t *testing.T, want string) {
 	t.Helper()
 	eventually(t, fmt.Sprintf("%q in the log", want), func() bool {
-		log := p.said()
-		at := strings.Index(log[p.heard:], want)
+		log := p.logText()
+		at := strings.Index(log[p.awaited:], want)
 		if at < 0 {
 			return !p.alive()
 		}
-		p.heard += at + len(want)
+		p.awaited += at + len(want)
 		return true
 	})
-	if !strings.HasSuffix(p.said()[:p.heard], want) {
-		t.Fatalf("it ended without %q: %s", want, p.said())
+	if !strings.HasSuffix(p.logText()[:p.awaited], want) {
+		t.Fatalf("it ended without %q: %s", want, p.logText())
 	}
 }
 
 // end signals the process, if it runs, and waits until it has ended.
 func (p *process) end(s syscall.Signal) {
 	p.cmd.Process.Signal(s)
-	<-p.over
+	<-p.ended
 }
 
 // alive says that the process has not ended.
 func (p *process) alive() bool {
 	select {
-	case <-p.over:
+	case <-p.ended:
 		return false
 	default:
 		return true
@@ -147,17 +147,17 @@
 	t.Helper()
 	var found []string
 	eventually(t, "the program to serve", func() bool {
-		found = servingAt.FindStringSubmatch(p.said())
+		found = servingAt.FindStringSubmatch(p.logText())
 		return found != nil || !p.alive()
 	})
 	if found == nil {
-		t.Fatalf("it ended: %s", p.said())
+		t.Fatalf("it ended: %s", p.logText())
 	}
 	return found[1]
 }
 
 // hup replaces a process's configuration as a whole, and tells it.
-func (p *process) hup(t *testing.T, config string) {
+func (p *process) reload(t *testing.T, config string) {
 	t.Helper()
 	path := strings.TrimPrefix(p.cmd.Env[len(p.cmd.Env)-1], "BALANCER_CONFIG=")
 	if err := os.WriteFile(path+".new", []byte(config), 0o600); err != nil {
@@ -182,7 +182,7 @@
 	if sockets > 0 {
 		text = fmt.Sprintf("ulimit -n %d; %s", sockets, text)
 	}
-	p := &process{cmd: exec.Command("/bin/sh", "-c", text), over: make(chan struct{})}
+	p := &process{cmd: exec.Command("/bin/sh", "-c", text), ended: make(chan struct{})}
 	p.cmd.Dir, p.cmd.Env = program.dir, append(os.Environ(), "BALANCER_CONFIG="+path)
 	p.cmd.Stdout, p.cmd.Stderr = p, p
 	if err := p.cmd.Start(); err != nil {
@@ -190,7 +190,7 @@
 	}
 	go func() {
 		p.cmd.Wait()
-		close(p.over)
+		close(p.ended)
 	}()
 	t.Cleanup(func() { p.end(syscall.SIGKILL) })
 	return p
@@ -219,7 +219,7 @@
 }
 
 // target is a server's entry in a list.
-func target(uid, endpoint string) string {
+func listEntry(uid, endpoint string) string {
 	return fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":"a","model":"m","pod_group":0,"state":"in_service",
 		"capacity_hint":1,"boot_ms":0}`, uid, endpoint)
 }
--- a/cmd/balancer/main_test.go
+++ b/cmd/balancer/main_test.go
@@ -30,7 +30,7 @@
 func TestRunServesAndEndsOnSIGTERM(t *testing.T) {
 	build(t)
 	list, held, release := newHoldingServer(t)
-	d := newRegistry(t, 1, "", mute)
+	d := newRegistry(t, 1, "", unresponsive)
 	p := launch(t, nodeConfig("127.0.0.1:0", d.addr, list, "pushed", 1024), 0)
 	address := p.address(t)
 	fast := client{address: address, name: "fast"}
@@ -79,9 +79,9 @@
 	if got := <-answer; got != "200 for slow-1 <nil>" {
 		t.Fatalf("the request in flight: %s", got)
 	}
-	<-p.over
+	<-p.ended
 	if state := p.cmd.ProcessState; !state.Success() {
-		t.Fatalf("it ends with %v: %s", state, p.said())
+		t.Fatalf("it ends with %v: %s", state, p.logText())
 	}
 	if c, err := net.Dial("tcp", address); err == nil {
 		c.Close()
--- a/cmd/balancer/registry_test.go
+++ b/cmd/balancer/registry_test.go
@@ -13,13 +13,13 @@
 )
 
 // outage is what discovery is like while it is down.
-type outage int
+type registryState int
 
-func (o outage) String() string { return [...]string{"up", "mute", "refusing"}[o] }
+func (o registryState) String() string { return [...]string{"up", "mute", "refusing"}[o] }
 
 const (
-	none outage = iota
-	mute        // calls are accepted and never answered, not even after its return
+	available    registryState = iota
+	unresponsive               // calls are accepted and never answered, not even after its return
 	refusing
 )
 
@@ -28,20 +28,20 @@
 	addr string
 	fd   int
 
-	mu     sync.Mutex
-	server *http.Server // nil while it refuses
-	down   outage
-	rev    int
-	list   string
-	heard  map[int]chan struct{} // closed when a call from that version comes, so that its list has been taken
+	mu         sync.Mutex
+	server     *http.Server // nil while it refuses
+	state      registryState
+	version    int
+	list       string
+	calledFrom map[int]chan struct{} // closed when a call from that version comes, so that its list has been taken
 }
 
 // is changes what discovery has to tell, and whether it tells it.
-func (d *registry) is(t *testing.T, rev int, list string, down outage) {
+func (d *registry) set(t *testing.T, rev int, list string, down registryState) {
 	t.Helper()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.rev, d.list, d.down = rev, list, down
+	d.version, d.list, d.state = rev, list, down
 	switch {
 	case down == refusing && d.server != nil:
 		syscall.Shutdown(d.fd, syscall.SHUT_RDWR) // it listens no more, and stays bound
@@ -67,13 +67,13 @@
 }
 
 // tells is closed once a node has taken the list of a version, and calls for what is newer.
-func (d *registry) tells(rev int) chan struct{} {
+func (d *registry) fetched(rev int) chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.heard[rev] == nil {
-		d.heard[rev] = make(chan struct{})
+	if d.calledFrom[rev] == nil {
+		d.calledFrom[rev] = make(chan struct{})
 	}
-	return d.heard[rev]
+	return d.calledFrom[rev]
 }
 
 func (d *registry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -81,30 +81,30 @@
 	if err != nil {
 		from = -1
 	}
-	heard := d.tells(from)
+	heard := d.fetched(from)
 	d.mu.Lock()
 	select {
 	case <-heard:
 	default:
 		close(heard)
 	}
-	down, rev, list := d.down, d.rev, d.list
+	down, rev, list := d.state, d.version, d.list
 	d.mu.Unlock()
 	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
-	if down == none && from != rev {
+	if down == available && from != rev {
 		fmt.Fprintf(w, `{"rev":%d,"all":true,"targets":[%s]}`, rev, list)
 		return
 	}
-	if down == none {
+	if down == available {
 		over := time.NewTimer(time.Duration(hold) * time.Millisecond)
 		defer over.Stop()
 		select {
 		case <-r.Context().Done():
 		case <-over.C:
 			d.mu.Lock()
-			down = d.down
+			down = d.state
 			d.mu.Unlock()
-			if down == none {
+			if down == available {
 				fmt.Fprintf(w, `{"rev":%d,"all":false,"targets":[]}`, rev)
 				return
 			}
@@ -113,7 +113,7 @@
 	<-r.Context().Done()
 }
 
-func newRegistry(t *testing.T, rev int, list string, down outage) *registry {
+func newRegistry(t *testing.T, rev int, list string, down registryState) *registry {
 	t.Helper()
 	// The kernel keeps a port for a socket that listens no more only if it was bound to that port by number.
 	bound := func(port int) (int, int, error) {
@@ -144,10 +144,10 @@
 		fd, port, err = bound(number)
 		return err == nil
 	})
-	d := &registry{fd: fd, addr: fmt.Sprintf("127.0.0.1:%d", port), heard: map[int]chan struct{}{}}
-	d.is(t, rev, list, down)
+	d := &registry{fd: fd, addr: fmt.Sprintf("127.0.0.1:%d", port), calledFrom: map[int]chan struct{}{}}
+	d.set(t, rev, list, down)
 	t.Cleanup(func() {
-		d.is(t, rev, list, refusing)
+		d.set(t, rev, list, refusing)
 		syscall.Close(fd)
 	})
 	return d
--- a/cmd/balancer/reload_test.go
+++ b/cmd/balancer/reload_test.go
@@ -18,7 +18,7 @@
 func TestManySIGHUPsUnderLoad(t *testing.T) {
 	build(t)
 	list, held, release := newHoldingServer(t)
-	discoveries := []*registry{newRegistry(t, 5, list, none), newRegistry(t, 9, list, none)}
+	discoveries := []*registry{newRegistry(t, 5, list, available), newRegistry(t, 9, list, available)}
 	config := func(i int, extra string) string {
 		text := nodeConfig("127.0.0.1:0", discoveries[i%2].addr, list, "pushed", 256)
 		text = strings.Replace(text, `"deadline-ms":40000`, fmt.Sprintf(`"deadline-ms":%d`, 40000-i%3*1000), 1)
@@ -65,16 +65,16 @@
 		if i%5 == 4 {
 			text = strings.Replace(text, `"target-ms":20000`, `"target-ms":-1`, 1)
 		}
-		p.hup(t, text)
+		p.reload(t, text)
 		for seen := answered.Load(); i%10 == 9 && answered.Load() < seen+100 && !t.Failed(); { // under load
 			time.Sleep(time.Millisecond)
 		}
 	}
-	p.hup(t, strings.Replace(config(0, ""), `"target-ms":20000`, `"target-ms":-1`, 1))
+	p.reload(t, strings.Replace(config(0, ""), `"target-ms":20000`, `"target-ms":-1`, 1))
 	eventually(t, "the bad file to be named", func() bool {
-		return strings.Contains(p.said(), "the old one stays") && strings.Contains(p.said(), "LatencyObjective")
+		return strings.Contains(p.logText(), "the old one stays") && strings.Contains(p.logText(), "LatencyObjective")
 	})
-	p.hup(t, config(1, "last"))
+	p.reload(t, config(1, "last"))
 	c := client{address: address, name: "last"}
 	eventually(t, "the last file to be in force", func() bool {
 		status, _, err := c.get("/last/k")
@@ -96,17 +96,17 @@
 		t.Fatal(err)
 	}
 	for i := range 10 {
-		p.hup(t, config(i, ""))
+		p.reload(t, config(i, ""))
 	}
 	release()
 	if got := <-out; got != "200 for out-1 <nil>" {
 		t.Errorf("the request that was out: %s", got)
 	}
-	<-p.over
+	<-p.ended
 	if state := p.cmd.ProcessState; !state.Success() {
-		t.Errorf("it ends with %v: %s", state, p.said())
+		t.Errorf("it ends with %v: %s", state, p.logText())
 	}
-	t.Logf("%d answers, and %d times in force", answered.Load(), strings.Count(p.said(), "is in force"))
+	t.Logf("%d answers, and %d times in force", answered.Load(), strings.Count(p.logText(), "is in force"))
 }
 
 // TestSIGHUPUnderLoad replaces the file while requests are under way: a broken one is logged and
@@ -114,8 +114,8 @@
 // discovery names. No request is lost, and the caller's connection is kept.
 func TestSIGHUPUnderLoad(t *testing.T) {
 	build(t)
-	old := newRegistry(t, 3, newNamingServer(t, "old"), none)
-	next := newRegistry(t, 3, newNamingServer(t, "next"), none)
+	old := newRegistry(t, 3, newNamingServer(t, "old"), available)
+	next := newRegistry(t, 3, newNamingServer(t, "next"), available)
 	config := nodeConfig("127.0.0.1:0", old.addr, "", "pushed", 256)
 	p := launch(t, config, 0)
 	c := client{address: p.address(t), name: "c"}
@@ -131,7 +131,7 @@
 		{config[:len(config)/2], "the new configuration is bad"},
 		{config, "the configuration is read again"},
 	} {
-		p.hup(t, reload.config)
+		p.reload(t, reload.config)
 		p.await(t, reload.log)
 		for range 20 {
 			if body := get(); body != "old" {
@@ -139,13 +139,13 @@
 			}
 		}
 	}
-	p.hup(t, strings.Replace(config, old.addr, next.addr, 1))
+	p.reload(t, strings.Replace(config, old.addr, next.addr, 1))
 	eventually(t, "the new discovery's server to get a request", func() bool { return get() == "next" })
 	if c.dials != 1 {
 		t.Errorf("%d connections for one client, want 1", c.dials)
 	}
 	p.end(syscall.SIGTERM)
 	if state := p.cmd.ProcessState; !state.Success() {
-		t.Fatalf("it ends with %v: %s", state, p.said())
+		t.Fatalf("it ends with %v: %s", state, p.logText())
 	}
 }
--- a/cmd/balancer/restart_test.go
+++ b/cmd/balancer/restart_test.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	fleetSize = 20
-	readyIn   = 10 * time.Second // in which nine in ten of the restarted have to be ready
+	fleetSize   = 20
+	readyWithin = 10 * time.Second // in which nine in ten of the restarted have to be ready
 )
 
 // bareStart is how long this machine takes now to start and end as many processes of the program as a fleet
 // has, each of which finds no configuration.
-func bareStart(t *testing.T) time.Duration {
+func measureStart(t *testing.T) time.Duration {
 	t.Helper()
 	begin := time.Now()
 	var all []*exec.Cmd
@@ -44,11 +44,11 @@
 func TestRestartedFleetIsReadyInTime(t *testing.T) {
 	build(t)
 	for row, mode := range []string{"pushed", "on_request"} {
-		for _, down := range []outage{none, mute, refusing} {
+		for _, down := range []registryState{available, unresponsive, refusing} {
 			net := 1 + 3*row + int(down) // an address of its own for each node, so that no other socket gets its port
 			t.Run(fmt.Sprintf("%s/%v", mode, down), func(t *testing.T) {
 				t.Parallel()
-				list := target("s-1", "127.0.0.1:9")
+				list := listEntry("s-1", "127.0.0.1:9")
 				d := newRegistry(t, 5, list, down)
 				fleet, at := make([]*process, fleetSize), make([]string, fleetSize)
 				for i := range fleet {
@@ -62,9 +62,9 @@
 						p.cmd.Process.Signal(end)
 					}
 					for _, p := range fleet {
-						<-p.over
+						<-p.ended
 					}
-					allowed := readyIn + 5*bareStart(t)
+					allowed := readyWithin + 5*measureStart(t)
 					begin := time.Now()
 					took := make(chan time.Duration, fleetSize)
 					for i := range fleet {
@@ -81,7 +81,7 @@
 					}
 					for _, p := range fleet {
 						if !p.alive() {
-							t.Errorf("one ended: %s", p.said())
+							t.Errorf("one ended: %s", p.logText())
 						}
 					}
 					if late > fleetSize/10 {
--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -72,7 +72,7 @@
 }
 
 // listRun plays random steps at a balancer and compares it with the reference.
-type listRun struct {
+type randomListRun struct {
 	*testing.T
 	rng     *rand.Rand
 	b       *Balancer
@@ -83,7 +83,7 @@
 	history []string
 }
 
-func (r *listRun) randomServer() Endpoint {
+func (r *randomListRun) randomServer() Endpoint {
 	if len(r.ref.listed) > 0 && r.rng.IntN(4) > 0 {
 		known := slices.Sorted(maps.Keys(r.ref.listed))
 		return r.ref.listed[known[r.rng.IntN(len(known))]]
@@ -95,7 +95,7 @@
 }
 
 // randomEntry changes a server in one way, or leaves it as it is.
-func (r *listRun) randomEntry() Endpoint {
+func (r *randomListRun) randomEntry() Endpoint {
 	s := r.randomServer()
 	switch r.rng.IntN(8) {
 	case 0, 1:
@@ -115,7 +115,7 @@
 }
 
 // randomList is a change of few entries, some of which name a server twice, or a complete list in any order.
-func (r *listRun) randomList() EndpointUpdate {
+func (r *randomListRun) randomList() EndpointUpdate {
 	list := EndpointUpdate{Complete: r.rng.IntN(12) == 0}
 	if list.Complete {
 		for _, s := range r.ref.listed {
@@ -139,7 +139,7 @@
 	return list
 }
 
-func (r *listRun) randomSettings() Settings {
+func (r *randomListRun) randomSettings() Settings {
 	set := r.b.set
 	switch r.rng.IntN(3) {
 	case 0:
@@ -153,7 +153,7 @@
 }
 
 // step plays one event.
-func (r *listRun) step() {
+func (r *randomListRun) step() {
 	r.now += time.Duration(r.rng.IntN(300)) * msec
 	var e Event
 	switch n := r.rng.IntN(10); {
@@ -175,7 +175,7 @@
 	r.open = append(r.open, sends(r.b.Handle(r.now, e))...)
 }
 
-func (r *listRun) check() {
+func (r *randomListRun) check() {
 	want, pools := r.ref.groups(r.b.set, r.b.width)
 	r.same("left group", serverIDs(r.b.whole.left), want[0])
 	r.same("right group", serverIDs(r.b.whole.right), want[1])
@@ -206,13 +206,13 @@
 	}
 }
 
-func (r *listRun) same(what string, got, want []string) {
+func (r *randomListRun) same(what string, got, want []string) {
 	if !slices.Equal(got, want) {
 		r.fail(what, got, want)
 	}
 }
 
-func (r *listRun) fail(what string, got, want any) {
+func (r *randomListRun) fail(what string, got, want any) {
 	r.Helper()
 	last := r.history[max(0, len(r.history)-5):]
 	r.Fatalf("step %d: %s: got %v, want %v; last events: %q", len(r.history), what, got, want, last)
@@ -222,7 +222,7 @@
 func TestListChangesFollowThePlainConstruction(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			r := listRun{T: t, rng: rand.New(rand.NewPCG(seed, 5)), now: time.Hour, ref: listReference{map[string]Endpoint{}}}
+			r := randomListRun{T: t, rng: rand.New(rand.NewPCG(seed, 5)), now: time.Hour, ref: listReference{map[string]Endpoint{}}}
 			r.b = newBalancer(t, func(s *Settings) {
 				s.Tier, s.Zone, s.ZoneCount, s.Replicas, s.ReplicaIndex = 1, "z1", 3, 9, 4
 				s.SlowStartFloor, s.SlowStartDuration, s.OverloadMultiple, s.OverloadWindow = 0.2, 2*time.Second, 2, time.Second
--- a/heldup_test.go
+++ b/heldup_test.go
@@ -13,7 +13,7 @@
 	for _, e := range []AttemptResult{Success, ServerError, Rejected, TimedOut, ConnectFailed, ConnectionLost, Cancelled, NotSent} {
 		b := newBalancer(t, nil)
 		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
-		traffic(b, 200, "get", func(string) AttemptResult { return Success })
+		sendTraffic(b, 200, "get", func(string) AttemptResult { return Success })
 		now, before := b.now, *b // what follows reads its figures only
 		known, failing := map[string]server{}, *b.classes["get"].learned
 		for id, s := range b.servers {
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -59,13 +59,13 @@
 }
 
 // settle answers the single attempt of a request.
-func settle(b *Balancer, now time.Duration, id string, s Send, e AttemptResult) []Action {
+func endAttempt(b *Balancer, now time.Duration, id string, s Send, e AttemptResult) []Action {
 	return b.Handle(now, AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: e, Answered: e == Success})
 }
 
 // traffic sends n requests one after another; fate decides how attempts at a server end. It
 // returns how many first tries each server got in the second half.
-func traffic(b *Balancer, n int, class string, fate func(server string) AttemptResult) map[string]int {
+func sendTraffic(b *Balancer, n int, class string, fate func(server string) AttemptResult) map[string]int {
 	got := map[string]int{}
 	for i := range n {
 		id, now := fmt.Sprint(class, i), b.now+20*msec
@@ -88,7 +88,7 @@
 }
 
 // zoned lists servers of two zones, each in both groups.
-func zoned(n int) []Endpoint {
+func zonedServers(n int) []Endpoint {
 	l := servers(n)
 	for i := range l {
 		l[i].Zone = []string{"north", "north", "east", "east"}[i%4]
@@ -97,7 +97,7 @@
 }
 
 // inZone sets a copy's zone, by its number: the copies of a zone are numbered in a row.
-func inZone(s *Settings, index, copies int) {
+func setZone(s *Settings, index, copies int) {
 	s.Replicas, s.ReplicaIndex, s.ZoneCount = copies, index, 2
 	s.Zone = []string{"north", "east"}[2*index/copies]
 }
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -25,7 +25,7 @@
 		}
 		return reply200(c, "")
 	})
-	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), nil)
+	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), nil)
 	c := dial(t, n)
 	for i := range 2 {
 		c.send("POST", "/note/k", fmt.Sprint("first-", i), "x", "60")
@@ -33,8 +33,8 @@
 		id := fmt.Sprint("break-", i)
 		c.send("POST", "/note/k", id, "x", "60")
 		c.want(t, http.StatusBadGateway, "")
-		if s.seen() != 2*(i+1) {
-			t.Fatalf("%d requests reached the server, want %d", s.seen(), 2*(i+1))
+		if s.received() != 2*(i+1) {
+			t.Fatalf("%d requests reached the server, want %d", s.received(), 2*(i+1))
 		}
 	}
 }
@@ -46,7 +46,7 @@
 		closedAt <- struct{}{}
 		return false
 	})
-	cfg := testConfig(whole(entry("s1", s.addr(), "in_service")))
+	cfg := testConfig(completeList(entry("s1", s.addr(), "in_service")))
 	for i := range cfg.Settings.Classes {
 		cfg.Settings.Classes[i].LatencyObjective = 300 * time.Millisecond
 	}
@@ -61,20 +61,20 @@
 		t.Errorf("got %d, Retry-After %q", r.StatusCode, r.Header.Get("Retry-After"))
 	}
 	wait(t, closedAt, "the close")
-	if s.seen() != 2 {
-		t.Errorf("%d requests were sent, want 2", s.seen())
+	if s.received() != 2 {
+		t.Errorf("%d requests were sent, want 2", s.received())
 	}
 }
 
 func TestRefusedConnectionIsUnreachable(t *testing.T) {
-	b := testBackend(10)
-	if r := run(t, b, testAttempt(b, closedPort(t))); r.result != balancer.ConnectFailed || b.open != 0 {
+	b := testPool(10)
+	if r := doAttempt(t, b, testAttempt(b, closedPort(t))); r.result != balancer.ConnectFailed || b.open != 0 {
 		t.Errorf("ending %d, %d open", r.result, b.open)
 	}
 }
 
 // neverUp is an address at which connections never come up, as of a machine that is gone.
-func neverUp(t *testing.T) string {
+func unreachableAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -103,10 +103,10 @@
 
 // A machine that is gone says nothing: its connections never come up.
 func TestConnectionThatNeverComesUpIsUnreachable(t *testing.T) {
-	addr := neverUp(t)
-	b := testBackend(10)
+	addr := unreachableAddress(t)
+	b := testPool(10)
 	b.dial = (&net.Dialer{Timeout: 50 * time.Millisecond}).DialContext
-	if r := run(t, b, testAttempt(b, addr)); r.result != balancer.ConnectFailed || b.open != 0 {
+	if r := doAttempt(t, b, testAttempt(b, addr)); r.result != balancer.ConnectFailed || b.open != 0 {
 		t.Errorf("ending %d, %d open", r.result, b.open)
 	}
 }
@@ -128,12 +128,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := testBackend(10)
-	b.adopt(halfConn{nc}, testHost(b, s.addr()))
-	if r := run(t, b, testAttempt(b, s.addr())); r.result != balancer.ConnectFailed || b.open != 0 {
+	b := testPool(10)
+	b.adopt(halfConn{nc}, testInstance(b, s.addr()))
+	if r := doAttempt(t, b, testAttempt(b, s.addr())); r.result != balancer.ConnectFailed || b.open != 0 {
 		t.Errorf("ending %d, %d open", r.result, b.open)
 	}
-	if s.seen() != 0 {
+	if s.received() != 0 {
 		t.Error("the server got the request")
 	}
 }
@@ -148,8 +148,8 @@
 			if hasUnreadOrClosed(nc) {
 				t.Fatal("a silent open connection is said to have spoken or closed")
 			}
-			b := testBackend(10)
-			h := testHost(b, s.addr())
+			b := testPool(10)
+			h := testInstance(b, s.addr())
 			b.open = 1
 			b.idle[h] = []*upstreamConn{{Conn: nc, instance: h}} // with no reader
 			if say == "" {
@@ -158,7 +158,7 @@
 				io.WriteString(other, say)
 			}
 			until(t, "it to arrive", func() bool { return hasUnreadOrClosed(nc) })
-			if r := run(t, b, testAttempt(b, s.addr())); r.result != balancer.Success || string(r.body) != "for id" || b.open != 1 {
+			if r := doAttempt(t, b, testAttempt(b, s.addr())); r.result != balancer.Success || string(r.body) != "for id" || b.open != 1 {
 				t.Errorf("ending %d, body %q, %d open", r.result, r.body, b.open)
 			}
 		})
@@ -171,7 +171,7 @@
 	nc, other := connPair(t)
 	other.Close()
 	until(t, "the close to arrive", func() bool { return hasUnreadOrClosed(nc) })
-	b := testBackend(10)
+	b := testPool(10)
 	waiter := make(chan upstreamReply, 1)
 	b.open = 1
 	a := testAttempt(b, "127.0.0.1:1")
@@ -190,14 +190,14 @@
 			close(gone)
 			return false
 		})
-		b := testBackend(10)
+		b := testPool(10)
 		a := testAttempt(b, s.addr())
 		if want == balancer.TimedOut {
 			a.deadline = a.sentAt + 100*time.Millisecond
 		} else {
 			go func() { <-got; a.cancel() }()
 		}
-		if r := run(t, b, a); r.result != want || b.open != 0 {
+		if r := doAttempt(t, b, a); r.result != want || b.open != 0 {
 			t.Errorf("ending %d, %d open; want %d", r.result, b.open, want)
 		}
 		wait(t, gone, "the close")
@@ -205,7 +205,7 @@
 }
 
 // sink accepts one connection and tells all that came on it once it is closed.
-func sink(t *testing.T) (addr string, came <-chan string) {
+func newSink(t *testing.T) (addr string, came <-chan string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -254,15 +254,15 @@
 		{"its time is over", func(b *upstreamPool, a *attempt) { a.deadline = b.clock.now() }, balancer.NotSent},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			addr, came := sink(t)
-			b := testBackend(10)
+			addr, came := newSink(t)
+			b := testPool(10)
 			held := holdDials(b)
 			a := testAttempt(b, addr)
 			end := make(chan attemptOutcome, 1)
 			go func() { end <- b.do(a) }()
-			wait(t, held.up, "the connection")
+			wait(t, held.dialed, "the connection")
 			c.do(b, a)
-			close(held.through)
+			close(held.release)
 			if r := wait(t, end, "the attempt's end"); r.result != c.want {
 				t.Errorf("ending %d, want %d", r.result, c.want)
 			}
@@ -293,7 +293,7 @@
 				io.WriteString(c, head+body)
 				return name == "length"
 			})
-			b := testBackend(10)
+			b := testPool(10)
 			b.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 				nc, err := (&net.Dialer{}).DialContext(ctx, network, address)
 				if err != nil {
@@ -303,7 +303,7 @@
 			}
 			a := testAttempt(b, s.addr())
 			a.request.body = []byte(long)
-			if r := run(t, b, a); r.result != balancer.Success || string(r.body) != long {
+			if r := doAttempt(t, b, a); r.result != balancer.Success || string(r.body) != long {
 				t.Errorf("ending %d, a body of %d bytes, want %d", r.result, len(r.body), len(long))
 			}
 		})
--- a/internal/node/boottime_test.go
+++ b/internal/node/boottime_test.go
@@ -11,21 +11,21 @@
 )
 
 // machine is the clocks of a machine: time goes by on both, and the wall clock can be set.
-type machine struct{ elapsed, unix time.Duration }
+type machineClocks struct{ elapsed, unix time.Duration }
 
-func newMachine() *machine { return &machine{unix: 1_800_000_000 * time.Second} }
+func newMachineClocks() *machineClocks { return &machineClocks{unix: 1_800_000_000 * time.Second} }
 
-func (m *machine) clock() clock {
+func (m *machineClocks) clock() clock {
 	return clock{elapsed: func() time.Duration { return m.elapsed }, unix: func() time.Duration { return m.unix }}
 }
 
-func (m *machine) pass(d time.Duration) { m.elapsed, m.unix = m.elapsed+d, m.unix+d }
+func (m *machineClocks) pass(d time.Duration) { m.elapsed, m.unix = m.elapsed+d, m.unix+d }
 
 // bootMS is the wall clock as a server that starts now reports it.
-func (m *machine) bootMS() int64 { return m.unix.Milliseconds() }
+func (m *machineClocks) bootMS() int64 { return m.unix.Milliseconds() }
 
 // bootLoop is the loop of a node with these clocks, which has heard no list yet.
-func bootLoop(t testing.TB, m *machine, push bool) *loop {
+func bootLoop(t testing.TB, m *machineClocks, push bool) *loop {
 	t.Helper()
 	cfg := testConfig("")
 	cfg.Settings.SlowStartFloor, cfg.Settings.SlowStartDuration = 0.12, 24*time.Second
@@ -46,10 +46,10 @@
 }
 
 // untouched is a server that never restarts.
-var untouched = entry("other", "127.0.0.1:2", "in_service")
+var neverRestarted = entry("other", "127.0.0.1:2", "in_service")
 
 // steps of the wall clock, and there and back.
-var steps = [][]time.Duration{
+var clockSteps = [][]time.Duration{
 	{0},
 	{time.Second},
 	{-time.Second},
@@ -69,8 +69,8 @@
 	for _, moment := range []string{"before the start", "before the list", "after the list"} {
 		for _, full := range []bool{true, false} {
 			for _, push := range []bool{true, false} {
-				for _, steps := range steps {
-					m := newMachine()
+				for _, steps := range clockSteps {
+					m := newMachineClocks()
 					l := bootLoop(t, m, push)
 					set := func(when string) {
 						for _, d := range steps {
@@ -80,12 +80,12 @@
 							m.pass(10 * time.Millisecond)
 						}
 					}
-					l.handleEvent(listReceived{listOf(t, true, untouched, bootEntry("s", m.bootMS()-1e6))})
+					l.handleEvent(listReceived{listOf(t, true, neverRestarted, bootEntry("s", m.bootMS()-1e6))})
 					m.pass(10 * time.Second)
 					set("before the start")
 					started, news := l.clock.now(), []string{bootEntry("s", m.bootMS())}
 					if full {
-						news = append(news, untouched)
+						news = append(news, neverRestarted)
 					}
 					set("before the list")
 					m.pass(late)
@@ -114,74 +114,74 @@
 	hour := time.Hour.Milliseconds()
 	for _, c := range []struct {
 		name string
-		do   func(m *machine, l *loop) // s1 starts in it or before
-		want time.Duration             // after the process's start; negative: long before
+		do   func(m *machineClocks, l *loop) // s1 starts in it or before
+		want time.Duration                   // after the process's start; negative: long before
 	}{
-		{"in the future", func(m *machine, l *loop) {
+		{"in the future", func(m *machineClocks, l *loop) {
 			m.pass(2 * time.Second)
 			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", m.bootMS()+hour))})
 		}, 2 * time.Second},
-		{"beyond all times", func(m *machine, l *loop) {
+		{"beyond all times", func(m *machineClocks, l *loop) {
 			m.pass(2 * time.Second)
 			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", 1e13))})
 		}, 2 * time.Second},
-		{"a moment in the future is now, though another offset makes it an hour ago", func(m *machine, l *loop) {
+		{"a moment in the future is now, though another offset makes it an hour ago", func(m *machineClocks, l *loop) {
 			m.unix -= time.Hour
 			m.pass(2 * time.Second)
 			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", m.bootMS()+50))})
 		}, 2 * time.Second},
-		{"before the process, and before the clock was set back", func(m *machine, l *loop) {
+		{"before the process, and before the clock was set back", func(m *machineClocks, l *loop) {
 			boot := m.bootMS() - 20_000
 			m.unix -= time.Hour
 			m.pass(2 * time.Second)
 			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", boot))})
 		}, -20 * time.Second},
-		{"either of two times, as the clock was set back by less than its age", func(m *machine, l *loop) {
+		{"either of two times, as the clock was set back by less than its age", func(m *machineClocks, l *loop) {
 			boot := m.bootMS() - 20_000
 			m.unix -= 5 * time.Second
 			m.pass(2 * time.Second)
 			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", boot))})
 		}, -15 * time.Second},
-		{"in the list that the node last had", func(m *machine, l *loop) {
+		{"in the list that the node last had", func(m *machineClocks, l *loop) {
 			l.cachedList = listOf(t, true, bootEntry("s1", m.bootMS()-3000))
 			l.handleEvent(discoveryUnresponsive{})
 			m.unix += time.Hour
 			m.pass(2 * time.Second)
 			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", m.bootMS()-3000-2000-hour))})
 		}, -3 * time.Second},
-		{"before the process, whose clock was off at its start", func(m *machine, l *loop) {
+		{"before the process, whose clock was off at its start", func(m *machineClocks, l *loop) {
 			boot := m.bootMS() - 3000
 			m.unix += time.Hour // it is right from now on
 			m.pass(2 * time.Second)
 			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", boot+hour))})
 		}, -3 * time.Second},
-		{"since the list before, under a clock that the node never saw", func(m *machine, l *loop) {
+		{"since the list before, under a clock that the node never saw", func(m *machineClocks, l *loop) {
 			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", 0))})
 			m.pass(time.Second)
 			l.handleEvent(listReceived{listOf(t, false, bootEntry("s2", 0))})
 			m.pass(time.Second)
 			l.handleEvent(listReceived{listOf(t, false, bootEntry("s1", m.bootMS()-hour))})
 		}, time.Second},
-		{"since a watch told that nothing had changed", func(m *machine, l *loop) {
+		{"since a watch told that nothing had changed", func(m *machineClocks, l *loop) {
 			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", 0))})
 			m.pass(time.Second)
 			l.handleEvent(listConfirmed{})
 			m.pass(time.Second)
 			l.handleEvent(listReceived{listOf(t, false, bootEntry("s1", m.bootMS()-hour))})
 		}, time.Second},
-		{"new in the list: it may have run all the while", func(m *machine, l *loop) {
+		{"new in the list: it may have run all the while", func(m *machineClocks, l *loop) {
 			l.handleEvent(listReceived{listOf(t, true, bootEntry("s2", 0))})
 			m.pass(2 * time.Second)
 			l.handleEvent(listReceived{listOf(t, false, bootEntry("s1", m.bootMS()-10_000))})
 		}, -8 * time.Second},
-		{"since the list that the node last had, which may be old", func(m *machine, l *loop) {
+		{"since the list that the node last had, which may be old", func(m *machineClocks, l *loop) {
 			l.cachedList = listOf(t, true, bootEntry("s1", 0))
 			l.handleEvent(discoveryUnresponsive{})
 			m.pass(2 * time.Second)
 			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", m.bootMS()-10_000))})
 		}, -8 * time.Second},
 	} {
-		m := newMachine()
+		m := newMachineClocks()
 		l := bootLoop(t, m, true)
 		c.do(m, l)
 		if got := l.endpoints["s1"].StartedAt - processStart; got != c.want {
@@ -193,7 +193,7 @@
 // Two starts of a server are two to the module, also when both can only be said to be of this moment: it has
 // to forget what it learned of the first.
 func TestEachStartHasATimeOfItsOwn(t *testing.T) {
-	m := newMachine()
+	m := newMachineClocks()
 	l := bootLoop(t, m, true)
 	seen := map[time.Duration]bool{}
 	for i := range int64(4) {
@@ -207,7 +207,7 @@
 
 // Offsets that were seen are bounded, however often the clock is set, and slewing it is no step.
 func TestOffsetsAreBounded(t *testing.T) {
-	m := newMachine()
+	m := newMachineClocks()
 	b := newBootClock(m.clock())
 	for range 1000 {
 		m.pass(time.Second)
@@ -233,15 +233,15 @@
 }
 
 // traffic drives a loop by the clocks of its machine: a request every 5 ms, each served after 4 ms.
-type traffic struct {
+type loopTraffic struct {
 	loop *loop
-	m    *machine
+	m    *machineClocks
 	ends []timedEnd
 	sent int
 }
 
-func newTraffic(l *loop, m *machine) *traffic {
-	d := &traffic{loop: l, m: m}
+func newLoopTraffic(l *loop, m *machineClocks) *loopTraffic {
+	d := &loopTraffic{loop: l, m: m}
 	l.start = func(a *attempt) {
 		d.ends = append(d.ends, timedEnd{l.clock.now() + 4*time.Millisecond, a})
 		d.sent++
@@ -250,7 +250,7 @@
 }
 
 // run counts the requests that are sent in each of some seconds.
-func (d *traffic) run(seconds int) (counts []int) {
+func (d *loopTraffic) run(seconds int) (counts []int) {
 	for range seconds {
 		d.sent = 0
 		for range 200 {
@@ -261,7 +261,7 @@
 	return counts
 }
 
-func (d *traffic) step() {
+func (d *loopTraffic) step() {
 	now := d.loop.clock.now()
 	for len(d.ends) > 0 && d.ends[0].at <= now {
 		end := d.ends[0]
@@ -279,10 +279,10 @@
 // A server that restarts in a running node's list is warmed up alike, whatever the wall clock does meanwhile.
 func TestRestartedServerIsWarmedUpWhateverTheClockSays(t *testing.T) {
 	restart := func(before, after time.Duration) []int {
-		m := newMachine()
+		m := newMachineClocks()
 		l := bootLoop(t, m, true)
 		l.handleEvent(listReceived{listOf(t, true, bootEntry("s", 0))})
-		d := newTraffic(l, m)
+		d := newLoopTraffic(l, m)
 		d.run(5)
 		m.unix += before
 		news := listOf(t, true, bootEntry("s", m.bootMS()))
--- a/internal/node/brokenconn_test.go
+++ b/internal/node/brokenconn_test.go
@@ -40,9 +40,9 @@
 		calledOff <- struct{}{}
 		return false
 	})
-	var dials heldDial
+	var dials heldDials
 	conns := breakableConns{cause: cause, accepted: make(chan *breakableConn, 2)}
-	cfg := testConfig(whole(entry("s1", s.addr(), "in_service")))
+	cfg := testConfig(completeList(entry("s1", s.addr(), "in_service")))
 	for i := range cfg.Settings.Classes { // no attempt times out before the test gives up
 		cfg.Settings.Classes[i].LatencyObjective, cfg.Settings.Classes[i].Deadline = 4*limit, 4*limit
 	}
@@ -50,30 +50,30 @@
 		conns.TCPListener = n.listener.(*net.TCPListener)
 		n.listener = conns
 		if dials = holdDials(n.upstream); where == "in flight" {
-			close(dials.through)
+			close(dials.release)
 		}
 	})
 	c := dial(t, n)
 	c.send("POST", "/note/k", "leaving", "x", "120")
-	wait(t, dials.up, "the connection")
+	wait(t, dials.dialed, "the connection")
 	if where == "in flight" {
 		wait(t, got, "the attempt")
 	}
 	conn := wait(t, conns.accepted, "the downstream connection")
 	conn.breakNow()
 	if stays {
-		wait(t, conn.woken, "the end of the watch")
-		close(dials.through)
+		wait(t, conn.watchEnded, "the end of the watch")
+		close(dials.release)
 		c.want(t, 200, "for leaving")
 		return
 	}
 	seen := map[string]int{"other": 1}
 	if where == "dial" {
 		until(t, "the node to notice", func() bool { return n.frontend.conns.count() == 0 })
-		close(dials.through)
+		close(dials.release)
 	} else {
 		wait(t, calledOff, "the end of the attempt")
 		seen["leaving"] = 1 // begun before its connection broke
 	}
-	nothingOfTheLeavers(t, n, s, seen)
+	checkNothingForwarded(t, n, s, seen)
 }
--- a/internal/node/chunked_test.go
+++ b/internal/node/chunked_test.go
@@ -30,7 +30,7 @@
 // behind it is the next request.
 func TestBodiesInChunksAreForwardedWithALength(t *testing.T) {
 	s := framingServer(t)
-	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), nil)
+	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), nil)
 	full := strings.Repeat("b", maxBody)
 	for _, c := range []struct{ name, chunks, body string }{
 		{"one chunk", "2\r\nok\r\n0\r\n\r\n", "ok"},
@@ -72,7 +72,7 @@
 // of it is forwarded, and nothing that stands in its body or behind it.
 func TestFramingErrorsEndTheConnection(t *testing.T) {
 	s := framingServer(t)
-	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), nil)
+	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), nil)
 	const start = "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: bad\r\nX-Deadline: 60\r\n"
 	chunks := strings.TrimSuffix(start, "\r\n") + "\r\nTransfer-Encoding: chunked\r\n\r\n"
 	old := strings.Replace(start, "HTTP/1.1", "HTTP/1.0", 1) + "Connection: keep-alive\r\n"
@@ -134,12 +134,12 @@
 			alone := dial(t, n)
 			go io.WriteString(alone, c.text+hidden)
 			alone.want(t, c.status, "")
-			closed(t, alone.br, "a connection whose framing is broken")
+			expectClosed(t, alone.reader, "a connection whose framing is broken")
 			behind := dial(t, n)
 			go io.WriteString(behind, requestText("good-"+c.name)+c.text+hidden)
 			behind.want(t, 200, framed("GET", 0, "", nil, nil))
 			behind.want(t, c.status, "")
-			closed(t, behind.br, "a connection whose framing is broken")
+			expectClosed(t, behind.reader, "a connection whose framing is broken")
 		})
 	}
 	t.Run("chunks without end", func(t *testing.T) {
@@ -152,7 +152,7 @@
 			}
 		}()
 		endless.want(t, 413, "")
-		closed(t, endless.br, "a connection with an endless body")
+		expectClosed(t, endless.reader, "a connection with an endless body")
 	})
 	t.Cleanup(func() {
 		s.mu.Lock()
--- a/internal/node/deadlineheader_test.go
+++ b/internal/node/deadlineheader_test.go
@@ -13,24 +13,24 @@
 )
 
 // pause is how long the tests below hold something up. What a server is told must be less by all of it.
-const pause = 400 * time.Millisecond
+const holdUpTime = 400 * time.Millisecond
 
 // held pauses and returns how long that was: no more than what the node, which was at work before and after,
 // must count.
-func held() time.Duration {
+func holdUp() time.Duration {
 	begin := time.Now()
-	time.Sleep(pause)
+	time.Sleep(holdUpTime)
 	return time.Since(begin)
 }
 
 // tellingConfig has classes whose answers are worth something up to the client's deadline, for a server is told
 // of the time until then.
-func tellingConfig(servers ...*fakeServer) Config {
+func fullValueConfig(servers ...*fakeServer) Config {
 	var entries []string
 	for i, s := range servers {
 		entries = append(entries, entry(fmt.Sprint("s", i), s.addr(), "in_service"))
 	}
-	cfg := testConfig(whole(entries...))
+	cfg := testConfig(completeList(entries...))
 	for i := range cfg.Settings.Classes {
 		cfg.Settings.Classes[i].LateValue = 1
 	}
@@ -38,7 +38,7 @@
 }
 
 // checkTold checks what X-Deadline said for a request whose client waits 60 s, of which some are over.
-func checkTold(t *testing.T, value string, over time.Duration) {
+func checkForwardedDeadline(t *testing.T, value string, over time.Duration) {
 	t.Helper()
 	seconds, err := strconv.ParseFloat(value, 64)
 	if most := (time.Minute - over).Seconds(); err != nil || seconds > most || seconds < most-limit.Seconds()+1 {
@@ -47,7 +47,7 @@
 }
 
 // tellingServer passes on the X-Deadline of each request.
-func tellingServer(t *testing.T) (s *fakeServer, told chan string) {
+func newDeadlineServer(t *testing.T) (s *fakeServer, told chan string) {
 	told = make(chan string, 10)
 	return newServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		told <- r.Header.Get("X-Deadline")
@@ -67,8 +67,8 @@
 	} {
 		t.Run(fmt.Sprintf("%.60q", pieces[0]), func(t *testing.T) {
 			t.Parallel()
-			s, told := tellingServer(t)
-			n, _ := startNode(t, tellingConfig(s), nil)
+			s, told := newDeadlineServer(t)
+			n, _ := startNode(t, fullValueConfig(s), nil)
 			c := dial(t, n)
 			io.WriteString(c, pieces[0])
 			until(t, "the first piece to be read", func() bool {
@@ -79,9 +79,9 @@
 				}
 				return false
 			})
-			over := held()
+			over := holdUp()
 			io.WriteString(c, pieces[1])
-			checkTold(t, wait(t, told, "the request"), over)
+			checkForwardedDeadline(t, wait(t, told, "the request"), over)
 			c.want(t, 200, "for r")
 		})
 	}
@@ -95,15 +95,15 @@
 		<-hold
 		return echo(c, r, body)
 	})
-	n, _ := startNode(t, tellingConfig(s), nil)
+	n, _ := startNode(t, fullValueConfig(s), nil)
 	c := dial(t, n)
 	c.get("first")
 	wait(t, told, "the first request")
 	c.get("behind")
-	until(t, "the one behind to be read", func() bool { return readAhead(n) == len(requestText("behind")) })
-	over := held()
+	until(t, "the one behind to be read", func() bool { return readAheadBytes(n) == len(requestText("behind")) })
+	over := holdUp()
 	close(hold)
-	checkTold(t, wait(t, told, "the one behind"), over)
+	checkForwardedDeadline(t, wait(t, told, "the one behind"), over)
 	c.want(t, 200, "for first")
 	c.want(t, 200, "for behind")
 }
@@ -112,36 +112,36 @@
 func TestToldTimeIsWhatIsLeftAtTheWrite(t *testing.T) {
 	t.Run("late connection", func(t *testing.T) {
 		t.Parallel()
-		s, told := tellingServer(t)
-		var dials heldDial
-		n, _ := startNode(t, tellingConfig(s),
+		s, told := newDeadlineServer(t)
+		var dials heldDials
+		n, _ := startNode(t, fullValueConfig(s),
 			func(n *Node) { dials = holdDials(n.upstream) })
 		dial(t, n).get("r")
-		wait(t, dials.up, "the connection")
-		over := held()
-		close(dials.through)
-		checkTold(t, wait(t, told, "the request"), over)
+		wait(t, dials.dialed, "the connection")
+		over := holdUp()
+		close(dials.release)
+		checkForwardedDeadline(t, wait(t, told, "the request"), over)
 	})
 	t.Run("held up just before the write", func(t *testing.T) {
 		t.Parallel()
-		s, told := tellingServer(t)
+		s, told := newDeadlineServer(t)
 		looks := newGate(2) // of the connection's reader, and for what came before the request
-		n, _ := startNode(t, tellingConfig(s), func(n *Node) {
+		n, _ := startNode(t, fullValueConfig(s), func(n *Node) {
 			n.upstream.dial = func(_ context.Context, network, address string) (net.Conn, error) {
 				nc, err := net.Dial(network, address)
 				if err != nil {
 					return nil, err
 				}
-				return gatedConn{nc.(*net.TCPConn), gatedConns{reads: newGate(0), looks: looks}}, nil
+				return gatedConn{nc.(*net.TCPConn), gatedConns{reads: newGate(0), peeks: looks}}, nil
 			}
 		})
 		dial(t, n).get("r")
 		for range 2 {
-			wait(t, looks.at, "a look")
+			wait(t, looks.arrived, "a look")
 		}
-		over := held()
-		close(looks.through)
-		checkTold(t, wait(t, told, "the request"), over)
+		over := holdUp()
+		close(looks.release)
+		checkForwardedDeadline(t, wait(t, told, "the request"), over)
 	})
 	t.Run("retry", func(t *testing.T) {
 		t.Parallel()
@@ -157,12 +157,12 @@
 			return echo(c, r, body)
 		}
 		one, two := newServer(t, answer), newServer(t, answer)
-		n, _ := startNode(t, tellingConfig(one, two), nil)
+		n, _ := startNode(t, fullValueConfig(one, two), nil)
 		dial(t, n).get("r")
-		wait(t, turn.at, "the first attempt")
-		over := held()
-		close(turn.through)
-		checkTold(t, wait(t, told, "the retry"), over)
+		wait(t, turn.arrived, "the first attempt")
+		over := holdUp()
+		close(turn.release)
+		checkForwardedDeadline(t, wait(t, told, "the retry"), over)
 	})
 }
 
@@ -181,7 +181,7 @@
 			t.Errorf("%v is told as %q", wait, value)
 		}
 	}
-	b := testBackend(1)
+	b := testPool(1)
 	for _, left := range []time.Duration{-time.Second, 0, minRemainingTime / 2} {
 		a := testAttempt(b, "127.0.0.1:1")
 		a.deadline = b.clock.now() + left
--- a/internal/node/departure_test.go
+++ b/internal/node/departure_test.go
@@ -27,7 +27,7 @@
 		})
 		return answers && echo(c, r, body)
 	})
-	n, _ := startNode(t, withLongAims(testConfig(whole(entry("s1", s.addr(), "in_service")))), nil)
+	n, _ := startNode(t, withLongObjectives(testConfig(completeList(entry("s1", s.addr(), "in_service")))), nil)
 	c := dial(t, n)
 	c.send("POST", "/note/k", "leaving", "x", "60")
 	wait(t, got, "the attempt")
@@ -52,7 +52,7 @@
 						t.Run(fmt.Sprintf("held=%v %s reset=%v stray=%d mayCancel=%v", held, method, reset, len(stray), mayCancel),
 							func(t *testing.T) {
 								t.Parallel()
-								leaveWhileWaiting(t, held, method, reset, stray, mayCancel)
+								departWhileQueued(t, held, method, reset, stray, mayCancel)
 							})
 					}
 				}
@@ -61,18 +61,18 @@
 	}
 }
 
-func leaveWhileWaiting(t *testing.T, held bool, method string, reset bool, stray string, mayCancel bool) {
+func departWhileQueued(t *testing.T, held bool, method string, reset bool, stray string, mayCancel bool) {
 	s := newServer(t, echo)
 	state := "in_service"
 	if held {
 		state = "terminating"
 	}
-	cfg := testConfig(whole(entry("s1", s.addr(), state)))
+	cfg := testConfig(completeList(entry("s1", s.addr(), state)))
 	cfg.Settings.AllowCancel = mayCancel
-	var dials heldDial
+	var dials heldDials
 	n, _ := startNode(t, cfg, func(n *Node) {
 		if dials = holdDials(n.upstream); held {
-			close(dials.through)
+			close(dials.release)
 		}
 	})
 	c := dial(t, n)
@@ -82,13 +82,13 @@
 	}
 	c.send(method, target, "leaving", body, "60")
 	if held {
-		untilOpened(t, n, 1)
+		untilActive(t, n, 1)
 	} else {
-		wait(t, dials.up, "the connection")
+		wait(t, dials.dialed, "the connection")
 	}
 	if stray != "" {
 		io.WriteString(c, stray)
-		until(t, "the byte to be read", func() bool { return readAhead(n) == len(stray) })
+		until(t, "the byte to be read", func() bool { return readAheadBytes(n) == len(stray) })
 	}
 	if reset {
 		c.Conn.(*net.TCPConn).SetLinger(0)
@@ -98,9 +98,9 @@
 	if held {
 		n.loop.post(listReceived{listOf(t, true, entry("s1", s.addr(), "in_service"))})
 	} else {
-		close(dials.through)
+		close(dials.release)
 	}
-	nothingOfTheLeavers(t, n, s, map[string]int{"other": 1})
+	checkNothingForwarded(t, n, s, map[string]int{"other": 1})
 }
 
 // However much a caller sends ahead of an answer, once it has closed or reset its connection, or that has
@@ -112,7 +112,7 @@
 				for _, mayCancel := range []bool{true, false} {
 					t.Run(fmt.Sprint(where, " ", ahead, " ", how, " mayCancel=", mayCancel), func(t *testing.T) {
 						t.Parallel()
-						leaveBehind(t, where, ahead, how, mayCancel)
+						departBehindPipelined(t, where, ahead, how, mayCancel)
 					})
 				}
 			}
@@ -120,7 +120,7 @@
 	}
 }
 
-func leaveBehind(t *testing.T, where string, ahead int, how string, mayCancel bool) {
+func departBehindPipelined(t *testing.T, where string, ahead int, how string, mayCancel bool) {
 	got, answer := make(chan struct{}, 1), make(chan struct{})
 	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		if r.Header.Get("X-Request-Id") == "leaving" {
@@ -137,9 +137,9 @@
 	if where == "held" {
 		state = "terminating"
 	}
-	var dials heldDial
+	var dials heldDials
 	stopped, resume := make(chan struct{}), make(chan struct{})
-	cfg := testConfig(whole(entry("s1", s.addr(), state), entry("s2", s.addr(), state)))
+	cfg := testConfig(completeList(entry("s1", s.addr(), state), entry("s2", s.addr(), state)))
 	cfg.Settings.AllowCancel = mayCancel
 	conns := breakableConns{cause: syscall.ETIMEDOUT, accepted: make(chan *breakableConn, 2)}
 	n, _ := startNode(t, cfg, func(n *Node) {
@@ -177,10 +177,10 @@
 	switch where {
 	case "held":
 		c.get("leaving")
-		untilOpened(t, n, 1)
+		untilActive(t, n, 1)
 	case "dial", "retry":
 		c.get("leaving")
-		wait(t, dials.up, "the connection")
+		wait(t, dials.dialed, "the connection")
 	case "in flight":
 		c.get("leaving")
 		wait(t, got, "the attempt")
@@ -193,13 +193,13 @@
 		c.get("leaving")
 		until(t, "the request to be queued", func() bool { return len(n.loop.events) == 1 })
 	}
-	text := sentAhead(ahead)
+	text := pipelinedText(ahead)
 	if ahead > readAheadPerConn && where != "busy loop" {
 		text = strings.Repeat("x", ahead) // they are answered while the caller is there: no requests, then
 	}
 	io.WriteString(c, text)
 	if ahead <= readAheadPerConn {
-		until(t, "the bytes to be read", func() bool { return readAhead(n) == ahead })
+		until(t, "the bytes to be read", func() bool { return readAheadBytes(n) == ahead })
 	}
 	switch how {
 	case "break":
@@ -219,7 +219,7 @@
 	case "held":
 		n.loop.post(listReceived{listOf(t, true, entry("s1", s.addr(), "in_service"), entry("s2", s.addr(), "in_service"))})
 	case "dial", "retry":
-		close(dials.through)
+		close(dials.release)
 	case "in flight":
 		close(answer) // it fails, and is not retried
 	}
@@ -227,12 +227,12 @@
 	if where == "retry" || where == "in flight" {
 		seen["leaving"] = 1 // begun before its caller left
 	}
-	nothingOfTheLeavers(t, n, s, seen)
+	checkNothingForwarded(t, n, s, seen)
 }
 
 // nothingOfTheLeavers has another caller served, waits for all attempts to end, and says what the server may
 // have got.
-func nothingOfTheLeavers(t *testing.T, n *Node, s *fakeServer, want map[string]int) {
+func checkNothingForwarded(t *testing.T, n *Node, s *fakeServer, want map[string]int) {
 	t.Helper()
 	other := dial(t, n)
 	other.get("other")
@@ -264,22 +264,22 @@
 func TestNothingBeginsForABurstOfLeavers(t *testing.T) {
 	s := newServer(t, echo)
 	through := make(chan struct{})
-	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
 		n.upstream.dial = func(_ context.Context, network, address string) (net.Conn, error) {
 			nc, err := net.Dial(network, address)
 			<-through
 			return nc, err
 		}
 	})
-	var leavers []*caller
+	var leavers []*testClient
 	for i := range 50 {
 		c := dial(t, n)
 		c.get(fmt.Sprint("leaving-", i))
 		leavers = append(leavers, c)
 	}
-	untilOpened(t, n, len(leavers))
+	untilActive(t, n, len(leavers))
 	for i, c := range leavers {
-		io.WriteString(c, sentAhead(1000*i))
+		io.WriteString(c, pipelinedText(1000*i))
 	}
 	for i, c := range leavers {
 		if i%2 == 0 {
@@ -289,7 +289,7 @@
 	}
 	until(t, "the node to notice", func() bool { return n.frontend.conns.count() == 0 })
 	close(through)
-	nothingOfTheLeavers(t, n, s, map[string]int{"other": 1})
+	checkNothingForwarded(t, n, s, map[string]int{"other": 1})
 }
 
 // A request whose caller has closed before it is read does not go to the module before the close is seen,
@@ -297,32 +297,32 @@
 func TestNothingBeginsBeforeTheWatchHasLooked(t *testing.T) {
 	s := newServer(t, echo)
 	reads, looks := newGate(2), newGate(2)
-	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
 		n.listener = gatedConns{n.listener.(*net.TCPListener), reads, looks}
 	})
 	c, other := dial(t, n), dial(t, n)
 	for range 2 {
-		wait(t, reads.at, "a read")
+		wait(t, reads.arrived, "a read")
 	}
 	c.get("left")
 	c.Close()
 	other.get("other")
-	close(reads.through)
+	close(reads.release)
 	for range 2 {
-		wait(t, looks.at, "a look")
+		wait(t, looks.arrived, "a look")
 	}
 	third := dial(t, n)
 	for i := range 20 { // time enough for either request, if it did not wait
 		third.get(fmt.Sprint("third-", i))
 		third.want(t, 200, "")
 	}
-	if s.seen() != 20 {
-		t.Errorf("%d requests began, want 20", s.seen())
+	if s.received() != 20 {
+		t.Errorf("%d requests began, want 20", s.received())
 	}
-	close(looks.through)
+	close(looks.release)
 	other.want(t, 200, "for other")
 	until(t, "the node to notice", func() bool { return n.frontend.conns.count() == 2 })
-	if s.seen() != 21 {
-		t.Errorf("%d requests began, want 21", s.seen())
+	if s.received() != 21 {
+		t.Errorf("%d requests began, want 21", s.received())
 	}
 }
--- a/internal/node/descriptorbudget_test.go
+++ b/internal/node/descriptorbudget_test.go
@@ -17,7 +17,7 @@
 func TestCallersBeyondTheBudget(t *testing.T) {
 	s, got, release := newHoldingServer(t, "held")
 	const most = 4
-	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
 		n.frontend.conns.capacity, n.frontend.conns.upstreamReserve = 2*most, most
 		n.frontend.conns.gracePeriods.idle = 0
 	})
@@ -25,14 +25,14 @@
 	idle.get("idle")
 	idle.want(t, 200, "for idle")
 	untilIdle(t, n)
-	var held []*caller
+	var held []*testClient
 	for i := range most {
 		c := dial(t, n)
 		c.get(fmt.Sprint("held-", i))
 		wait(t, got, "an attempt")
 		held = append(held, c)
 	}
-	closed(t, idle.br, "the idle connection when there are too many")
+	expectClosed(t, idle.reader, "the idle connection when there are too many")
 	over := dial(t, n) // read and refused, never left unread
 	over.get("over")
 	r, _ := over.answer(t)
@@ -104,7 +104,7 @@
 	if f.evictQuiet(); c.evicted {
 		t.Error("let go with a request on it")
 	}
-	if text := make([]byte, 3); !readsWhole(c, text) || string(text) != "GET" {
+	if text := make([]byte, 3); !readsAll(c, text) || string(text) != "GET" {
 		t.Errorf("read %q", text)
 	}
 	c.Write([]byte("answer"))
@@ -120,7 +120,7 @@
 	f.gracePeriods.partialRequest = 0
 	c, theirs := downstreamPair(t, f, 0)
 	io.WriteString(theirs, "GET")
-	if text := make([]byte, 3); !readsWhole(c, text) {
+	if text := make([]byte, 3); !readsAll(c, text) {
 		t.Fatal("the first part is not read")
 	}
 	io.WriteString(theirs, " /v")
@@ -131,7 +131,7 @@
 	if c.evicted {
 		t.Error("cut off with the rest of a request unread")
 	}
-	if text := make([]byte, 3); !readsWhole(c, text) || string(text) != " /v" {
+	if text := make([]byte, 3); !readsAll(c, text) || string(text) != " /v" {
 		t.Errorf("read %q", text)
 	}
 	f.connStateChanged(&downstreamConn{Conn: other, conns: f}, http.StateNew)
@@ -144,7 +144,7 @@
 // connections are let go meanwhile.
 func TestNothingReadIsLostWhileIdleConnectionsAreLetGo(t *testing.T) {
 	s := newServer(t, echo)
-	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
 		n.frontend.conns.capacity, n.frontend.conns.upstreamReserve = 8, 4
 		n.frontend.conns.gracePeriods.idle = 0
 	})
@@ -155,7 +155,7 @@
 		callers.Add(1)
 		go func() {
 			defer callers.Done()
-			var c *caller
+			var c *testClient
 			for j := range 60 {
 				if c == nil {
 					nc, err := net.Dial("tcp", n.Addr())
@@ -164,7 +164,7 @@
 						return
 					}
 					nc.SetDeadline(time.Now().Add(2 * limit))
-					c = &caller{nc, bufio.NewReader(nc)}
+					c = &testClient{nc, bufio.NewReader(nc)}
 				}
 				id := fmt.Sprintf("c%d-%d", i, j)
 				c.get(id)
@@ -201,7 +201,7 @@
 // good caller needs: they are let go first, before they would time out, and the good one is served.
 func TestGoodCallerIsServedBesideHundredsOfSilentOnes(t *testing.T) {
 	s := newServer(t, echo)
-	cfg := testConfig(whole(entry("s1", s.addr(), "in_service")))
+	cfg := testConfig(completeList(entry("s1", s.addr(), "in_service")))
 	cfg.Sockets = 256
 	n, _ := startNode(t, cfg, func(n *Node) {
 		n.frontend.server.ReadTimeout = 2 * limit // what is let go is let go for want of room
@@ -209,7 +209,7 @@
 	})
 	const body = "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: half\r\nX-Deadline: 60\r\nContent-Length: 9\r\n\r\nhal"
 	// served wants an answer, and returns the connection to go on with: the node may end this one with the answer.
-	served := func(c *caller, id string) *caller {
+	served := func(c *testClient, id string) *testClient {
 		c.get(id)
 		r, got := c.answer(t)
 		if r.StatusCode != http.StatusOK || got != "for "+id {
@@ -245,21 +245,21 @@
 			for _, id := range []string{"served", "leaving"} {
 				t.Run(fmt.Sprint(moment, " ", method, " ", id), func(t *testing.T) {
 					t.Parallel()
-					completeWhileRoomIsMade(t, moment, method, id)
+					completeDuringEviction(t, moment, method, id)
 				})
 			}
 		}
 	}
 	t.Run("half a request", func(t *testing.T) {
 		t.Parallel()
-		half := dial(t, startCrowdedNode(t, newServer(t, echo), "head read"))
+		half := dial(t, startFullNode(t, newServer(t, echo), "head read"))
 		io.WriteString(half, "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: half\r\nX-Deadline: 60\r\n"+
 			"Content-Length: 9\r\n\r\nhal")
 		half.want(t, http.StatusBadRequest, "")
 	})
 }
 
-func completeWhileRoomIsMade(t *testing.T, moment, method, id string) {
+func completeDuringEviction(t *testing.T, moment, method, id string) {
 	got, ended := make(chan struct{}), make(chan struct{})
 	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		if r.Header.Get("X-Request-Id") == "served" {
@@ -270,7 +270,7 @@
 		close(ended)
 		return false
 	})
-	n := startCrowdedNode(t, s, moment)
+	n := startFullNode(t, s, moment)
 	c := dial(t, n)
 	if method == http.MethodPost {
 		c.send(method, "/note/k", id, "body", "60")
@@ -286,18 +286,18 @@
 	if r, body := c.answer(t); r.StatusCode != http.StatusOK || body != "for served" || r.Close {
 		t.Fatalf("got %d %q, closing %v, want it served and the connection kept", r.StatusCode, body, r.Close)
 	}
-	until(t, "a silent connection to go", func() bool { return n.frontend.conns.count() == crowdedMost })
+	until(t, "a silent connection to go", func() bool { return n.frontend.conns.count() == fullNodeConns })
 }
 
 // crowdedMost is how many connections startCrowdedNode's node may hold, and holds silent ones.
-const crowdedMost = 5
+const fullNodeConns = 5
 
 // startCrowdedNode starts a node that has no place for one more connection, and that makes room at the given
 // moment of a request: first at the expense of those that it takes for half ones.
-func startCrowdedNode(t *testing.T, s *fakeServer, moment string) *Node {
+func startFullNode(t *testing.T, s *fakeServer, moment string) *Node {
 	t.Helper()
-	cfg := withLongAims(testConfig(whole(entry("s1", s.addr(), "in_service"))))
-	cfg.Sockets = reservedDescriptors + crowdedMost + 1 // one is kept for the server
+	cfg := withLongObjectives(testConfig(completeList(entry("s1", s.addr(), "in_service"))))
+	cfg.Sockets = reservedDescriptors + fullNodeConns + 1 // one is kept for the server
 	n, _ := startNode(t, cfg, func(n *Node) {
 		f := n.frontend
 		f.server.ReadTimeout = 2 * limit // what is cut off is cut off to make room
@@ -326,9 +326,9 @@
 			f.ServeHTTP(w, r)
 		})
 	})
-	for range crowdedMost {
+	for range fullNodeConns {
 		dial(t, n)
 	}
-	until(t, "the silent connections to be held", func() bool { return n.frontend.conns.count() == crowdedMost })
+	until(t, "the silent connections to be held", func() bool { return n.frontend.conns.count() == fullNodeConns })
 	return n
 }
--- a/internal/node/dial_test.go
+++ b/internal/node/dial_test.go
@@ -46,12 +46,12 @@
 			t.Parallel()
 			s := newServer(t, echo)
 			f := &failingDial{err: dialError("connect", errno), times: 3}
-			n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) { n.upstream.dial = f.dial })
+			n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) { n.upstream.dial = f.dial })
 			c := dial(t, n)
 			c.send("POST", "/note/k", "r", "x", "60")
 			c.want(t, 200, "for r")
-			if s.seen() != 1 || f.dials.Load() != 4 || n.upstream.connections() != 1 {
-				t.Errorf("%d requests at the server after %d dials, %d connections open", s.seen(), f.dials.Load(), n.upstream.connections())
+			if s.received() != 1 || f.dials.Load() != 4 || n.upstream.connections() != 1 {
+				t.Errorf("%d requests at the server after %d dials, %d connections open", s.received(), f.dials.Load(), n.upstream.connections())
 			}
 		})
 	}
@@ -91,7 +91,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newServer(t, echo)
-			b := testBackend(10)
+			b := testPool(10)
 			a := testAttempt(b, s.addr())
 			f := &failingDial{err: c.err, times: c.times}
 			b.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -101,7 +101,7 @@
 				}
 				return nc, err
 			}
-			r := run(t, b, a)
+			r := doAttempt(t, b, a)
 			if r.result != c.want || a.heldUp != c.heldUp {
 				t.Errorf("ending %d, held up %v; want %d, %v", r.result, a.heldUp, c.want, c.heldUp)
 			}
@@ -109,8 +109,8 @@
 			if c.want == balancer.Success {
 				served = 1
 			}
-			if b.connections() != served || s.seen() != served {
-				t.Errorf("%d connections are open, the server got %d requests", b.connections(), s.seen())
+			if b.connections() != served || s.received() != served {
+				t.Errorf("%d connections are open, the server got %d requests", b.connections(), s.received())
 			}
 			// 5, 10, 20 and 40 ms, and 40 ms each from then on: a wait may be longer, but never shorter.
 			if got := f.dials.Load(); got > 7 || c.want == balancer.ConnectFailed && got != 1 {
@@ -126,8 +126,8 @@
 	for _, asked := range []bool{false, true} {
 		for _, times := range []int32{3, 1e6} {
 			t.Run(fmt.Sprint("asked=", asked, " times=", times), func(t *testing.T) {
-				ag := newAgent(t)
-				ag.tell(false, whole(entry("s1", "127.0.0.1:1", "in_service")))
+				ag := newRegistryAgent(t)
+				ag.set(false, completeList(entry("s1", "127.0.0.1:1", "in_service")))
 				cfg := testConfig("")
 				cfg.Discovery, cfg.Settings.PollDiscovery = ag.Addr().String(), asked
 				events, waits := make(chan event, 10), make(chan time.Duration, 10)
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -18,17 +18,17 @@
 // silent is never answered, however long it may still wait.
 func TestNewsAtTheAgentsReturnNeedsNoTimeOut(t *testing.T) {
 	old, s := newServer(t, echo), newServer(t, echo)
-	ag := newAgent(t)
-	ag.tell(true, "")
-	cfg := testConfig(whole(entry("s1", old.addr(), "in_service")))
+	ag := newRegistryAgent(t)
+	ag.set(true, "")
+	cfg := testConfig(completeList(entry("s1", old.addr(), "in_service")))
 	cfg.Discovery = ag.Addr().String()
 	n, _ := startNode(t, cfg, func(n *Node) { n.discovery.hold, n.discovery.startupWait = 100*limit, 100*limit })
-	wait(t, ag.asked, "the call that is lost")
-	wait(t, ag.asked, "a call beside it")
+	wait(t, ag.calls, "the call that is lost")
+	wait(t, ag.calls, "a call beside it")
 	early := dial(t, n) // by a caller that does not ask whether the node is ready
 	early.get("early")
-	untilOpened(t, n, 1)
-	ag.tell(false, `{"rev":%d,"all":true,"targets":[`+entry("s1", old.addr(), "terminating")+","+entry("s2", s.addr(), "in_service")+`]}`)
+	untilActive(t, n, 1)
+	ag.set(false, `{"rev":%d,"all":true,"targets":[`+entry("s1", old.addr(), "terminating")+","+entry("s2", s.addr(), "in_service")+`]}`)
 	early.want(t, 200, "for early")
 	until(t, "readiness", func() bool { return isReady(t, n) })
 	c := dial(t, n)
@@ -36,8 +36,8 @@
 		c.get(fmt.Sprint("r", i))
 		c.want(t, 200, "")
 	}
-	if old.seen() != 0 {
-		t.Errorf("%d requests came to the server that drains", old.seen())
+	if old.received() != 0 {
+		t.Errorf("%d requests came to the server that drains", old.received())
 	}
 }
 
@@ -45,21 +45,21 @@
 // ready once it has heard the whole list, or has waited long enough for an agent that says nothing.
 func TestNewProcessIsReadyOnceItHasHeardTheList(t *testing.T) {
 	s := newServer(t, echo)
-	ag := newAgent(t)
-	ag.tell(true, "")
-	cfg := testConfig(whole(entry("s1", s.addr(), "in_service")))
+	ag := newRegistryAgent(t)
+	ag.set(true, "")
+	cfg := testConfig(completeList(entry("s1", s.addr(), "in_service")))
 	cfg.Discovery = ag.Addr().String()
 	n, _ := startNode(t, cfg, func(n *Node) { n.discovery.startupWait = 100 * limit })
-	if q := wait(t, ag.asked, "the first call"); q != "" {
+	if q := wait(t, ag.calls, "the first call"); q != "" {
 		t.Errorf("asked %q, want the whole list", q)
 	}
 	if isReady(t, n) {
 		t.Error("ready with a list that may be old")
 	}
-	ag.tell(false, whole(entry("s1", s.addr(), "in_service"))) // nothing new in it
+	ag.set(false, completeList(entry("s1", s.addr(), "in_service"))) // nothing new in it
 	until(t, "readiness", func() bool { return isReady(t, n) })
 
-	ag.tell(true, "")
+	ag.set(true, "")
 	n, _ = startNode(t, cfg, func(n *Node) { n.discovery.startupWait = time.Millisecond })
 	until(t, "readiness beside a silent agent", func() bool { return isReady(t, n) })
 	c := dial(t, n)
@@ -110,7 +110,7 @@
 						}()
 					}
 				}()
-				cfg := testConfig(whole(entry("s1", closedPort(t), "in_service")))
+				cfg := testConfig(completeList(entry("s1", closedPort(t), "in_service")))
 				cfg.Discovery = ln.Addr().String()
 				n, stop := startNode(t, cfg, func(n *Node) {
 					n.discovery.hold, n.discovery.grace = 200*time.Millisecond, 200*time.Millisecond
@@ -129,8 +129,8 @@
 // Where lists are asked for, a new configuration opens a new watch though none is out: what discovery has
 // there counts as told whether it was asked or not.
 func TestMoveAsksAnewWhereListsAreAskedFor(t *testing.T) {
-	ag := newAgent(t)
-	ag.tell(false, whole(entry("s1", "127.0.0.1:1", "in_service")))
+	ag := newRegistryAgent(t)
+	ag.set(false, completeList(entry("s1", "127.0.0.1:1", "in_service")))
 	events := make(chan event, 10)
 	cfg := testConfig("")
 	cfg.Settings.PollDiscovery = true
@@ -139,7 +139,7 @@
 	defer cancel()
 	go d.runPolled(ctx)
 	d.setAddress(ag.Addr().String())
-	if q := wait(t, ag.asked, "a call"); q != "" {
+	if q := wait(t, ag.calls, "a call"); q != "" {
 		t.Errorf("asked %q, want the whole list", q)
 	}
 	if e, ok := wait(t, events, "the list").(listReceived); !ok || len(e.list.entries) != 1 {
@@ -151,7 +151,7 @@
 // silent: what the module waits between its calls is a part of that.
 func TestAskingWaitsNoLongerThanNewsMay(t *testing.T) {
 	for seed := range uint64(20) {
-		cfg := testConfig(whole())
+		cfg := testConfig(completeList())
 		cfg.Settings.PollDiscovery, cfg.Settings.PollWithin, cfg.Seed = true, time.Hour, seed
 		n, err := New(cfg, testLog())
 		if err != nil {
@@ -174,7 +174,7 @@
 func TestRefusedDiscoveryIsNotAskedInAHotLoop(t *testing.T) {
 	for _, within := range []time.Duration{0, time.Millisecond, time.Hour} {
 		t.Run(fmt.Sprint(within), func(t *testing.T) {
-			cfg := testConfig(whole())
+			cfg := testConfig(completeList())
 			cfg.Discovery, cfg.Settings.PollDiscovery, cfg.Settings.PollWithin = closedPort(t), true, within
 			dials, waits := make(chan struct{}, 1000), make(chan time.Duration, 1000)
 			clock := make(chan time.Time)
@@ -202,10 +202,10 @@
 				clock <- time.Time{}
 			}
 			wait(t, waits, "the wait")
-			ag := newAgent(t)
-			ag.tell(false, whole())
+			ag := newRegistryAgent(t)
+			ag.set(false, completeList())
 			n.discovery.setAddress(ag.Addr().String())
-			wait(t, ag.asked, "the call after the move")
+			wait(t, ag.calls, "the call after the move")
 		})
 	}
 }
@@ -219,7 +219,7 @@
 	} {
 		for _, asked := range []bool{false, true} {
 			for failures := range 6 {
-				cfg := testConfig(whole())
+				cfg := testConfig(completeList())
 				cfg.Settings.PollDiscovery, cfg.Settings.PollWithin = asked, within
 				n, err := New(cfg, testLog())
 				if err != nil {
@@ -272,7 +272,7 @@
 			})}
 			go agent.Serve(ln)
 			t.Cleanup(func() { agent.Close() })
-			cfg := testConfig(whole())
+			cfg := testConfig(completeList())
 			cfg.Discovery, cfg.Settings.PollDiscovery = ln.Addr().String(), asked
 			begun := time.Now()
 			n, _ := startNode(t, cfg, func(n *Node) { n.discovery.hold, n.discovery.startupWait = 100*limit, 100*limit })
@@ -294,22 +294,22 @@
 // An agent that was silent may never answer the call that it was silent on: it must be asked anew.
 func TestSilentDiscoveryIsAskedAgain(t *testing.T) {
 	s := newServer(t, echo)
-	ag := newAgent(t)
-	ag.tell(true, "")
-	cfg := testConfig(whole())
+	ag := newRegistryAgent(t)
+	ag.set(true, "")
+	cfg := testConfig(completeList())
 	cfg.Discovery = ag.Addr().String()
 	n, _ := startNode(t, cfg, func(n *Node) {
 		n.discovery.hold, n.discovery.grace = 20*time.Millisecond, 20*time.Millisecond
 	})
 	for range 3 {
-		if q := wait(t, ag.asked, "a watch"); q != "" {
+		if q := wait(t, ag.calls, "a watch"); q != "" {
 			t.Fatalf("asked %q, want the whole list", q)
 		}
 	}
 	c := dial(t, n)
 	fmt.Fprint(c, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
 	c.want(t, 503, "")
-	ag.tell(false, whole(entry("s1", s.addr(), "in_service")))
+	ag.set(false, completeList(entry("s1", s.addr(), "in_service")))
 	until(t, "readiness", func() bool {
 		fmt.Fprint(c, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
 		r, _ := c.answer(t)
@@ -321,7 +321,7 @@
 
 // A watch that ends without news is no news, which the module would take for a change: it only confirms the list.
 func TestWatchWithoutNewsTellsNothing(t *testing.T) {
-	ag := newAgent(t)
+	ag := newRegistryAgent(t)
 	events := make(chan event, 10)
 	cfg := testConfig("")
 	cfg.Discovery = ag.Addr().String()
@@ -331,10 +331,10 @@
 		want event
 	}{
 		{`{"rev":%d,"all":false,"targets":[]}`, listConfirmed{}},
-		{whole(), listReceived{}},
+		{completeList(), listReceived{}},
 		{`{"rev":%d,"all":false,"targets":[` + entry("s1", "127.0.0.1:1", "in_service") + `]}`, listReceived{}},
 	} {
-		ag.tell(false, c.text)
+		ag.set(false, c.text)
 		if _, err := d.watchOnce(t.Context(), d.currentAddress(), false); err != nil {
 			t.Fatal(err)
 		}
@@ -349,30 +349,30 @@
 
 // Where discovery is asked, a watch follows only a Subscribe, and its failure is told.
 func TestAskedDiscoveryFollowsSubscribe(t *testing.T) {
-	ag := newAgent(t)
+	ag := newRegistryAgent(t)
 	events := make(chan event, 10)
 	cfg := testConfig("")
 	cfg.Discovery = ag.Addr().String()
 	cfg.Settings.PollDiscovery = true
 	d := newDiscovery(cfg, 7, func(e event) { events <- e }, testLog())
-	ag.tell(false, whole(entry("s1", "127.0.0.1:1", "in_service")))
+	ag.set(false, completeList(entry("s1", "127.0.0.1:1", "in_service")))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go d.runPolled(ctx)
 	d.subscribe()
-	if q := wait(t, ag.asked, "a watch"); !strings.HasPrefix(q, "from=7&") {
+	if q := wait(t, ag.calls, "a watch"); !strings.HasPrefix(q, "from=7&") {
 		t.Errorf("asked %q", q)
 	}
 	if e, ok := wait(t, events, "the list").(listReceived); !ok || len(e.list.entries) != 1 {
 		t.Errorf("got %v", e)
 	}
-	wait(t, ag.asked, "the watch to go on")
-	ag.tell(false, "{bad %d")
+	wait(t, ag.calls, "the watch to go on")
+	ag.set(false, "{bad %d")
 	if e, ok := wait(t, events, "the failure").(subscriptionFailed); !ok {
 		t.Errorf("got %v", e)
 	}
 	select {
-	case q := <-ag.asked:
+	case q := <-ag.calls:
 		t.Errorf("asked %q without a Subscribe", q)
 	default:
 	}
@@ -381,14 +381,14 @@
 // The watch moves at once, though a call to the old address waits, and versions there count anew.
 func TestReloadMovesTheWatch(t *testing.T) {
 	a, b := newServer(t, echo), newServer(t, echo)
-	old, next := newAgent(t), newAgent(t)
+	old, next := newRegistryAgent(t), newRegistryAgent(t)
 	old.rev = 1000
-	old.tell(false, whole(entry("s1", a.addr(), "in_service")))
-	next.tell(false, whole(entry("s2", b.addr(), "in_service")))
-	cfg := testConfig(whole(entry("s1", a.addr(), "in_service")))
+	old.set(false, completeList(entry("s1", a.addr(), "in_service")))
+	next.set(false, completeList(entry("s2", b.addr(), "in_service")))
+	cfg := testConfig(completeList(entry("s1", a.addr(), "in_service")))
 	cfg.Discovery = old.Addr().String()
 	n, _ := startNode(t, cfg, func(n *Node) { n.discovery.hold = limit })
-	for !strings.Contains(wait(t, old.asked, "the watch"), "from=1001&") {
+	for !strings.Contains(wait(t, old.calls, "the watch"), "from=1001&") {
 	}
 	c := dial(t, n)
 	c.get("before")
@@ -396,21 +396,21 @@
 	n.Reload(cfg) // the same address: nothing moves
 	cfg.Discovery = next.Addr().String()
 	n.Reload(cfg)
-	if q := wait(t, next.asked, "the whole list"); q != "" {
+	if q := wait(t, next.calls, "the whole list"); q != "" {
 		t.Errorf("asked %q of the new address, want the whole list", q)
 	}
-	if q := wait(t, next.asked, "the watch"); !strings.HasPrefix(q, fmt.Sprintf("from=%d&", next.rev)) {
+	if q := wait(t, next.calls, "the watch"); !strings.HasPrefix(q, fmt.Sprintf("from=%d&", next.rev)) {
 		t.Errorf("asked %q", q)
 	}
-	if len(old.asked) > 0 {
-		t.Errorf("the old address was asked %q after the move", <-old.asked)
+	if len(old.calls) > 0 {
+		t.Errorf("the old address was asked %q after the move", <-old.calls)
 	}
-	before := a.seen()
+	before := a.received()
 	for i := range 20 { // on the connection of before
 		c.get(fmt.Sprint("after-", i))
 		c.want(t, 200, fmt.Sprint("for after-", i))
 	}
-	if a.seen() != before || b.seen() != 20 {
-		t.Errorf("%d requests came to the server that has gone, %d of 20 to the new one", a.seen()-before, b.seen())
+	if a.received() != before || b.received() != 20 {
+		t.Errorf("%d requests came to the server that has gone, %d of 20 to the new one", a.received()-before, b.received())
 	}
 }
--- a/internal/node/discoveryfaults_test.go
+++ b/internal/node/discoveryfaults_test.go
@@ -142,7 +142,7 @@
 				for _, times := range []int{1, 3} {
 					t.Run(fmt.Sprint("asked=", asked, " ", fault, " ", when, " ", times), func(t *testing.T) {
 						t.Parallel()
-						failAndTell(t, asked, fault, when, times)
+						changeAfterFailures(t, asked, fault, when, times)
 					})
 				}
 			}
@@ -150,10 +150,10 @@
 	}
 }
 
-func failAndTell(t *testing.T, asked bool, fault, when string, times int) {
+func changeAfterFailures(t *testing.T, asked bool, fault, when string, times int) {
 	old, joined := newServer(t, echo), newServer(t, echo)
-	before := whole(entry("s1", old.addr(), "in_service"))
-	after := whole(entry("s1", old.addr(), "terminating"), entry("s2", joined.addr(), "in_service"))
+	before := completeList(entry("s1", old.addr(), "in_service"))
+	after := completeList(entry("s1", old.addr(), "terminating"), entry("s2", joined.addr(), "in_service"))
 	ag, first := newFaultyAgent(t), newFaultyAgent(t)
 	addr := ag.Addr().String()
 	if fault == "refused" && when != "middle" {
@@ -217,11 +217,11 @@
 		}
 	}
 	untilListed(t, n, "s2")
-	seen := old.seen()
+	seen := old.received()
 	for range 5 {
 		ask()
 	}
-	if old.seen() != seen || joined.seen() != 5 {
-		t.Errorf("%d requests came to the server that drains, %d of 5 to the one that joined", old.seen()-seen, joined.seen())
+	if old.received() != seen || joined.received() != 5 {
+		t.Errorf("%d requests came to the server that drains, %d of 5 to the one that joined", old.received()-seen, joined.received())
 	}
 }
--- a/internal/node/downstreamconn_test.go
+++ b/internal/node/downstreamconn_test.go
@@ -11,7 +11,7 @@
 // Silent and half-spoken connections end by themselves, and so do those that ask no more.
 func TestConnectionsWithoutARequestEnd(t *testing.T) {
 	s := newServer(t, echo)
-	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
 		n.frontend.server.ReadTimeout = 300 * time.Millisecond
 		n.frontend.server.IdleTimeout = 300 * time.Millisecond
 	})
@@ -26,14 +26,14 @@
 	c := dial(t, n)
 	c.get("once")
 	c.want(t, http.StatusOK, "for once")
-	closed(t, c.br, "a connection that asks no more")
+	expectClosed(t, c.reader, "a connection that asks no more")
 }
 
 // A client that stops in the middle of a request and stays gets an error or a close within the time for
 // reading a request, also if it has sent too little to be told from one that rests.
 func TestClientsThatStopInTheMiddleOfARequestEnd(t *testing.T) {
 	s := newServer(t, echo)
-	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
 		n.frontend.server.ReadTimeout = 300 * time.Millisecond
 		n.frontend.server.IdleTimeout = 10 * limit
 	})
@@ -64,7 +64,7 @@
 				}
 				end := make(chan error, 1)
 				go func() {
-					_, err := io.Copy(io.Discard, c.br)
+					_, err := io.Copy(io.Discard, c.reader)
 					end <- err
 				}()
 				if err := wait(t, end, "the end"); err != nil {
@@ -85,12 +85,12 @@
 		ours, theirs := downstreamPair(t, newDownstreamConns(newClock(), 10, 10, 16<<20, func() int { return 0 }), 2*limit)
 		ours.SetReadDeadline(time.Now().Add(limit))
 		io.WriteString(theirs, first)
-		if text := make([]byte, len(first)); !readsWhole(ours, text) {
+		if text := make([]byte, len(first)); !readsAll(ours, text) {
 			t.Fatalf("%q is not read", first)
 		}
 		ours.SetReadDeadline(time.Now()) // as net/http set it before the first bytes came
 		io.WriteString(theirs, "rest")
-		if text := make([]byte, 4); !readsWhole(ours, text) || string(text) != "rest" {
+		if text := make([]byte, 4); !readsAll(ours, text) || string(text) != "rest" {
 			t.Errorf("%q: the rest is not read", first)
 		}
 	}
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -53,11 +53,11 @@
 func TestQueuedConnectionsAreAcceptedBeforeTheListenerCloses(t *testing.T) {
 	s := newServer(t, echo)
 	gate, shut := make(chan struct{}), make(chan struct{}, 1)
-	n, stop := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+	n, stop := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
 		n.drainSchedule, n.drainLimit = drainSchedule{closeConns: time.Millisecond, answerAll: limit}, 2*limit
 		n.listener = gatedListener{n.listener.(*net.TCPListener), gate, shut}
 	})
-	var queued []*caller
+	var queued []*testClient
 	for i := range 5 {
 		c := dial(t, n)
 		c.get(fmt.Sprint("queued-", i))
@@ -89,7 +89,7 @@
 			c.Read(make([]byte, 1)) // until the node closes
 			return false
 		})
-		cfg := testConfig(whole(entry("s1", s.addr(), "in_service")))
+		cfg := testConfig(completeList(entry("s1", s.addr(), "in_service")))
 		cfg.Settings.MaxRetryAfter = advice
 		n, stop := startNode(t, cfg, func(n *Node) {
 			n.drainSchedule, n.drainLimit = drainSchedule{answerAll: limit}, 2*limit
@@ -102,13 +102,13 @@
 		n.loop.post(listReceived{listOf(t, true)})
 		held := dial(t, n)
 		held.send("POST", "/note/k", "held", "x", "60")
-		untilOpened(t, n, 3)
+		untilActive(t, n, 3)
 		after.get("before") // its answer keeps the order: the held one is with the module by then
-		untilOpened(t, n, 4)
+		untilActive(t, n, 4)
 		n.loop.post(shutdownDeadline{})
 		for _, c := range []struct {
 			name   string
-			from   *caller
+			from   *testClient
 			status int
 		}{{"unsafe and in flight", unsafe, 502}, {"safe and in flight", safe, 503}, {"held", held, 503}, {"held and safe", after, 503}} {
 			r, _ := c.from.answer(t)
@@ -126,7 +126,7 @@
 
 // A caller whose connection was accepted a moment ago has its request on the way: it is not let go unheard.
 func TestFreshConnectionIsHeardThoughTheNodeEnds(t *testing.T) {
-	n, err := New(testConfig(whole()), testLog())
+	n, err := New(testConfig(completeList()), testLog())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -149,7 +149,7 @@
 
 func TestEndOfNodeAnswersAllThatWasTaken(t *testing.T) {
 	s, got, release := newHoldingServer(t, "held")
-	n, stop := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+	n, stop := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
 		n.drainSchedule, n.drainLimit = drainSchedule{stopAccepting: time.Second, closeConns: 2 * time.Second, answerAll: limit}, 2*limit
 	})
 	idle, held, mute := dial(t, n), dial(t, n), dial(t, n)
@@ -177,12 +177,12 @@
 	if r.StatusCode != 200 || body != "for late" {
 		t.Errorf("late: %d %q", r.StatusCode, body)
 	}
-	closed(t, idle.br, "an idle connection at the end")
+	expectClosed(t, idle.reader, "an idle connection at the end")
 	release()
 	if r, body := held.answer(t); r.StatusCode != 200 || body != "for held" || !r.Close {
 		t.Errorf("held: %d %q, close %v", r.StatusCode, body, r.Close)
 	}
-	closed(t, mute.br, "a connection that never sent a request")
+	expectClosed(t, mute.reader, "a connection that never sent a request")
 	if err := wait(t, end, "the node's end"); err != nil {
 		t.Error(err)
 	}
@@ -196,7 +196,7 @@
 		io.Copy(io.Discard, c) // never answers
 		return false
 	})
-	n, stop := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+	n, stop := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
 		n.drainSchedule, n.drainLimit = drainSchedule{answerAll: 500 * time.Millisecond}, limit
 	})
 	c := dial(t, n)
--- a/internal/node/faultyconns_test.go
+++ b/internal/node/faultyconns_test.go
@@ -30,9 +30,9 @@
 // breakableConn fails its reads with cause once it is broken; a deadline that passes is its own cause.
 type breakableConn struct {
 	*net.TCPConn
-	cause  error
-	broken chan struct{}
-	woken  chan struct{} // gets one when a wait for something to read has ended
+	cause      error
+	broken     chan struct{}
+	watchEnded chan struct{} // gets one when a wait for something to read has ended
 }
 
 // breakNow ends the wait for something to read as the kernel does when the connection breaks.
@@ -67,7 +67,7 @@
 func (r breakableRaw) Read(ready func(uintptr) bool) error {
 	err := r.RawConn.Read(ready)
 	select {
-	case r.of.woken <- struct{}{}:
+	case r.of.watchEnded <- struct{}{}:
 	default:
 	}
 	if isClosed(r.of.broken) {
@@ -79,7 +79,7 @@
 // gatedConns holds back what the node asks of its callers' connections.
 type gatedConns struct {
 	*net.TCPListener
-	reads, looks *gate
+	reads, peeks *gate
 }
 
 func (l gatedConns) Accept() (net.Conn, error) {
@@ -92,19 +92,19 @@
 
 // gate holds back the first that pass, until it is opened.
 type gate struct {
-	first       atomic.Int32
-	at, through chan struct{}
+	first            atomic.Int32
+	arrived, release chan struct{}
 }
 
 func (g *gate) pass() {
 	if g.first.Add(-1) >= 0 {
-		g.at <- struct{}{}
-		<-g.through
+		g.arrived <- struct{}{}
+		<-g.release
 	}
 }
 
 func newGate(first int32) *gate {
-	g := &gate{at: make(chan struct{}, first), through: make(chan struct{})}
+	g := &gate{arrived: make(chan struct{}, first), release: make(chan struct{})}
 	g.first.Store(first)
 	return g
 }
@@ -120,6 +120,6 @@
 }
 
 func (c gatedConn) SyscallConn() (syscall.RawConn, error) {
-	c.of.looks.pass()
+	c.of.peeks.pass()
 	return c.TCPConn.SyscallConn()
 }
--- a/internal/node/frontend_test.go
+++ b/internal/node/frontend_test.go
@@ -33,7 +33,7 @@
 		got <- seen{r, body}
 		return reply200(c, answerBody)
 	})
-	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) { n.upstream.reuseDelay = 0 })
+	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) { n.upstream.reuseDelay = 0 })
 	c := dial(t, n)
 	long := strings.Repeat("b\r\n\x00", maxBody/4)
 	for i, target := range []string{"/keyed/a%2fB?q=%20%41&&x", `/keyed/"odd"|{};,`, "/keyed/", "/keyed//x/../y?"} {
@@ -57,8 +57,8 @@
 		g.r.ContentLength != 0 {
 		t.Errorf("got %s %v", g.r.Method, g.r.Header)
 	}
-	if s.opened() != 1 {
-		t.Errorf("%d connections for requests one after another, want 1", s.opened())
+	if s.accepted() != 1 {
+		t.Errorf("%d connections for requests one after another, want 1", s.accepted())
 	}
 }
 
@@ -72,7 +72,7 @@
 		<-hold
 		return echo(c, r, body)
 	})
-	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
 		n.frontend.server.ReadTimeout = 300 * time.Millisecond
 	})
 	first := dial(t, n)
@@ -128,15 +128,15 @@
 				return
 			}
 			conn.want(t, c.status, "")
-			closed(t, conn.br, "a connection that said what can't be used")
+			expectClosed(t, conn.reader, "a connection that said what can't be used")
 		})
 	}
 	cut := dial(t, n)
 	io.WriteString(cut, "POST /note/k HTTP/1.1\r\n"+ok+"Content-Length: 10\r\n\r\nhalf")
 	cut.Conn.(*net.TCPConn).CloseWrite()
-	io.Copy(io.Discard, cut.br) // an answer or none, but the end
-	if s.seen() != 1 {
-		t.Errorf("%d requests reached the server, want only the good one", s.seen())
+	io.Copy(io.Discard, cut.reader) // an answer or none, but the end
+	if s.received() != 1 {
+		t.Errorf("%d requests reached the server, want only the good one", s.received())
 	}
 	close(hold)
 	first.want(t, 200, "for used")
@@ -144,7 +144,7 @@
 
 // A request that the module gives up is refused at once, with advice, though its deadline is far off.
 func TestRefusalComesAtOnceAndSaysWhenToComeBack(t *testing.T) {
-	cfg := testConfig(whole(entry("s1", closedPort(t), "in_service")))
+	cfg := testConfig(completeList(entry("s1", closedPort(t), "in_service")))
 	n, _ := startNode(t, cfg, nil)
 	c := dial(t, n)
 	begin := time.Now()
@@ -159,7 +159,7 @@
 // not make every other caller's first try look like a repeat whose aim is over, to be refused at once.
 func TestALongLastTryLeavesFirstTriesAsTheyAre(t *testing.T) {
 	s, got, release := newHoldingServer(t, "held")
-	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), nil)
+	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), nil)
 	c := dial(t, n)
 	view := func(id, deadline string) {
 		t.Helper()
@@ -170,7 +170,7 @@
 		view(fmt.Sprint("first-", i), "25")
 	}
 	view("last", "59.9")
-	var busy []*caller // with these out there is room for a first try, and none for a repeat
+	var busy []*testClient // with these out there is room for a first try, and none for a repeat
 	holdMore := func(calls int) {
 		for range calls {
 			i := len(busy)
--- a/internal/node/halfclose_test.go
+++ b/internal/node/halfclose_test.go
@@ -52,9 +52,9 @@
 				if c.where == "held" {
 					state = "terminating"
 				}
-				cfg := testConfig(whole(entry("s1", s.addr(), state)))
+				cfg := testConfig(completeList(entry("s1", s.addr(), state)))
 				cfg.Settings.AllowCancel = mayCancel
-				var dials heldDial
+				var dials heldDials
 				n, _ := startNode(t, cfg, func(n *Node) {
 					if c.where == "dial" {
 						dials = holdDials(n.upstream)
@@ -64,9 +64,9 @@
 				io.WriteString(half, c.text)
 				switch c.where {
 				case "held":
-					untilOpened(t, n, 1)
+					untilActive(t, n, 1)
 				case "dial":
-					wait(t, dials.up, "the connection")
+					wait(t, dials.dialed, "the connection")
 				default:
 					wait(t, got, "the attempt")
 				}
@@ -99,18 +99,18 @@
 						close(answer)
 					}
 				}
-				closed(t, half.br, "the connection after the last answer")
+				expectClosed(t, half.reader, "the connection after the last answer")
 				switch c.where {
 				case "dial":
-					close(dials.through)
+					close(dials.release)
 				case "last call":
 					close(answer)
 				}
 				if c.where == "last call" { // nothing is sent on any more
 					return
 				}
-				if s.seen() != c.seen {
-					t.Errorf("%d requests began, want %d", s.seen(), c.seen)
+				if s.received() != c.seen {
+					t.Errorf("%d requests began, want %d", s.received(), c.seen)
 				}
 			})
 		}
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -66,7 +66,7 @@
 }
 
 // withLongAims has no attempt of a configuration end by itself while a test waits for something else to end it.
-func withLongAims(cfg Config) Config {
+func withLongObjectives(cfg Config) Config {
 	return with(cfg, func(classes []balancer.Class) []balancer.Class {
 		for i := range classes {
 			classes[i].LatencyObjective = 2 * limit
@@ -135,13 +135,13 @@
 	return ln.Addr().String()
 }
 
-func readsWhole(r io.Reader, p []byte) bool {
+func readsAll(r io.Reader, p []byte) bool {
 	_, err := io.ReadFull(r, p)
 	return err == nil
 }
 
 // closed waits for the other side to close a connection with nothing more said.
-func closed(t *testing.T, r io.Reader, what string) {
+func expectClosed(t *testing.T, r io.Reader, what string) {
 	t.Helper()
 	if n, err := r.Read(make([]byte, 1)); n != 0 || err == nil {
 		t.Fatalf("%s: still open", what)
@@ -155,7 +155,7 @@
 		`"capacity_hint":1,"boot_ms":0}`, uid, endpoint, state)
 }
 
-func whole(entries ...string) string {
+func completeList(entries ...string) string {
 	return `{"rev":%d,"all":true,"targets":[` + strings.Join(entries, ",") + `]}`
 }
 
@@ -253,13 +253,13 @@
 
 func (s *fakeServer) addr() string { return s.Addr().String() }
 
-func (s *fakeServer) seen() int {
+func (s *fakeServer) received() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.requests)
 }
 
-func (s *fakeServer) opened() int {
+func (s *fakeServer) accepted() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
@@ -335,23 +335,23 @@
 }
 
 // agent is discovery's agent: it answers watches with what it was given last, or is silent.
-type agent struct {
+type registryAgent struct {
 	net.Listener
-	mu     sync.Mutex
-	rev    int
-	text   string
-	silent bool
-	news   chan struct{} // closed at each change
-	asked  chan string   // the query of each call, as far as there is room
+	mu           sync.Mutex
+	rev          int
+	text         string
+	unresponsive bool
+	changed      chan struct{} // closed at each change
+	calls        chan string   // the query of each call, as far as there is room
 }
 
-func (a *agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (a *registryAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	select {
-	case a.asked <- r.URL.RawQuery:
+	case a.calls <- r.URL.RawQuery:
 	default:
 	}
 	a.mu.Lock()
-	text, silent, news := a.text, a.silent, a.news
+	text, silent, news := a.text, a.unresponsive, a.changed
 	current := r.URL.Query().Get("from") == fmt.Sprint(a.rev)
 	a.mu.Unlock()
 	if silent { // also once it is back, as a call that was lost
@@ -365,7 +365,7 @@
 			return
 		}
 		a.mu.Lock()
-		text, silent = a.text, a.silent
+		text, silent = a.text, a.unresponsive
 		a.mu.Unlock()
 		if silent {
 			<-r.Context().Done()
@@ -376,25 +376,25 @@
 }
 
 // tell sets what the agent has; text may hold %d for its rev.
-func (a *agent) tell(silent bool, text string) {
+func (a *registryAgent) set(silent bool, text string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.silent = silent
+	a.unresponsive = silent
 	if text != "" {
 		a.rev++
 		a.text = strings.Replace(text, "%d", fmt.Sprint(a.rev), 1)
 	}
-	close(a.news)
-	a.news = make(chan struct{})
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
-func newAgent(t *testing.T) *agent {
+func newRegistryAgent(t *testing.T) *registryAgent {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &agent{Listener: ln, rev: 1, news: make(chan struct{}), asked: make(chan string, 1000)}
+	a := &registryAgent{Listener: ln, rev: 1, changed: make(chan struct{}), calls: make(chan string, 1000)}
 	srv := &http.Server{Handler: a}
 	go srv.Serve(ln)
 	t.Cleanup(func() { srv.Close() })
@@ -402,15 +402,15 @@
 }
 
 // caller is one caller's connection to a node.
-type caller struct {
+type testClient struct {
 	net.Conn
-	br *bufio.Reader
+	reader *bufio.Reader
 }
 
 // get writes a GET for the class view.
-func (c *caller) get(id string) { c.send("GET", "/view/k", id, "", "60") }
+func (c *testClient) get(id string) { c.send("GET", "/view/k", id, "", "60") }
 
-func (c *caller) send(method, target, id, body, deadline string) {
+func (c *testClient) send(method, target, id, body, deadline string) {
 	length := ""
 	if method == "POST" {
 		length = fmt.Sprintf("Content-Length: %d\r\n", len(body))
@@ -420,8 +420,8 @@
 }
 
 // read reads one answer to its end. Unlike answer it may be called from any goroutine.
-func (c *caller) read() (*http.Response, string, error) {
-	r, err := http.ReadResponse(c.br, nil)
+func (c *testClient) read() (*http.Response, string, error) {
+	r, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return nil, "", err
 	}
@@ -430,7 +430,7 @@
 }
 
 // answer reads one answer, which must be complete.
-func (c *caller) answer(t *testing.T) (*http.Response, string) {
+func (c *testClient) answer(t *testing.T) (*http.Response, string) {
 	t.Helper()
 	r, body, err := c.read()
 	if err != nil {
@@ -439,7 +439,7 @@
 	return r, body
 }
 
-func (c *caller) want(t *testing.T, status int, body string) {
+func (c *testClient) want(t *testing.T, status int, body string) {
 	t.Helper()
 	r, got := c.answer(t)
 	if r.StatusCode != status || body != "" && got != body {
@@ -447,7 +447,7 @@
 	}
 }
 
-func dial(t *testing.T, n *Node) *caller {
+func dial(t *testing.T, n *Node) *testClient {
 	t.Helper()
 	c, err := net.Dial("tcp", n.Addr())
 	if err != nil {
@@ -455,7 +455,7 @@
 	}
 	t.Cleanup(func() { c.Close() })
 	c.SetDeadline(time.Now().Add(2 * limit))
-	return &caller{c, bufio.NewReader(c)}
+	return &testClient{c, bufio.NewReader(c)}
 }
 
 // requestText is what get writes.
@@ -464,7 +464,7 @@
 }
 
 // sentAhead is so many bytes of requests, the last of them cut.
-func sentAhead(size int) string {
+func pipelinedText(size int) string {
 	text := ""
 	for i := 0; len(text) < size; i++ {
 		text += requestText(fmt.Sprint("next-", i))
@@ -473,7 +473,7 @@
 }
 
 // readAhead is how many bytes are kept of callers whose requests are not answered.
-func readAhead(n *Node) (sum int) {
+func readAheadBytes(n *Node) (sum int) {
 	n.frontend.conns.mu.Lock()
 	defer n.frontend.conns.mu.Unlock()
 	for c := range n.frontend.conns.conns {
@@ -499,7 +499,7 @@
 	})
 }
 
-func untilOpened(t *testing.T, n *Node, many int) {
+func untilActive(t *testing.T, n *Node, many int) {
 	t.Helper()
 	until(t, "the requests to be with the module", func() bool {
 		n.frontend.conns.mu.Lock()
@@ -510,14 +510,14 @@
 
 // heldDial holds each connection back once it is up, until it is let through: as one that comes up late.
 // It does not heed its context, so that whatever happened meanwhile is found at the first byte only.
-type heldDial struct{ up, through chan struct{} }
+type heldDials struct{ dialed, release chan struct{} }
 
-func holdDials(b *upstreamPool) heldDial {
-	h := heldDial{make(chan struct{}, 10), make(chan struct{})}
+func holdDials(b *upstreamPool) heldDials {
+	h := heldDials{make(chan struct{}, 10), make(chan struct{})}
 	b.dial = func(_ context.Context, network, address string) (net.Conn, error) {
 		nc, err := net.Dial(network, address)
-		h.up <- struct{}{}
-		<-h.through
+		h.dialed <- struct{}{}
+		<-h.release
 		return nc, err
 	}
 	return h
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -13,8 +13,8 @@
 // attempts that end in memory; a call without an answer in time is not served.
 func TestHollowNode(t *testing.T) {
 	for _, asked := range []bool{false, true} {
-		ag := newAgent(t)
-		ag.tell(false, whole(entry("s1", "127.0.0.1:1", "in_service")))
+		ag := newRegistryAgent(t)
+		ag.set(false, completeList(entry("s1", "127.0.0.1:1", "in_service")))
 		cfg := testConfig("")
 		cfg.Discovery, cfg.Settings.PollDiscovery = ag.Addr().String(), asked
 		lists := make(chan int64, 10)
--- a/internal/node/listener_test.go
+++ b/internal/node/listener_test.go
@@ -52,7 +52,7 @@
 		t.Run(cause.Error(), func(t *testing.T) {
 			t.Parallel()
 			s := newServer(t, echo)
-			n, stop := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+			n, stop := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
 				n.drainSchedule, n.drainLimit = drainSchedule{closeConns: time.Millisecond, answerAll: limit}, 2*limit
 				n.listener = failingListener{n.listener.(*net.TCPListener), failing(cause, 3)}
 			})
@@ -75,7 +75,7 @@
 			s, got, release := newHoldingServer(t, "")
 			draining, resume := make(chan struct{}), make(chan struct{})
 			fail := failing(cause, 3)
-			n, stop := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+			n, stop := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
 				n.drainSchedule, n.drainLimit = drainSchedule{closeConns: time.Millisecond, answerAll: limit}, 2*limit
 				n.listener = failingListener{n.listener.(*net.TCPListener), func() error {
 					if !n.frontend.draining.Load() {
@@ -123,7 +123,7 @@
 			})
 			var failing atomic.Bool
 			failed := make(chan struct{}, 1)
-			n, stop := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+			n, stop := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
 				n.drainSchedule, n.drainLimit = drainSchedule{closeConns: time.Millisecond, answerAll: 100 * time.Millisecond}, 2*limit
 				n.listener = failingListener{n.listener.(*net.TCPListener), func() error {
 					if !failing.Load() {
--- a/internal/node/listparser_test.go
+++ b/internal/node/listparser_test.go
@@ -100,7 +100,7 @@
 		entries[i] = fmt.Sprintf(`{"uid":"s-%08x","endpoint":"10.1.%d.%d:7070","az":"zone-a","model":"m2","note":%q,`+
 			`"pod_group":3,"state":"in_service","capacity_hint":1.0,"boot_ms":1800000000000}`, i, i/256, i%256, note)
 	}
-	text := strings.Replace(whole(entries...), "%d", "7", 1)
+	text := strings.Replace(completeList(entries...), "%d", "7", 1)
 	if indented {
 		var b bytes.Buffer
 		json.Indent(&b, []byte(text), "", "        ")
@@ -121,8 +121,8 @@
 		{"of a byte too many", manyServers(1, "", false) + strings.Repeat(" ", maxListBytes+1-len(manyServers(1, "", false))), 0},
 		{"endless", manyServers(3200, strings.Repeat("x", 2000), false), 0},
 	} {
-		ag := newAgent(t)
-		ag.tell(false, c.text)
+		ag := newRegistryAgent(t)
+		ag.set(false, c.text)
 		var got []listEntry
 		cfg := testConfig("")
 		cfg.Discovery = ag.Addr().String()
@@ -195,7 +195,7 @@
 func BenchmarkListChange(b *testing.B) {
 	for _, servers := range []int{100, 1600, 3200} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			l, back := bootLoop(b, newMachine(), true), testBackend(10)
+			l, back := bootLoop(b, newMachineClocks(), true), testPool(10)
 			all := parsedList(b, manyServers(servers, "", false))
 			l.setStartTimes(all.entries)
 			l.applyEntries(all)
@@ -234,15 +234,15 @@
 		}
 	}
 	s := newServer(t, echo)
-	ag := newAgent(t)
-	cfg := testConfig(whole(entry("s1", s.addr(), "in_service")))
+	ag := newRegistryAgent(t)
+	cfg := testConfig(completeList(entry("s1", s.addr(), "in_service")))
 	cfg.Discovery = ag.Addr().String()
-	ag.tell(false, whole(entry("s1", s.addr(), "in_service")))
+	ag.set(false, completeList(entry("s1", s.addr(), "in_service")))
 	n, _ := startNode(t, cfg, nil)
-	for wait(t, ag.asked, "the watch for changes") == "" {
+	for wait(t, ag.calls, "the watch for changes") == "" {
 	}
-	ag.tell(false, `{"rev":%d,"all":true,"targets":[`+entry("s1", s.addr(), "terminated")+`,{"uid":""}]}`)
-	if q := wait(t, ag.asked, "the call after the bad list"); q != "" {
+	ag.set(false, `{"rev":%d,"all":true,"targets":[`+entry("s1", s.addr(), "terminated")+`,{"uid":""}]}`)
+	if q := wait(t, ag.calls, "the call after the bad list"); q != "" {
 		t.Errorf("asked %q, want the whole list", q)
 	}
 	c := dial(t, n)
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -14,7 +14,7 @@
 // open connections for nothing.
 func TestWholeListWithoutNewsChangesNothing(t *testing.T) {
 	s := newServer(t, echo)
-	n, err := New(testConfig(whole(entry("s1", s.addr(), "in_service"))), testLog())
+	n, err := New(testConfig(completeList(entry("s1", s.addr(), "in_service"))), testLog())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +40,7 @@
 // A node is ready while a server that it may send to is listed, however the lists came.
 func TestReadinessFollowsTheLists(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	l := bootLoop(t, newMachine(), true)
+	l := bootLoop(t, newMachineClocks(), true)
 	for i := range 500 {
 		full := rng.IntN(10) == 0
 		var entries []string
@@ -63,7 +63,7 @@
 
 // The list that a node last had is long, and of no use once a list was heard.
 func TestTheKnownListIsNotKept(t *testing.T) {
-	cfg := testConfig(whole(entry("s1", "127.0.0.1:1", "in_service")))
+	cfg := testConfig(completeList(entry("s1", "127.0.0.1:1", "in_service")))
 	n, err := New(cfg, testLog())
 	if err != nil {
 		t.Fatal(err)
@@ -79,7 +79,7 @@
 // Callers, requests and servers that are ever new leave nothing behind.
 func TestStateStaysBounded(t *testing.T) {
 	s := newServer(t, echo)
-	n, _ := startNode(t, testConfig(whole(entry("s0", s.addr(), "in_service"))), nil)
+	n, _ := startNode(t, testConfig(completeList(entry("s0", s.addr(), "in_service"))), nil)
 	round := func(i int) {
 		l := endpointList{complete: true, version: int64(i), entries: []listEntry{{address: s.addr()}}}
 		l.entries[0].ID = fmt.Sprint("s", i)
--- a/internal/node/outlier_test.go
+++ b/internal/node/outlier_test.go
@@ -14,22 +14,22 @@
 )
 
 // fleet is a list of servers that fail some requests at once with a 500, by class, and count all they get.
-type fleet struct {
-	mu    sync.Mutex
-	got   map[string]int  // by uid and class
-	fails map[string]bool // by uid and class
-	part  int             // of those that fail one in so many is served all the same; 0: none
-	room  int             // requests that each serves at once; beyond that it turns away. 0: any number
-	busy  map[string]int
-	work  time.Duration // how long what is served takes
-	slow  string        // the server that takes too long for anything
-	hangs int           // of the views, one in so many is never answered; 0: none
-	rng   *rand.Rand
+type faultyFleet struct {
+	mu          sync.Mutex
+	received    map[string]int  // by uid and class
+	fails       map[string]bool // by uid and class
+	servedOneIn int             // of those that fail one in so many is served all the same; 0: none
+	capacity    int             // requests that each serves at once; beyond that it turns away. 0: any number
+	busy        map[string]int
+	work        time.Duration // how long what is served takes
+	slow        string        // the server that takes too long for anything
+	hangsOneIn  int           // of the views, one in so many is never answered; 0: none
+	rng         *rand.Rand
 }
 
-func newFleet(part, room int, fails ...string) *fleet {
-	f := &fleet{
-		got: map[string]int{}, fails: map[string]bool{}, busy: map[string]int{}, part: part, room: room, work: 5 * time.Millisecond,
+func newFaultyFleet(part, room int, fails ...string) *faultyFleet {
+	f := &faultyFleet{
+		received: map[string]int{}, fails: map[string]bool{}, busy: map[string]int{}, servedOneIn: part, capacity: room, work: 5 * time.Millisecond,
 		rng: rand.New(rand.NewPCG(1, 2)),
 	}
 	for _, k := range fails {
@@ -39,14 +39,14 @@
 }
 
 // serve starts a server and returns its entry.
-func (f *fleet) serve(t *testing.T, uid string) string {
+func (f *faultyFleet) serve(t *testing.T, uid string) string {
 	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		class := strings.Split(r.URL.Path, "/")[1]
 		f.mu.Lock()
-		f.got[uid+" "+class]++
-		fails := f.fails[uid+" "+class] && !(f.part > 0 && f.rng.IntN(f.part) == 0)
-		full := f.room > 0 && f.busy[uid] >= f.room
-		hangs := f.hangs > 0 && class == "view" && f.rng.IntN(f.hangs) == 0
+		f.received[uid+" "+class]++
+		fails := f.fails[uid+" "+class] && !(f.servedOneIn > 0 && f.rng.IntN(f.servedOneIn) == 0)
+		full := f.capacity > 0 && f.busy[uid] >= f.capacity
+		hangs := f.hangsOneIn > 0 && class == "view" && f.rng.IntN(f.hangsOneIn) == 0
 		f.busy[uid]++
 		f.mu.Unlock()
 		defer func() {
@@ -74,15 +74,15 @@
 }
 
 // count forgets what came so far and returns a function that tells the share of a class that some got since.
-func (f *fleet) count() func(class string, uids ...string) float64 {
+func (f *faultyFleet) count() func(class string, uids ...string) float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.got = map[string]int{}
+	f.received = map[string]int{}
 	return func(class string, uids ...string) float64 {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		all, some := 0, 0
-		for k, n := range f.got {
+		for k, n := range f.received {
 			uid, c, _ := strings.Cut(k, " ")
 			if c == class {
 				all += n
@@ -97,7 +97,7 @@
 
 // sendEach has clients send requests on connections of their own, each request after the answer to the one
 // before. It returns the answers' status codes by client and request.
-func sendEach(t *testing.T, n *Node, clients, each int, send func(c *caller, client, i int)) [][]int {
+func sendEach(t *testing.T, n *Node, clients, each int, send func(c *testClient, client, i int)) [][]int {
 	status := make([][]int, clients)
 	var running sync.WaitGroup
 	for client := range status {
@@ -123,7 +123,7 @@
 // load sends requests of both classes, and returns the share served.
 func load(t *testing.T, n *Node, clients, each int) float64 {
 	served := 0
-	for _, codes := range sendEach(t, n, clients, each, func(c *caller, client, i int) {
+	for _, codes := range sendEach(t, n, clients, each, func(c *testClient, client, i int) {
 		id := fmt.Sprintf("%p-%d-%d", c, client, i)
 		if i%3 == 0 {
 			c.get(id)
@@ -146,16 +146,16 @@
 func TestServersThatFailAClassAtOnceGetLittleOfIt(t *testing.T) {
 	for _, part := range []int{0, 4} {
 		t.Run(fmt.Sprint("one served in ", part), func(t *testing.T) {
-			f := newFleet(part, 0, "s3 view", "s4 view", "s5 view", "s6 view")
+			f := newFaultyFleet(part, 0, "s3 view", "s4 view", "s5 view", "s6 view")
 			list := []string{f.serve(t, "s1"), f.serve(t, "s2"), f.serve(t, "s3"), f.serve(t, "s4")}
-			ag := newAgent(t)
-			cfg := testConfig(whole(list...))
+			ag := newRegistryAgent(t)
+			cfg := testConfig(completeList(list...))
 			cfg.Discovery = ag.Addr().String()
 			n, _ := startNode(t, cfg, nil)
 			for _, bad := range [][]string{{"s3", "s4"}, {"s5", "s6"}} {
 				if bad[0] == "s5" {
 					list[2], list[3] = f.serve(t, "s5"), f.serve(t, "s6")
-					ag.tell(false, whole(list...))
+					ag.set(false, completeList(list...))
 					untilListed(t, n, "s6")
 				}
 				load(t, n, 20, 20) // to meet them
@@ -174,13 +174,13 @@
 // A server that lets most time out holds its part of the node's calls for nothing, and in a small fleet none
 // may be ruled out. Its share of failures keeps calls away from it.
 func TestServerThatLetsMostTimeOutGetsFew(t *testing.T) {
-	f := newFleet(0, 0)
+	f := newFaultyFleet(0, 0)
 	f.work, f.slow = 400*time.Millisecond, "s4"
 	var list []string
 	for _, uid := range []string{"s1", "s2", "s3", "s4"} {
 		list = append(list, f.serve(t, uid))
 	}
-	cfg := testConfig(whole(list...))
+	cfg := testConfig(completeList(list...))
 	for i := range cfg.Settings.Classes {
 		cfg.Settings.Classes[i].LatencyObjective = 900 * time.Millisecond
 	}
@@ -196,14 +196,14 @@
 // Where servers alike let calls hang now and then, nobody can be avoided: those that may run again are cut
 // short while there is time for another, below the first tier. A call that may not run again is never cut.
 func TestCallsThatHangAreSentAgainInTime(t *testing.T) {
-	f := newFleet(0, 0)
-	f.hangs = 5
-	cfg := testConfig(whole(f.serve(t, "s1"), f.serve(t, "s2"), f.serve(t, "s3"), f.serve(t, "s4")))
+	f := newFaultyFleet(0, 0)
+	f.hangsOneIn = 5
+	cfg := testConfig(completeList(f.serve(t, "s1"), f.serve(t, "s2"), f.serve(t, "s3"), f.serve(t, "s4")))
 	cfg.Settings.Tier = 1
 	n, _ := startNode(t, cfg, nil)
 	const clients, each = 8, 20
 	var served [2]int // of the views and of the notes
-	for _, codes := range sendEach(t, n, clients, 2*each, func(c *caller, client, i int) {
+	for _, codes := range sendEach(t, n, clients, 2*each, func(c *testClient, client, i int) {
 		method, target, body := "GET", "/view/k", ""
 		if i%2 == 1 {
 			method, target, body = "POST", "/note/k", "x"
@@ -224,12 +224,12 @@
 
 // Servers that failed all and have recovered get their part back in the time that some dozens of answers take.
 func TestServersThatRecoverAreUsedAgain(t *testing.T) {
-	f := newFleet(0, 0, "s2 view", "s2 note", "s4 view", "s4 note")
+	f := newFaultyFleet(0, 0, "s2 view", "s2 note", "s4 view", "s4 note")
 	var list []string
 	for _, uid := range []string{"s1", "s2", "s3", "s4"} {
 		list = append(list, f.serve(t, uid))
 	}
-	n, _ := startNode(t, testConfig(whole(list...)), nil)
+	n, _ := startNode(t, testConfig(completeList(list...)), nil)
 	load(t, n, 20, 100)
 	f.mu.Lock()
 	clear(f.fails)
@@ -247,8 +247,8 @@
 // In overload every server turns requests away, and where the tier behind them is in trouble all fail alike:
 // nobody is left out for that.
 func TestAFleetAlikeInTroubleStaysInUse(t *testing.T) {
-	for name, f := range map[string]*fleet{"all fail": newFleet(2, 0, "s1 view", "s2 view", "s3 view", "s4 view",
-		"s1 note", "s2 note", "s3 note", "s4 note"), "all are full": newFleet(0, 1), "all fail and are full": newFleet(2, 1,
+	for name, f := range map[string]*faultyFleet{"all fail": newFaultyFleet(2, 0, "s1 view", "s2 view", "s3 view", "s4 view",
+		"s1 note", "s2 note", "s3 note", "s4 note"), "all are full": newFaultyFleet(0, 1), "all fail and are full": newFaultyFleet(2, 1,
 		"s1 view", "s2 view", "s3 view", "s4 view")} {
 		t.Run(name, func(t *testing.T) {
 			uids := []string{"s1", "s2", "s3", "s4"}
@@ -256,7 +256,7 @@
 			for _, uid := range uids {
 				list = append(list, f.serve(t, uid))
 			}
-			n, _ := startNode(t, testConfig(whole(list...)), nil)
+			n, _ := startNode(t, testConfig(completeList(list...)), nil)
 			load(t, n, 6, 60)
 			share := f.count()
 			load(t, n, 6, 200)
--- a/internal/node/readahead_test.go
+++ b/internal/node/readahead_test.go
@@ -10,7 +10,7 @@
 // What a caller sends before its answer has come is its next request, in order and whole.
 func TestRequestsSentAheadAreAnsweredInOrder(t *testing.T) {
 	s, got, release := newHoldingServer(t, "")
-	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), nil)
+	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), nil)
 	c := dial(t, n)
 	c.get("r0")
 	wait(t, got, "the first request")
@@ -20,7 +20,7 @@
 		c.get(fmt.Sprint("r", i))
 		sent += len(requestText(fmt.Sprint("r", i)))
 	}
-	until(t, "the bytes to be read", func() bool { return readAhead(n) == sent })
+	until(t, "the bytes to be read", func() bool { return readAheadBytes(n) == sent })
 	release()
 	for i := 0; i <= more; i++ {
 		c.want(t, 200, fmt.Sprint("for r", i))
@@ -56,7 +56,7 @@
 			if c.begun {
 				state = "in_service"
 			}
-			n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), state))), func(n *Node) {
+			n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), state))), func(n *Node) {
 				n.frontend.conns.readAheadLimit = c.all
 			})
 			many := dial(t, n)
@@ -64,7 +64,7 @@
 			if c.begun {
 				wait(t, got, "the attempt")
 			} else {
-				untilOpened(t, n, 1)
+				untilActive(t, n, 1)
 			}
 			const more = 2 * readAheadPerConn / 80
 			go func() {
@@ -91,7 +91,7 @@
 			if c.begun {
 				served++
 			}
-			if seen := s.seen(); seen < served || seen > served+cutOff {
+			if seen := s.received(); seen < served || seen > served+cutOff {
 				t.Errorf("%d requests began, %d were served and %d cut off", seen, served, cutOff)
 			}
 			many.get("last")
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -12,17 +12,17 @@
 )
 
 // scripted is a server that holds each request until it is told whether to answer or to reset.
-type scripted struct {
+type scriptedServer struct {
 	*fakeServer
-	came chan string
-	then chan bool
+	arrived chan string
+	succeed chan bool
 }
 
-func newScripted(t *testing.T) scripted {
-	s := scripted{came: make(chan string, 100), then: make(chan bool, 100)}
+func newScriptedServer(t *testing.T) scriptedServer {
+	s := scriptedServer{arrived: make(chan string, 100), succeed: make(chan bool, 100)}
 	s.fakeServer = newServer(t, func(c net.Conn, r *http.Request, body string) bool {
-		s.came <- r.Header.Get("X-Request-Id")
-		if <-s.then {
+		s.arrived <- r.Header.Get("X-Request-Id")
+		if <-s.succeed {
 			return echo(c, r, body)
 		}
 		c.(*net.TCPConn).SetLinger(0)
@@ -59,17 +59,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			one, two := newScripted(t), newScripted(t)
-			cfg := testConfig(whole(entry("s1", one.addr(), "in_service"), entry("s2", two.addr(), "in_service")))
+			one, two := newScriptedServer(t), newScriptedServer(t)
+			cfg := testConfig(completeList(entry("s1", one.addr(), "in_service"), entry("s2", two.addr(), "in_service")))
 			n, _ := startNode(t, cfg, nil)
-			next := func(id string) scripted {
+			next := func(id string) scriptedServer {
 				select {
-				case got := <-one.came:
+				case got := <-one.arrived:
 					if got != id {
 						t.Errorf("got %q, want %q", got, id)
 					}
 					return one
-				case <-two.came:
+				case <-two.arrived:
 					return two
 				case <-time.After(limit):
 					t.Fatalf("%s comes to no server", id)
@@ -84,9 +84,9 @@
 			c.send(row.method, target, "before", body, "60")
 			first := next("before")
 			reload(t, n, with(cfg, row.change))
-			first.then <- false
+			first.succeed <- false
 			if row.again {
-				next("before").then <- true
+				next("before").succeed <- true
 				c.want(t, 200, "for before")
 			} else {
 				c.want(t, 502, "")
@@ -94,10 +94,10 @@
 			c = dial(t, n)
 			c.send(row.method, target, "after", body, "60")
 			if row.servers > 0 {
-				next("after").then <- true
+				next("after").succeed <- true
 			}
 			c.want(t, row.status, "")
-			if got := one.seen() + two.seen(); got != row.servers+1+map[bool]int{true: 1}[row.again] {
+			if got := one.received() + two.received(); got != row.servers+1+map[bool]int{true: 1}[row.again] {
 				t.Errorf("the servers got %d requests", got)
 			}
 		})
@@ -107,7 +107,7 @@
 // A class that comes is served at once, and one that goes is answered as unknown, on a connection that stays.
 func TestClassesComeAndGo(t *testing.T) {
 	s := newServer(t, echo)
-	cfg := testConfig(whole(entry("s1", s.addr(), "in_service")))
+	cfg := testConfig(completeList(entry("s1", s.addr(), "in_service")))
 	n, _ := startNode(t, cfg, nil)
 	more := with(cfg, func(l []balancer.Class) []balancer.Class {
 		return append(l, balancer.Class{Name: "extra", Effect: balancer.Idempotent, LatencyObjective: limit, Deadline: 2 * limit})
@@ -140,7 +140,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newServer(t, echo)
-			cfg := testConfig(whole(entry("s1", s.addr(), "in_service")))
+			cfg := testConfig(completeList(entry("s1", s.addr(), "in_service")))
 			n, _ := startNode(t, cfg, nil)
 			until(t, "readiness", func() bool { return isReady(t, n) })
 			held, release := make(chan struct{}), make(chan struct{})
@@ -157,8 +157,8 @@
 			until(t, "the request to be on its way to the module", func() bool { return len(n.loop.events) == 2 })
 			free()
 			c.want(t, row.status, "")
-			if want := map[bool]int{true: 1}[row.status == 200]; s.seen() != want {
-				t.Errorf("the server got %d requests, want %d", s.seen(), want)
+			if want := map[bool]int{true: 1}[row.status == 200]; s.received() != want {
+				t.Errorf("the server got %d requests, want %d", s.received(), want)
 			}
 		})
 	}
@@ -166,7 +166,7 @@
 
 // What can't change in a running node stays as it is, whatever the file says, and the rest of it takes force.
 func TestReloadKeepsWhatCantChange(t *testing.T) {
-	cfg := testConfig(whole())
+	cfg := testConfig(completeList())
 	n, _ := startNode(t, cfg, nil)
 	other := cfg
 	other.Listen, other.Sockets, other.MemoryMB = "127.0.0.1:1", 64, 16
@@ -187,7 +187,7 @@
 }
 
 func TestChangesNamesWhatDiffers(t *testing.T) {
-	cfg := testConfig(whole())
+	cfg := testConfig(completeList())
 	other := with(cfg, func(l []balancer.Class) []balancer.Class {
 		l[0].LatencyObjective++
 		return append(l[:2], balancer.Class{Name: "extra"})
--- a/internal/node/response_test.go
+++ b/internal/node/response_test.go
@@ -68,9 +68,9 @@
 				}
 				return c.keeps
 			})
-			b := testBackend(10)
-			h := testHost(b, s.addr())
-			r := run(t, b, testAttempt(b, s.addr()))
+			b := testPool(10)
+			h := testInstance(b, s.addr())
+			r := doAttempt(t, b, testAttempt(b, s.addr()))
 			if r.result != c.want || c.want == balancer.Success && string(r.body) != "ok" {
 				t.Errorf("ending %d, body %q; want %d", r.result, r.body, c.want)
 			}
@@ -135,7 +135,7 @@
 				}
 				return false
 			})
-			b := testBackend(10)
+			b := testPool(10)
 			a := testAttempt(b, s.addr())
 			switch c.end {
 			case "time-out":
@@ -143,7 +143,7 @@
 			case "cancel":
 				go func() { <-answered; a.cancel() }()
 			}
-			if r := run(t, b, a); r.result != c.want || string(r.body) != c.body {
+			if r := doAttempt(t, b, a); r.result != c.want || string(r.body) != c.body {
 				t.Errorf("ending %d, a body of %d bytes; want %d, %d", r.result, len(r.body), c.want, len(c.body))
 			}
 			if n := b.connections(); n != 0 || len(b.idle) != 0 {
@@ -162,7 +162,7 @@
 		}
 		return false
 	})
-	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), nil)
+	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), nil)
 	c := dial(t, n)
 	for i := range 3 {
 		id := fmt.Sprint("n", i)
@@ -174,8 +174,8 @@
 	}
 	c.send("POST", "/note/k", "reset", "x", "60")
 	c.want(t, http.StatusBadGateway, "")
-	if s.seen() != 4 || s.opened() != 4 {
-		t.Errorf("%d requests on %d connections, want 4 on 4", s.seen(), s.opened())
+	if s.received() != 4 || s.accepted() != 4 {
+		t.Errorf("%d requests on %d connections, want 4 on 4", s.received(), s.accepted())
 	}
 }
 
@@ -239,10 +239,10 @@
 		server.Read(make([]byte, 1))
 		io.WriteString(server, "HTTP/1.1 200 OK\r\n\r\nhal")
 	}()
-	b := testBackend(10)
+	b := testPool(10)
 	c.ended = func() { until(t, "the reader's end", func() bool { return b.connections() == 0 }) }
-	b.adopt(c, testHost(b, nc.RemoteAddr().String()))
-	if r := run(t, b, testAttempt(b, nc.RemoteAddr().String())); r.result != balancer.ConnectFailed || b.connections() != 0 {
+	b.adopt(c, testInstance(b, nc.RemoteAddr().String()))
+	if r := doAttempt(t, b, testAttempt(b, nc.RemoteAddr().String())); r.result != balancer.ConnectFailed || b.connections() != 0 {
 		t.Errorf("ending %d, body %q, %d open; want %d", r.result, r.body, b.connections(), balancer.ConnectFailed)
 	}
 }
--- a/internal/node/responsedeadline_test.go
+++ b/internal/node/responsedeadline_test.go
@@ -13,13 +13,13 @@
 )
 
 // answerSlack is how long after its time a request must have its final answer.
-const answerSlack = 500 * time.Millisecond
+const responseSlack = 500 * time.Millisecond
 
 // troubleDeadline is the time of each request.
-const troubleDeadline = 400 * time.Millisecond
+const faultDeadline = 400 * time.Millisecond
 
 // trouble is what a node of TestTroubleFreesNoRequestOfItsAnswer meets.
-type trouble struct {
+type faultCase struct {
 	name      string
 	servers   func(*testing.T) []string // endpoints
 	discovery string                    // "refused" or "silent", with no list from before; "": the list from before will do
@@ -50,21 +50,21 @@
 	}).addr()}
 }
 
-func badServers(t *testing.T) (all []string) {
+func faultyServers(t *testing.T) (all []string) {
 	for _, some := range []func(*testing.T) []string{silentServer, resettingServer, endlessServer} {
 		all = append(all, some(t)...)
 	}
-	return append(all, closedPort(t), neverUp(t))
+	return append(all, closedPort(t), unreachableAddress(t))
 }
 
 // Trouble at servers, at discovery or with other clients frees no request of its final answer: whatever its
 // status, it is there half a second after the request's time at the latest.
 func TestTroubleFreesNoRequestOfItsAnswer(t *testing.T) {
 	none := func(*testing.T) []string { return nil }
-	for _, c := range []trouble{
+	for _, c := range []faultCase{
 		{name: "servers gone", servers: func(t *testing.T) []string { return []string{closedPort(t), closedPort(t)} }},
 		{name: "servers hung", servers: silentServer},
-		{name: "servers that never accept", servers: func(t *testing.T) []string { return []string{neverUp(t)} }},
+		{name: "servers that never accept", servers: func(t *testing.T) []string { return []string{unreachableAddress(t)} }},
 		{name: "servers that reset", servers: resettingServer},
 		{name: "answers without end", servers: endlessServer},
 		{name: "an empty list", servers: none},
@@ -73,8 +73,8 @@
 		{name: "no dial succeeds", servers: silentServer, dial: dialError("socket", syscall.EMFILE)},
 		{name: "descriptors full", servers: silentServer, crowd: 100},
 		{name: "discovery is silent, descriptors full", servers: none, discovery: "silent", crowd: 100},
-		{name: "all at once", servers: badServers, discovery: "refused", crowd: 100},
-		{name: "all at once, and no dial succeeds", servers: badServers, crowd: 100, dial: dialError("connect", syscall.ENETUNREACH)},
+		{name: "all at once", servers: faultyServers, discovery: "refused", crowd: 100},
+		{name: "all at once, and no dial succeeds", servers: faultyServers, crowd: 100, dial: dialError("connect", syscall.ENETUNREACH)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -83,18 +83,18 @@
 	}
 }
 
-func (c trouble) play(t *testing.T) {
+func (c faultCase) play(t *testing.T) {
 	n := c.startNode(t)
 	stalled := watchStalls(t, 10*time.Millisecond)
 	ended := make(chan error, 6)
 	for i := range cap(ended) {
 		good, answered := dial(t, n), make(chan struct{})
 		go func() {
-			ended <- ask(good, fmt.Sprint("good-", i), stalled)
+			ended <- checkResponse(good, fmt.Sprint("good-", i), stalled)
 			close(answered)
 		}()
 		if c.crowd > 0 {
-			untilTaken(t, n, good, answered)
+			untilRead(t, n, good, answered)
 		}
 	}
 	for i := range c.crowd {
@@ -108,8 +108,8 @@
 	}
 	if c.crowd > 0 { // new connections may be shut unread then
 		until(t, "an answer on a new connection", func() bool {
-			err := ask(dial(t, n), "late", stalled)
-			if errors.Is(err, errLateAnswer) {
+			err := checkResponse(dial(t, n), "late", stalled)
+			if errors.Is(err, errLateResponse) {
 				t.Error(err)
 			}
 			return err == nil
@@ -118,7 +118,7 @@
 }
 
 // untilTaken waits until the node has read a caller's request, or has answered it.
-func untilTaken(t *testing.T, n *Node, c *caller, answered <-chan struct{}) {
+func untilRead(t *testing.T, n *Node, c *testClient, answered <-chan struct{}) {
 	t.Helper()
 	until(t, "the request to be read", func() bool {
 		select {
@@ -137,44 +137,44 @@
 	})
 }
 
-var errLateAnswer = errors.New("the final answer comes late")
+var errLateResponse = errors.New("the final answer comes late")
 
 // ask sends one request, and says what is wrong with how it is answered.
-func ask(c *caller, id string, stalled func() time.Duration) error {
+func checkResponse(c *testClient, id string, stalled func() time.Duration) error {
 	begin, before := time.Now(), stalled()
 	if id[len(id)-1]%2 == 0 {
-		c.send("POST", "/note/k", id, "", fmt.Sprint(troubleDeadline.Seconds()))
+		c.send("POST", "/note/k", id, "", fmt.Sprint(faultDeadline.Seconds()))
 	} else {
-		c.send("GET", "/view/k", id, "", fmt.Sprint(troubleDeadline.Seconds()))
+		c.send("GET", "/view/k", id, "", fmt.Sprint(faultDeadline.Seconds()))
 	}
 	r, _, err := c.read()
 	if err != nil {
 		return fmt.Errorf("%s: no answer: %w", id, err)
 	}
-	if took, held := time.Since(begin), stalled()-before; took > troubleDeadline+answerSlack+held {
-		return fmt.Errorf("%s: %w: %d after %v, with %v held up by the machine", id, errLateAnswer, r.StatusCode, took, held)
+	if took, held := time.Since(begin), stalled()-before; took > faultDeadline+responseSlack+held {
+		return fmt.Errorf("%s: %w: %d after %v, with %v held up by the machine", id, errLateResponse, r.StatusCode, took, held)
 	}
 	return nil
 }
 
 // startNode starts a node in that trouble.
-func (c trouble) startNode(t *testing.T) *Node {
+func (c faultCase) startNode(t *testing.T) *Node {
 	var entries []string
 	for i, endpoint := range c.servers(t) {
 		entries = append(entries, entry(fmt.Sprint("s", i), endpoint, "in_service"))
 	}
-	cfg := testConfig(whole(entries...))
+	cfg := testConfig(completeList(entries...))
 	cfg.Sockets = minSockets
 	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].Deadline, cfg.Settings.Classes[i].LatencyObjective = troubleDeadline, troubleDeadline/2
+		cfg.Settings.Classes[i].Deadline, cfg.Settings.Classes[i].LatencyObjective = faultDeadline, faultDeadline/2
 	}
 	first := time.Duration(0)
 	switch c.discovery {
 	case "refused":
 		cfg.Discovery = closedPort(t)
 	case "silent":
-		ag := newAgent(t)
-		ag.tell(true, "")
+		ag := newRegistryAgent(t)
+		ag.set(true, "")
 		cfg.Discovery, first = ag.Addr().String(), startupWait
 	}
 	n, _ := startNode(t, cfg, func(n *Node) {
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -87,7 +87,7 @@
 		for _, mayCancel := range []bool{true, false} {
 			t.Run(fmt.Sprint(deadlines, " mayCancel=", mayCancel), func(t *testing.T) {
 				t.Parallel()
-				endUnderLoad(t, deadlines, mayCancel)
+				drainUnderLoad(t, deadlines, mayCancel)
 			})
 		}
 	}
@@ -98,7 +98,7 @@
 	return min(longest, 3*time.Second) + 700*time.Millisecond
 }
 
-func endUnderLoad(t *testing.T, deadlines []time.Duration, mayCancel bool) {
+func drainUnderLoad(t *testing.T, deadlines []time.Duration, mayCancel bool) {
 	hangs := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		io.Copy(io.Discard, c) // never answers
 		return false
@@ -108,7 +108,7 @@
 		return err == nil
 	})
 	mute := closedPort(t)
-	cfg := testConfig(whole(entry("s1", hangs.addr(), "in_service"), entry("s2", fails.addr(), "in_service"),
+	cfg := testConfig(completeList(entry("s1", hangs.addr(), "in_service"), entry("s2", fails.addr(), "in_service"),
 		entry("s3", mute, "in_service")))
 	cfg.Settings.AllowCancel = mayCancel
 	longest := time.Duration(0)
@@ -133,7 +133,7 @@
 	for i := range 12 {
 		class := cfg.Settings.Classes[i%len(cfg.Settings.Classes)]
 		clients = append(clients, &persistentClient{
-			caller: dial(t, n), name: fmt.Sprint("c", i), class: class.Name,
+			testClient: dial(t, n), name: fmt.Sprint("c", i), class: class.Name,
 			deadline: class.Deadline,
 		})
 	}
@@ -171,7 +171,7 @@
 
 // persistentClient sends one request after another on one connection for as long as that stays open.
 type persistentClient struct {
-	*caller
+	*testClient
 	name, class string
 	deadline    time.Duration
 	answers     int
@@ -214,7 +214,7 @@
 				t.Parallel()
 				s, got, release := newHoldingServer(t, "")
 				var reads recordingConns
-				n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+				n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
 					reads = recordReads(n)
 				})
 				c := dial(t, n)
@@ -242,7 +242,7 @@
 						t.Errorf("answer %d: %d %q, close %v", i, r.StatusCode, body, r.Close)
 					}
 				}
-				closed(t, c.br, "the connection after the last answer")
+				expectClosed(t, c.reader, "the connection after the last answer")
 			})
 		}
 	}
--- a/internal/node/upstreampool_test.go
+++ b/internal/node/upstreampool_test.go
@@ -14,21 +14,21 @@
 )
 
 // testBackend has its connections rest for no time.
-func testBackend(most int) *upstreamPool {
+func testPool(most int) *upstreamPool {
 	b := newUpstreamPool(testConfig(""), newClock(), most)
 	b.reuseDelay = 0
 	return b
 }
 
 // testHost has the backend know a server that is named by its endpoint.
-func testHost(b *upstreamPool, endpoint string) endpointInstance {
+func testInstance(b *upstreamPool, endpoint string) endpointInstance {
 	t := listEntry{Endpoint: balancer.Endpoint{ID: endpoint, State: balancer.Ready}, address: endpoint}
 	b.updateEndpoints([]listEntry{t}, false)
 	return t.instance()
 }
 
 // testHostOf is a server as testHost names it.
-func testHostOf(s *fakeServer) endpointInstance {
+func instanceOf(s *fakeServer) endpointInstance {
 	return endpointInstance{uid: s.addr(), address: s.addr()}
 }
 
@@ -37,13 +37,13 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	now := b.clock.now()
 	return &attempt{
-		ctx: ctx, cancel: cancel, instance: testHost(b, endpoint), sentAt: now, deadline: now + limit,
+		ctx: ctx, cancel: cancel, instance: testInstance(b, endpoint), sentAt: now, deadline: now + limit,
 		request: &request{id: "id", method: "POST", target: "/note/k", body: []byte("body")},
 	}
 }
 
 // run makes an attempt that must end within the limit.
-func run(t *testing.T, b *upstreamPool, a *attempt) attemptOutcome {
+func doAttempt(t *testing.T, b *upstreamPool, a *attempt) attemptOutcome {
 	t.Helper()
 	end := make(chan attemptOutcome, 1)
 	go func() { end <- b.do(a) }()
@@ -69,30 +69,30 @@
 		<-hold
 		return echo(c, r, body)
 	})
-	b := testBackend(1)
-	if r := run(t, b, testAttempt(b, one.addr())); r.result != balancer.Success {
+	b := testPool(1)
+	if r := doAttempt(t, b, testAttempt(b, one.addr())); r.result != balancer.Success {
 		t.Fatalf("ending %d", r.result)
 	}
 	end := make(chan attemptOutcome, 1)
 	go func() { end <- b.do(testAttempt(b, two.addr())) }()
 	wait(t, got, "the attempt that took the idle one's place")
-	if r := run(t, b, testAttempt(b, one.addr())); r.result != balancer.NotSent {
+	if r := doAttempt(t, b, testAttempt(b, one.addr())); r.result != balancer.NotSent {
 		t.Errorf("with no descriptor left: ending %d, want Void", r.result)
 	}
 	close(hold)
 	if r := wait(t, end, "the attempt"); r.result != balancer.Success {
 		t.Errorf("ending %d", r.result)
 	}
-	if one.seen() != 1 || b.open != 1 {
-		t.Errorf("%d requests at the first server, %d connections open", one.seen(), b.open)
+	if one.received() != 1 || b.open != 1 {
+		t.Errorf("%d requests at the first server, %d connections open", one.received(), b.open)
 	}
 }
 
 func TestIdleConnectionsCloseBeforeTheServersDo(t *testing.T) {
 	s := newServer(t, echo)
-	b := testBackend(10)
+	b := testPool(10)
 	b.idleTimeout = 20 * time.Millisecond
-	run(t, b, testAttempt(b, s.addr()))
+	doAttempt(t, b, testAttempt(b, s.addr()))
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go b.closeExpired(ctx)
@@ -101,7 +101,7 @@
 		defer b.mu.Unlock()
 		return b.open == 0 && len(b.idle) == 0
 	})
-	if full := testBackend(1); full.idleTimeout >= testConfig("").ConnIdle {
+	if full := testPool(1); full.idleTimeout >= testConfig("").ConnIdle {
 		t.Errorf("kept for %v", full.idleTimeout)
 	}
 }
@@ -122,24 +122,24 @@
 	send := func(id string) attemptOutcome {
 		a := testAttempt(b, s.addr())
 		a.request.id = id
-		return run(t, b, a)
+		return doAttempt(t, b, a)
 	}
 	if r := send("one"); string(r.body) != "for one" {
 		t.Fatalf("got %q", r.body)
 	}
 	first := wait(t, conns, "the first connection")
-	if r := send("two"); string(r.body) != "for two" || s.opened() != 2 {
-		t.Errorf("got %q on %d connections", r.body, s.opened())
+	if r := send("two"); string(r.body) != "for two" || s.accepted() != 2 {
+		t.Errorf("got %q on %d connections", r.body, s.accepted())
 	}
 	reply200(first, "for one")
 	until(t, "the close", func() bool { return b.connections() == 1 })
 	b.mu.Lock()
-	for _, c := range b.idle[testHostOf(s)] {
+	for _, c := range b.idle[instanceOf(s)] {
 		c.reusableAt = 0
 	}
 	b.mu.Unlock()
-	if r := send("three"); string(r.body) != "for three" || s.opened() != 2 {
-		t.Errorf("got %q on %d connections", r.body, s.opened())
+	if r := send("three"); string(r.body) != "for three" || s.accepted() != 2 {
+		t.Errorf("got %q on %d connections", r.body, s.accepted())
 	}
 }
 
@@ -151,15 +151,15 @@
 		closing <- struct{}{}
 		return false
 	})
-	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), nil)
+	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), nil)
 	c := dial(t, n)
 	for i := range 50 {
 		c.send("POST", "/note/k", fmt.Sprint("n", i), "x", "60")
 		c.want(t, 200, "ok")
 		wait(t, closing, "the close")
 	}
-	if s.seen() != 50 || s.opened() != 50 {
-		t.Errorf("%d requests on %d connections, want 50 on 50", s.seen(), s.opened())
+	if s.received() != 50 || s.accepted() != 50 {
+		t.Errorf("%d requests on %d connections, want 50 on 50", s.received(), s.accepted())
 	}
 }
 
@@ -167,7 +167,7 @@
 // one that started anew: whatever is still to come on them belongs to the old one.
 func TestConnectionsBelongToOneLifeOfAServer(t *testing.T) {
 	s, got, release := newHoldingServer(t, "held")
-	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), nil)
+	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), nil)
 	held, c := dial(t, n), dial(t, n)
 	held.get("held")
 	wait(t, got, "the attempt")
@@ -179,7 +179,7 @@
 	} {
 		l := listOf(t, true, next)
 		n.loop.post(listReceived{l})
-		before := s.opened()
+		before := s.accepted()
 		until(t, "the list to be taken", func() bool {
 			n.upstream.mu.Lock()
 			defer n.upstream.mu.Unlock()
@@ -191,16 +191,16 @@
 		}
 		c.get(fmt.Sprint("next-", i))
 		c.want(t, 200, fmt.Sprint("for next-", i))
-		if s.opened() != before+1 {
-			t.Errorf("life %d: %d connections after %d, want one more", i, s.opened(), before)
+		if s.accepted() != before+1 {
+			t.Errorf("life %d: %d connections after %d, want one more", i, s.accepted(), before)
 		}
 	}
 }
 
 func TestDrainingServerGetsNothingNew(t *testing.T) {
 	a, b := newServer(t, echo), newServer(t, echo)
-	ag := newAgent(t)
-	cfg := testConfig(whole(entry("s1", a.addr(), "in_service"), entry("s2", b.addr(), "in_service")))
+	ag := newRegistryAgent(t)
+	cfg := testConfig(completeList(entry("s1", a.addr(), "in_service"), entry("s2", b.addr(), "in_service")))
 	cfg.Discovery = ag.Addr().String()
 	n, _ := startNode(t, cfg, nil)
 	c := dial(t, n)
@@ -210,12 +210,12 @@
 		c.get(fmt.Sprint("r", i))
 		c.want(t, 200, fmt.Sprint("for r", i))
 	}
-	for a.seen() == 0 || b.seen() == 0 {
+	for a.received() == 0 || b.received() == 0 {
 		ask()
 	}
 	for _, state := range []string{"terminating", "terminated"} {
-		ag.tell(false, `{"rev":%d,"all":false,"targets":[`+entry("s1", a.addr(), state)+`]}`)
-		for told := ag.rev; !strings.Contains(wait(t, ag.asked, "the next watch"), fmt.Sprint("from=", told)); {
+		ag.set(false, `{"rev":%d,"all":false,"targets":[`+entry("s1", a.addr(), state)+`]}`)
+		for told := ag.rev; !strings.Contains(wait(t, ag.calls, "the next watch"), fmt.Sprint("from=", told)); {
 		}
 		until(t, "the idle connections to be closed", func() bool {
 			n.upstream.mu.Lock()
@@ -227,12 +227,12 @@
 			}
 			return true
 		})
-		before := a.seen()
+		before := a.received()
 		for range 30 {
 			ask()
 		}
-		if a.seen() != before {
-			t.Errorf("%s: %d requests reached the server", state, a.seen()-before)
+		if a.received() != before {
+			t.Errorf("%s: %d requests reached the server", state, a.received()-before)
 		}
 	}
 }
@@ -240,17 +240,17 @@
 // A connection that came up for an attempt in vain serves the next one.
 func TestLateConnectionIsKeptForOthers(t *testing.T) {
 	s := newServer(t, echo)
-	b := testBackend(10)
+	b := testPool(10)
 	held := holdDials(b)
 	a := testAttempt(b, s.addr())
 	end := make(chan attemptOutcome, 1)
 	go func() { end <- b.do(a) }()
-	wait(t, held.up, "the connection")
+	wait(t, held.dialed, "the connection")
 	a.request.markDeparted()
-	close(held.through)
+	close(held.release)
 	wait(t, end, "the attempt's end")
-	if r := run(t, b, testAttempt(b, s.addr())); r.result != balancer.Success || s.opened() != 1 || s.seen() != 1 {
-		t.Errorf("ending %d, %d connections, %d requests", r.result, s.opened(), s.seen())
+	if r := doAttempt(t, b, testAttempt(b, s.addr())); r.result != balancer.Success || s.accepted() != 1 || s.received() != 1 {
+		t.Errorf("ending %d, %d connections, %d requests", r.result, s.accepted(), s.received())
 	}
 }
 
--- a/outagesim_test.go
+++ b/outagesim_test.go
@@ -40,13 +40,13 @@
 		r.start(r.fleet[i])
 	}
 	r.arrivals()
-	r.in(troubleFrom, r.slowDown)
+	r.in(faultFrom, r.slowDown)
 	r.in(replaceAt, r.replace)
 	killed := r.fleet[:int(killedShare*float64(o.nodes))]
 	r.in(killAt, func() {
 		for _, n := range killed {
 			n.up = false
-			n.life++
+			n.instance++
 		}
 	})
 	r.in(backAt, func() {
@@ -60,11 +60,11 @@
 
 // The course of an outage.
 const (
-	troubleFrom = 8 * time.Second  // some servers are slow, and so are the tiers below
+	faultFrom   = 8 * time.Second  // some servers are slow, and so are the tiers below
 	replaceAt   = 10500 * msec     // some servers are replaced by cold ones
 	killAt      = 12 * time.Second // most nodes are killed
 	backAt      = 13500 * msec     // and are back
-	troubleTo   = 15 * time.Second // servers and the tiers below are as before
+	faultTo     = 15 * time.Second // servers and the tiers below are as before
 	recoveredBy = 16 * time.Second // from here on the fleet should serve as before
 	outageEnd   = 25 * time.Second // of the requests
 	outageTail  = outageEnd + 5*time.Second
@@ -121,12 +121,12 @@
 func (r *outageRun) start(n *outageNode) {
 	set := r.set
 	set.Replicas, set.ReplicaIndex = r.nodes, n.index
-	b, err := New(set, r.seed<<20+uint64(n.life)<<12+uint64(n.index))
+	b, err := New(set, r.seed<<20+uint64(n.instance)<<12+uint64(n.index))
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	n.balancer, n.up = b, true
-	r.tell(n, EndpointUpdate{Complete: true, Endpoints: r.list})
+	r.deliver(n, EndpointUpdate{Complete: true, Endpoints: r.list})
 }
 
 func (r *outageRun) slowDown() {
@@ -140,7 +140,7 @@
 		r.addServer((i*5+1)%len(r.list), fmt.Sprintf("t%03d", i), servermodel.New(r.model, r.now, true))
 	}
 	for _, n := range r.fleet {
-		r.tell(n, EndpointUpdate{Complete: true, Endpoints: r.list})
+		r.deliver(n, EndpointUpdate{Complete: true, Endpoints: r.list})
 	}
 }
 
@@ -182,12 +182,12 @@
 	if !n.up {
 		return // its client finds nobody
 	}
-	r.requests[id] = &outageRequest{class: class, at: r.now, work: work, node: n, life: n.life}
-	r.tell(n, Request{ID: id, Class: class.Name, Deadline: r.now + class.Deadline})
+	r.requests[id] = &outageRequest{class: class, at: r.now, work: work, node: n, instance: n.instance}
+	r.deliver(n, Request{ID: id, Class: class.Name, Deadline: r.now + class.Deadline})
 }
 
 // tell hands an event to a node's module and carries out what it decides.
-func (r *outageRun) tell(n *outageNode, e Event) {
+func (r *outageRun) deliver(n *outageNode, e Event) {
 	for _, a := range n.balancer.Handle(r.now, e) {
 		switch a := a.(type) {
 		case Send:
@@ -200,10 +200,10 @@
 		case Fail:
 			r.requests[a.ID].answered = true
 		case SetTimer:
-			life := n.life
+			life := n.instance
 			r.in(a.At-r.now, func() {
-				if n.up && n.life == life {
-					r.tell(n, Timer{Token: a.Token})
+				if n.up && n.instance == life {
+					r.deliver(n, Timer{Token: a.Token})
 				}
 			})
 		}
@@ -215,7 +215,7 @@
 	call := outageCall{a.ID, len(q.ended), a.Endpoint, r.now}
 	q.ended = append(q.ended, false)
 	work, below := float64(q.work), r.elsewhere
-	if r.now >= troubleFrom && r.now < troubleTo {
+	if r.now >= faultFrom && r.now < faultTo {
 		work *= s.slow
 		below *= belowSlowBy
 	}
@@ -228,7 +228,7 @@
 		return
 	}
 	r.calls[id] = call
-	r.plan(s)
+	r.planCompletion(s)
 	r.in(a.Timeout, func() { r.end(call, TimedOut) })
 }
 
@@ -239,10 +239,10 @@
 		delete(r.calls, id)
 		r.end(call, Success)
 	}
-	r.plan(s)
+	r.planCompletion(s)
 }
 
-func (r *outageRun) plan(s *outageServer) {
+func (r *outageRun) planCompletion(s *outageServer) {
 	s.version++
 	version := s.version
 	if at, any := s.model.NextCompletion(); any {
@@ -257,7 +257,7 @@
 // end ends an attempt, for its node if that still lives.
 func (r *outageRun) end(call outageCall, ending AttemptResult) {
 	q := r.requests[call.request]
-	if q.ended[call.attempt] || !q.node.up || q.node.life != q.life {
+	if q.ended[call.attempt] || !q.node.up || q.node.instance != q.instance {
 		return
 	}
 	q.ended[call.attempt] = true
@@ -270,7 +270,7 @@
 			r.result.served[q.at/time.Second] += q.class.PriorityWeight * q.class.LateValue
 		}
 	}
-	r.tell(q.node, AttemptEnded{
+	r.deliver(q.node, AttemptEnded{
 		ID: call.request, Attempt: call.attempt, Endpoint: call.server, Result: ending,
 		Latency: r.now - call.sent, Answered: q.answered,
 	})
@@ -287,7 +287,7 @@
 	index    int
 	balancer *Balancer
 	weight   float64 // of its traffic
-	life     int
+	instance int
 	up       bool
 }
 
@@ -296,7 +296,7 @@
 	at       time.Duration
 	work     time.Duration
 	node     *outageNode
-	life     int // of the node that took it
+	instance int // of the node that took it
 	ended    []bool
 	answered bool
 }
--- a/outlier_test.go
+++ b/outlier_test.go
@@ -11,7 +11,7 @@
 	for _, e := range []AttemptResult{ServerError, ConnectFailed, ConnectionLost} {
 		b := newBalancer(t, nil)
 		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
-		got := traffic(b, 600, "get", func(s string) AttemptResult {
+		got := sendTraffic(b, 600, "get", func(s string) AttemptResult {
 			if s == "s03" {
 				return e
 			}
@@ -27,7 +27,7 @@
 func TestFailuresEverywhereEjectFew(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
-	got := traffic(b, 800, "get", func(string) AttemptResult { return ServerError })
+	got := sendTraffic(b, 800, "get", func(string) AttemptResult { return ServerError })
 	if len(got) < 8 {
 		t.Errorf("only %d of 10 servers are still used", len(got))
 	}
@@ -45,7 +45,7 @@
 			if s.Endpoint == "s03" {
 				stuck++
 			} else {
-				settle(b, now+10*msec, id, s, Success)
+				endAttempt(b, now+10*msec, id, s, Success)
 			}
 		}
 	}
@@ -60,10 +60,10 @@
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 	s := b.servers["s03"]
 	s.level, s.until = 1, 0
-	if got := traffic(b, 400, "pay", func(string) AttemptResult { return Success }); got["s03"] != 0 {
+	if got := sendTraffic(b, 400, "pay", func(string) AttemptResult { return Success }); got["s03"] != 0 {
 		t.Errorf("a server on trial got %d unsafe requests", got["s03"])
 	}
-	if got := traffic(b, 400, "get", func(string) AttemptResult { return Success }); got["s03"] == 0 {
+	if got := sendTraffic(b, 400, "get", func(string) AttemptResult { return Success }); got["s03"] == 0 {
 		t.Error("the server was never tried again")
 	}
 }
@@ -139,11 +139,11 @@
 	}{{0.02, true}, {0.5, false}} {
 		b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 		b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
-		traffic(b, 40, "get", func(string) AttemptResult { return Success })
+		sendTraffic(b, 40, "get", func(string) AttemptResult { return Success })
 		b.errors = c.common
 		now := b.now
 		s := sends(b.Handle(now, Request{ID: "slow", Class: "get", Deadline: now + time.Second}))[0]
-		settle(b, now+400*msec, "slow", s, Success)
+		endAttempt(b, now+400*msec, "slow", s, Success)
 		if out := b.servers[s.Endpoint].until > b.now; out != c.want {
 			t.Errorf("with %.2f of answers overlong: ejected %v, want %v", c.common, out, c.want)
 		}
--- a/pick_test.go
+++ b/pick_test.go
@@ -65,7 +65,7 @@
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(6)})
 	b.servers["s00"].calls, b.inFlight = 2, 2
-	got := traffic(b, 300, "get", func(string) AttemptResult { return Success })
+	got := sendTraffic(b, 300, "get", func(string) AttemptResult { return Success })
 	if got["s00"] != 0 || len(got) != 5 {
 		t.Errorf("draws: %v", got)
 	}
@@ -117,7 +117,7 @@
 		if len(got) != 1 {
 			t.Fatalf("request %d: sent %v", i, got)
 		}
-		settle(b, msec, id, got[0], Success)
+		endAttempt(b, msec, id, got[0], Success)
 	}
 }
 
@@ -126,7 +126,7 @@
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(8)})
 	s := sends(b.Handle(msec, Request{ID: "a", Class: "get", Deadline: time.Second}))[0]
-	settle(b, 3*msec, "a", s, Success)
+	endAttempt(b, 3*msec, "a", s, Success)
 	if got := b.servers[s.Endpoint].slow; got < -0.1 {
 		t.Errorf("the first answer made its server look %.1f in log latency", got)
 	}
@@ -139,8 +139,8 @@
 	const copies, rounds = 16, 40
 	hung, sent := 0, 0
 	for i := copies / 2; i < copies; i++ { // those of the zone that is left
-		b := newBalancer(t, func(s *Settings) { inZone(s, i, copies); s.Tier = 1 })
-		b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: zoned(40)})
+		b := newBalancer(t, func(s *Settings) { setZone(s, i, copies); s.Tier = 1 })
+		b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: zonedServers(40)})
 		for k := range rounds {
 			id, now := fmt.Sprint(k), time.Duration(k+1)*100*msec
 			for _, s := range sends(b.Handle(now, Request{ID: id, Class: "pay", Deadline: now + time.Second})) {
@@ -149,7 +149,7 @@
 					hung++
 					continue
 				}
-				settle(b, now+20*msec, id, s, Success)
+				endAttempt(b, now+20*msec, id, s, Success)
 			}
 		}
 	}
--- a/reconfigure_test.go
+++ b/reconfigure_test.go
@@ -65,7 +65,7 @@
 func TestReconfigureKeepsWhatWasLearned(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(6)})
-	traffic(b, 300, "get", func(server string) AttemptResult {
+	sendTraffic(b, 300, "get", func(server string) AttemptResult {
 		if server == "s02" {
 			return ServerError
 		}
--- a/recovery_test.go
+++ b/recovery_test.go
@@ -84,9 +84,9 @@
 			for seed := range uint64(3) {
 				c.outage.seed = seed + 1
 				res := c.outage.run(t)
-				before, after := res.share(0, troubleFrom), res.share(recoveredBy, outageEnd)
+				before, after := res.share(0, faultFrom), res.share(recoveredBy, outageEnd)
 				t.Logf("seed %d: served %.2f before, %.2f during, %.2f after", c.outage.seed, before,
-					res.share(troubleFrom, recoveredBy), after)
+					res.share(faultFrom, recoveredBy), after)
 				if before < c.before || after < c.after {
 					t.Errorf("seed %d: served %.2f before and %.2f after, want %.2f and %.2f", c.outage.seed, before,
 						after, c.before, c.after)
--- a/rulechecker_test.go
+++ b/rulechecker_test.go
@@ -9,26 +9,26 @@
 
 // checker follows the events given to one Balancer and its actions, and notes every broken rule.
 // It shares no code with the module.
-type checker struct {
+type ruleChecker struct {
 	set    Settings
 	slack  time.Duration
 	state  map[string]EndpointState
 	cells  map[string]int
 	zones  map[string]string
-	reqs   map[string]*tracked
+	reqs   map[string]*trackedRequest
 	broken []string
 }
 
 // killed forgets what a killed copy held: it is the clients' to ask again.
-func (c *checker) killed() {
-	c.reqs, c.state = map[string]*tracked{}, map[string]EndpointState{}
+func (c *ruleChecker) killed() {
+	c.reqs, c.state = map[string]*trackedRequest{}, map[string]EndpointState{}
 }
 
-func (c *checker) fault(format string, args ...any) {
+func (c *ruleChecker) fault(format string, args ...any) {
 	c.broken = append(c.broken, fmt.Sprintf(format, args...))
 }
 
-func (c *checker) event(now time.Duration, e Event) {
+func (c *ruleChecker) event(now time.Duration, e Event) {
 	switch e := e.(type) {
 	case EndpointUpdate:
 		if e.Complete {
@@ -47,13 +47,13 @@
 					cl = k
 				}
 			}
-			c.reqs[e.ID] = &tracked{class: cl, deadline: e.Deadline}
+			c.reqs[e.ID] = &trackedRequest{class: cl, deadline: e.Deadline}
 		}
 	case AttemptEnded:
-		if r := c.reqs[e.ID]; r != nil && e.Attempt >= 0 && e.Attempt < len(r.tries) {
-			t := r.tries[e.Attempt]
-			if !t.over {
-				t.over, t.ending = true, e.Result
+		if r := c.reqs[e.ID]; r != nil && e.Attempt >= 0 && e.Attempt < len(r.attempts) {
+			t := r.attempts[e.Attempt]
+			if !t.ended {
+				t.ended, t.result = true, e.Result
 				r.ended = r.ended || e.Answered
 			}
 		}
@@ -74,14 +74,14 @@
 	}
 }
 
-func (c *checker) actions(now time.Duration, acts []Action) {
+func (c *ruleChecker) actions(now time.Duration, acts []Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case Send:
 			c.send(now, a)
 		case Reject:
 			if r := c.final(a.ID); r != nil {
-				for _, t := range r.tries {
+				for _, t := range r.attempts {
 					loose := r.class.Effect == Idempotent || r.class.Effect == IdempotentByKey && r.class.Scope == ScopeAll
 					if t.mayHaveRun() && !loose {
 						c.fault("rule 2: %s refused though it may have run", a.ID)
@@ -91,7 +91,7 @@
 		case Fail:
 			c.final(a.ID)
 		case Cancel:
-			if r := c.reqs[a.ID]; r == nil || a.Attempt < 0 || a.Attempt >= len(r.tries) {
+			if r := c.reqs[a.ID]; r == nil || a.Attempt < 0 || a.Attempt >= len(r.attempts) {
 				c.fault("cancel of an attempt never made")
 			}
 			if !c.set.AllowCancel {
@@ -101,7 +101,7 @@
 	}
 }
 
-func (c *checker) final(id string) *tracked {
+func (c *ruleChecker) final(id string) *trackedRequest {
 	r := c.reqs[id]
 	if r == nil || r.ended {
 		c.fault("rule 1: final answer for %s, which is over or unknown", id)
@@ -111,7 +111,7 @@
 	return r
 }
 
-func (c *checker) send(now time.Duration, a Send) {
+func (c *ruleChecker) send(now time.Duration, a Send) {
 	r := c.reqs[a.ID]
 	if r == nil || r.ended {
 		c.fault("rule 1: sent %s, which is over or unknown", a.ID)
@@ -121,11 +121,11 @@
 	if !known || state != Ready {
 		c.fault("rule 3: sent to %s, which drains, is gone or unknown", a.Endpoint)
 	}
-	if len(r.tries) >= c.set.MaxAttempts {
+	if len(r.attempts) >= c.set.MaxAttempts {
 		c.fault("more than %d attempts", c.set.MaxAttempts)
 	}
-	for _, t := range r.tries {
-		if !t.over {
+	for _, t := range r.attempts {
+		if !t.ended {
 			c.fault("second copy of %s", a.ID)
 		}
 		if !t.mayHaveRun() {
@@ -144,31 +144,31 @@
 			}
 		}
 	}
-	r.tries = append(r.tries, &tracking{server: a.Endpoint, at: now})
+	r.attempts = append(r.attempts, &trackedAttempt{server: a.Endpoint, at: now})
 }
 
-type tracked struct {
+type trackedRequest struct {
 	class    Class
 	deadline time.Duration
 	ended    bool
-	tries    []*tracking
+	attempts []*trackedAttempt
 }
 
-type tracking struct {
+type trackedAttempt struct {
 	server string
 	at     time.Duration
-	over   bool
-	ending AttemptResult
+	ended  bool
+	result AttemptResult
 }
 
-func (t *tracking) mayHaveRun() bool {
-	return !t.over || (t.ending != Rejected && t.ending != ConnectFailed && t.ending != NotSent)
+func (t *trackedAttempt) mayHaveRun() bool {
+	return !t.ended || (t.result != Rejected && t.result != ConnectFailed && t.result != NotSent)
 }
 
-func newChecker(set Settings) *checker {
-	return &checker{
+func newRuleChecker(set Settings) *ruleChecker {
+	return &ruleChecker{
 		set: set, slack: 20 * msec, state: map[string]EndpointState{}, cells: map[string]int{},
-		zones: map[string]string{}, reqs: map[string]*tracked{},
+		zones: map[string]string{}, reqs: map[string]*trackedRequest{},
 	}
 }
 
@@ -196,7 +196,7 @@
 		{"rule 3", []any{list, req("get"), Send{ID: "r", Endpoint: "c"}}},
 		{"never made", []any{list, req("get"), Cancel{ID: "r", Attempt: 0}}},
 	} {
-		c := newChecker(testSettings())
+		c := newRuleChecker(testSettings())
 		var now time.Duration
 		for _, s := range tc.steps {
 			switch s := s.(type) {
--- a/rules_test.go
+++ b/rules_test.go
@@ -10,7 +10,7 @@
 
 // changed draws other settings: classes that come, go, or have another effect, scope, window or deadline,
 // and other limits. Now and then they are bad.
-func changed(set Settings, rng *rand.Rand) Settings {
+func changedSettings(set Settings, rng *rand.Rand) Settings {
 	set.Classes = nil
 	for _, c := range testSettings().Classes {
 		if rng.IntN(4) == 0 {
@@ -38,7 +38,7 @@
 	set      Settings
 	seed     uint64
 	steps    int
-	checker  *checker // nil: none
+	checker  *ruleChecker // nil: none
 	rng      *rand.Rand
 	now      time.Duration
 	balancer *Balancer
@@ -59,7 +59,7 @@
 }
 
 // run drives a Balancer, and returns all its actions.
-func run(t testing.TB, set Settings, seed uint64, steps int, c *checker) (log []string, b *Balancer) {
+func runRandomly(t testing.TB, set Settings, seed uint64, steps int, c *ruleChecker) (log []string, b *Balancer) {
 	r := &randomRun{
 		t: t, set: set, seed: seed, steps: steps, checker: c, rng: rand.New(rand.NewPCG(seed, 1)),
 		fleet: servers(8), ended: map[string]bool{},
@@ -138,7 +138,7 @@
 		r.changeList()
 	}
 	if r.rng.IntN(100) == 0 {
-		next := changed(r.set, r.rng)
+		next := changedSettings(r.set, r.rng)
 		r.give(Reconfigure{next})
 		if next.Validate() == nil {
 			r.set = next
@@ -258,8 +258,8 @@
 		if seed%3 == 0 {
 			set.Tick = 10 * msec // coarse: half of the slack after a deadline
 		}
-		c := newChecker(set)
-		log, b := run(t, set, seed, 6000, c)
+		c := newRuleChecker(set)
+		log, b := runRandomly(t, set, seed, 6000, c)
 		for i, s := range c.broken {
 			if i < 5 {
 				t.Errorf("seed %d: %s", seed, s)
@@ -281,10 +281,10 @@
 }
 
 func TestSameEventsSameActions(t *testing.T) {
-	a, _ := run(t, testSettings(), 5, 3000, nil)
+	a, _ := runRandomly(t, testSettings(), 5, 3000, nil)
 	other, _ := New(testSettings(), 99) // a neighbour in the process changes nothing
 	other.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(3)})
-	b, _ := run(t, testSettings(), 5, 3000, nil)
+	b, _ := runRandomly(t, testSettings(), 5, 3000, nil)
 	if len(a) < 500 {
 		t.Fatalf("only %d actions", len(a))
 	}
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -96,7 +96,7 @@
 		effort := []time.Duration{10 * msec, 100 * msec}[i%2]
 		id, now := fmt.Sprint(i), b.now+10*time.Microsecond
 		s := sends(b.Handle(now, Request{ID: id, Class: "pay", Deadline: now + time.Second, ExpectedWork: effort}))[0]
-		if settle(b, now, id, s, Success); s.Endpoint == "s01" && i >= 20 {
+		if endAttempt(b, now, id, s, Success); s.Endpoint == "s01" && i >= 20 {
 			got[effort]++
 		}
 	}
--- a/slowstartsim_test.go
+++ b/slowstartsim_test.go
@@ -118,7 +118,7 @@
 	r.start()
 	r.nextArrival()
 	if !r.fresh {
-		r.in(replacedAt-r.now, func() { r.tellAll(true) })
+		r.in(replacedAt-r.now, func() { r.deliverList(true) })
 	}
 	r.runUntil(r.end + r.set.Classes[0].Deadline)
 	r.result.share = r.coldWork / max(1e-9, r.due)
@@ -144,13 +144,13 @@
 	if r.fresh {
 		r.now = replacedAt
 	}
-	r.tellAll(r.fresh)
+	r.deliverList(r.fresh)
 }
 
 // tellAll gives all replicas the list before or after the replacement.
-func (r *warmingRun) tellAll(replaced bool) {
+func (r *warmingRun) deliverList(replaced bool) {
 	for _, b := range r.balancers {
-		r.tell(b, EndpointUpdate{Complete: true, Endpoints: r.list(replaced)})
+		r.deliver(b, EndpointUpdate{Complete: true, Endpoints: r.list(replaced)})
 	}
 }
 
@@ -200,11 +200,11 @@
 	for ; at >= r.weights[i]; i++ {
 		at -= r.weights[i]
 	}
-	r.tell(r.balancers[i], request.Request)
+	r.deliver(r.balancers[i], request.Request)
 }
 
 // tell hands an event to a replica's module and carries out what it decides.
-func (r *warmingRun) tell(b *Balancer, e Event) {
+func (r *warmingRun) deliver(b *Balancer, e Event) {
 	for _, a := range b.Handle(r.now, e) {
 		switch a := a.(type) {
 		case Send:
@@ -214,11 +214,11 @@
 			if attempts := r.requests[a.ID].attempts; a.Attempt < len(attempts) {
 				attempts[a.Attempt].cancelled = true
 				r.in(0, func() {
-					r.tell(b, AttemptEnded{ID: a.ID, Attempt: a.Attempt, Result: Cancelled, Answered: true})
+					r.deliver(b, AttemptEnded{ID: a.ID, Attempt: a.Attempt, Result: Cancelled, Answered: true})
 				})
 			}
 		case SetTimer:
-			r.in(a.At-r.now, func() { r.tell(b, Timer{Token: a.Token}) })
+			r.in(a.At-r.now, func() { r.deliver(b, Timer{Token: a.Token}) })
 		}
 	}
 }
@@ -326,7 +326,7 @@
 		r.result.served++
 	}
 	if a.balancer != nil {
-		r.tell(a.balancer, AttemptEnded{
+		r.deliver(a.balancer, AttemptEnded{
 			ID: a.request.ID, Attempt: a.number, Endpoint: a.server.ID, Result: result,
 			Latency: r.now - a.sent, Answered: result == Success,
 		})
--- a/subsetting_test.go
+++ b/subsetting_test.go
@@ -57,12 +57,12 @@
 		const copies = 60
 		for i := range copies {
 			b := newBalancer(t, func(s *Settings) {
-				inZone(s, i, copies)
+				setZone(s, i, copies)
 				if s.Tier = 1; numbered == "in turns" {
 					s.Zone = []string{"north", "east"}[i%2]
 				}
 			})
-			b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: zoned(40)})
+			b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: zonedServers(40)})
 			b.fitPool()
 			for _, s := range slices.Concat(b.pool.left, b.pool.right) {
 				if count[s.ID]++; s.Zone != b.set.Zone {
