--- a/admission_test.go
+++ b/admission_test.go
@@ -8,7 +8,7 @@
 
 // A new node's window begins at its floor, and good answers open it by a call each, for as long as it is in
 // use; a few answers that tell of a crowd end that.
-func TestNewWindowOpensUntilServersAreCrowded(t *testing.T) {
+func TestNewWindowGrowsUntilServersReject(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 	floor := windowFloor * b.fairServers()
@@ -79,7 +79,7 @@
 }
 
 // While much is shed some servers choke for certain, so the window gets leaner.
-func TestWindowIsLeanerWhileMuchIsShed(t *testing.T) {
+func TestWindowShrinksSoonerUnderLoadShedding(t *testing.T) {
 	late := func(c *class) float64 { return 0.95 * c.target(0) }
 	calm, shedding := windowAfter(t, 0, Success, late), windowAfter(t, 0.8, Success, late)
 	if calm <= 100 || shedding >= 100 {
@@ -89,7 +89,7 @@
 
 // Answers as quick as idle servers give them must open the window however much is shed, or shedding
 // keeps itself up; spoilt answers and errors are no sign of a crowd.
-func TestSheddingDoesNotKeepItselfUp(t *testing.T) {
+func TestLoadSheddingDoesNotSustainItself(t *testing.T) {
 	idle := func(c *class) float64 { return 1.05 * c.base }
 	if w := windowAfter(t, 1, Success, idle); w <= 100 {
 		t.Errorf("idle servers' answers moved the window from 100 to %.1f", w)
@@ -103,7 +103,7 @@
 
 // With hundreds of nodes a share of the servers is one call or less: a window that starts or stays
 // there refuses requests that the fleet could carry, so it must open within seconds of good answers.
-func TestWindowOpensAtANodeOfMany(t *testing.T) {
+func TestWindowGrowsOnOneOfManyReplicas(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Replicas = 300 })
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(60)})
 	var open []Send
@@ -121,7 +121,7 @@
 }
 
 // Room that is not in use is given up at once when servers turn calls away: else all nodes fill it together.
-func TestCrowdTakesUnusedRoom(t *testing.T) {
+func TestRejectionsCutTheUnusedWindow(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 	b.window, b.busy, b.opening = 80, 40, false
@@ -136,7 +136,7 @@
 }
 
 // Repeats by clients make a jam last: they get only half of the window.
-func TestRepeatsLeaveRoomForFirstTries(t *testing.T) {
+func TestRetriesLeaveWindowForFirstAttempts(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
 	b.window, b.inFlight = 10, 6
@@ -149,7 +149,7 @@
 
 // In overload what is worth least is refused first, also where too few wait for the hold to choose;
 // with nothing shed every class may fill the window, and no class loses more than half of it.
-func TestWindowKeepsRoomForWorth(t *testing.T) {
+func TestWindowIsSharedByPriorityWeight(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) {
 		s.Classes[0].PriorityWeight, s.Classes[2].PriorityWeight, s.WorstClassWeight = 1, 12, 0
 	})
@@ -168,7 +168,7 @@
 }
 
 // A marked repeat is mostly past its aim already: while there is little room, first tries go first.
-func TestFirstTriesGoBeforeRepeats(t *testing.T) {
+func TestFirstAttemptsGoBeforeRetries(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(1)})
 	b.window = 1
@@ -185,7 +185,7 @@
 }
 
 // A refused client is not sent away for long: it would come back when its aim is mostly over.
-func TestRefusalsBringClientsBackSoon(t *testing.T) {
+func TestRetryAfterOfARejectionIsShort(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(2)})
 	b.window, b.inFlight = 1, 1
--- a/cmd/balancer/descriptors_test.go
+++ b/cmd/balancer/descriptors_test.go
@@ -27,10 +27,10 @@
 	pause     = 10 * time.Millisecond
 )
 
-// TestIdleClientsKeepNobodyOut fills a node's descriptors with idle clients while discovery is down.
+// TestIdleClientsDoNotExhaustDescriptors fills a node's descriptors with idle clients while discovery is down.
 // Descriptors for a server and for discovery are free throughout. Once discovery is back and its list is
 // taken, the first request that is answered is served by the server that the list names.
-func TestIdleClientsKeepNobodyOut(t *testing.T) {
+func TestIdleClientsDoNotExhaustDescriptors(t *testing.T) {
 	build(t)
 	old, next := newNamingServer(t, "old"), newNamingServer(t, "next")
 	// What the node knows of servers when its discovery goes down: what it was told, its configuration's
@@ -126,11 +126,11 @@
 	t.Logf("list taken after %v, %d shut, at most %d of %d descriptors", took, shut, most, sockets)
 }
 
-// TestHeldRequestsLeaveDescriptors has a node hold as many requests as it may while it knows no server and
+// TestQueuedRequestsLeaveDescriptors has a node hold as many requests as it may while it knows no server and
 // idle clients fill the rest of its descriptors. The list that comes then sets off all of them at once, to
 // a server that answers none until each has come to it or has been refused: descriptors are left all the
 // while, and the server gets as many as its share at least.
-func TestHeldRequestsLeaveDescriptors(t *testing.T) {
+func TestQueuedRequestsLeaveDescriptors(t *testing.T) {
 	build(t)
 	for _, sockets := range []int{64, 256, 1024} {
 		for _, c := range [][2]string{{"silent", "pushed"}, {"silent", "on_request"}, {"half", "pushed"}, {"half", "on_request"}} {
--- a/cmd/balancer/main_test.go
+++ b/cmd/balancer/main_test.go
@@ -25,9 +25,9 @@
 	}
 }
 
-// TestRunServesAndEndsOnSIGTERM runs the real program: it serves a request, is told to end while
+// TestGracefulShutdownOnSIGTERM runs the real program: it serves a request, is told to end while
 // another is out, answers that one too, and exits with 0.
-func TestRunServesAndEndsOnSIGTERM(t *testing.T) {
+func TestGracefulShutdownOnSIGTERM(t *testing.T) {
 	build(t)
 	list, held, release := newHoldingServer(t)
 	d := newRegistry(t, 1, "", unresponsive)
--- a/heldup_test.go
+++ b/heldup_test.go
@@ -9,7 +9,7 @@
 
 // An attempt that the host itself held up tells nothing of its server, nor of the crowd at all of them,
 // however it ended and however long that took.
-func TestHeldUpAttemptsTellNothing(t *testing.T) {
+func TestHeldUpAttemptsAreNotCounted(t *testing.T) {
 	for _, e := range []AttemptResult{Success, ServerError, Rejected, TimedOut, ConnectFailed, ConnectionLost, Cancelled, NotSent} {
 		b := newBalancer(t, nil)
 		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -17,7 +17,7 @@
 
 // A kept connection that breaks under a request may have carried it: neither the node nor a library
 // below it may send it again, whatever its method or headers.
-func TestNothingUnsafeIsSentAgainAfterAReset(t *testing.T) {
+func TestNonIdempotentRequestIsNotRetriedAfterAReset(t *testing.T) {
 	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		if strings.HasPrefix(r.Header.Get("X-Request-Id"), "break") {
 			c.(*net.TCPConn).SetLinger(0)
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestSilentServerIsGivenUpInTime(t *testing.T) {
+func TestUnresponsiveServerTimesOut(t *testing.T) {
 	closedAt := make(chan struct{}, 2)
 	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		c.Read(make([]byte, 1)) // says nothing until the node closes
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestRefusedConnectionIsUnreachable(t *testing.T) {
+func TestRefusedConnectionIsConnectFailed(t *testing.T) {
 	b := testPool(10)
 	if r := doAttempt(t, b, testAttempt(b, closedPort(t))); r.result != balancer.ConnectFailed || b.open != 0 {
 		t.Errorf("ending %d, %d open", r.result, b.open)
@@ -102,7 +102,7 @@
 }
 
 // A machine that is gone says nothing: its connections never come up.
-func TestConnectionThatNeverComesUpIsUnreachable(t *testing.T) {
+func TestDialTimeoutIsConnectFailed(t *testing.T) {
 	addr := unreachableAddress(t)
 	b := testPool(10)
 	b.dial = (&net.Dialer{Timeout: 50 * time.Millisecond}).DialContext
@@ -122,7 +122,7 @@
 
 func (c halfConn) SyscallConn() (syscall.RawConn, error) { return c.Conn.(syscall.Conn).SyscallConn() }
 
-func TestBreakBeforeTheLastByteIsUnreachable(t *testing.T) {
+func TestBreakBeforeTheLastByteIsConnectFailed(t *testing.T) {
 	s := newServer(t, echo)
 	nc, err := net.Dial("tcp", s.addr())
 	if err != nil {
@@ -140,7 +140,7 @@
 
 // What came in before a request was written is no answer to it, and a close that the connection's reader
 // has not seen yet, as on a busy core, is found all the same: another connection is used.
-func TestBytesOrACloseBeforeTheRequestAreSeen(t *testing.T) {
+func TestUnsolicitedBytesOrACloseDisqualifyAnIdleConnection(t *testing.T) {
 	for name, say := range map[string]string{"a close": "", "an answer to nothing": "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale"} {
 		t.Run(name, func(t *testing.T) {
 			s := newServer(t, echo)
@@ -167,7 +167,7 @@
 
 // A fresh connection on which the server speaks or closes before it is asked counts as none: the attempt
 // ends, and does not dial without end.
-func TestServerThatClosesAtOnceIsUnreachable(t *testing.T) {
+func TestConnectionClosedBeforeTheRequestIsNotWritten(t *testing.T) {
 	nc, other := connPair(t)
 	other.Close()
 	until(t, "the close to arrive", func() bool { return hasUnreadOrClosed(nc) })
@@ -226,7 +226,7 @@
 }
 
 // What happens while a connection comes up is heeded at the first byte.
-func TestNothingIsBegunThatBecamePointlessWhileTheConnectionCameUp(t *testing.T) {
+func TestObsoleteAttemptIsNotBegunAfterTheDial(t *testing.T) {
 	now := func(b *upstreamPool, h endpointInstance, change func(*listEntry)) {
 		e := listEntry{Endpoint: balancer.Endpoint{ID: h.uid, State: balancer.Ready}, address: h.address, bootMS: h.bootMS}
 		change(&e)
--- a/internal/node/boottime_test.go
+++ b/internal/node/boottime_test.go
@@ -64,7 +64,7 @@
 
 // A server's start is known in the node's own time, however the wall clock is set before it, between it and the
 // list that tells of it, or after that, and the same list again changes nothing.
-func TestStartsAreKnownThoughTheClockIsSet(t *testing.T) {
+func TestStartTimesSurviveClockSteps(t *testing.T) {
 	const late = 500 * time.Millisecond // from the start to the list that tells of it
 	for _, moment := range []string{"before the start", "before the list", "after the list"} {
 		for _, full := range []bool{true, false} {
@@ -110,7 +110,7 @@
 
 // Where what was seen of the clocks leaves the start open, the node goes by what it knows, and else by the
 // youngest that the server can be.
-func TestStartsThatAreInDoubtAreTakenForLate(t *testing.T) {
+func TestUncertainStartTimesCountAsLate(t *testing.T) {
 	hour := time.Hour.Milliseconds()
 	for _, c := range []struct {
 		name string
@@ -192,7 +192,7 @@
 
 // Two starts of a server are two to the module, also when both can only be said to be of this moment: it has
 // to forget what it learned of the first.
-func TestEachStartHasATimeOfItsOwn(t *testing.T) {
+func TestEachStartHasADistinctTime(t *testing.T) {
 	m := newMachineClocks()
 	l := bootLoop(t, m, true)
 	seen := map[time.Duration]bool{}
@@ -206,7 +206,7 @@
 }
 
 // Offsets that were seen are bounded, however often the clock is set, and slewing it is no step.
-func TestOffsetsAreBounded(t *testing.T) {
+func TestClockOffsetsAreBounded(t *testing.T) {
 	m := newMachineClocks()
 	b := newBootClock(m.clock())
 	for range 1000 {
@@ -277,7 +277,7 @@
 }
 
 // A server that restarts in a running node's list is warmed up alike, whatever the wall clock does meanwhile.
-func TestRestartedServerIsWarmedUpWhateverTheClockSays(t *testing.T) {
+func TestRestartedServerWarmsUpDespiteClockSteps(t *testing.T) {
 	restart := func(before, after time.Duration) []int {
 		m := newMachineClocks()
 		l := bootLoop(t, m, true)
--- a/internal/node/chunked_test.go
+++ b/internal/node/chunked_test.go
@@ -28,7 +28,7 @@
 
 // A body in chunks is forwarded with its length, without extensions and trailers, and what the client sends
 // behind it is the next request.
-func TestBodiesInChunksAreForwardedWithALength(t *testing.T) {
+func TestChunkedBodiesAreForwardedWithALength(t *testing.T) {
 	s := framingServer(t)
 	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), nil)
 	full := strings.Repeat("b", maxBody)
--- a/internal/node/deadlineheader_test.go
+++ b/internal/node/deadlineheader_test.go
@@ -56,7 +56,7 @@
 }
 
 // The client's time runs from the first byte of its request, wherever the rest is late.
-func TestToldTimeRunsFromTheFirstByte(t *testing.T) {
+func TestForwardedDeadlineRunsFromTheFirstByte(t *testing.T) {
 	const post = "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: r\r\nX-Deadline: 60\r\n"
 	for _, pieces := range [][2]string{
 		{"G", requestText("r")[1:]},
@@ -88,7 +88,7 @@
 }
 
 // That of a request behind another one runs from its own first byte, while the other is still served.
-func TestToldTimeOfARequestBehindAnother(t *testing.T) {
+func TestForwardedDeadlineOfAPipelinedRequest(t *testing.T) {
 	hold, told := make(chan struct{}), make(chan string, 10)
 	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		told <- r.Header.Get("X-Deadline")
@@ -109,7 +109,7 @@
 }
 
 // What is told is what is left as the request is written, however late that is.
-func TestToldTimeIsWhatIsLeftAtTheWrite(t *testing.T) {
+func TestForwardedDeadlineIsTheTimeLeftAtTheWrite(t *testing.T) {
 	t.Run("late connection", func(t *testing.T) {
 		t.Parallel()
 		s, told := newDeadlineServer(t)
@@ -167,7 +167,7 @@
 }
 
 // A wait is never rounded up, and one that is over is not told.
-func TestWaitsAreNotRoundedUp(t *testing.T) {
+func TestForwardedDeadlineIsNotRoundedUp(t *testing.T) {
 	for _, wait := range []time.Duration{
 		time.Millisecond, 1999 * time.Microsecond, 480 * time.Millisecond,
 		999999 * time.Microsecond, time.Second, 9999999999, 99999999999, 12345678901, maxDeadline,
--- a/internal/node/departure_test.go
+++ b/internal/node/departure_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-func TestCallerGoneCancelsTheAttempt(t *testing.T) {
+func TestClientDepartureCancelsTheAttempt(t *testing.T) {
 	got, gone := make(chan struct{}), make(chan struct{})
 	var first sync.Once
 	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
@@ -43,7 +43,7 @@
 
 // A request whose client leaves while it waits is not sent on: neither while the module holds it nor while
 // its connection comes up, whether or not attempts may be called off, and though the client said more first.
-func TestNothingIsSentForACallerThatLeftWhileItWaited(t *testing.T) {
+func TestNothingIsForwardedForAClientThatLeftWhileQueued(t *testing.T) {
 	for _, held := range []bool{true, false} {
 		for _, method := range []string{"GET", "POST"} {
 			for _, reset := range []bool{true, false} {
@@ -105,7 +105,7 @@
 
 // However much a caller sends ahead of an answer, once it has closed or reset its connection, or that has
 // broken, no attempt begins for it, nor for what it sent ahead: wherever its request is just then.
-func TestNothingBeginsForACallerThatLeftBehindManyBytes(t *testing.T) {
+func TestNothingBeginsForAClientThatPipelinedAndLeft(t *testing.T) {
 	for _, where := range []string{"held", "dial", "retry", "busy loop", "in flight"} {
 		for _, ahead := range []int{0, 100, 3000, 8192, 20000, 60000, 2 * readAheadPerConn} {
 			for _, how := range []string{"close", "reset", "break"} {
@@ -261,7 +261,7 @@
 }
 
 // Fifty that leave at once are all seen to.
-func TestNothingBeginsForABurstOfLeavers(t *testing.T) {
+func TestNothingBeginsForABurstOfDepartures(t *testing.T) {
 	s := newServer(t, echo)
 	through := make(chan struct{})
 	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
@@ -294,7 +294,7 @@
 
 // A request whose caller has closed before it is read does not go to the module before the close is seen,
 // however late the watch gets to look.
-func TestNothingBeginsBeforeTheWatchHasLooked(t *testing.T) {
+func TestNothingBeginsBeforeTheDepartureWatchHasCaughtUp(t *testing.T) {
 	s := newServer(t, echo)
 	reads, looks := newGate(2), newGate(2)
 	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
--- a/internal/node/descriptorbudget_test.go
+++ b/internal/node/descriptorbudget_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-func TestCallersBeyondTheBudget(t *testing.T) {
+func TestDownstreamConnectionsBeyondTheBudget(t *testing.T) {
 	s, got, release := newHoldingServer(t, "held")
 	const most = 4
 	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
@@ -47,7 +47,7 @@
 
 // A connection is let go only while it waits: not with a request read that net/http has not told of
 // yet, nor with the first byte of the next one, read early behind an answer.
-func TestLettingGoSparesARequestBegun(t *testing.T) {
+func TestEvictionSparesARequestBegun(t *testing.T) {
 	f := newDownstreamConns(newClock(), 2, 10, 16<<20, func() int { return 1 })
 	say := func(from, to net.Conn) {
 		t.Helper()
@@ -94,7 +94,7 @@
 }
 
 // A request that lies in the kernel unread counts as begun: a close would reset it.
-func TestLettingGoSparesWhatNobodyHasRead(t *testing.T) {
+func TestEvictionSparesUnreadBytes(t *testing.T) {
 	f := newDownstreamConns(newClock(), 2, 10, 16<<20, func() int { return 1 })
 	c, theirs := downstreamPair(t, f, 0)
 	f.connStateChanged(c, http.StateNew)
@@ -115,7 +115,7 @@
 
 // The rest of a request that lies in the kernel unread keeps the connection, though its first part came so long
 // ago that it would be cut off.
-func TestCuttingOffSparesWhatNobodyHasRead(t *testing.T) {
+func TestReadAbortSparesUnreadBytes(t *testing.T) {
 	f := newDownstreamConns(newClock(), 2, 10, 16<<20, func() int { return 2 })
 	f.gracePeriods.partialRequest = 0
 	c, theirs := downstreamPair(t, f, 0)
@@ -142,7 +142,7 @@
 
 // Whatever reaches a server has been read, so its caller must get the answer, however often idle
 // connections are let go meanwhile.
-func TestNothingReadIsLostWhileIdleConnectionsAreLetGo(t *testing.T) {
+func TestNoRequestIsLostWhileIdleConnectionsAreEvicted(t *testing.T) {
 	s := newServer(t, echo)
 	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
 		n.frontend.conns.capacity, n.frontend.conns.upstreamReserve = 8, 4
@@ -199,7 +199,7 @@
 
 // Hundreds of connections that say nothing, half a request or too little of a body hold no place that a
 // good caller needs: they are let go first, before they would time out, and the good one is served.
-func TestGoodCallerIsServedBesideHundredsOfSilentOnes(t *testing.T) {
+func TestClientIsServedBesideHundredsOfSilentConnections(t *testing.T) {
 	s := newServer(t, echo)
 	cfg := testConfig(completeList(entry("s1", s.addr(), "in_service")))
 	cfg.Sockets = 256
@@ -239,7 +239,7 @@
 // A complete request is served, though its connection is chosen to make room in the moment in which its head has
 // been read, or while it waits in its handler: a silent one goes in its place, and its caller's leaving is still
 // seen. Half a request is cut off instead.
-func TestCompleteRequestIsServedThoughRoomIsMade(t *testing.T) {
+func TestCompleteRequestIsServedDuringEviction(t *testing.T) {
 	for _, moment := range []string{"head read", "watched"} {
 		for _, method := range []string{"GET", "POST"} {
 			for _, id := range []string{"served", "leaving"} {
--- a/internal/node/dial_test.go
+++ b/internal/node/dial_test.go
@@ -40,7 +40,7 @@
 
 // A connection that can't be opened for a moment by trouble of this machine's own is dialled again, and its
 // request is served by its server, which gets it once.
-func TestLocalTroubleForAMomentFailsNothing(t *testing.T) {
+func TestTransientLocalDialErrorIsRetried(t *testing.T) {
 	for _, errno := range localErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
@@ -122,7 +122,7 @@
 
 // What discovery tells is not missed for local trouble: a push watch's call is dialled again at once, and where
 // lists are asked for the module is not told of a failure, which it would wait after.
-func TestLocalTroubleIsNoSilenceOfDiscovery(t *testing.T) {
+func TestLocalDialErrorIsNoDiscoveryFailure(t *testing.T) {
 	for _, asked := range []bool{false, true} {
 		for _, times := range []int32{3, 1e6} {
 			t.Run(fmt.Sprint("asked=", asked, " times=", times), func(t *testing.T) {
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -16,7 +16,7 @@
 
 // What the agent has at discovery's return counts as told at once. The call that was out when it fell
 // silent is never answered, however long it may still wait.
-func TestNewsAtTheAgentsReturnNeedsNoTimeOut(t *testing.T) {
+func TestWatchEventAtTheAgentsReturnNeedsNoTimeout(t *testing.T) {
 	old, s := newServer(t, echo), newServer(t, echo)
 	ag := newRegistryAgent(t)
 	ag.set(true, "")
@@ -43,7 +43,7 @@
 
 // What a new process knows may be old, and what the agent has counts as told from its first moment: it is
 // ready once it has heard the whole list, or has waited long enough for an agent that says nothing.
-func TestNewProcessIsReadyOnceItHasHeardTheList(t *testing.T) {
+func TestNewProcessIsReadyOnceItHasTheList(t *testing.T) {
 	s := newServer(t, echo)
 	ag := newRegistryAgent(t)
 	ag.set(true, "")
@@ -68,7 +68,7 @@
 }
 
 // A watch that stops at any byte is opened anew, and the whole truth is known then.
-func TestWatchThatStopsAnywhereIsOpenedAnew(t *testing.T) {
+func TestWatchIsReopenedAfterATruncatedResponse(t *testing.T) {
 	s := newServer(t, echo)
 	news := `{"rev":9,"all":true,"targets":[` + entry("s2", s.addr(), "in_service") + `]}`
 	answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(news), news)
@@ -128,7 +128,7 @@
 
 // Where lists are asked for, a new configuration opens a new watch though none is out: what discovery has
 // there counts as told whether it was asked or not.
-func TestMoveAsksAnewWhereListsAreAskedFor(t *testing.T) {
+func TestAddressChangePollsAnew(t *testing.T) {
 	ag := newRegistryAgent(t)
 	ag.set(false, completeList(entry("s1", "127.0.0.1:1", "in_service")))
 	events := make(chan event, 10)
@@ -149,7 +149,7 @@
 
 // However long a deployment lets a node go without asking, news counts as told 6 s after the watch fell
 // silent: what the module waits between its calls is a part of that.
-func TestAskingWaitsNoLongerThanNewsMay(t *testing.T) {
+func TestPollBackoffIsBoundedByTheNotificationTime(t *testing.T) {
 	for seed := range uint64(20) {
 		cfg := testConfig(completeList())
 		cfg.Settings.PollDiscovery, cfg.Settings.PollWithin, cfg.Seed = true, time.Hour, seed
@@ -171,7 +171,7 @@
 
 // A discovery that refuses is not asked again before a least wait is over, however little the settings have a
 // node wait, and at once if the watch moves meanwhile.
-func TestRefusedDiscoveryIsNotAskedInAHotLoop(t *testing.T) {
+func TestRefusedDiscoveryIsNotPolledInAHotLoop(t *testing.T) {
 	for _, within := range []time.Duration{0, time.Millisecond, time.Hour} {
 		t.Run(fmt.Sprint(within), func(t *testing.T) {
 			cfg := testConfig(completeList())
@@ -248,7 +248,7 @@
 }
 
 // A list that changes all the time is heard of in calls that are paced, and each change is still told.
-func TestCallsForAListThatChangesAllTheTimeArePaced(t *testing.T) {
+func TestCallsForAListInConstantChangeArePaced(t *testing.T) {
 	const calls = 20
 	s := newServer(t, echo)
 	for _, asked := range []bool{false, true} {
@@ -292,7 +292,7 @@
 }
 
 // An agent that was silent may never answer the call that it was silent on: it must be asked anew.
-func TestSilentDiscoveryIsAskedAgain(t *testing.T) {
+func TestUnresponsiveDiscoveryIsCalledAgain(t *testing.T) {
 	s := newServer(t, echo)
 	ag := newRegistryAgent(t)
 	ag.set(true, "")
@@ -320,7 +320,7 @@
 }
 
 // A watch that ends without news is no news, which the module would take for a change: it only confirms the list.
-func TestWatchWithoutNewsTellsNothing(t *testing.T) {
+func TestWatchWithoutChangesOnlyConfirmsTheList(t *testing.T) {
 	ag := newRegistryAgent(t)
 	events := make(chan event, 10)
 	cfg := testConfig("")
@@ -348,7 +348,7 @@
 }
 
 // Where discovery is asked, a watch follows only a Subscribe, and its failure is told.
-func TestAskedDiscoveryFollowsSubscribe(t *testing.T) {
+func TestPolledDiscoveryFollowsSubscribe(t *testing.T) {
 	ag := newRegistryAgent(t)
 	events := make(chan event, 10)
 	cfg := testConfig("")
--- a/internal/node/discoveryfaults_test.go
+++ b/internal/node/discoveryfaults_test.go
@@ -135,7 +135,7 @@
 
 // Whatever way calls to discovery fail in, whenever and how often, the change that discovery has then is known
 // after the next call: callers are sent to the server that joined, and not to the one that drains.
-func TestChangeIsKnownAfterCallsThatFailed(t *testing.T) {
+func TestChangeIsKnownAfterFailedCalls(t *testing.T) {
 	for _, asked := range []bool{false, true} {
 		for _, fault := range append([]string{"refused"}, faults...) {
 			for _, when := range []string{"start", "middle", "move"} {
--- a/internal/node/downstreamconn_test.go
+++ b/internal/node/downstreamconn_test.go
@@ -9,7 +9,7 @@
 )
 
 // Silent and half-spoken connections end by themselves, and so do those that ask no more.
-func TestConnectionsWithoutARequestEnd(t *testing.T) {
+func TestConnectionsWithoutARequestTimeOut(t *testing.T) {
 	s := newServer(t, echo)
 	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
 		n.frontend.server.ReadTimeout = 300 * time.Millisecond
@@ -31,7 +31,7 @@
 
 // A client that stops in the middle of a request and stays gets an error or a close within the time for
 // reading a request, also if it has sent too little to be told from one that rests.
-func TestClientsThatStopInTheMiddleOfARequestEnd(t *testing.T) {
+func TestPartialRequestsTimeOut(t *testing.T) {
 	s := newServer(t, echo)
 	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
 		n.frontend.server.ReadTimeout = 300 * time.Millisecond
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -11,7 +11,7 @@
 
 // However short the deadlines are, a node that ends accepts for as long as new connections come, serves,
 // gives its last answers and is gone, in this order and before it would be killed.
-func TestEndingFitsTheDeadlines(t *testing.T) {
+func TestDrainScheduleFitsTheDeadlines(t *testing.T) {
 	for _, deadline := range []time.Duration{20, 50, 100, 150, 200, 300, 500, 900, 1500, 3000, 6000, 60000} {
 		for _, part := range []time.Duration{100, 10, 2, 1} {
 			cfg := testConfig("")
@@ -81,7 +81,7 @@
 
 // At the last call each request gets the answer that its class and what became of it allow, and so does one
 // that comes after it; when to come back is told only where clients take it.
-func TestLastCallKeepsToTheClass(t *testing.T) {
+func TestShutdownDeadlineAnswersByClass(t *testing.T) {
 	for _, advice := range []time.Duration{0, time.Second} {
 		got := make(chan struct{}, 10)
 		s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
@@ -125,7 +125,7 @@
 }
 
 // A caller whose connection was accepted a moment ago has its request on the way: it is not let go unheard.
-func TestFreshConnectionIsHeardThoughTheNodeEnds(t *testing.T) {
+func TestNewConnectionIsReadWhileDraining(t *testing.T) {
 	n, err := New(testConfig(completeList()), testLog())
 	if err != nil {
 		t.Fatal(err)
@@ -147,7 +147,7 @@
 	}
 }
 
-func TestEndOfNodeAnswersAllThatWasTaken(t *testing.T) {
+func TestGracefulShutdownAnswersAllAcceptedRequests(t *testing.T) {
 	s, got, release := newHoldingServer(t, "held")
 	n, stop := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
 		n.drainSchedule, n.drainLimit = drainSchedule{stopAccepting: time.Second, closeConns: 2 * time.Second, answerAll: limit}, 2*limit
@@ -189,7 +189,7 @@
 }
 
 // What no server answers before the node would be killed gets a final answer all the same.
-func TestEndOfNodeAnswersWhatIsStillOut(t *testing.T) {
+func TestGracefulShutdownAnswersWhatIsInFlight(t *testing.T) {
 	got := make(chan struct{}, 1)
 	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		got <- struct{}{}
--- a/internal/node/frontend_test.go
+++ b/internal/node/frontend_test.go
@@ -11,7 +11,7 @@
 )
 
 // A hint is advice: one that can't be used must neither fail its request nor reach the module.
-func TestHintsThatCantBeReadAreNone(t *testing.T) {
+func TestInvalidWorkHintsAreIgnored(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"": 0, "328477": 328477 * time.Microsecond, "0.5": 500, "-3": 0, "0": 0, "NaN": 0, "Inf": 0, "1e300": 0,
 		"many": 0, "12 ms": 0,
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestPassesARequestThroughUnchanged(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	type seen struct {
 		r    *http.Request
 		body string
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestBadRequests(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
 	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		select {
@@ -143,7 +143,7 @@
 }
 
 // A request that the module gives up is refused at once, with advice, though its deadline is far off.
-func TestRefusalComesAtOnceAndSaysWhenToComeBack(t *testing.T) {
+func TestRejectionIsImmediateWithRetryAfter(t *testing.T) {
 	cfg := testConfig(completeList(entry("s1", closedPort(t), "in_service")))
 	n, _ := startNode(t, cfg, nil)
 	c := dial(t, n)
@@ -157,7 +157,7 @@
 
 // A caller gives its last try all the time that it has left, more than tries are usually given. That must
 // not make every other caller's first try look like a repeat whose aim is over, to be refused at once.
-func TestALongLastTryLeavesFirstTriesAsTheyAre(t *testing.T) {
+func TestLongLastAttemptDoesNotMakeFirstAttemptsRetries(t *testing.T) {
 	s, got, release := newHoldingServer(t, "held")
 	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), nil)
 	c := dial(t, n)
--- a/internal/node/halfclose_test.go
+++ b/internal/node/halfclose_test.go
@@ -11,7 +11,7 @@
 
 // A caller that only stops sending reads on: it gets the answer of the attempt that has begun, be it the only
 // one and a failure, or a refusal at once if none has, and so does what it sent ahead.
-func TestHalfClosedCallerGetsItsAnswer(t *testing.T) {
+func TestHalfClosedClientGetsItsResponse(t *testing.T) {
 	for _, c := range []struct {
 		name, text, then string // what the caller sends, and what the server does
 		where            string
--- a/internal/node/listener_test.go
+++ b/internal/node/listener_test.go
@@ -111,7 +111,7 @@
 }
 
 // Where accept fails on end, the node ends in order all the same, whether or not it waits for the next try.
-func TestNodeEndsThoughAcceptFailsOnEnd(t *testing.T) {
+func TestNodeDrainsWhileEveryAcceptFails(t *testing.T) {
 	for _, inService := range []bool{true, false} {
 		t.Run(fmt.Sprint("in service=", inService), func(t *testing.T) {
 			t.Parallel()
@@ -155,7 +155,7 @@
 }
 
 // Failed accepts are counted for the traffic line, and logged at a bounded rate.
-func TestFailedAcceptsAreCountedAndLoggedNowAndThen(t *testing.T) {
+func TestFailedAcceptsAreCountedAndLoggedAtABoundedRate(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/listparser_test.go
+++ b/internal/node/listparser_test.go
@@ -44,7 +44,7 @@
 
 // A list is read as json.Unmarshal reads it, and dropped where that fails: in any form, cut at any byte, with any
 // byte another one.
-func TestListsAreReadAsUnmarshalReadsThem(t *testing.T) {
+func TestListParserAgreesWithUnmarshal(t *testing.T) {
 	s1, s2 := bootEntry("s1", 1.8e12), entry("s2", "[::1]:80", "terminating")
 	gone := `{"uid":"s3","state":"terminated"}`
 	good := []string{
@@ -138,7 +138,7 @@
 
 // An answer whose connection breaks tells nothing, so the watch goes on from the version that is held; after one
 // that came to its end and is malformed, the complete list is asked for.
-func TestOnlyAMalformedListHasTheCompleteOneAskedFor(t *testing.T) {
+func TestOnlyAMalformedListIsReplacedByTheCompleteOne(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
 		want         int64
@@ -220,7 +220,7 @@
 	}
 }
 
-func TestMalformedListIsDroppedWhole(t *testing.T) {
+func TestMalformedListIsDiscarded(t *testing.T) {
 	for _, bad := range []string{
 		"", "{", "[]", `{"rev":2,"targets":[]}`, `{"all":true,"targets":[]}`,
 		`{"rev":2,"all":true,"targets":[` + entry("s1", "127.0.0.1:1", "in_service") + `,` + entry("s2", "name:80", "in_service") + `]}`,
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -12,7 +12,7 @@
 
 // A whole list that names what is held already is no news to the module: it would cut its pool anew and
 // open connections for nothing.
-func TestWholeListWithoutNewsChangesNothing(t *testing.T) {
+func TestUnchangedCompleteListChangesNothing(t *testing.T) {
 	s := newServer(t, echo)
 	n, err := New(testConfig(completeList(entry("s1", s.addr(), "in_service"))), testLog())
 	if err != nil {
@@ -62,7 +62,7 @@
 }
 
 // The list that a node last had is long, and of no use once a list was heard.
-func TestTheKnownListIsNotKept(t *testing.T) {
+func TestCachedListIsReleased(t *testing.T) {
 	cfg := testConfig(completeList(entry("s1", "127.0.0.1:1", "in_service")))
 	n, err := New(cfg, testLog())
 	if err != nil {
--- a/internal/node/outlier_test.go
+++ b/internal/node/outlier_test.go
@@ -143,7 +143,7 @@
 // Servers that fail one class at once, wholly or in part, serve the others well, so no run of bad endings
 // lasts, and having few calls they win the draw. Their share of failures keeps that class away from them,
 // also when they are replaced by others that do the same, and the rest of the work stays with them.
-func TestServersThatFailAClassAtOnceGetLittleOfIt(t *testing.T) {
+func TestServersThatFailAClassGetLittleOfIt(t *testing.T) {
 	for _, part := range []int{0, 4} {
 		t.Run(fmt.Sprint("one served in ", part), func(t *testing.T) {
 			f := newFaultyFleet(part, 0, "s3 view", "s4 view", "s5 view", "s6 view")
@@ -173,7 +173,7 @@
 
 // A server that lets most time out holds its part of the node's calls for nothing, and in a small fleet none
 // may be ruled out. Its share of failures keeps calls away from it.
-func TestServerThatLetsMostTimeOutGetsFew(t *testing.T) {
+func TestServerWithManyTimeoutsGetsFewRequests(t *testing.T) {
 	f := newFaultyFleet(0, 0)
 	f.work, f.slow = 400*time.Millisecond, "s4"
 	var list []string
@@ -195,7 +195,7 @@
 
 // Where servers alike let calls hang now and then, nobody can be avoided: those that may run again are cut
 // short while there is time for another, below the first tier. A call that may not run again is never cut.
-func TestCallsThatHangAreSentAgainInTime(t *testing.T) {
+func TestUnresponsiveAttemptsAreRetriedInTime(t *testing.T) {
 	f := newFaultyFleet(0, 0)
 	f.hangsOneIn = 5
 	cfg := testConfig(completeList(f.serve(t, "s1"), f.serve(t, "s2"), f.serve(t, "s3"), f.serve(t, "s4")))
@@ -223,7 +223,7 @@
 }
 
 // Servers that failed all and have recovered get their part back in the time that some dozens of answers take.
-func TestServersThatRecoverAreUsedAgain(t *testing.T) {
+func TestRecoveredServersAreUsedAgain(t *testing.T) {
 	f := newFaultyFleet(0, 0, "s2 view", "s2 note", "s4 view", "s4 note")
 	var list []string
 	for _, uid := range []string{"s1", "s2", "s3", "s4"} {
@@ -246,7 +246,7 @@
 
 // In overload every server turns requests away, and where the tier behind them is in trouble all fail alike:
 // nobody is left out for that.
-func TestAFleetAlikeInTroubleStaysInUse(t *testing.T) {
+func TestFleetThatFailsAlikeStaysInUse(t *testing.T) {
 	for name, f := range map[string]*faultyFleet{"all fail": newFaultyFleet(2, 0, "s1 view", "s2 view", "s3 view", "s4 view",
 		"s1 note", "s2 note", "s3 note", "s4 note"), "all are full": newFaultyFleet(0, 1), "all fail and are full": newFaultyFleet(2, 1,
 		"s1 view", "s2 view", "s3 view", "s4 view")} {
--- a/internal/node/readahead_test.go
+++ b/internal/node/readahead_test.go
@@ -8,7 +8,7 @@
 )
 
 // What a caller sends before its answer has come is its next request, in order and whole.
-func TestRequestsSentAheadAreAnsweredInOrder(t *testing.T) {
+func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	s, got, release := newHoldingServer(t, "")
 	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), nil)
 	c := dial(t, n)
@@ -29,7 +29,7 @@
 
 // A caller that sends more ahead than is kept can't be watched. Its request is answered at once, as refused
 // unless an attempt may have run, and so is in turn what it sent ahead, until it can be watched again.
-func TestCallerBeyondTheBoundIsAnsweredAtOnce(t *testing.T) {
+func TestClientBeyondTheReadAheadLimitIsAnsweredAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		begun bool
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -33,7 +33,7 @@
 
 // New settings are in force for what comes after them, and what was taken before keeps its promise: an attempt
 // that is reset is made again only where the class that its client knew permits it.
-func TestNewSettingsTakeForceBesideRequestsThatKeepTheirs(t *testing.T) {
+func TestReloadLeavesRequestsInFlightTheirSettings(t *testing.T) {
 	view := func(change func(c *balancer.Class)) func([]balancer.Class) []balancer.Class {
 		return func(l []balancer.Class) []balancer.Class { change(&l[0]); return l }
 	}
@@ -105,7 +105,7 @@
 }
 
 // A class that comes is served at once, and one that goes is answered as unknown, on a connection that stays.
-func TestClassesComeAndGo(t *testing.T) {
+func TestReloadAddsAndRemovesClasses(t *testing.T) {
 	s := newServer(t, echo)
 	cfg := testConfig(completeList(entry("s1", s.addr(), "in_service")))
 	n, _ := startNode(t, cfg, nil)
@@ -127,7 +127,7 @@
 // A request is checked by its connection's goroutine, and new settings may come before it gets to the module:
 // then it is checked again, or a class that the module no longer knows would go on to a server as an unsafe
 // one, and one that is keyed by now would be repeated without its key.
-func TestRequestsCheckedBeforeNewSettingsAreCheckedAgain(t *testing.T) {
+func TestRequestsValidatedBeforeAReloadAreValidatedAgain(t *testing.T) {
 	for name, row := range map[string]struct {
 		change func([]balancer.Class) []balancer.Class
 		status int
@@ -165,7 +165,7 @@
 }
 
 // What can't change in a running node stays as it is, whatever the file says, and the rest of it takes force.
-func TestReloadKeepsWhatCantChange(t *testing.T) {
+func TestReloadKeepsImmutableSettings(t *testing.T) {
 	cfg := testConfig(completeList())
 	n, _ := startNode(t, cfg, nil)
 	other := cfg
--- a/internal/node/requestscanner_test.go
+++ b/internal/node/requestscanner_test.go
@@ -98,7 +98,7 @@
 	{strings.Repeat("GET /a HTTP/1.1\r\n\r\n", maxPipelinedHeads+1), maxPipelinedHeads, errTooManyPipelined},
 }
 
-func TestScannerFollowsRequestsHoweverTheyArrive(t *testing.T) {
+func TestScannerFollowsRequestsInAnyFragments(t *testing.T) {
 	for _, c := range scannerTexts {
 		t.Run(fmt.Sprintf("%.60q", c.text), func(t *testing.T) {
 			s := scanned(c.text, 0)
--- a/internal/node/response_test.go
+++ b/internal/node/response_test.go
@@ -15,7 +15,7 @@
 	"balancer"
 )
 
-func TestEndings(t *testing.T) {
+func TestAttemptResults(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string // "-": the server breaks the connection
 		want         balancer.AttemptResult
@@ -85,7 +85,7 @@
 
 // The end of the connection completes an answer without a length only if the server closed it: a reset, the
 // node's own close and a body that is too long do not. Its connection is never used again.
-func TestAnswersWithoutALength(t *testing.T) {
+func TestResponsesWithoutALength(t *testing.T) {
 	const plain, old = "HTTP/1.1 200 OK\r\n\r\nok", "HTTP/1.0 200 OK\r\n\r\nok"
 	longest := strings.Repeat("x", maxBody)
 	head := "HTTP/1.1 200 OK\r\nX-Pad: " + strings.Repeat("p", maxResponseOverhead-28) + "\r\n\r\n"
@@ -154,7 +154,7 @@
 }
 
 // The caller gets the body unchanged, and is told of a failure where the end was a reset.
-func TestAnswerWithoutALengthIsForwarded(t *testing.T) {
+func TestResponseWithoutALengthIsForwarded(t *testing.T) {
 	s := newServer(t, func(conn net.Conn, r *http.Request, body string) bool {
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Type: a/b\r\n\r\nfor %s\r\n\x00", r.Header.Get("X-Request-Id"))
 		if r.Header.Get("X-Request-Id") == "reset" {
@@ -227,7 +227,7 @@
 
 // The system tells of a reset once. If a write was told, the next read finds what looks like the end of an
 // answer without a length: the part that came is no success.
-func TestResetToldToTheWriteIsNoEnd(t *testing.T) {
+func TestResetReportedToTheWriteIsNoEndOfResponse(t *testing.T) {
 	nc, server := connPair(t)
 	c := &lateWriteConn{TCPConn: nc.(*net.TCPConn), read: make(chan struct{}), wrote: make(chan struct{})}
 	c.reset = func() {
--- a/internal/node/responsedeadline_test.go
+++ b/internal/node/responsedeadline_test.go
@@ -18,7 +18,7 @@
 // troubleDeadline is the time of each request.
 const faultDeadline = 400 * time.Millisecond
 
-// trouble is what a node of TestTroubleFreesNoRequestOfItsAnswer meets.
+// trouble is what a node of TestFaultsLeaveNoRequestWithoutAResponse meets.
 type faultCase struct {
 	name      string
 	servers   func(*testing.T) []string // endpoints
@@ -59,7 +59,7 @@
 
 // Trouble at servers, at discovery or with other clients frees no request of its final answer: whatever its
 // status, it is there half a second after the request's time at the latest.
-func TestTroubleFreesNoRequestOfItsAnswer(t *testing.T) {
+func TestFaultsLeaveNoRequestWithoutAResponse(t *testing.T) {
 	none := func(*testing.T) []string { return nil }
 	for _, c := range []faultCase{
 		{name: "servers gone", servers: func(t *testing.T) []string { return []string{closedPort(t), closedPort(t)} }},
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -207,7 +207,7 @@
 
 // Requests that were read behind another one are answered, though the connection is to be closed with the
 // answer to the first: because the node ends, or for want of descriptors. The last answer closes it.
-func TestRequestsReadBehindTheLastAreAnswered(t *testing.T) {
+func TestPipelinedRequestsAreAnsweredBeforeTheClose(t *testing.T) {
 	for _, why := range []string{"the node ends", "too many connections"} {
 		for _, pieces := range []int{1, 2} {
 			t.Run(fmt.Sprint(why, " pieces=", pieces), func(t *testing.T) {
--- a/internal/node/upstreampool_test.go
+++ b/internal/node/upstreampool_test.go
@@ -62,7 +62,7 @@
 }
 
 // A node short of descriptors closes idle connections first; its own lack is no server's fault.
-func TestConnectionsBeyondTheBudget(t *testing.T) {
+func TestUpstreamConnectionsBeyondTheBudget(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
 	one, two := newServer(t, echo), newServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		got <- struct{}{}
@@ -108,7 +108,7 @@
 
 // A second copy of an answer is no answer to the next request, however late during the rest it comes: that
 // request goes on another connection, and the one on which the copy comes is closed.
-func TestLateSecondAnswerIsNobodys(t *testing.T) {
+func TestLateSecondResponseIsDiscarded(t *testing.T) {
 	conns := make(chan net.Conn, 10)
 	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		conns <- c
@@ -165,7 +165,7 @@
 
 // A new server at the address of one that has gone does not get its predecessor's connections, nor does
 // one that started anew: whatever is still to come on them belongs to the old one.
-func TestConnectionsBelongToOneLifeOfAServer(t *testing.T) {
+func TestConnectionsBelongToOneInstanceOfAServer(t *testing.T) {
 	s, got, release := newHoldingServer(t, "held")
 	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), nil)
 	held, c := dial(t, n), dial(t, n)
@@ -197,7 +197,7 @@
 	}
 }
 
-func TestDrainingServerGetsNothingNew(t *testing.T) {
+func TestDrainingServerGetsNoNewRequests(t *testing.T) {
 	a, b := newServer(t, echo), newServer(t, echo)
 	ag := newRegistryAgent(t)
 	cfg := testConfig(completeList(entry("s1", a.addr(), "in_service"), entry("s2", b.addr(), "in_service")))
@@ -238,7 +238,7 @@
 }
 
 // A connection that came up for an attempt in vain serves the next one.
-func TestLateConnectionIsKeptForOthers(t *testing.T) {
+func TestLateConnectionIsPooled(t *testing.T) {
 	s := newServer(t, echo)
 	b := testPool(10)
 	held := holdDials(b)
@@ -256,7 +256,7 @@
 
 // A look at a connection that a signal interrupts is made again until it tells something: the poller has
 // told of what is there before, and does so only once.
-func TestInterruptedLookIsMadeAgain(t *testing.T) {
+func TestInterruptedPeekIsRepeated(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		do   func(theirs net.Conn)
--- a/outlier_test.go
+++ b/outlier_test.go
@@ -7,7 +7,7 @@
 )
 
 // A server that errs at once drains its count; without ejection it would win every draw.
-func TestFastErrorsAreEjected(t *testing.T) {
+func TestServerThatFailsFastIsEjected(t *testing.T) {
 	for _, e := range []AttemptResult{ServerError, ConnectFailed, ConnectionLost} {
 		b := newBalancer(t, nil)
 		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
@@ -24,7 +24,7 @@
 }
 
 // When every server fails alike the trouble is below them: nobody may be starved of calls.
-func TestFailuresEverywhereEjectFew(t *testing.T) {
+func TestFailuresEverywhereEjectFewServers(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 	got := sendTraffic(b, 800, "get", func(string) AttemptResult { return ServerError })
@@ -34,7 +34,7 @@
 }
 
 // A machine gone quiet shows nothing but an old unanswered call while others answer.
-func TestSilentServerIsPassedOver(t *testing.T) {
+func TestUnresponsiveServerIsAvoided(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 	stuck, now := 0, time.Duration(0)
@@ -55,7 +55,7 @@
 }
 
 // After an ejection the first trial must not be a request that cannot be repeated.
-func TestTrialIsNeverUnsafe(t *testing.T) {
+func TestServerOnTrialGetsNoNonIdempotentRequest(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 	s := b.servers["s03"]
@@ -69,7 +69,7 @@
 }
 
 // In overload every server is missed: the more is shed, the fewer may be ruled out for their health.
-func TestSheddingLeavesMoreServersIn(t *testing.T) {
+func TestLoadSheddingEjectsFewerServers(t *testing.T) {
 	for _, c := range []struct {
 		shed float64
 		want int
@@ -95,7 +95,7 @@
 
 // Connection tables filled by other copies refuse at once: a server that refused gets no more own
 // calls than it had, however many others refuse too, and is tried again later.
-func TestRefusingServerKeepsOnlyWhatItHad(t *testing.T) {
+func TestServerThatRefusesConnectionsGetsNoMoreCalls(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier, s.Replicas = 1, 1 })
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 	now, id := msec, 0
@@ -132,7 +132,7 @@
 
 // A choked server answers, but late: one overlong answer must be enough to pass it over for a while,
 // for a node of many calls it too seldom to wait for a mean. Where overlong answers are common none is.
-func TestOverlongAnswerEjects(t *testing.T) {
+func TestOverlongResponseEjects(t *testing.T) {
 	for _, c := range []struct {
 		common float64
 		want   bool
--- a/pick_test.go
+++ b/pick_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestPickFollowsTheDesign(t *testing.T) {
+func TestPickComparesTwoCandidatesByCalls(t *testing.T) {
 	mk := func(calls ...int) []*server {
 		var l []*server
 		for i, c := range calls {
@@ -61,7 +61,7 @@
 }
 
 // Below the first tier a server that holds several of our calls is passed over while others idle.
-func TestCrowdedServerIsPassedOver(t *testing.T) {
+func TestLoadedServerIsAvoidedWhileOthersAreIdle(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(6)})
 	b.servers["s00"].calls, b.inFlight = 2, 2
@@ -72,7 +72,7 @@
 }
 
 // Slow servers of the fleet are drawn less, though each node's own counts sit at zero.
-func TestDrawsFollowSizeAndLatency(t *testing.T) {
+func TestPickFollowsCapacityAndLatency(t *testing.T) {
 	list := servers(4)
 	for i := range list {
 		list[i].Capacity = 1
@@ -95,7 +95,7 @@
 }
 
 // Sizes that a host took from elsewhere may be odd: nobody is left without a draw for it.
-func TestOddSizesDraw(t *testing.T) {
+func TestInvalidCapacitiesLeaveServersEligible(t *testing.T) {
 	list := servers(4)
 	for i, size := range []float64{math.NaN(), math.Inf(1), -1, 0} {
 		list[i].Capacity = size
@@ -108,7 +108,7 @@
 }
 
 // A coarse clock shows answers in no time at all: that must not make every server weigh nothing.
-func TestInstantAnswersLeaveServersToDraw(t *testing.T) {
+func TestZeroLatencyLeavesServersEligible(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(4)})
 	for i := range 50 {
@@ -122,7 +122,7 @@
 }
 
 // What answers first must not look fast against a guess of the latency, and then win every draw.
-func TestFirstAnswersDoNotLookFast(t *testing.T) {
+func TestFirstResponseDoesNotSkewLatency(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(8)})
 	s := sends(b.Handle(msec, Request{ID: "a", Class: "get", Deadline: time.Second}))[0]
@@ -135,7 +135,7 @@
 // A zone that is lost is on the list for seconds more. Copies that call their own zone lose nothing by
 // it; were their pools drawn from both, each copy of each tier would have to learn of each server that
 // is lost by a call that hangs.
-func TestFleetServesOnWhileAnotherZoneIsSilent(t *testing.T) {
+func TestReplicasServeWhileAnotherZoneIsUnresponsive(t *testing.T) {
 	const copies, rounds = 16, 40
 	hung, sent := 0, 0
 	for i := copies / 2; i < copies; i++ { // those of the zone that is left
--- a/reconfigure_test.go
+++ b/reconfigure_test.go
@@ -9,7 +9,7 @@
 
 // A request already taken keeps what its client was promised under the settings of its time; what comes later
 // goes by the new ones. Each row has a request that may have run once, and new settings for its class.
-func TestRequestsKeepTheClassTheyCameWith(t *testing.T) {
+func TestRequestsKeepTheClassTheyArrivedWith(t *testing.T) {
 	class := func(e Effect) Class {
 		return Class{
 			Name: "get", Effect: e, Scope: ScopeAll, DedupWindow: time.Second, LatencyObjective: 500 * msec,
@@ -62,7 +62,7 @@
 }
 
 // What was learned outlives new settings: a class's latency, a server's ill health and the calls out.
-func TestReconfigureKeepsWhatWasLearned(t *testing.T) {
+func TestReconfigureKeepsLearnedState(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(6)})
 	sendTraffic(b, 300, "get", func(server string) AttemptResult {
@@ -96,7 +96,7 @@
 }
 
 // However often settings come, and though classes come and go under calls, nothing piles up.
-func TestReconfigureLeavesNothingBehind(t *testing.T) {
+func TestReconfigureLeaksNoState(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(3)})
 	now := time.Duration(0)
--- a/request_test.go
+++ b/request_test.go
@@ -6,7 +6,7 @@
 )
 
 // A host rounds times; a timer that comes a fraction early must still lead to an answer in time.
-func TestHeldRequestIsAnsweredThoughTimersComeEarly(t *testing.T) {
+func TestQueuedRequestIsAnsweredThoughTimersFireEarly(t *testing.T) {
 	b := newBalancer(t, nil)
 	acts := b.Handle(0, Request{ID: "a", Class: "get", Deadline: 1000 * msec})
 	for now := time.Duration(0); now < 1000*msec; {
@@ -29,7 +29,7 @@
 }
 
 // Work on an answer that comes too late to be worth anything takes the room of answers in time.
-func TestAttemptsEndWhenTheirAnswerIsWorthless(t *testing.T) {
+func TestAttemptTimesOutWhenItsResponseHasNoValue(t *testing.T) {
 	for _, c := range []struct {
 		tier int
 		late float64
--- a/retry_test.go
+++ b/retry_test.go
@@ -6,7 +6,7 @@
 )
 
 // A call is cut short only where calls hang, where it may run again, and where another has time and budget.
-func TestPatienceEndsEarlyOnlyWhereAnotherTryMayFollow(t *testing.T) {
+func TestAttemptTimeoutIsCutOnlyWhereARetryMayFollow(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		tier            int
@@ -33,7 +33,7 @@
 
 // An attempt that never left the host costs no server anything: the one that follows is free, but counts
 // against the most that a request may have.
-func TestVoidCostsNoRetryBudget(t *testing.T) {
+func TestNotSentCostsNoRetryBudget(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.MaxAttempts = 4 })
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 	b.tokens = 0.05
@@ -56,7 +56,7 @@
 }
 
 // An unmarked repeat shows by a deadline shorter than other tries have.
-func TestShortDeadlineTellsARepeat(t *testing.T) {
+func TestShortDeadlineIdentifiesARetry(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, Request{ID: "first", Class: "get", Deadline: 1500 * msec})
 	b.Handle(5*time.Second, Request{ID: "again", Class: "get", Deadline: 5*time.Second + 900*msec})
@@ -72,7 +72,7 @@
 
 // A request that its client writes slowly is no odd one among those that are given the same time, and an odd
 // one is a repeat only if it is so by its first byte.
-func TestSlowlyWrittenRequestIsNoRepeat(t *testing.T) {
+func TestSlowlySentRequestIsNotARetry(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(time.Second, Request{ID: "first", Class: "get", Deadline: 2500 * msec})
 	for _, c := range []struct {
--- a/rulechecker_test.go
+++ b/rulechecker_test.go
@@ -172,8 +172,8 @@
 	}
 }
 
-// TestCheckerCanFail gives the checker a trace that breaks each rule.
-func TestCheckerCanFail(t *testing.T) {
+// TestRuleCheckerDetectsViolations gives the checker a trace that breaks each rule.
+func TestRuleCheckerDetectsViolations(t *testing.T) {
 	list := EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: "a", Cell: 0}, {ID: "b", Cell: 1}, {ID: "c", State: Draining}}}
 	req := func(class string) Request { return Request{ID: "r", Class: class, Deadline: 1000 * msec} }
 	timedOut := AttemptEnded{ID: "r", Attempt: 0, Result: TimedOut}
--- a/rules_test.go
+++ b/rules_test.go
@@ -280,7 +280,7 @@
 	}
 }
 
-func TestSameEventsSameActions(t *testing.T) {
+func TestSameEventsGiveSameActions(t *testing.T) {
 	a, _ := runRandomly(t, testSettings(), 5, 3000, nil)
 	other, _ := New(testSettings(), 99) // a neighbour in the process changes nothing
 	other.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(3)})
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -40,7 +40,7 @@
 
 // A cold server is sent all that the limit allows on average: by the wider rule where the settings allow it
 // less than 30 requests in a window. Just under 30 the limit is the one that holds at 30, and it never shrinks.
-func TestCreditFollowsTheFallLimit(t *testing.T) {
+func TestSlowStartRateFollowsTheOverloadLimit(t *testing.T) {
 	narrow := func(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
 	before := 0.0
 	for _, n := range []float64{0.5, 1, 2.4, 5, 10, 20, 24.9, 25.5, 29, 29.99, 30, 30.01, 31, 60, 300} {
@@ -61,7 +61,7 @@
 
 // After a loss a node's whole pool may come back cold. That must not set the thinning aside while the
 // rest of the list is warm: many such nodes would push the cold servers over.
-func TestColdPoolLeavesTheThinningOn(t *testing.T) {
+func TestColdSubsetKeepsSlowStartInForce(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier, s.Replicas = 1, 50 })
 	list := servers(40)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: list})
@@ -86,7 +86,7 @@
 }
 
 // A cold server takes a heavy request many times as long as a warm one; a light one has time to spare.
-func TestColdServerGetsNoHeavyRequests(t *testing.T) {
+func TestWarmingServerGetsNoHeavyRequests(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	list := servers(4)
 	list[1].StartedAt = time.Second
@@ -179,7 +179,7 @@
 // sameWork gives each request the mean work.
 func sameWork(*rand.Rand) float64 { return 1 }
 
-func TestColdServerIsNotPushedOver(t *testing.T) {
+func TestWarmingServerStaysWithinItsLimit(t *testing.T) {
 	set := testSettings()
 	for _, replicas := range []int{12, 200} {
 		set.Tier, set.Replicas = 1, replicas
@@ -203,7 +203,7 @@
 
 // Where the expected work is hinted, a cold server's share is made of light requests. All replicas together stay
 // within its limit of work, and yet give it more than half of what it can do while the rest is busy.
-func TestColdServerIsUsedWithinItsBudget(t *testing.T) {
+func TestWarmingServerIsUsedWithinItsLimit(t *testing.T) {
 	set := testSettings()
 	for _, replicas := range []int{12, 100} {
 		set.Tier, set.Replicas = 1, replicas
--- a/slowstartfleet_test.go
+++ b/slowstartfleet_test.go
@@ -43,7 +43,7 @@
 // No cold server gets more from all replicas together than the settings allow, however many are cold, whether
 // the replicas are few or many, old or new, and though the warm servers fail meanwhile. Nor are the cold ones
 // left alone: where few are cold, or the limit is wide, they take most of their share of the work.
-func TestColdRampHoldsForTheFleet(t *testing.T) {
+func TestSlowStartLimitHoldsForAllReplicas(t *testing.T) {
 	for _, replicas := range []int{5, 20, 30, 100} {
 		for _, multiple := range []float64{2, 4} {
 			t.Run(fmt.Sprint(replicas, " replicas, multiple ", multiple), func(t *testing.T) {
@@ -88,7 +88,7 @@
 // The limit holds in fleets from one copy to the largest, with N under 30, over it, and on both sides of it as
 // the servers warm up. With one copy or two the cold servers take less than their share: a copy has one call at
 // a time at each.
-func TestColdRampHoldsInFleetsOfAnySize(t *testing.T) {
+func TestSlowStartLimitHoldsInFleetsOfAnySize(t *testing.T) {
 	for _, size := range []warmingSize{
 		{replicas: 1, servers: 20, cores: 1, multiple: 2, window: time.Second, share: 0.5}, // N from 1.2 to 10
 		{replicas: 2, servers: 20, cores: 1, multiple: 2, window: time.Second, share: 0.6},
@@ -142,7 +142,7 @@
 
 // The check can fail: one server that gets all that is asked falls, and so does one that gets a warm one's
 // share from its first moment.
-func TestRampCheckCanFail(t *testing.T) {
+func TestSlowStartLimitCheckCanFail(t *testing.T) {
 	f := warmingCase{replicas: 20, cold: 2, multiple: 2, window: time.Second}.fleet(1)
 	if res := f.play(t, func() int { return 0 }); res.overloaded != 1 {
 		t.Errorf("one server gets all: %d overloaded", res.overloaded)
--- a/subsetting_test.go
+++ b/subsetting_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestCopiesShareTheOrder(t *testing.T) {
+func TestReplicasOrderEndpointsAlike(t *testing.T) {
 	a, b := newBalancer(t, nil), newBalancer(t, nil)
 	l := servers(7)
 	a.Handle(0, EndpointUpdate{Complete: true, Endpoints: l})
@@ -22,7 +22,7 @@
 }
 
 // The pools of many nodes cover each group evenly, and a busy node takes a wider one.
-func TestPoolsCoverTheGroupsEvenly(t *testing.T) {
+func TestSubsetsCoverTheGroupsEvenly(t *testing.T) {
 	count := map[string]int{}
 	const nodes = 60
 	for i := range nodes {
@@ -51,7 +51,7 @@
 
 // The pools of a zone's copies cover its servers evenly, however the copies are numbered, and take in the
 // other zone when they are wider than their own.
-func TestPoolsPreferTheirZoneAndCoverItEvenly(t *testing.T) {
+func TestSubsetsPreferTheirZoneAndCoverItEvenly(t *testing.T) {
 	for _, numbered := range []string{"in a row", "in turns"} {
 		count := map[string]int{}
 		const copies = 60
@@ -86,7 +86,7 @@
 
 // Lists of 1,024 servers and as many copies are used whole: all copies' pools together hold each server, each
 // as often as the others, and a copy that is refused by its pool finds the rest.
-func TestThousandServersAndCopies(t *testing.T) {
+func TestSubsetsOfAThousandReplicasCoverAThousandServers(t *testing.T) {
 	const many = 1024
 	var list []Endpoint
 	for i := range many {
