--- a/admission_test.go
+++ b/admission_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A new node's window begins at its floor, and good answers open it by a call each, for as long as it is in
-// use; a few answers that tell of a crowd end that.
+// A new node's window begins at its floor, and each good response opens it by one call, for as long as it is in
+// use; a few rejections end that.
 func TestNewWindowGrowsUntilServersReject(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
@@ -29,11 +29,11 @@
 	answers(8, Rejected, 0.1)
 	crowded := b.window
 	if answers(20, Success, 0.8); b.window > crowded+5 {
-		t.Errorf("after a crowd 20 good answers opened the window from %.1f to %.1f", crowded, b.window)
+		t.Errorf("after rejections 20 good responses opened the window from %.1f to %.1f", crowded, b.window)
 	}
 }
 
-// In overload the window must shrink, and never under its floor.
+// In overload the window shrinks, though never below its floor.
 func TestWindowFollowsLatency(t *testing.T) {
 	for _, tc := range []struct {
 		took time.Duration
@@ -41,7 +41,7 @@
 	}{{450 * msec, false}, {40 * msec, true}} {
 		b := newBalancer(t, nil)
 		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
-		c := b.classes["get"] // known to answer in 40 ms when there is room
+		c := b.classes["get"] // known to answer in 40 ms without overload
 		c.samples, c.mean, c.base = 100, float64(40*msec), float64(40*msec)
 		b.window = 15 // less than its growth may reach with the ten calls that are out here
 		start, now := b.window, time.Duration(0)
@@ -63,7 +63,7 @@
 	}
 }
 
-// steered is the window after many alike outcomes, each after share of what is aimed at, from 100.
+// windowAfter is the window after 50 results of one kind, from 100 calls; after is the latency of each.
 func windowAfter(t *testing.T, shed float64, ending AttemptResult, after func(*class) float64) float64 {
 	t.Helper()
 	b := newBalancer(t, nil)
@@ -78,7 +78,7 @@
 	return b.window
 }
 
-// While much is shed some servers choke for certain, so the window gets leaner.
+// While much load is shed some servers are overloaded for certain, so the window must shrink at lower latencies.
 func TestWindowShrinksSoonerUnderLoadShedding(t *testing.T) {
 	late := func(c *class) float64 { return 0.95 * c.target(0) }
 	calm, shedding := windowAfter(t, 0, Success, late), windowAfter(t, 0.8, Success, late)
@@ -87,8 +87,8 @@
 	}
 }
 
-// Answers as quick as idle servers give them must open the window however much is shed, or shedding
-// keeps itself up; spoilt answers and errors are no sign of a crowd.
+// Responses as fast as those of idle servers must open the window however much is shed, or load shedding sustains
+// itself; lost connections and server errors are no sign of overload.
 func TestLoadSheddingDoesNotSustainItself(t *testing.T) {
 	idle := func(c *class) float64 { return 1.05 * c.base }
 	if w := windowAfter(t, 1, Success, idle); w <= 100 {
@@ -101,8 +101,8 @@
 	}
 }
 
-// With hundreds of nodes a share of the servers is one call or less: a window that starts or stays
-// there refuses requests that the fleet could carry, so it must open within seconds of good answers.
+// With hundreds of replicas a node's quota of the servers is one call or less: a window that starts or stays there
+// rejects requests that the servers could serve, so it must open within seconds of good responses.
 func TestWindowGrowsOnOneOfManyReplicas(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Replicas = 300 })
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(60)})
@@ -120,7 +120,8 @@
 	}
 }
 
-// Room that is not in use is given up at once when servers turn calls away: else all nodes fill it together.
+// The part of the window that is not in use is given up at once when servers reject calls: else all replicas fill
+// it together.
 func TestRejectionsCutTheUnusedWindow(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
@@ -131,11 +132,11 @@
 		b.steer(r, AttemptEnded{Result: Rejected})
 	}
 	if b.window > b.busy+1 {
-		t.Errorf("8 calls turned away left a window of %.1f with %.0f calls out", b.window, b.busy)
+		t.Errorf("8 rejections left a window of %.1f with %.0f calls in flight", b.window, b.busy)
 	}
 }
 
-// Repeats by clients make a jam last: they get only half of the window.
+// Retries by clients prolong an overload: they get only half of the window.
 func TestRetriesLeaveWindowForFirstAttempts(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
@@ -143,12 +144,12 @@
 	repeat := sends(b.Handle(msec, Request{ID: "again", Class: "get", Deadline: time.Second, Retry: true}))
 	first := sends(b.Handle(msec, Request{ID: "first", Class: "get", Deadline: time.Second}))
 	if len(repeat) != 0 || len(first) != 1 {
-		t.Errorf("sent %v for a repeat and %v for a first try", repeat, first)
+		t.Errorf("sent %v for a retry and %v for a first attempt", repeat, first)
 	}
 }
 
-// In overload what is worth least is refused first, also where too few wait for the hold to choose;
-// with nothing shed every class may fill the window, and no class loses more than half of it.
+// In overload the lowest priority weight is rejected first, also where too few requests are queued to choose
+// among; with nothing shed every class may fill the window, and no class loses more than half of it.
 func TestWindowIsSharedByPriorityWeight(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) {
 		s.Classes[0].PriorityWeight, s.Classes[2].PriorityWeight, s.WorstClassWeight = 1, 12, 0
@@ -163,11 +164,12 @@
 	}
 	b.shed = 0.6
 	if l, h := b.windowShare(low), b.windowShare(high); l > 0.7 || l < 0.5 || h < 1.3 || h > 2 {
-		t.Errorf("much shed: parts of the window %.2f for low worth and %.2f for high", l, h)
+		t.Errorf("much shed: parts of the window %.2f for the low weight and %.2f for the high", l, h)
 	}
 }
 
-// A marked repeat is mostly past its aim already: while there is little room, first tries go first.
+// A marked retry is mostly past its latency objective already: while there is little capacity, first attempts go
+// first.
 func TestFirstAttemptsGoBeforeRetries(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(1)})
@@ -184,7 +186,8 @@
 	}
 }
 
-// A refused client is not sent away for long: it would come back when its aim is mostly over.
+// The Retry-After of a rejection is short: a client that waits long returns when its latency objective is mostly
+// over.
 func TestRetryAfterOfARejectionIsShort(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(2)})
@@ -199,5 +202,5 @@
 			return
 		}
 	}
-	t.Error("not refused")
+	t.Error("not rejected")
 }
--- a/cmd/balancer/clients_test.go
+++ b/cmd/balancer/clients_test.go
@@ -95,8 +95,8 @@
 	return entry, came, release
 }
 
-// crowd is idle clients: each connects, does what its kind does, and stays until the node ends the
-// connection; then it comes again.
+// crowd is idle clients: each connects, does what its kind does, and stays until the node closes the connection;
+// then it connects again.
 type crowd struct {
 	address  string
 	kind     string
@@ -111,7 +111,7 @@
 	conns map[net.Conn]struct{}
 }
 
-// come is one connection of a client.
+// connect is one connection of a client.
 func (c *crowd) connect(n int) {
 	nc, err := net.Dial("tcp", c.address)
 	if err != nil {
@@ -155,7 +155,7 @@
 	maxConnects       = 20_000
 )
 
-// gather has many idle clients come at once, and come again for as long as the test runs.
+// newCrowd has many idle clients connect at once, and connect again for as long as the test runs.
 func newCrowd(t *testing.T, address, kind string, many int) *crowd {
 	c := &crowd{
 		address: address, kind: kind, permits: make(chan struct{}, many), stop: make(chan struct{}),
@@ -205,7 +205,7 @@
 	return c
 }
 
-// descriptors is how many a process holds.
+// openDescriptors is how many descriptors a process holds.
 func openDescriptors(t *testing.T, pid int) int {
 	t.Helper()
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
--- a/cmd/balancer/descriptors_test.go
+++ b/cmd/balancer/descriptors_test.go
@@ -11,11 +11,12 @@
 	"time"
 )
 
-// mostUsed is how many descriptors a node may use: callers and servers leave it 24, of which it has six of its
-// own (listener, poller, log) and at most eight connections to discovery.
+// maxDescriptors is how many descriptors a node may use: downstream and upstream connections leave it 24, of which
+// it uses six of its own (listener, poller, log) and at most eight for connections to discovery.
 func maxDescriptors(sockets int) int { return sockets - 24 + 6 + 8 }
 
-// leastFree of these are free while the node has no connection to a server: their share, a quarter of all but 48.
+// minFreeDescriptors of these are free while the node has no upstream connection: their quota, a quarter of all
+// but 48.
 func minFreeDescriptors(sockets int) int { return (sockets - 48) / 4 }
 
 // A good client may have so many connections shut unread by a crowded node before it is served, and pauses
@@ -28,12 +29,12 @@
 )
 
 // TestIdleClientsDoNotExhaustDescriptors fills a node's descriptors with idle clients while discovery is down.
-// Descriptors for a server and for discovery are free throughout. Once discovery is back and its list is
-// taken, the first request that is answered is served by the server that the list names.
+// Descriptors for a server and for discovery are free throughout. Once discovery is back and its list is in use,
+// the first request that is answered is served by the server that the list names.
 func TestIdleClientsDoNotExhaustDescriptors(t *testing.T) {
 	build(t)
 	old, next := newNamingServer(t, "old"), newNamingServer(t, "next")
-	// What the node knows of servers when its discovery goes down: what it was told, its configuration's
+	// What the node knows of servers when its discovery goes down: what it was notified of, its configuration's
 	// list, or nothing. Where it knows none, nobody can have been served and rest.
 	beginnings := []string{"told", "known", "nothing"}
 	row := 0
@@ -126,10 +127,10 @@
 	t.Logf("list taken after %v, %d shut, at most %d of %d descriptors", took, shut, most, sockets)
 }
 
-// TestQueuedRequestsLeaveDescriptors has a node hold as many requests as it may while it knows no server and
-// idle clients fill the rest of its descriptors. The list that comes then sets off all of them at once, to
-// a server that answers none until each has come to it or has been refused: descriptors are left all the
-// while, and the server gets as many as its share at least.
+// TestQueuedRequestsLeaveDescriptors has a node queue as many requests as it may while it knows no server and idle
+// clients fill the rest of its descriptors. The list that comes then forwards all of them at once, to a server
+// that answers none until each has arrived or has been rejected: descriptors are free all the while, and the
+// server gets its quota at least.
 func TestQueuedRequestsLeaveDescriptors(t *testing.T) {
 	build(t)
 	for _, sockets := range []int{64, 256, 1024} {
@@ -173,7 +174,7 @@
 					return came.Load() >= int64(minFreeDescriptors(sockets)) || held.inFlight.Load() == 0
 				})
 				if got := came.Load(); got < int64(minFreeDescriptors(sockets)) {
-					t.Errorf("%d of %d requests came to the server; the others were refused", got, room/2)
+					t.Errorf("%d of %d requests came to the server; the others were rejected", got, room/2)
 				}
 				for range 200 { // all others have been decided on with these; a busy machine sees less, and passes
 					look()
--- a/cmd/balancer/helpers_test.go
+++ b/cmd/balancer/helpers_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// limit is how long a test waits for what must come; only a failing one waits so long.
+// limit is how long a test waits for something; only a failing test waits so long.
 const limit = 60 * time.Second
 
 const settings = `{"lanes":[{"name":"view","effect":"read_like","target-ms":20000,"deadline-ms":40000}],
@@ -67,8 +67,8 @@
 	}
 }
 
-// lookAtSources has go test know what the program is built from: the test's own binary holds little of that,
-// and a result kept from before a change would stand for the changed program.
+// readSources lets go test know what the program is built from: the test's own binary contains little of that, and
+// a result cached from before a change would stand for the changed program.
 func readSources(t *testing.T) {
 	t.Helper()
 	err := filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
@@ -156,7 +156,7 @@
 	return found[1]
 }
 
-// hup replaces a process's configuration as a whole, and tells it.
+// reload replaces a process's configuration file as a whole, and sends SIGHUP.
 func (p *process) reload(t *testing.T, config string) {
 	t.Helper()
 	path := strings.TrimPrefix(p.cmd.Env[len(p.cmd.Env)-1], "BALANCER_CONFIG=")
@@ -198,7 +198,7 @@
 
 var servingAt = regexp.MustCompile(`msg=serving .*address=(\S+)`)
 
-// eventually asks until something holds.
+// eventually polls a condition, and fails the test if it never holds.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(limit); !holds(); time.Sleep(2 * time.Millisecond) {
@@ -208,7 +208,7 @@
 	}
 }
 
-// waitFor waits for what must come.
+// waitFor waits for a channel to be closed or to deliver, and fails the test if neither happens.
 func waitFor(t *testing.T, c <-chan struct{}, what string) {
 	t.Helper()
 	select {
@@ -218,13 +218,13 @@
 	}
 }
 
-// target is a server's entry in a list.
+// listEntry is a server's entry in an endpoint list.
 func listEntry(uid, endpoint string) string {
 	return fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":"a","model":"m","pod_group":0,"state":"in_service",
 		"capacity_hint":1,"boot_ms":0}`, uid, endpoint)
 }
 
-// nodeConfig is a configuration; known is a list's targets.
+// nodeConfig is a node's configuration; known is the entries of its cached list.
 func nodeConfig(listen, discovery, known, mode string, sockets int) string {
 	set := strings.Replace(settings, `"registry-mode":"pushed"`,
 		fmt.Sprintf(`"rules":{"ask-within-ms":1000},"registry-mode":%q`, mode), 1)
--- a/cmd/balancer/main_test.go
+++ b/cmd/balancer/main_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// TestGracefulShutdownOnSIGTERM runs the real program: it serves a request, is told to end while
-// another is out, answers that one too, and exits with 0.
+// TestGracefulShutdownOnSIGTERM runs the real program: it serves a request, gets SIGTERM while another is in
+// flight, answers that one too, and exits with 0.
 func TestGracefulShutdownOnSIGTERM(t *testing.T) {
 	build(t)
 	list, held, release := newHoldingServer(t)
@@ -44,7 +44,7 @@
 	defer idle.Close()
 	idle.SetDeadline(time.Now().Add(limit))
 	ready := bufio.NewReader(idle)
-	for status := 0; status != http.StatusOK; { // a silent agent delays it, and does not keep it away
+	for status := 0; status != http.StatusOK; { // an unresponsive agent delays it, and does not prevent it
 		fmt.Fprint(idle, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
 		resp, err := http.ReadResponse(ready, nil)
 		if err != nil {
--- a/cmd/balancer/registry_test.go
+++ b/cmd/balancer/registry_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// outage is what discovery is like while it is down.
+// registryState is what discovery is like.
 type registryState int
 
 func (o registryState) String() string { return [...]string{"up", "mute", "refusing"}[o] }
@@ -23,7 +23,8 @@
 	refusing
 )
 
-// registry is discovery's stand-in. Its port stays its own while it refuses: the socket is bound all the time.
+// registry is discovery's stand-in. Its port stays its own while it refuses connections: the socket is bound all
+// the time.
 type registry struct {
 	addr string
 	fd   int
@@ -36,7 +37,7 @@
 	calledFrom map[int]chan struct{} // closed when a call from that version comes, so that its list has been taken
 }
 
-// is changes what discovery has to tell, and whether it tells it.
+// set changes discovery's list, and whether it answers.
 func (d *registry) set(t *testing.T, rev int, list string, down registryState) {
 	t.Helper()
 	d.mu.Lock()
@@ -66,7 +67,7 @@
 	}
 }
 
-// tells is closed once a node has taken the list of a version, and calls for what is newer.
+// fetched is closed once a node has received the list of a version, and calls for what is newer.
 func (d *registry) fetched(rev int) chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/cmd/balancer/reload_test.go
+++ b/cmd/balancer/reload_test.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// TestManySIGHUPsUnderLoad replaces the configuration many times in a row, without waiting for the node, while
-// callers ask: a class comes and goes, deadlines change, discovery moves to and fro, and every fifth file is
-// bad. No answer is lost or spoilt, the last file is in force in the end, and a request that is out when the
-// node is told to end, among further signals, is answered.
+// TestManySIGHUPsUnderLoad replaces the configuration many times in a row, without waiting for the node, under
+// load: a class comes and goes, deadlines change, discovery moves to and fro, and every fifth file is invalid. No
+// response is lost or wrong, the last file is in force in the end, and a request that is in flight when the node
+// gets SIGTERM, among further reloads, is answered.
 func TestManySIGHUPsUnderLoad(t *testing.T) {
 	build(t)
 	list, held, release := newHoldingServer(t)
@@ -41,7 +41,7 @@
 			for !stop.Load() {
 				status, body, err := c.get("/view/k")
 				if err != nil || status != http.StatusOK || body != fmt.Sprintf("for c%d-%d", i, c.sent) {
-					t.Errorf("caller %d, request %d: %d %q, %v", i, c.sent, status, body, err)
+					t.Errorf("client %d, request %d: %d %q, %v", i, c.sent, status, body, err)
 					return
 				}
 				answered.Add(1)
@@ -109,9 +109,9 @@
 	t.Logf("%d answers, and %d times in force", answered.Load(), strings.Count(p.logText(), "is in force"))
 }
 
-// TestSIGHUPUnderLoad replaces the file while requests are under way: a broken one is logged and
-// changes nothing, nor does the same once more, and a new one moves the node to the servers that another
-// discovery names. No request is lost, and the caller's connection is kept.
+// TestSIGHUPUnderLoad replaces the file while requests are sent: an invalid one is logged and changes nothing, nor
+// does the same file once more, and a new one moves the node to the servers of another discovery. No request is
+// lost, and the client's connection stays open.
 func TestSIGHUPUnderLoad(t *testing.T) {
 	build(t)
 	old := newRegistry(t, 3, newNamingServer(t, "old"), available)
--- a/cmd/balancer/restart_test.go
+++ b/cmd/balancer/restart_test.go
@@ -15,7 +15,7 @@
 	readyWithin = 10 * time.Second // in which nine in ten of the restarted have to be ready
 )
 
-// bareStart is how long this machine takes now to start and end as many processes of the program as a fleet
+// measureStart is how long this machine takes now to start and end as many processes of the program as a fleet
 // has, each of which finds no configuration.
 func measureStart(t *testing.T) time.Duration {
 	t.Helper()
@@ -37,10 +37,10 @@
 	return time.Since(begin)
 }
 
-// TestRestartedFleetIsReadyInTime kills and ends twenty nodes, and starts them again at their addresses,
-// whatever discovery is like: nine in ten are ready within 10 s. What a busy machine takes to start as many
-// processes is measured beside and added, five times over, so that what counts is the program's own waiting;
-// that is 1 s at most (firstWait), so that a machine several times slower passes, too.
+// TestRestartedFleetIsReadyInTime kills and ends twenty nodes, and starts them again at their addresses, whatever
+// the state of discovery: nine in ten are ready within 10 s. What a busy machine takes to start as many processes
+// is measured beside and added, five times over, so that what counts is the program's own waiting; that is 1 s at
+// most (startupWait), so that a machine several times slower passes, too.
 func TestRestartedFleetIsReadyInTime(t *testing.T) {
 	build(t)
 	for row, mode := range []string{"pushed", "on_request"} {
@@ -94,7 +94,7 @@
 	}
 }
 
-// readyAfter is how long a node takes to say that it is ready; more than allowed if it takes longer.
+// readyAfter is how long a node takes to become ready; more than allowed if it takes longer.
 func readyAfter(address string, begin time.Time, allowed time.Duration) time.Duration {
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: allowed}
 	for {
--- a/endpoints_bench_test.go
+++ b/endpoints_bench_test.go
@@ -37,14 +37,14 @@
 	return balancer.Endpoint{ID: fmt.Sprintf("%04d-%s", i, kind), Zone: fmt.Sprint("z", i%3), Capacity: 1, StartedAt: boot}
 }
 
-// replaceServer tells the node that a server has gone and that another is there: two changes of one entry.
+// replaceServer notifies the node that a server was removed and that another has joined: two changes of one entry.
 func replaceServer(b *balancer.Balancer, now time.Duration, old, new balancer.Endpoint) {
 	old.State = balancer.Removed
 	b.Handle(now, balancer.EndpointUpdate{Endpoints: []balancer.Endpoint{old}})
 	b.Handle(now, balancer.EndpointUpdate{Endpoints: []balancer.Endpoint{new}})
 }
 
-// serveRequest plays a request, and its answer a tenth of a second later.
+// serveRequest plays a request, and its response a tenth of a second later.
 func serveRequest(b *balancer.Balancer, now time.Duration, id string) {
 	for _, a := range b.Handle(now, balancer.Request{ID: id, Class: "read", Deadline: now + 2*time.Second}) {
 		if s, ok := a.(balancer.Send); ok {
@@ -55,7 +55,7 @@
 }
 
 // BenchmarkListChange plays changes of one entry of the list, a server that leaves or one that joins, with a
-// request after each, whose pool is cut anew.
+// request after each, whose subset is built anew.
 func BenchmarkListChange(bench *testing.B) {
 	for _, n := range benchmarkSizes {
 		for _, requests := range []bool{false, true} {
--- a/endpoints_test.go
+++ b/endpoints_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// listReference builds groups and pools from scratch for each list, in the plain way: sort all ready servers,
-// cut them in two, take the own zone's servers and then the others', each from the node's place on.
+// listReference builds groups and subsets from scratch for each list, in the plain way: sort all ready servers,
+// divide them in two, take the own zone's servers and then the others', each from the node's position on.
 type listReference struct {
 	listed map[string]Endpoint
 }
@@ -71,7 +71,7 @@
 	return ids
 }
 
-// listRun plays random steps at a balancer and compares it with the reference.
+// randomListRun plays random steps at a balancer and compares it with the reference.
 type randomListRun struct {
 	*testing.T
 	rng     *rand.Rand
@@ -179,7 +179,7 @@
 	want, pools := r.ref.groups(r.b.set, r.b.width)
 	r.same("left group", serverIDs(r.b.whole.left), want[0])
 	r.same("right group", serverIDs(r.b.whole.right), want[1])
-	if r.b.width > 0 { // else the next request cuts the pool anew
+	if r.b.width > 0 { // else the next request builds the subset anew
 		r.same("left pool", serverIDs(r.b.pool.left), pools[0])
 		r.same("right pool", serverIDs(r.b.pool.right), pools[1])
 		var marked []string
@@ -218,7 +218,7 @@
 	r.Fatalf("step %d: %s: got %v, want %v; last events: %q", len(r.history), what, got, want, last)
 }
 
-// However a list changes, groups, pools and marks are what the plain construction makes of it.
+// However a list changes, groups, subsets and marks are what the plain construction makes of it.
 func TestListChangesFollowThePlainConstruction(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/example_test.go
+++ b/example_test.go
@@ -8,7 +8,7 @@
 	"balancer"
 )
 
-// One Balancer driven by hand: a list, a request, an attempt that never ran, and its answer.
+// One Balancer driven by hand: a list, a request, an attempt that never ran, and its response.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
 		Classes: []balancer.Class{{
--- a/heldup_test.go
+++ b/heldup_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// An attempt that the host itself held up tells nothing of its server, nor of the crowd at all of them,
+// An attempt that the host itself held up says nothing about its server, nor about the load of all of them,
 // however it ended and however long that took.
 func TestHeldUpAttemptsAreNotCounted(t *testing.T) {
 	for _, e := range []AttemptResult{Success, ServerError, Rejected, TimedOut, ConnectFailed, ConnectionLost, Cancelled, NotSent} {
@@ -43,7 +43,7 @@
 	}
 }
 
-// withoutSends is a server but for what a send alone changes.
+// withoutSends is a server without what a send alone changes.
 func withoutSends(s server) server {
 	s.calls, s.open, s.out, s.pooled, s.credit = 0, nil, false, false, credit{}
 	s.failing = maps.Clone(s.failing)
--- a/helpers_test.go
+++ b/helpers_test.go
@@ -58,13 +58,13 @@
 	return l
 }
 
-// settle answers the single attempt of a request.
+// endAttempt ends the only attempt of a request.
 func endAttempt(b *Balancer, now time.Duration, id string, s Send, e AttemptResult) []Action {
 	return b.Handle(now, AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: e, Answered: e == Success})
 }
 
-// traffic sends n requests one after another; fate decides how attempts at a server end. It
-// returns how many first tries each server got in the second half.
+// sendTraffic sends n requests one after another; fate decides how attempts at a server end. It returns how many
+// first attempts each server got in the second half.
 func sendTraffic(b *Balancer, n int, class string, fate func(server string) AttemptResult) map[string]int {
 	got := map[string]int{}
 	for i := range n {
@@ -87,7 +87,7 @@
 	return got
 }
 
-// zoned lists servers of two zones, each in both groups.
+// zonedServers lists servers of two zones, each in both groups.
 func zonedServers(n int) []Endpoint {
 	l := servers(n)
 	for i := range l {
@@ -96,8 +96,8 @@
 	return l
 }
 
-// inZone sets a copy's zone, by its number: the copies of a zone are numbered in a row.
-func setZone(s *Settings, index, copies int) {
-	s.Replicas, s.ReplicaIndex, s.ZoneCount = copies, index, 2
-	s.Zone = []string{"north", "east"}[2*index/copies]
+// setZone sets a replica's zone, by its index: the replicas of a zone are numbered in a row.
+func setZone(s *Settings, index, replicas int) {
+	s.Replicas, s.ReplicaIndex, s.ZoneCount = replicas, index, 2
+	s.Zone = []string{"north", "east"}[2*index/replicas]
 }
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -15,8 +15,8 @@
 	"balancer"
 )
 
-// A kept connection that breaks under a request may have carried it: neither the node nor a library
-// below it may send it again, whatever its method or headers.
+// A reused connection that breaks under a request may have carried it. Neither the node nor a library below it may
+// send the request again, whatever its method or headers.
 func TestNonIdempotentRequestIsNotRetriedAfterAReset(t *testing.T) {
 	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		if strings.HasPrefix(r.Header.Get("X-Request-Id"), "break") {
@@ -39,6 +39,8 @@
 	}
 }
 
+// An attempt at a server that never answers ends by its timeout. A non-idempotent request may have run and fails;
+// an idempotent one is rejected with Retry-After.
 func TestUnresponsiveServerTimesOut(t *testing.T) {
 	closedAt := make(chan struct{}, 2)
 	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
@@ -73,7 +75,7 @@
 	}
 }
 
-// neverUp is an address at which connections never come up, as of a machine that is gone.
+// unreachableAddress returns an address at which no connection is ever established, as of a machine that is gone.
 func unreachableAddress(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -101,7 +103,7 @@
 	}
 }
 
-// A machine that is gone says nothing: its connections never come up.
+// A machine that is gone never completes a connection: the dial times out.
 func TestDialTimeoutIsConnectFailed(t *testing.T) {
 	addr := unreachableAddress(t)
 	b := testPool(10)
@@ -138,15 +140,15 @@
 	}
 }
 
-// What came in before a request was written is no answer to it, and a close that the connection's reader
-// has not seen yet, as on a busy core, is found all the same: another connection is used.
+// Bytes that arrived before a request was written are no response to it, and a close that the connection's reader
+// has not yet seen, as on a busy core, is found before the write: another connection is used.
 func TestUnsolicitedBytesOrACloseDisqualifyAnIdleConnection(t *testing.T) {
 	for name, say := range map[string]string{"a close": "", "an answer to nothing": "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale"} {
 		t.Run(name, func(t *testing.T) {
 			s := newServer(t, echo)
 			nc, other := connPair(t)
 			if hasUnreadOrClosed(nc) {
-				t.Fatal("a silent open connection is said to have spoken or closed")
+				t.Fatal("a silent open connection has unread bytes or is closed")
 			}
 			b := testPool(10)
 			h := testInstance(b, s.addr())
@@ -165,8 +167,8 @@
 	}
 }
 
-// A fresh connection on which the server speaks or closes before it is asked counts as none: the attempt
-// ends, and does not dial without end.
+// A new connection on which the server sends or closes before the request is not used: the attempt ends, and does
+// not dial again without end.
 func TestConnectionClosedBeforeTheRequestIsNotWritten(t *testing.T) {
 	nc, other := connPair(t)
 	other.Close()
@@ -204,7 +206,7 @@
 	}
 }
 
-// sink accepts one connection and tells all that came on it once it is closed.
+// newSink accepts one connection, and reports all that came on it once it is closed.
 func newSink(t *testing.T) (addr string, came <-chan string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -225,7 +227,7 @@
 	return ln.Addr().String(), all
 }
 
-// What happens while a connection comes up is heeded at the first byte.
+// What makes an attempt obsolete while its connection is being established is noticed before its first byte.
 func TestObsoleteAttemptIsNotBegunAfterTheDial(t *testing.T) {
 	now := func(b *upstreamPool, h endpointInstance, change func(*listEntry)) {
 		e := listEntry{Endpoint: balancer.Endpoint{ID: h.uid, State: balancer.Ready}, address: h.address, bootMS: h.bootMS}
@@ -248,7 +250,7 @@
 		{"moved", func(b *upstreamPool, a *attempt) {
 			now(b, a.instance, func(e *listEntry) { e.address = "127.0.0.1:2" })
 		}, balancer.NotSent},
-		{"its caller left", func(b *upstreamPool, a *attempt) { a.request.markDeparted() }, balancer.NotSent},
+		{"its client departed", func(b *upstreamPool, a *attempt) { a.request.markDeparted() }, balancer.NotSent},
 		{"called off", func(b *upstreamPool, a *attempt) { a.cancel() }, balancer.Cancelled},
 		{"repeats are discarded no longer", func(b *upstreamPool, a *attempt) { a.notAfter = b.clock.now() }, balancer.NotSent},
 		{"its time is over", func(b *upstreamPool, a *attempt) { a.deadline = b.clock.now() }, balancer.NotSent},
@@ -277,12 +279,12 @@
 	}
 }
 
-// drippingConn gets one byte with each read, and has the system take few with each write.
+// drippingConn reads one byte at a time, and has the system take few bytes with each write.
 type drippingConn struct{ *net.TCPConn }
 
 func (c drippingConn) Read(p []byte) (int, error) { return c.TCPConn.Read(p[:min(1, len(p))]) }
 
-// However few bytes a read or write moves, requests and answers go through complete and unchanged.
+// However few bytes a read or write moves, requests and responses arrive complete and unchanged.
 func TestShortReadsAndWritesLoseNothing(t *testing.T) {
 	long := strings.Repeat("\x00\r\n0\r\n", maxBody/8)
 	for name, head := range map[string]string{
--- a/internal/node/boottime_test.go
+++ b/internal/node/boottime_test.go
@@ -10,7 +10,7 @@
 	"balancer"
 )
 
-// machine is the clocks of a machine: time goes by on both, and the wall clock can be set.
+// machineClocks are the clocks of a machine: time passes on both, and the wall clock can be stepped.
 type machineClocks struct{ elapsed, unix time.Duration }
 
 func newMachineClocks() *machineClocks { return &machineClocks{unix: 1_800_000_000 * time.Second} }
@@ -24,7 +24,7 @@
 // bootMS is the wall clock as a server that starts now reports it.
 func (m *machineClocks) bootMS() int64 { return m.unix.Milliseconds() }
 
-// bootLoop is the loop of a node with these clocks, which has heard no list yet.
+// bootLoop is the event loop of a node with these clocks, which has received no endpoint list yet.
 func bootLoop(t testing.TB, m *machineClocks, push bool) *loop {
 	t.Helper()
 	cfg := testConfig("")
@@ -40,15 +40,15 @@
 	return l
 }
 
-// bootEntry is a server in service that reports a start.
+// bootEntry is a server in service that reports a start time.
 func bootEntry(uid string, bootMS int64) string {
 	return strings.Replace(entry(uid, "127.0.0.1:1", "in_service"), `"boot_ms":0`, fmt.Sprintf(`"boot_ms":%d`, bootMS), 1)
 }
 
-// untouched is a server that never restarts.
+// neverRestarted is a server that never restarts.
 var neverRestarted = entry("other", "127.0.0.1:2", "in_service")
 
-// steps of the wall clock, and there and back.
+// clockSteps are steps of the wall clock, some of them there and back.
 var clockSteps = [][]time.Duration{
 	{0},
 	{time.Second},
@@ -62,10 +62,10 @@
 	{-time.Minute, time.Minute, time.Hour},
 }
 
-// A server's start is known in the node's own time, however the wall clock is set before it, between it and the
-// list that tells of it, or after that, and the same list again changes nothing.
+// A server's start is known in the node's monotonic time, whether the wall clock is stepped before the start,
+// between it and the list that reports it, or after that list. Receiving the same list again changes nothing.
 func TestStartTimesSurviveClockSteps(t *testing.T) {
-	const late = 500 * time.Millisecond // from the start to the list that tells of it
+	const late = 500 * time.Millisecond // from the start to the list that reports it
 	for _, moment := range []string{"before the start", "before the list", "after the list"} {
 		for _, full := range []bool{true, false} {
 			for _, push := range []bool{true, false} {
@@ -99,7 +99,7 @@
 						m.pass(time.Second)
 						l.handleEvent(listReceived{listOf(t, full, news...)})
 						if got := l.endpoints["s"].StartedAt; got != started {
-							t.Errorf("%s: started at %v, taken for %v when it is told again", name, started, got)
+							t.Errorf("%s: started at %v, taken for %v when it is listed again", name, started, got)
 						}
 					}
 				}
@@ -108,8 +108,8 @@
 	}
 }
 
-// Where what was seen of the clocks leaves the start open, the node goes by what it knows, and else by the
-// youngest that the server can be.
+// Where the clock offsets that were observed leave the start uncertain, the node relies on the lists that it has
+// seen, and otherwise assumes the latest start that is possible.
 func TestUncertainStartTimesCountAsLate(t *testing.T) {
 	hour := time.Hour.Milliseconds()
 	for _, c := range []struct {
@@ -190,8 +190,8 @@
 	}
 }
 
-// Two starts of a server are two to the module, also when both can only be said to be of this moment: it has
-// to forget what it learned of the first.
+// Two starts of a server have different times for the module, even if both can only be placed at the present
+// moment: what was learned of the first instance must be forgotten.
 func TestEachStartHasADistinctTime(t *testing.T) {
 	m := newMachineClocks()
 	l := bootLoop(t, m, true)
@@ -205,7 +205,7 @@
 	}
 }
 
-// Offsets that were seen are bounded, however often the clock is set, and slewing it is no step.
+// The number of observed offsets is bounded, however often the clock is stepped, and slewing the clock is no step.
 func TestClockOffsetsAreBounded(t *testing.T) {
 	m := newMachineClocks()
 	b := newBootClock(m.clock())
@@ -232,7 +232,7 @@
 	attempt *attempt
 }
 
-// traffic drives a loop by the clocks of its machine: a request every 5 ms, each served after 4 ms.
+// loopTraffic drives an event loop by the clocks of its machine: a request every 5 ms, each served after 4 ms.
 type loopTraffic struct {
 	loop *loop
 	m    *machineClocks
@@ -249,7 +249,7 @@
 	return d
 }
 
-// run counts the requests that are sent in each of some seconds.
+// run counts the requests that are sent in each of a number of seconds.
 func (d *loopTraffic) run(seconds int) (counts []int) {
 	for range seconds {
 		d.sent = 0
@@ -276,7 +276,8 @@
 	d.m.pass(5 * time.Millisecond)
 }
 
-// A server that restarts in a running node's list is warmed up alike, whatever the wall clock does meanwhile.
+// A server that restarts while the node runs goes through the same slow start, whatever happens to the wall clock
+// meanwhile.
 func TestRestartedServerWarmsUpDespiteClockSteps(t *testing.T) {
 	restart := func(before, after time.Duration) []int {
 		m := newMachineClocks()
--- a/internal/node/brokenconn_test.go
+++ b/internal/node/brokenconn_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// A client whose connection breaks, by whatever error, has gone: nothing begins for it any more, and what is
-// out is called off. Only the node's own deadline for reading tells nothing of its client.
+// A client whose connection breaks, by whatever error, has departed: nothing begins for it any more, and its
+// attempt is cancelled. Only the node's own read deadline says nothing about the client.
 func TestBrokenConnectionIsADeparture(t *testing.T) {
 	for _, cause := range []error{
 		syscall.ETIMEDOUT, syscall.ECONNRESET, syscall.EHOSTUNREACH, syscall.ENETUNREACH,
--- a/internal/node/chunked_test.go
+++ b/internal/node/chunked_test.go
@@ -10,12 +10,12 @@
 	"testing"
 )
 
-// chunkedHead is the head of a POST whose body comes in chunks.
+// chunkedHead is the head of a POST with a chunked body.
 func chunkedHead(id string) string {
 	return "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + id + "\r\nX-Deadline: 60\r\nTransfer-Encoding: chunked\r\n\r\n"
 }
 
-// framingServer answers with how a request was framed, and with a sum of its body.
+// framingServer answers with the framing of a request and a hash of its body.
 func framingServer(t *testing.T) *fakeServer {
 	return newServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		return reply200(c, framed(r.Method, r.ContentLength, body, r.TransferEncoding, r.Trailer))
@@ -26,8 +26,8 @@
 	return fmt.Sprintf("%s %d %x %v %v", method, length, sha256.Sum256([]byte(body)), coding, trailer)
 }
 
-// A body in chunks is forwarded with its length, without extensions and trailers, and what the client sends
-// behind it is the next request.
+// A chunked body is forwarded with its length, without chunk extensions and trailers, and what the client sends
+// after it is the next request.
 func TestChunkedBodiesAreForwardedWithALength(t *testing.T) {
 	s := framingServer(t)
 	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), nil)
@@ -68,8 +68,8 @@
 	c.want(t, 200, framed("GET", 0, "", nil, nil))
 }
 
-// Whatever is wrong with the framing of a request is answered with an error and ends its connection: nothing
-// of it is forwarded, and nothing that stands in its body or behind it.
+// Any error in the framing of a request is answered with an error and ends the connection: nothing of the request
+// is forwarded, nor anything in its body or after it.
 func TestFramingErrorsEndTheConnection(t *testing.T) {
 	s := framingServer(t)
 	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), nil)
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// Deployments differ in what their settings hold, and a count may be written with decimals.
+// Deployments differ in what their settings contain, and a count may be written with decimals.
 func TestOtherDeploymentsConfigsAreTaken(t *testing.T) {
 	for _, c := range [][2]string{
 		{`"sockets":1024`, `"sockets":1024.0`},
--- a/internal/node/deadlineheader_test.go
+++ b/internal/node/deadlineheader_test.go
@@ -12,19 +12,19 @@
 	"time"
 )
 
-// pause is how long the tests below hold something up. What a server is told must be less by all of it.
+// holdUpTime is how long the tests below delay something. The deadline that a server is given must be shorter by
+// all of it.
 const holdUpTime = 400 * time.Millisecond
 
-// held pauses and returns how long that was: no more than what the node, which was at work before and after,
-// must count.
+// holdUp waits and returns for how long: no more than the node, which was running before and after, must subtract.
 func holdUp() time.Duration {
 	begin := time.Now()
 	time.Sleep(holdUpTime)
 	return time.Since(begin)
 }
 
-// tellingConfig has classes whose answers are worth something up to the client's deadline, for a server is told
-// of the time until then.
+// fullValueConfig has classes whose responses keep their value up to the client's deadline, so that a server is
+// given the time until then.
 func fullValueConfig(servers ...*fakeServer) Config {
 	var entries []string
 	for i, s := range servers {
@@ -37,25 +37,25 @@
 	return cfg
 }
 
-// checkTold checks what X-Deadline said for a request whose client waits 60 s, of which some are over.
+// checkForwardedDeadline checks the X-Deadline of a request whose client waits 60 s, of which some have passed.
 func checkForwardedDeadline(t *testing.T, value string, over time.Duration) {
 	t.Helper()
 	seconds, err := strconv.ParseFloat(value, 64)
 	if most := (time.Minute - over).Seconds(); err != nil || seconds > most || seconds < most-limit.Seconds()+1 {
-		t.Errorf("the server was told %q, %v after the client began; at most %.3f was left", value, over, most)
+		t.Errorf("the server got %q, %v after the client began; at most %.3f was left", value, over, most)
 	}
 }
 
-// tellingServer passes on the X-Deadline of each request.
-func newDeadlineServer(t *testing.T) (s *fakeServer, told chan string) {
-	told = make(chan string, 10)
+// newDeadlineServer reports the X-Deadline of each request.
+func newDeadlineServer(t *testing.T) (s *fakeServer, deadlines chan string) {
+	deadlines = make(chan string, 10)
 	return newServer(t, func(c net.Conn, r *http.Request, body string) bool {
-		told <- r.Header.Get("X-Deadline")
+		deadlines <- r.Header.Get("X-Deadline")
 		return echo(c, r, body)
-	}), told
+	}), deadlines
 }
 
-// The client's time runs from the first byte of its request, wherever the rest is late.
+// The client's time runs from the first byte of its request, wherever the rest is delayed.
 func TestForwardedDeadlineRunsFromTheFirstByte(t *testing.T) {
 	const post = "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: r\r\nX-Deadline: 60\r\n"
 	for _, pieces := range [][2]string{
@@ -67,7 +67,7 @@
 	} {
 		t.Run(fmt.Sprintf("%.60q", pieces[0]), func(t *testing.T) {
 			t.Parallel()
-			s, told := newDeadlineServer(t)
+			s, deadlines := newDeadlineServer(t)
 			n, _ := startNode(t, fullValueConfig(s), nil)
 			c := dial(t, n)
 			io.WriteString(c, pieces[0])
@@ -81,38 +81,38 @@
 			})
 			over := holdUp()
 			io.WriteString(c, pieces[1])
-			checkForwardedDeadline(t, wait(t, told, "the request"), over)
+			checkForwardedDeadline(t, wait(t, deadlines, "the request"), over)
 			c.want(t, 200, "for r")
 		})
 	}
 }
 
-// That of a request behind another one runs from its own first byte, while the other is still served.
+// The time of a pipelined request runs from its own first byte, while the request before it is still being served.
 func TestForwardedDeadlineOfAPipelinedRequest(t *testing.T) {
-	hold, told := make(chan struct{}), make(chan string, 10)
+	hold, deadlines := make(chan struct{}), make(chan string, 10)
 	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
-		told <- r.Header.Get("X-Deadline")
+		deadlines <- r.Header.Get("X-Deadline")
 		<-hold
 		return echo(c, r, body)
 	})
 	n, _ := startNode(t, fullValueConfig(s), nil)
 	c := dial(t, n)
 	c.get("first")
-	wait(t, told, "the first request")
+	wait(t, deadlines, "the first request")
 	c.get("behind")
 	until(t, "the one behind to be read", func() bool { return readAheadBytes(n) == len(requestText("behind")) })
 	over := holdUp()
 	close(hold)
-	checkForwardedDeadline(t, wait(t, told, "the one behind"), over)
+	checkForwardedDeadline(t, wait(t, deadlines, "the pipelined request"), over)
 	c.want(t, 200, "for first")
 	c.want(t, 200, "for behind")
 }
 
-// What is told is what is left as the request is written, however late that is.
+// The forwarded deadline is the time left when the request is written, however late that is.
 func TestForwardedDeadlineIsTheTimeLeftAtTheWrite(t *testing.T) {
 	t.Run("late connection", func(t *testing.T) {
 		t.Parallel()
-		s, told := newDeadlineServer(t)
+		s, deadlines := newDeadlineServer(t)
 		var dials heldDials
 		n, _ := startNode(t, fullValueConfig(s),
 			func(n *Node) { dials = holdDials(n.upstream) })
@@ -120,11 +120,11 @@
 		wait(t, dials.dialed, "the connection")
 		over := holdUp()
 		close(dials.release)
-		checkForwardedDeadline(t, wait(t, told, "the request"), over)
+		checkForwardedDeadline(t, wait(t, deadlines, "the request"), over)
 	})
 	t.Run("held up just before the write", func(t *testing.T) {
 		t.Parallel()
-		s, told := newDeadlineServer(t)
+		s, deadlines := newDeadlineServer(t)
 		looks := newGate(2) // of the connection's reader, and for what came before the request
 		n, _ := startNode(t, fullValueConfig(s), func(n *Node) {
 			n.upstream.dial = func(_ context.Context, network, address string) (net.Conn, error) {
@@ -141,11 +141,11 @@
 		}
 		over := holdUp()
 		close(looks.release)
-		checkForwardedDeadline(t, wait(t, told, "the request"), over)
+		checkForwardedDeadline(t, wait(t, deadlines, "the request"), over)
 	})
 	t.Run("retry", func(t *testing.T) {
 		t.Parallel()
-		turn, told := newGate(1), make(chan string, 10)
+		turn, deadlines := newGate(1), make(chan string, 10)
 		answer := func(c net.Conn, r *http.Request, body string) bool {
 			first := turn.first.Load() > 0
 			turn.pass()
@@ -153,7 +153,7 @@
 				io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 				return true
 			}
-			told <- r.Header.Get("X-Deadline")
+			deadlines <- r.Header.Get("X-Deadline")
 			return echo(c, r, body)
 		}
 		one, two := newServer(t, answer), newServer(t, answer)
@@ -162,11 +162,11 @@
 		wait(t, turn.arrived, "the first attempt")
 		over := holdUp()
 		close(turn.release)
-		checkForwardedDeadline(t, wait(t, told, "the retry"), over)
+		checkForwardedDeadline(t, wait(t, deadlines, "the retry"), over)
 	})
 }
 
-// A wait is never rounded up, and one that is over is not told.
+// A forwarded deadline is never rounded up, and one that has passed is not forwarded.
 func TestForwardedDeadlineIsNotRoundedUp(t *testing.T) {
 	for _, wait := range []time.Duration{
 		time.Millisecond, 1999 * time.Microsecond, 480 * time.Millisecond,
@@ -174,11 +174,11 @@
 	} {
 		value := []byte(strings.Repeat("0", deadlineValueWidth))
 		if !writeDeadlineValue(value, wait) {
-			t.Errorf("%v is not told", wait)
+			t.Errorf("%v is not forwarded", wait)
 		}
 		seconds, err := strconv.ParseFloat(string(value), 64)
 		if short := wait.Seconds() - seconds; err != nil || short < 0 || short > 0.0010001 {
-			t.Errorf("%v is told as %q", wait, value)
+			t.Errorf("%v is forwarded as %q", wait, value)
 		}
 	}
 	b := testPool(1)
@@ -186,7 +186,7 @@
 		a := testAttempt(b, "127.0.0.1:1")
 		a.deadline = b.clock.now() + left
 		if wait := b.remainingTime(a); wait != 0 || writeDeadlineValue(nil, wait) {
-			t.Errorf("with %v left, a server is told %v", left, wait)
+			t.Errorf("with %v left, %v is forwarded", left, wait)
 		}
 	}
 }
--- a/internal/node/departure_test.go
+++ b/internal/node/departure_test.go
@@ -41,8 +41,9 @@
 	})
 }
 
-// A request whose client leaves while it waits is not sent on: neither while the module holds it nor while
-// its connection comes up, whether or not attempts may be called off, and though the client said more first.
+// A request whose client departs while the request waits is not forwarded: neither while the module queues it nor
+// while its connection is being established, whether or not attempts may be cancelled, and even if the client sent
+// more bytes before it left.
 func TestNothingIsForwardedForAClientThatLeftWhileQueued(t *testing.T) {
 	for _, held := range []bool{true, false} {
 		for _, method := range []string{"GET", "POST"} {
@@ -103,8 +104,8 @@
 	checkNothingForwarded(t, n, s, map[string]int{"other": 1})
 }
 
-// However much a caller sends ahead of an answer, once it has closed or reset its connection, or that has
-// broken, no attempt begins for it, nor for what it sent ahead: wherever its request is just then.
+// However much a client pipelines, once it has closed or reset its connection, or that has broken, no attempt
+// begins for its request or for what it pipelined, wherever the request is at that moment.
 func TestNothingBeginsForAClientThatPipelinedAndLeft(t *testing.T) {
 	for _, where := range []string{"held", "dial", "retry", "busy loop", "in flight"} {
 		for _, ahead := range []int{0, 100, 3000, 8192, 20000, 60000, 2 * readAheadPerConn} {
@@ -195,7 +196,7 @@
 	}
 	text := pipelinedText(ahead)
 	if ahead > readAheadPerConn && where != "busy loop" {
-		text = strings.Repeat("x", ahead) // they are answered while the caller is there: no requests, then
+		text = strings.Repeat("x", ahead) // they are answered while the client is connected: no requests, then
 	}
 	io.WriteString(c, text)
 	if ahead <= readAheadPerConn {
@@ -225,13 +226,13 @@
 	}
 	seen := map[string]int{"other": 1}
 	if where == "retry" || where == "in flight" {
-		seen["leaving"] = 1 // begun before its caller left
+		seen["leaving"] = 1 // begun before its client departed
 	}
 	checkNothingForwarded(t, n, s, seen)
 }
 
-// nothingOfTheLeavers has another caller served, waits for all attempts to end, and says what the server may
-// have got.
+// checkNothingForwarded has another client served, waits for all attempts to end, and compares the requests that
+// the server received with what it may have received.
 func checkNothingForwarded(t *testing.T, n *Node, s *fakeServer, want map[string]int) {
 	t.Helper()
 	other := dial(t, n)
@@ -256,11 +257,11 @@
 		t.Errorf("the server got %v, want %v", got, want)
 	}
 	if kept := n.frontend.conns.readAheadReserved.Load(); kept != 0 {
-		t.Errorf("%d bytes are kept of callers that have left", kept)
+		t.Errorf("%d bytes are buffered of clients that have departed", kept)
 	}
 }
 
-// Fifty that leave at once are all seen to.
+// Fifty departures at the same time are all noticed.
 func TestNothingBeginsForABurstOfDepartures(t *testing.T) {
 	s := newServer(t, echo)
 	through := make(chan struct{})
@@ -292,8 +293,8 @@
 	checkNothingForwarded(t, n, s, map[string]int{"other": 1})
 }
 
-// A request whose caller has closed before it is read does not go to the module before the close is seen,
-// however late the watch gets to look.
+// A request whose client has closed before it is read does not reach the module before the close is noticed,
+// however late the departure watch looks at the connection.
 func TestNothingBeginsBeforeTheDepartureWatchHasCaughtUp(t *testing.T) {
 	s := newServer(t, echo)
 	reads, looks := newGate(2), newGate(2)
--- a/internal/node/descriptorbudget_test.go
+++ b/internal/node/descriptorbudget_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// A connection is let go only while it waits: not with a request read that net/http has not told of
-// yet, nor with the first byte of the next one, read early behind an answer.
+// A connection is evicted only while it waits for a request: not once a request has been read that net/http has
+// not reported yet, nor once the first byte of the next request was read early, after a response.
 func TestEvictionSparesARequestBegun(t *testing.T) {
 	f := newDownstreamConns(newClock(), 2, 10, 16<<20, func() int { return 1 })
 	say := func(from, to net.Conn) {
@@ -59,29 +59,29 @@
 			t.Fatal(err)
 		}
 	}
-	a, caller := downstreamPair(t, f, 0)
+	a, peer := downstreamPair(t, f, 0)
 	b, _ := downstreamPair(t, f, 0)
-	say(caller, a) // a request
+	say(peer, a) // a request
 	f.connStateChanged(a, http.StateNew)
 	f.connStateChanged(a, http.StateActive)
-	say(a, caller) // its answer
-	say(caller, a) // the next request's first byte
+	say(a, peer) // its answer
+	say(peer, a) // the next request's first byte
 	f.connStateChanged(a, http.StateIdle)
 	f.connStateChanged(b, http.StateNew) // one too many
 	if a.evicted || !f.overLimit() {
-		t.Fatal("a connection with a request on it was let go")
+		t.Fatal("a connection with a request on it was evicted")
 	}
-	say(caller, a)
-	say(a, caller)
+	say(peer, a)
+	say(a, peer)
 	f.gracePeriods.idle = limit
 	f.connStateChanged(a, http.StateIdle)
 	if a.evicted || !f.overLimit() {
-		t.Fatal("a connection idle for a moment only was let go")
+		t.Fatal("a connection idle for a moment only was evicted")
 	}
 	f.gracePeriods.idle = 0
 	f.connStateChanged(b, http.StateActive)
 	if !a.evicted || f.overLimit() {
-		t.Fatal("the idle connection was not let go")
+		t.Fatal("the idle connection was not evicted")
 	}
 	a.SetReadDeadline(time.Time{}) // net/http does, after it has said that it is idle
 	if _, err := a.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -93,7 +93,7 @@
 	}
 }
 
-// A request that lies in the kernel unread counts as begun: a close would reset it.
+// A request that is unread in the kernel counts as begun: a close would reset the connection.
 func TestEvictionSparesUnreadBytes(t *testing.T) {
 	f := newDownstreamConns(newClock(), 2, 10, 16<<20, func() int { return 1 })
 	c, theirs := downstreamPair(t, f, 0)
@@ -102,19 +102,19 @@
 	io.WriteString(theirs, "GET")
 	until(t, "the bytes to arrive", func() bool { return hasUnreadOrClosed(c.Conn) })
 	if f.evictQuiet(); c.evicted {
-		t.Error("let go with a request on it")
+		t.Error("evicted with a request on it")
 	}
 	if text := make([]byte, 3); !readsAll(c, text) || string(text) != "GET" {
 		t.Errorf("read %q", text)
 	}
 	c.Write([]byte("answer"))
 	if f.evictQuiet(); !c.evicted {
-		t.Error("not let go once it is answered")
+		t.Error("not evicted once it is answered")
 	}
 }
 
-// The rest of a request that lies in the kernel unread keeps the connection, though its first part came so long
-// ago that it would be cut off.
+// The rest of a request that is unread in the kernel protects the connection, though the first part arrived so
+// long ago that the read would be aborted.
 func TestReadAbortSparesUnreadBytes(t *testing.T) {
 	f := newDownstreamConns(newClock(), 2, 10, 16<<20, func() int { return 2 })
 	f.gracePeriods.partialRequest = 0
@@ -129,19 +129,19 @@
 	other, _ := net.Pipe()
 	f.connStateChanged(&downstreamConn{Conn: other, conns: f}, http.StateNew)
 	if c.evicted {
-		t.Error("cut off with the rest of a request unread")
+		t.Error("aborted with the rest of a request unread")
 	}
 	if text := make([]byte, 3); !readsAll(c, text) || string(text) != " /v" {
 		t.Errorf("read %q", text)
 	}
 	f.connStateChanged(&downstreamConn{Conn: other, conns: f}, http.StateNew)
 	if !c.evicted {
-		t.Error("not cut off once all is read")
+		t.Error("not aborted once all is read")
 	}
 }
 
-// Whatever reaches a server has been read, so its caller must get the answer, however often idle
-// connections are let go meanwhile.
+// What reaches a server has been read by the node, so its client must get a response, however often idle
+// connections are evicted meanwhile.
 func TestNoRequestIsLostWhileIdleConnectionsAreEvicted(t *testing.T) {
 	s := newServer(t, echo)
 	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
@@ -189,7 +189,7 @@
 	defer s.mu.Unlock()
 	for _, id := range s.requests {
 		if !answered[id] {
-			t.Errorf("%s was sent to the server, and its caller got no answer", id)
+			t.Errorf("%s was forwarded to the server, and its client got no response", id)
 		}
 	}
 	if len(s.requests) == 0 {
@@ -197,14 +197,14 @@
 	}
 }
 
-// Hundreds of connections that say nothing, half a request or too little of a body hold no place that a
-// good caller needs: they are let go first, before they would time out, and the good one is served.
+// Hundreds of connections that send nothing, a partial head or a partial body take no capacity that a well-behaved
+// client needs: they are evicted first, before they would time out, and that client is served.
 func TestClientIsServedBesideHundredsOfSilentConnections(t *testing.T) {
 	s := newServer(t, echo)
 	cfg := testConfig(completeList(entry("s1", s.addr(), "in_service")))
 	cfg.Sockets = 256
 	n, _ := startNode(t, cfg, func(n *Node) {
-		n.frontend.server.ReadTimeout = 2 * limit // what is let go is let go for want of room
+		n.frontend.server.ReadTimeout = 2 * limit // connections end by eviction only
 		n.frontend.conns.gracePeriods = gracePeriods{idle: limit}
 	})
 	const body = "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: half\r\nX-Deadline: 60\r\nContent-Length: 9\r\n\r\nhal"
@@ -229,16 +229,16 @@
 			served(dial(t, n), fmt.Sprint("fresh-", i)).Close()
 		}
 	}
-	until(t, "the rest to be let go", func() bool {
+	until(t, "the rest to be evicted", func() bool {
 		n.frontend.conns.mu.Lock()
 		defer n.frontend.conns.mu.Unlock()
 		return n.frontend.conns.excess() <= 0
 	})
 }
 
-// A complete request is served, though its connection is chosen to make room in the moment in which its head has
-// been read, or while it waits in its handler: a silent one goes in its place, and its caller's leaving is still
-// seen. Half a request is cut off instead.
+// A complete request is served even if its connection is chosen for eviction at the moment in which its head has
+// been read, or while it waits in its handler: a silent connection is evicted in its place, and its client's
+// departure is still noticed. The read of a partial request is aborted instead.
 func TestCompleteRequestIsServedDuringEviction(t *testing.T) {
 	for _, moment := range []string{"head read", "watched"} {
 		for _, method := range []string{"GET", "POST"} {
@@ -289,18 +289,18 @@
 	until(t, "a silent connection to go", func() bool { return n.frontend.conns.count() == fullNodeConns })
 }
 
-// crowdedMost is how many connections startCrowdedNode's node may hold, and holds silent ones.
+// fullNodeConns is how many connections startFullNode's node may hold; it holds that many silent ones.
 const fullNodeConns = 5
 
-// startCrowdedNode starts a node that has no place for one more connection, and that makes room at the given
-// moment of a request: first at the expense of those that it takes for half ones.
+// startFullNode starts a node that has no capacity for one more connection, and that evicts at the given moment of
+// a request: first those connections that it takes for partial requests.
 func startFullNode(t *testing.T, s *fakeServer, moment string) *Node {
 	t.Helper()
 	cfg := withLongObjectives(testConfig(completeList(entry("s1", s.addr(), "in_service"))))
 	cfg.Sockets = reservedDescriptors + fullNodeConns + 1 // one is kept for the server
 	n, _ := startNode(t, cfg, func(n *Node) {
 		f := n.frontend
-		f.server.ReadTimeout = 2 * limit // what is cut off is cut off to make room
+		f.server.ReadTimeout = 2 * limit // reads end by eviction only
 		f.conns.gracePeriods = gracePeriods{lingering: limit, newConn: limit, partialRequest: limit, idle: limit}
 		makeRoom := func() {
 			f.conns.mu.Lock()
--- a/internal/node/dial_test.go
+++ b/internal/node/dial_test.go
@@ -13,12 +13,12 @@
 	"balancer"
 )
 
-// dialError is what net.Dialer gives for a failed system call.
+// dialError is the error that net.Dialer returns for a failed system call.
 func dialError(call string, err error) error {
 	return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError(call, err)}
 }
 
-// failingDial fails so many times and dials from then on. It counts all dials.
+// failingDial fails a number of times and dials from then on. It counts all dials.
 type failingDial struct {
 	err   error
 	times int32
@@ -38,8 +38,8 @@
 	syscall.EPERM, syscall.EACCES, syscall.EINTR,
 }
 
-// A connection that can't be opened for a moment by trouble of this machine's own is dialled again, and its
-// request is served by its server, which gets it once.
+// A connection that cannot be opened for a moment, by a fault of this machine, is dialled again, and its request
+// is served by its server, which receives it once.
 func TestTransientLocalDialErrorIsRetried(t *testing.T) {
 	for _, errno := range localErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -57,8 +57,8 @@
 	}
 }
 
-// Local trouble that lasts ends an attempt as Void, never run, before its time is over; an error that tells of
-// the server ends it at once. What the module is told says whether the node itself held the attempt up.
+// A local fault that lasts ends an attempt as not sent, before its time is over; an error of the server ends it at
+// once. The module is told whether the node itself held the attempt up.
 func TestFailedDials(t *testing.T) {
 	local, refused := dialError("socket", syscall.EMFILE), dialError("connect", syscall.ECONNREFUSED)
 	for _, c := range []struct {
@@ -120,8 +120,8 @@
 	}
 }
 
-// What discovery tells is not missed for local trouble: a push watch's call is dialled again at once, and where
-// lists are asked for the module is not told of a failure, which it would wait after.
+// A local fault loses no watch event: a pushed watch is dialled again at once, and where lists are polled the
+// module is not notified of a failure, after which it would back off.
 func TestLocalDialErrorIsNoDiscoveryFailure(t *testing.T) {
 	for _, asked := range []bool{false, true} {
 		for _, times := range []int32{3, 1e6} {
@@ -147,14 +147,14 @@
 				} else {
 					go d.runPushed(ctx)
 				}
-				if times > 3 { // it lasts: neither told of as a failure nor a hot loop
+				if times > 3 { // it lasts: neither reported as a failure nor retried in a hot loop
 					for range 2 {
 						if wait := wait(t, waits, "a wait"); wait != retryInterval {
 							t.Errorf("waits for %v, want %v", wait, retryInterval)
 						}
 					}
 					if len(events) != 0 {
-						t.Errorf("told of %#v", <-events)
+						t.Errorf("got %#v", <-events)
 					}
 					return
 				}
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// What the agent has at discovery's return counts as told at once. The call that was out when it fell
-// silent is never answered, however long it may still wait.
+// What the agent has when discovery returns counts as notified at once. The call that was in flight when discovery
+// became unresponsive is never answered, however long it may still wait.
 func TestWatchEventAtTheAgentsReturnNeedsNoTimeout(t *testing.T) {
 	old, s := newServer(t, echo), newServer(t, echo)
 	ag := newRegistryAgent(t)
@@ -25,7 +25,7 @@
 	n, _ := startNode(t, cfg, func(n *Node) { n.discovery.hold, n.discovery.startupWait = 100*limit, 100*limit })
 	wait(t, ag.calls, "the call that is lost")
 	wait(t, ag.calls, "a call beside it")
-	early := dial(t, n) // by a caller that does not ask whether the node is ready
+	early := dial(t, n) // from a client that makes no readiness check
 	early.get("early")
 	untilActive(t, n, 1)
 	ag.set(false, `{"rev":%d,"all":true,"targets":[`+entry("s1", old.addr(), "terminating")+","+entry("s2", s.addr(), "in_service")+`]}`)
@@ -41,8 +41,9 @@
 	}
 }
 
-// What a new process knows may be old, and what the agent has counts as told from its first moment: it is
-// ready once it has heard the whole list, or has waited long enough for an agent that says nothing.
+// The cached list of a new process may be old, and what the agent has counts as notified from the process's first
+// moment: the node is ready once it has received the complete list, or has waited long enough for an unresponsive
+// agent.
 func TestNewProcessIsReadyOnceItHasTheList(t *testing.T) {
 	s := newServer(t, echo)
 	ag := newRegistryAgent(t)
@@ -51,7 +52,7 @@
 	cfg.Discovery = ag.Addr().String()
 	n, _ := startNode(t, cfg, func(n *Node) { n.discovery.startupWait = 100 * limit })
 	if q := wait(t, ag.calls, "the first call"); q != "" {
-		t.Errorf("asked %q, want the whole list", q)
+		t.Errorf("called with %q, want the complete list", q)
 	}
 	if isReady(t, n) {
 		t.Error("ready with a list that may be old")
@@ -67,7 +68,7 @@
 	c.want(t, 200, "for r")
 }
 
-// A watch that stops at any byte is opened anew, and the whole truth is known then.
+// A watch whose response stops at any byte is reopened, and the complete list is known then.
 func TestWatchIsReopenedAfterATruncatedResponse(t *testing.T) {
 	s := newServer(t, echo)
 	news := `{"rev":9,"all":true,"targets":[` + entry("s2", s.addr(), "in_service") + `]}`
@@ -126,8 +127,8 @@
 	}
 }
 
-// Where lists are asked for, a new configuration opens a new watch though none is out: what discovery has
-// there counts as told whether it was asked or not.
+// Where lists are polled, a changed discovery address opens a watch though none is in progress: what discovery has
+// there counts as notified whether it was polled or not.
 func TestAddressChangePollsAnew(t *testing.T) {
 	ag := newRegistryAgent(t)
 	ag.set(false, completeList(entry("s1", "127.0.0.1:1", "in_service")))
@@ -140,15 +141,15 @@
 	go d.runPolled(ctx)
 	d.setAddress(ag.Addr().String())
 	if q := wait(t, ag.calls, "a call"); q != "" {
-		t.Errorf("asked %q, want the whole list", q)
+		t.Errorf("called with %q, want the complete list", q)
 	}
 	if e, ok := wait(t, events, "the list").(listReceived); !ok || len(e.list.entries) != 1 {
 		t.Errorf("got %v", e)
 	}
 }
 
-// However long a deployment lets a node go without asking, news counts as told 6 s after the watch fell
-// silent: what the module waits between its calls is a part of that.
+// However rarely a deployment lets a node poll, a watch event counts as notified 6 s after the watch became
+// unresponsive: the module's backoff between its calls is a part of that.
 func TestPollBackoffIsBoundedByTheNotificationTime(t *testing.T) {
 	for seed := range uint64(20) {
 		cfg := testConfig(completeList())
@@ -163,14 +164,14 @@
 		}
 		for _, a := range n.loop.timers {
 			if left := n.loop.clock.until(a.at); left > notifiedWithin/4 {
-				t.Fatalf("seed %d: asks %v from now", seed, left)
+				t.Fatalf("seed %d: polls %v from now", seed, left)
 			}
 		}
 	}
 }
 
-// A discovery that refuses is not asked again before a least wait is over, however little the settings have a
-// node wait, and at once if the watch moves meanwhile.
+// A discovery that refuses connections is not called again before a minimum wait, however short the backoff of the
+// settings is, and at once if its address changes meanwhile.
 func TestRefusedDiscoveryIsNotPolledInAHotLoop(t *testing.T) {
 	for _, within := range []time.Duration{0, time.Millisecond, time.Hour} {
 		t.Run(fmt.Sprint(within), func(t *testing.T) {
@@ -197,7 +198,7 @@
 				n.discovery.subscribe()
 				until(t, "the failure to be taken", func() bool { return len(n.loop.events) == 0 })
 				if len(dials) != 0 {
-					t.Fatal("asked before the wait was over")
+					t.Fatal("called before the wait was over")
 				}
 				clock <- time.Time{}
 			}
@@ -210,8 +211,8 @@
 	}
 }
 
-// Whatever a call was lost by, and whatever the settings say, the next one is made early enough for what it
-// brings to be known before it counts as told.
+// However a call was lost, and whatever the settings say, the next call is made early enough for its list to be
+// known before it counts as notified.
 func TestLostCallIsMadeUpForInTime(t *testing.T) {
 	for _, within := range []time.Duration{
 		0, 100 * time.Millisecond, 400 * time.Millisecond, time.Second,
@@ -240,14 +241,14 @@
 				// The pace, the call that is lost, the wait, a dial that never comes up and its wait, and the next call.
 				worst := watchInterval + d.hold + d.grace + again + agentDialTimeout + again + agentCheckTimeout
 				if worst >= notifiedWithin {
-					t.Errorf("asked %v, ask-within %v, after %d failures: %v", asked, within, failures, worst)
+					t.Errorf("polled %v, ask-within %v, after %d failures: %v", asked, within, failures, worst)
 				}
 			}
 		}
 	}
 }
 
-// A list that changes all the time is heard of in calls that are paced, and each change is still told.
+// Calls for a list that changes all the time are paced, and each change is still received.
 func TestCallsForAListInConstantChangeArePaced(t *testing.T) {
 	const calls = 20
 	s := newServer(t, echo)
@@ -291,7 +292,7 @@
 	}
 }
 
-// An agent that was silent may never answer the call that it was silent on: it must be asked anew.
+// An agent that was unresponsive may never answer the call that was in flight then: it must be called again.
 func TestUnresponsiveDiscoveryIsCalledAgain(t *testing.T) {
 	s := newServer(t, echo)
 	ag := newRegistryAgent(t)
@@ -303,7 +304,7 @@
 	})
 	for range 3 {
 		if q := wait(t, ag.calls, "a watch"); q != "" {
-			t.Fatalf("asked %q, want the whole list", q)
+			t.Fatalf("called with %q, want the complete list", q)
 		}
 	}
 	c := dial(t, n)
@@ -319,7 +320,8 @@
 	c.want(t, 200, "for late")
 }
 
-// A watch that ends without news is no news, which the module would take for a change: it only confirms the list.
+// A watch that ends without changes is no list, which the module would take for a change: it only confirms the
+// list.
 func TestWatchWithoutChangesOnlyConfirmsTheList(t *testing.T) {
 	ag := newRegistryAgent(t)
 	events := make(chan event, 10)
@@ -347,7 +349,7 @@
 	}
 }
 
-// Where discovery is asked, a watch follows only a Subscribe, and its failure is told.
+// Where lists are polled, a watch follows only a Subscribe, and its failure is reported.
 func TestPolledDiscoveryFollowsSubscribe(t *testing.T) {
 	ag := newRegistryAgent(t)
 	events := make(chan event, 10)
@@ -361,7 +363,7 @@
 	go d.runPolled(ctx)
 	d.subscribe()
 	if q := wait(t, ag.calls, "a watch"); !strings.HasPrefix(q, "from=7&") {
-		t.Errorf("asked %q", q)
+		t.Errorf("called with %q", q)
 	}
 	if e, ok := wait(t, events, "the list").(listReceived); !ok || len(e.list.entries) != 1 {
 		t.Errorf("got %v", e)
@@ -373,12 +375,13 @@
 	}
 	select {
 	case q := <-ag.calls:
-		t.Errorf("asked %q without a Subscribe", q)
+		t.Errorf("called with %q without a Subscribe", q)
 	default:
 	}
 }
 
-// The watch moves at once, though a call to the old address waits, and versions there count anew.
+// The watch moves to a new address at once, though a call to the old address is waiting, and versions start anew
+// there.
 func TestReloadMovesTheWatch(t *testing.T) {
 	a, b := newServer(t, echo), newServer(t, echo)
 	old, next := newRegistryAgent(t), newRegistryAgent(t)
@@ -396,14 +399,14 @@
 	n.Reload(cfg) // the same address: nothing moves
 	cfg.Discovery = next.Addr().String()
 	n.Reload(cfg)
-	if q := wait(t, next.calls, "the whole list"); q != "" {
-		t.Errorf("asked %q of the new address, want the whole list", q)
+	if q := wait(t, next.calls, "the complete list"); q != "" {
+		t.Errorf("called the new address with %q, want the complete list", q)
 	}
 	if q := wait(t, next.calls, "the watch"); !strings.HasPrefix(q, fmt.Sprintf("from=%d&", next.rev)) {
-		t.Errorf("asked %q", q)
+		t.Errorf("called with %q", q)
 	}
 	if len(old.calls) > 0 {
-		t.Errorf("the old address was asked %q after the move", <-old.calls)
+		t.Errorf("the old address was called with %q after the move", <-old.calls)
 	}
 	before := a.received()
 	for i := range 20 { // on the connection of before
--- a/internal/node/discoveryfaults_test.go
+++ b/internal/node/discoveryfaults_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// faultyAgent stands in for discovery: it has some calls fail in one way, and answers the others.
+// faultyAgent stands in for discovery: some calls fail in one way, and it answers the others.
 type faultyAgent struct {
 	net.Listener
 	mu     sync.Mutex
@@ -24,10 +24,11 @@
 	failed chan struct{} // gets one for each call that fails
 }
 
-// faults are the ways in which a call fails, but for being refused.
+// faults are the ways in which a call fails, other than by a refused connection.
 var faults = []string{"silent", "reset", "status 500", "half, then silent", "half, then closed", "spoilt", "drips"}
 
-// faultyAgents numbers them: each has an address of its own, so that nobody takes its port while it is closed.
+// faultyAgents numbers the agents: each has an address of its own, so that no one takes its port while it is
+// closed.
 var faultyAgents atomic.Int32
 
 func newFaultyAgent(t *testing.T) *faultyAgent {
@@ -64,7 +65,7 @@
 	}
 }
 
-// dropAll breaks all connections.
+// dropAll closes all connections.
 func (a *faultyAgent) dropAll() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -73,14 +74,14 @@
 	}
 }
 
-// set has a list told, and so many calls before it fail.
+// set sets the list, and the number of calls that fail before it is returned.
 func (a *faultyAgent) set(fault string, calls int, list string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.fault, a.left, a.list, a.rev = fault, calls, list, a.rev+1
 }
 
-// answer answers a call, or has it fail; it tells whether the connection goes on.
+// answer answers a call, or has it fail; it returns whether the connection stays open.
 func (a *faultyAgent) answer(c net.Conn, r *http.Request) bool {
 	a.mu.Lock()
 	fails, fault := a.left > 0, a.fault
@@ -90,7 +91,7 @@
 	text := fmt.Sprintf(a.list, a.rev)
 	if !fails && r.URL.Query().Get("from") == fmt.Sprint(a.rev) {
 		a.mu.Unlock()
-		time.Sleep(time.Millisecond) // a hold that ends without news
+		time.Sleep(time.Millisecond) // a hold that ends without changes
 		_, err := io.WriteString(c, httpOK(fmt.Sprintf(`{"rev":%s,"all":false,"targets":[]}`, r.URL.Query().Get("from"))))
 		return err == nil
 	}
@@ -133,8 +134,8 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// Whatever way calls to discovery fail in, whenever and how often, the change that discovery has then is known
-// after the next call: callers are sent to the server that joined, and not to the one that drains.
+// However calls to discovery fail, whenever and how often, the change that discovery has then is known after the
+// next call: requests are forwarded to the server that joined, and not to the one that is draining.
 func TestChangeIsKnownAfterFailedCalls(t *testing.T) {
 	for _, asked := range []bool{false, true} {
 		for _, fault := range append([]string{"refused"}, faults...) {
--- a/internal/node/downstreamconn_test.go
+++ b/internal/node/downstreamconn_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Silent and half-spoken connections end by themselves, and so do those that ask no more.
+// Silent connections, partial requests and idle connections time out.
 func TestConnectionsWithoutARequestTimeOut(t *testing.T) {
 	s := newServer(t, echo)
 	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
@@ -29,8 +29,8 @@
 	expectClosed(t, c.reader, "a connection that asks no more")
 }
 
-// A client that stops in the middle of a request and stays gets an error or a close within the time for
-// reading a request, also if it has sent too little to be told from one that rests.
+// A client that stops in the middle of a request and stays connected gets an error or a close within the time for
+// reading a request, even if it has sent too little to be told from an idle one.
 func TestPartialRequestsTimeOut(t *testing.T) {
 	s := newServer(t, echo)
 	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
@@ -75,8 +75,8 @@
 	}
 }
 
-// A request whose first bytes came just before its connection would have timed out, idle or new, has the time
-// for the rest that every request has.
+// A request whose first bytes arrive just before its connection would have timed out, idle or new, has as much
+// time for the rest as any request.
 func TestRequestBegunBeforeATimeoutIsReadToItsEnd(t *testing.T) {
 	for _, first := range []string{
 		"G", "GET", "GET /view/k HTTP/1.1\r\nHo",
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// However short the deadlines are, a node that ends accepts for as long as new connections come, serves,
-// gives its last answers and is gone, in this order and before it would be killed.
+// However short the deadlines are, a draining node accepts for as long as new connections come, serves, sends its
+// last responses and ends, in this order and before it would be killed.
 func TestDrainScheduleFitsTheDeadlines(t *testing.T) {
 	for _, deadline := range []time.Duration{20, 50, 100, 150, 200, 300, 500, 900, 1500, 3000, 6000, 60000} {
 		for _, part := range []time.Duration{100, 10, 2, 1} {
@@ -22,13 +22,13 @@
 			e, most := drainScheduleOf(cfg), drainLimit(cfg)
 			kill := min(deadline*time.Millisecond, 3*time.Second) + 700*time.Millisecond
 			if !(e.stopAccepting > 400*time.Millisecond && e.stopAccepting <= e.closeConns && e.closeConns < e.answerAll && e.answerAll < most && most < kill) {
-				t.Errorf("deadline %v, aim 1/%d: %+v, all over at %v, killed at %v", deadline*time.Millisecond, part, e, most, kill)
+				t.Errorf("deadline %v, objective 1/%d: %+v, all over at %v, killed at %v", deadline*time.Millisecond, part, e, most, kill)
 			}
 		}
 	}
 }
 
-// gatedListener accepts nobody until it is opened: what comes waits in the kernel's queue.
+// gatedListener accepts no connection until it is opened: what comes waits in the kernel's queue.
 type gatedListener struct {
 	*net.TCPListener
 	gate chan struct{}
@@ -49,7 +49,7 @@
 	return l.TCPListener.Accept()
 }
 
-// Requests that wait whole in the listener's queue when it is shut are accepted and served.
+// Requests that wait complete in the listener's queue when accepting stops are accepted and served.
 func TestQueuedConnectionsAreAcceptedBeforeTheListenerCloses(t *testing.T) {
 	s := newServer(t, echo)
 	gate, shut := make(chan struct{}), make(chan struct{}, 1)
@@ -79,8 +79,8 @@
 	}
 }
 
-// At the last call each request gets the answer that its class and what became of it allow, and so does one
-// that comes after it; when to come back is told only where clients take it.
+// At the shutdown deadline each request gets the response that its class and the state of its attempts allow, and
+// so does one that comes after it; Retry-After is sent only where clients accept it.
 func TestShutdownDeadlineAnswersByClass(t *testing.T) {
 	for _, advice := range []time.Duration{0, time.Second} {
 		got := make(chan struct{}, 10)
@@ -103,7 +103,7 @@
 		held := dial(t, n)
 		held.send("POST", "/note/k", "held", "x", "60")
 		untilActive(t, n, 3)
-		after.get("before") // its answer keeps the order: the held one is with the module by then
+		after.get("before") // its response keeps the order: the queued one is with the module by then
 		untilActive(t, n, 4)
 		n.loop.post(shutdownDeadline{})
 		for _, c := range []struct {
@@ -124,7 +124,8 @@
 	}
 }
 
-// A caller whose connection was accepted a moment ago has its request on the way: it is not let go unheard.
+// A client whose connection was accepted a moment ago has its request on the way: the connection is not evicted
+// unread.
 func TestNewConnectionIsReadWhileDraining(t *testing.T) {
 	n, err := New(testConfig(completeList()), testLog())
 	if err != nil {
@@ -139,14 +140,16 @@
 	s.gracePeriods.newConn = limit
 	s.connStateChanged(c, http.StateNew)
 	if s.evictQuiet() != 1 || c.evicted {
-		t.Error("let go at once")
+		t.Error("evicted at once")
 	}
 	s.gracePeriods.newConn = 0
 	if s.evictQuiet(); !c.evicted {
-		t.Error("kept for good")
+		t.Error("never evicted")
 	}
 }
 
+// A draining node is not ready, still accepts and serves for a while, then closes idle connections, and answers
+// what is in flight before it ends.
 func TestGracefulShutdownAnswersAllAcceptedRequests(t *testing.T) {
 	s, got, release := newHoldingServer(t, "held")
 	n, stop := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
@@ -160,7 +163,7 @@
 	wait(t, got, "the attempt")
 	end := make(chan error, 1)
 	go func() { end <- stop() }()
-	until(t, "it to be told", n.frontend.draining.Load)
+	until(t, "it to drain", n.frontend.draining.Load)
 	for _, moved := range []string{"127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:2"} { // SIGHUP while it ends
 		cfg := n.cfg
 		cfg.Discovery = moved
@@ -188,7 +191,7 @@
 	}
 }
 
-// What no server answers before the node would be killed gets a final answer all the same.
+// What no server answers before the node would be killed gets a final response all the same.
 func TestGracefulShutdownAnswersWhatIsInFlight(t *testing.T) {
 	got := make(chan struct{}, 1)
 	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
--- a/internal/node/faultyconns_test.go
+++ b/internal/node/faultyconns_test.go
@@ -27,7 +27,7 @@
 	return c, nil
 }
 
-// breakableConn fails its reads with cause once it is broken; a deadline that passes is its own cause.
+// breakableConn fails its reads with cause once it is broken; a deadline that passes is a cause of its own.
 type breakableConn struct {
 	*net.TCPConn
 	cause      error
@@ -35,7 +35,7 @@
 	watchEnded chan struct{} // gets one when a wait for something to read has ended
 }
 
-// breakNow ends the wait for something to read as the kernel does when the connection breaks.
+// breakNow ends the wait for readability as the kernel does when the connection breaks.
 func (c *breakableConn) breakNow() {
 	if c.cause != os.ErrDeadlineExceeded {
 		close(c.broken)
@@ -63,7 +63,7 @@
 	of *breakableConn
 }
 
-// Read ends without an error once the connection is broken: there is something to read, the error.
+// Read ends without an error once the connection is broken: it is readable, and the read returns the error.
 func (r breakableRaw) Read(ready func(uintptr) bool) error {
 	err := r.RawConn.Read(ready)
 	select {
@@ -76,7 +76,7 @@
 	return err
 }
 
-// gatedConns holds back what the node asks of its callers' connections.
+// gatedConns delays the node's reads of downstream connections and its peeks at them.
 type gatedConns struct {
 	*net.TCPListener
 	reads, peeks *gate
@@ -90,7 +90,7 @@
 	return gatedConn{c, l}, nil
 }
 
-// gate holds back the first that pass, until it is opened.
+// gate delays the first that pass, until it is opened.
 type gate struct {
 	first            atomic.Int32
 	arrived, release chan struct{}
--- a/internal/node/frontend_test.go
+++ b/internal/node/frontend_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// A hint is advice: one that can't be used must neither fail its request nor reach the module.
+// A hint is advisory: an invalid one must neither fail its request nor reach the module.
 func TestInvalidWorkHintsAreIgnored(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"": 0, "328477": 328477 * time.Microsecond, "0.5": 500, "-3": 0, "0": 0, "NaN": 0, "Inf": 0, "1e300": 0,
@@ -22,6 +22,7 @@
 	}
 }
 
+// Method, target, id, key and body reach the server as they were sent, and its response reaches the client so.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	type seen struct {
 		r    *http.Request
@@ -142,7 +143,7 @@
 	first.want(t, 200, "for used")
 }
 
-// A request that the module gives up is refused at once, with advice, though its deadline is far off.
+// A request that the module gives up is rejected at once, with Retry-After, though its deadline is far off.
 func TestRejectionIsImmediateWithRetryAfter(t *testing.T) {
 	cfg := testConfig(completeList(entry("s1", closedPort(t), "in_service")))
 	n, _ := startNode(t, cfg, nil)
@@ -155,8 +156,9 @@
 	}
 }
 
-// A caller gives its last try all the time that it has left, more than tries are usually given. That must
-// not make every other caller's first try look like a repeat whose aim is over, to be refused at once.
+// A client gives its last attempt all the time that it has left, more than attempts are usually given. That must
+// not make other clients' first attempts look like retries past their latency objective, which are rejected at
+// once.
 func TestLongLastAttemptDoesNotMakeFirstAttemptsRetries(t *testing.T) {
 	s, got, release := newHoldingServer(t, "held")
 	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), nil)
@@ -170,7 +172,7 @@
 		view(fmt.Sprint("first-", i), "25")
 	}
 	view("last", "59.9")
-	var busy []*testClient // with these out there is room for a first try, and none for a repeat
+	var busy []*testClient // with these in flight there is capacity for a first attempt, and none for a retry
 	holdMore := func(calls int) {
 		for range calls {
 			i := len(busy)
@@ -187,7 +189,7 @@
 	view("another-5", "25")
 	c.send("GET", "/view/k", "repeat", "", "20") // the class's deadline of 60 s began 40 s ago
 	if r, _ := c.answer(t); r.StatusCode != 503 || r.Header.Get("Retry-After") == "" {
-		t.Errorf("a repeat past its aim: got %d, Retry-After %q", r.StatusCode, r.Header.Get("Retry-After"))
+		t.Errorf("a retry past its latency objective: got %d, Retry-After %q", r.StatusCode, r.Header.Get("Retry-After"))
 	}
 	release()
 	for i, b := range busy {
--- a/internal/node/halfclose_test.go
+++ b/internal/node/halfclose_test.go
@@ -9,11 +9,11 @@
 	"testing"
 )
 
-// A caller that only stops sending reads on: it gets the answer of the attempt that has begun, be it the only
-// one and a failure, or a refusal at once if none has, and so does what it sent ahead.
+// A client that only stops sending still reads: it gets the response of the attempt that has begun, be it the only
+// one and a failure, or a rejection at once if none has begun, and so does what it pipelined.
 func TestHalfClosedClientGetsItsResponse(t *testing.T) {
 	for _, c := range []struct {
-		name, text, then string // what the caller sends, and what the server does
+		name, text, then string // what the client sends, and what the server does
 		where            string
 		want             []int // the answers' status codes, interim ones included
 		seen             int   // requests that begin at the server
@@ -29,7 +29,7 @@
 		{"held", requestText("r"), "", "held", []int{503}, 0},
 		{"held, and one sent ahead", requestText("r") + requestText("next"), "", "held", []int{503, 503}, 0},
 		{"its connection comes up", requestText("r"), "", "dial", []int{503}, 0},
-		{"in flight at the node's end", requestText("r"), "", "last call", []int{102, 502}, 1},
+		{"in flight at the node's end", requestText("r"), "", "shutdown deadline", []int{102, 502}, 1},
 	} {
 		for _, mayCancel := range []bool{true, false} {
 			t.Run(fmt.Sprint(c.name, " ", mayCancel), func(t *testing.T) {
@@ -71,7 +71,7 @@
 					wait(t, got, "the attempt")
 				}
 				half.Conn.(*net.TCPConn).CloseWrite()
-				if c.want[0] == 200 { // told of nothing before
+				if c.want[0] == 200 { // no interim response before
 					until(t, "the close to be seen", func() bool {
 						n.frontend.conns.mu.Lock()
 						defer n.frontend.conns.mu.Unlock()
@@ -93,7 +93,7 @@
 					if status != 102 {
 						continue
 					}
-					if c.where == "last call" {
+					if c.where == "shutdown deadline" {
 						n.loop.post(shutdownDeadline{})
 					} else {
 						close(answer)
@@ -103,10 +103,10 @@
 				switch c.where {
 				case "dial":
 					close(dials.release)
-				case "last call":
+				case "shutdown deadline":
 					close(answer)
 				}
-				if c.where == "last call" { // nothing is sent on any more
+				if c.where == "shutdown deadline" { // nothing is forwarded any more
 					return
 				}
 				if s.received() != c.seen {
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -18,9 +18,10 @@
 	"balancer"
 )
 
-// limit is how long a test waits for what must come; only a failing one waits so long.
+// limit is how long a test waits for something; only a failing test waits so long.
 const limit = 30 * time.Second
 
+// wait receives from a channel, and fails the test if nothing comes.
 func wait[T any](t *testing.T, c <-chan T, what string) (v T) {
 	t.Helper()
 	select {
@@ -31,6 +32,7 @@
 	return v
 }
 
+// until polls a condition, and fails the test if it never holds.
 func until(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(limit); !ok(); time.Sleep(time.Millisecond) {
@@ -42,7 +44,7 @@
 
 func testLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// testConfig is a deployment with a class of each kind and long limits.
+// testConfig is a deployment with a class of each effect and long limits.
 func testConfig(known string) Config {
 	class := func(name string, e balancer.Effect) balancer.Class {
 		return balancer.Class{
@@ -65,7 +67,8 @@
 	}
 }
 
-// withLongAims has no attempt of a configuration end by itself while a test waits for something else to end it.
+// withLongObjectives keeps the attempts of a configuration from timing out while a test waits for something else
+// to end them.
 func withLongObjectives(cfg Config) Config {
 	return with(cfg, func(classes []balancer.Class) []balancer.Class {
 		for i := range classes {
@@ -104,7 +107,7 @@
 	return n, stop
 }
 
-// isReady asks a node whether callers may come.
+// isReady makes a readiness check of a node.
 func isReady(t *testing.T, n *Node) bool {
 	t.Helper()
 	c := dial(t, n)
@@ -114,7 +117,7 @@
 	return r.StatusCode == http.StatusOK
 }
 
-// reload puts a configuration in force and waits until it is.
+// reload reloads a node's configuration, and waits until it is in force.
 func reload(t *testing.T, n *Node, cfg Config) {
 	t.Helper()
 	n.Reload(cfg)
@@ -124,7 +127,7 @@
 	until(t, "the new settings", func() bool { return n.loop.rules.Load().revision == revision })
 }
 
-// closedPort is an address where nobody listens.
+// closedPort is an address that refuses connections.
 func closedPort(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -140,7 +143,7 @@
 	return err == nil
 }
 
-// closed waits for the other side to close a connection with nothing more said.
+// expectClosed waits for the other side to close a connection, and fails the test if more is read before.
 func expectClosed(t *testing.T, r io.Reader, what string) {
 	t.Helper()
 	if n, err := r.Read(make([]byte, 1)); n != 0 || err == nil {
@@ -150,18 +153,19 @@
 	}
 }
 
+// entry is a server's entry in an endpoint list.
 func entry(uid, endpoint, state string) string {
 	return fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":"a","model":"m","pod_group":0,"state":%q,`+
 		`"capacity_hint":1,"boot_ms":0}`, uid, endpoint, state)
 }
 
+// completeList is the text of a complete endpoint list, with %d for its version.
 func completeList(entries ...string) string {
 	return `{"rev":%d,"all":true,"targets":[` + strings.Join(entries, ",") + `]}`
 }
 
-// watchStalls adds up, until the test ends, by how much this machine holds the test's process up: by how much
-// timers that are due are late, where that is more than usual. What the machine takes from the node is no fault
-// of the node's.
+// watchStalls adds up, until the test ends, how late timers of the test's process are, where that is more than
+// usual. Time that the machine takes from the process is no fault of the node.
 func watchStalls(t *testing.T, usual time.Duration) (sum func() time.Duration) {
 	const step = 5 * time.Millisecond
 	var total atomic.Int64
@@ -180,7 +184,7 @@
 	return func() time.Duration { return time.Duration(total.Load()) }
 }
 
-// parsedList is the list of endpoints that a text holds.
+// parsedList is the endpoint list that a text contains.
 func parsedList(t testing.TB, text string) endpointList {
 	t.Helper()
 	l, err := parseList([]byte(text))
@@ -190,13 +194,13 @@
 	return l
 }
 
-// listOf is a list of endpoints, complete or of changes.
+// listOf is an endpoint list, complete or of changes.
 func listOf(t testing.TB, complete bool, entries ...string) endpointList {
 	t.Helper()
 	return parsedList(t, fmt.Sprintf(`{"rev":9,"all":%v,"targets":[%s]}`, complete, strings.Join(entries, ",")))
 }
 
-// connPair is the two ends of a connection over loopback.
+// connPair returns the two ends of a connection over loopback.
 func connPair(t *testing.T) (dialed, accepted net.Conn) {
 	t.Helper()
 	return connPairBy(t, func(ln net.Listener) net.Listener { return ln })
@@ -221,7 +225,8 @@
 	return dialed, accepted
 }
 
-// downstreamPair is a downstream connection as the node's listener hands it to net/http, and its client's end.
+// downstreamPair returns a downstream connection as the node's listener hands it to net/http, and its client's
+// end.
 func downstreamPair(t *testing.T, conns *downstreamConns, readTimeout time.Duration) (ours *downstreamConn, theirs net.Conn) {
 	t.Helper()
 	theirs, accepted := connPairBy(t, func(ln net.Listener) net.Listener {
@@ -232,8 +237,8 @@
 	return accepted.(*downstreamConn), theirs
 }
 
-// fakeServer is a server whose connections a test scripts by hand: after each request that is read
-// whole, then is called; it returns false to close the connection.
+// fakeServer is a server whose connections a test scripts: after each complete request it calls a function, which
+// returns false to close the connection.
 type fakeServer struct {
 	net.Listener
 	mu       sync.Mutex
@@ -313,13 +318,13 @@
 	return err == nil
 }
 
-// echo serves everything with a body that names the request.
+// echo answers every request with a body that names it.
 func echo(c net.Conn, r *http.Request, body string) bool {
 	return reply200(c, "for "+r.Header.Get("X-Request-Id"))
 }
 
-// newHoldingServer holds the requests whose id begins with a prefix until they are released, and serves them and
-// all others as echo does. It notes the arrival of each that it holds.
+// newHoldingServer holds the requests whose id begins with a prefix until they are released, and answers all
+// requests as echo does. It reports each request that it holds.
 func newHoldingServer(t *testing.T, prefix string) (s *fakeServer, held <-chan struct{}, release func()) {
 	t.Helper()
 	came, hold := make(chan struct{}, 1000), make(chan struct{})
@@ -334,7 +339,7 @@
 	}), came, release
 }
 
-// agent is discovery's agent: it answers watches with what it was given last, or is silent.
+// registryAgent is discovery's agent: it answers watches with the list that was set last, or is unresponsive.
 type registryAgent struct {
 	net.Listener
 	mu           sync.Mutex
@@ -375,7 +380,7 @@
 	io.WriteString(w, text)
 }
 
-// tell sets what the agent has; text may hold %d for its rev.
+// set sets the agent's list; the text may contain %d for its version.
 func (a *registryAgent) set(silent bool, text string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -401,7 +406,7 @@
 	return a
 }
 
-// caller is one caller's connection to a node.
+// testClient is a client's connection to a node.
 type testClient struct {
 	net.Conn
 	reader *bufio.Reader
@@ -419,7 +424,7 @@
 		method, target, id, deadline, length, body)
 }
 
-// read reads one answer to its end. Unlike answer it may be called from any goroutine.
+// read reads one response to its end. Unlike answer it may be called from any goroutine.
 func (c *testClient) read() (*http.Response, string, error) {
 	r, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
@@ -429,7 +434,7 @@
 	return r, string(body), err
 }
 
-// answer reads one answer, which must be complete.
+// answer reads one response, which must be complete.
 func (c *testClient) answer(t *testing.T) (*http.Response, string) {
 	t.Helper()
 	r, body, err := c.read()
@@ -439,6 +444,7 @@
 	return r, body
 }
 
+// want reads one response and checks it; an empty body matches any.
 func (c *testClient) want(t *testing.T, status int, body string) {
 	t.Helper()
 	r, got := c.answer(t)
@@ -463,7 +469,7 @@
 	return "GET /view/k HTTP/1.1\r\nHost: backend.local\r\nX-Request-Id: " + id + "\r\nX-Deadline: 60\r\n\r\n"
 }
 
-// sentAhead is so many bytes of requests, the last of them cut.
+// pipelinedText is a number of bytes of requests, the last of them truncated.
 func pipelinedText(size int) string {
 	text := ""
 	for i := 0; len(text) < size; i++ {
@@ -472,7 +478,7 @@
 	return text[:size]
 }
 
-// readAhead is how many bytes are kept of callers whose requests are not answered.
+// readAheadBytes is how many bytes are buffered of clients whose requests have no response yet.
 func readAheadBytes(n *Node) (sum int) {
 	n.frontend.conns.mu.Lock()
 	defer n.frontend.conns.mu.Unlock()
@@ -484,7 +490,7 @@
 	return sum
 }
 
-// untilIdle waits for a connection to be idle: a request is over a little after its answer.
+// untilIdle waits for a connection to be idle, which it becomes a little after the response.
 func untilIdle(t *testing.T, n *Node) {
 	t.Helper()
 	until(t, "a connection to be idle", func() bool {
@@ -499,6 +505,7 @@
 	})
 }
 
+// untilActive waits for a number of requests to be with the module.
 func untilActive(t *testing.T, n *Node, many int) {
 	t.Helper()
 	until(t, "the requests to be with the module", func() bool {
@@ -508,8 +515,8 @@
 	})
 }
 
-// heldDial holds each connection back once it is up, until it is let through: as one that comes up late.
-// It does not heed its context, so that whatever happened meanwhile is found at the first byte only.
+// heldDials holds each connection back once it is established, until it is released. It ignores its context, so
+// that whatever happened meanwhile is noticed at the first byte only.
 type heldDials struct{ dialed, release chan struct{} }
 
 func holdDials(b *upstreamPool) heldDials {
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -9,7 +9,7 @@
 	"balancer"
 )
 
-// A hollow node takes lists from discovery, tells of each that changes something, and answers calls from
+// A hollow node receives lists from discovery, reports each that changes something, and answers calls from
 // attempts that end in memory; a call without an answer in time is not served.
 func TestHollowNode(t *testing.T) {
 	for _, asked := range []bool{false, true} {
@@ -43,7 +43,7 @@
 		}
 		for range 5 {
 			if a := wait(t, answers, "an answer"); a != Served {
-				t.Errorf("asked %v: answer %v, want served", asked, a)
+				t.Errorf("polled %v: answer %v, want served", asked, a)
 			}
 		}
 		delay.Store(int64(time.Hour))
--- a/internal/node/listener_test.go
+++ b/internal/node/listener_test.go
@@ -27,7 +27,7 @@
 	return l.TCPListener.Accept()
 }
 
-// failing returns an error so many times, and then none.
+// failing returns an error a number of times, and then none.
 func failing(err error, times int32) func() error {
 	var left atomic.Int32
 	left.Store(times)
@@ -39,14 +39,14 @@
 	}
 }
 
-// acceptErrors are what accept may fail with though its listener is sound, and one that nobody knows.
+// acceptErrors are errors that accept may return though its listener is sound, and an unknown one.
 var acceptErrors = []error{
 	syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.ENETUNREACH, syscall.EHOSTUNREACH,
 	syscall.ENETDOWN, syscall.EPERM, syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.EINTR,
 	syscall.ETIMEDOUT, errors.New("an unknown error"),
 }
 
-// A failed accept is tried again: the node serves on.
+// A failed accept is retried: the node keeps serving.
 func TestFailedAcceptDoesNotEndTheNode(t *testing.T) {
 	for _, cause := range acceptErrors {
 		t.Run(cause.Error(), func(t *testing.T) {
@@ -66,8 +66,8 @@
 	}
 }
 
-// Failed accepts while the node drains neither cut off a request that is in flight nor lose one that waits
-// in the listener's queue.
+// Failed accepts while the node drains neither abort a request in flight nor lose one that waits in the listener's
+// queue.
 func TestFailedAcceptWhileDrainingLosesNoRequest(t *testing.T) {
 	for _, cause := range acceptErrors {
 		t.Run(cause.Error(), func(t *testing.T) {
@@ -110,7 +110,8 @@
 	}
 }
 
-// Where accept fails on end, the node ends in order all the same, whether or not it waits for the next try.
+// Where every accept fails, the node still shuts down in order, whether or not it is backing off before the next
+// accept.
 func TestNodeDrainsWhileEveryAcceptFails(t *testing.T) {
 	for _, inService := range []bool{true, false} {
 		t.Run(fmt.Sprint("in service=", inService), func(t *testing.T) {
@@ -146,7 +147,7 @@
 			}
 			end := make(chan error, 1)
 			go func() { end <- stop() }()
-			held.want(t, http.StatusBadGateway, "") // at the last call
+			held.want(t, http.StatusBadGateway, "") // at the shutdown deadline
 			if err := wait(t, end, "the node's end"); err != nil {
 				t.Error(err)
 			}
--- a/internal/node/listparser_test.go
+++ b/internal/node/listparser_test.go
@@ -16,7 +16,7 @@
 	"balancer"
 )
 
-// unmarshalList reads a list with json.Unmarshal, as the parser is to read it.
+// unmarshalList reads a list with json.Unmarshal, as the reference for the parser.
 func unmarshalList(text []byte) (endpointList, error) {
 	var f struct {
 		Rev     *int64      `json:"rev"`
@@ -42,8 +42,8 @@
 	return l, nil
 }
 
-// A list is read as json.Unmarshal reads it, and dropped where that fails: in any form, cut at any byte, with any
-// byte another one.
+// The parser reads a list as json.Unmarshal does, and rejects it where that fails: in any form, truncated at any
+// byte, with any byte replaced.
 func TestListParserAgreesWithUnmarshal(t *testing.T) {
 	s1, s2 := bootEntry("s1", 1.8e12), entry("s2", "[::1]:80", "terminating")
 	gone := `{"uid":"s3","state":"terminated"}`
@@ -109,7 +109,7 @@
 	return text
 }
 
-// Lists of the largest fleet are taken, indented or not; beyond the bound they are dropped.
+// Lists of the largest fleet are accepted, indented or not; beyond the limit they are rejected.
 func TestListsOfTheLargestFleetFit(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
@@ -131,13 +131,13 @@
 			t.Errorf("%s: %d servers, %v, want %d", c.name, len(got), err, c.want)
 		}
 		if held := d.currentAddress().version >= 0; held != (c.want > 0) {
-			t.Errorf("%s: rev %d is held", c.name, d.currentAddress().version)
+			t.Errorf("%s: rev %d is cached", c.name, d.currentAddress().version)
 		}
 	}
 }
 
-// An answer whose connection breaks tells nothing, so the watch goes on from the version that is held; after one
-// that came to its end and is malformed, the complete list is asked for.
+// A response whose connection breaks says nothing, so the watch resumes from the cached version; after one that is
+// complete and malformed, the complete list is requested.
 func TestOnlyAMalformedListIsReplacedByTheCompleteOne(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string
@@ -156,12 +156,12 @@
 		cfg.Discovery, cfg.Settings.PollDiscovery = agent.addr(), true
 		d := newDiscovery(cfg, 7, func(e event) { t.Errorf("%s: posted %v", c.name, e) }, testLog())
 		if _, err := d.watchOnce(t.Context(), d.currentAddress(), false); err == nil || d.currentAddress().version != c.want {
-			t.Errorf("%s: %v; rev %d is held, want %d", c.name, err, d.currentAddress().version, c.want)
+			t.Errorf("%s: %v; rev %d is cached, want %d", c.name, err, d.currentAddress().version, c.want)
 		}
 	}
 }
 
-// The text of a list is not held beside its entries: what is allocated depends on what is kept of it.
+// The text of a list is not held in memory beside its entries: the allocation depends on what is kept of it.
 func TestListsAreReadWithoutACopyOfTheText(t *testing.T) {
 	const servers = 3200
 	text := manyServers(servers, strings.Repeat("x", 1000), false)
@@ -191,7 +191,7 @@
 	}
 }
 
-// BenchmarkListChange is the node's own part of a change of one entry.
+// BenchmarkListChange measures the node's own part of a change of one entry.
 func BenchmarkListChange(b *testing.B) {
 	for _, servers := range []int{100, 1600, 3200} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
@@ -220,6 +220,7 @@
 	}
 }
 
+// A malformed list is discarded completely, and the complete list is requested.
 func TestMalformedListIsDiscarded(t *testing.T) {
 	for _, bad := range []string{
 		"", "{", "[]", `{"rev":2,"targets":[]}`, `{"all":true,"targets":[]}`,
@@ -243,7 +244,7 @@
 	}
 	ag.set(false, `{"rev":%d,"all":true,"targets":[`+entry("s1", s.addr(), "terminated")+`,{"uid":""}]}`)
 	if q := wait(t, ag.calls, "the call after the bad list"); q != "" {
-		t.Errorf("asked %q, want the whole list", q)
+		t.Errorf("called with %q, want the complete list", q)
 	}
 	c := dial(t, n)
 	c.get("r")
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -10,8 +10,8 @@
 	"balancer"
 )
 
-// A whole list that names what is held already is no news to the module: it would cut its pool anew and
-// open connections for nothing.
+// A complete list that names what is cached already is not passed to the module: it would build its subset anew
+// and open connections for nothing.
 func TestUnchangedCompleteListChangesNothing(t *testing.T) {
 	s := newServer(t, echo)
 	n, err := New(testConfig(completeList(entry("s1", s.addr(), "in_service"))), testLog())
@@ -32,12 +32,12 @@
 		{nil, 3},
 	} {
 		if n.loop.handleEvent(listReceived{listOf(t, true, c.entries...)}); told != c.want {
-			t.Errorf("list %d: told %d times, want %d", i, told, c.want)
+			t.Errorf("list %d: passed on %d times, want %d", i, told, c.want)
 		}
 	}
 }
 
-// A node is ready while a server that it may send to is listed, however the lists came.
+// A node is ready while a server is listed that it may forward to, whatever lists led to that.
 func TestReadinessFollowsTheLists(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	l := bootLoop(t, newMachineClocks(), true)
@@ -61,7 +61,7 @@
 	}
 }
 
-// The list that a node last had is long, and of no use once a list was heard.
+// The cached list of the configuration is long, and of no use once a list was received.
 func TestCachedListIsReleased(t *testing.T) {
 	cfg := testConfig(completeList(entry("s1", "127.0.0.1:1", "in_service")))
 	n, err := New(cfg, testLog())
@@ -76,7 +76,7 @@
 	}
 }
 
-// Callers, requests and servers that are ever new leave nothing behind.
+// Clients, requests and servers that are ever new leave no state behind.
 func TestStateStaysBounded(t *testing.T) {
 	s := newServer(t, echo)
 	n, _ := startNode(t, testConfig(completeList(entry("s0", s.addr(), "in_service"))), nil)
--- a/internal/node/outlier_test.go
+++ b/internal/node/outlier_test.go
@@ -13,13 +13,14 @@
 	"time"
 )
 
-// fleet is a list of servers that fail some requests at once with a 500, by class, and count all they get.
+// faultyFleet is a list of servers that fail some requests at once with a 500, by class, and count all that they
+// receive.
 type faultyFleet struct {
 	mu          sync.Mutex
 	received    map[string]int  // by uid and class
 	fails       map[string]bool // by uid and class
 	servedOneIn int             // of those that fail one in so many is served all the same; 0: none
-	capacity    int             // requests that each serves at once; beyond that it turns away. 0: any number
+	capacity    int             // requests that each serves at once; beyond that it rejects. 0: any number
 	busy        map[string]int
 	work        time.Duration // how long what is served takes
 	slow        string        // the server that takes too long for anything
@@ -73,7 +74,7 @@
 	return entry(uid, s.addr(), "in_service")
 }
 
-// count forgets what came so far and returns a function that tells the share of a class that some got since.
+// count resets the counts, and returns a function for the share of a class that some servers received since.
 func (f *faultyFleet) count() func(class string, uids ...string) float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -95,8 +96,8 @@
 	}
 }
 
-// sendEach has clients send requests on connections of their own, each request after the answer to the one
-// before. It returns the answers' status codes by client and request.
+// sendEach has clients send requests on connections of their own, each request after the response to the one
+// before. It returns the status codes by client and request.
 func sendEach(t *testing.T, n *Node, clients, each int, send func(c *testClient, client, i int)) [][]int {
 	status := make([][]int, clients)
 	var running sync.WaitGroup
@@ -140,9 +141,9 @@
 	return float64(served) / float64(clients*each)
 }
 
-// Servers that fail one class at once, wholly or in part, serve the others well, so no run of bad endings
-// lasts, and having few calls they win the draw. Their share of failures keeps that class away from them,
-// also when they are replaced by others that do the same, and the rest of the work stays with them.
+// Servers that fail one class at once, completely or in part, serve the others well, so no run of failures is
+// long, and having few calls in flight they are preferred by the pick. Their failure rate keeps that class away
+// from them, also when they are replaced by others that do the same, and the other classes stay with them.
 func TestServersThatFailAClassGetLittleOfIt(t *testing.T) {
 	for _, part := range []int{0, 4} {
 		t.Run(fmt.Sprint("one served in ", part), func(t *testing.T) {
@@ -171,8 +172,8 @@
 	}
 }
 
-// A server that lets most time out holds its part of the node's calls for nothing, and in a small fleet none
-// may be ruled out. Its share of failures keeps calls away from it.
+// A server at which most attempts time out holds its part of the node's calls for nothing, and in a small fleet
+// none may be ejected. Its failure rate keeps requests away from it.
 func TestServerWithManyTimeoutsGetsFewRequests(t *testing.T) {
 	f := newFaultyFleet(0, 0)
 	f.work, f.slow = 400*time.Millisecond, "s4"
@@ -193,8 +194,9 @@
 	}
 }
 
-// Where servers alike let calls hang now and then, nobody can be avoided: those that may run again are cut
-// short while there is time for another, below the first tier. A call that may not run again is never cut.
+// Where all servers alike leave some attempts unanswered, no server can be avoided: attempts that may be retried
+// time out early while there is time for another, below the first tier. An attempt that may not be retried is
+// never cut short.
 func TestUnresponsiveAttemptsAreRetriedInTime(t *testing.T) {
 	f := newFaultyFleet(0, 0)
 	f.hangsOneIn = 5
@@ -222,7 +224,7 @@
 	}
 }
 
-// Servers that failed all and have recovered get their part back in the time that some dozens of answers take.
+// Servers that failed everything and have recovered get their share back within a few dozen responses.
 func TestRecoveredServersAreUsedAgain(t *testing.T) {
 	f := newFaultyFleet(0, 0, "s2 view", "s2 note", "s4 view", "s4 note")
 	var list []string
@@ -244,8 +246,8 @@
 	}
 }
 
-// In overload every server turns requests away, and where the tier behind them is in trouble all fail alike:
-// nobody is left out for that.
+// In overload every server rejects requests, and where the tier behind them has a fault all fail alike: no server
+// is ejected for that.
 func TestFleetThatFailsAlikeStaysInUse(t *testing.T) {
 	for name, f := range map[string]*faultyFleet{"all fail": newFaultyFleet(2, 0, "s1 view", "s2 view", "s3 view", "s4 view",
 		"s1 note", "s2 note", "s3 note", "s4 note"), "all are full": newFaultyFleet(0, 1), "all fail and are full": newFaultyFleet(2, 1,
--- a/internal/node/readahead_test.go
+++ b/internal/node/readahead_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// What a caller sends before its answer has come is its next request, in order and whole.
+// What a client sends before its response has come is its next request, in order and complete.
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	s, got, release := newHoldingServer(t, "")
 	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), nil)
@@ -27,13 +27,13 @@
 	}
 }
 
-// A caller that sends more ahead than is kept can't be watched. Its request is answered at once, as refused
-// unless an attempt may have run, and so is in turn what it sent ahead, until it can be watched again.
+// A client that pipelines more than may be buffered cannot be watched. Its request is answered at once, as
+// rejected unless an attempt may have run, and so is in turn what it pipelined, until it can be watched again.
 func TestClientBeyondTheReadAheadLimitIsAnsweredAtOnce(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		begun bool
-		all   int64 // what all callers may send ahead
+		all   int64 // what all clients may pipeline
 		want  int
 	}{
 		{"held, beyond its own bound", false, 16 * readAheadPerConn, 503},
@@ -92,7 +92,7 @@
 				served++
 			}
 			if seen := s.received(); seen < served || seen > served+cutOff {
-				t.Errorf("%d requests began, %d were served and %d cut off", seen, served, cutOff)
+				t.Errorf("%d requests began, %d were served and %d aborted", seen, served, cutOff)
 			}
 			many.get("last")
 			many.want(t, 200, "for last")
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -11,7 +11,7 @@
 	"balancer"
 )
 
-// scripted is a server that holds each request until it is told whether to answer or to reset.
+// scriptedServer holds each request until it is told whether to answer or to reset.
 type scriptedServer struct {
 	*fakeServer
 	arrived chan string
@@ -31,8 +31,8 @@
 	return s
 }
 
-// New settings are in force for what comes after them, and what was taken before keeps its promise: an attempt
-// that is reset is made again only where the class that its client knew permits it.
+// New settings are in force for the requests that come after them, and earlier requests keep theirs: an attempt
+// that is reset is retried only where the class that its client knew permits it.
 func TestReloadLeavesRequestsInFlightTheirSettings(t *testing.T) {
 	view := func(change func(c *balancer.Class)) func([]balancer.Class) []balancer.Class {
 		return func(l []balancer.Class) []balancer.Class { change(&l[0]); return l }
@@ -104,7 +104,8 @@
 	}
 }
 
-// A class that comes is served at once, and one that goes is answered as unknown, on a connection that stays.
+// A class that is added is served at once, and one that is removed is answered as unknown, on a connection that
+// stays open.
 func TestReloadAddsAndRemovesClasses(t *testing.T) {
 	s := newServer(t, echo)
 	cfg := testConfig(completeList(entry("s1", s.addr(), "in_service")))
@@ -124,9 +125,9 @@
 	}
 }
 
-// A request is checked by its connection's goroutine, and new settings may come before it gets to the module:
-// then it is checked again, or a class that the module no longer knows would go on to a server as an unsafe
-// one, and one that is keyed by now would be repeated without its key.
+// A request is validated by its connection's goroutine, and new settings may be in force before it reaches the
+// module: then it is validated again. Otherwise a class that the module no longer knows would be forwarded as a
+// non-idempotent one, and one that is idempotent by key by now would be retried without its key.
 func TestRequestsValidatedBeforeAReloadAreValidatedAgain(t *testing.T) {
 	for name, row := range map[string]struct {
 		change func([]balancer.Class) []balancer.Class
@@ -164,7 +165,8 @@
 	}
 }
 
-// What can't change in a running node stays as it is, whatever the file says, and the rest of it takes force.
+// What cannot change in a running node stays as it is, whatever the file says, and the rest of the file is in
+// force.
 func TestReloadKeepsImmutableSettings(t *testing.T) {
 	cfg := testConfig(completeList())
 	n, _ := startNode(t, cfg, nil)
--- a/internal/node/requestscanner_test.go
+++ b/internal/node/requestscanner_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// scanned is all that a scanner says of some bytes, fed in pieces of a size (0: at once).
+// scanned is the result of a scanner fed some bytes in pieces of a size (0: all at once).
 func scanned(text string, size int) *requestScanner {
 	s := &requestScanner{}
 	if size == 0 {
@@ -24,8 +24,8 @@
 	return s
 }
 
-// readByHTTP reads requests as the server of net/http does, until one can't be read; an error in a body
-// leaves its head in the list.
+// readByHTTP reads requests as the server of net/http does, until one is invalid; an error in a body leaves its
+// head in the list.
 func readByHTTP(text string) (requests []*http.Request) {
 	br := bufio.NewReader(strings.NewReader(text))
 	for {
@@ -44,7 +44,7 @@
 	}
 }
 
-// checkScanner compares what the scanner says of the same bytes in pieces of several sizes, and with what
+// checkScanner compares the scanner's results for the same bytes in pieces of several sizes, and with what
 // net/http reads where both go on.
 func checkScanner(t *testing.T, text string) {
 	t.Helper()
@@ -117,8 +117,8 @@
 	f.Fuzz(checkScanner)
 }
 
-// Each request's clock starts with its own first byte: not with line ends before it, and not with the end of
-// the one before.
+// Each request's time starts with its own first byte: not with line ends before it, and not with the end of the
+// request before it.
 func TestScannerNotesTheFirstByteOfEachRequest(t *testing.T) {
 	s := &requestScanner{}
 	for i, part := range []string{
--- a/internal/node/response_test.go
+++ b/internal/node/response_test.go
@@ -15,6 +15,7 @@
 	"balancer"
 )
 
+// Each response, or lack of one, has its attempt result, and leaves the connection in the pool or closes it.
 func TestAttemptResults(t *testing.T) {
 	for _, c := range []struct {
 		name, answer string // "-": the server breaks the connection
@@ -83,8 +84,8 @@
 	}
 }
 
-// The end of the connection completes an answer without a length only if the server closed it: a reset, the
-// node's own close and a body that is too long do not. Its connection is never used again.
+// The end of the connection completes a response without a length only if the server closed it: a reset, the
+// node's own close and a body that is too long do not. Its connection is never reused.
 func TestResponsesWithoutALength(t *testing.T) {
 	const plain, old = "HTTP/1.1 200 OK\r\n\r\nok", "HTTP/1.0 200 OK\r\n\r\nok"
 	longest := strings.Repeat("x", maxBody)
@@ -153,7 +154,7 @@
 	}
 }
 
-// The caller gets the body unchanged, and is told of a failure where the end was a reset.
+// The client gets the body unchanged, and an error where the end was a reset.
 func TestResponseWithoutALengthIsForwarded(t *testing.T) {
 	s := newServer(t, func(conn net.Conn, r *http.Request, body string) bool {
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Type: a/b\r\n\r\nfor %s\r\n\x00", r.Header.Get("X-Request-Id"))
@@ -179,8 +180,8 @@
 	}
 }
 
-// lateWriteConn has the last byte of a request written after the connection was reset under it, reads no
-// more before that, and lets the writer know only once the reader has come to an end.
+// lateWriteConn writes the last byte of a request after the connection was reset under it, reads no more before
+// that, and returns from the write only once the reader has ended.
 type lateWriteConn struct {
 	*net.TCPConn
 	read  chan struct{} // closed once something was read
@@ -213,7 +214,8 @@
 	return sent, err
 }
 
-// tcpClosed says that the system has ended a connection, as by a reset; unlike a read it leaves the error there.
+// tcpClosed reports whether the system has ended a connection, as by a reset; unlike a read it leaves the error
+// there.
 func tcpClosed(nc net.Conn) (is bool) {
 	rawConn(nc).Control(func(fd uintptr) {
 		var info [256]byte // struct tcp_info: the state is its first byte
@@ -225,8 +227,8 @@
 	return is
 }
 
-// The system tells of a reset once. If a write was told, the next read finds what looks like the end of an
-// answer without a length: the part that came is no success.
+// The system reports a reset once. If a write got the error, the next read finds what looks like the end of a
+// response without a length: the part that was read is no success.
 func TestResetReportedToTheWriteIsNoEndOfResponse(t *testing.T) {
 	nc, server := connPair(t)
 	c := &lateWriteConn{TCPConn: nc.(*net.TCPConn), read: make(chan struct{}), wrote: make(chan struct{})}
--- a/internal/node/responsedeadline_test.go
+++ b/internal/node/responsedeadline_test.go
@@ -12,18 +12,18 @@
 	"time"
 )
 
-// answerSlack is how long after its time a request must have its final answer.
+// responseSlack is how long after its deadline a request must have its final response.
 const responseSlack = 500 * time.Millisecond
 
-// troubleDeadline is the time of each request.
+// faultDeadline is the deadline of each request.
 const faultDeadline = 400 * time.Millisecond
 
-// trouble is what a node of TestFaultsLeaveNoRequestWithoutAResponse meets.
+// faultCase is the faults that a node of TestFaultsLeaveNoRequestWithoutAResponse meets.
 type faultCase struct {
 	name      string
 	servers   func(*testing.T) []string // endpoints
 	discovery string                    // "refused" or "silent", with no list from before; "": the list from before will do
-	crowd     int                       // connections of other clients that say nothing or half a request
+	crowd     int                       // connections of other clients that are silent or send half a request
 	dial      error                     // what each dial of the node's fails with
 }
 
@@ -41,7 +41,7 @@
 	}).addr()}
 }
 
-// endlessServer begins an answer without a length, and never ends it.
+// endlessServer begins a response without a length, and never ends it.
 func endlessServer(t *testing.T) []string {
 	return []string{newServer(t, func(c net.Conn, _ *http.Request, _ string) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nhal")
@@ -57,8 +57,8 @@
 	return append(all, closedPort(t), unreachableAddress(t))
 }
 
-// Trouble at servers, at discovery or with other clients frees no request of its final answer: whatever its
-// status, it is there half a second after the request's time at the latest.
+// Faults of servers, of discovery or of other clients leave no request without its final response: whatever its
+// status, it is there half a second after the request's deadline at the latest.
 func TestFaultsLeaveNoRequestWithoutAResponse(t *testing.T) {
 	none := func(*testing.T) []string { return nil }
 	for _, c := range []faultCase{
@@ -106,7 +106,7 @@
 			t.Error(err)
 		}
 	}
-	if c.crowd > 0 { // new connections may be shut unread then
+	if c.crowd > 0 { // new connections may be closed unread then
 		until(t, "an answer on a new connection", func() bool {
 			err := checkResponse(dial(t, n), "late", stalled)
 			if errors.Is(err, errLateResponse) {
@@ -117,7 +117,7 @@
 	}
 }
 
-// untilTaken waits until the node has read a caller's request, or has answered it.
+// untilRead waits until the node has read a client's request, or has answered it.
 func untilRead(t *testing.T, n *Node, c *testClient, answered <-chan struct{}) {
 	t.Helper()
 	until(t, "the request to be read", func() bool {
@@ -139,7 +139,7 @@
 
 var errLateResponse = errors.New("the final answer comes late")
 
-// ask sends one request, and says what is wrong with how it is answered.
+// checkResponse sends one request, and returns what is wrong with its response.
 func checkResponse(c *testClient, id string, stalled func() time.Duration) error {
 	begin, before := time.Now(), stalled()
 	if id[len(id)-1]%2 == 0 {
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// startNode starts a node in that trouble.
+// startNode starts a node with these faults.
 func (c faultCase) startNode(t *testing.T) *Node {
 	var entries []string
 	for i, endpoint := range c.servers(t) {
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// recordingConns keeps what the node reads of each downstream connection, by its remote address.
+// recordingConns records what the node reads of each downstream connection, by its remote address.
 type recordingConns struct {
 	*net.TCPListener
 	mu   *sync.Mutex
@@ -73,9 +73,9 @@
 	}
 }
 
-// Whatever the deadlines of the classes, a node that is told to end answers each request that it has read
-// before the kill that the protocol announces, and has ended by then: though clients send on their connections
-// for as long as these stay open, and though servers hang all the time, fail at once, or never accept.
+// Whatever the deadlines of the classes, a draining node answers each request that it has read before the kill
+// that the protocol announces, and has ended by then: though clients send on their connections for as long as
+// these stay open, and though servers never answer, fail at once, or never accept.
 func TestEveryRequestIsAnsweredBeforeTheKill(t *testing.T) {
 	for _, deadlines := range [][]time.Duration{
 		{200 * time.Millisecond},
@@ -93,7 +93,7 @@
 	}
 }
 
-// killAt is when the protocol has a node killed, from the moment that it was told to end.
+// killAt is when the protocol has a node killed, counted from the moment in which it begins to drain.
 func killAt(longest time.Duration) time.Duration {
 	return min(longest, 3*time.Second) + 700*time.Millisecond
 }
@@ -205,8 +205,8 @@
 	}
 }
 
-// Requests that were read behind another one are answered, though the connection is to be closed with the
-// answer to the first: because the node ends, or for want of descriptors. The last answer closes it.
+// Requests that were read behind another one are answered, though the connection is to be closed with the response
+// to the first: because the node drains, or for lack of descriptors. The last response closes it.
 func TestPipelinedRequestsAreAnsweredBeforeTheClose(t *testing.T) {
 	for _, why := range []string{"the node ends", "too many connections"} {
 		for _, pieces := range []int{1, 2} {
--- a/internal/node/upstreampool_test.go
+++ b/internal/node/upstreampool_test.go
@@ -13,26 +13,26 @@
 	"balancer"
 )
 
-// testBackend has its connections rest for no time.
+// testPool is an upstream pool that reuses connections without a delay.
 func testPool(most int) *upstreamPool {
 	b := newUpstreamPool(testConfig(""), newClock(), most)
 	b.reuseDelay = 0
 	return b
 }
 
-// testHost has the backend know a server that is named by its endpoint.
+// testInstance puts a server that is named by its address into the pool's list.
 func testInstance(b *upstreamPool, endpoint string) endpointInstance {
 	t := listEntry{Endpoint: balancer.Endpoint{ID: endpoint, State: balancer.Ready}, address: endpoint}
 	b.updateEndpoints([]listEntry{t}, false)
 	return t.instance()
 }
 
-// testHostOf is a server as testHost names it.
+// instanceOf is a server as testInstance names it.
 func instanceOf(s *fakeServer) endpointInstance {
 	return endpointInstance{uid: s.addr(), address: s.addr()}
 }
 
-// testAttempt is an attempt at an endpoint with all the time in the world.
+// testAttempt is an attempt at an address with plenty of time.
 func testAttempt(b *upstreamPool, endpoint string) *attempt {
 	ctx, cancel := context.WithCancel(context.Background())
 	now := b.clock.now()
@@ -42,7 +42,7 @@
 	}
 }
 
-// run makes an attempt that must end within the limit.
+// doAttempt makes an attempt that must end within the limit.
 func doAttempt(t *testing.T, b *upstreamPool, a *attempt) attemptOutcome {
 	t.Helper()
 	end := make(chan attemptOutcome, 1)
@@ -61,7 +61,7 @@
 	b.idle[to] = append(b.idle[to], c)
 }
 
-// A node short of descriptors closes idle connections first; its own lack is no server's fault.
+// A node short of descriptors closes idle connections first; its own lack of them is no fault of the server.
 func TestUpstreamConnectionsBeyondTheBudget(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
 	one, two := newServer(t, echo), newServer(t, func(c net.Conn, r *http.Request, body string) bool {
@@ -77,7 +77,7 @@
 	go func() { end <- b.do(testAttempt(b, two.addr())) }()
 	wait(t, got, "the attempt that took the idle one's place")
 	if r := doAttempt(t, b, testAttempt(b, one.addr())); r.result != balancer.NotSent {
-		t.Errorf("with no descriptor left: ending %d, want Void", r.result)
+		t.Errorf("with no descriptor left: ending %d, want NotSent", r.result)
 	}
 	close(hold)
 	if r := wait(t, end, "the attempt"); r.result != balancer.Success {
@@ -106,8 +106,8 @@
 	}
 }
 
-// A second copy of an answer is no answer to the next request, however late during the rest it comes: that
-// request goes on another connection, and the one on which the copy comes is closed.
+// A second copy of a response is no response to the next request, however late during the reuse delay it comes:
+// that request goes on another connection, and the one on which the copy comes is closed.
 func TestLateSecondResponseIsDiscarded(t *testing.T) {
 	conns := make(chan net.Conn, 10)
 	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
@@ -163,8 +163,8 @@
 	}
 }
 
-// A new server at the address of one that has gone does not get its predecessor's connections, nor does
-// one that started anew: whatever is still to come on them belongs to the old one.
+// A new server at the address of one that was removed does not inherit its connections, nor does a restarted one:
+// whatever is still to come on them belongs to the old instance.
 func TestConnectionsBelongToOneInstanceOfAServer(t *testing.T) {
 	s, got, release := newHoldingServer(t, "held")
 	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), nil)
@@ -215,7 +215,7 @@
 	}
 	for _, state := range []string{"terminating", "terminated"} {
 		ag.set(false, `{"rev":%d,"all":false,"targets":[`+entry("s1", a.addr(), state)+`]}`)
-		for told := ag.rev; !strings.Contains(wait(t, ag.calls, "the next watch"), fmt.Sprint("from=", told)); {
+		for version := ag.rev; !strings.Contains(wait(t, ag.calls, "the next watch"), fmt.Sprint("from=", version)); {
 		}
 		until(t, "the idle connections to be closed", func() bool {
 			n.upstream.mu.Lock()
@@ -237,7 +237,7 @@
 	}
 }
 
-// A connection that came up for an attempt in vain serves the next one.
+// A connection that was established too late for its attempt serves the next one.
 func TestLateConnectionIsPooled(t *testing.T) {
 	s := newServer(t, echo)
 	b := testPool(10)
@@ -254,8 +254,8 @@
 	}
 }
 
-// A look at a connection that a signal interrupts is made again until it tells something: the poller has
-// told of what is there before, and does so only once.
+// A peek that a signal interrupts is repeated until it has a result: the poller has reported readability before,
+// and does so only once.
 func TestInterruptedPeekIsRepeated(t *testing.T) {
 	for _, c := range []struct {
 		name string
--- a/outagesim_test.go
+++ b/outagesim_test.go
@@ -10,9 +10,9 @@
 	"balancer/internal/servermodel"
 )
 
-// outage is a fleet of first-tier nodes in simulated time. Its servers get into trouble, a part of them is
-// replaced by cold ones, and then most nodes are killed together and come back knowing nothing, while the
-// servers still work on what was sent before.
+// outage is a fleet of first-tier nodes in simulated time. Some of its servers become slow, a part of them is
+// replaced by cold ones, and then most nodes are killed together and come back without state, while the servers
+// still work on what was sent before.
 type outage struct {
 	nodes, servers int
 	model          servermodel.Settings
@@ -79,10 +79,10 @@
 	speedSpread   = 0.15 // of the servers' speeds, as a logarithm
 )
 
-// outageResult holds the worth offered and served in time, by the second of the arrival.
+// outageResult holds the priority weight offered and served in time, by the second of the arrival.
 type outageResult struct{ offered, served []float64 }
 
-// share is the share served of what came from one time to another.
+// share is the share served of what arrived from one time to another.
 func (r outageResult) share(from, to time.Duration) float64 {
 	offered, served := 0.0, 0.0
 	for i := int(from / time.Second); i < int(to/time.Second); i++ {
@@ -107,7 +107,7 @@
 	result   outageResult
 }
 
-// addServer puts a server in the list at a place, in place of the one there.
+// addServer puts a server in the list at a position, in place of the one there.
 func (r *outageRun) addServer(place int, id string, model *servermodel.Server) {
 	r.backends[id] = &outageServer{id: id, model: model, slow: 1}
 	entry := Endpoint{ID: id, Zone: "z", Cell: place % 8, StartedAt: r.now}
@@ -144,7 +144,7 @@
 	}
 }
 
-// arrivals plans the requests: a Poisson stream whose rate differs from burst to burst.
+// arrivals plans the requests: a Poisson process whose rate differs from burst to burst.
 func (r *outageRun) arrivals() {
 	rate := r.load * float64(r.servers*r.model.Cores) * r.model.Speed / r.work.Seconds()
 	sum, aims := 0.0, time.Duration(0)
@@ -165,7 +165,7 @@
 			return
 		}
 		class := r.set.Classes[r.rng.IntN(len(r.set.Classes))]
-		// Lognormal with a coefficient of variation of 1.3; classes of longer aims have more work.
+		// Lognormal with a coefficient of variation of 1.3; classes of longer latency objectives have more work.
 		mean := r.work.Seconds() * float64(class.LatencyObjective) / float64(aims)
 		work := time.Duration(mean * math.Exp(r.rng.NormFloat64()-0.5) * float64(time.Second))
 		place, node := r.rng.Float64()*sum, 0
@@ -186,7 +186,7 @@
 	r.deliver(n, Request{ID: id, Class: class.Name, Deadline: r.now + class.Deadline})
 }
 
-// tell hands an event to a node's module and carries out what it decides.
+// deliver hands an event to a node's module and carries out its actions.
 func (r *outageRun) deliver(n *outageNode, e Event) {
 	for _, a := range n.balancer.Handle(r.now, e) {
 		switch a := a.(type) {
@@ -232,7 +232,7 @@
 	r.in(a.Timeout, func() { r.end(call, TimedOut) })
 }
 
-// finish takes what a server has finished, and plans when to look at it again.
+// finish ends what a server has completed, and plans the next completion.
 func (r *outageRun) finish(s *outageServer) {
 	for _, id := range s.model.Complete(r.now) {
 		call := r.calls[id]
@@ -254,7 +254,7 @@
 	}
 }
 
-// end ends an attempt, for its node if that still lives.
+// end ends an attempt, for its node if that instance is still running.
 func (r *outageRun) end(call outageCall, ending AttemptResult) {
 	q := r.requests[call.request]
 	if q.ended[call.attempt] || !q.node.up || q.node.instance != q.instance {
--- a/outlier_test.go
+++ b/outlier_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A server that errs at once drains its count; without ejection it would win every draw.
+// A server that fails at once has few calls in flight; without ejection it would win every pick.
 func TestServerThatFailsFastIsEjected(t *testing.T) {
 	for _, e := range []AttemptResult{ServerError, ConnectFailed, ConnectionLost} {
 		b := newBalancer(t, nil)
@@ -18,12 +18,12 @@
 			return Success
 		})
 		if got["s03"] > 10 {
-			t.Errorf("ending %d: the bad server got %d of 300 first tries", e, got["s03"])
+			t.Errorf("ending %d: the faulty server got %d of 300 first attempts", e, got["s03"])
 		}
 	}
 }
 
-// When every server fails alike the trouble is below them: nobody may be starved of calls.
+// When every server fails alike the fault is below them: no server may be left without calls.
 func TestFailuresEverywhereEjectFewServers(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
@@ -33,7 +33,7 @@
 	}
 }
 
-// A machine gone quiet shows nothing but an old unanswered call while others answer.
+// An unresponsive machine shows only by an old unanswered call while other servers answer.
 func TestUnresponsiveServerIsAvoided(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
@@ -50,11 +50,11 @@
 		}
 	}
 	if stuck == 0 || stuck > 6 {
-		t.Errorf("the silent server holds %d calls", stuck)
+		t.Errorf("the unresponsive server has %d calls in flight", stuck)
 	}
 }
 
-// After an ejection the first trial must not be a request that cannot be repeated.
+// After an ejection the first trial must not be a request that cannot be retried.
 func TestServerOnTrialGetsNoNonIdempotentRequest(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
@@ -68,7 +68,7 @@
 	}
 }
 
-// In overload every server is missed: the more is shed, the fewer may be ruled out for their health.
+// In overload every server is needed: the more is shed, the fewer may be ejected.
 func TestLoadSheddingEjectsFewerServers(t *testing.T) {
 	for _, c := range []struct {
 		shed float64
@@ -93,7 +93,7 @@
 	}
 }
 
-// Connection tables filled by other copies refuse at once: a server that refused gets no more own
+// A server whose connection table is filled by other replicas refuses connections at once: it gets no more own
 // calls than it had, however many others refuse too, and is tried again later.
 func TestServerThatRefusesConnectionsGetsNoMoreCalls(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier, s.Replicas = 1, 1 })
@@ -130,8 +130,8 @@
 	}
 }
 
-// A choked server answers, but late: one overlong answer must be enough to pass it over for a while,
-// for a node of many calls it too seldom to wait for a mean. Where overlong answers are common none is.
+// An overloaded server answers, but late: one overlong response must be enough to eject it for a while, for one of
+// many nodes calls it too rarely to wait for a mean. Where overlong responses are common none is ejected.
 func TestOverlongResponseEjects(t *testing.T) {
 	for _, c := range []struct {
 		common float64
--- a/pick_test.go
+++ b/pick_test.go
@@ -7,6 +7,8 @@
 	"time"
 )
 
+// The pick draws a candidate from each group and takes the one with fewer calls in flight; a tie goes to the first
+// group, and with no calls at all by the groups' sizes.
 func TestPickComparesTwoCandidatesByCalls(t *testing.T) {
 	mk := func(calls ...int) []*server {
 		var l []*server
@@ -60,7 +62,7 @@
 	}
 }
 
-// Below the first tier a server that holds several of our calls is passed over while others idle.
+// Below the first tier a server that holds several of the node's calls is avoided while others are idle.
 func TestLoadedServerIsAvoidedWhileOthersAreIdle(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(6)})
@@ -71,7 +73,7 @@
 	}
 }
 
-// Slow servers of the fleet are drawn less, though each node's own counts sit at zero.
+// Servers that are slow for the whole fleet are picked less often, though each node's own counts are zero.
 func TestPickFollowsCapacityAndLatency(t *testing.T) {
 	list := servers(4)
 	for i := range list {
@@ -94,7 +96,7 @@
 	}
 }
 
-// Sizes that a host took from elsewhere may be odd: nobody is left without a draw for it.
+// Capacities that a host took from elsewhere may be invalid: no server becomes ineligible for that.
 func TestInvalidCapacitiesLeaveServersEligible(t *testing.T) {
 	list := servers(4)
 	for i, size := range []float64{math.NaN(), math.Inf(1), -1, 0} {
@@ -107,7 +109,7 @@
 	}
 }
 
-// A coarse clock shows answers in no time at all: that must not make every server weigh nothing.
+// A coarse clock measures responses in no time at all: that must not give every server a weight of zero.
 func TestZeroLatencyLeavesServersEligible(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(4)})
@@ -121,7 +123,7 @@
 	}
 }
 
-// What answers first must not look fast against a guess of the latency, and then win every draw.
+// The first server to respond must not look fast against a guess of the latency, and then win every pick.
 func TestFirstResponseDoesNotSkewLatency(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(8)})
@@ -132,14 +134,14 @@
 	}
 }
 
-// A zone that is lost is on the list for seconds more. Copies that call their own zone lose nothing by
-// it; were their pools drawn from both, each copy of each tier would have to learn of each server that
-// is lost by a call that hangs.
+// The servers of a lost zone are listed for seconds more. Replicas that call their own zone lose nothing by it;
+// with subsets of both zones, each replica of each tier would have to discover each lost server by a call that is
+// never answered.
 func TestReplicasServeWhileAnotherZoneIsUnresponsive(t *testing.T) {
-	const copies, rounds = 16, 40
+	const replicas, rounds = 16, 40
 	hung, sent := 0, 0
-	for i := copies / 2; i < copies; i++ { // those of the zone that is left
-		b := newBalancer(t, func(s *Settings) { setZone(s, i, copies); s.Tier = 1 })
+	for i := replicas / 2; i < replicas; i++ { // those of the remaining zone
+		b := newBalancer(t, func(s *Settings) { setZone(s, i, replicas); s.Tier = 1 })
 		b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: zonedServers(40)})
 		for k := range rounds {
 			id, now := fmt.Sprint(k), time.Duration(k+1)*100*msec
@@ -153,7 +155,7 @@
 			}
 		}
 	}
-	if sent != copies/2*rounds || hung > 0 {
-		t.Errorf("%d of %d calls went to a zone that says nothing, want none of %d", hung, sent, copies/2*rounds)
+	if sent != replicas/2*rounds || hung > 0 {
+		t.Errorf("%d of %d calls went to an unresponsive zone, want none of %d", hung, sent, replicas/2*rounds)
 	}
 }
--- a/reconfigure_test.go
+++ b/reconfigure_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A request already taken keeps what its client was promised under the settings of its time; what comes later
-// goes by the new ones. Each row has a request that may have run once, and new settings for its class.
+// A request that was accepted keeps what its client was promised by the settings of its time; later requests
+// follow the new ones. Each row has a request that may have run once, and new settings for its class.
 func TestRequestsKeepTheClassTheyArrivedWith(t *testing.T) {
 	class := func(e Effect) Class {
 		return Class{
@@ -61,7 +61,7 @@
 	}
 }
 
-// What was learned outlives new settings: a class's latency, a server's ill health and the calls out.
+// Learned state survives new settings: a class's latency, a server's ejection and the calls in flight.
 func TestReconfigureKeepsLearnedState(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(6)})
@@ -95,7 +95,7 @@
 	}
 }
 
-// However often settings come, and though classes come and go under calls, nothing piles up.
+// However often settings come, and though classes come and go while calls are in flight, no state accumulates.
 func TestReconfigureLeaksNoState(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(3)})
--- a/request_test.go
+++ b/request_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A host rounds times; a timer that comes a fraction early must still lead to an answer in time.
+// A host rounds times; a timer that fires a fraction early must still lead to an answer in time.
 func TestQueuedRequestIsAnsweredThoughTimersFireEarly(t *testing.T) {
 	b := newBalancer(t, nil)
 	acts := b.Handle(0, Request{ID: "a", Class: "get", Deadline: 1000 * msec})
@@ -28,7 +28,7 @@
 	t.Fatal("no final answer in time")
 }
 
-// Work on an answer that comes too late to be worth anything takes the room of answers in time.
+// Work on a response that comes too late to have any value takes the capacity of responses in time.
 func TestAttemptTimesOutWhenItsResponseHasNoValue(t *testing.T) {
 	for _, c := range []struct {
 		tier int
--- a/retry_test.go
+++ b/retry_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A call is cut short only where calls hang, where it may run again, and where another has time and budget.
+// An attempt is cut short only where attempts go unanswered, where it may be retried, and where a retry has time
+// and budget.
 func TestAttemptTimeoutIsCutOnlyWhereARetryMayFollow(t *testing.T) {
 	for _, c := range []struct {
 		name            string
@@ -31,8 +32,8 @@
 	}
 }
 
-// An attempt that never left the host costs no server anything: the one that follows is free, but counts
-// against the most that a request may have.
+// An attempt that never left the host costs no server anything: its retry is free, but counts against the maximum
+// of attempts of a request.
 func TestNotSentCostsNoRetryBudget(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.MaxAttempts = 4 })
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
@@ -55,23 +56,23 @@
 	}
 }
 
-// An unmarked repeat shows by a deadline shorter than other tries have.
+// An unmarked retry is recognised by a deadline shorter than that of other requests.
 func TestShortDeadlineIdentifiesARetry(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, Request{ID: "first", Class: "get", Deadline: 1500 * msec})
 	b.Handle(5*time.Second, Request{ID: "again", Class: "get", Deadline: 5*time.Second + 900*msec})
 	if r := b.requests["first"]; r == nil || r.repeat || r.arrived != 0 {
-		t.Errorf("a first try was taken for a repeat: %+v", r)
+		t.Errorf("a first attempt was taken for a retry: %+v", r)
 	}
-	// The repeat's aim of 500 ms ended 100 ms before it came: without a server it is still held.
+	// The retry's latency objective of 500 ms ended 100 ms before it came: without a server it is still queued.
 	r := b.requests["again"]
 	if r == nil || !r.repeat || r.arrived != 5*time.Second-600*msec {
-		t.Errorf("the repeat was not seen: %+v", r)
+		t.Errorf("the retry was not recognised: %+v", r)
 	}
 }
 
-// A request that its client writes slowly is no odd one among those that are given the same time, and an odd
-// one is a repeat only if it is so by its first byte.
+// A request that its client sends slowly is not unusual among those that are given the same time, and an unusual
+// one is a retry only if it is so by its first byte.
 func TestSlowlySentRequestIsNotARetry(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(time.Second, Request{ID: "first", Class: "get", Deadline: 2500 * msec})
--- a/rulechecker_test.go
+++ b/rulechecker_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// checker follows the events given to one Balancer and its actions, and notes every broken rule.
-// It shares no code with the module.
+// ruleChecker follows the events given to one Balancer and its actions, and records every violated rule. It shares
+// no code with the module.
 type ruleChecker struct {
 	set    Settings
 	slack  time.Duration
@@ -19,7 +19,7 @@
 	broken []string
 }
 
-// killed forgets what a killed copy held: it is the clients' to ask again.
+// killed forgets what a killed replica held: its clients have to send it again.
 func (c *ruleChecker) killed() {
 	c.reqs, c.state = map[string]*trackedRequest{}, map[string]EndpointState{}
 }
@@ -172,7 +172,7 @@
 	}
 }
 
-// TestRuleCheckerDetectsViolations gives the checker a trace that breaks each rule.
+// TestRuleCheckerDetectsViolations gives the checker a trace that violates each rule.
 func TestRuleCheckerDetectsViolations(t *testing.T) {
 	list := EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: "a", Cell: 0}, {ID: "b", Cell: 1}, {ID: "c", State: Draining}}}
 	req := func(class string) Request { return Request{ID: "r", Class: class, Deadline: 1000 * msec} }
--- a/rules_test.go
+++ b/rules_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// changed draws other settings: classes that come, go, or have another effect, scope, window or deadline,
-// and other limits. Now and then they are bad.
+// changedSettings draws other settings: classes that come, go, or have another effect, scope, window or deadline,
+// and other limits. Now and then they are invalid.
 func changedSettings(set Settings, rng *rand.Rand) Settings {
 	set.Classes = nil
 	for _, c := range testSettings().Classes {
@@ -58,7 +58,7 @@
 	timeout bool
 }
 
-// run drives a Balancer, and returns all its actions.
+// runRandomly drives a Balancer, and returns all its actions.
 func runRandomly(t testing.TB, set Settings, seed uint64, steps int, c *ruleChecker) (log []string, b *Balancer) {
 	r := &randomRun{
 		t: t, set: set, seed: seed, steps: steps, checker: c, rng: rand.New(rand.NewPCG(seed, 1)),
@@ -81,7 +81,7 @@
 	r.balancer = b
 }
 
-// give hands an event to the Balancer, and notes what it decides.
+// give hands an event to the Balancer, and notes its actions.
 func (r *randomRun) give(e Event) {
 	if r.checker != nil {
 		r.checker.event(r.now, e)
@@ -120,7 +120,7 @@
 	r.attempts = append(r.attempts, p)
 }
 
-// step lets a tick go by.
+// step lets a tick pass.
 func (r *randomRun) step(i int) {
 	r.now += r.set.Tick
 	if r.rng.IntN(700) == 0 {
@@ -157,7 +157,8 @@
 	}
 }
 
-// kill ends the Balancer with all that it holds, now and then as a planned restart does, and a fresh one takes over.
+// kill ends the Balancer with all that it holds, now and then as a planned restart does, and a new instance takes
+// over.
 func (r *randomRun) kill(seed uint64) {
 	if r.rng.IntN(2) == 0 {
 		r.give(Shutdown{})
@@ -232,7 +233,8 @@
 	}
 }
 
-// changeList changes a server, and tells of it by a complete list, by a change, or by one after a failed watch.
+// changeList changes a server, and notifies the Balancer by a complete list, by a change, or by one after a failed
+// watch.
 func (r *randomRun) changeList() {
 	s := &r.fleet[r.rng.IntN(len(r.fleet))]
 	s.State = EndpointState(r.rng.IntN(3))
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -23,7 +23,7 @@
 	return low
 }
 
-// allowedMean is what a node that is alone sends a cold server in a window, where the settings allow it n.
+// allowedMean is what a single replica sends a cold server in a window, where the settings allow it n.
 func allowedMean(t *testing.T, n float64) float64 {
 	t.Helper()
 	b := newBalancer(t, func(s *Settings) {
@@ -38,7 +38,7 @@
 	return b.creditRate(b.servers[list[0].ID]) * b.set.OverloadWindow.Seconds()
 }
 
-// A cold server is sent all that the limit allows on average: by the wider rule where the settings allow it
+// A warming server is sent all that the limit allows on average: by the wider rule where the settings allow it
 // less than 30 requests in a window. Just under 30 the limit is the one that holds at 30, and it never shrinks.
 func TestSlowStartRateFollowsTheOverloadLimit(t *testing.T) {
 	narrow := func(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
@@ -59,8 +59,8 @@
 	}
 }
 
-// After a loss a node's whole pool may come back cold. That must not set the thinning aside while the
-// rest of the list is warm: many such nodes would push the cold servers over.
+// After an outage a node's whole subset may come back cold. That must not suspend slow start while the rest of the
+// list is warm: many such nodes would overload the cold servers.
 func TestColdSubsetKeepsSlowStartInForce(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier, s.Replicas = 1, 50 })
 	list := servers(40)
@@ -81,11 +81,11 @@
 		}
 	}
 	if got := float64(cold) / 1000; got > 0.05 { // thinned to a fifth, and a few of forty
-		t.Errorf("%.2f of the calls went to the cold pool", got)
+		t.Errorf("%.2f of the calls went to the cold subset", got)
 	}
 }
 
-// A cold server takes a heavy request many times as long as a warm one; a light one has time to spare.
+// A cold server takes much longer for a heavy request than a warm one; a light request has time to spare.
 func TestWarmingServerGetsNoHeavyRequests(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	list := servers(4)
@@ -116,8 +116,8 @@
 	worst, early float64
 }
 
-// playColdServer has replicas send at three quarters of what 6 servers can do, one of them, s02, fresh from
-// second 1 on. work draws a request's work, in parts of the mean; send returns the server that gets it.
+// playColdServer has replicas send at three quarters of the capacity of 6 servers, one of which, s02, starts at
+// second 1. work draws a request's work, in parts of the mean; send returns the server that gets it.
 func playColdServer(set Settings, replicas int, seed uint64, work func(*rand.Rand) float64,
 	send func(replica int, now time.Duration, id string, work float64) string,
 ) (res coldResult) {
@@ -159,7 +159,7 @@
 	return res
 }
 
-// coldFleet is a replica set whose list names six servers, of which s02 starts at second 1.
+// coldFleet returns replicas whose list names six servers, of which s02 starts at second 1.
 func coldFleet(t *testing.T, set Settings, replicas int) (fleet []*Balancer) {
 	t.Helper()
 	list := servers(6)
@@ -179,6 +179,7 @@
 // sameWork gives each request the mean work.
 func sameWork(*rand.Rand) float64 { return 1 }
 
+// No window of a warming server gets more requests from all replicas together than its limit.
 func TestWarmingServerStaysWithinItsLimit(t *testing.T) {
 	set := testSettings()
 	for _, replicas := range []int{12, 200} {
@@ -201,8 +202,8 @@
 	}
 }
 
-// Where the expected work is hinted, a cold server's share is made of light requests. All replicas together stay
-// within its limit of work, and yet give it more than half of what it can do while the rest is busy.
+// Where the expected work is hinted, a warming server's quota consists of light requests. All replicas together
+// stay within its limit of work, and yet give it more than half of its capacity while the rest is busy.
 func TestWarmingServerIsUsedWithinItsLimit(t *testing.T) {
 	set := testSettings()
 	for _, replicas := range []int{12, 100} {
--- a/slowstartsim_test.go
+++ b/slowstartsim_test.go
@@ -18,7 +18,7 @@
 	work                    time.Duration // of a call on average
 	load                    float64       // of the capacity of the servers, all of them warm
 	set                     Settings
-	hints                   bool // requests tell their work
+	hints                   bool // requests carry their expected work
 	fresh                   bool // the replicas start with the cold servers, and have seen nothing before
 	failing                 int  // warm servers that fail all from the replacement on
 	seed                    uint64
@@ -28,8 +28,8 @@
 const replacedAt = 8 * time.Second
 
 // warmingResult tells what became of a warmingFleet. Worst is the most work that came to a cold server in a
-// window, against what it may get. Share is the part of the work that went to cold servers in the first half of
-// the warm-up, against their part of the capacity then.
+// window, as a part of its limit. Share is the part of the work that went to cold servers in the first half of the
+// warm-up, as a part of their share of the capacity then.
 type warmingResult struct {
 	overloaded    int // cold servers that got more than they may
 	worst, share  float64
@@ -147,7 +147,7 @@
 	r.deliverList(r.fresh)
 }
 
-// tellAll gives all replicas the list before or after the replacement.
+// deliverList gives all replicas the list before or after the replacement.
 func (r *warmingRun) deliverList(replaced bool) {
 	for _, b := range r.balancers {
 		r.deliver(b, EndpointUpdate{Complete: true, Endpoints: r.list(replaced)})
@@ -203,7 +203,7 @@
 	r.deliver(r.balancers[i], request.Request)
 }
 
-// tell hands an event to a replica's module and carries out what it decides.
+// deliver hands an event to a replica's module and carries out its actions.
 func (r *warmingRun) deliver(b *Balancer, e Event) {
 	for _, a := range b.Handle(r.now, e) {
 		switch a := a.(type) {
@@ -316,7 +316,7 @@
 	}
 }
 
-// endAttempt ends an attempt once, and tells its module, if it has one.
+// endAttempt ends an attempt once, and notifies its module, if it has one.
 func (r *warmingRun) endAttempt(a *warmingAttempt, result AttemptResult) {
 	if a.ended {
 		return
--- a/subsetting_test.go
+++ b/subsetting_test.go
@@ -7,6 +7,7 @@
 	"time"
 )
 
+// Replicas order the endpoints alike, whatever order their lists came in.
 func TestReplicasOrderEndpointsAlike(t *testing.T) {
 	a, b := newBalancer(t, nil), newBalancer(t, nil)
 	l := servers(7)
@@ -21,7 +22,7 @@
 	}
 }
 
-// The pools of many nodes cover each group evenly, and a busy node takes a wider one.
+// The subsets of many replicas cover each group evenly, and a busy node takes a wider one.
 func TestSubsetsCoverTheGroupsEvenly(t *testing.T) {
 	count := map[string]int{}
 	const nodes = 60
@@ -33,11 +34,11 @@
 			count[s.ID]++
 		}
 		if idle := b.width; idle >= 20 {
-			t.Fatalf("an idle node's pool has %d servers", idle)
+			t.Fatalf("an idle node's subset has %d servers", idle)
 		}
 		b.busy = 8
 		if b.fitPool(); b.width < 12 {
-			t.Fatalf("a busy node's pool has %d servers", b.width)
+			t.Fatalf("a busy node's subset has %d servers", b.width)
 		}
 	}
 	least, most := nodes, 0
@@ -45,19 +46,19 @@
 		least, most = min(least, count[s.ID]), max(most, count[s.ID])
 	}
 	if least < 4 || most-least > 3 {
-		t.Errorf("servers are in %d to %d pools", least, most)
+		t.Errorf("servers are in %d to %d subsets", least, most)
 	}
 }
 
-// The pools of a zone's copies cover its servers evenly, however the copies are numbered, and take in the
+// The subsets of a zone's replicas cover its servers evenly, however the replicas are numbered, and include the
 // other zone when they are wider than their own.
 func TestSubsetsPreferTheirZoneAndCoverItEvenly(t *testing.T) {
 	for _, numbered := range []string{"in a row", "in turns"} {
 		count := map[string]int{}
-		const copies = 60
-		for i := range copies {
+		const replicas = 60
+		for i := range replicas {
 			b := newBalancer(t, func(s *Settings) {
-				setZone(s, i, copies)
+				setZone(s, i, replicas)
 				if s.Tier = 1; numbered == "in turns" {
 					s.Zone = []string{"north", "east"}[i%2]
 				}
@@ -66,26 +67,26 @@
 			b.fitPool()
 			for _, s := range slices.Concat(b.pool.left, b.pool.right) {
 				if count[s.ID]++; s.Zone != b.set.Zone {
-					t.Fatalf("copy %d in %s has %s of %s in a pool of %d", i, b.set.Zone, s.ID, s.Zone, b.width)
+					t.Fatalf("replica %d in %s has %s of %s in a subset of %d", i, b.set.Zone, s.ID, s.Zone, b.width)
 				}
 			}
 			b.busy = 100
 			if b.fitPool(); len(b.pool.left)+len(b.pool.right) != 40 {
-				t.Fatalf("a copy's widest pool has %d and %d servers", len(b.pool.left), len(b.pool.right))
+				t.Fatalf("a replica's widest subset has %d and %d servers", len(b.pool.left), len(b.pool.right))
 			}
 		}
-		least, most := copies, 0
+		least, most := replicas, 0
 		for _, s := range servers(40) {
 			least, most = min(least, count[s.ID]), max(most, count[s.ID])
 		}
 		if least < 4 || most-least > 4 {
-			t.Errorf("numbered %s: servers are in %d to %d pools", numbered, least, most)
+			t.Errorf("numbered %s: servers are in %d to %d subsets", numbered, least, most)
 		}
 	}
 }
 
-// Lists of 1,024 servers and as many copies are used whole: all copies' pools together hold each server, each
-// as often as the others, and a copy that is refused by its pool finds the rest.
+// Lists of 1,024 servers and as many replicas are used completely: all subsets together contain each server, each
+// about as often as the others, and a replica whose subset rejects it finds the rest.
 func TestSubsetsOfAThousandReplicasCoverAThousandServers(t *testing.T) {
 	const many = 1024
 	var list []Endpoint
@@ -98,7 +99,7 @@
 		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: list})
 		acts := b.Handle(0, Request{ID: "r", Class: "get", Deadline: time.Second})
 		if len(sends(acts)) != 1 {
-			t.Fatalf("copy %d: a request led to %v", i, acts)
+			t.Fatalf("replica %d: a request led to %v", i, acts)
 		}
 		for _, s := range b.ready.all {
 			if s.pooled {
@@ -107,13 +108,13 @@
 		}
 	}
 	if len(pooled) != many {
-		t.Errorf("%d of %d servers are in a pool", len(pooled), many)
+		t.Errorf("%d of %d servers are in a subset", len(pooled), many)
 	}
 	least, most := many, 0
 	for _, n := range pooled {
 		least, most = min(least, n), max(most, n)
 	}
 	if least < poolOverlap || most > 2*least {
-		t.Errorf("servers are in %d to %d pools, want alike and at least %d", least, most, poolOverlap)
+		t.Errorf("servers are in %d to %d subsets, want alike and at least %d", least, most, poolOverlap)
 	}
 }
