--- a/admission_test.go
+++ b/admission_test.go
@@ -39,27 +39,29 @@
 		took time.Duration
 		grow bool
 	}{{450 * msec, false}, {40 * msec, true}} {
-		b := newBalancer(t, nil)
-		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
-		c := b.classes["get"] // known to answer in 40 ms without overload
-		c.samples, c.mean, c.base = 100, float64(40*msec), float64(40*msec)
-		b.window = 15 // less than its growth may reach with the ten calls that are out here
-		start, now := b.window, time.Duration(0)
-		var open []Send
-		for i := range 3000 {
-			now += 4 * msec
-			open = append(open, sends(b.Handle(now, Request{ID: fmt.Sprint(i), Class: "get", Deadline: now + time.Second}))...)
-			for len(open) > 0 && b.requests[open[0].ID].attempts[0].sent+tc.took <= now {
-				s := open[0]
-				open = append(open[1:], sends(endAttempt(b, now, s.ID, s, Success))...)
+		t.Run(fmt.Sprint("responses after ", tc.took), func(t *testing.T) {
+			b := newBalancer(t, nil)
+			b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
+			c := b.classes["get"] // known to answer in 40 ms without overload
+			c.samples, c.mean, c.base = 100, float64(40*msec), float64(40*msec)
+			b.window = 15 // less than its growth may reach with the ten calls that are out here
+			start, now := b.window, time.Duration(0)
+			var open []Send
+			for i := range 3000 {
+				now += 4 * msec
+				open = append(open, sends(b.Handle(now, Request{ID: fmt.Sprint(i), Class: "get", Deadline: now + time.Second}))...)
+				for len(open) > 0 && b.requests[open[0].ID].attempts[0].sent+tc.took <= now {
+					s := open[0]
+					open = append(open[1:], sends(endAttempt(b, now, s.ID, s, Success))...)
+				}
 			}
-		}
-		if grew := b.window > start; grew != tc.grow && tc.grow || b.window < windowFloor*b.fairServers() {
-			t.Errorf("answers after %v: window %.1f from %.1f", tc.took, b.window, start)
-		}
-		if !tc.grow && b.window > windowFloor*b.fairServers()+1 {
-			t.Errorf("late answers left the window at %.1f", b.window)
-		}
+			if grew := b.window > start; grew != tc.grow && tc.grow || b.window < windowFloor*b.fairServers() {
+				t.Errorf("answers after %v: window %.1f from %.1f", tc.took, b.window, start)
+			}
+			if !tc.grow && b.window > windowFloor*b.fairServers()+1 {
+				t.Errorf("late answers left the window at %.1f", b.window)
+			}
+		})
 	}
 }
 
--- a/cmd/balancer/main_test.go
+++ b/cmd/balancer/main_test.go
@@ -93,18 +93,20 @@
 	build(t)
 	dir := t.TempDir()
 	for name, text := range map[string]string{"missing": "", "cut": `{"listen":`, "empty": `{}`} {
-		path := filepath.Join(dir, name)
-		if text != "" {
-			if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-				t.Fatal(err)
+		t.Run(name, func(t *testing.T) {
+			path := filepath.Join(dir, name)
+			if text != "" {
+				if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+					t.Fatal(err)
+				}
 			}
-		}
-		cmd := exec.Command("/bin/sh", "-c", program.run)
-		cmd.Dir, cmd.Env = program.dir, append(os.Environ(), "BALANCER_CONFIG="+path)
-		out, err := cmd.CombinedOutput()
-		if err == nil || !strings.HasPrefix(string(out), "balancer: config: ") ||
-			strings.Count(string(out), "\n") != 1 {
-			t.Errorf("%s: %v, output %q", name, err, out)
-		}
+			cmd := exec.Command("/bin/sh", "-c", program.run)
+			cmd.Dir, cmd.Env = program.dir, append(os.Environ(), "BALANCER_CONFIG="+path)
+			out, err := cmd.CombinedOutput()
+			if err == nil || !strings.HasPrefix(string(out), "balancer: config: ") ||
+				strings.Count(string(out), "\n") != 1 {
+				t.Errorf("%s: %v, output %q", name, err, out)
+			}
+		})
 	}
 }
--- a/heldup_test.go
+++ b/heldup_test.go
@@ -11,35 +11,37 @@
 // however it ended and however long that took.
 func TestHeldUpAttemptsAreNotCounted(t *testing.T) {
 	for _, e := range []AttemptResult{Success, ServerError, Rejected, TimedOut, ConnectFailed, ConnectionLost, Cancelled, NotSent} {
-		b := newBalancer(t, nil)
-		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
-		sendTraffic(b, 200, "get", func(string) AttemptResult { return Success })
-		now, before := b.now, *b // what follows reads its figures only
-		known, failing := map[string]server{}, *b.classes["get"].learned
-		for id, s := range b.servers {
-			known[id] = withoutSends(*s)
-		}
-		for i := range 50 {
-			id := fmt.Sprint("held-", i)
-			sent := sends(b.Handle(now, Request{ID: id, Class: "pay", Deadline: now + time.Second}))
-			if len(sent) != 1 {
-				t.Fatalf("ending %d: %d sends", e, len(sent))
+		t.Run(fmt.Sprint("result ", int(e)), func(t *testing.T) {
+			b := newBalancer(t, nil)
+			b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
+			sendTraffic(b, 200, "get", func(string) AttemptResult { return Success })
+			now, before := b.now, *b // what follows reads its figures only
+			known, failing := map[string]server{}, *b.classes["get"].learned
+			for id, s := range b.servers {
+				known[id] = withoutSends(*s)
 			}
-			now += 400 * msec
-			b.Handle(now, AttemptEnded{ID: id, Endpoint: sent[0].Endpoint, Result: e, Latency: 400 * msec, Answered: true, HeldUp: true})
-		}
-		if b.errors != before.errors || b.window != before.window || b.crowding != before.crowding || b.lastOK != before.lastOK {
-			t.Errorf("ending %d: errors %v, window %v, crowding %v; had %v, %v, %v", e,
-				b.errors, b.window, b.crowding, before.errors, before.window, before.crowding)
-		}
-		if now := *b.classes["get"].learned; now.mean != failing.mean || now.failing != failing.failing {
-			t.Errorf("ending %d: mean %v, failing %v; had %v, %v", e, now.mean, now.failing, failing.mean, failing.failing)
-		}
-		for id, s := range b.servers {
-			if is := withoutSends(*s); fmt.Sprint(is) != fmt.Sprint(known[id]) {
-				t.Errorf("ending %d: %s is %+v, was %+v", e, id, is, known[id])
+			for i := range 50 {
+				id := fmt.Sprint("held-", i)
+				sent := sends(b.Handle(now, Request{ID: id, Class: "pay", Deadline: now + time.Second}))
+				if len(sent) != 1 {
+					t.Fatalf("ending %d: %d sends", e, len(sent))
+				}
+				now += 400 * msec
+				b.Handle(now, AttemptEnded{ID: id, Endpoint: sent[0].Endpoint, Result: e, Latency: 400 * msec, Answered: true, HeldUp: true})
 			}
-		}
+			if b.errors != before.errors || b.window != before.window || b.crowding != before.crowding || b.lastOK != before.lastOK {
+				t.Errorf("ending %d: errors %v, window %v, crowding %v; had %v, %v, %v", e,
+					b.errors, b.window, b.crowding, before.errors, before.window, before.crowding)
+			}
+			if now := *b.classes["get"].learned; now.mean != failing.mean || now.failing != failing.failing {
+				t.Errorf("ending %d: mean %v, failing %v; had %v, %v", e, now.mean, now.failing, failing.mean, failing.failing)
+			}
+			for id, s := range b.servers {
+				if is := withoutSends(*s); fmt.Sprint(is) != fmt.Sprint(known[id]) {
+					t.Errorf("ending %d: %s is %+v, was %+v", e, id, is, known[id])
+				}
+			}
+		})
 	}
 }
 
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -185,24 +185,26 @@
 
 func TestTimedOutAndCancelledAttemptsCloseTheirConnection(t *testing.T) {
 	for _, want := range []balancer.AttemptResult{balancer.TimedOut, balancer.Cancelled} {
-		got, gone := make(chan struct{}), make(chan struct{})
-		s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
-			close(got)
-			c.Read(make([]byte, 1))
-			close(gone)
-			return false
+		t.Run(fmt.Sprint("result ", int(want)), func(t *testing.T) {
+			got, gone := make(chan struct{}), make(chan struct{})
+			s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+				close(got)
+				c.Read(make([]byte, 1))
+				close(gone)
+				return false
+			})
+			b := testPool(10)
+			a := testAttempt(b, s.addr())
+			if want == balancer.TimedOut {
+				a.deadline = a.sentAt + 100*time.Millisecond
+			} else {
+				go func() { <-got; a.cancel() }()
+			}
+			if r := doAttempt(t, b, a); r.result != want || b.open != 0 {
+				t.Errorf("ending %d, %d open; want %d", r.result, b.open, want)
+			}
+			wait(t, gone, "the close")
 		})
-		b := testPool(10)
-		a := testAttempt(b, s.addr())
-		if want == balancer.TimedOut {
-			a.deadline = a.sentAt + 100*time.Millisecond
-		} else {
-			go func() { <-got; a.cancel() }()
-		}
-		if r := doAttempt(t, b, a); r.result != want || b.open != 0 {
-			t.Errorf("ending %d, %d open; want %d", r.result, b.open, want)
-		}
-		wait(t, gone, "the close")
 	}
 }
 
--- a/internal/node/boottime_test.go
+++ b/internal/node/boottime_test.go
@@ -181,12 +181,14 @@
 			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", m.bootMS()-10_000))})
 		}, -8 * time.Second},
 	} {
-		m := newMachineClocks()
-		l := bootLoop(t, m, true)
-		c.do(m, l)
-		if got := l.endpoints["s1"].StartedAt - processStart; got != c.want {
-			t.Errorf("%s: taken to have started at %v, want %v", c.name, got, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			m := newMachineClocks()
+			l := bootLoop(t, m, true)
+			c.do(m, l)
+			if got := l.endpoints["s1"].StartedAt - processStart; got != c.want {
+				t.Errorf("%s: taken to have started at %v, want %v", c.name, got, c.want)
+			}
+		})
 	}
 }
 
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -35,18 +35,20 @@
 		{`"known":{"rev":41,"all":true,"targets":[]}`, `"known":null`},
 		{`"settings":{`, `"something":{},"settings":{`},
 	} {
-		text := strings.Replace(goodConfig, c[0], c[1], 1)
-		cfg, err := ParseConfig([]byte(text))
-		if text == goodConfig || err != nil {
-			t.Errorf("%s: %v", c[1], err)
-			continue
-		}
-		cfg.Listen = "127.0.0.1:0"
-		if n, err := New(cfg, testLog()); err != nil {
-			t.Errorf("%s: %v", c[1], err)
-		} else {
-			n.listener.Close()
-		}
+		t.Run(c[1], func(t *testing.T) {
+			text := strings.Replace(goodConfig, c[0], c[1], 1)
+			cfg, err := ParseConfig([]byte(text))
+			if text == goodConfig || err != nil {
+				t.Errorf("%s: %v", c[1], err)
+				return
+			}
+			cfg.Listen = "127.0.0.1:0"
+			if n, err := New(cfg, testLog()); err != nil {
+				t.Errorf("%s: %v", c[1], err)
+			} else {
+				n.listener.Close()
+			}
+		})
 	}
 }
 
@@ -68,10 +70,12 @@
 		{`"name":"n3"`, `"name":3`, "name"},
 		{`{"name":"n3"`, `"name":"n3"`, "config"},
 	} {
-		text := strings.Replace(goodConfig, c[0], c[1], 1)
-		if _, err := ParseConfig([]byte(text)); text == goodConfig || err == nil || !strings.Contains(err.Error(), c[2]) ||
-			strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", c[1], err)
-		}
+		t.Run(c[1], func(t *testing.T) {
+			text := strings.Replace(goodConfig, c[0], c[1], 1)
+			if _, err := ParseConfig([]byte(text)); text == goodConfig || err == nil || !strings.Contains(err.Error(), c[2]) ||
+				strings.Contains(err.Error(), "\n") {
+				t.Errorf("%s: %v", c[1], err)
+			}
+		})
 	}
 }
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -83,44 +83,46 @@
 // so does one that comes after it; Retry-After is sent only where clients accept it.
 func TestShutdownDeadlineAnswersByClass(t *testing.T) {
 	for _, advice := range []time.Duration{0, time.Second} {
-		got := make(chan struct{}, 10)
-		s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
-			got <- struct{}{}
-			c.Read(make([]byte, 1)) // until the node closes
-			return false
-		})
-		cfg := testConfig(completeList(entry("s1", s.addr(), "in_service")))
-		cfg.Settings.MaxRetryAfter = advice
-		n, stop := startNode(t, cfg, func(n *Node) {
-			n.drainSchedule, n.drainLimit = drainSchedule{answerAll: limit}, 2*limit
-		})
-		unsafe, safe, after := dial(t, n), dial(t, n), dial(t, n)
-		unsafe.send("POST", "/note/k", "unsafe", "x", "60")
-		wait(t, got, "the unsafe attempt")
-		safe.get("safe")
-		wait(t, got, "the safe attempt")
-		n.loop.post(listReceived{listOf(t, true)})
-		held := dial(t, n)
-		held.send("POST", "/note/k", "held", "x", "60")
-		untilActive(t, n, 3)
-		after.get("before") // its response keeps the order: the queued one is with the module by then
-		untilActive(t, n, 4)
-		n.loop.post(shutdownDeadline{})
-		for _, c := range []struct {
-			name   string
-			from   *testClient
-			status int
-		}{{"unsafe and in flight", unsafe, 502}, {"safe and in flight", safe, 503}, {"held", held, 503}, {"held and safe", after, 503}} {
-			r, _ := c.from.answer(t)
-			if r.StatusCode != c.status || (r.Header.Get("Retry-After") != "") != (advice > 0 && c.status == 503) {
-				t.Errorf("%s: got %d, Retry-After %q", c.name, r.StatusCode, r.Header.Get("Retry-After"))
+		t.Run(fmt.Sprint("Retry-After up to ", advice), func(t *testing.T) {
+			got := make(chan struct{}, 10)
+			s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+				got <- struct{}{}
+				c.Read(make([]byte, 1)) // until the node closes
+				return false
+			})
+			cfg := testConfig(completeList(entry("s1", s.addr(), "in_service")))
+			cfg.Settings.MaxRetryAfter = advice
+			n, stop := startNode(t, cfg, func(n *Node) {
+				n.drainSchedule, n.drainLimit = drainSchedule{answerAll: limit}, 2*limit
+			})
+			unsafe, safe, after := dial(t, n), dial(t, n), dial(t, n)
+			unsafe.send("POST", "/note/k", "unsafe", "x", "60")
+			wait(t, got, "the unsafe attempt")
+			safe.get("safe")
+			wait(t, got, "the safe attempt")
+			n.loop.post(listReceived{listOf(t, true)})
+			held := dial(t, n)
+			held.send("POST", "/note/k", "held", "x", "60")
+			untilActive(t, n, 3)
+			after.get("before") // its response keeps the order: the queued one is with the module by then
+			untilActive(t, n, 4)
+			n.loop.post(shutdownDeadline{})
+			for _, c := range []struct {
+				name   string
+				from   *testClient
+				status int
+			}{{"unsafe and in flight", unsafe, 502}, {"safe and in flight", safe, 503}, {"held", held, 503}, {"held and safe", after, 503}} {
+				r, _ := c.from.answer(t)
+				if r.StatusCode != c.status || (r.Header.Get("Retry-After") != "") != (advice > 0 && c.status == 503) {
+					t.Errorf("%s: got %d, Retry-After %q", c.name, r.StatusCode, r.Header.Get("Retry-After"))
+				}
 			}
-		}
-		after.send("POST", "/note/k", "after", "x", "60")
-		after.want(t, 503, "")
-		if err := stop(); err != nil {
-			t.Error(err)
-		}
+			after.send("POST", "/note/k", "after", "x", "60")
+			after.want(t, 503, "")
+			if err := stop(); err != nil {
+				t.Error(err)
+			}
+		})
 	}
 }
 
--- a/internal/node/listparser_test.go
+++ b/internal/node/listparser_test.go
@@ -121,18 +121,20 @@
 		{"of a byte too many", manyServers(1, "", false) + strings.Repeat(" ", maxListBytes+1-len(manyServers(1, "", false))), 0},
 		{"endless", manyServers(3200, strings.Repeat("x", 2000), false), 0},
 	} {
-		ag := newRegistryAgent(t)
-		ag.set(false, c.text)
-		var got []listEntry
-		cfg := testConfig("")
-		cfg.Discovery = ag.Addr().String()
-		d := newDiscovery(cfg, -1, func(e event) { got = e.(listReceived).list.entries }, testLog())
-		if _, err := d.watchOnce(t.Context(), d.currentAddress(), false); (err == nil) != (c.want > 0) || len(got) != c.want {
-			t.Errorf("%s: %d servers, %v, want %d", c.name, len(got), err, c.want)
-		}
-		if held := d.currentAddress().version >= 0; held != (c.want > 0) {
-			t.Errorf("%s: rev %d is cached", c.name, d.currentAddress().version)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			ag := newRegistryAgent(t)
+			ag.set(false, c.text)
+			var got []listEntry
+			cfg := testConfig("")
+			cfg.Discovery = ag.Addr().String()
+			d := newDiscovery(cfg, -1, func(e event) { got = e.(listReceived).list.entries }, testLog())
+			if _, err := d.watchOnce(t.Context(), d.currentAddress(), false); (err == nil) != (c.want > 0) || len(got) != c.want {
+				t.Errorf("%s: %d servers, %v, want %d", c.name, len(got), err, c.want)
+			}
+			if held := d.currentAddress().version >= 0; held != (c.want > 0) {
+				t.Errorf("%s: rev %d is cached", c.name, d.currentAddress().version)
+			}
+		})
 	}
 }
 
@@ -148,16 +150,18 @@
 		{"broken in a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20\r\n" + `{"rev":8,"all"`, 7},
 		{"cut", "HTTP/1.1 200 OK\r\nContent-Length: 31\r\n\r\n" + `{"rev":8,"all":true,"targets":[`, -1},
 	} {
-		agent := newServer(t, func(conn net.Conn, _ *http.Request, _ string) bool {
-			io.WriteString(conn, c.answer)
-			return false
+		t.Run(c.name, func(t *testing.T) {
+			agent := newServer(t, func(conn net.Conn, _ *http.Request, _ string) bool {
+				io.WriteString(conn, c.answer)
+				return false
+			})
+			cfg := testConfig("")
+			cfg.Discovery, cfg.Settings.PollDiscovery = agent.addr(), true
+			d := newDiscovery(cfg, 7, func(e event) { t.Errorf("%s: posted %v", c.name, e) }, testLog())
+			if _, err := d.watchOnce(t.Context(), d.currentAddress(), false); err == nil || d.currentAddress().version != c.want {
+				t.Errorf("%s: %v; rev %d is cached, want %d", c.name, err, d.currentAddress().version, c.want)
+			}
 		})
-		cfg := testConfig("")
-		cfg.Discovery, cfg.Settings.PollDiscovery = agent.addr(), true
-		d := newDiscovery(cfg, 7, func(e event) { t.Errorf("%s: posted %v", c.name, e) }, testLog())
-		if _, err := d.watchOnce(t.Context(), d.currentAddress(), false); err == nil || d.currentAddress().version != c.want {
-			t.Errorf("%s: %v; rev %d is cached, want %d", c.name, err, d.currentAddress().version, c.want)
-		}
 	}
 }
 
--- a/outlier_test.go
+++ b/outlier_test.go
@@ -9,17 +9,19 @@
 // A server that fails at once has few calls in flight; without ejection it would win every pick.
 func TestServerThatFailsFastIsEjected(t *testing.T) {
 	for _, e := range []AttemptResult{ServerError, ConnectFailed, ConnectionLost} {
-		b := newBalancer(t, nil)
-		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
-		got := sendTraffic(b, 600, "get", func(s string) AttemptResult {
-			if s == "s03" {
-				return e
+		t.Run(fmt.Sprint("result ", int(e)), func(t *testing.T) {
+			b := newBalancer(t, nil)
+			b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
+			got := sendTraffic(b, 600, "get", func(s string) AttemptResult {
+				if s == "s03" {
+					return e
+				}
+				return Success
+			})
+			if got["s03"] > 10 {
+				t.Errorf("ending %d: the faulty server got %d of 300 first attempts", e, got["s03"])
 			}
-			return Success
 		})
-		if got["s03"] > 10 {
-			t.Errorf("ending %d: the faulty server got %d of 300 first attempts", e, got["s03"])
-		}
 	}
 }
 
@@ -74,22 +76,24 @@
 		shed float64
 		want int
 	}{{0, 4}, {0.5, 2}, {0.9, 0}} {
-		b := newBalancer(t, nil)
-		b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(20)})
-		for _, s := range b.ready.all[:10] {
-			s.until = time.Minute
-		}
-		b.shed = c.shed
-		out := 0
-		b.ruleOut(b.whole, &request{class: b.classes["get"]}, true)
-		for _, s := range b.ready.all {
-			if s.out {
-				out++
+		t.Run(fmt.Sprint("shed ", c.shed), func(t *testing.T) {
+			b := newBalancer(t, nil)
+			b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(20)})
+			for _, s := range b.ready.all[:10] {
+				s.until = time.Minute
 			}
-		}
-		if out != c.want {
-			t.Errorf("shed %.1f: %d ruled out, want %d", c.shed, out, c.want)
-		}
+			b.shed = c.shed
+			out := 0
+			b.ruleOut(b.whole, &request{class: b.classes["get"]}, true)
+			for _, s := range b.ready.all {
+				if s.out {
+					out++
+				}
+			}
+			if out != c.want {
+				t.Errorf("shed %.1f: %d ruled out, want %d", c.shed, out, c.want)
+			}
+		})
 	}
 }
 
@@ -137,15 +141,17 @@
 		common float64
 		want   bool
 	}{{0.02, true}, {0.5, false}} {
-		b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
-		b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
-		sendTraffic(b, 40, "get", func(string) AttemptResult { return Success })
-		b.errors = c.common
-		now := b.now
-		s := sends(b.Handle(now, Request{ID: "slow", Class: "get", Deadline: now + time.Second}))[0]
-		endAttempt(b, now+400*msec, "slow", s, Success)
-		if out := b.servers[s.Endpoint].until > b.now; out != c.want {
-			t.Errorf("with %.2f of answers overlong: ejected %v, want %v", c.common, out, c.want)
-		}
+		t.Run(fmt.Sprint("overlong ", c.common), func(t *testing.T) {
+			b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
+			b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
+			sendTraffic(b, 40, "get", func(string) AttemptResult { return Success })
+			b.errors = c.common
+			now := b.now
+			s := sends(b.Handle(now, Request{ID: "slow", Class: "get", Deadline: now + time.Second}))[0]
+			endAttempt(b, now+400*msec, "slow", s, Success)
+			if out := b.servers[s.Endpoint].until > b.now; out != c.want {
+				t.Errorf("with %.2f of answers overlong: ejected %v, want %v", c.common, out, c.want)
+			}
+		})
 	}
 }
--- a/pick_test.go
+++ b/pick_test.go
@@ -44,9 +44,11 @@
 		{"left empty", nil, mk(1), 0},
 		{"right empty", mk(5), nil, 1},
 	} {
-		if got := shareLeft(c.left, c.right); math.Abs(got-c.want) > 0.02 {
-			t.Errorf("%s: left share %.3f, want %.2f", c.name, got, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if got := shareLeft(c.left, c.right); math.Abs(got-c.want) > 0.02 {
+				t.Errorf("%s: left share %.3f, want %.2f", c.name, got, c.want)
+			}
+		})
 	}
 	if b.pick(nil, nil) != nil {
 		t.Error("picked from nothing")
--- a/reconfigure_test.go
+++ b/reconfigure_test.go
@@ -33,31 +33,33 @@
 		"nothing changes":         {class(Idempotent), class(Idempotent), true, true},
 		"a bad file changes none": {class(Idempotent), Class{Name: "get"}, true, true},
 	} {
-		set := testSettings()
-		set.Classes = []Class{row.before}
-		b, err := New(set, 1)
-		if err != nil {
-			t.Fatal(err)
-		}
-		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(6)})
-		again := func(at time.Duration, id string) bool {
-			s := sends(b.Handle(at, Request{ID: id, Class: "get", Deadline: at + time.Second}))
-			if len(s) != 1 {
-				t.Fatalf("%s: %s: %d sends", name, id, len(s))
+		t.Run(name, func(t *testing.T) {
+			set := testSettings()
+			set.Classes = []Class{row.before}
+			b, err := New(set, 1)
+			if err != nil {
+				t.Fatal(err)
 			}
-			if id == "old" {
-				set.Classes = []Class{row.after}
-				b.Handle(at+5*msec, Reconfigure{set})
+			b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(6)})
+			again := func(at time.Duration, id string) bool {
+				s := sends(b.Handle(at, Request{ID: id, Class: "get", Deadline: at + time.Second}))
+				if len(s) != 1 {
+					t.Fatalf("%s: %s: %d sends", name, id, len(s))
+				}
+				if id == "old" {
+					set.Classes = []Class{row.after}
+					b.Handle(at+5*msec, Reconfigure{set})
+				}
+				acts := b.Handle(at+30*msec, AttemptEnded{ID: id, Endpoint: s[0].Endpoint, Result: ConnectionLost})
+				return len(sends(acts)) == 1
 			}
-			acts := b.Handle(at+30*msec, AttemptEnded{ID: id, Endpoint: s[0].Endpoint, Result: ConnectionLost})
-			return len(sends(acts)) == 1
-		}
-		if got := again(20*msec, "old"); got != row.oldAgain {
-			t.Errorf("%s: the request taken before: sent again %v, want %v", name, got, row.oldAgain)
-		}
-		if got := again(100*msec, "new"); got != row.newToo {
-			t.Errorf("%s: the request taken after: sent again %v, want %v", name, got, row.newToo)
-		}
+			if got := again(20*msec, "old"); got != row.oldAgain {
+				t.Errorf("%s: the request taken before: sent again %v, want %v", name, got, row.oldAgain)
+			}
+			if got := again(100*msec, "new"); got != row.newToo {
+				t.Errorf("%s: the request taken after: sent again %v, want %v", name, got, row.newToo)
+			}
+		})
 	}
 }
 
--- a/request_test.go
+++ b/request_test.go
@@ -1,6 +1,7 @@
 package balancer
 
 import (
+	"fmt"
 	"testing"
 	"time"
 )
@@ -35,15 +36,17 @@
 		late float64
 		want time.Duration
 	}{{0, 0, 500*msec - 4*msec}, {0, 0.5, 1500 * msec}, {1, 0, 1500 * msec}} {
-		b := newBalancer(t, func(s *Settings) { s.Tier, s.Classes[0].LateValue = c.tier, c.late })
-		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
-		s := sends(b.Handle(0, Request{ID: "a", Class: "get", Deadline: 1500 * msec}))[0]
-		if s.Timeout != c.want {
-			t.Errorf("tier %d, late share %v: time-out %v, want %v", c.tier, c.late, s.Timeout, c.want)
-		}
-		acts := b.Handle(c.want, AttemptEnded{ID: "a", Result: TimedOut})
-		if _, refused := acts[0].(Reject); len(acts) != 1 || !refused {
-			t.Errorf("tier %d, late share %v: after the time-out %v", c.tier, c.late, acts)
-		}
+		t.Run(fmt.Sprint("tier ", c.tier, ", late value ", c.late), func(t *testing.T) {
+			b := newBalancer(t, func(s *Settings) { s.Tier, s.Classes[0].LateValue = c.tier, c.late })
+			b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
+			s := sends(b.Handle(0, Request{ID: "a", Class: "get", Deadline: 1500 * msec}))[0]
+			if s.Timeout != c.want {
+				t.Errorf("tier %d, late share %v: time-out %v, want %v", c.tier, c.late, s.Timeout, c.want)
+			}
+			acts := b.Handle(c.want, AttemptEnded{ID: "a", Result: TimedOut})
+			if _, refused := acts[0].(Reject); len(acts) != 1 || !refused {
+				t.Errorf("tier %d, late share %v: after the time-out %v", c.tier, c.late, acts)
+			}
+		})
 	}
 }
--- a/retry_test.go
+++ b/retry_test.go
@@ -22,13 +22,15 @@
 		{"the budget is spent", 1, "get", 0.2, 0, 800 * msec, 800 * msec},
 		{"answers may take that long", 1, "get", 0.2, 5, 500 * msec, 500 * msec},
 	} {
-		b := newBalancer(t, func(s *Settings) { s.Tier = c.tier })
-		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
-		b.classes[c.class].failing, b.tokens = c.failing, c.tokens
-		s := sends(b.Handle(0, Request{ID: "a", Class: c.class, Deadline: c.left}))[0]
-		if s.Timeout != c.want {
-			t.Errorf("%s: time-out %v, want %v", c.name, s.Timeout, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			b := newBalancer(t, func(s *Settings) { s.Tier = c.tier })
+			b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
+			b.classes[c.class].failing, b.tokens = c.failing, c.tokens
+			s := sends(b.Handle(0, Request{ID: "a", Class: c.class, Deadline: c.left}))[0]
+			if s.Timeout != c.want {
+				t.Errorf("%s: time-out %v, want %v", c.name, s.Timeout, c.want)
+			}
+		})
 	}
 }
 
@@ -87,10 +89,12 @@
 		{"slow repeat", 7 * time.Second, 6950 * msec, 900 * msec, true, 6350 * msec},
 		{"first byte after now", 8 * time.Second, 9 * time.Second, 500 * msec, false, 8 * time.Second},
 	} {
-		b.Handle(c.now, Request{ID: c.id, Class: "get", FirstByte: c.firstByte, Deadline: c.firstByte + c.given})
-		if r := b.requests[c.id]; r == nil || r.repeat != c.repeat || r.arrived != c.arrived {
-			t.Errorf("%s: %+v", c.id, r)
-		}
-		b.classes["get"].votes = 1
+		t.Run(c.id, func(t *testing.T) {
+			b.Handle(c.now, Request{ID: c.id, Class: "get", FirstByte: c.firstByte, Deadline: c.firstByte + c.given})
+			if r := b.requests[c.id]; r == nil || r.repeat != c.repeat || r.arrived != c.arrived {
+				t.Errorf("%s: %+v", c.id, r)
+			}
+			b.classes["get"].votes = 1
+		})
 	}
 }
--- a/rulechecker_test.go
+++ b/rulechecker_test.go
@@ -196,20 +196,22 @@
 		{"rule 3", []any{list, req("get"), Send{ID: "r", Endpoint: "c"}}},
 		{"never made", []any{list, req("get"), Cancel{ID: "r", Attempt: 0}}},
 	} {
-		c := newRuleChecker(testSettings())
-		var now time.Duration
-		for _, s := range tc.steps {
-			switch s := s.(type) {
-			case time.Duration:
-				now = s
-			case Event:
-				c.event(now, s)
-			case Action:
-				c.actions(now, []Action{s})
+		t.Run(tc.want, func(t *testing.T) {
+			c := newRuleChecker(testSettings())
+			var now time.Duration
+			for _, s := range tc.steps {
+				switch s := s.(type) {
+				case time.Duration:
+					now = s
+				case Event:
+					c.event(now, s)
+				case Action:
+					c.actions(now, []Action{s})
+				}
 			}
-		}
-		if !strings.Contains(strings.Join(c.broken, "\n"), tc.want) {
-			t.Errorf("want %q among %q", tc.want, c.broken)
-		}
+			if !strings.Contains(strings.Join(c.broken, "\n"), tc.want) {
+				t.Errorf("want %q among %q", tc.want, c.broken)
+			}
+		})
 	}
 }
--- a/rules_test.go
+++ b/rules_test.go
@@ -254,31 +254,33 @@
 
 func TestRulesHoldOnRandomSequences(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
-		set := testSettings()
-		set.Tier = int(seed % 2)
-		set.PollDiscovery = seed%4 == 0
-		if seed%3 == 0 {
-			set.Tick = 10 * msec // coarse: half of the slack after a deadline
-		}
-		c := newRuleChecker(set)
-		log, b := runRandomly(t, set, seed, 6000, c)
-		for i, s := range c.broken {
-			if i < 5 {
-				t.Errorf("seed %d: %s", seed, s)
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			set := testSettings()
+			set.Tier = int(seed % 2)
+			set.PollDiscovery = seed%4 == 0
+			if seed%3 == 0 {
+				set.Tick = 10 * msec // coarse: half of the slack after a deadline
 			}
-		}
-		if len(log) < 1000 {
-			t.Errorf("seed %d: only %d actions", seed, len(log))
-		}
-		if len(b.requests) > 0 || len(b.held) > 0 || b.inFlight != 0 {
-			t.Errorf("seed %d: %d requests, %d held and %d calls are left over", seed, len(b.requests),
-				len(b.held), b.inFlight)
-		}
-		for id, s := range b.servers {
-			if !s.listed || s.calls != 0 || len(s.open) != 0 {
-				t.Errorf("seed %d: server %s is left over", seed, id)
+			c := newRuleChecker(set)
+			log, b := runRandomly(t, set, seed, 6000, c)
+			for i, s := range c.broken {
+				if i < 5 {
+					t.Errorf("seed %d: %s", seed, s)
+				}
 			}
-		}
+			if len(log) < 1000 {
+				t.Errorf("seed %d: only %d actions", seed, len(log))
+			}
+			if len(b.requests) > 0 || len(b.held) > 0 || b.inFlight != 0 {
+				t.Errorf("seed %d: %d requests, %d held and %d calls are left over", seed, len(b.requests),
+					len(b.held), b.inFlight)
+			}
+			for id, s := range b.servers {
+				if !s.listed || s.calls != 0 || len(s.open) != 0 {
+					t.Errorf("seed %d: server %s is left over", seed, id)
+				}
+			}
+		})
 	}
 }
 
--- a/settings_test.go
+++ b/settings_test.go
@@ -20,10 +20,12 @@
 		"SlowStartDuration":         func(s *Settings) { s.SlowStartDuration = -1 },
 		"Classes[0].LateValue":      func(s *Settings) { s.Classes[0].LateValue = 2 },
 	} {
-		s := testSettings()
-		change(&s)
-		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("got %v, want %q", err, want)
-		}
+		t.Run(want, func(t *testing.T) {
+			s := testSettings()
+			change(&s)
+			if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), want) {
+				t.Errorf("got %v, want %q", err, want)
+			}
+		})
 	}
 }
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -183,17 +183,19 @@
 func TestWarmingServerStaysWithinItsLimit(t *testing.T) {
 	set := testSettings()
 	for _, replicas := range []int{12, 200} {
-		set.Tier, set.Replicas = 1, replicas
-		fleet := coldFleet(t, set, replicas)
-		res := playColdServer(set, replicas, 3, sameWork, func(replica int, now time.Duration, id string, _ float64) string {
-			b := fleet[replica]
-			s := sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second}))[0]
-			b.Handle(now+coldMean, AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: Success, Answered: true})
-			return s.Endpoint
+		t.Run(fmt.Sprint(replicas, " replicas"), func(t *testing.T) {
+			set.Tier, set.Replicas = 1, replicas
+			fleet := coldFleet(t, set, replicas)
+			res := playColdServer(set, replicas, 3, sameWork, func(replica int, now time.Duration, id string, _ float64) string {
+				b := fleet[replica]
+				s := sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second}))[0]
+				b.Handle(now+coldMean, AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: Success, Answered: true})
+				return s.Endpoint
+			})
+			if res.requests < 20 || res.worst > 1 {
+				t.Errorf("%d replicas: %d requests to the cold server, %.2f of its limit", replicas, res.requests, res.worst)
+			}
 		})
-		if res.requests < 20 || res.worst > 1 {
-			t.Errorf("%d replicas: %d requests to the cold server, %.2f of its limit", replicas, res.requests, res.worst)
-		}
 	}
 	// The check can fail: a policy that sends everything to the fresh server breaks the limit.
 	res := playColdServer(set, 12, 3, sameWork, func(int, time.Duration, string, float64) string { return "s02" })
@@ -207,17 +209,19 @@
 func TestWarmingServerIsUsedWithinItsLimit(t *testing.T) {
 	set := testSettings()
 	for _, replicas := range []int{12, 100} {
-		set.Tier, set.Replicas = 1, replicas
-		fleet := coldFleet(t, set, replicas)
-		work := func(rng *rand.Rand) float64 { return max(0.01, rng.ExpFloat64()) }
-		res := playColdServer(set, replicas, 9, work, func(replica int, now time.Duration, id string, work float64) string {
-			b, took := fleet[replica], time.Duration(work*float64(coldMean))
-			s := sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second, ExpectedWork: took}))[0]
-			b.Handle(now+took, AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: Success, Answered: true})
-			return s.Endpoint
+		t.Run(fmt.Sprint(replicas, " replicas"), func(t *testing.T) {
+			set.Tier, set.Replicas = 1, replicas
+			fleet := coldFleet(t, set, replicas)
+			work := func(rng *rand.Rand) float64 { return max(0.01, rng.ExpFloat64()) }
+			res := playColdServer(set, replicas, 9, work, func(replica int, now time.Duration, id string, work float64) string {
+				b, took := fleet[replica], time.Duration(work*float64(coldMean))
+				s := sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second, ExpectedWork: took}))[0]
+				b.Handle(now+took, AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: Success, Answered: true})
+				return s.Endpoint
+			})
+			if res.worst > 1 || res.early < 0.1 {
+				t.Errorf("%d replicas: %.2f of the limit, %.3f of the work", replicas, res.worst, res.early)
+			}
 		})
-		if res.worst > 1 || res.early < 0.1 {
-			t.Errorf("%d replicas: %.2f of the limit, %.3f of the work", replicas, res.worst, res.early)
-		}
 	}
 }
