--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -70,7 +70,7 @@
 
 func TestRefusedConnectionIsConnectFailed(t *testing.T) {
 	b := testPool(10)
-	if r := doAttempt(t, b, testAttempt(b, closedPort(t))); r.result != balancer.ConnectFailed || b.open != 0 {
+	if r := doAttempt(t, b, testAttempt(t, b, closedPort(t))); r.result != balancer.ConnectFailed || b.open != 0 {
 		t.Errorf("ending %d, %d open", r.result, b.open)
 	}
 }
@@ -108,7 +108,7 @@
 	addr := unreachableAddress(t)
 	b := testPool(10)
 	b.dial = (&net.Dialer{Timeout: 50 * time.Millisecond}).DialContext
-	if r := doAttempt(t, b, testAttempt(b, addr)); r.result != balancer.ConnectFailed || b.open != 0 {
+	if r := doAttempt(t, b, testAttempt(t, b, addr)); r.result != balancer.ConnectFailed || b.open != 0 {
 		t.Errorf("ending %d, %d open", r.result, b.open)
 	}
 }
@@ -132,7 +132,7 @@
 	}
 	b := testPool(10)
 	b.adopt(halfConn{nc}, testInstance(b, s.addr()))
-	if r := doAttempt(t, b, testAttempt(b, s.addr())); r.result != balancer.ConnectFailed || b.open != 0 {
+	if r := doAttempt(t, b, testAttempt(t, b, s.addr())); r.result != balancer.ConnectFailed || b.open != 0 {
 		t.Errorf("ending %d, %d open", r.result, b.open)
 	}
 	if s.received() != 0 {
@@ -160,7 +160,7 @@
 				io.WriteString(other, say)
 			}
 			until(t, "it to arrive", func() bool { return hasUnreadOrClosed(nc) })
-			if r := doAttempt(t, b, testAttempt(b, s.addr())); r.result != balancer.Success || string(r.body) != "for id" || b.open != 1 {
+			if r := doAttempt(t, b, testAttempt(t, b, s.addr())); r.result != balancer.Success || string(r.body) != "for id" || b.open != 1 {
 				t.Errorf("ending %d, body %q, %d open", r.result, r.body, b.open)
 			}
 		})
@@ -176,7 +176,7 @@
 	b := testPool(10)
 	waiter := make(chan upstreamReply, 1)
 	b.open = 1
-	a := testAttempt(b, "127.0.0.1:1")
+	a := testAttempt(t, b, "127.0.0.1:1")
 	c := b.startReader(nc, a.instance, waiter)
 	if b.beginWrite(a.ctx, c, waiter, a) != useAnotherConn || b.open != 0 {
 		t.Errorf("a request is written to a closed connection, or it is still counted: %d open", b.open)
@@ -194,7 +194,7 @@
 				return false
 			})
 			b := testPool(10)
-			a := testAttempt(b, s.addr())
+			a := testAttempt(t, b, s.addr())
 			if want == balancer.TimedOut {
 				a.deadline = a.sentAt + 100*time.Millisecond
 			} else {
@@ -261,7 +261,7 @@
 			addr, came := newSink(t)
 			b := testPool(10)
 			held := holdDials(b)
-			a := testAttempt(b, addr)
+			a := testAttempt(t, b, addr)
 			end := make(chan attemptOutcome, 1)
 			go func() { end <- b.do(a) }()
 			wait(t, held.dialed, "the connection")
@@ -305,7 +305,7 @@
 				}
 				return drippingConn{nc.(*net.TCPConn)}, nc.(*net.TCPConn).SetWriteBuffer(1)
 			}
-			a := testAttempt(b, s.addr())
+			a := testAttempt(t, b, s.addr())
 			a.request.body = []byte(long)
 			if r := doAttempt(t, b, a); r.result != balancer.Success || string(r.body) != long {
 				t.Errorf("ending %d, a body of %d bytes, want %d", r.result, len(r.body), len(long))
--- a/internal/node/deadlineheader_test.go
+++ b/internal/node/deadlineheader_test.go
@@ -183,7 +183,7 @@
 	}
 	b := testPool(1)
 	for _, left := range []time.Duration{-time.Second, 0, minRemainingTime / 2} {
-		a := testAttempt(b, "127.0.0.1:1")
+		a := testAttempt(t, b, "127.0.0.1:1")
 		a.deadline = b.clock.now() + left
 		if wait := b.remainingTime(a); wait != 0 || writeDeadlineValue(nil, wait) {
 			t.Errorf("with %v left, %v is forwarded", left, wait)
--- a/internal/node/dial_test.go
+++ b/internal/node/dial_test.go
@@ -92,7 +92,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := newServer(t, echo)
 			b := testPool(10)
-			a := testAttempt(b, s.addr())
+			a := testAttempt(t, b, s.addr())
 			f := &failingDial{err: c.err, times: c.times}
 			b.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 				nc, err := f.dial(ctx, network, address)
@@ -139,7 +139,7 @@
 				}
 				f := &failingDial{err: dialError("connect", syscall.ENETUNREACH), times: times}
 				d.currentAddress().dial = f.dial
-				ctx, cancel := context.WithCancel(context.Background())
+				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				if asked {
 					go d.runPolled(ctx)
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -136,7 +136,7 @@
 	cfg := testConfig("")
 	cfg.Settings.PollDiscovery = true
 	d := newDiscovery(cfg, 7, func(e event) { events <- e }, testLog())
-	ctx, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go d.runPolled(ctx)
 	d.setAddress(ag.Addr().String())
@@ -358,7 +358,7 @@
 	cfg.Settings.PollDiscovery = true
 	d := newDiscovery(cfg, 7, func(e event) { events <- e }, testLog())
 	ag.set(false, completeList(entry("s1", "127.0.0.1:1", "in_service")))
-	ctx, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go d.runPolled(ctx)
 	d.subscribe()
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -95,7 +95,7 @@
 	if change != nil {
 		change(n)
 	}
-	ctx, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(t.Context())
 	end := make(chan error, 1)
 	go func() { end <- n.Run(ctx) }()
 	var once sync.Once
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -31,7 +31,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			ctx, cancel := context.WithCancel(context.Background())
+			ctx, cancel := context.WithCancel(t.Context())
 			over := make(chan struct{})
 			go func() {
 				defer close(over)
--- a/internal/node/response_test.go
+++ b/internal/node/response_test.go
@@ -71,7 +71,7 @@
 			})
 			b := testPool(10)
 			h := testInstance(b, s.addr())
-			r := doAttempt(t, b, testAttempt(b, s.addr()))
+			r := doAttempt(t, b, testAttempt(t, b, s.addr()))
 			if r.result != c.want || c.want == balancer.Success && string(r.body) != "ok" {
 				t.Errorf("ending %d, body %q; want %d", r.result, r.body, c.want)
 			}
@@ -137,7 +137,7 @@
 				return false
 			})
 			b := testPool(10)
-			a := testAttempt(b, s.addr())
+			a := testAttempt(t, b, s.addr())
 			switch c.end {
 			case "time-out":
 				a.deadline = a.sentAt + 200*time.Millisecond
@@ -244,7 +244,7 @@
 	b := testPool(10)
 	c.ended = func() { until(t, "the reader's end", func() bool { return b.connections() == 0 }) }
 	b.adopt(c, testInstance(b, nc.RemoteAddr().String()))
-	if r := doAttempt(t, b, testAttempt(b, nc.RemoteAddr().String())); r.result != balancer.ConnectFailed || b.connections() != 0 {
+	if r := doAttempt(t, b, testAttempt(t, b, nc.RemoteAddr().String())); r.result != balancer.ConnectFailed || b.connections() != 0 {
 		t.Errorf("ending %d, body %q, %d open; want %d", r.result, r.body, b.connections(), balancer.ConnectFailed)
 	}
 }
--- a/internal/node/upstreampool_test.go
+++ b/internal/node/upstreampool_test.go
@@ -33,8 +33,8 @@
 }
 
 // testAttempt is an attempt at an address with plenty of time.
-func testAttempt(b *upstreamPool, endpoint string) *attempt {
-	ctx, cancel := context.WithCancel(context.Background())
+func testAttempt(t *testing.T, b *upstreamPool, endpoint string) *attempt {
+	ctx, cancel := context.WithCancel(t.Context())
 	now := b.clock.now()
 	return &attempt{
 		ctx: ctx, cancel: cancel, instance: testInstance(b, endpoint), sentAt: now, deadline: now + limit,
@@ -70,13 +70,13 @@
 		return echo(c, r, body)
 	})
 	b := testPool(1)
-	if r := doAttempt(t, b, testAttempt(b, one.addr())); r.result != balancer.Success {
+	if r := doAttempt(t, b, testAttempt(t, b, one.addr())); r.result != balancer.Success {
 		t.Fatalf("ending %d", r.result)
 	}
 	end := make(chan attemptOutcome, 1)
-	go func() { end <- b.do(testAttempt(b, two.addr())) }()
+	go func() { end <- b.do(testAttempt(t, b, two.addr())) }()
 	wait(t, got, "the attempt that took the idle one's place")
-	if r := doAttempt(t, b, testAttempt(b, one.addr())); r.result != balancer.NotSent {
+	if r := doAttempt(t, b, testAttempt(t, b, one.addr())); r.result != balancer.NotSent {
 		t.Errorf("with no descriptor left: ending %d, want NotSent", r.result)
 	}
 	close(hold)
@@ -92,8 +92,8 @@
 	s := newServer(t, echo)
 	b := testPool(10)
 	b.idleTimeout = 20 * time.Millisecond
-	doAttempt(t, b, testAttempt(b, s.addr()))
-	ctx, cancel := context.WithCancel(context.Background())
+	doAttempt(t, b, testAttempt(t, b, s.addr()))
+	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go b.closeExpired(ctx)
 	until(t, "the close", func() bool {
@@ -120,7 +120,7 @@
 	}
 	b.reuseDelay = 100 * limit
 	send := func(id string) attemptOutcome {
-		a := testAttempt(b, s.addr())
+		a := testAttempt(t, b, s.addr())
 		a.request.id = id
 		return doAttempt(t, b, a)
 	}
@@ -242,14 +242,14 @@
 	s := newServer(t, echo)
 	b := testPool(10)
 	held := holdDials(b)
-	a := testAttempt(b, s.addr())
+	a := testAttempt(t, b, s.addr())
 	end := make(chan attemptOutcome, 1)
 	go func() { end <- b.do(a) }()
 	wait(t, held.dialed, "the connection")
 	a.request.markDeparted()
 	close(held.release)
 	wait(t, end, "the attempt's end")
-	if r := doAttempt(t, b, testAttempt(b, s.addr())); r.result != balancer.Success || s.accepted() != 1 || s.received() != 1 {
+	if r := doAttempt(t, b, testAttempt(t, b, s.addr())); r.result != balancer.Success || s.accepted() != 1 || s.received() != 1 {
 		t.Errorf("ending %d, %d connections, %d requests", r.result, s.accepted(), s.received())
 	}
 }
