--- a/internal/fleet/run_test.go
+++ b/internal/fleet/run_test.go
@@ -9,9 +9,11 @@
 	"strings"
 	"testing"
 	"time"
+
+	"go.uber.org/goleak"
 )
 
-// TestMain lets the tests' own program play the children.
+// TestMain lets the tests' own program play the children, and fails the tests if a goroutine outlives them.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 2 && os.Args[1] == "child" { // a child never runs the tests, which start children
 		if err := Child(os.Args[2]); err != nil {
@@ -20,7 +22,7 @@
 		}
 		return
 	}
-	os.Exit(m.Run())
+	goleak.VerifyTestMain(m)
 }
 
 func testRunner(t *testing.T) Runner {
--- /dev/null
+++ b/internal/wire/main_test.go
@@ -0,0 +1,10 @@
+package wire
+
+import (
+	"testing"
+
+	"go.uber.org/goleak"
+)
+
+// TestMain fails the package's tests if a goroutine outlives them.
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
