--- a/admission_test.go
+++ b/admission_test.go
@@ -11,25 +11,25 @@
 func TestNewWindowGrowsUntilServersReject(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
-	floor := windowFloor * b.fairServers()
-	if b.window != floor {
-		t.Fatalf("a new window is %.1f, want its floor, %.1f", b.window, floor)
+	floor := minLimitPerEndpoint * b.endpointsPerReplica()
+	if b.admission.limit != floor {
+		t.Fatalf("a new window is %.1f, want its floor, %.1f", b.admission.limit, floor)
 	}
-	r := &request{class: b.classes["get"], attempts: []*attempt{{sent: 0}}}
+	r := &request{class: b.classes.byName["get"], attempts: []*attempt{{sent: 0}}}
 	answers := func(n int, ending AttemptResult, share float64) {
 		for range n {
-			b.now, b.inFlight = time.Duration(share*r.class.target(0)), int(b.window)
-			b.steer(r, AttemptEnded{Result: ending})
+			b.now, b.inFlight.now = time.Duration(share*r.class.target(0)), int(b.admission.limit)
+			b.adjustLimit(r, AttemptEnded{Result: ending})
 		}
 	}
 	answers(20, Success, 0.8)
-	if want := floor + 20; b.window != want {
-		t.Errorf("20 good answers opened the window from %.1f to %.1f, want %.1f", floor, b.window, want)
+	if want := floor + 20; b.admission.limit != want {
+		t.Errorf("20 good answers opened the window from %.1f to %.1f, want %.1f", floor, b.admission.limit, want)
 	}
 	answers(8, Rejected, 0.1)
-	crowded := b.window
-	if answers(20, Success, 0.8); b.window > crowded+5 {
-		t.Errorf("after rejections 20 good responses opened the window from %.1f to %.1f", crowded, b.window)
+	crowded := b.admission.limit
+	if answers(20, Success, 0.8); b.admission.limit > crowded+5 {
+		t.Errorf("after rejections 20 good responses opened the window from %.1f to %.1f", crowded, b.admission.limit)
 	}
 }
 
@@ -42,10 +42,10 @@
 		t.Run(fmt.Sprint("responses after ", tc.took), func(t *testing.T) {
 			b := newBalancer(t, nil)
 			b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
-			c := b.classes["get"] // known to answer in 40 ms without overload
+			c := b.classes.byName["get"] // known to answer in 40 ms without overload
 			c.samples, c.mean, c.base = 100, float64(40*msec), float64(40*msec)
-			b.window = 15 // less than its growth may reach with the ten calls that are out here
-			start, now := b.window, time.Duration(0)
+			b.admission.limit = 15 // less than its growth may reach with the ten calls that are out here
+			start, now := b.admission.limit, time.Duration(0)
 			var open []Send
 			for i := range 3000 {
 				now += 4 * msec
@@ -55,11 +55,11 @@
 					open = append(open[1:], sends(endAttempt(b, now, s.ID, s, Success))...)
 				}
 			}
-			if grew := b.window > start; grew != tc.grow && tc.grow || b.window < windowFloor*b.fairServers() {
-				t.Errorf("answers after %v: window %.1f from %.1f", tc.took, b.window, start)
+			if grew := b.admission.limit > start; grew != tc.grow && tc.grow || b.admission.limit < minLimitPerEndpoint*b.endpointsPerReplica() {
+				t.Errorf("answers after %v: window %.1f from %.1f", tc.took, b.admission.limit, start)
 			}
-			if !tc.grow && b.window > windowFloor*b.fairServers()+1 {
-				t.Errorf("late answers left the window at %.1f", b.window)
+			if !tc.grow && b.admission.limit > minLimitPerEndpoint*b.endpointsPerReplica()+1 {
+				t.Errorf("late answers left the window at %.1f", b.admission.limit)
 			}
 		})
 	}
@@ -70,14 +70,14 @@
 	t.Helper()
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
-	b.window, b.busy = 100, 100
-	r := &request{class: b.classes["get"], attempts: []*attempt{{sent: 0}}}
+	b.admission.limit, b.inFlight.mean = 100, 100
+	r := &request{class: b.classes.byName["get"], attempts: []*attempt{{sent: 0}}}
 	for range 50 {
-		b.shed = shed
-		b.now, b.inFlight = time.Duration(after(r.class)), int(b.window)
-		b.steer(r, AttemptEnded{Result: ending})
+		b.shedding.share = shed
+		b.now, b.inFlight.now = time.Duration(after(r.class)), int(b.admission.limit)
+		b.adjustLimit(r, AttemptEnded{Result: ending})
 	}
-	return b.window
+	return b.admission.limit
 }
 
 // While much load is shed some servers are overloaded for certain, so the window must shrink at lower latencies.
@@ -117,8 +117,8 @@
 		}
 		open = append(open, sends(b.Handle(now, Request{ID: fmt.Sprint(i), Class: "get", Deadline: now + time.Second}))...)
 	}
-	if b.window < 3 {
-		t.Errorf("the window is %.1f after five seconds", b.window)
+	if b.admission.limit < 3 {
+		t.Errorf("the window is %.1f after five seconds", b.admission.limit)
 	}
 }
 
@@ -127,14 +127,14 @@
 func TestRejectionsCutTheUnusedWindow(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
-	b.window, b.busy, b.opening = 80, 40, false
-	r := &request{class: b.classes["get"], attempts: []*attempt{{sent: 0}}}
+	b.admission.limit, b.inFlight.mean, b.admission.initialGrowth = 80, 40, false
+	r := &request{class: b.classes.byName["get"], attempts: []*attempt{{sent: 0}}}
 	for range 8 {
 		b.now = msec
-		b.steer(r, AttemptEnded{Result: Rejected})
+		b.adjustLimit(r, AttemptEnded{Result: Rejected})
 	}
-	if b.window > b.busy+1 {
-		t.Errorf("8 rejections left a window of %.1f with %.0f calls in flight", b.window, b.busy)
+	if b.admission.limit > b.inFlight.mean+1 {
+		t.Errorf("8 rejections left a window of %.1f with %.0f calls in flight", b.admission.limit, b.inFlight.mean)
 	}
 }
 
@@ -142,7 +142,7 @@
 func TestRetriesLeaveWindowForFirstAttempts(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
-	b.window, b.inFlight = 10, 6
+	b.admission.limit, b.inFlight.now = 10, 6
 	repeat := sends(b.Handle(msec, Request{ID: "again", Class: "get", Deadline: time.Second, Retry: true}))
 	first := sends(b.Handle(msec, Request{ID: "first", Class: "get", Deadline: time.Second}))
 	if len(repeat) != 0 || len(first) != 1 {
@@ -157,15 +157,15 @@
 		s.Classes[0].PriorityWeight, s.Classes[2].PriorityWeight, s.WorstClassWeight = 1, 12, 0
 	})
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
-	for _, c := range b.order {
-		c.arrive, c.serve = 10, 5
+	for _, c := range b.classes.ordered {
+		c.arrivals, c.served = 10, 5
 	}
-	low, high := &request{class: b.classes["get"]}, &request{class: b.classes["pay"]}
-	if l, h := b.windowShare(low), b.windowShare(high); l != 1 || h != 1 {
+	low, high := &request{class: b.classes.byName["get"]}, &request{class: b.classes.byName["pay"]}
+	if l, h := b.limitShare(low), b.limitShare(high); l != 1 || h != 1 {
 		t.Errorf("nothing shed: parts of the window %.2f and %.2f, want 1", l, h)
 	}
-	b.shed = 0.6
-	if l, h := b.windowShare(low), b.windowShare(high); l > 0.7 || l < 0.5 || h < 1.3 || h > 2 {
+	b.shedding.share = 0.6
+	if l, h := b.limitShare(low), b.limitShare(high); l > 0.7 || l < 0.5 || h < 1.3 || h > 2 {
 		t.Errorf("much shed: parts of the window %.2f for the low weight and %.2f for the high", l, h)
 	}
 }
@@ -175,13 +175,13 @@
 func TestFirstAttemptsGoBeforeRetries(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(1)})
-	b.window = 1
+	b.admission.limit = 1
 	first := sends(b.Handle(0, Request{ID: "a", Class: "get", Deadline: time.Second}))
 	b.Handle(msec, Request{ID: "new", Class: "get", Deadline: time.Second})
 	b.Handle(2*msec, Request{ID: "repeat", Class: "get", Deadline: time.Second, Retry: true})
-	b.classes["get"].LateValue = 0.5
-	b.inFlight = int(windowFloor*b.fairServers()) + 2
-	b.window = float64(b.inFlight) // one comes free by the next answer
+	b.classes.byName["get"].LateValue = 0.5
+	b.inFlight.now = int(minLimitPerEndpoint*b.endpointsPerReplica()) + 2
+	b.admission.limit = float64(b.inFlight.now) // one comes free by the next answer
 	next := sends(endAttempt(b, 10*msec, "a", first[0], Success))
 	if len(next) == 0 || next[0].ID != "new" {
 		t.Errorf("after an answer %v was sent", next)
@@ -193,12 +193,12 @@
 func TestRetryAfterOfARejectionIsShort(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(2)})
-	b.window, b.inFlight = 1, 1
+	b.admission.limit, b.inFlight.now = 1, 1
 	r := Request{ID: "a", Class: "get", Deadline: time.Second}
 	b.Handle(2*msec, r)
 	for _, a := range b.Handle(600*msec, Timer{Token: "r:a"}) {
 		if f, ok := a.(Reject); ok {
-			if limit := b.set.Classes[0].LatencyObjective / 10; f.RetryAfter > limit {
+			if limit := b.settings.Classes[0].LatencyObjective / 10; f.RetryAfter > limit {
 				t.Errorf("RetryAfter %v, want at most %v", f.RetryAfter, limit)
 			}
 			return
--- a/balancer.go
+++ b/balancer.go
@@ -9,116 +9,93 @@
 
 import (
 	"math/rand/v2"
-	"strings"
 	"time"
 )
 
-// Balancer decides for one node. See the package comment for its contract.
+// seedStream is the second half of the random generator's seed.
+const seedStream = 0x51a7e
+
+// Balancer decides for one replica. See the package comment for its contract. Each mechanism has a file,
+// which names its source, and keeps its state in a type of its own.
 type Balancer struct {
-	set      Settings
-	rng      *rand.Rand
-	now      time.Duration
-	out      []Action
-	servers  map[string]*server
-	ready    endpointSet // the ready servers
-	whole    groups      // the two groups of the design
-	pool     groups      // the part of each that this node draws from
-	width    int         // servers in the pool
-	busy     float64     // calls in flight, averaged over sends
-	requests map[string]*request
-	held     []*request
-	classes  map[string]*class
-	order    []*class // every class in the order of the settings, then the unknown one
+	settings     Settings
+	rng          *rand.Rand
+	now          time.Duration
+	actions      []Action // of the event that is being handled
+	shuttingDown bool
+
+	// The endpoint list and the replica's subset of it.
+	subscription subscription
+	endpoints    map[string]*endpoint // by id: listed, or with attempts in flight
+	ready        endpointSet
+	subset       subset
 
-	errors       float64 // share of bad endings, overlong answers among them, of all attempts
-	lastOK       time.Duration
-	effort       float64       // hinted on average, in ns
-	hints        float64       // heard so far
-	tokens       float64       // retry budget
-	window       float64       // own calls admitted at once (first tier)
-	opening      bool          // the window grows quickly: nothing has told yet that servers are crowded
-	crowding     float64       // answers against their targets on average
-	nextCut      time.Duration // when the window may next be cut for a full server
-	inFlight     int
-	shed         float64          // share of requests answered without an attempt
-	closing      bool             // the host ends
-	warmCapacity capacityEstimate // of warm servers
-	coldCapacity capacityEstimate // and cold ones
-	creditGrowth creditGrowth     // at which credit grows
-	interval     time.Duration    // between requests on average
-	asked        time.Duration    // when the last one came
-	subFails     int
-	subWanted    time.Duration
+	// Requests and their attempts.
+	classes  classTable
+	requests map[string]*request // by id: not answered, or with attempts in flight
+	queue    []*request          // those that wait for capacity, in order of arrival
+	inFlight inFlightCount
+	retries  retryBudget
+
+	// Load and health.
+	admission   concurrencyLimit
+	shedding    sheddingRate
+	badResults  badResults
+	lastSuccess time.Duration
+	slowStart   slowStart
 }
 
-// New returns a Balancer that knows no servers yet. The error names the setting at fault.
-func New(set Settings, seed uint64) (*Balancer, error) {
-	if err := set.Validate(); err != nil {
+// New returns a Balancer that knows no endpoints yet. The error is a *SettingError.
+func New(settings Settings, seed uint64) (*Balancer, error) {
+	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
 	b := &Balancer{
-		rng:     rand.New(rand.NewPCG(seed, 0x51a7e)),
-		servers: map[string]*server{}, requests: map[string]*request{},
-		errors: 0.02, tokens: retryBudget / 2,
+		rng:        rand.New(rand.NewPCG(seed, seedStream)),
+		endpoints:  map[string]*endpoint{},
+		requests:   map[string]*request{},
+		badResults: badResults{firstBadShare},
+		retries:    newRetryBudget(),
 	}
-	b.take(set)
+	b.applySettings(settings)
 	return b, nil
 }
 
 // Handle takes one event at the clock time now and returns what to do, in order.
 func (b *Balancer) Handle(now time.Duration, e Event) []Action {
 	b.now = max(b.now, now)
-	b.out = nil
+	b.actions = nil
 	switch e := e.(type) {
 	case EndpointUpdate:
-		b.takeList(e)
+		b.updateEndpoints(e)
 	case SubscriptionFailed:
-		b.subFails++
-		b.askAgain()
+		b.retrySubscribe()
 	case Request:
 		b.accept(e)
 	case AttemptEnded:
-		b.takeOutcome(e)
+		b.endAttempt(e)
 	case StreamStarted:
-		if r := b.requests[e.ID]; r != nil {
-			r.streaming = true
-		}
+		b.startStream(e)
 	case ClientGone:
-		if r := b.requests[e.ID]; r != nil {
-			b.close(r)
-		}
+		b.abandon(e)
 	case Shutdown:
-		b.closing = true
-		for _, r := range b.unanswered() {
-			b.answer(r)
-		}
+		b.shutdown()
 	case Reconfigure:
 		b.reconfigure(e.Settings)
 	case Timer:
-		b.takeTimer(e)
+		b.handleTimer(e)
 	}
-	return b.out
+	return b.actions
 }
 
-func (b *Balancer) do(a Action) { b.out = append(b.out, a) }
+func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-func (b *Balancer) takeTimer(e Timer) {
-	if e.Token == "list" {
-		if b.subWanted > 0 && b.now+b.set.Tick >= b.subWanted {
-			b.subWanted = 0
-			b.do(Subscribe{})
-		}
+// handleTimer leads a timer to what asked for it. A host may round a time down, so a timer can come a little
+// early: nothing relies on its being late enough, and a review that finds nothing due asks for another.
+func (b *Balancer) handleTimer(e Timer) {
+	if e.Token == subscriptionToken {
+		b.subscribeIfDue()
 		return
 	}
-	// A host may round a time down, so a timer can come a hair early: nothing relies on its being
-	// late enough, and a review that finds nothing due yet asks for another.
-	if r := b.requests[strings.TrimPrefix(e.Token, "r:")]; r != nil {
-		if b.now+b.set.Tick >= r.wake {
-			r.wake = 0
-		}
-		if r.held {
-			b.hold(r)
-			b.release()
-		}
-	}
+	b.reviewQueued(e.Token)
 }
--- a/cmd/balancer/reload_test.go
+++ b/cmd/balancer/reload_test.go
@@ -43,7 +43,7 @@
 	}
 	p.reload(t, strings.Replace(config(0, ""), `"target-ms":20000`, `"target-ms":-1`, 1))
 	eventually(t, "the bad file to be named", func() bool {
-		return strings.Contains(p.logText(), "the old one stays") && strings.Contains(p.logText(), "LatencyObjective")
+		return strings.Contains(p.logText(), "the previous one stays in force") && strings.Contains(p.logText(), "LatencyObjective")
 	})
 	p.reload(t, config(1, "last"))
 	c := client{address: address, name: "last"}
@@ -76,7 +76,7 @@
 	if state := p.cmd.ProcessState; !state.Success() {
 		t.Errorf("it ends with %v: %s", state, p.logText())
 	}
-	t.Logf("%d answers, and %d times in force", l.answered.Load(), strings.Count(p.logText(), "is in force"))
+	t.Logf("%d answers, and %d times in force", l.answered.Load(), strings.Count(p.logText(), "are in force"))
 }
 
 // reloadLoad is clients that send requests until they are stopped.
@@ -155,8 +155,8 @@
 		return body
 	}
 	for _, reload := range []struct{ config, log string }{
-		{config[:len(config)/2], "the new configuration is bad"},
-		{config, "the configuration is read again"},
+		{config[:len(config)/2], "configuration rejected"},
+		{config, "configuration reloaded"},
 	} {
 		p.reload(t, reload.config)
 		p.await(t, reload.log)
--- a/eligibility.go
+++ b/eligibility.go
@@ -1,4 +1,5 @@
-// Eligibility: which servers a request may be sent to now.
+// Eligibility: which endpoints a request may be sent to now. Unhealthy ones are excluded up to a share of the
+// list (the panic threshold of Envoy, its max_ejection_percent).
 
 package balancer
 
@@ -8,106 +9,99 @@
 	"sort"
 )
 
-// Constants are shares, ratios or counts; every length of time is a setting or was observed.
-const (
-	mostOut = 0.2 // share of the list that health may exclude; beyond that all are drawn
-)
+// maxExcludedShare is the share of the list that may be excluded for its health; beyond that, only the worst
+// are.
+const maxExcludedShare = 0.2
+
+// candidates are endpoints to choose from, and how strictly.
+type candidates struct {
+	groups          groupPair
+	excludeOutliers bool
+	// warmingUp allows that all of them are warming up, and that a first attempt goes to an idle one without
+	// the draw of slow start. Else a subset that is warming up as a whole would take the requests of an
+	// endpoint that is not, while the rest of the list isn't.
+	warmingUp bool
+}
 
-// chooseFrom picks among those servers that a request may go to: in its scope, not tried by it, fit,
-// warm enough and, as long as that leaves any, with room and not crowded with own calls. Only where
-// anyCold is set may all of them be cold, and may a first try go to an idle cold one whatever the
-// thinning: a pool may be cold as a whole, and would take a warm one's calls, while the rest is warm.
-func (b *Balancer) chooseFrom(g groups, r *request, anyCold, ejectOutliers bool) *server {
-	b.ruleOut(g, r, ejectOutliers)
-	unlimited := func(*server) int { return math.MaxInt }
-	for _, limit := range []func(*server) int{b.concurrencyLimit, b.refusalLimit, unlimited} {
-		left, idleLeft := b.narrow(g.left, r, limit)
-		right, idleRight := b.narrow(g.right, r, limit)
-		isWarm := func(s *server) bool { return b.warmth(s) == 1 }
-		if anyCold && len(left)+len(right) > 0 || slices.ContainsFunc(append(left, right...), isWarm) {
+// chooseFrom picks among the candidates that a request may be sent to: in its scope, not tried by it, healthy
+// and, as long as that leaves any, below the limits on what is in flight to one endpoint.
+func (b *Balancer) chooseFrom(from candidates, req *request) *endpoint {
+	b.excludeUnhealthy(from, req)
+	unlimited := func(*endpoint) int { return math.MaxInt }
+	for _, limit := range []func(*endpoint) int{b.endpointLimit, b.rejectionLimit, unlimited} {
+		left, idleLeft := b.eligible(from.groups.left, req, limit)
+		right, idleRight := b.eligible(from.groups.right, req, limit)
+		admitted := append(left, right...)
+		if from.warmingUp && len(admitted) > 0 || slices.ContainsFunc(admitted, b.isWarm) {
 			return b.pick(left, right)
 		}
-		if anyCold && len(idleLeft)+len(idleRight) > 0 {
+		if from.warmingUp && len(idleLeft)+len(idleRight) > 0 {
 			return b.pick(idleLeft, idleRight)
 		}
 	}
 	return nil
 }
 
-// ruleOut marks the servers that health keeps out. When many look bad to one node, the fault is
-// likelier its own or the tier below's, and those left would take all the load: only the worst are
-// kept out, up to a set share of the list, and fewer the more is shed: in overload every server is
-// missed, and time-outs show load rather than ill health.
-func (b *Balancer) ruleOut(g groups, r *request, ejectOutliers bool) {
-	var sick []*server
-	for _, s := range slices.Concat(g.left, g.right) {
-		s.out = ejectOutliers && b.isOutlier(s, r.class)
-		if !s.out && b.unfit(s, r) {
-			s.out = true
-			sick = append(sick, s)
+// excludeUnhealthy marks the candidates that are excluded for their health. When many seem unhealthy to one
+// replica, the fault is more likely its own or the tier below's, and the few others would take all the load.
+// So only the worst are excluded, up to a share of the list, and fewer the more load is shed: in overload
+// every endpoint is needed, and timeouts show load rather than ill health.
+func (b *Balancer) excludeUnhealthy(from candidates, req *request) {
+	var unhealthy []*endpoint
+	for _, ep := range slices.Concat(from.groups.left, from.groups.right) {
+		ep.excluded = from.excludeOutliers && b.isOutlier(ep, req.class)
+		if !ep.excluded && b.isUnhealthy(ep, req) {
+			ep.excluded = true
+			unhealthy = append(unhealthy, ep)
 		}
 	}
-	most := int(mostOut * (1 - b.shed) * float64(b.ready.len()))
-	if len(sick) > most {
-		sort.SliceStable(sick, func(i, j int) bool { return sick[i].streak > sick[j].streak })
-		for _, s := range sick[most:] {
-			s.out = false
-		}
+	most := int(maxExcludedShare * (1 - b.shedding.share) * float64(b.ready.len()))
+	if len(unhealthy) <= most {
+		return
+	}
+	sort.SliceStable(unhealthy, func(i, j int) bool {
+		return unhealthy[i].ejection.consecutiveFailures > unhealthy[j].ejection.consecutiveFailures
+	})
+	for _, ep := range unhealthy[most:] {
+		ep.excluded = false
 	}
 }
 
-// narrow lists the servers of a group that pass, and the cold ones that would but for the thinning.
-func (b *Balancer) narrow(group []*server, r *request, limit func(*server) int) (warm, idle []*server) {
-	for _, s := range group {
+// eligible returns the endpoints of a group that the request may be sent to, and the idle ones that only the
+// draw of slow start keeps out.
+func (b *Balancer) eligible(
+	group []*endpoint, req *request, limit func(*endpoint) int,
+) (admitted, idle []*endpoint) {
+	for _, ep := range group {
 		switch {
-		case s.out || s.calls >= limit(s) || !b.inScope(r, s) || tried(r, s):
-		case b.warmEnough(s, r):
-			warm = append(warm, s)
-		case s.calls == 0 && len(r.attempts) == 0 && b.inCredit(s):
-			idle = append(idle, s)
+		case ep.excluded || ep.inFlight >= limit(ep) || !req.inScope(ep) || req.tried(ep):
+		case b.admitsInSlowStart(ep, req):
+			admitted = append(admitted, ep)
+		case ep.inFlight == 0 && len(req.attempts) == 0 && b.hasTokens(ep):
+			idle = append(idle, ep)
 		}
 	}
-	return warm, idle
+	return admitted, idle
 }
 
-// concurrencyLimit is the count of own calls at which a server is passed over: uniform draws now and then
-// meet the same few servers twice, and a crowd of several nodes' calls there chokes it.
-func (b *Balancer) concurrencyLimit(s *server) int {
-	return min(b.refusalLimit(s), 1+b.inFlight/max(1, b.width))
+// endpointLimit is the count of requests in flight from which an endpoint is passed over: random draws meet
+// the same few endpoints twice now and then, and what several replicas send there together overloads them.
+func (b *Balancer) endpointLimit(ep *endpoint) int {
+	return min(b.rejectionLimit(ep), 1+b.inFlight.now/max(1, b.subset.size))
 }
 
-// refusalLimit is the count of own calls at which a server is passed over because it refused one more a
-// while ago: its queue or its connections, which other copies hold idle, are full, and refusals
-// come at once and drain its count. It is not ill, so the cap on those ruled out does not apply.
-func (b *Balancer) refusalLimit(s *server) int {
-	if b.now < s.full {
-		return s.room
-	}
-	return math.MaxInt
+// tried says that the request has been sent to the endpoint before.
+func (req *request) tried(ep *endpoint) bool {
+	return slices.ContainsFunc(req.attempts, func(a *attempt) bool { return a.endpoint == ep })
 }
 
-// tried says that the request has been to the server before.
-func tried(r *request, s *server) bool {
-	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.srv == s })
-}
-
-// inScope keeps a keyed request that may have run to the servers that discard its repeats.
-func (b *Balancer) inScope(r *request, s *server) bool {
-	if r.class.Effect != IdempotentByKey {
+// inScope says that the endpoint discards the repeat of a request with an idempotency key that may have run.
+func (req *request) inScope(ep *endpoint) bool {
+	if req.class.Effect != IdempotentByKey {
 		return true
 	}
-	return !slices.ContainsFunc(r.attempts, func(a *attempt) bool {
-		inCell := a.cell == s.Cell || r.class.Scope == ScopeZone
-		return !a.unsent && r.class.Scope != ScopeAll && (a.zone != s.Zone || !inCell)
+	return !slices.ContainsFunc(req.attempts, func(a *attempt) bool {
+		inCell := a.cell == ep.Cell || req.class.Scope == ScopeZone
+		return !a.neverRan && req.class.Scope != ScopeAll && (a.zone != ep.Zone || !inCell)
 	})
 }
-
-// unfit says that a server should not be drawn now for its health.
-func (b *Balancer) unfit(s *server, r *request) bool {
-	if b.now < s.until || b.unresponsive(s) {
-		return true
-	}
-	// After an ejection one safe trial at a time decides: a bad server must not eat a request that
-	// cannot be repeated, nor many at once.
-	return s.level > 0 && s.goods == 0 && (r.class.Effect == NonIdempotent || s.calls > 0)
-}
--- a/heldup_test.go
+++ b/heldup_test.go
@@ -16,8 +16,8 @@
 			b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 			sendTraffic(b, 200, "get", func(string) AttemptResult { return Success })
 			now, before := b.now, *b // what follows reads its figures only
-			known, failing := map[string]server{}, *b.classes["get"].learned
-			for id, s := range b.servers {
+			known, failing := map[string]endpoint{}, *b.classes.byName["get"].classStats
+			for id, s := range b.endpoints {
 				known[id] = withoutSends(*s)
 			}
 			for i := range 50 {
@@ -29,14 +29,14 @@
 				now += 400 * msec
 				b.Handle(now, AttemptEnded{ID: id, Endpoint: sent[0].Endpoint, Result: e, Latency: 400 * msec, Answered: true, HeldUp: true})
 			}
-			if b.errors != before.errors || b.window != before.window || b.crowding != before.crowding || b.lastOK != before.lastOK {
+			if b.badResults.share != before.badResults.share || b.admission.limit != before.admission.limit || b.admission.meanOverTarget != before.admission.meanOverTarget || b.lastSuccess != before.lastSuccess {
 				t.Errorf("ending %d: errors %v, window %v, crowding %v; had %v, %v, %v", e,
-					b.errors, b.window, b.crowding, before.errors, before.window, before.crowding)
+					b.badResults.share, b.admission.limit, b.admission.meanOverTarget, before.badResults.share, before.admission.limit, before.admission.meanOverTarget)
 			}
-			if now := *b.classes["get"].learned; now.mean != failing.mean || now.failing != failing.failing {
-				t.Errorf("ending %d: mean %v, failing %v; had %v, %v", e, now.mean, now.failing, failing.mean, failing.failing)
+			if now := *b.classes.byName["get"].classStats; now.mean != failing.mean || now.failureShare != failing.failureShare {
+				t.Errorf("ending %d: mean %v, failing %v; had %v, %v", e, now.mean, now.failureShare, failing.mean, failing.failureShare)
 			}
-			for id, s := range b.servers {
+			for id, s := range b.endpoints {
 				if is := withoutSends(*s); fmt.Sprint(is) != fmt.Sprint(known[id]) {
 					t.Errorf("ending %d: %s is %+v, was %+v", e, id, is, known[id])
 				}
@@ -46,8 +46,8 @@
 }
 
 // withoutSends is a server without what a send alone changes.
-func withoutSends(s server) server {
-	s.calls, s.open, s.out, s.pooled, s.credit = 0, nil, false, false, credit{}
-	s.failing = maps.Clone(s.failing)
+func withoutSends(s endpoint) endpoint {
+	s.inFlight, s.attempts, s.excluded, s.inSubset, s.tokens = 0, nil, false, false, tokenBucket{}
+	s.failures = maps.Clone(s.failures)
 	return s
 }
--- a/internal/fleet/growth.go
+++ b/internal/fleet/growth.go
@@ -6,15 +6,14 @@
 	"fmt"
 	"os"
 	"runtime"
-	"sync"
 	"time"
 )
 
 // descriptorsEvery is how often the nodes' descriptors are counted.
 const descriptorsEvery = 50 * time.Millisecond
 
-// Growth plays the same day at the usual size and at the large one with real nodes, and judges what a node needs
-// more. It ends within its bound, with its children gone.
+// Growth plays the same day with real nodes at the usual size and at the large one, and compares the growth of what a
+// node needs with the limits. It ends within its bound, and its children with it.
 func (r Runner) Growth(ctx context.Context, args GrowthArgs) (report GrowthReport, err error) {
 	if err := args.Check(); err != nil {
 		return report, err
@@ -25,7 +24,7 @@
 	if err != nil {
 		return report, fmt.Errorf("growth: %w", err)
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }() // what is left of it stays in the folder for temporary files
 	report.Args, report.Machine = args, Machine{runtime.NumCPU(), runtime.Version(), loadAverage()}
 	if args.Program == "" {
 		if args.Program, err = buildProgram(ctx, dir); err != nil {
@@ -59,7 +58,7 @@
 	return figures, nil
 }
 
-// growthDay is one day under way.
+// growthDay is one day while it is played.
 type growthDay struct {
 	Runner
 	args      GrowthArgs
@@ -102,7 +101,7 @@
 	for i, address := range addresses {
 		n, err := startReal(ctx, d.args.Program, d.dir, NodeSpec{
 			Name: fmt.Sprintf("n%d", i), Index: i, Replicas: d.size.nodes,
-			Listen: "127.0.0.1:0", Discovery: address, PollDiscovery: d.args.Mode == "asked", Seed: d.args.Seed + uint64(i),
+			Listen: "127.0.0.1:0", Discovery: address, PollDiscovery: d.args.Mode == modePolled, Seed: d.args.Seed + uint64(i),
 		})
 		if err != nil {
 			return err
@@ -117,7 +116,7 @@
 	return nil
 }
 
-// target is a server's entry while it is in service. The first servers booted long ago.
+// target returns a server's entry while it is in service. The servers listed first started long ago.
 func (d *growthDay) target(i int) ListEntry {
 	return ListEntry{
 		UID: fmt.Sprintf("s-%d", i), Endpoint: d.endpoints[i], Zone: zones[i%len(zones)], Model: "m1",
@@ -125,7 +124,7 @@
 	}
 }
 
-// stop ends all that the day started.
+// stop ends all processes of the day.
 func (d *growthDay) stop() {
 	for _, n := range d.nodes {
 		n.stop()
@@ -146,26 +145,19 @@
 		return f, err
 	}
 	begun := time.Now()
-	running, cancel := context.WithCancelCause(ctx)
-	defer cancel(nil)
-	var wg sync.WaitGroup
-	wg.Add(2)
-	go func() {
-		defer wg.Done()
-		if err := d.playEvents(running, &f); err != nil {
-			cancel(err)
-		}
-	}()
-	watching, watched := context.WithCancel(running)
+	activities := newActivities(ctx)
+	defer activities.cancel(nil)
+	activities.start(func(ctx context.Context) error { return d.playEvents(ctx, &f) })
+	watching, stopWatching := context.WithCancel(activities.ctx)
+	defer stopWatching()
 	var descriptors []int
-	go func() {
-		defer wg.Done()
+	activities.start(func(context.Context) error {
 		descriptors = d.watchDescriptors(watching)
-	}()
-	f.Calls = d.makeCalls(running)
-	watched()
-	wg.Wait()
-	if err := context.Cause(running); err != nil {
+		return nil
+	})
+	f.Calls = d.makeCalls(activities.ctx)
+	stopWatching()
+	if err := activities.wait(); err != nil {
 		return f, err
 	}
 	after, err := machineBusy()
--- /dev/null
+++ b/internal/node/drain.go
@@ -0,0 +1,57 @@
+package node
+
+import (
+	"context"
+	"fmt"
+	"time"
+)
+
+// drainPollInterval is how often a draining frontend checks whether its connections are closed.
+const drainPollInterval = 20 * time.Millisecond
+
+// drainSchedule is the timetable of a graceful shutdown, each entry being a span since its beginning.
+type drainSchedule struct {
+	stopAccepting time.Duration // until then, new connections are accepted
+	closeConns    time.Duration // until then, clients may send further requests on their connections
+	answerAll     time.Duration // what is unanswered then is answered at once
+}
+
+// drain shuts the front end down gracefully: every request that was read is answered. Up to closeConns,
+// clients are served as ever on the connections that they have, because until their load balancer has noticed
+// that this node is not ready, their requests would fail elsewhere. From then on each response closes its
+// connection. drain returns nil once all connections are closed, or an error when ctx ends.
+//
+// http.Server.Shutdown does not do: it waits for seconds on connections that never sent a request, past
+// SIGKILL, and closes an idle connection on which a request has just been read.
+func (f *frontend) drain(ctx context.Context, ln *downstreamListener, served <-chan struct{}, schedule drainSchedule) error {
+	begin := f.clock.now()
+	passed := func(at time.Duration) bool { return f.clock.now()-begin >= at }
+	f.draining.Store(true)
+	sleep(ctx, schedule.stopAccepting)
+	ln.drainQueue()
+	defer func() { _ = ln.Close() }() // the process ends, and its listener with it
+	for ctx.Err() == nil && !passed(schedule.closeConns) && (!isClosed(served) || f.conns.count() > 0) {
+		sleep(ctx, drainPollInterval)
+	}
+	f.closing.Store(true)
+	return f.awaitDrained(ctx, ln, served, func() bool { return passed(schedule.answerAll) })
+}
+
+// awaitDrained evicts quiet connections until none is left and the server accepts no more. Once the time to
+// answer all has come, it has the loop answer every open request.
+func (f *frontend) awaitDrained(ctx context.Context, ln *downstreamListener, served <-chan struct{}, answerAll func() bool) error {
+	for notified := false; ; sleep(ctx, drainPollInterval) {
+		accepting := !isClosed(served) // read first, so that the count below has whatever was accepted
+		left := f.conns.evictQuiet()
+		switch {
+		case !accepting && left == 0:
+			return nil
+		case ctx.Err() != nil:
+			return fmt.Errorf("connections are left open: %d, by phase %v: %w", left, f.conns.phaseCounts(), ctx.Err())
+		case !notified && answerAll():
+			_ = ln.Close() // it is still open only if every accept fails, and needs no answer
+			f.post(shutdownDeadline{})
+			notified = true
+		}
+	}
+}
--- /dev/null
+++ b/internal/node/sleep.go
@@ -0,0 +1,16 @@
+package node
+
+import (
+	"context"
+	"time"
+)
+
+// sleep returns after a duration or when ctx ends, whichever is first.
+func sleep(ctx context.Context, d time.Duration) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+	case <-timer.C:
+	}
+}
--- /dev/null
+++ b/internal/node/watch.go
@@ -0,0 +1,180 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"time"
+)
+
+// Durations of a watch.
+//
+// A poll that is lost must be replaced within notifiedWithin. The worst case is shorter: from the moment when
+// discovery falls silent, the poll is abandoned after hold and grace; where lists are pushed, a dial and a response
+// head that never arrive cost agentCheckTimeout and retryInterval once more; where the registry is polled, the next
+// poll follows after retryInterval or a quarter of the poll interval from the settings (which is 6 s at most),
+// whichever is longer. TestLostCallIsMadeUpForInTime adds these up.
+//
+// An agent that is silent does not respond even after it has returned, so a poll is abandoned shortly after its hold.
+// Where lists are pushed, what the agent receives when discovery returns counts as known to the node at once, and
+// draining endpoints must be avoided 250 ms later. So the hold is shorter than an outage: the outage is noticed
+// before it ends, and from then on the agent, which is local and responds at no cost, is checked several times
+// within those 250 ms.
+const (
+	pushHold          = time.Second
+	pushGrace         = 250 * time.Millisecond
+	pollHold          = 2 * time.Second // longer, as the registry itself bears these polls
+	pollGrace         = 500 * time.Millisecond
+	agentCheckTimeout = 150 * time.Millisecond // for the head of a response that needs no hold
+	retryInterval     = 100 * time.Millisecond // from an immediate failure to the next poll
+	// watchInterval is the shortest time from the start of a poll to the start of the next. While a long list
+	// changes many times a second, several changes share a poll, which costs a node more than its content does. An
+	// open watch allows 200 ms without a poll, and changes must be in force 250 ms later.
+	watchInterval  = 20 * time.Millisecond
+	notifiedWithin = 6 * time.Second // after which a change counts as known to the node, received or not
+)
+
+// errStaleList reports an incremental update that is older than the list that the node has.
+var errStaleList = errors.New("the update is older than the list")
+
+// statusError is a response of the registry with a status other than 200.
+type statusError int
+
+func (e statusError) Error() string { return fmt.Sprintf("status %d", int(e)) }
+
+// runPushed watches until ctx ends. Each poll follows the previous response within watchInterval, as a watch counts
+// as lost when the next poll is late.
+func (d *discovery) runPushed(ctx context.Context) {
+	late := time.AfterFunc(d.startupWait, func() { d.post(discoveryUnresponsive{}) })
+	defer late.Stop()
+	suspect := true // whether it is in doubt that the agent responds at all
+	var watched *registryAddress
+	for ctx.Err() == nil {
+		address := d.currentAddress()
+		suspect = suspect || address != watched
+		watched = address
+		responds, err := d.watchOnce(ctx, address, suspect)
+		switch {
+		case ctx.Err() != nil:
+			return
+		case err == nil || responds || address.ctx.Err() != nil:
+			suspect = false
+			continue
+		case !suspect:
+			d.log.Warn("discovery does not answer, retrying", "error", err)
+			suspect = true
+		}
+		d.awaitRetry(ctx, address)
+	}
+}
+
+// runPolled serves subscriptions until ctx ends. A subscription is a series of watches until one fails, which is
+// posted once; the policy then subscribes anew after its own delay. That is a part of the configured poll interval
+// and may be close to 0, and a refused connection fails at once. So the next poll also waits for retryInterval, or
+// until the watch moves to another address.
+func (d *discovery) runPolled(ctx context.Context) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-d.subscribeSignal:
+		}
+		for d.pollOnce(ctx) {
+		}
+	}
+}
+
+// pollOnce makes one poll, and reports whether another one follows without a new subscription. A poll that failed
+// by a local fault never reached discovery: the policy need not delay the next one, and is not notified.
+func (d *discovery) pollOnce(ctx context.Context) (again bool) {
+	address := d.currentAddress()
+	_, err := d.watchOnce(ctx, address, false)
+	if err == nil || address.ctx.Err() != nil || ctx.Err() != nil {
+		return ctx.Err() == nil
+	}
+	again = isLocalDialError(err)
+	d.log.Warn("discovery poll failed, retrying", "error", err)
+	if !again {
+		d.post(subscriptionFailed{})
+	}
+	d.awaitRetry(ctx, address)
+	return again && ctx.Err() == nil
+}
+
+// awaitRetry waits for retryInterval, or until ctx ends or the watch moves to another address.
+func (d *discovery) awaitRetry(ctx context.Context, address *registryAddress) {
+	select {
+	case <-ctx.Done():
+	case <-address.ctx.Done():
+	case <-d.after(retryInterval):
+	}
+}
+
+// watchOnce makes one poll and posts its result. A suspect agent is checked beside the poll: if the agent
+// responds to the check, the poll is known to be lost and is abandoned, and responds is true.
+//
+// A successful poll returns after watchInterval at the earliest, which paces consecutive polls.
+func (d *discovery) watchOnce(
+	ctx context.Context, address *registryAddress, suspect bool,
+) (responds bool, err error) {
+	started := time.Now()
+	ctx, cancel := context.WithTimeout(ctx, d.hold+d.grace)
+	defer cancel()
+	defer context.AfterFunc(address.ctx, cancel)()
+	if suspect {
+		checked, from := make(chan bool, 1), address.version
+		go func() {
+			ok := address.checkAgent(ctx, from)
+			checked <- ok
+			if ok {
+				cancel()
+			}
+		}()
+		defer func() { cancel(); responds = <-checked }()
+	}
+	if err := d.receive(ctx, address); err != nil {
+		return false, err
+	}
+	sleep(ctx, watchInterval-time.Since(started))
+	return false, nil
+}
+
+// receive makes one poll, reads the list in its response and posts it. After a malformed or stale list, the next
+// poll requests the complete list, as it is unknown which changes were missed.
+func (d *discovery) receive(ctx context.Context, address *registryAddress) error {
+	resp, err := address.get(ctx, address.version, d.hold)
+	if err != nil {
+		return err
+	}
+	defer resp.Body.Close()
+	if resp.StatusCode != http.StatusOK {
+		return fmt.Errorf("watch: %w", statusError(resp.StatusCode))
+	}
+	body := newListBody(resp.Body)
+	list, err := readList(body)
+	if body.err != nil {
+		return fmt.Errorf("watch: %w", body.err)
+	}
+	if err == nil && !list.complete && list.version < address.version {
+		err = fmt.Errorf("list: %w: version %d after %d", errStaleList, list.version, address.version)
+	}
+	if err != nil {
+		address.version = noVersion
+		return err
+	}
+	address.version = list.version
+	if !list.complete && len(list.entries) == 0 {
+		d.postFrom(address, listConfirmed{}) // the hold ended without a change
+		return nil
+	}
+	d.postFrom(address, listReceived{list: list})
+	return nil
+}
+
+// postFrom posts an event from an address, unless the watch has moved to another one.
+func (d *discovery) postFrom(address *registryAddress, e event) {
+	if address.ctx.Err() == nil {
+		d.post(e)
+	}
+}
--- a/outlier_test.go
+++ b/outlier_test.go
@@ -60,8 +60,8 @@
 func TestServerOnTrialGetsNoNonIdempotentRequest(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
-	s := b.servers["s03"]
-	s.level, s.until = 1, 0
+	s := b.endpoints["s03"]
+	s.ejection.level, s.ejection.until = 1, 0
 	if got := sendTraffic(b, 400, "pay", func(string) AttemptResult { return Success }); got["s03"] != 0 {
 		t.Errorf("a server on trial got %d unsafe requests", got["s03"])
 	}
@@ -80,13 +80,13 @@
 			b := newBalancer(t, nil)
 			b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(20)})
 			for _, s := range b.ready.all[:10] {
-				s.until = time.Minute
+				s.ejection.until = time.Minute
 			}
-			b.shed = c.shed
+			b.shedding.share = c.shed
 			out := 0
-			b.ruleOut(b.whole, &request{class: b.classes["get"]}, true)
+			b.excludeUnhealthy(candidates{groups: b.subset.all, excludeOutliers: true}, &request{class: b.classes.byName["get"]})
 			for _, s := range b.ready.all {
-				if s.out {
+				if s.excluded {
 					out++
 				}
 			}
@@ -145,11 +145,11 @@
 			b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 			b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 			sendTraffic(b, 40, "get", func(string) AttemptResult { return Success })
-			b.errors = c.common
+			b.badResults.share = c.common
 			now := b.now
 			s := sends(b.Handle(now, Request{ID: "slow", Class: "get", Deadline: now + time.Second}))[0]
 			endAttempt(b, now+400*msec, "slow", s, Success)
-			if out := b.servers[s.Endpoint].until > b.now; out != c.want {
+			if out := b.endpoints[s.Endpoint].ejection.until > b.now; out != c.want {
 				t.Errorf("with %.2f of answers overlong: ejected %v, want %v", c.common, out, c.want)
 			}
 		})
--- a/pick_test.go
+++ b/pick_test.go
@@ -10,16 +10,16 @@
 // The pick draws a candidate from each group and takes the one with fewer calls in flight; a tie goes to the first
 // group, and with no calls at all by the groups' sizes.
 func TestPickComparesTwoCandidatesByCalls(t *testing.T) {
-	mk := func(calls ...int) []*server {
-		var l []*server
+	mk := func(calls ...int) []*endpoint {
+		var l []*endpoint
 		for i, c := range calls {
-			l = append(l, &server{Endpoint: Endpoint{ID: fmt.Sprint(i, c)}, calls: c})
+			l = append(l, &endpoint{Endpoint: Endpoint{ID: fmt.Sprint(i, c)}, inFlight: c})
 		}
 		return l
 	}
 	b := newBalancer(t, nil)
 	const n = 20000
-	shareLeft := func(left, right []*server) float64 {
+	shareLeft := func(left, right []*endpoint) float64 {
 		got := 0
 		for range n {
 			s := b.pick(left, right)
@@ -33,7 +33,7 @@
 	}
 	for _, c := range []struct {
 		name        string
-		left, right []*server
+		left, right []*endpoint
 		want        float64
 	}{
 		{"fewer left", mk(1), mk(2), 1},
@@ -53,7 +53,7 @@
 	if b.pick(nil, nil) != nil {
 		t.Error("picked from nothing")
 	}
-	left, count := mk(0, 0, 0, 0), map[*server]int{}
+	left, count := mk(0, 0, 0, 0), map[*endpoint]int{}
 	for range n {
 		count[b.pick(left, nil)]++
 	}
@@ -68,7 +68,7 @@
 func TestLoadedServerIsAvoidedWhileOthersAreIdle(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(6)})
-	b.servers["s00"].calls, b.inFlight = 2, 2
+	b.endpoints["s00"].inFlight, b.inFlight.now = 2, 2
 	got := sendTraffic(b, 300, "get", func(string) AttemptResult { return Success })
 	if got["s00"] != 0 || len(got) != 5 {
 		t.Errorf("draws: %v", got)
@@ -84,10 +84,10 @@
 	list[0].Capacity = 2
 	b := newBalancer(t, func(s *Settings) { s.Tier, s.Replicas = 1, 1 })
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: list})
-	b.servers["s02"].slow = math.Log(2)
+	b.endpoints["s02"].latency.logRatio = math.Log(2)
 	got := map[string]int{}
 	for range 9000 {
-		got[b.choose(&request{class: b.classes["get"]}).ID]++
+		got[b.choose(&request{class: b.classes.byName["get"]}).ID]++
 	}
 	// A pair's other side is drawn alike, so the zero tie leaves each its share of all weights.
 	total := 2 + 0.25
@@ -131,7 +131,7 @@
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(8)})
 	s := sends(b.Handle(msec, Request{ID: "a", Class: "get", Deadline: time.Second}))[0]
 	endAttempt(b, 3*msec, "a", s, Success)
-	if got := b.servers[s.Endpoint].slow; got < -0.1 {
+	if got := b.endpoints[s.Endpoint].latency.logRatio; got < -0.1 {
 		t.Errorf("the first answer made its server look %.1f in log latency", got)
 	}
 }
@@ -149,7 +149,7 @@
 			id, now := fmt.Sprint(k), time.Duration(k+1)*100*msec
 			for _, s := range sends(b.Handle(now, Request{ID: id, Class: "pay", Deadline: now + time.Second})) {
 				sent++
-				if b.servers[s.Endpoint].Zone == "north" {
+				if b.endpoints[s.Endpoint].Zone == "north" {
 					hung++
 					continue
 				}
--- a/reconfigure_test.go
+++ b/reconfigure_test.go
@@ -74,7 +74,7 @@
 		return Success
 	})
 	open := sends(b.Handle(b.now, Request{ID: "open", Class: "get", Deadline: b.now + time.Second}))[0]
-	mean, calls, until := b.classes["get"].mean, b.servers[open.Endpoint].calls, b.servers["s02"].until
+	mean, calls, until := b.classes.byName["get"].mean, b.endpoints[open.Endpoint].inFlight, b.endpoints["s02"].ejection.until
 	if calls == 0 || until == 0 {
 		t.Fatalf("%d calls out, ejected until %v: nothing to keep", calls, until)
 	}
@@ -83,16 +83,16 @@
 	set.Classes[0].LatencyObjective *= 2
 	set.Classes = append(set.Classes, Class{Name: "new", LatencyObjective: time.Second, Deadline: 2 * time.Second})
 	b.Handle(b.now, Reconfigure{set})
-	if got := b.classes["get"].mean; got != mean {
+	if got := b.classes.byName["get"].mean; got != mean {
 		t.Errorf("mean latency %v, want %v", got, mean)
 	}
-	if got := b.servers[open.Endpoint].calls; got != calls {
+	if got := b.endpoints[open.Endpoint].inFlight; got != calls {
 		t.Errorf("%d calls, want %d", got, calls)
 	}
-	if got := b.servers["s02"].until; got != until {
+	if got := b.endpoints["s02"].ejection.until; got != until {
 		t.Errorf("ejected until %v, want %v", got, until)
 	}
-	if b.classes["get"].LatencyObjective != set.Classes[0].LatencyObjective || b.classes["new"] == nil {
+	if b.classes.byName["get"].LatencyObjective != set.Classes[0].LatencyObjective || b.classes.byName["new"] == nil {
 		t.Error("the new settings are not in force")
 	}
 }
@@ -113,12 +113,12 @@
 		b.Handle(now, AttemptEnded{ID: "r", Endpoint: s.Endpoint, Result: Success, Answered: true})
 	}
 	b.Handle(now, Reconfigure{testSettings()})
-	if len(b.classes) != 4 || len(b.order) != 4 {
-		t.Errorf("%d classes, %d in order, want 4", len(b.classes), len(b.order))
+	if len(b.classes.byName) != 4 || len(b.classes.ordered) != 4 {
+		t.Errorf("%d classes, %d in order, want 4", len(b.classes.byName), len(b.classes.ordered))
 	}
-	for id, s := range b.servers {
-		if len(s.failing) > 4 {
-			t.Errorf("%s: shares of %d classes", id, len(s.failing))
+	for id, s := range b.endpoints {
+		if len(s.failures) > 4 {
+			t.Errorf("%s: shares of %d classes", id, len(s.failures))
 		}
 	}
 }
--- a/requests.go
+++ b/requests.go
@@ -1,231 +1,260 @@
-// The life cycle of a request.
+// The life cycle of a request: accepted, queued or sent, attempts ended, answered, forgotten.
 
 package balancer
 
 import (
 	"cmp"
 	"slices"
+	"strings"
 	"time"
 )
 
+// requestTokenPrefix stands before a request's id in the token of its timer.
+const requestTokenPrefix = "r:"
+
 // request is an accepted request, kept until it is answered and its attempts have ended.
 type request struct {
 	id        string
 	class     *class
-	arrived   time.Duration
+	arrived   time.Duration // when the client's first attempt arrived, as far as it is known
 	deadline  time.Duration
+	work      float64 // that the client expects, in ns; 0: unknown
+	retry     bool    // the client's, by its mark or its timeout
 	attempts  []*attempt
-	out       int
-	effort    float64 // hinted, in ns; 0: not told
-	repeat    bool    // by the client, where clients say so
-	held      bool
+	inFlight  int // attempts that have not ended
+	queued    bool
 	answered  bool
 	streaming bool
-	wake      time.Duration
+	timerAt   time.Duration // when its timer is due
 }
 
 // attempt is one send of a request.
 type attempt struct {
-	req    *request
-	srv    *server
-	n      int
-	sent   time.Duration
-	zone   string
-	cell   int
-	ended  bool
-	unsent bool // proven never to have run
-	void   bool // nor to have asked anything of a server
+	request  *request
+	endpoint *endpoint
+	number   int // from 0
+	sent     time.Duration
+	zone     string // of the endpoint at that time
+	cell     int
+	ended    bool
+	neverRan bool // proved never to have run
+	notSent  bool // nor to have reached an endpoint
 }
 
+// accept takes a new request.
 func (b *Balancer) accept(e Request) {
 	if b.requests[e.ID] != nil {
 		return
 	}
-	c := b.classes[e.Class]
-	if c == nil {
-		c = b.order[len(b.order)-1] // unknown: unsafe
-	}
-	r := &request{
-		id: e.ID, class: c, arrived: b.now, deadline: e.Deadline, repeat: e.Retry,
-		effort: max(0, float64(e.ExpectedWork)),
-	}
-	if r.effort > 0 {
-		b.hints++
-		b.effort += max(memory, 1/b.hints) * (r.effort - b.effort)
-	}
-	b.requests[e.ID] = r
-	b.interval += time.Duration(memory * float64(min(b.now-b.asked, b.set.SlowStartDuration)-b.interval))
-	b.asked = b.now
-	b.backdate(r, e.FirstByte)
-	for _, k := range b.order {
-		k.arrive *= 0.99
-		k.serve *= 0.99
-	}
-	c.arrive++
-	if b.closing {
-		b.answer(r)
+	req := &request{
+		id: e.ID, class: b.classes.get(e.Class), arrived: b.now, deadline: e.Deadline, retry: e.Retry,
+		work: max(0, float64(e.ExpectedWork)),
+	}
+	if req.work > 0 {
+		b.slowStart.work.observe(req.work)
+	}
+	b.requests[e.ID] = req
+	b.slowStart.arrivals.observe(b.now, b.settings.SlowStartDuration)
+	b.inferFirstAttempt(req, e.FirstByte)
+	b.classes.countArrival(req.class)
+	if b.shuttingDown {
+		b.answer(req)
 		return
 	}
-	b.place(r)
+	b.dispatch(req)
 }
 
-// place sends a request, or holds it while no server may take it.
-func (b *Balancer) place(r *request) {
-	if !b.full(r) {
-		if s := b.choose(r); s != nil {
-			b.send(r, s)
+// dispatch sends a request, or queues it while no endpoint may take it.
+func (b *Balancer) dispatch(req *request) {
+	if !b.atCapacity(req) {
+		if ep := b.choose(req); ep != nil {
+			b.send(req, ep)
 			return
 		}
 	}
-	b.hold(r)
+	b.enqueue(req)
 }
 
-func (b *Balancer) send(r *request, s *server) {
-	before := b.repeatUntil(r)
-	a := &attempt{req: r, srv: s, n: len(r.attempts), sent: b.now, zone: s.Zone, cell: s.Cell}
-	if a.n == 0 {
-		b.shed -= memory / 4 * b.shed
+// send begins the next attempt of a request.
+func (b *Balancer) send(req *request, ep *endpoint) {
+	notAfter := b.dedupDeadline(req)
+	a := &attempt{
+		request: req, endpoint: ep, number: len(req.attempts), sent: b.now, zone: ep.Zone, cell: ep.Cell,
+	}
+	if a.number == 0 {
+		b.shedding.admitted()
 	}
-	r.attempts = append(r.attempts, a)
-	r.out++
-	b.unhold(r)
-	b.spend(s, r)
-	s.calls++
-	s.open = append(s.open, a)
-	b.inFlight++
-	b.busy += memory * (float64(b.inFlight) - b.busy)
-	b.do(Send{ID: r.id, Endpoint: s.ID, Timeout: max(b.patience(r), b.set.Tick), NotAfter: before})
+	req.attempts = append(req.attempts, a)
+	req.inFlight++
+	b.dequeue(req)
+	b.spendTokens(ep, req)
+	ep.inFlight++
+	ep.attempts = append(ep.attempts, a)
+	b.inFlight.begin()
+	timeout := max(b.attemptTimeout(req), b.settings.Tick)
+	b.emit(Send{ID: req.id, Endpoint: ep.ID, Timeout: timeout, NotAfter: notAfter})
 }
 
-// hold keeps a request back; its timer makes sure that it is answered.
-func (b *Balancer) hold(r *request) {
-	if b.now >= b.holdUntil(r) {
-		b.answer(r)
+// enqueue keeps a request in the queue as long as that makes sense. Its timer makes sure that it is answered.
+func (b *Balancer) enqueue(req *request) {
+	if b.now >= b.queueDeadline(req) {
+		b.answer(req)
 		return
 	}
-	if !r.held {
-		r.held = true
-		b.held = append(b.held, r)
+	if !req.queued {
+		req.queued = true
+		b.queue = append(b.queue, req)
 	}
-	b.wakeAt(r, min(b.holdUntil(r), b.creditAgain()))
+	b.setTimer(req, min(b.queueDeadline(req), b.nextFillCheck()))
 }
 
-func (b *Balancer) unhold(r *request) {
-	r.held = false
-	b.held = slices.DeleteFunc(b.held, func(h *request) bool { return h == r })
+func (b *Balancer) dequeue(req *request) {
+	req.queued = false
+	b.queue = slices.DeleteFunc(b.queue, func(queued *request) bool { return queued == req })
 }
 
-// holdUntil is how long holding makes sense: until an answer may well miss the aim, for late answers
-// take the room of those in time. With no server at all a late answer is the best there can be, so
-// then almost until the deadline.
-func (b *Balancer) holdUntil(r *request) time.Duration {
-	last := r.deadline - 2*b.set.Tick
-	if b.ready.len() == 0 {
-		return last
-	}
-	aim := r.class.LatencyObjective
-	hold := max(aim/4, aim-time.Duration(r.class.mean+2*r.class.dev))
-	return min(last, r.arrived+hold)
-}
-
-// wakeAt asks for a review of a request, unless one is due by then already.
-func (b *Balancer) wakeAt(r *request, at time.Duration) {
+// setTimer asks for a review of a request, unless one is due by then already.
+func (b *Balancer) setTimer(req *request, at time.Duration) {
 	at = max(at, b.now+1)
-	if r.wake > b.now && r.wake <= at {
+	if req.timerAt > b.now && req.timerAt <= at {
 		return
 	}
-	r.wake = at
-	b.do(SetTimer{At: at, Token: "r:" + r.id})
+	req.timerAt = at
+	b.emit(SetTimer{At: at, Token: requestTokenPrefix + req.id})
 }
 
-func (b *Balancer) takeOutcome(e AttemptEnded) {
-	r := b.requests[e.ID]
-	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
+// reviewQueued looks again at a request, by the token of its timer, and then at the queue.
+func (b *Balancer) reviewQueued(token string) {
+	req := b.requests[strings.TrimPrefix(token, requestTokenPrefix)]
+	if req == nil {
 		return
 	}
-	a := r.attempts[e.Attempt]
-	a.ended = true
-	a.unsent = e.Result == Rejected || e.Result == ConnectFailed || e.Result == NotSent
-	a.void = e.Result == NotSent
-	r.out--
-	b.inFlight--
-	a.srv.calls--
-	// A hung server's waits tell nothing of how crowded the others are.
-	if !e.HeldUp && !b.unresponsive(a.srv) {
-		b.steer(r, e)
-	}
-	a.srv.open = slices.DeleteFunc(a.srv.open, func(o *attempt) bool { return o == a })
-	if !e.HeldUp {
-		b.judge(a, e)
+	if b.now+b.settings.Tick >= req.timerAt {
+		req.timerAt = 0
 	}
-	if !a.srv.listed && a.srv.calls == 0 && b.servers[a.srv.ID] == a.srv {
-		delete(b.servers, a.srv.ID)
+	if req.queued {
+		b.enqueue(req)
+		b.dispatchQueued()
 	}
+}
+
+// endAttempt takes in the result of an attempt. Where the host held it up, it shows nothing.
+func (b *Balancer) endAttempt(e AttemptEnded) {
+	req := b.requests[e.ID]
+	if req == nil || e.Attempt < 0 || e.Attempt >= len(req.attempts) || req.attempts[e.Attempt].ended {
+		return
+	}
+	a := req.attempts[e.Attempt]
+	b.closeAttempt(a, e)
 	switch {
 	case e.Answered:
-		if e.Result == Success && !r.answered && b.now <= r.arrived+r.class.LatencyObjective {
-			r.class.serve++
+		if e.Result == Success && !req.answered && b.now <= req.arrived+req.class.LatencyObjective {
+			req.class.served++
 		}
-		b.close(r)
-	case !r.answered && r.out == 0:
-		b.further(r)
+		b.finish(req)
+	case !req.answered && req.inFlight == 0:
+		b.retryOrAnswer(req)
+	}
+	b.forget(req)
+	b.dispatchQueued()
+}
+
+// closeAttempt takes an attempt off the counts and lets the mechanisms learn from it.
+func (b *Balancer) closeAttempt(a *attempt, e AttemptEnded) {
+	ep := a.endpoint
+	a.ended = true
+	a.neverRan = e.Result == Rejected || e.Result == ConnectFailed || e.Result == NotSent
+	a.notSent = e.Result == NotSent
+	a.request.inFlight--
+	b.inFlight.end()
+	ep.inFlight--
+	// The waits of an unresponsive endpoint say nothing of how loaded the others are.
+	if !e.HeldUp && !b.isUnresponsive(ep) {
+		b.adjustLimit(a.request, e)
+	}
+	ep.attempts = slices.DeleteFunc(ep.attempts, func(other *attempt) bool { return other == a })
+	if !e.HeldUp {
+		b.observeAttempt(a, e.Result)
+	}
+	if !ep.listed && ep.inFlight == 0 && b.endpoints[ep.ID] == ep {
+		delete(b.endpoints, ep.ID)
 	}
-	b.forget(r)
-	b.release()
 }
 
-// answer gives the final answer: a refusal where the rules let it promise that a retry is
-// harmless, else a failure. With an attempt still out it waits for that.
-func (b *Balancer) answer(r *request) {
-	if r.answered || r.streaming {
+// answer gives the final answer: a rejection where the rules let it promise that a retry does no harm, else a
+// failure.
+func (b *Balancer) answer(req *request) {
+	if req.answered || req.streaming {
 		return
 	}
-	harmless := !slices.ContainsFunc(r.attempts, func(a *attempt) bool {
-		effect, scope := r.class.Effect, r.class.Scope
-		return !a.unsent && (effect == NonIdempotent || effect == IdempotentByKey && scope != ScopeAll)
-	})
-	if len(r.attempts) == 0 {
-		b.shed += memory / 4 * (1 - b.shed)
-	}
-	if harmless {
-		// A client sent away for long comes back when its aim is mostly over, and its late answer
-		// takes the room of one in time; the window, not the clients' absence, holds the load off.
-		b.do(Reject{ID: r.id, RetryAfter: min(b.set.MaxRetryAfter, b.set.Tick)})
+	if len(req.attempts) == 0 {
+		b.shedding.shed()
+	}
+	if req.harmlessToRetry() {
+		// A client that is told to wait long comes back when its latency objective is mostly used up, and its
+		// late answer takes capacity from one in time; the concurrency limit, not the clients' absence, holds
+		// the load off.
+		b.emit(Reject{ID: req.id, RetryAfter: min(b.settings.MaxRetryAfter, b.settings.Tick)})
 	} else {
-		b.do(Fail{ID: r.id})
+		b.emit(Fail{ID: req.id})
 	}
-	b.close(r)
+	b.finish(req)
+}
+
+// harmlessToRetry says that a retry by the client does no harm, whatever endpoint it comes to.
+func (req *request) harmlessToRetry() bool {
+	effect, scope := req.class.Effect, req.class.Scope
+	harmful := effect == NonIdempotent || effect == IdempotentByKey && scope != ScopeAll
+	return !harmful || !slices.ContainsFunc(req.attempts, func(a *attempt) bool { return !a.neverRan })
 }
 
-// unanswered lists the requests that are owed an answer, in an order that is the same each time.
-func (b *Balancer) unanswered() (list []*request) {
-	for _, r := range b.requests {
-		if !r.answered {
-			list = append(list, r)
+// startStream takes in that the answer has begun: the attempt is the client's from here on.
+func (b *Balancer) startStream(e StreamStarted) {
+	if req := b.requests[e.ID]; req != nil {
+		req.streaming = true
+	}
+}
+
+// abandon ends a request whose client is gone.
+func (b *Balancer) abandon(e ClientGone) {
+	if req := b.requests[e.ID]; req != nil {
+		b.finish(req)
+	}
+}
+
+// shutdown answers all requests, in an order that is the same each time.
+func (b *Balancer) shutdown() {
+	b.shuttingDown = true
+	var unanswered []*request
+	for _, req := range b.requests {
+		if !req.answered {
+			unanswered = append(unanswered, req)
 		}
 	}
-	slices.SortFunc(list, func(p, q *request) int { return cmp.Compare(p.id, q.id) })
-	return list
+	slices.SortFunc(unanswered, func(p, q *request) int { return cmp.Compare(p.id, q.id) })
+	for _, req := range unanswered {
+		b.answer(req)
+	}
 }
 
-// close ends a request and calls off what is still out for it.
-func (b *Balancer) close(r *request) {
-	if r.answered {
+// finish ends a request and cancels its attempts in flight.
+func (b *Balancer) finish(req *request) {
+	if req.answered {
 		return
 	}
-	r.answered = true
-	b.unhold(r)
-	for _, a := range r.attempts {
-		if !a.ended && b.set.AllowCancel {
-			b.do(Cancel{ID: r.id, Attempt: a.n})
+	req.answered = true
+	b.dequeue(req)
+	for _, a := range req.attempts {
+		if !a.ended && b.settings.AllowCancel {
+			b.emit(Cancel{ID: req.id, Attempt: a.number})
 		}
 	}
-	b.forget(r)
+	b.forget(req)
 }
 
-// forget drops a request once nothing of it is left.
-func (b *Balancer) forget(r *request) {
-	if r.answered && r.out == 0 {
-		delete(b.requests, r.id)
+// forget drops a request once it is answered and its attempts have ended.
+func (b *Balancer) forget(req *request) {
+	if req.answered && req.inFlight == 0 {
+		delete(b.requests, req.id)
 	}
 }
--- a/retry.go
+++ b/retry.go
@@ -1,4 +1,9 @@
-// Retries: the retry budget, and what may be retried.
+// Retries, and the budget that bounds them.
+//
+// The budget is a token bucket, as in gRPC's retry throttling (proposal A6) and Finagle's RetryBudget:
+// successes fill it and each retry takes from it, so that retries stay a small share of the traffic when much
+// fails. Without it the retries of every tier multiply. Requests are never hedged: a second attempt begins
+// only when the first one has ended.
 
 package balancer
 
@@ -7,76 +12,74 @@
 	"time"
 )
 
-// Constants are shares, ratios or counts; every length of time is a setting or was observed.
+// Constants of the retry budget, all counted in retries.
 const (
-	retryEarn   = 0.15 // further attempts earned by a success
-	unsentCost  = 0.1  // what a further attempt costs when the last one never ran
-	retryBudget = 10   // most that can be saved up
-	hanging     = 0.05 // share of a class's attempts that may fail before a call that hangs is cut short
+	tokensPerSuccess = 0.15 // earned by a success
+	fullCost         = 1.0  // of a retry after an attempt that may have run
+	neverRanCost     = 0.1  // of a retry after an attempt that proved not to have run
+	maxRetryTokens   = 10   // most that can be saved up
 )
 
-// maySendAgain says that the class's effect and the limits allow one more attempt now.
-func (b *Balancer) maySendAgain(r *request) bool {
-	if r.answered || r.streaming || len(r.attempts) >= max(1, b.set.MaxAttempts) {
+// retryBudget is the token bucket that retries are paid from.
+type retryBudget struct{ tokens float64 }
+
+func newRetryBudget() retryBudget { return retryBudget{tokens: maxRetryTokens / 2} }
+
+// earn pays in for a success.
+func (r *retryBudget) earn() { r.tokens = min(maxRetryTokens, r.tokens+tokensPerSuccess) }
+
+func (r *retryBudget) affords(cost float64) bool { return r.tokens >= cost }
+
+func (r *retryBudget) spend(cost float64) { r.tokens -= cost }
+
+// retryCost returns what a retry after this attempt costs: the less the attempt can have asked of an
+// endpoint, the cheaper it is.
+func retryCost(last *attempt) float64 {
+	switch {
+	case last.notSent:
+		return 0
+	case last.neverRan:
+		return neverRanCost
+	}
+	return fullCost
+}
+
+// mayRetry says whether the effect of the request's class and the limit on attempts allow one more attempt.
+func (b *Balancer) mayRetry(req *request) bool {
+	if req.answered || req.streaming || len(req.attempts) >= max(1, b.settings.MaxAttempts) {
 		return false
 	}
-	if until := b.repeatUntil(r); until > 0 && b.now >= until {
+	if until := b.dedupDeadline(req); until > 0 && b.now >= until {
 		return false
 	}
-	ran := func(a *attempt) bool { return !a.unsent }
-	return r.class.Effect != NonIdempotent || !slices.ContainsFunc(r.attempts, ran)
+	ran := func(a *attempt) bool { return !a.neverRan }
+	return req.class.Effect != NonIdempotent || !slices.ContainsFunc(req.attempts, ran)
 }
 
-// further decides what follows when no attempt is left out: another within the budget and with
-// time for an answer, or the final answer. Without the budget, retries of every tier multiply.
-func (b *Balancer) further(r *request) {
-	left := float64(b.useless(r) - b.now)
-	cost := 1.0
-	switch last := r.attempts[len(r.attempts)-1]; {
-	case last.void:
-		cost = 0
-	case last.unsent:
-		cost = unsentCost
-	}
-	if b.maySendAgain(r) && b.tokens >= cost && left >= r.class.mean/2 {
-		if s := b.choose(r); s != nil {
-			b.tokens -= cost
-			b.send(r, s)
+// retryOrAnswer decides what follows when a request has no attempt in flight: a retry, if it is allowed, paid
+// for, likely to be answered in time and an endpoint is eligible; else the final answer.
+func (b *Balancer) retryOrAnswer(req *request) {
+	left := float64(b.answerDeadline(req) - b.now)
+	cost := retryCost(req.attempts[len(req.attempts)-1])
+	if b.mayRetry(req) && b.retries.affords(cost) && left >= req.class.mean/2 {
+		if ep := b.choose(req); ep != nil {
+			b.retries.spend(cost)
+			b.send(req, ep)
 			return
 		}
 	}
-	b.answer(r)
+	b.answer(req)
 }
 
-// repeatUntil is when the servers stop discarding the repeats of what may have run; 0: nothing did, or
-// the class has no keys. It is asked before the send and, as a connection may come up late, by the host.
-func (b *Balancer) repeatUntil(r *request) (until time.Duration) {
-	for _, a := range r.attempts {
-		end := a.sent + r.class.DedupWindow - 2*b.set.Tick
-		if r.class.Effect == IdempotentByKey && !a.unsent && (until == 0 || end < until) {
+// dedupDeadline returns the time when the endpoints stop discarding the repeats of what may have run. 0: no
+// attempt may have run, or the class has no idempotency keys. It is checked before the send here and, as a
+// connection may be established late, once more by the host.
+func (b *Balancer) dedupDeadline(req *request) (until time.Duration) {
+	for _, a := range req.attempts {
+		end := a.sent + req.class.DedupWindow - 2*b.settings.Tick
+		if req.class.Effect == IdempotentByKey && !a.neverRan && (until == 0 || end < until) {
 			until = max(end, 1)
 		}
 	}
 	return until
 }
-
-// patience is how long an attempt is waited for. A server that lets a call hang takes all the time that the
-// request has: where that happens, one that may run again gives it half, if nearly all answers come within
-// that. It hurts where a request is long by itself; in the first tier the work below would be for nothing.
-func (b *Balancer) patience(r *request) time.Duration {
-	c, left := r.class, b.useless(r)-b.now
-	again := c.Effect == Idempotent && len(r.attempts) < b.set.MaxAttempts && b.tokens >= 1
-	if again && b.set.Tier > 0 && c.failing > hanging && left/2 > b.overlong(c) {
-		return left / 2
-	}
-	return left
-}
-
-// useless is when an answer stops being worth anything: work that goes on after it takes the room of
-// answers in time. Below the first tier only the deadline is known.
-func (b *Balancer) useless(r *request) time.Duration {
-	if b.set.Tier > 0 || r.class.LateValue > 0 || r.repeat {
-		return r.deadline
-	}
-	return min(r.deadline, r.arrived+r.class.LatencyObjective-2*b.set.Tick)
-}
--- a/retry_test.go
+++ b/retry_test.go
@@ -25,7 +25,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := newBalancer(t, func(s *Settings) { s.Tier = c.tier })
 			b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
-			b.classes[c.class].failing, b.tokens = c.failing, c.tokens
+			b.classes.byName[c.class].failureShare, b.retries.tokens = c.failing, c.tokens
 			s := sends(b.Handle(0, Request{ID: "a", Class: c.class, Deadline: c.left}))[0]
 			if s.Timeout != c.want {
 				t.Errorf("%s: time-out %v, want %v", c.name, s.Timeout, c.want)
@@ -39,14 +39,14 @@
 func TestNotSentCostsNoRetryBudget(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.MaxAttempts = 4 })
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
-	b.tokens = 0.05
+	b.retries.tokens = 0.05
 	sent := sends(b.Handle(0, Request{ID: "r", Class: "get", Deadline: time.Second}))
 	for n := 0; len(sent) > 0; n++ {
 		if n == 4 {
 			t.Fatal("more attempts than allowed")
 		}
-		if b.tokens != 0.05 {
-			t.Errorf("attempt %d: the budget is %v", n, b.tokens)
+		if b.retries.tokens != 0.05 {
+			t.Errorf("attempt %d: the budget is %v", n, b.retries.tokens)
 		}
 		acts := b.Handle(0, AttemptEnded{ID: "r", Attempt: n, Endpoint: sent[0].Endpoint, Result: NotSent})
 		if sent = sends(acts); len(sent) == 0 && n != 3 {
@@ -63,12 +63,12 @@
 	b := newBalancer(t, nil)
 	b.Handle(0, Request{ID: "first", Class: "get", Deadline: 1500 * msec})
 	b.Handle(5*time.Second, Request{ID: "again", Class: "get", Deadline: 5*time.Second + 900*msec})
-	if r := b.requests["first"]; r == nil || r.repeat || r.arrived != 0 {
+	if r := b.requests["first"]; r == nil || r.retry || r.arrived != 0 {
 		t.Errorf("a first attempt was taken for a retry: %+v", r)
 	}
 	// The retry's latency objective of 500 ms ended 100 ms before it came: without a server it is still queued.
 	r := b.requests["again"]
-	if r == nil || !r.repeat || r.arrived != 5*time.Second-600*msec {
+	if r == nil || !r.retry || r.arrived != 5*time.Second-600*msec {
 		t.Errorf("the retry was not recognised: %+v", r)
 	}
 }
@@ -91,10 +91,10 @@
 	} {
 		t.Run(c.id, func(t *testing.T) {
 			b.Handle(c.now, Request{ID: c.id, Class: "get", FirstByte: c.firstByte, Deadline: c.firstByte + c.given})
-			if r := b.requests[c.id]; r == nil || r.repeat != c.repeat || r.arrived != c.arrived {
+			if r := b.requests[c.id]; r == nil || r.retry != c.repeat || r.arrived != c.arrived {
 				t.Errorf("%s: %+v", c.id, r)
 			}
-			b.classes["get"].votes = 1
+			b.classes.byName["get"].timeout.votes = 1
 		})
 	}
 }
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -14,7 +14,7 @@
 	low, high := 0.0, limit
 	for range 60 {
 		mean := (low + high) / 2
-		if limit-mean-limit*math.Log(limit/mean) <= -rarity {
+		if limit-mean-limit*math.Log(limit/mean) <= -overloadRarity {
 			low = mean
 		} else {
 			high = mean
@@ -33,9 +33,11 @@
 	list := servers(2)
 	list[0].StartedAt = time.Minute
 	b.Handle(time.Minute, EndpointUpdate{Complete: true, Endpoints: list})
-	b.fitPool()
-	b.warmCapacity = capacityEstimate{answers: n * b.ramp(), seconds: b.ramp(), at: b.now} // n a second at a warm one
-	return b.creditRate(b.servers[list[0].ID]) * b.set.OverloadWindow.Seconds()
+	b.resizeSubset()
+	b.slowStart.warm = capacityEstimate{answers: n * b.capacityMemory(), seconds: b.capacityMemory(), at: b.now} // n a second at a warm one
+	ep := b.endpoints[list[0].ID]
+	b.updateFillRate(ep)
+	return ep.tokens.rate * b.settings.OverloadWindow.Seconds()
 }
 
 // A warming server is sent all that the limit allows on average: by the wider rule where the settings allow it
@@ -65,8 +67,8 @@
 	b := newBalancer(t, func(s *Settings) { s.Tier, s.Replicas = 1, 50 })
 	list := servers(40)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: list})
-	b.choose(&request{class: b.classes["get"]})
-	for _, s := range append(append([]*server{}, b.pool.left...), b.pool.right...) {
+	b.choose(&request{class: b.classes.byName["get"]})
+	for _, s := range append(append([]*endpoint{}, b.subset.own.left...), b.subset.own.right...) {
 		for i := range list {
 			if list[i].ID == s.ID {
 				list[i].StartedAt = time.Second
@@ -76,7 +78,7 @@
 	b.Handle(time.Second, EndpointUpdate{Complete: true, Endpoints: list})
 	cold := 0
 	for range 1000 {
-		if s := b.choose(&request{class: b.classes["get"]}); s.StartedAt > 0 {
+		if s := b.choose(&request{class: b.classes.byName["get"]}); s.StartedAt > 0 {
 			cold++
 		}
 	}
--- a/subsetting_test.go
+++ b/subsetting_test.go
@@ -29,16 +29,16 @@
 	for i := range nodes {
 		b := newBalancer(t, func(s *Settings) { s.Tier, s.Replicas, s.ReplicaIndex = 1, nodes, i })
 		b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(40)})
-		b.choose(&request{class: b.classes["get"]})
-		for _, s := range append(append([]*server{}, b.pool.left...), b.pool.right...) {
+		b.choose(&request{class: b.classes.byName["get"]})
+		for _, s := range append(append([]*endpoint{}, b.subset.own.left...), b.subset.own.right...) {
 			count[s.ID]++
 		}
-		if idle := b.width; idle >= 20 {
+		if idle := b.subset.size; idle >= 20 {
 			t.Fatalf("an idle node's subset has %d servers", idle)
 		}
-		b.busy = 8
-		if b.fitPool(); b.width < 12 {
-			t.Fatalf("a busy node's subset has %d servers", b.width)
+		b.inFlight.mean = 8
+		if b.resizeSubset(); b.subset.size < 12 {
+			t.Fatalf("a busy node's subset has %d servers", b.subset.size)
 		}
 	}
 	least, most := nodes, 0
@@ -64,15 +64,15 @@
 				}
 			})
 			b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: zonedServers(40)})
-			b.fitPool()
-			for _, s := range slices.Concat(b.pool.left, b.pool.right) {
-				if count[s.ID]++; s.Zone != b.set.Zone {
-					t.Fatalf("replica %d in %s has %s of %s in a subset of %d", i, b.set.Zone, s.ID, s.Zone, b.width)
+			b.resizeSubset()
+			for _, s := range slices.Concat(b.subset.own.left, b.subset.own.right) {
+				if count[s.ID]++; s.Zone != b.settings.Zone {
+					t.Fatalf("replica %d in %s has %s of %s in a subset of %d", i, b.settings.Zone, s.ID, s.Zone, b.subset.size)
 				}
 			}
-			b.busy = 100
-			if b.fitPool(); len(b.pool.left)+len(b.pool.right) != 40 {
-				t.Fatalf("a replica's widest subset has %d and %d servers", len(b.pool.left), len(b.pool.right))
+			b.inFlight.mean = 100
+			if b.resizeSubset(); len(b.subset.own.left)+len(b.subset.own.right) != 40 {
+				t.Fatalf("a replica's widest subset has %d and %d servers", len(b.subset.own.left), len(b.subset.own.right))
 			}
 		}
 		least, most := replicas, 0
@@ -102,7 +102,7 @@
 			t.Fatalf("replica %d: a request led to %v", i, acts)
 		}
 		for _, s := range b.ready.all {
-			if s.pooled {
+			if s.inSubset {
 				pooled[s.ID]++
 			}
 		}
@@ -114,7 +114,7 @@
 	for _, n := range pooled {
 		least, most = min(least, n), max(most, n)
 	}
-	if least < poolOverlap || most > 2*least {
-		t.Errorf("servers are in %d to %d subsets, want alike and at least %d", least, most, poolOverlap)
+	if least < minReplicasPerEndpoint || most > 2*least {
+		t.Errorf("servers are in %d to %d subsets, want alike and at least %d", least, most, minReplicasPerEndpoint)
 	}
 }
