--- a/capacity.go
+++ b/capacity.go
@@ -22,7 +22,7 @@
 }
 
 // rate returns the answers a second at the best time of late, once a window of seconds or more was seen:
-// endpoints that are overloaded because others warm up slow down and answer less than they could.
+// endpoints that are overloaded while others warm up slow down, and answer less than they could.
 func (c *capacityEstimate) rate(window float64) float64 {
 	c.peak = max(c.peak, c.answers/max(c.seconds, window))
 	return c.peak
--- a/eligibility.go
+++ b/eligibility.go
@@ -1,12 +1,12 @@
 // Eligibility: which endpoints a request may be sent to now. Unhealthy ones are excluded up to a share of the
-// list (the panic threshold of Envoy, its max_ejection_percent).
+// list (as by Envoy's max_ejection_percent).
 
 package balancer
 
 import (
+	"cmp"
 	"math"
 	"slices"
-	"sort"
 )
 
 // maxExcludedShare is the share of the list that may be excluded for its health; beyond that, only the worst
@@ -59,8 +59,8 @@
 	if len(unhealthy) <= most {
 		return
 	}
-	sort.SliceStable(unhealthy, func(i, j int) bool {
-		return unhealthy[i].ejection.consecutiveFailures > unhealthy[j].ejection.consecutiveFailures
+	slices.SortStableFunc(unhealthy, func(ep, other *endpoint) int {
+		return cmp.Compare(other.ejection.consecutiveFailures, ep.ejection.consecutiveFailures)
 	})
 	for _, ep := range unhealthy[most:] {
 		ep.excluded = false
--- a/endpointset.go
+++ b/endpointset.go
@@ -100,17 +100,17 @@
 }
 
 // markSubset marks the endpoints of the subset, and no others of the set.
-func (e *endpointSet) markSubset(pool groupPair) {
+func (e *endpointSet) markSubset(subset groupPair) {
 	for _, ep := range e.subset {
 		ep.inSubset = false
 	}
-	e.subset = slices.Concat(pool.left, pool.right)
+	e.subset = slices.Concat(subset.left, subset.right)
 	for _, ep := range e.subset {
 		ep.inSubset = true
 	}
 }
 
-// youngest returns the endpoint that was started last, the one that has warmed up least; nil: there is none.
+// youngest returns the endpoint that was started last, which has warmed up least; nil: there is none.
 func (e *endpointSet) youngest() *endpoint {
 	if e.newest == nil && len(e.all) > 0 {
 		e.newest = slices.MaxFunc(e.all, func(ep, o *endpoint) int {
--- a/requests.go
+++ b/requests.go
@@ -19,9 +19,9 @@
 	arrived   time.Duration // when the client's first attempt arrived, as far as it is known
 	deadline  time.Duration
 	work      float64 // that the client expects, in ns; 0: unknown
-	retry     bool    // the client's, by its mark or its timeout
 	attempts  []*attempt
-	inFlight  int // attempts that have not ended
+	inFlight  int  // attempts that have not ended
+	retry     bool // the client's, by its mark or its timeout
 	queued    bool
 	answered  bool
 	streaming bool
@@ -138,7 +138,7 @@
 	}
 }
 
-// endAttempt takes in the result of an attempt. Where the host held it up, it shows nothing.
+// endAttempt takes in the result of an attempt. Where the host itself delayed it, it shows nothing.
 func (b *Balancer) endAttempt(e AttemptEnded) {
 	req := b.requests[e.ID]
 	if req == nil || e.Attempt < 0 || e.Attempt >= len(req.attempts) || req.attempts[e.Attempt].ended {
