--- a/internal/node/downstreamconn.go
+++ b/internal/node/downstreamconn.go
@@ -99,6 +99,13 @@
 	return c.requests.bodyError()
 }
 
+// pipelinedBehindBody reports whether another request was read behind the complete body of the current one.
+func (c *downstreamConn) pipelinedBehindBody() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.requests.behindBody()
+}
+
 // limitRequestTime gives the rest of a request that has begun its own read timeout. The timeouts of net/http
 // do not: it waits for a request's first four bytes as long as for an idle connection, and counts the time
 // of a connection's first request from the connection's start.
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -81,7 +81,7 @@
 	}
 	c, err := f.readRequest(r, conn, head)
 	if err != nil {
-		writeInvalid(w, err)
+		writeInvalidRequest(w, conn, err)
 		return
 	}
 	http.NewResponseController(w).SetReadDeadline(time.Time{}) // the deadline was for reading the request
--- a/internal/node/requestscanner.go
+++ b/internal/node/requestscanner.go
@@ -99,6 +99,11 @@
 // anotherBegun reports whether a request has begun behind those whose heads were taken.
 func (s *requestScanner) anotherBegun() bool { return len(s.heads) > 0 || s.midRequest() }
 
+// behindBody reports whether a request has begun behind the complete body of the one that was taken last.
+func (s *requestScanner) behindBody() bool {
+	return len(s.heads) > 0 || s.err == nil && (s.state == scanRequestLine || s.state == scanFieldLine)
+}
+
 // fail ends the scan. The state says whether the error is in a head or in a body: those of heads come first.
 func (s *requestScanner) fail(err error) {
 	s.err = err
--- a/internal/node/requestvalidation.go
+++ b/internal/node/requestvalidation.go
@@ -26,25 +26,26 @@
 type requestError struct {
 	status int // of HTTP
 	reason string
+	ofBody bool // the body is in error: the connection is closed, whatever was read behind it
 }
 
 func (e *requestError) Error() string { return e.reason }
 
 // Errors of requests whose framing is sound (see framingError) and which are invalid nevertheless.
 var (
-	errMethodNotServed   = &requestError{http.StatusMethodNotAllowed, "only GET and POST are served"}
-	errMethodOfClass     = &requestError{http.StatusMethodNotAllowed, "the class is not asked for by this method"}
-	errUnknownClass      = &requestError{http.StatusNotFound, "the path names no class"}
-	errMalformedKey      = &requestError{http.StatusBadRequest, "Idempotency-Key is empty or comes twice"}
-	errKeyOfClass        = &requestError{http.StatusBadRequest, "Idempotency-Key does not fit the class"}
-	errRequestID         = &requestError{http.StatusBadRequest, "X-Request-Id is missing, too long, or comes twice"}
-	errDeadlineMissing   = &requestError{http.StatusBadRequest, "X-Deadline is missing or comes twice"}
-	errDeadlineMalformed = &requestError{http.StatusBadRequest, "X-Deadline is no plain number"}
-	errDeadlineRange     = &requestError{http.StatusBadRequest, "X-Deadline is no number or out of range"}
-	errDeadlineOfClass   = &requestError{http.StatusBadRequest, "X-Deadline is far beyond the class's"}
-	errBodyTooLong       = &requestError{http.StatusRequestEntityTooLarge, "the body is too long"}
-	errBodyIncomplete    = &requestError{http.StatusBadRequest, "the body is not complete"}
-	errBodyOfGet         = &requestError{http.StatusBadRequest, "GET has no body"}
+	errMethodNotServed   = &requestError{status: http.StatusMethodNotAllowed, reason: "only GET and POST are served"}
+	errMethodOfClass     = &requestError{status: http.StatusMethodNotAllowed, reason: "the class is not asked for by this method"}
+	errUnknownClass      = &requestError{status: http.StatusNotFound, reason: "the path names no class"}
+	errMalformedKey      = &requestError{status: http.StatusBadRequest, reason: "Idempotency-Key is empty or comes twice"}
+	errKeyOfClass        = &requestError{status: http.StatusBadRequest, reason: "Idempotency-Key does not fit the class"}
+	errRequestID         = &requestError{status: http.StatusBadRequest, reason: "X-Request-Id is missing, too long, or comes twice"}
+	errDeadlineMissing   = &requestError{status: http.StatusBadRequest, reason: "X-Deadline is missing or comes twice"}
+	errDeadlineMalformed = &requestError{status: http.StatusBadRequest, reason: "X-Deadline is no plain number"}
+	errDeadlineRange     = &requestError{status: http.StatusBadRequest, reason: "X-Deadline is no number or out of range"}
+	errDeadlineOfClass   = &requestError{status: http.StatusBadRequest, reason: "X-Deadline is far beyond the class's"}
+	errBodyTooLong       = &requestError{status: http.StatusRequestEntityTooLarge, reason: "the body is too long", ofBody: true}
+	errBodyIncomplete    = &requestError{status: http.StatusBadRequest, reason: "the body is not complete", ofBody: true}
+	errBodyOfGet         = &requestError{status: http.StatusBadRequest, reason: "GET has no body", ofBody: true}
 )
 
 // requestRules are the part of one revision of the settings that requests are checked against.
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -45,6 +45,18 @@
 	w.Write(a.body)
 }
 
+// writeInvalidRequest answers a request that is invalid and closes its connection, unless its body is sound and
+// pipelined requests were read behind it, which would then get no response.
+func writeInvalidRequest(w http.ResponseWriter, conn *downstreamConn, err error) {
+	var invalid *requestError
+	sound := errors.As(err, &invalid) && !invalid.ofBody
+	if sound && conn.pipelinedBehindBody() {
+		http.NewResponseController(w).SetReadDeadline(time.Time{}) // the deadline was for reading the request
+		w.Header().Del("Connection")
+	}
+	writeInvalid(w, err)
+}
+
 // writeInvalid answers a request that is invalid: with the status of a requestError, or with 400 for an error
 // in its framing.
 func writeInvalid(w http.ResponseWriter, err error) {
