--- a/internal/node/upstreampool_test.go
+++ b/internal/node/upstreampool_test.go
@@ -178,12 +178,15 @@
 		strings.Replace(entry("s2", s.addr(), "in_service"), `"boot_ms":0`, `"boot_ms":5`, 1),
 	} {
 		l := listOf(t, true, next)
+		want := l.entries[0] // copied before the loop, which sets its start time, owns the list
 		n.loop.post(listReceived{l})
 		before := s.accepted()
 		until(t, "the list to be taken", func() bool {
 			n.upstream.mu.Lock()
 			defer n.upstream.mu.Unlock()
-			return n.upstream.endpoints["s2"] == l.entries[0]
+			got := n.upstream.endpoints["s2"]
+			got.StartedAt = 0 // set by the loop
+			return got == want
 		})
 		if i == 0 { // a connection that was busy when the server went
 			release()
