--- a/cmd/balancer/helpers_test.go
+++ b/cmd/balancer/helpers_test.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"bufio"
 	"bytes"
 	"fmt"
 	"io/fs"
@@ -16,17 +15,17 @@
 	"time"
 )
 
-// limit is how long a test waits for what must come; only a failing one waits so long.
+// limit is how long a test waits for something; only a failing test waits so long.
 const limit = 60 * time.Second
 
 const settings = `{"lanes":[{"name":"view","effect":"read_like","target-ms":20000,"deadline-ms":40000}],
 	"limits":{"max-attempts":3,"conn-idle-ms":60000,"connect-timeout-ms":20000,"cancelling":true,
 	"retry-after":true,"max-retry-after-ms":2000},"tick-ms":5,"balancers":1,"registry-mode":"pushed"}`
 
-// program is what deploy/balancer.toml builds, made once for all tests that start many processes.
+// program is what deploy/balancer.toml builds, made once for all tests, and the commands that it names.
 var program = struct {
-	once     sync.Once
-	dir, run string
+	once          sync.Once
+	dir, run, sim string
 }{}
 
 func TestMain(m *testing.M) {
@@ -37,33 +36,40 @@
 	os.Exit(code)
 }
 
-// build makes what deploy/balancer.toml builds, in a folder of the test's own, and returns the
-// commands that it names as run and sim.
-func build(t *testing.T) (dir, run, sim string) {
+// build makes what deploy/balancer.toml builds. Tests write nothing to its folder.
+func build(t *testing.T) {
 	t.Helper()
-	deploy, err := os.ReadFile("../../deploy/balancer.toml")
-	if err != nil {
-		t.Fatal(err)
-	}
-	command := func(key string) string {
-		m := regexp.MustCompile(`(?m)^` + key + ` = "(.*)"`).FindSubmatch(deploy)
-		if m == nil {
-			t.Fatalf("deploy/balancer.toml has no %s", key)
+	readSources(t) // each test's result depends on them
+	program.once.Do(func() {
+		deploy, err := os.ReadFile("../../deploy/balancer.toml")
+		if err != nil {
+			t.Fatal(err)
 		}
-		return string(m[1])
-	}
-	lookAtSources(t)
-	dir = t.TempDir()
-	out, err := exec.Command("go", "build", "-o", filepath.Join(dir, "bin")+"/", "../...").CombinedOutput()
-	if err != nil {
-		t.Fatalf("%v\n%s", err, out)
+		command := func(key string) string {
+			m := regexp.MustCompile(`(?m)^` + key + ` = "(.*)"`).FindSubmatch(deploy)
+			if m == nil {
+				t.Fatalf("deploy/balancer.toml has no %s", key)
+			}
+			return string(m[1])
+		}
+		run, sim := command("run"), command("sim")
+		if program.dir, err = os.MkdirTemp("", "balancer"); err != nil {
+			t.Fatal(err)
+		}
+		out, err := exec.Command("go", "build", "-o", filepath.Join(program.dir, "bin")+"/", "../...").CombinedOutput()
+		if err != nil {
+			t.Fatalf("%v\n%s", err, out)
+		}
+		program.run, program.sim = run, sim
+	})
+	if program.run == "" {
+		t.Fatal("the program was not built")
 	}
-	return dir, command("run"), command("sim")
 }
 
-// lookAtSources has go test know what the program is built from: the test's own binary holds little of that,
-// and a result kept from before a change would stand for the changed program.
-func lookAtSources(t *testing.T) {
+// readSources lets go test know what the program is built from: the test's own binary contains little of that, and
+// a result cached from before a change would stand for the changed program.
+func readSources(t *testing.T) {
 	t.Helper()
 	err := filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
 		switch {
@@ -81,33 +87,14 @@
 	}
 }
 
-// buildOnce is build for tests that write nothing to the folder.
-func buildOnce(t *testing.T) {
-	t.Helper()
-	program.once.Do(func() {
-		dir, run, _ := build(t)
-		kept, err := os.MkdirTemp("", "balancer")
-		if err != nil {
-			t.Fatal(err)
-		}
-		program.dir = kept
-		if err := os.Rename(filepath.Join(dir, "bin"), filepath.Join(kept, "bin")); err != nil {
-			t.Fatal(err)
-		}
-		program.run = run
-	})
-	if program.run == "" {
-		t.Fatal("the program was not built")
-	}
-}
-
 // process is one run of the program.
 type process struct {
-	cmd  *exec.Cmd
-	over chan struct{} // closed once it has ended
+	cmd   *exec.Cmd
+	ended chan struct{} // closed once it has ended
 
-	mu  sync.Mutex
-	log bytes.Buffer
+	mu      sync.Mutex
+	log     bytes.Buffer
+	awaited int // bytes of the log that await is past
 }
 
 func (p *process) Write(text []byte) (int, error) {
@@ -116,22 +103,39 @@
 	return p.log.Write(text)
 }
 
-func (p *process) said() string {
+func (p *process) logText() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.String()
 }
 
+// await waits for a text in the log behind those that it waited for before.
+func (p *process) await(t *testing.T, want string) {
+	t.Helper()
+	eventually(t, fmt.Sprintf("%q in the log", want), func() bool {
+		log := p.logText()
+		at := strings.Index(log[p.awaited:], want)
+		if at < 0 {
+			return !p.alive()
+		}
+		p.awaited += at + len(want)
+		return true
+	})
+	if !strings.HasSuffix(p.logText()[:p.awaited], want) {
+		t.Fatalf("it ended without %q: %s", want, p.logText())
+	}
+}
+
 // end signals the process, if it runs, and waits until it has ended.
 func (p *process) end(s syscall.Signal) {
 	p.cmd.Process.Signal(s)
-	<-p.over
+	<-p.ended
 }
 
 // alive says that the process has not ended.
 func (p *process) alive() bool {
 	select {
-	case <-p.over:
+	case <-p.ended:
 		return false
 	default:
 		return true
@@ -143,17 +147,17 @@
 	t.Helper()
 	var found []string
 	eventually(t, "the program to serve", func() bool {
-		found = servingAt.FindStringSubmatch(p.said())
+		found = servingAt.FindStringSubmatch(p.logText())
 		return found != nil || !p.alive()
 	})
 	if found == nil {
-		t.Fatalf("it ended: %s", p.said())
+		t.Fatalf("it ended: %s", p.logText())
 	}
 	return found[1]
 }
 
-// hup replaces a process's configuration as a whole, and tells it.
-func (p *process) hup(t *testing.T, config string) {
+// reload replaces a process's configuration file as a whole, and sends SIGHUP.
+func (p *process) reload(t *testing.T, config string) {
 	t.Helper()
 	path := strings.TrimPrefix(p.cmd.Env[len(p.cmd.Env)-1], "BALANCER_CONFIG=")
 	if err := os.WriteFile(path+".new", []byte(config), 0o600); err != nil {
@@ -178,7 +182,7 @@
 	if sockets > 0 {
 		text = fmt.Sprintf("ulimit -n %d; %s", sockets, text)
 	}
-	p := &process{cmd: exec.Command("/bin/sh", "-c", text), over: make(chan struct{})}
+	p := &process{cmd: exec.Command("/bin/sh", "-c", text), ended: make(chan struct{})}
 	p.cmd.Dir, p.cmd.Env = program.dir, append(os.Environ(), "BALANCER_CONFIG="+path)
 	p.cmd.Stdout, p.cmd.Stderr = p, p
 	if err := p.cmd.Start(); err != nil {
@@ -186,7 +190,7 @@
 	}
 	go func() {
 		p.cmd.Wait()
-		close(p.over)
+		close(p.ended)
 	}()
 	t.Cleanup(func() { p.end(syscall.SIGKILL) })
 	return p
@@ -194,7 +198,7 @@
 
 var servingAt = regexp.MustCompile(`msg=serving .*address=(\S+)`)
 
-// eventually asks until something holds.
+// eventually polls a condition, and fails the test if it never holds.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(limit); !holds(); time.Sleep(2 * time.Millisecond) {
@@ -204,7 +208,7 @@
 	}
 }
 
-// waitFor waits for what must come.
+// waitFor waits for a channel to be closed or to deliver, and fails the test if neither happens.
 func waitFor(t *testing.T, c <-chan struct{}, what string) {
 	t.Helper()
 	select {
@@ -214,13 +218,13 @@
 	}
 }
 
-// target is a server's entry in a list.
-func target(uid, endpoint string) string {
+// listEntry is a server's entry in an endpoint list.
+func listEntry(uid, endpoint string) string {
 	return fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":"a","model":"m","pod_group":0,"state":"in_service",
 		"capacity_hint":1,"boot_ms":0}`, uid, endpoint)
 }
 
-// nodeConfig is a configuration; known is a list's targets.
+// nodeConfig is a node's configuration; known is the entries of its cached list.
 func nodeConfig(listen, discovery, known, mode string, sockets int) string {
 	set := strings.Replace(settings, `"registry-mode":"pushed"`,
 		fmt.Sprintf(`"rules":{"ask-within-ms":1000},"registry-mode":%q`, mode), 1)
@@ -228,51 +232,3 @@
 		"limits":{"cores":1,"memory_mb":192,"sockets":%d},"known":{"rev":1,"all":true,"targets":[%s]},"settings":%s}`,
 		listen, discovery, sockets, known, set)
 }
-
-// start runs the node with a configuration until it serves. It returns its log from then on.
-func start(t *testing.T, dir, run, config string) (cmd *exec.Cmd, address string, log <-chan string) {
-	t.Helper()
-	path := filepath.Join(dir, "config.json")
-	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	cmd = exec.Command("/bin/sh", "-c", run)
-	cmd.Dir, cmd.Env = dir, append(os.Environ(), "BALANCER_CONFIG="+path)
-	stderr, err := cmd.StderrPipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { cmd.Process.Kill() })
-	said := make(chan string, 1000)
-	go func() {
-		defer close(said)
-		lines := bufio.NewScanner(stderr)
-		for lines.Scan() {
-			said <- lines.Text()
-		}
-	}()
-	serving := await(t, said, "msg=serving")
-	return cmd, regexp.MustCompile(`address=(\S+)`).FindStringSubmatch(serving)[1], said
-}
-
-// await returns the first line of a log that holds what is wanted.
-func await(t *testing.T, log <-chan string, want string) string {
-	t.Helper()
-	over := time.After(limit)
-	for {
-		select {
-		case line, ok := <-log:
-			if !ok {
-				t.Fatalf("the log ends without %q", want)
-			}
-			if strings.Contains(line, want) {
-				return line
-			}
-		case <-over:
-			t.Fatalf("the log never says %q", want)
-		}
-	}
-}
--- a/internal/node/boottime_test.go
+++ b/internal/node/boottime_test.go
@@ -10,22 +10,22 @@
 	"balancer"
 )
 
-// machine is the clocks of a machine: time goes by on both, and the wall clock can be set.
-type machine struct{ elapsed, unix time.Duration }
+// machineClocks are the clocks of a machine: time passes on both, and the wall clock can be stepped.
+type machineClocks struct{ elapsed, unix time.Duration }
 
-func newMachine() *machine { return &machine{unix: 1_800_000_000 * time.Second} }
+func newMachineClocks() *machineClocks { return &machineClocks{unix: 1_800_000_000 * time.Second} }
 
-func (m *machine) clock() clock {
+func (m *machineClocks) clock() clock {
 	return clock{elapsed: func() time.Duration { return m.elapsed }, unix: func() time.Duration { return m.unix }}
 }
 
-func (m *machine) pass(d time.Duration) { m.elapsed, m.unix = m.elapsed+d, m.unix+d }
+func (m *machineClocks) pass(d time.Duration) { m.elapsed, m.unix = m.elapsed+d, m.unix+d }
 
 // bootMS is the wall clock as a server that starts now reports it.
-func (m *machine) bootMS() int64 { return m.unix.Milliseconds() }
+func (m *machineClocks) bootMS() int64 { return m.unix.Milliseconds() }
 
-// bootLoop is the loop of a node with these clocks, which has heard no list yet.
-func bootLoop(t testing.TB, m *machine, push bool) *loop {
+// bootLoop is the event loop of a node with these clocks, which has received no endpoint list yet.
+func bootLoop(t testing.TB, m *machineClocks, push bool) *loop {
 	t.Helper()
 	cfg := testConfig("")
 	cfg.Settings.SlowStartFloor, cfg.Settings.SlowStartDuration = 0.12, 24*time.Second
@@ -40,25 +40,16 @@
 	return l
 }
 
-// bootEntry is a server in service that reports a start.
+// bootEntry is a server in service that reports a start time.
 func bootEntry(uid string, bootMS int64) string {
 	return strings.Replace(entry(uid, "127.0.0.1:1", "in_service"), `"boot_ms":0`, fmt.Sprintf(`"boot_ms":%d`, bootMS), 1)
 }
 
-func bootList(t testing.TB, full bool, entries ...string) endpointList {
-	t.Helper()
-	l, err := parseList([]byte(fmt.Sprintf(`{"rev":9,"all":%v,"targets":[%s]}`, full, strings.Join(entries, ","))))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return l
-}
-
-// untouched is a server that never restarts.
-var untouched = entry("other", "127.0.0.1:2", "in_service")
+// neverRestarted is a server that never restarts.
+var neverRestarted = entry("other", "127.0.0.1:2", "in_service")
 
-// steps of the wall clock, and there and back.
-var steps = [][]time.Duration{
+// clockSteps are steps of the wall clock, some of them there and back.
+var clockSteps = [][]time.Duration{
 	{0},
 	{time.Second},
 	{-time.Second},
@@ -71,15 +62,15 @@
 	{-time.Minute, time.Minute, time.Hour},
 }
 
-// A server's start is known in the node's own time, however the wall clock is set before it, between it and the
-// list that tells of it, or after that, and the same list again changes nothing.
-func TestStartsAreKnownThoughTheClockIsSet(t *testing.T) {
-	const late = 500 * time.Millisecond // from the start to the list that tells of it
+// A server's start is known in the node's monotonic time, whether the wall clock is stepped before the start,
+// between it and the list that reports it, or after that list. Receiving the same list again changes nothing.
+func TestStartTimesSurviveClockSteps(t *testing.T) {
+	const late = 500 * time.Millisecond // from the start to the list that reports it
 	for _, moment := range []string{"before the start", "before the list", "after the list"} {
 		for _, full := range []bool{true, false} {
 			for _, push := range []bool{true, false} {
-				for _, steps := range steps {
-					m := newMachine()
+				for _, steps := range clockSteps {
+					m := newMachineClocks()
 					l := bootLoop(t, m, push)
 					set := func(when string) {
 						for _, d := range steps {
@@ -89,16 +80,16 @@
 							m.pass(10 * time.Millisecond)
 						}
 					}
-					l.handleEvent(listReceived{bootList(t, true, untouched, bootEntry("s", m.bootMS()-1e6))})
+					l.handleEvent(listReceived{listOf(t, true, neverRestarted, bootEntry("s", m.bootMS()-1e6))})
 					m.pass(10 * time.Second)
 					set("before the start")
 					started, news := l.clock.now(), []string{bootEntry("s", m.bootMS())}
 					if full {
-						news = append(news, untouched)
+						news = append(news, neverRestarted)
 					}
 					set("before the list")
 					m.pass(late)
-					l.handleEvent(listReceived{bootList(t, full, news...)})
+					l.handleEvent(listReceived{listOf(t, full, news...)})
 					name := fmt.Sprintf("set by %v %s; pushed: %v; full list: %v", steps, moment, push, full)
 					if got := l.endpoints["s"].StartedAt; got != started {
 						t.Errorf("%s: started at %v, taken for %v", name, started, got)
@@ -106,9 +97,9 @@
 					for range 3 {
 						set("after the list")
 						m.pass(time.Second)
-						l.handleEvent(listReceived{bootList(t, full, news...)})
+						l.handleEvent(listReceived{listOf(t, full, news...)})
 						if got := l.endpoints["s"].StartedAt; got != started {
-							t.Errorf("%s: started at %v, taken for %v when it is told again", name, started, got)
+							t.Errorf("%s: started at %v, taken for %v when it is listed again", name, started, got)
 						}
 					}
 				}
@@ -117,96 +108,98 @@
 	}
 }
 
-// Where what was seen of the clocks leaves the start open, the node goes by what it knows, and else by the
-// youngest that the server can be.
-func TestStartsThatAreInDoubtAreTakenForLate(t *testing.T) {
+// Where the clock offsets that were observed leave the start uncertain, the node relies on the lists that it has
+// seen, and otherwise assumes the latest start that is possible.
+func TestUncertainStartTimesCountAsLate(t *testing.T) {
 	hour := time.Hour.Milliseconds()
 	for _, c := range []struct {
 		name string
-		do   func(m *machine, l *loop) // s1 starts in it or before
-		want time.Duration             // after the process's start; negative: long before
+		do   func(m *machineClocks, l *loop) // s1 starts in it or before
+		want time.Duration                   // after the process's start; negative: long before
 	}{
-		{"in the future", func(m *machine, l *loop) {
+		{"in the future", func(m *machineClocks, l *loop) {
 			m.pass(2 * time.Second)
-			l.handleEvent(listReceived{bootList(t, true, bootEntry("s1", m.bootMS()+hour))})
+			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", m.bootMS()+hour))})
 		}, 2 * time.Second},
-		{"beyond all times", func(m *machine, l *loop) {
+		{"beyond all times", func(m *machineClocks, l *loop) {
 			m.pass(2 * time.Second)
-			l.handleEvent(listReceived{bootList(t, true, bootEntry("s1", 1e13))})
+			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", 1e13))})
 		}, 2 * time.Second},
-		{"a moment in the future is now, though another offset makes it an hour ago", func(m *machine, l *loop) {
+		{"a moment in the future is now, though another offset makes it an hour ago", func(m *machineClocks, l *loop) {
 			m.unix -= time.Hour
 			m.pass(2 * time.Second)
-			l.handleEvent(listReceived{bootList(t, true, bootEntry("s1", m.bootMS()+50))})
+			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", m.bootMS()+50))})
 		}, 2 * time.Second},
-		{"before the process, and before the clock was set back", func(m *machine, l *loop) {
+		{"before the process, and before the clock was set back", func(m *machineClocks, l *loop) {
 			boot := m.bootMS() - 20_000
 			m.unix -= time.Hour
 			m.pass(2 * time.Second)
-			l.handleEvent(listReceived{bootList(t, true, bootEntry("s1", boot))})
+			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", boot))})
 		}, -20 * time.Second},
-		{"either of two times, as the clock was set back by less than its age", func(m *machine, l *loop) {
+		{"either of two times, as the clock was set back by less than its age", func(m *machineClocks, l *loop) {
 			boot := m.bootMS() - 20_000
 			m.unix -= 5 * time.Second
 			m.pass(2 * time.Second)
-			l.handleEvent(listReceived{bootList(t, true, bootEntry("s1", boot))})
+			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", boot))})
 		}, -15 * time.Second},
-		{"in the list that the node last had", func(m *machine, l *loop) {
-			l.cachedList = bootList(t, true, bootEntry("s1", m.bootMS()-3000))
+		{"in the list that the node last had", func(m *machineClocks, l *loop) {
+			l.cachedList = listOf(t, true, bootEntry("s1", m.bootMS()-3000))
 			l.handleEvent(discoveryUnresponsive{})
 			m.unix += time.Hour
 			m.pass(2 * time.Second)
-			l.handleEvent(listReceived{bootList(t, true, bootEntry("s1", m.bootMS()-3000-2000-hour))})
+			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", m.bootMS()-3000-2000-hour))})
 		}, -3 * time.Second},
-		{"before the process, whose clock was off at its start", func(m *machine, l *loop) {
+		{"before the process, whose clock was off at its start", func(m *machineClocks, l *loop) {
 			boot := m.bootMS() - 3000
 			m.unix += time.Hour // it is right from now on
 			m.pass(2 * time.Second)
-			l.handleEvent(listReceived{bootList(t, true, bootEntry("s1", boot+hour))})
+			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", boot+hour))})
 		}, -3 * time.Second},
-		{"since the list before, under a clock that the node never saw", func(m *machine, l *loop) {
-			l.handleEvent(listReceived{bootList(t, true, bootEntry("s1", 0))})
+		{"since the list before, under a clock that the node never saw", func(m *machineClocks, l *loop) {
+			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", 0))})
 			m.pass(time.Second)
-			l.handleEvent(listReceived{bootList(t, false, bootEntry("s2", 0))})
+			l.handleEvent(listReceived{listOf(t, false, bootEntry("s2", 0))})
 			m.pass(time.Second)
-			l.handleEvent(listReceived{bootList(t, false, bootEntry("s1", m.bootMS()-hour))})
+			l.handleEvent(listReceived{listOf(t, false, bootEntry("s1", m.bootMS()-hour))})
 		}, time.Second},
-		{"since a watch told that nothing had changed", func(m *machine, l *loop) {
-			l.handleEvent(listReceived{bootList(t, true, bootEntry("s1", 0))})
+		{"since a watch told that nothing had changed", func(m *machineClocks, l *loop) {
+			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", 0))})
 			m.pass(time.Second)
 			l.handleEvent(listConfirmed{})
 			m.pass(time.Second)
-			l.handleEvent(listReceived{bootList(t, false, bootEntry("s1", m.bootMS()-hour))})
+			l.handleEvent(listReceived{listOf(t, false, bootEntry("s1", m.bootMS()-hour))})
 		}, time.Second},
-		{"new in the list: it may have run all the while", func(m *machine, l *loop) {
-			l.handleEvent(listReceived{bootList(t, true, bootEntry("s2", 0))})
+		{"new in the list: it may have run all the while", func(m *machineClocks, l *loop) {
+			l.handleEvent(listReceived{listOf(t, true, bootEntry("s2", 0))})
 			m.pass(2 * time.Second)
-			l.handleEvent(listReceived{bootList(t, false, bootEntry("s1", m.bootMS()-10_000))})
+			l.handleEvent(listReceived{listOf(t, false, bootEntry("s1", m.bootMS()-10_000))})
 		}, -8 * time.Second},
-		{"since the list that the node last had, which may be old", func(m *machine, l *loop) {
-			l.cachedList = bootList(t, true, bootEntry("s1", 0))
+		{"since the list that the node last had, which may be old", func(m *machineClocks, l *loop) {
+			l.cachedList = listOf(t, true, bootEntry("s1", 0))
 			l.handleEvent(discoveryUnresponsive{})
 			m.pass(2 * time.Second)
-			l.handleEvent(listReceived{bootList(t, true, bootEntry("s1", m.bootMS()-10_000))})
+			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", m.bootMS()-10_000))})
 		}, -8 * time.Second},
 	} {
-		m := newMachine()
-		l := bootLoop(t, m, true)
-		c.do(m, l)
-		if got := l.endpoints["s1"].StartedAt - processStart; got != c.want {
-			t.Errorf("%s: taken to have started at %v, want %v", c.name, got, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			m := newMachineClocks()
+			l := bootLoop(t, m, true)
+			c.do(m, l)
+			if got := l.endpoints["s1"].StartedAt - processStart; got != c.want {
+				t.Errorf("%s: taken to have started at %v, want %v", c.name, got, c.want)
+			}
+		})
 	}
 }
 
-// Two starts of a server are two to the module, also when both can only be said to be of this moment: it has
-// to forget what it learned of the first.
-func TestEachStartHasATimeOfItsOwn(t *testing.T) {
-	m := newMachine()
+// Two starts of a server have different times for the module, even if both can only be placed at the present
+// moment: what was learned of the first instance must be forgotten.
+func TestEachStartHasADistinctTime(t *testing.T) {
+	m := newMachineClocks()
 	l := bootLoop(t, m, true)
 	seen := map[time.Duration]bool{}
 	for i := range int64(4) {
-		l.handleEvent(listReceived{bootList(t, true, bootEntry("s", m.bootMS()+1e6*(i+1)))})
+		l.handleEvent(listReceived{listOf(t, true, bootEntry("s", m.bootMS()+1e6*(i+1)))})
 		seen[l.endpoints["s"].StartedAt] = true
 	}
 	if len(seen) != 4 {
@@ -214,9 +207,9 @@
 	}
 }
 
-// Offsets that were seen are bounded, however often the clock is set, and slewing it is no step.
-func TestOffsetsAreBounded(t *testing.T) {
-	m := newMachine()
+// The number of observed offsets is bounded, however often the clock is stepped, and slewing the clock is no step.
+func TestClockOffsetsAreBounded(t *testing.T) {
+	m := newMachineClocks()
 	b := newBootClock(m.clock())
 	for range 1000 {
 		m.pass(time.Second)
@@ -241,16 +234,16 @@
 	attempt *attempt
 }
 
-// traffic drives a loop by the clocks of its machine: a request every 5 ms, each served after 4 ms.
-type traffic struct {
+// loopTraffic drives an event loop by the clocks of its machine: a request every 5 ms, each served after 4 ms.
+type loopTraffic struct {
 	loop *loop
-	m    *machine
+	m    *machineClocks
 	ends []timedEnd
 	sent int
 }
 
-func newTraffic(l *loop, m *machine) *traffic {
-	d := &traffic{loop: l, m: m}
+func newLoopTraffic(l *loop, m *machineClocks) *loopTraffic {
+	d := &loopTraffic{loop: l, m: m}
 	l.start = func(a *attempt) {
 		d.ends = append(d.ends, timedEnd{l.clock.now() + 4*time.Millisecond, a})
 		d.sent++
@@ -258,8 +251,8 @@
 	return d
 }
 
-// run counts the requests that are sent in each of some seconds.
-func (d *traffic) run(seconds int) (counts []int) {
+// run counts the requests that are sent in each of a number of seconds.
+func (d *loopTraffic) run(seconds int) (counts []int) {
 	for range seconds {
 		d.sent = 0
 		for range 200 {
@@ -270,7 +263,7 @@
 	return counts
 }
 
-func (d *traffic) step() {
+func (d *loopTraffic) step() {
 	now := d.loop.clock.now()
 	for len(d.ends) > 0 && d.ends[0].at <= now {
 		end := d.ends[0]
@@ -285,16 +278,17 @@
 	d.m.pass(5 * time.Millisecond)
 }
 
-// A server that restarts in a running node's list is warmed up alike, whatever the wall clock does meanwhile.
-func TestRestartedServerIsWarmedUpWhateverTheClockSays(t *testing.T) {
+// A server that restarts while the node runs goes through the same slow start, whatever happens to the wall clock
+// meanwhile.
+func TestRestartedServerWarmsUpDespiteClockSteps(t *testing.T) {
 	restart := func(before, after time.Duration) []int {
-		m := newMachine()
+		m := newMachineClocks()
 		l := bootLoop(t, m, true)
-		l.handleEvent(listReceived{bootList(t, true, bootEntry("s", 0))})
-		d := newTraffic(l, m)
+		l.handleEvent(listReceived{listOf(t, true, bootEntry("s", 0))})
+		d := newLoopTraffic(l, m)
 		d.run(5)
 		m.unix += before
-		news := bootList(t, true, bootEntry("s", m.bootMS()))
+		news := listOf(t, true, bootEntry("s", m.bootMS()))
 		m.unix += after
 		l.handleEvent(listReceived{news})
 		return d.run(8)
--- a/internal/node/chunked_test.go
+++ b/internal/node/chunked_test.go
@@ -10,12 +10,12 @@
 	"testing"
 )
 
-// chunkedHead is the head of a POST whose body comes in chunks.
+// chunkedHead is the head of a POST with a chunked body.
 func chunkedHead(id string) string {
 	return "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: " + id + "\r\nX-Deadline: 60\r\nTransfer-Encoding: chunked\r\n\r\n"
 }
 
-// framingServer answers with how a request was framed, and with a sum of its body.
+// framingServer answers with the framing of a request and a hash of its body.
 func framingServer(t *testing.T) *fakeServer {
 	return newServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		return reply200(c, framed(r.Method, r.ContentLength, body, r.TransferEncoding, r.Trailer))
@@ -26,11 +26,11 @@
 	return fmt.Sprintf("%s %d %x %v %v", method, length, sha256.Sum256([]byte(body)), coding, trailer)
 }
 
-// A body in chunks is forwarded with its length, without extensions and trailers, and what the client sends
-// behind it is the next request.
-func TestBodiesInChunksAreForwardedWithALength(t *testing.T) {
+// A chunked body is forwarded with its length, without chunk extensions and trailers, and what the client sends
+// after it is the next request.
+func TestChunkedBodiesAreForwardedWithALength(t *testing.T) {
 	s := framingServer(t)
-	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), nil)
+	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), nil)
 	full := strings.Repeat("b", maxBody)
 	for _, c := range []struct{ name, chunks, body string }{
 		{"one chunk", "2\r\nok\r\n0\r\n\r\n", "ok"},
@@ -68,11 +68,11 @@
 	c.want(t, 200, framed("GET", 0, "", nil, nil))
 }
 
-// Whatever is wrong with the framing of a request is answered with an error and ends its connection: nothing
-// of it is forwarded, and nothing that stands in its body or behind it.
+// Any error in the framing of a request is answered with an error and ends the connection: nothing of the request
+// is forwarded, nor anything in its body or after it.
 func TestFramingErrorsEndTheConnection(t *testing.T) {
 	s := framingServer(t)
-	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), nil)
+	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), nil)
 	const start = "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: bad\r\nX-Deadline: 60\r\n"
 	chunks := strings.TrimSuffix(start, "\r\n") + "\r\nTransfer-Encoding: chunked\r\n\r\n"
 	old := strings.Replace(start, "HTTP/1.1", "HTTP/1.0", 1) + "Connection: keep-alive\r\n"
@@ -134,12 +134,12 @@
 			alone := dial(t, n)
 			go io.WriteString(alone, c.text+hidden)
 			alone.want(t, c.status, "")
-			closed(t, alone.br, "a connection whose framing is broken")
+			expectClosed(t, alone.reader, "a connection whose framing is broken")
 			behind := dial(t, n)
 			go io.WriteString(behind, requestText("good-"+c.name)+c.text+hidden)
 			behind.want(t, 200, framed("GET", 0, "", nil, nil))
 			behind.want(t, c.status, "")
-			closed(t, behind.br, "a connection whose framing is broken")
+			expectClosed(t, behind.reader, "a connection whose framing is broken")
 		})
 	}
 	t.Run("chunks without end", func(t *testing.T) {
@@ -152,7 +152,7 @@
 			}
 		}()
 		endless.want(t, 413, "")
-		closed(t, endless.br, "a connection with an endless body")
+		expectClosed(t, endless.reader, "a connection with an endless body")
 	})
 	t.Cleanup(func() {
 		s.mu.Lock()
--- a/internal/node/departure_test.go
+++ b/internal/node/departure_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-func TestCallerGoneCancelsTheAttempt(t *testing.T) {
+func TestClientDepartureCancelsTheAttempt(t *testing.T) {
 	got, gone := make(chan struct{}), make(chan struct{})
 	var first sync.Once
 	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
@@ -27,7 +27,7 @@
 		})
 		return answers && echo(c, r, body)
 	})
-	n, _ := startNode(t, withLongAims(testConfig(whole(entry("s1", s.addr(), "in_service")))), nil)
+	n, _ := startNode(t, withLongObjectives(testConfig(completeList(entry("s1", s.addr(), "in_service")))), nil)
 	c := dial(t, n)
 	c.send("POST", "/note/k", "leaving", "x", "60")
 	wait(t, got, "the attempt")
@@ -41,9 +41,10 @@
 	})
 }
 
-// A request whose client leaves while it waits is not sent on: neither while the module holds it nor while
-// its connection comes up, whether or not attempts may be called off, and though the client said more first.
-func TestNothingIsSentForACallerThatLeftWhileItWaited(t *testing.T) {
+// A request whose client departs while the request waits is not forwarded: neither while the module queues it nor
+// while its connection is being established, whether or not attempts may be cancelled, and even if the client sent
+// more bytes before it left.
+func TestNothingIsForwardedForAClientThatLeftWhileQueued(t *testing.T) {
 	for _, held := range []bool{true, false} {
 		for _, method := range []string{"GET", "POST"} {
 			for _, reset := range []bool{true, false} {
@@ -52,7 +53,7 @@
 						t.Run(fmt.Sprintf("held=%v %s reset=%v stray=%d mayCancel=%v", held, method, reset, len(stray), mayCancel),
 							func(t *testing.T) {
 								t.Parallel()
-								leaveWhileWaiting(t, held, method, reset, stray, mayCancel)
+								departWhileQueued(t, held, method, reset, stray, mayCancel)
 							})
 					}
 				}
@@ -61,18 +62,18 @@
 	}
 }
 
-func leaveWhileWaiting(t *testing.T, held bool, method string, reset bool, stray string, mayCancel bool) {
+func departWhileQueued(t *testing.T, held bool, method string, reset bool, stray string, mayCancel bool) {
 	s := newServer(t, echo)
 	state := "in_service"
 	if held {
 		state = "terminating"
 	}
-	cfg := testConfig(whole(entry("s1", s.addr(), state)))
+	cfg := testConfig(completeList(entry("s1", s.addr(), state)))
 	cfg.Settings.AllowCancel = mayCancel
-	var dials heldDial
+	var dials heldDials
 	n, _ := startNode(t, cfg, func(n *Node) {
 		if dials = holdDials(n.upstream); held {
-			close(dials.through)
+			close(dials.release)
 		}
 	})
 	c := dial(t, n)
@@ -82,17 +83,13 @@
 	}
 	c.send(method, target, "leaving", body, "60")
 	if held {
-		until(t, "the request to be with the module", func() bool {
-			n.frontend.conns.mu.Lock()
-			defer n.frontend.conns.mu.Unlock()
-			return n.frontend.conns.active == 1
-		})
+		untilActive(t, n, 1)
 	} else {
-		wait(t, dials.up, "the connection")
+		wait(t, dials.dialed, "the connection")
 	}
 	if stray != "" {
 		io.WriteString(c, stray)
-		until(t, "the byte to be read", func() bool { return readAhead(n) == len(stray) })
+		until(t, "the byte to be read", func() bool { return readAheadBytes(n) == len(stray) })
 	}
 	if reset {
 		c.Conn.(*net.TCPConn).SetLinger(0)
@@ -100,27 +97,23 @@
 	c.Close()
 	until(t, "the node to notice", func() bool { return n.frontend.conns.count() == 0 })
 	if held {
-		news, err := parseList([]byte(`{"rev":2,"all":true,"targets":[` + entry("s1", s.addr(), "in_service") + `]}`))
-		if err != nil {
-			t.Fatal(err)
-		}
-		n.loop.post(listReceived{list: news})
+		n.loop.post(listReceived{listOf(t, true, entry("s1", s.addr(), "in_service"))})
 	} else {
-		close(dials.through)
+		close(dials.release)
 	}
-	nothingOfTheLeavers(t, n, s, map[string]int{"other": 1})
+	checkNothingForwarded(t, n, s, map[string]int{"other": 1})
 }
 
-// However much a caller sends ahead of an answer, once it has closed or reset its connection, or that has
-// broken, no attempt begins for it, nor for what it sent ahead: wherever its request is just then.
-func TestNothingBeginsForACallerThatLeftBehindManyBytes(t *testing.T) {
+// However much a client pipelines, once it has closed or reset its connection, or that has broken, no attempt
+// begins for its request or for what it pipelined, wherever the request is at that moment.
+func TestNothingBeginsForAClientThatPipelinedAndLeft(t *testing.T) {
 	for _, where := range []string{"held", "dial", "retry", "busy loop", "in flight"} {
 		for _, ahead := range []int{0, 100, 3000, 8192, 20000, 60000, 2 * readAheadPerConn} {
 			for _, how := range []string{"close", "reset", "break"} {
 				for _, mayCancel := range []bool{true, false} {
 					t.Run(fmt.Sprint(where, " ", ahead, " ", how, " mayCancel=", mayCancel), func(t *testing.T) {
 						t.Parallel()
-						leaveBehind(t, where, ahead, how, mayCancel)
+						newPipelinedDeparture(where, ahead, how, mayCancel).play(t)
 					})
 				}
 			}
@@ -128,126 +121,167 @@
 	}
 }
 
-func leaveBehind(t *testing.T, where string, ahead int, how string, mayCancel bool) {
-	got, answer := make(chan struct{}, 1), make(chan struct{})
-	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
-		if r.Header.Get("X-Request-Id") == "leaving" {
-			if where == "in flight" {
-				got <- struct{}{}
-				<-answer
-			}
-			_, err := io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
-			return err == nil
-		}
+// pipelinedDeparture is a client that pipelines and departs while its first request is at some point of its way.
+type pipelinedDeparture struct {
+	where, how string
+	ahead      int // bytes that it pipelines
+	mayCancel  bool
+
+	server  *fakeServer
+	node    *Node
+	dials   heldDials
+	conns   breakableConns
+	got     chan struct{} // an attempt has arrived at the server, which answers it once answer is closed
+	answer  chan struct{}
+	stopped chan struct{} // the event loop has stopped, until resume is closed
+	resume  chan struct{}
+}
+
+func newPipelinedDeparture(where string, ahead int, how string, mayCancel bool) *pipelinedDeparture {
+	return &pipelinedDeparture{
+		where: where, how: how, ahead: ahead, mayCancel: mayCancel,
+		conns: breakableConns{cause: syscall.ETIMEDOUT, accepted: make(chan *breakableConn, 2)},
+		got:   make(chan struct{}, 1), answer: make(chan struct{}),
+		stopped: make(chan struct{}), resume: make(chan struct{}),
+	}
+}
+
+func (d *pipelinedDeparture) play(t *testing.T) {
+	d.server = newServer(t, d.serve)
+	cfg := testConfig(completeList(d.entries(d.state())...))
+	cfg.Settings.AllowCancel = d.mayCancel
+	d.node, _ = startNode(t, cfg, d.change)
+	c := dial(t, d.node)
+	d.begin(t, c)
+	text := pipelinedText(d.ahead)
+	if d.ahead > readAheadPerConn && d.where != "busy loop" {
+		text = strings.Repeat("x", d.ahead) // they are answered while the client is connected: no requests, then
+	}
+	io.WriteString(c, text)
+	if d.ahead <= readAheadPerConn {
+		until(t, "the bytes to be read", func() bool { return readAheadBytes(d.node) == d.ahead })
+	}
+	d.depart(t, c)
+	if d.where == "busy loop" {
+		until(t, "the departure to be queued", func() bool { return len(d.node.loop.events) >= 2 })
+		close(d.resume)
+	}
+	until(t, "the node to notice", func() bool { return d.node.frontend.conns.count() == 0 })
+	d.proceed(t)
+	seen := map[string]int{"other": 1}
+	if d.where == "retry" || d.where == "in flight" {
+		seen["leaving"] = 1 // begun before its client departed
+	}
+	checkNothingForwarded(t, d.node, d.server, seen)
+}
+
+func (d *pipelinedDeparture) serve(c net.Conn, r *http.Request, body string) bool {
+	if r.Header.Get("X-Request-Id") != "leaving" {
 		return echo(c, r, body)
-	})
-	state, first := "in_service", make(chan struct{}, 1)
-	if where == "held" {
-		state = "terminating"
 	}
-	var dials heldDial
-	stopped, resume := make(chan struct{}), make(chan struct{})
-	cfg := testConfig(whole(entry("s1", s.addr(), state), entry("s2", s.addr(), state)))
-	cfg.Settings.AllowCancel = mayCancel
-	conns := breakableConns{cause: syscall.ETIMEDOUT, accepted: make(chan *breakableConn, 2)}
-	n, _ := startNode(t, cfg, func(n *Node) {
-		n.drainSchedule, n.drainLimit = drainSchedule{closeConns: time.Millisecond, answerAll: limit}, 2*limit // as short as it can be
-		conns.TCPListener = n.listener.(*net.TCPListener)
-		n.listener = conns
-		switch where {
-		case "dial":
-			dials = holdDials(n.upstream)
-		case "busy loop": // it stops at the first list that is pushed
-			take := n.loop.updateEndpoints
-			n.loop.updateEndpoints = func(targets []listEntry, full bool) {
-				if !full {
-					close(stopped)
-					<-resume
-				}
-				take(targets, full)
-			}
-		case "retry": // the first connection comes up at once, the second is held
-			through := n.upstream.dial
-			dials = holdDials(n.upstream)
-			held := n.upstream.dial
-			first <- struct{}{}
-			n.upstream.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
-				select {
-				case <-first:
-					return through(ctx, network, address)
-				default:
-					return held(ctx, network, address)
-				}
+	if d.where == "in flight" {
+		d.got <- struct{}{}
+		<-d.answer
+	}
+	_, err := io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
+	return err == nil
+}
+
+// state is the state in which the servers are listed at first.
+func (d *pipelinedDeparture) state() string {
+	if d.where == "held" {
+		return "terminating"
+	}
+	return "in_service"
+}
+
+func (d *pipelinedDeparture) entries(state string) []string {
+	return []string{entry("s1", d.server.addr(), state), entry("s2", d.server.addr(), state)}
+}
+
+// change has the node stop where the client is to depart.
+func (d *pipelinedDeparture) change(n *Node) {
+	n.drainSchedule, n.drainLimit = drainSchedule{closeConns: time.Millisecond, answerAll: limit}, 2*limit // as short as it can be
+	d.conns.TCPListener = n.listener.(*net.TCPListener)
+	n.listener = d.conns
+	switch d.where {
+	case "dial":
+		d.dials = holdDials(n.upstream)
+	case "busy loop": // it stops at the first list that is pushed
+		update := n.loop.updateEndpoints
+		n.loop.updateEndpoints = func(entries []listEntry, complete bool) {
+			if !complete {
+				close(d.stopped)
+				<-d.resume
 			}
+			update(entries, complete)
 		}
-	})
-	list := func(rev int, state string) event {
-		news, err := parseList([]byte(strings.Replace(whole(entry("s1", s.addr(), state), entry("s2", s.addr(), state)), "%d", fmt.Sprint(rev), 1)))
-		if err != nil {
-			t.Fatal(err)
+	case "retry": // the first connection comes up at once, the second is held
+		first := make(chan struct{}, 1)
+		first <- struct{}{}
+		through := n.upstream.dial
+		d.dials = holdDials(n.upstream)
+		held := n.upstream.dial
+		n.upstream.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+			select {
+			case <-first:
+				return through(ctx, network, address)
+			default:
+				return held(ctx, network, address)
+			}
 		}
-		return listReceived{list: news}
 	}
-	c := dial(t, n)
-	switch where {
+}
+
+// begin sends the request, and waits until it is where the client is to depart.
+func (d *pipelinedDeparture) begin(t *testing.T, c *testClient) {
+	if d.where == "busy loop" {
+		until(t, "the first list to be taken", d.node.loop.ready.Load)
+		update := listOf(t, false, d.entries("in_service")...)
+		update.entries[0].Capacity = 2
+		d.node.loop.post(listReceived{update})
+		wait(t, d.stopped, "the loop")
+	}
+	c.get("leaving")
+	switch d.where {
 	case "held":
-		c.get("leaving")
-		untilOpened(t, n, 1)
+		untilActive(t, d.node, 1)
 	case "dial", "retry":
-		c.get("leaving")
-		wait(t, dials.up, "the connection")
+		wait(t, d.dials.dialed, "the connection")
 	case "in flight":
-		c.get("leaving")
-		wait(t, got, "the attempt")
+		wait(t, d.got, "the attempt")
 	case "busy loop":
-		until(t, "the first list to be taken", n.loop.ready.Load)
-		news := list(2, "in_service").(listReceived)
-		news.list.complete, news.list.entries[0].Capacity = false, 2
-		n.loop.post(news)
-		wait(t, stopped, "the loop")
-		c.get("leaving")
-		until(t, "the request to be queued", func() bool { return len(n.loop.events) == 1 })
-	}
-	text := sentAhead(ahead)
-	if ahead > readAheadPerConn && where != "busy loop" {
-		text = strings.Repeat("x", ahead) // they are answered while the caller is there: no requests, then
-	}
-	io.WriteString(c, text)
-	if ahead <= readAheadPerConn {
-		until(t, "the bytes to be read", func() bool { return readAhead(n) == ahead })
+		until(t, "the request to be queued", func() bool { return len(d.node.loop.events) == 1 })
 	}
-	switch how {
+}
+
+func (d *pipelinedDeparture) depart(t *testing.T, c *testClient) {
+	switch d.how {
 	case "break":
-		wait(t, conns.accepted, "the downstream connection").breakNow()
+		wait(t, d.conns.accepted, "the downstream connection").breakNow()
 	case "reset":
 		c.Conn.(*net.TCPConn).SetLinger(0)
-		fallthrough
+		c.Close()
 	case "close":
 		c.Close()
 	}
-	if where == "busy loop" {
-		until(t, "the leaving to be queued", func() bool { return len(n.loop.events) >= 2 })
-		close(resume)
-	}
-	until(t, "the node to notice", func() bool { return n.frontend.conns.count() == 0 })
-	switch where {
+}
+
+// proceed lets the request go on, once the departure was noticed.
+func (d *pipelinedDeparture) proceed(t *testing.T) {
+	switch d.where {
 	case "held":
-		n.loop.post(list(2, "in_service"))
+		d.node.loop.post(listReceived{listOf(t, true, d.entries("in_service")...)})
 	case "dial", "retry":
-		close(dials.through)
+		close(d.dials.release)
 	case "in flight":
-		close(answer) // it fails, and is not retried
-	}
-	seen := map[string]int{"other": 1}
-	if where == "retry" || where == "in flight" {
-		seen["leaving"] = 1 // begun before its caller left
+		close(d.answer) // it fails, and is not retried
 	}
-	nothingOfTheLeavers(t, n, s, seen)
 }
 
-// nothingOfTheLeavers has another caller served, waits for all attempts to end, and says what the server may
-// have got.
-func nothingOfTheLeavers(t *testing.T, n *Node, s *fakeServer, want map[string]int) {
+// checkNothingForwarded has another client served, waits for all attempts to end, and compares the requests that
+// the server received with what it may have received.
+func checkNothingForwarded(t *testing.T, n *Node, s *fakeServer, want map[string]int) {
 	t.Helper()
 	other := dial(t, n)
 	other.get("other")
@@ -271,30 +305,30 @@
 		t.Errorf("the server got %v, want %v", got, want)
 	}
 	if kept := n.frontend.conns.readAheadReserved.Load(); kept != 0 {
-		t.Errorf("%d bytes are kept of callers that have left", kept)
+		t.Errorf("%d bytes are buffered of clients that have departed", kept)
 	}
 }
 
-// Fifty that leave at once are all seen to.
-func TestNothingBeginsForABurstOfLeavers(t *testing.T) {
+// Fifty departures at the same time are all noticed.
+func TestNothingBeginsForABurstOfDepartures(t *testing.T) {
 	s := newServer(t, echo)
 	through := make(chan struct{})
-	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
 		n.upstream.dial = func(_ context.Context, network, address string) (net.Conn, error) {
 			nc, err := net.Dial(network, address)
 			<-through
 			return nc, err
 		}
 	})
-	var leavers []*caller
+	var leavers []*testClient
 	for i := range 50 {
 		c := dial(t, n)
 		c.get(fmt.Sprint("leaving-", i))
 		leavers = append(leavers, c)
 	}
-	untilOpened(t, n, len(leavers))
+	untilActive(t, n, len(leavers))
 	for i, c := range leavers {
-		io.WriteString(c, sentAhead(1000*i))
+		io.WriteString(c, pipelinedText(1000*i))
 	}
 	for i, c := range leavers {
 		if i%2 == 0 {
@@ -304,40 +338,40 @@
 	}
 	until(t, "the node to notice", func() bool { return n.frontend.conns.count() == 0 })
 	close(through)
-	nothingOfTheLeavers(t, n, s, map[string]int{"other": 1})
+	checkNothingForwarded(t, n, s, map[string]int{"other": 1})
 }
 
-// A request whose caller has closed before it is read does not go to the module before the close is seen,
-// however late the watch gets to look.
-func TestNothingBeginsBeforeTheWatchHasLooked(t *testing.T) {
+// A request whose client has closed before it is read does not reach the module before the close is noticed,
+// however late the departure watch looks at the connection.
+func TestNothingBeginsBeforeTheDepartureWatchHasCaughtUp(t *testing.T) {
 	s := newServer(t, echo)
 	reads, looks := newGate(2), newGate(2)
-	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
 		n.listener = gatedConns{n.listener.(*net.TCPListener), reads, looks}
 	})
 	c, other := dial(t, n), dial(t, n)
 	for range 2 {
-		wait(t, reads.at, "a read")
+		wait(t, reads.arrived, "a read")
 	}
 	c.get("left")
 	c.Close()
 	other.get("other")
-	close(reads.through)
+	close(reads.release)
 	for range 2 {
-		wait(t, looks.at, "a look")
+		wait(t, looks.arrived, "a look")
 	}
 	third := dial(t, n)
 	for i := range 20 { // time enough for either request, if it did not wait
 		third.get(fmt.Sprint("third-", i))
 		third.want(t, 200, "")
 	}
-	if s.seen() != 20 {
-		t.Errorf("%d requests began, want 20", s.seen())
+	if s.received() != 20 {
+		t.Errorf("%d requests began, want 20", s.received())
 	}
-	close(looks.through)
+	close(looks.release)
 	other.want(t, 200, "for other")
 	until(t, "the node to notice", func() bool { return n.frontend.conns.count() == 2 })
-	if s.seen() != 21 {
-		t.Errorf("%d requests began, want 21", s.seen())
+	if s.received() != 21 {
+		t.Errorf("%d requests began, want 21", s.received())
 	}
 }
--- a/internal/node/descriptorbudget_test.go
+++ b/internal/node/descriptorbudget_test.go
@@ -9,23 +9,15 @@
 	"net"
 	"net/http"
 	"os"
-	"strings"
 	"sync"
 	"testing"
 	"time"
 )
 
-func TestCallersBeyondTheBudget(t *testing.T) {
-	hold, got := make(chan struct{}), make(chan struct{}, 100)
-	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
-		if strings.HasPrefix(r.Header.Get("X-Request-Id"), "held") {
-			got <- struct{}{}
-			<-hold
-		}
-		return echo(c, r, body)
-	})
+func TestDownstreamConnectionsBeyondTheBudget(t *testing.T) {
+	s, got, release := newHoldingServer(t, "held")
 	const most = 4
-	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
 		n.frontend.conns.capacity, n.frontend.conns.upstreamReserve = 2*most, most
 		n.frontend.conns.gracePeriods.idle = 0
 	})
@@ -33,48 +25,30 @@
 	idle.get("idle")
 	idle.want(t, 200, "for idle")
 	untilIdle(t, n)
-	var held []*caller
+	var held []*testClient
 	for i := range most {
 		c := dial(t, n)
 		c.get(fmt.Sprint("held-", i))
 		wait(t, got, "an attempt")
 		held = append(held, c)
 	}
-	closed(t, idle.br, "the idle connection when there are too many")
+	expectClosed(t, idle.reader, "the idle connection when there are too many")
 	over := dial(t, n) // read and refused, never left unread
 	over.get("over")
 	r, _ := over.answer(t)
 	if r.StatusCode != 503 || r.Header.Get("Retry-After") == "" || !r.Close {
 		t.Errorf("got %d, Retry-After %q, close %v", r.StatusCode, r.Header.Get("Retry-After"), r.Close)
 	}
-	close(hold)
+	release()
 	for i, c := range held {
 		c.want(t, 200, fmt.Sprint("for held-", i))
 	}
 }
 
-// A connection is let go only while it waits: not with a request read that net/http has not told of
-// yet, nor with the first byte of the next one, read early behind an answer.
-func TestLettingGoSparesARequestBegun(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
+// A connection is evicted only while it waits for a request: not once a request has been read that net/http has
+// not reported yet, nor once the first byte of the next request was read early, after a response.
+func TestEvictionSparesARequestBegun(t *testing.T) {
 	f := newDownstreamConns(newClock(), 2, 10, 16<<20, func() int { return 1 })
-	pair := func() (ours *downstreamConn, theirs net.Conn) {
-		theirs, err := net.Dial("tcp", ln.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { theirs.Close() })
-		c, err := newDownstreamListener(ln, f, testLog()).Accept()
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { c.Close() })
-		return c.(*downstreamConn), theirs
-	}
 	say := func(from, to net.Conn) {
 		t.Helper()
 		to.SetReadDeadline(time.Now().Add(limit))
@@ -85,29 +59,29 @@
 			t.Fatal(err)
 		}
 	}
-	a, caller := pair()
-	b, _ := pair()
-	say(caller, a) // a request
+	a, peer := downstreamPair(t, f, 0)
+	b, _ := downstreamPair(t, f, 0)
+	say(peer, a) // a request
 	f.connStateChanged(a, http.StateNew)
 	f.connStateChanged(a, http.StateActive)
-	say(a, caller) // its answer
-	say(caller, a) // the next request's first byte
+	say(a, peer) // its answer
+	say(peer, a) // the next request's first byte
 	f.connStateChanged(a, http.StateIdle)
 	f.connStateChanged(b, http.StateNew) // one too many
 	if a.evicted || !f.overLimit() {
-		t.Fatal("a connection with a request on it was let go")
+		t.Fatal("a connection with a request on it was evicted")
 	}
-	say(caller, a)
-	say(a, caller)
+	say(peer, a)
+	say(a, peer)
 	f.gracePeriods.idle = limit
 	f.connStateChanged(a, http.StateIdle)
 	if a.evicted || !f.overLimit() {
-		t.Fatal("a connection idle for a moment only was let go")
+		t.Fatal("a connection idle for a moment only was evicted")
 	}
 	f.gracePeriods.idle = 0
 	f.connStateChanged(b, http.StateActive)
 	if !a.evicted || f.overLimit() {
-		t.Fatal("the idle connection was not let go")
+		t.Fatal("the idle connection was not evicted")
 	}
 	a.SetReadDeadline(time.Time{}) // net/http does, after it has said that it is idle
 	if _, err := a.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -119,64 +93,34 @@
 	}
 }
 
-// A request that lies in the kernel unread counts as begun: a close would reset it.
-func TestLettingGoSparesWhatNobodyHasRead(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	theirs, err := net.Dial("tcp", ln.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer theirs.Close()
+// A request that is unread in the kernel counts as begun: a close would reset the connection.
+func TestEvictionSparesUnreadBytes(t *testing.T) {
 	f := newDownstreamConns(newClock(), 2, 10, 16<<20, func() int { return 1 })
-	nc, err := newDownstreamListener(ln, f, testLog()).Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer nc.Close()
-	c := nc.(*downstreamConn)
+	c, theirs := downstreamPair(t, f, 0)
 	f.connStateChanged(c, http.StateNew)
 	f.connStateChanged(c, http.StateIdle)
 	io.WriteString(theirs, "GET")
 	until(t, "the bytes to arrive", func() bool { return hasUnreadOrClosed(c.Conn) })
 	if f.evictQuiet(); c.evicted {
-		t.Error("let go with a request on it")
+		t.Error("evicted with a request on it")
 	}
-	if text := make([]byte, 3); !readsWhole(c, text) || string(text) != "GET" {
+	if text := make([]byte, 3); !readsAll(c, text) || string(text) != "GET" {
 		t.Errorf("read %q", text)
 	}
 	c.Write([]byte("answer"))
 	if f.evictQuiet(); !c.evicted {
-		t.Error("not let go once it is answered")
+		t.Error("not evicted once it is answered")
 	}
 }
 
-// The rest of a request that lies in the kernel unread keeps the connection, though its first part came so long
-// ago that it would be cut off.
-func TestCuttingOffSparesWhatNobodyHasRead(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	theirs, err := net.Dial("tcp", ln.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer theirs.Close()
+// The rest of a request that is unread in the kernel protects the connection, though the first part arrived so
+// long ago that the read would be aborted.
+func TestReadAbortSparesUnreadBytes(t *testing.T) {
 	f := newDownstreamConns(newClock(), 2, 10, 16<<20, func() int { return 2 })
 	f.gracePeriods.partialRequest = 0
-	nc, err := newDownstreamListener(ln, f, testLog()).Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer nc.Close()
-	c := nc.(*downstreamConn)
+	c, theirs := downstreamPair(t, f, 0)
 	io.WriteString(theirs, "GET")
-	if text := make([]byte, 3); !readsWhole(c, text) {
+	if text := make([]byte, 3); !readsAll(c, text) {
 		t.Fatal("the first part is not read")
 	}
 	io.WriteString(theirs, " /v")
@@ -185,22 +129,22 @@
 	other, _ := net.Pipe()
 	f.connStateChanged(&downstreamConn{Conn: other, conns: f}, http.StateNew)
 	if c.evicted {
-		t.Error("cut off with the rest of a request unread")
+		t.Error("aborted with the rest of a request unread")
 	}
-	if text := make([]byte, 3); !readsWhole(c, text) || string(text) != " /v" {
+	if text := make([]byte, 3); !readsAll(c, text) || string(text) != " /v" {
 		t.Errorf("read %q", text)
 	}
 	f.connStateChanged(&downstreamConn{Conn: other, conns: f}, http.StateNew)
 	if !c.evicted {
-		t.Error("not cut off once all is read")
+		t.Error("not aborted once all is read")
 	}
 }
 
-// Whatever reaches a server has been read, so its caller must get the answer, however often idle
-// connections are let go meanwhile.
-func TestNothingReadIsLostWhileIdleConnectionsAreLetGo(t *testing.T) {
+// What reaches a server has been read by the node, so its client must get a response, however often idle
+// connections are evicted meanwhile.
+func TestNoRequestIsLostWhileIdleConnectionsAreEvicted(t *testing.T) {
 	s := newServer(t, echo)
-	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
 		n.frontend.conns.capacity, n.frontend.conns.upstreamReserve = 8, 4
 		n.frontend.conns.gracePeriods.idle = 0
 	})
@@ -211,24 +155,20 @@
 		callers.Add(1)
 		go func() {
 			defer callers.Done()
-			var c net.Conn
-			var br *bufio.Reader
+			var c *testClient
 			for j := range 60 {
 				if c == nil {
-					var err error
-					if c, err = net.Dial("tcp", n.Addr()); err != nil {
+					nc, err := net.Dial("tcp", n.Addr())
+					if err != nil {
 						t.Error(err)
 						return
 					}
-					c.SetDeadline(time.Now().Add(2 * limit))
-					br = bufio.NewReader(c)
+					nc.SetDeadline(time.Now().Add(2 * limit))
+					c = &testClient{nc, bufio.NewReader(nc)}
 				}
 				id := fmt.Sprintf("c%d-%d", i, j)
-				fmt.Fprintf(c, "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: %s\r\nX-Deadline: 60\r\n\r\n", id)
-				r, err := http.ReadResponse(br, nil)
-				if err == nil {
-					_, err = io.Copy(io.Discard, r.Body)
-				}
+				c.get(id)
+				r, _, err := c.read()
 				if err == nil {
 					mu.Lock()
 					answered[id] = true
@@ -249,7 +189,7 @@
 	defer s.mu.Unlock()
 	for _, id := range s.requests {
 		if !answered[id] {
-			t.Errorf("%s was sent to the server, and its caller got no answer", id)
+			t.Errorf("%s was forwarded to the server, and its client got no response", id)
 		}
 	}
 	if len(s.requests) == 0 {
@@ -257,19 +197,19 @@
 	}
 }
 
-// Hundreds of connections that say nothing, half a request or too little of a body hold no place that a
-// good caller needs: they are let go first, before they would time out, and the good one is served.
-func TestGoodCallerIsServedBesideHundredsOfSilentOnes(t *testing.T) {
+// Hundreds of connections that send nothing, a partial head or a partial body take no capacity that a well-behaved
+// client needs: they are evicted first, before they would time out, and that client is served.
+func TestClientIsServedBesideHundredsOfSilentConnections(t *testing.T) {
 	s := newServer(t, echo)
-	cfg := testConfig(whole(entry("s1", s.addr(), "in_service")))
+	cfg := testConfig(completeList(entry("s1", s.addr(), "in_service")))
 	cfg.Sockets = 256
 	n, _ := startNode(t, cfg, func(n *Node) {
-		n.frontend.server.ReadTimeout = 2 * limit // what is let go is let go for want of room
+		n.frontend.server.ReadTimeout = 2 * limit // connections end by eviction only
 		n.frontend.conns.gracePeriods = gracePeriods{idle: limit}
 	})
 	const body = "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: half\r\nX-Deadline: 60\r\nContent-Length: 9\r\n\r\nhal"
 	// served wants an answer, and returns the connection to go on with: the node may end this one with the answer.
-	served := func(c *caller, id string) *caller {
+	served := func(c *testClient, id string) *testClient {
 		c.get(id)
 		r, got := c.answer(t)
 		if r.StatusCode != http.StatusOK || got != "for "+id {
@@ -289,37 +229,37 @@
 			served(dial(t, n), fmt.Sprint("fresh-", i)).Close()
 		}
 	}
-	until(t, "the rest to be let go", func() bool {
+	until(t, "the rest to be evicted", func() bool {
 		n.frontend.conns.mu.Lock()
 		defer n.frontend.conns.mu.Unlock()
 		return n.frontend.conns.excess() <= 0
 	})
 }
 
-// A complete request is served, though its connection is chosen to make room in the moment in which its head has
-// been read, or while it waits in its handler: a silent one goes in its place, and its caller's leaving is still
-// seen. Half a request is cut off instead.
-func TestCompleteRequestIsServedThoughRoomIsMade(t *testing.T) {
+// A complete request is served even if its connection is chosen for eviction at the moment in which its head has
+// been read, or while it waits in its handler: a silent connection is evicted in its place, and its client's
+// departure is still noticed. The read of a partial request is aborted instead.
+func TestCompleteRequestIsServedDuringEviction(t *testing.T) {
 	for _, moment := range []string{"head read", "watched"} {
 		for _, method := range []string{"GET", "POST"} {
 			for _, id := range []string{"served", "leaving"} {
 				t.Run(fmt.Sprint(moment, " ", method, " ", id), func(t *testing.T) {
 					t.Parallel()
-					completeWhileRoomIsMade(t, moment, method, id)
+					completeDuringEviction(t, moment, method, id)
 				})
 			}
 		}
 	}
 	t.Run("half a request", func(t *testing.T) {
 		t.Parallel()
-		half := dial(t, startCrowdedNode(t, newServer(t, echo), "head read"))
+		half := dial(t, startFullNode(t, newServer(t, echo), "head read"))
 		io.WriteString(half, "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: half\r\nX-Deadline: 60\r\n"+
 			"Content-Length: 9\r\n\r\nhal")
 		half.want(t, http.StatusBadRequest, "")
 	})
 }
 
-func completeWhileRoomIsMade(t *testing.T, moment, method, id string) {
+func completeDuringEviction(t *testing.T, moment, method, id string) {
 	got, ended := make(chan struct{}), make(chan struct{})
 	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		if r.Header.Get("X-Request-Id") == "served" {
@@ -330,7 +270,7 @@
 		close(ended)
 		return false
 	})
-	n := startCrowdedNode(t, s, moment)
+	n := startFullNode(t, s, moment)
 	c := dial(t, n)
 	if method == http.MethodPost {
 		c.send(method, "/note/k", id, "body", "60")
@@ -346,21 +286,21 @@
 	if r, body := c.answer(t); r.StatusCode != http.StatusOK || body != "for served" || r.Close {
 		t.Fatalf("got %d %q, closing %v, want it served and the connection kept", r.StatusCode, body, r.Close)
 	}
-	until(t, "a silent connection to go", func() bool { return n.frontend.conns.count() == crowdedMost })
+	until(t, "a silent connection to go", func() bool { return n.frontend.conns.count() == fullNodeConns })
 }
 
-// crowdedMost is how many connections startCrowdedNode's node may hold, and holds silent ones.
-const crowdedMost = 5
+// fullNodeConns is how many connections startFullNode's node may hold; it holds that many silent ones.
+const fullNodeConns = 5
 
-// startCrowdedNode starts a node that has no place for one more connection, and that makes room at the given
-// moment of a request: first at the expense of those that it takes for half ones.
-func startCrowdedNode(t *testing.T, s *fakeServer, moment string) *Node {
+// startFullNode starts a node that has no capacity for one more connection, and that evicts at the given moment of
+// a request: first those connections that it takes for partial requests.
+func startFullNode(t *testing.T, s *fakeServer, moment string) *Node {
 	t.Helper()
-	cfg := withLongAims(testConfig(whole(entry("s1", s.addr(), "in_service"))))
-	cfg.Sockets = reservedDescriptors + crowdedMost + 1 // one is kept for the server
+	cfg := withLongObjectives(testConfig(completeList(entry("s1", s.addr(), "in_service"))))
+	cfg.Sockets = reservedDescriptors + fullNodeConns + 1 // one is kept for the server
 	n, _ := startNode(t, cfg, func(n *Node) {
 		f := n.frontend
-		f.server.ReadTimeout = 2 * limit // what is cut off is cut off to make room
+		f.server.ReadTimeout = 2 * limit // reads end by eviction only
 		f.conns.gracePeriods = gracePeriods{lingering: limit, newConn: limit, partialRequest: limit, idle: limit}
 		makeRoom := func() {
 			f.conns.mu.Lock()
@@ -386,9 +326,9 @@
 			f.ServeHTTP(w, r)
 		})
 	})
-	for range crowdedMost {
+	for range fullNodeConns {
 		dial(t, n)
 	}
-	until(t, "the silent connections to be held", func() bool { return n.frontend.conns.count() == crowdedMost })
+	until(t, "the silent connections to be held", func() bool { return n.frontend.conns.count() == fullNodeConns })
 	return n
 }
--- a/internal/node/dial_test.go
+++ b/internal/node/dial_test.go
@@ -13,12 +13,12 @@
 	"balancer"
 )
 
-// dialError is what net.Dialer gives for a failed system call.
+// dialError is the error that net.Dialer returns for a failed system call.
 func dialError(call string, err error) error {
 	return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError(call, err)}
 }
 
-// failingDial fails so many times and dials from then on. It counts all dials.
+// failingDial fails a number of times and dials from then on. It counts all dials.
 type failingDial struct {
 	err   error
 	times int32
@@ -38,27 +38,27 @@
 	syscall.EPERM, syscall.EACCES, syscall.EINTR,
 }
 
-// A connection that can't be opened for a moment by trouble of this machine's own is dialled again, and its
-// request is served by its server, which gets it once.
-func TestLocalTroubleForAMomentFailsNothing(t *testing.T) {
+// A connection that cannot be opened for a moment, by a fault of this machine, is dialled again, and its request
+// is served by its server, which receives it once.
+func TestTransientLocalDialErrorIsRetried(t *testing.T) {
 	for _, errno := range localErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
 			s := newServer(t, echo)
 			f := &failingDial{err: dialError("connect", errno), times: 3}
-			n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) { n.upstream.dial = f.dial })
+			n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) { n.upstream.dial = f.dial })
 			c := dial(t, n)
 			c.send("POST", "/note/k", "r", "x", "60")
 			c.want(t, 200, "for r")
-			if s.seen() != 1 || f.dials.Load() != 4 || n.upstream.connections() != 1 {
-				t.Errorf("%d requests at the server after %d dials, %d connections open", s.seen(), f.dials.Load(), n.upstream.connections())
+			if s.received() != 1 || f.dials.Load() != 4 || n.upstream.connections() != 1 {
+				t.Errorf("%d requests at the server after %d dials, %d connections open", s.received(), f.dials.Load(), n.upstream.connections())
 			}
 		})
 	}
 }
 
-// Local trouble that lasts ends an attempt as Void, never run, before its time is over; an error that tells of
-// the server ends it at once. What the module is told says whether the node itself held the attempt up.
+// A local fault that lasts ends an attempt as not sent, before its time is over; an error of the server ends it at
+// once. The module is told whether the node itself held the attempt up.
 func TestFailedDials(t *testing.T) {
 	local, refused := dialError("socket", syscall.EMFILE), dialError("connect", syscall.ECONNREFUSED)
 	for _, c := range []struct {
@@ -91,8 +91,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newServer(t, echo)
-			b := testBackend(10)
-			a := testAttempt(b, s.addr())
+			b := testPool(10)
+			a := testAttempt(t, b, s.addr())
 			f := &failingDial{err: c.err, times: c.times}
 			b.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 				nc, err := f.dial(ctx, network, address)
@@ -101,7 +101,7 @@
 				}
 				return nc, err
 			}
-			r := run(t, b, a)
+			r := doAttempt(t, b, a)
 			if r.result != c.want || a.heldUp != c.heldUp {
 				t.Errorf("ending %d, held up %v; want %d, %v", r.result, a.heldUp, c.want, c.heldUp)
 			}
@@ -109,8 +109,8 @@
 			if c.want == balancer.Success {
 				served = 1
 			}
-			if b.connections() != served || s.seen() != served {
-				t.Errorf("%d connections are open, the server got %d requests", b.connections(), s.seen())
+			if b.connections() != served || s.received() != served {
+				t.Errorf("%d connections are open, the server got %d requests", b.connections(), s.received())
 			}
 			// 5, 10, 20 and 40 ms, and 40 ms each from then on: a wait may be longer, but never shorter.
 			if got := f.dials.Load(); got > 7 || c.want == balancer.ConnectFailed && got != 1 {
@@ -120,14 +120,14 @@
 	}
 }
 
-// What discovery tells is not missed for local trouble: a push watch's call is dialled again at once, and where
-// lists are asked for the module is not told of a failure, which it would wait after.
-func TestLocalTroubleIsNoSilenceOfDiscovery(t *testing.T) {
+// A local fault loses no watch event: a pushed watch is dialled again at once, and where lists are polled the
+// module is not notified of a failure, after which it would back off.
+func TestLocalDialErrorIsNoDiscoveryFailure(t *testing.T) {
 	for _, asked := range []bool{false, true} {
 		for _, times := range []int32{3, 1e6} {
 			t.Run(fmt.Sprint("asked=", asked, " times=", times), func(t *testing.T) {
-				ag := newAgent(t)
-				ag.tell(false, whole(entry("s1", "127.0.0.1:1", "in_service")))
+				ag := newRegistryAgent(t)
+				ag.set(false, completeList(entry("s1", "127.0.0.1:1", "in_service")))
 				cfg := testConfig("")
 				cfg.Discovery, cfg.Settings.PollDiscovery = ag.Addr().String(), asked
 				events, waits := make(chan event, 10), make(chan time.Duration, 10)
@@ -139,7 +139,7 @@
 				}
 				f := &failingDial{err: dialError("connect", syscall.ENETUNREACH), times: times}
 				d.currentAddress().dial = f.dial
-				ctx, cancel := context.WithCancel(context.Background())
+				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				if asked {
 					go d.runPolled(ctx)
@@ -147,14 +147,14 @@
 				} else {
 					go d.runPushed(ctx)
 				}
-				if times > 3 { // it lasts: neither told of as a failure nor a hot loop
+				if times > 3 { // it lasts: neither reported as a failure nor retried in a hot loop
 					for range 2 {
 						if wait := wait(t, waits, "a wait"); wait != retryInterval {
 							t.Errorf("waits for %v, want %v", wait, retryInterval)
 						}
 					}
 					if len(events) != 0 {
-						t.Errorf("told of %#v", <-events)
+						t.Errorf("got %#v", <-events)
 					}
 					return
 				}
--- a/internal/node/faultyconns_test.go
+++ b/internal/node/faultyconns_test.go
@@ -27,15 +27,15 @@
 	return c, nil
 }
 
-// breakableConn fails its reads with cause once it is broken; a deadline that passes is its own cause.
+// breakableConn fails its reads with cause once it is broken; a deadline that passes is a cause of its own.
 type breakableConn struct {
 	*net.TCPConn
-	cause  error
-	broken chan struct{}
-	woken  chan struct{} // gets one when a wait for something to read has ended
+	cause      error
+	broken     chan struct{}
+	watchEnded chan struct{} // gets one when a wait for something to read has ended
 }
 
-// breakNow ends the wait for something to read as the kernel does when the connection breaks.
+// breakNow ends the wait for readability as the kernel does when the connection breaks.
 func (c *breakableConn) breakNow() {
 	if c.cause != os.ErrDeadlineExceeded {
 		close(c.broken)
@@ -63,11 +63,11 @@
 	of *breakableConn
 }
 
-// Read ends without an error once the connection is broken: there is something to read, the error.
+// Read ends without an error once the connection is broken: it is readable, and the read returns the error.
 func (r breakableRaw) Read(ready func(uintptr) bool) error {
 	err := r.RawConn.Read(ready)
 	select {
-	case r.of.woken <- struct{}{}:
+	case r.of.watchEnded <- struct{}{}:
 	default:
 	}
 	if isClosed(r.of.broken) {
@@ -76,10 +76,10 @@
 	return err
 }
 
-// gatedConns holds back what the node asks of its callers' connections.
+// gatedConns delays the node's reads of downstream connections and its peeks at them.
 type gatedConns struct {
 	*net.TCPListener
-	reads, looks *gate
+	reads, peeks *gate
 }
 
 func (l gatedConns) Accept() (net.Conn, error) {
@@ -90,21 +90,21 @@
 	return gatedConn{c, l}, nil
 }
 
-// gate holds back the first that pass, until it is opened.
+// gate delays the first that pass, until it is opened.
 type gate struct {
-	first       atomic.Int32
-	at, through chan struct{}
+	first            atomic.Int32
+	arrived, release chan struct{}
 }
 
 func (g *gate) pass() {
 	if g.first.Add(-1) >= 0 {
-		g.at <- struct{}{}
-		<-g.through
+		g.arrived <- struct{}{}
+		<-g.release
 	}
 }
 
 func newGate(first int32) *gate {
-	g := &gate{at: make(chan struct{}, first), through: make(chan struct{})}
+	g := &gate{arrived: make(chan struct{}, first), release: make(chan struct{})}
 	g.first.Store(first)
 	return g
 }
@@ -120,6 +120,6 @@
 }
 
 func (c gatedConn) SyscallConn() (syscall.RawConn, error) {
-	c.of.looks.pass()
+	c.of.peeks.pass()
 	return c.TCPConn.SyscallConn()
 }
--- a/internal/node/frontend_test.go
+++ b/internal/node/frontend_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// A hint is advice: one that can't be used must neither fail its request nor reach the module.
-func TestHintsThatCantBeReadAreNone(t *testing.T) {
+// A hint is advisory: an invalid one must neither fail its request nor reach the module.
+func TestInvalidWorkHintsAreIgnored(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"": 0, "328477": 328477 * time.Microsecond, "0.5": 500, "-3": 0, "0": 0, "NaN": 0, "Inf": 0, "1e300": 0,
 		"many": 0, "12 ms": 0,
@@ -22,7 +22,8 @@
 	}
 }
 
-func TestPassesARequestThroughUnchanged(t *testing.T) {
+// Method, target, id, key and body reach the server as they were sent, and its response reaches the client so.
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	type seen struct {
 		r    *http.Request
 		body string
@@ -33,7 +34,7 @@
 		got <- seen{r, body}
 		return reply200(c, answerBody)
 	})
-	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) { n.upstream.reuseDelay = 0 })
+	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) { n.upstream.reuseDelay = 0 })
 	c := dial(t, n)
 	long := strings.Repeat("b\r\n\x00", maxBody/4)
 	for i, target := range []string{"/keyed/a%2fB?q=%20%41&&x", `/keyed/"odd"|{};,`, "/keyed/", "/keyed//x/../y?"} {
@@ -57,12 +58,12 @@
 		g.r.ContentLength != 0 {
 		t.Errorf("got %s %v", g.r.Method, g.r.Header)
 	}
-	if s.opened() != 1 {
-		t.Errorf("%d connections for requests one after another, want 1", s.opened())
+	if s.accepted() != 1 {
+		t.Errorf("%d connections for requests one after another, want 1", s.accepted())
 	}
 }
 
-func TestBadRequests(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
 	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		select {
@@ -72,7 +73,7 @@
 		<-hold
 		return echo(c, r, body)
 	})
-	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
 		n.frontend.server.ReadTimeout = 300 * time.Millisecond
 	})
 	first := dial(t, n)
@@ -128,23 +129,23 @@
 				return
 			}
 			conn.want(t, c.status, "")
-			closed(t, conn.br, "a connection that said what can't be used")
+			expectClosed(t, conn.reader, "a connection that said what can't be used")
 		})
 	}
 	cut := dial(t, n)
 	io.WriteString(cut, "POST /note/k HTTP/1.1\r\n"+ok+"Content-Length: 10\r\n\r\nhalf")
 	cut.Conn.(*net.TCPConn).CloseWrite()
-	io.Copy(io.Discard, cut.br) // an answer or none, but the end
-	if s.seen() != 1 {
-		t.Errorf("%d requests reached the server, want only the good one", s.seen())
+	io.Copy(io.Discard, cut.reader) // an answer or none, but the end
+	if s.received() != 1 {
+		t.Errorf("%d requests reached the server, want only the good one", s.received())
 	}
 	close(hold)
 	first.want(t, 200, "for used")
 }
 
-// A request that the module gives up is refused at once, with advice, though its deadline is far off.
-func TestRefusalComesAtOnceAndSaysWhenToComeBack(t *testing.T) {
-	cfg := testConfig(whole(entry("s1", closedPort(t), "in_service")))
+// A request that the module gives up is rejected at once, with Retry-After, though its deadline is far off.
+func TestRejectionIsImmediateWithRetryAfter(t *testing.T) {
+	cfg := testConfig(completeList(entry("s1", closedPort(t), "in_service")))
 	n, _ := startNode(t, cfg, nil)
 	c := dial(t, n)
 	begin := time.Now()
@@ -155,18 +156,12 @@
 	}
 }
 
-// A caller gives its last try all the time that it has left, more than tries are usually given. That must
-// not make every other caller's first try look like a repeat whose aim is over, to be refused at once.
-func TestALongLastTryLeavesFirstTriesAsTheyAre(t *testing.T) {
-	hold, got := make(chan struct{}), make(chan struct{}, 100)
-	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
-		if strings.HasPrefix(r.Header.Get("X-Request-Id"), "held") {
-			got <- struct{}{}
-			<-hold
-		}
-		return echo(c, r, body)
-	})
-	n, _ := startNode(t, testConfig(whole(entry("s1", s.addr(), "in_service"))), nil)
+// A client gives its last attempt all the time that it has left, more than attempts are usually given. That must
+// not make other clients' first attempts look like retries past their latency objective, which are rejected at
+// once.
+func TestLongLastAttemptDoesNotMakeFirstAttemptsRetries(t *testing.T) {
+	s, got, release := newHoldingServer(t, "held")
+	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), nil)
 	c := dial(t, n)
 	view := func(id, deadline string) {
 		t.Helper()
@@ -177,7 +172,7 @@
 		view(fmt.Sprint("first-", i), "25")
 	}
 	view("last", "59.9")
-	var busy []*caller // with these out there is room for a first try, and none for a repeat
+	var busy []*testClient // with these in flight there is capacity for a first attempt, and none for a retry
 	holdMore := func(calls int) {
 		for range calls {
 			i := len(busy)
@@ -194,9 +189,9 @@
 	view("another-5", "25")
 	c.send("GET", "/view/k", "repeat", "", "20") // the class's deadline of 60 s began 40 s ago
 	if r, _ := c.answer(t); r.StatusCode != 503 || r.Header.Get("Retry-After") == "" {
-		t.Errorf("a repeat past its aim: got %d, Retry-After %q", r.StatusCode, r.Header.Get("Retry-After"))
+		t.Errorf("a retry past its latency objective: got %d, Retry-After %q", r.StatusCode, r.Header.Get("Retry-After"))
 	}
-	close(hold)
+	release()
 	for i, b := range busy {
 		b.want(t, 200, fmt.Sprint("for held-", i))
 	}
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"bufio"
 	"context"
 	"fmt"
 	"io"
@@ -11,15 +10,17 @@
 	"slices"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
 	"balancer"
 )
 
-// limit is how long a test waits for what must come; only a failing one waits so long.
+// limit is how long a test waits for something; only a failing test waits so long.
 const limit = 30 * time.Second
 
+// wait receives from a channel, and fails the test if nothing comes.
 func wait[T any](t *testing.T, c <-chan T, what string) (v T) {
 	t.Helper()
 	select {
@@ -30,6 +31,7 @@
 	return v
 }
 
+// until polls a condition, and fails the test if it never holds.
 func until(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(limit); !ok(); time.Sleep(time.Millisecond) {
@@ -41,7 +43,7 @@
 
 func testLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// testConfig is a deployment with a class of each kind and long limits.
+// testConfig is a deployment with a class of each effect and long limits.
 func testConfig(known string) Config {
 	class := func(name string, e balancer.Effect) balancer.Class {
 		return balancer.Class{
@@ -64,8 +66,9 @@
 	}
 }
 
-// withLongAims has no attempt of a configuration end by itself while a test waits for something else to end it.
-func withLongAims(cfg Config) Config {
+// withLongObjectives keeps the attempts of a configuration from timing out while a test waits for something else
+// to end them.
+func withLongObjectives(cfg Config) Config {
 	return with(cfg, func(classes []balancer.Class) []balancer.Class {
 		for i := range classes {
 			classes[i].LatencyObjective = 2 * limit
@@ -83,7 +86,7 @@
 // startNode runs a node until the test ends, or until the returned function is called.
 func startNode(t *testing.T, cfg Config, change func(*Node)) (n *Node, stop func() error) {
 	t.Helper()
-	n, err := New(cfg, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	n, err := New(cfg, testLog())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +94,7 @@
 	if change != nil {
 		change(n)
 	}
-	ctx, cancel := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(t.Context())
 	end := make(chan error, 1)
 	go func() { end <- n.Run(ctx) }()
 	var once sync.Once
@@ -103,7 +106,7 @@
 	return n, stop
 }
 
-// isReady asks a node whether callers may come.
+// isReady makes a readiness check of a node.
 func isReady(t *testing.T, n *Node) bool {
 	t.Helper()
 	c := dial(t, n)
@@ -113,7 +116,7 @@
 	return r.StatusCode == http.StatusOK
 }
 
-// reload puts a configuration in force and waits until it is.
+// reload reloads a node's configuration, and waits until it is in force.
 func reload(t *testing.T, n *Node, cfg Config) {
 	t.Helper()
 	n.Reload(cfg)
@@ -123,7 +126,7 @@
 	until(t, "the new settings", func() bool { return n.loop.rules.Load().revision == revision })
 }
 
-// closedPort is an address where nobody listens.
+// closedPort is an address that refuses connections.
 func closedPort(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -134,13 +137,13 @@
 	return ln.Addr().String()
 }
 
-func readsWhole(r io.Reader, p []byte) bool {
+func readsAll(r io.Reader, p []byte) bool {
 	_, err := io.ReadFull(r, p)
 	return err == nil
 }
 
-// closed waits for the other side to close a connection with nothing more said.
-func closed(t *testing.T, r io.Reader, what string) {
+// expectClosed waits for the other side to close a connection, and fails the test if more is read before.
+func expectClosed(t *testing.T, r io.Reader, what string) {
 	t.Helper()
 	if n, err := r.Read(make([]byte, 1)); n != 0 || err == nil {
 		t.Fatalf("%s: still open", what)
@@ -149,225 +152,92 @@
 	}
 }
 
+// entry is a server's entry in an endpoint list.
 func entry(uid, endpoint, state string) string {
 	return fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":"a","model":"m","pod_group":0,"state":%q,`+
 		`"capacity_hint":1,"boot_ms":0}`, uid, endpoint, state)
 }
 
-func whole(entries ...string) string {
+// completeList is the text of a complete endpoint list, with %d for its version.
+func completeList(entries ...string) string {
 	return `{"rev":%d,"all":true,"targets":[` + strings.Join(entries, ",") + `]}`
 }
 
-// fakeServer is a server whose connections a test scripts by hand: after each request that is read
-// whole, then is called; it returns false to close the connection.
-type fakeServer struct {
-	net.Listener
-	mu       sync.Mutex
-	requests []string // ids
-	conns    int
-}
-
-func (s *fakeServer) addr() string { return s.Addr().String() }
-
-func (s *fakeServer) seen() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return len(s.requests)
-}
-
-func (s *fakeServer) opened() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.conns
-}
-
-func newServer(t *testing.T, then func(c net.Conn, r *http.Request, body string) bool) *fakeServer {
-	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { ln.Close() })
-	s := &fakeServer{Listener: ln}
+// watchStalls adds up, until the test ends, how late timers of the test's process are, where that is more than
+// usual. Time that the machine takes from the process is no fault of the node.
+func watchStalls(t *testing.T, usual time.Duration) (sum func() time.Duration) {
+	const step = 5 * time.Millisecond
+	var total atomic.Int64
+	over := make(chan struct{})
 	go func() {
-		for {
-			c, err := ln.Accept()
-			if err != nil {
-				return
+		defer close(over)
+		for t.Context().Err() == nil {
+			begin := time.Now()
+			time.Sleep(step)
+			if late := time.Since(begin) - step; late > usual {
+				total.Add(int64(late))
 			}
-			s.mu.Lock()
-			s.conns++
-			s.mu.Unlock()
-			go func() {
-				defer c.Close()
-				br := bufio.NewReader(c)
-				for {
-					r, err := http.ReadRequest(br)
-					if err != nil {
-						return
-					}
-					body, err := io.ReadAll(r.Body)
-					if err != nil {
-						return
-					}
-					s.mu.Lock()
-					s.requests = append(s.requests, r.Header.Get("X-Request-Id"))
-					s.mu.Unlock()
-					if !then(c, r, string(body)) {
-						return
-					}
-				}
-			}()
 		}
 	}()
-	return s
-}
-
-// reply200 answers 200 with a body.
-func reply200(c net.Conn, body string) bool {
-	_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	return err == nil
-}
-
-// echo serves everything with a body that names the request.
-func echo(c net.Conn, r *http.Request, body string) bool {
-	return reply200(c, "for "+r.Header.Get("X-Request-Id"))
-}
-
-// agent is discovery's agent: it answers watches with what it was given last, or is silent.
-type agent struct {
-	net.Listener
-	mu     sync.Mutex
-	rev    int
-	text   string
-	silent bool
-	news   chan struct{} // closed at each change
-	asked  chan string   // the query of each call, as far as there is room
-}
-
-func (a *agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	select {
-	case a.asked <- r.URL.RawQuery:
-	default:
-	}
-	a.mu.Lock()
-	text, silent, news := a.text, a.silent, a.news
-	current := r.URL.Query().Get("from") == fmt.Sprint(a.rev)
-	a.mu.Unlock()
-	if silent { // also once it is back, as a call that was lost
-		<-r.Context().Done()
-		return
-	}
-	if current {
-		select {
-		case <-news:
-		case <-r.Context().Done():
-			return
-		}
-		a.mu.Lock()
-		text, silent = a.text, a.silent
-		a.mu.Unlock()
-		if silent {
-			<-r.Context().Done()
-			return
-		}
-	}
-	io.WriteString(w, text)
-}
-
-// tell sets what the agent has; text may hold %d for its rev.
-func (a *agent) tell(silent bool, text string) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	a.silent = silent
-	if text != "" {
-		a.rev++
-		a.text = strings.Replace(text, "%d", fmt.Sprint(a.rev), 1)
-	}
-	close(a.news)
-	a.news = make(chan struct{})
+	t.Cleanup(func() { <-over })
+	return func() time.Duration { return time.Duration(total.Load()) }
 }
 
-func newAgent(t *testing.T) *agent {
+// parsedList is the endpoint list that a text contains.
+func parsedList(t testing.TB, text string) endpointList {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	l, err := parseList([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &agent{Listener: ln, rev: 1, news: make(chan struct{}), asked: make(chan string, 1000)}
-	srv := &http.Server{Handler: a}
-	go srv.Serve(ln)
-	t.Cleanup(func() { srv.Close() })
-	return a
-}
-
-// caller is one caller's connection to a node.
-type caller struct {
-	net.Conn
-	br *bufio.Reader
-}
-
-// get writes a GET for the class view.
-func (c *caller) get(id string) { c.send("GET", "/view/k", id, "", "60") }
-
-func (c *caller) send(method, target, id, body, deadline string) {
-	length := ""
-	if method == "POST" {
-		length = fmt.Sprintf("Content-Length: %d\r\n", len(body))
-	}
-	fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: backend.local\r\nX-Request-Id: %s\r\nX-Deadline: %s\r\n%s\r\n%s",
-		method, target, id, deadline, length, body)
+	return l
 }
 
-// answer reads one answer.
-func (c *caller) answer(t *testing.T) (*http.Response, string) {
+// listOf is an endpoint list, complete or of changes.
+func listOf(t testing.TB, complete bool, entries ...string) endpointList {
 	t.Helper()
-	r, err := http.ReadResponse(c.br, nil)
-	if err != nil {
-		t.Fatalf("no answer: %v", err)
-	}
-	body, err := io.ReadAll(r.Body)
-	if err != nil {
-		t.Fatalf("no whole answer: %v", err)
-	}
-	return r, string(body)
+	return parsedList(t, fmt.Sprintf(`{"rev":9,"all":%v,"targets":[%s]}`, complete, strings.Join(entries, ",")))
 }
 
-func (c *caller) want(t *testing.T, status int, body string) {
+// connPair returns the two ends of a connection over loopback.
+func connPair(t *testing.T) (dialed, accepted net.Conn) {
 	t.Helper()
-	r, got := c.answer(t)
-	if r.StatusCode != status || body != "" && got != body {
-		t.Fatalf("got %d %q, want %d %q", r.StatusCode, got, status, body)
-	}
+	return connPairBy(t, func(ln net.Listener) net.Listener { return ln })
 }
 
-func dial(t *testing.T, n *Node) *caller {
+// connPairBy is connPair with the accepting listener wrapped.
+func connPairBy(t *testing.T, wrap func(net.Listener) net.Listener) (dialed, accepted net.Conn) {
 	t.Helper()
-	c, err := net.Dial("tcp", n.Addr())
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(2 * limit))
-	return &caller{c, bufio.NewReader(c)}
-}
-
-// requestText is what get writes.
-func requestText(id string) string {
-	return "GET /view/k HTTP/1.1\r\nHost: backend.local\r\nX-Request-Id: " + id + "\r\nX-Deadline: 60\r\n\r\n"
+	defer ln.Close()
+	if dialed, err = net.Dial("tcp", ln.Addr().String()); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { dialed.Close() })
+	if accepted, err = wrap(ln).Accept(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { accepted.Close() })
+	return dialed, accepted
 }
 
-// sentAhead is so many bytes of requests, the last of them cut.
-func sentAhead(size int) string {
-	text := ""
-	for i := 0; len(text) < size; i++ {
-		text += requestText(fmt.Sprint("next-", i))
-	}
-	return text[:size]
+// downstreamPair returns a downstream connection as the node's listener hands it to net/http, and its client's
+// end.
+func downstreamPair(t *testing.T, conns *downstreamConns, readTimeout time.Duration) (ours *downstreamConn, theirs net.Conn) {
+	t.Helper()
+	theirs, accepted := connPairBy(t, func(ln net.Listener) net.Listener {
+		l := newDownstreamListener(ln, conns, testLog())
+		l.readTimeout = readTimeout
+		return l
+	})
+	return accepted.(*downstreamConn), theirs
 }
 
-// readAhead is how many bytes are kept of callers whose requests are not answered.
-func readAhead(n *Node) (sum int) {
+// readAheadBytes is how many bytes are buffered of clients whose requests have no response yet.
+func readAheadBytes(n *Node) (sum int) {
 	n.frontend.conns.mu.Lock()
 	defer n.frontend.conns.mu.Unlock()
 	for c := range n.frontend.conns.conns {
@@ -378,7 +248,7 @@
 	return sum
 }
 
-// untilIdle waits for a connection to be idle: a request is over a little after its answer.
+// untilIdle waits for a connection to be idle, which it becomes a little after the response.
 func untilIdle(t *testing.T, n *Node) {
 	t.Helper()
 	until(t, "a connection to be idle", func() bool {
@@ -393,7 +263,8 @@
 	})
 }
 
-func untilOpened(t *testing.T, n *Node, many int) {
+// untilActive waits for a number of requests to be with the module.
+func untilActive(t *testing.T, n *Node, many int) {
 	t.Helper()
 	until(t, "the requests to be with the module", func() bool {
 		n.frontend.conns.mu.Lock()
@@ -402,17 +273,28 @@
 	})
 }
 
-// heldDial holds each connection back once it is up, until it is let through: as one that comes up late.
-// It does not heed its context, so that whatever happened meanwhile is found at the first byte only.
-type heldDial struct{ up, through chan struct{} }
+// heldDials holds each connection back once it is established, until it is released. It ignores its context, so
+// that whatever happened meanwhile is noticed at the first byte only.
+type heldDials struct{ dialed, release chan struct{} }
 
-func holdDials(b *upstreamPool) heldDial {
-	h := heldDial{make(chan struct{}, 10), make(chan struct{})}
+func holdDials(b *upstreamPool) heldDials {
+	h := heldDials{make(chan struct{}, 10), make(chan struct{})}
 	b.dial = func(_ context.Context, network, address string) (net.Conn, error) {
 		nc, err := net.Dial(network, address)
-		h.up <- struct{}{}
-		<-h.through
+		h.dialed <- struct{}{}
+		<-h.release
 		return nc, err
 	}
 	return h
 }
+
+// untilListed waits until the node has an endpoint in its list.
+func untilListed(t *testing.T, n *Node, uid string) {
+	t.Helper()
+	until(t, "the endpoint to be known", func() bool {
+		n.upstream.mu.Lock()
+		defer n.upstream.mu.Unlock()
+		_, listed := n.upstream.endpoints[uid]
+		return listed
+	})
+}
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -2,22 +2,19 @@
 
 import (
 	"fmt"
-	"io"
-	"log/slog"
 	"math/rand/v2"
 	"net/http"
 	"runtime"
-	"strings"
 	"testing"
 
 	"balancer"
 )
 
-// A whole list that names what is held already is no news to the module: it would cut its pool anew and
-// open connections for nothing.
-func TestWholeListWithoutNewsChangesNothing(t *testing.T) {
+// A complete list that names what is cached already is not passed to the module: it would build its subset anew
+// and open connections for nothing.
+func TestUnchangedCompleteListChangesNothing(t *testing.T) {
 	s := newServer(t, echo)
-	n, err := New(testConfig(whole(entry("s1", s.addr(), "in_service"))), slog.New(slog.NewTextHandler(io.Discard, nil)))
+	n, err := New(testConfig(completeList(entry("s1", s.addr(), "in_service"))), testLog())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,28 +23,24 @@
 	told := 0
 	n.loop.updateEndpoints = func([]listEntry, bool) { told++ }
 	for i, c := range []struct {
-		text string
-		want int
+		entries []string
+		want    int
 	}{
-		{whole(entry("s1", s.addr(), "in_service")), 0},
-		{whole(entry("s1", s.addr(), "terminating")), 1},
-		{whole(entry("s1", "127.0.0.1:1", "in_service")), 2},
-		{whole(), 3},
+		{[]string{entry("s1", s.addr(), "in_service")}, 0},
+		{[]string{entry("s1", s.addr(), "terminating")}, 1},
+		{[]string{entry("s1", "127.0.0.1:1", "in_service")}, 2},
+		{nil, 3},
 	} {
-		l, err := parseList([]byte(strings.Replace(c.text, "%d", "9", 1)))
-		if err != nil {
-			t.Fatal(err)
-		}
-		if n.loop.handleEvent(listReceived{l}); told != c.want {
-			t.Errorf("list %d: told %d times, want %d", i, told, c.want)
+		if n.loop.handleEvent(listReceived{listOf(t, true, c.entries...)}); told != c.want {
+			t.Errorf("list %d: passed on %d times, want %d", i, told, c.want)
 		}
 	}
 }
 
-// A node is ready while a server that it may send to is listed, however the lists came.
+// A node is ready while a server is listed that it may forward to, whatever lists led to that.
 func TestReadinessFollowsTheLists(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	l := bootLoop(t, newMachine(), true)
+	l := bootLoop(t, newMachineClocks(), true)
 	for i := range 500 {
 		full := rng.IntN(10) == 0
 		var entries []string
@@ -57,7 +50,7 @@
 				entries = append(entries, entry(fmt.Sprint("s", s), "127.0.0.1:1", state))
 			}
 		}
-		l.handleEvent(listReceived{bootList(t, full, entries...)})
+		l.handleEvent(listReceived{listOf(t, full, entries...)})
 		want := false
 		for _, held := range l.endpoints {
 			want = want || held.State == balancer.Ready
@@ -68,25 +61,25 @@
 	}
 }
 
-// The list that a node last had is long, and of no use once a list was heard.
-func TestTheKnownListIsNotKept(t *testing.T) {
-	cfg := testConfig(whole(entry("s1", "127.0.0.1:1", "in_service")))
+// The cached list of the configuration is long, and of no use once a list was received.
+func TestCachedListIsReleased(t *testing.T) {
+	cfg := testConfig(completeList(entry("s1", "127.0.0.1:1", "in_service")))
 	n, err := New(cfg, testLog())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer n.listener.Close()
 	n.Reload(cfg)
-	n.loop.handleEvent(listReceived{bootList(t, true, entry("s2", "127.0.0.1:1", "in_service"))})
+	n.loop.handleEvent(listReceived{listOf(t, true, entry("s2", "127.0.0.1:1", "in_service"))})
 	if n.cfg.Known != nil || n.loop.cachedList.entries != nil {
 		t.Errorf("%s and %v are kept", n.cfg.Known, n.loop.cachedList)
 	}
 }
 
-// Callers, requests and servers that are ever new leave nothing behind.
+// Clients, requests and servers that are ever new leave no state behind.
 func TestStateStaysBounded(t *testing.T) {
 	s := newServer(t, echo)
-	n, _ := startNode(t, testConfig(whole(entry("s0", s.addr(), "in_service"))), nil)
+	n, _ := startNode(t, testConfig(completeList(entry("s0", s.addr(), "in_service"))), nil)
 	round := func(i int) {
 		l := endpointList{complete: true, version: int64(i), entries: []listEntry{{address: s.addr()}}}
 		l.entries[0].ID = fmt.Sprint("s", i)
--- a/internal/node/outlier_test.go
+++ b/internal/node/outlier_test.go
@@ -9,28 +9,28 @@
 	"slices"
 	"strings"
 	"sync"
-	"sync/atomic"
 	"testing"
 	"time"
 )
 
-// fleet is a list of servers that fail some requests at once with a 500, by class, and count all they get.
-type fleet struct {
-	mu    sync.Mutex
-	got   map[string]int  // by uid and class
-	fails map[string]bool // by uid and class
-	part  int             // of those that fail one in so many is served all the same; 0: none
-	room  int             // requests that each serves at once; beyond that it turns away. 0: any number
-	busy  map[string]int
-	work  time.Duration // how long what is served takes
-	slow  string        // the server that takes too long for anything
-	hangs int           // of the views, one in so many is never answered; 0: none
-	rng   *rand.Rand
+// faultyFleet is a list of servers that fail some requests at once with a 500, by class, and count all that they
+// receive.
+type faultyFleet struct {
+	mu          sync.Mutex
+	received    map[string]int  // by uid and class
+	fails       map[string]bool // by uid and class
+	servedOneIn int             // of those that fail one in so many is served all the same; 0: none
+	capacity    int             // requests that each serves at once; beyond that it rejects. 0: any number
+	busy        map[string]int
+	work        time.Duration // how long what is served takes
+	slow        string        // the server that takes too long for anything
+	hangsOneIn  int           // of the views, one in so many is never answered; 0: none
+	rng         *rand.Rand
 }
 
-func newFleet(part, room int, fails ...string) *fleet {
-	f := &fleet{
-		got: map[string]int{}, fails: map[string]bool{}, busy: map[string]int{}, part: part, room: room, work: 5 * time.Millisecond,
+func newFaultyFleet(part, room int, fails ...string) *faultyFleet {
+	f := &faultyFleet{
+		received: map[string]int{}, fails: map[string]bool{}, busy: map[string]int{}, servedOneIn: part, capacity: room, work: 5 * time.Millisecond,
 		rng: rand.New(rand.NewPCG(1, 2)),
 	}
 	for _, k := range fails {
@@ -40,14 +40,14 @@
 }
 
 // serve starts a server and returns its entry.
-func (f *fleet) serve(t *testing.T, uid string) string {
+func (f *faultyFleet) serve(t *testing.T, uid string) string {
 	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		class := strings.Split(r.URL.Path, "/")[1]
 		f.mu.Lock()
-		f.got[uid+" "+class]++
-		fails := f.fails[uid+" "+class] && !(f.part > 0 && f.rng.IntN(f.part) == 0)
-		full := f.room > 0 && f.busy[uid] >= f.room
-		hangs := f.hangs > 0 && class == "view" && f.rng.IntN(f.hangs) == 0
+		f.received[uid+" "+class]++
+		fails := f.fails[uid+" "+class] && !(f.servedOneIn > 0 && f.rng.IntN(f.servedOneIn) == 0)
+		full := f.capacity > 0 && f.busy[uid] >= f.capacity
+		hangs := f.hangsOneIn > 0 && class == "view" && f.rng.IntN(f.hangsOneIn) == 0
 		f.busy[uid]++
 		f.mu.Unlock()
 		defer func() {
@@ -74,16 +74,16 @@
 	return entry(uid, s.addr(), "in_service")
 }
 
-// count forgets what came so far and returns a function that tells the share of a class that some got since.
-func (f *fleet) count() func(class string, uids ...string) float64 {
+// count resets the counts, and returns a function for the share of a class that some servers received since.
+func (f *faultyFleet) count() func(class string, uids ...string) float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.got = map[string]int{}
+	f.received = map[string]int{}
 	return func(class string, uids ...string) float64 {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		all, some := 0, 0
-		for k, n := range f.got {
+		for k, n := range f.received {
 			uid, c, _ := strings.Cut(k, " ")
 			if c == class {
 				all += n
@@ -96,60 +96,68 @@
 	}
 }
 
-// load has callers send both classes, each waiting for its answer, and returns the share served.
-func load(t *testing.T, n *Node, most, each int) float64 {
-	var served atomic.Int64
-	var callers sync.WaitGroup
-	for i := range most {
+// sendEach has clients send requests on connections of their own, each request after the response to the one
+// before. It returns the status codes by client and request.
+func sendEach(t *testing.T, n *Node, clients, each int, send func(c *testClient, client, i int)) [][]int {
+	status := make([][]int, clients)
+	var running sync.WaitGroup
+	for client := range status {
 		c := dial(t, n)
-		callers.Add(1)
+		running.Add(1)
 		go func() {
-			defer callers.Done()
-			for j := range each {
-				id := fmt.Sprintf("%p-%d-%d", c, i, j)
-				if j%3 == 0 {
-					c.get(id)
-				} else {
-					c.send("POST", "/note/k", id, "x", "60")
-				}
-				r, err := http.ReadResponse(c.br, nil)
+			defer running.Done()
+			for i := range each {
+				send(c, client, i)
+				r, _, err := c.read()
 				if err != nil {
 					t.Error(err)
 					return
 				}
-				io.Copy(io.Discard, r.Body)
-				if r.StatusCode == 200 {
-					served.Add(1)
-				}
+				status[client] = append(status[client], r.StatusCode)
 			}
 		}()
 	}
-	callers.Wait()
-	return float64(served.Load()) / float64(most*each)
+	running.Wait()
+	return status
+}
+
+// load sends requests of both classes, and returns the share served.
+func load(t *testing.T, n *Node, clients, each int) float64 {
+	served := 0
+	for _, codes := range sendEach(t, n, clients, each, func(c *testClient, client, i int) {
+		id := fmt.Sprintf("%p-%d-%d", c, client, i)
+		if i%3 == 0 {
+			c.get(id)
+		} else {
+			c.send("POST", "/note/k", id, "x", "60")
+		}
+	}) {
+		for _, code := range codes {
+			if code == http.StatusOK {
+				served++
+			}
+		}
+	}
+	return float64(served) / float64(clients*each)
 }
 
-// Servers that fail one class at once, wholly or in part, serve the others well, so no run of bad endings
-// lasts, and having few calls they win the draw. Their share of failures keeps that class away from them,
-// also when they are replaced by others that do the same, and the rest of the work stays with them.
-func TestServersThatFailAClassAtOnceGetLittleOfIt(t *testing.T) {
+// Servers that fail one class at once, completely or in part, serve the others well, so no run of failures is
+// long, and having few calls in flight they are preferred by the pick. Their failure rate keeps that class away
+// from them, also when they are replaced by others that do the same, and the other classes stay with them.
+func TestServersThatFailAClassGetLittleOfIt(t *testing.T) {
 	for _, part := range []int{0, 4} {
 		t.Run(fmt.Sprint("one served in ", part), func(t *testing.T) {
-			f := newFleet(part, 0, "s3 view", "s4 view", "s5 view", "s6 view")
+			f := newFaultyFleet(part, 0, "s3 view", "s4 view", "s5 view", "s6 view")
 			list := []string{f.serve(t, "s1"), f.serve(t, "s2"), f.serve(t, "s3"), f.serve(t, "s4")}
-			ag := newAgent(t)
-			cfg := testConfig(whole(list...))
+			ag := newRegistryAgent(t)
+			cfg := testConfig(completeList(list...))
 			cfg.Discovery = ag.Addr().String()
 			n, _ := startNode(t, cfg, nil)
 			for _, bad := range [][]string{{"s3", "s4"}, {"s5", "s6"}} {
 				if bad[0] == "s5" {
 					list[2], list[3] = f.serve(t, "s5"), f.serve(t, "s6")
-					ag.tell(false, whole(list...))
-					until(t, "the new list", func() bool {
-						n.upstream.mu.Lock()
-						defer n.upstream.mu.Unlock()
-						_, listed := n.upstream.endpoints["s6"]
-						return listed
-					})
+					ag.set(false, completeList(list...))
+					untilListed(t, n, "s6")
 				}
 				load(t, n, 20, 20) // to meet them
 				share := f.count()
@@ -164,16 +172,16 @@
 	}
 }
 
-// A server that lets most time out holds its part of the node's calls for nothing, and in a small fleet none
-// may be ruled out. Its share of failures keeps calls away from it.
-func TestServerThatLetsMostTimeOutGetsFew(t *testing.T) {
-	f := newFleet(0, 0)
+// A server at which most attempts time out holds its part of the node's calls for nothing, and in a small fleet
+// none may be ejected. Its failure rate keeps requests away from it.
+func TestServerWithManyTimeoutsGetsFewRequests(t *testing.T) {
+	f := newFaultyFleet(0, 0)
 	f.work, f.slow = 400*time.Millisecond, "s4"
 	var list []string
 	for _, uid := range []string{"s1", "s2", "s3", "s4"} {
 		list = append(list, f.serve(t, uid))
 	}
-	cfg := testConfig(whole(list...))
+	cfg := testConfig(completeList(list...))
 	for i := range cfg.Settings.Classes {
 		cfg.Settings.Classes[i].LatencyObjective = 900 * time.Millisecond
 	}
@@ -186,55 +194,44 @@
 	}
 }
 
-// Where servers alike let calls hang now and then, nobody can be avoided: those that may run again are cut
-// short while there is time for another, below the first tier. A call that may not run again is never cut.
-func TestCallsThatHangAreSentAgainInTime(t *testing.T) {
-	f := newFleet(0, 0)
-	f.hangs = 5
-	cfg := testConfig(whole(f.serve(t, "s1"), f.serve(t, "s2"), f.serve(t, "s3"), f.serve(t, "s4")))
+// Where all servers alike leave some attempts unanswered, no server can be avoided: attempts that may be retried
+// time out early while there is time for another, below the first tier. An attempt that may not be retried is
+// never cut short.
+func TestUnresponsiveAttemptsAreRetriedInTime(t *testing.T) {
+	f := newFaultyFleet(0, 0)
+	f.hangsOneIn = 5
+	cfg := testConfig(completeList(f.serve(t, "s1"), f.serve(t, "s2"), f.serve(t, "s3"), f.serve(t, "s4")))
 	cfg.Settings.Tier = 1
 	n, _ := startNode(t, cfg, nil)
-	const callers, each = 8, 20
-	var served [2]atomic.Int64 // of the views and of the notes
-	var all sync.WaitGroup
-	for i := range callers {
-		c := dial(t, n)
-		all.Add(1)
-		go func() {
-			defer all.Done()
-			for j := range 2 * each {
-				method, target, body := "GET", "/view/k", ""
-				if j%2 == 1 {
-					method, target, body = "POST", "/note/k", "x"
-				}
-				c.send(method, target, fmt.Sprintf("%d-%d", i, j), body, "1")
-				r, err := http.ReadResponse(c.br, nil)
-				if err != nil {
-					t.Error(err)
-					return
-				}
-				io.Copy(io.Discard, r.Body)
-				if r.StatusCode == 200 {
-					served[j%2].Add(1)
-				}
+	const clients, each = 8, 20
+	var served [2]int // of the views and of the notes
+	for _, codes := range sendEach(t, n, clients, 2*each, func(c *testClient, client, i int) {
+		method, target, body := "GET", "/view/k", ""
+		if i%2 == 1 {
+			method, target, body = "POST", "/note/k", "x"
+		}
+		c.send(method, target, fmt.Sprintf("%d-%d", client, i), body, "1")
+	}) {
+		for i, code := range codes {
+			if code == http.StatusOK {
+				served[i%2]++
 			}
-		}()
+		}
 	}
-	all.Wait()
-	views, notes := float64(served[0].Load())/(callers*each), float64(served[1].Load())/(callers*each)
+	views, notes := float64(served[0])/(clients*each), float64(served[1])/(clients*each)
 	if views < 0.9 || notes < 0.99 {
 		t.Errorf("%.2f of the views and %.2f of the notes were served", views, notes)
 	}
 }
 
-// Servers that failed all and have recovered get their part back in the time that some dozens of answers take.
-func TestServersThatRecoverAreUsedAgain(t *testing.T) {
-	f := newFleet(0, 0, "s2 view", "s2 note", "s4 view", "s4 note")
+// Servers that failed everything and have recovered get their share back within a few dozen responses.
+func TestRecoveredServersAreUsedAgain(t *testing.T) {
+	f := newFaultyFleet(0, 0, "s2 view", "s2 note", "s4 view", "s4 note")
 	var list []string
 	for _, uid := range []string{"s1", "s2", "s3", "s4"} {
 		list = append(list, f.serve(t, uid))
 	}
-	n, _ := startNode(t, testConfig(whole(list...)), nil)
+	n, _ := startNode(t, testConfig(completeList(list...)), nil)
 	load(t, n, 20, 100)
 	f.mu.Lock()
 	clear(f.fails)
@@ -249,11 +246,11 @@
 	}
 }
 
-// In overload every server turns requests away, and where the tier behind them is in trouble all fail alike:
-// nobody is left out for that.
-func TestAFleetAlikeInTroubleStaysInUse(t *testing.T) {
-	for name, f := range map[string]*fleet{"all fail": newFleet(2, 0, "s1 view", "s2 view", "s3 view", "s4 view",
-		"s1 note", "s2 note", "s3 note", "s4 note"), "all are full": newFleet(0, 1), "all fail and are full": newFleet(2, 1,
+// In overload every server rejects requests, and where the tier behind them has a fault all fail alike: no server
+// is ejected for that.
+func TestFleetThatFailsAlikeStaysInUse(t *testing.T) {
+	for name, f := range map[string]*faultyFleet{"all fail": newFaultyFleet(2, 0, "s1 view", "s2 view", "s3 view", "s4 view",
+		"s1 note", "s2 note", "s3 note", "s4 note"), "all are full": newFaultyFleet(0, 1), "all fail and are full": newFaultyFleet(2, 1,
 		"s1 view", "s2 view", "s3 view", "s4 view")} {
 		t.Run(name, func(t *testing.T) {
 			uids := []string{"s1", "s2", "s3", "s4"}
@@ -261,7 +258,7 @@
 			for _, uid := range uids {
 				list = append(list, f.serve(t, uid))
 			}
-			n, _ := startNode(t, testConfig(whole(list...)), nil)
+			n, _ := startNode(t, testConfig(completeList(list...)), nil)
 			load(t, n, 6, 60)
 			share := f.count()
 			load(t, n, 6, 200)
--- /dev/null
+++ b/internal/node/registryaddress.go
@@ -0,0 +1,106 @@
+package node
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+	"net/url"
+	"strconv"
+	"time"
+)
+
+// noVersion stands for no list at all: the next poll requests the complete list.
+const noVersion = -1
+
+// Limits of the connections to an address of the registry. One that is never established occupies a slot until its
+// dial is abandoned.
+const (
+	agentDialTimeout = 2 * agentCheckTimeout
+	maxAgentConns    = 8
+)
+
+// registryAddress is an address of the registry or of its agent, with the state that is valid for this address
+// only: its HTTP client and the version of the list.
+type registryAddress struct {
+	ctx     context.Context // ends when the watch moves to another address
+	abandon context.CancelFunc
+	addr    string
+	client  *http.Client
+	dial    dialFunc
+	version int64 // of the list received last, or noVersion
+}
+
+func newRegistryAddress(addr string, version int64) *registryAddress {
+	a := &registryAddress{addr: addr, version: version, dial: (&net.Dialer{}).DialContext}
+	a.client = &http.Client{Transport: &http.Transport{
+		DisableCompression: true,
+		MaxConnsPerHost:    maxAgentConns,
+		DialContext:        a.connect,
+	}}
+	a.ctx, a.abandon = context.WithCancel(context.Background())
+	return a
+}
+
+// connect opens a connection within agentDialTimeout. That covers all dials if a local fault is retried.
+func (a *registryAddress) connect(ctx context.Context, network, address string) (nc net.Conn, err error) {
+	ctx, cancel := context.WithTimeout(ctx, agentDialTimeout)
+	defer cancel()
+	deadline, _ := ctx.Deadline()
+	mayWait := func(wait time.Duration) bool { return time.Until(deadline) > wait }
+	_, err = dialWithBackoff(ctx, mayWait, func() error {
+		nc, err = a.dial(ctx, network, address)
+		return err
+	})
+	return nc, err
+}
+
+// get requests what is newer than a version, or the complete list for noVersion. The response may be withheld for
+// up to hold while nothing is newer.
+func (a *registryAddress) get(ctx context.Context, from int64, hold time.Duration) (*http.Response, error) {
+	u := url.URL{Scheme: "http", Host: a.addr, Path: "/registry/instances"}
+	if from >= 0 {
+		u.RawQuery = url.Values{
+			"from":    {strconv.FormatInt(from, 10)},
+			"hold_ms": {strconv.FormatInt(hold.Milliseconds(), 10)},
+		}.Encode()
+	}
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, u.String(), nil)
+	if err != nil {
+		return nil, fmt.Errorf("watch: %w", err)
+	}
+	resp, err := a.client.Do(req)
+	if err != nil {
+		return nil, fmt.Errorf("watch: %w", err)
+	}
+	return resp, nil
+}
+
+// checkAgent is a health check of the agent: it polls without a hold until a response arrives, which it reports, or
+// until ctx ends. It begins after a delay, in which a healthy agent responds to the watch beside it.
+func (a *registryAddress) checkAgent(ctx context.Context, from int64) bool {
+	sleep(ctx, agentCheckTimeout)
+	for ctx.Err() == nil {
+		next := time.After(retryInterval)
+		if a.responds(ctx, from) {
+			return true
+		}
+		select {
+		case <-ctx.Done():
+		case <-next:
+		}
+	}
+	return false
+}
+
+// responds reports whether the head of a response without a hold arrives within agentCheckTimeout.
+func (a *registryAddress) responds(ctx context.Context, from int64) bool {
+	ctx, cancel := context.WithTimeout(ctx, agentCheckTimeout)
+	defer cancel()
+	resp, err := a.get(ctx, from, time.Millisecond)
+	if err != nil {
+		return false
+	}
+	resp.Body.Close()
+	return true
+}
--- a/internal/node/traffic_test.go
+++ b/internal/node/traffic_test.go
@@ -16,7 +16,7 @@
 		t.Fatal(err)
 	}
 	var log bytes.Buffer
-	n, err := New(testConfig(whole()), slog.New(slog.NewTextHandler(&log, nil)))
+	n, err := New(testConfig(completeList()), slog.New(slog.NewTextHandler(&log, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/node/upstreamconn.go
@@ -0,0 +1,138 @@
+package node
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"time"
+)
+
+// errUnsolicited reports that an endpoint has sent bytes or has closed the connection while no request was
+// being written or awaited a response.
+var errUnsolicited = errors.New("the endpoint sent bytes or closed with no request outstanding")
+
+// upstreamConn is a persistent connection to an endpoint. It carries one request at a time, without pipelining.
+// A goroutine reads it for as long as it is open, so that a connection that the endpoint closes leaves the idle
+// ones at once.
+type upstreamConn struct {
+	net.Conn
+	instance   endpointInstance
+	limited    *limitedReader
+	reader     *bufio.Reader      // reads from limited; empty between responses
+	waiter     chan upstreamReply // receives one reply for the attempt in progress; nil if none is. Guarded by pool.mu
+	idleSince  time.Duration      // clock time
+	reusableAt time.Duration      // clock time from which it may carry another request
+	stage      exchangeStage      // guarded by pool.mu
+	closed     bool               // guarded by pool.mu
+}
+
+// exchangeStage is how far the request on a connection has been written.
+type exchangeStage int
+
+const (
+	stageIdle    exchangeStage = iota // no byte is written: nothing that arrives can be a response
+	stageWriting                      // a part of it may be written
+	stageWritten                      // all of it is written
+)
+
+func (s exchangeStage) String() string {
+	switch s {
+	case stageIdle:
+		return "not begun"
+	case stageWriting:
+		return "being written"
+	case stageWritten:
+		return "written"
+	}
+	return fmt.Sprintf("exchangeStage(%d)", int(s))
+}
+
+// upstreamReply is the result of reading from a connection: a complete response, or the reason why there is none.
+type upstreamReply struct {
+	attemptOutcome
+	endedByClose bool // only the end of the connection marked the end of the response
+	err          error
+}
+
+// startReader makes a new connection known to the pool with its first attempt registered, and starts its reader.
+func (p *upstreamPool) startReader(nc net.Conn, to endpointInstance, waiter chan upstreamReply) *upstreamConn {
+	limited := &limitedReader{Reader: nc}
+	c := &upstreamConn{
+		Conn:     nc,
+		instance: to,
+		limited:  limited,
+		reader:   bufio.NewReader(limited),
+		waiter:   waiter,
+	}
+	go p.readLoop(c)
+	return c
+}
+
+// readLoop reads a connection until it is closed.
+func (p *upstreamPool) readLoop(c *upstreamConn) {
+	for p.readNext(c) {
+	}
+}
+
+// readNext waits until bytes arrive or the connection ends, reads one response and passes it to the attempt that
+// awaits it. It reports whether the connection remains open. Until a request is being written, it leaves what
+// arrives in the kernel's buffer, where beginWrite detects it.
+func (p *upstreamPool) readNext(c *upstreamConn) bool {
+	awaitReadable(c.Conn)
+	p.mu.Lock()
+	stage, expected := c.stage, c.waiter != nil && c.stage != stageIdle
+	p.mu.Unlock()
+	reply, reusable := upstreamReply{err: fmt.Errorf("%w (request %v)", errUnsolicited, stage)}, false
+	if expected {
+		reply, reusable = p.readResponse(c)
+	}
+	waiter, reusable := p.endExchange(c, reply.endedAt, reusable)
+	if waiter != nil {
+		waiter <- reply
+	}
+	return reusable
+}
+
+// endExchange ends the exchange on a connection once its response is read, and returns the waiting attempt, or nil
+// if it has been abandoned meanwhile. It closes the connection unless that is reusable.
+func (p *upstreamPool) endExchange(c *upstreamConn, endedAt time.Duration, reusable bool) (chan upstreamReply, bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	waiter := c.waiter
+	c.waiter = nil
+	if waiter == nil || !reusable {
+		p.closeConn(c)
+		return waiter, false
+	}
+	c.idleSince, c.reusableAt = endedAt, endedAt+p.reuseDelay
+	// A response that arrives early must not admit another request before this one is written.
+	if c.stage == stageWritten {
+		p.putIdle(c)
+	}
+	return waiter, true
+}
+
+// noteWritten records that a request is completely written, and makes the connection idle if its response has
+// been read already.
+func (p *upstreamPool) noteWritten(c *upstreamConn) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	c.stage = stageWritten
+	if c.waiter == nil && !c.closed {
+		p.putIdle(c)
+	}
+}
+
+// abandon closes a connection whose attempt has ended without a response. Once the reply has arrived it does
+// nothing, as the connection may carry another attempt by then.
+func (p *upstreamPool) abandon(c *upstreamConn, waiter chan upstreamReply) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if c.waiter == waiter {
+		c.waiter = nil
+		p.closeConn(c)
+		waiter <- upstreamReply{err: context.Canceled}
+	}
+}
--- a/outlier_test.go
+++ b/outlier_test.go
@@ -6,35 +6,37 @@
 	"time"
 )
 
-// A server that errs at once drains its count; without ejection it would win every draw.
-func TestFastErrorsAreEjected(t *testing.T) {
+// A server that fails at once has few calls in flight; without ejection it would win every pick.
+func TestServerThatFailsFastIsEjected(t *testing.T) {
 	for _, e := range []AttemptResult{ServerError, ConnectFailed, ConnectionLost} {
-		b := newBalancer(t, nil)
-		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
-		got := traffic(b, 600, "get", func(s string) AttemptResult {
-			if s == "s03" {
-				return e
+		t.Run(fmt.Sprint("result ", int(e)), func(t *testing.T) {
+			b := newBalancer(t, nil)
+			b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
+			got := sendTraffic(b, 600, "get", func(s string) AttemptResult {
+				if s == "s03" {
+					return e
+				}
+				return Success
+			})
+			if got["s03"] > 10 {
+				t.Errorf("ending %d: the faulty server got %d of 300 first attempts", e, got["s03"])
 			}
-			return Success
 		})
-		if got["s03"] > 10 {
-			t.Errorf("ending %d: the bad server got %d of 300 first tries", e, got["s03"])
-		}
 	}
 }
 
-// When every server fails alike the trouble is below them: nobody may be starved of calls.
-func TestFailuresEverywhereEjectFew(t *testing.T) {
+// When every server fails alike the fault is below them: no server may be left without calls.
+func TestFailuresEverywhereEjectFewServers(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
-	got := traffic(b, 800, "get", func(string) AttemptResult { return ServerError })
+	got := sendTraffic(b, 800, "get", func(string) AttemptResult { return ServerError })
 	if len(got) < 8 {
 		t.Errorf("only %d of 10 servers are still used", len(got))
 	}
 }
 
-// A machine gone quiet shows nothing but an old unanswered call while others answer.
-func TestSilentServerIsPassedOver(t *testing.T) {
+// An unresponsive machine shows only by an old unanswered call while other servers answer.
+func TestUnresponsiveServerIsAvoided(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 	stuck, now := 0, time.Duration(0)
@@ -45,57 +47,59 @@
 			if s.Endpoint == "s03" {
 				stuck++
 			} else {
-				settle(b, now+10*msec, id, s, Success)
+				endAttempt(b, now+10*msec, id, s, Success)
 			}
 		}
 	}
 	if stuck == 0 || stuck > 6 {
-		t.Errorf("the silent server holds %d calls", stuck)
+		t.Errorf("the unresponsive server has %d calls in flight", stuck)
 	}
 }
 
-// After an ejection the first trial must not be a request that cannot be repeated.
-func TestTrialIsNeverUnsafe(t *testing.T) {
+// After an ejection the first trial must not be a request that cannot be retried.
+func TestServerOnTrialGetsNoNonIdempotentRequest(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 	s := b.endpoints["s03"]
 	s.ejection.level, s.ejection.until = 1, 0
-	if got := traffic(b, 400, "pay", func(string) AttemptResult { return Success }); got["s03"] != 0 {
+	if got := sendTraffic(b, 400, "pay", func(string) AttemptResult { return Success }); got["s03"] != 0 {
 		t.Errorf("a server on trial got %d unsafe requests", got["s03"])
 	}
-	if got := traffic(b, 400, "get", func(string) AttemptResult { return Success }); got["s03"] == 0 {
+	if got := sendTraffic(b, 400, "get", func(string) AttemptResult { return Success }); got["s03"] == 0 {
 		t.Error("the server was never tried again")
 	}
 }
 
-// In overload every server is missed: the more is shed, the fewer may be ruled out for their health.
-func TestSheddingLeavesMoreServersIn(t *testing.T) {
+// In overload every server is needed: the more is shed, the fewer may be ejected.
+func TestLoadSheddingEjectsFewerServers(t *testing.T) {
 	for _, c := range []struct {
 		shed float64
 		want int
 	}{{0, 4}, {0.5, 2}, {0.9, 0}} {
-		b := newBalancer(t, nil)
-		b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(20)})
-		for _, s := range b.ready.all[:10] {
-			s.ejection.until = time.Minute
-		}
-		b.shedding.share = c.shed
-		out := 0
-		b.excludeUnhealthy(candidates{groups: b.subset.all, excludeOutliers: true}, &request{class: b.classes.byName["get"]})
-		for _, s := range b.ready.all {
-			if s.excluded {
-				out++
+		t.Run(fmt.Sprint("shed ", c.shed), func(t *testing.T) {
+			b := newBalancer(t, nil)
+			b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(20)})
+			for _, s := range b.ready.all[:10] {
+				s.ejection.until = time.Minute
 			}
-		}
-		if out != c.want {
-			t.Errorf("shed %.1f: %d ruled out, want %d", c.shed, out, c.want)
-		}
+			b.shedding.share = c.shed
+			out := 0
+			b.excludeUnhealthy(candidates{groups: b.subset.all, excludeOutliers: true}, &request{class: b.classes.byName["get"]})
+			for _, s := range b.ready.all {
+				if s.excluded {
+					out++
+				}
+			}
+			if out != c.want {
+				t.Errorf("shed %.1f: %d ruled out, want %d", c.shed, out, c.want)
+			}
+		})
 	}
 }
 
-// Connection tables filled by other copies refuse at once: a server that refused gets no more own
+// A server whose connection table is filled by other replicas refuses connections at once: it gets no more own
 // calls than it had, however many others refuse too, and is tried again later.
-func TestRefusingServerKeepsOnlyWhatItHad(t *testing.T) {
+func TestServerThatRefusesConnectionsGetsNoMoreCalls(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier, s.Replicas = 1, 1 })
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 	now, id := msec, 0
@@ -130,22 +134,24 @@
 	}
 }
 
-// A choked server answers, but late: one overlong answer must be enough to pass it over for a while,
-// for a node of many calls it too seldom to wait for a mean. Where overlong answers are common none is.
-func TestOverlongAnswerEjects(t *testing.T) {
+// An overloaded server answers, but late: one overlong response must be enough to eject it for a while, for one of
+// many nodes calls it too rarely to wait for a mean. Where overlong responses are common none is ejected.
+func TestOverlongResponseEjects(t *testing.T) {
 	for _, c := range []struct {
 		common float64
 		want   bool
 	}{{0.02, true}, {0.5, false}} {
-		b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
-		b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
-		traffic(b, 40, "get", func(string) AttemptResult { return Success })
-		b.badResults.share = c.common
-		now := b.now
-		s := sends(b.Handle(now, Request{ID: "slow", Class: "get", Deadline: now + time.Second}))[0]
-		settle(b, now+400*msec, "slow", s, Success)
-		if out := b.endpoints[s.Endpoint].ejection.until > b.now; out != c.want {
-			t.Errorf("with %.2f of answers overlong: ejected %v, want %v", c.common, out, c.want)
-		}
+		t.Run(fmt.Sprint("overlong ", c.common), func(t *testing.T) {
+			b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
+			b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
+			sendTraffic(b, 40, "get", func(string) AttemptResult { return Success })
+			b.badResults.share = c.common
+			now := b.now
+			s := sends(b.Handle(now, Request{ID: "slow", Class: "get", Deadline: now + time.Second}))[0]
+			endAttempt(b, now+400*msec, "slow", s, Success)
+			if out := b.endpoints[s.Endpoint].ejection.until > b.now; out != c.want {
+				t.Errorf("with %.2f of answers overlong: ejected %v, want %v", c.common, out, c.want)
+			}
+		})
 	}
 }
--- a/pick_test.go
+++ b/pick_test.go
@@ -7,7 +7,9 @@
 	"time"
 )
 
-func TestPickFollowsTheDesign(t *testing.T) {
+// The pick draws a candidate from each group and takes the one with fewer calls in flight; a tie goes to the first
+// group, and with no calls at all by the groups' sizes.
+func TestPickComparesTwoCandidatesByCalls(t *testing.T) {
 	mk := func(calls ...int) []*endpoint {
 		var l []*endpoint
 		for i, c := range calls {
@@ -42,9 +44,11 @@
 		{"left empty", nil, mk(1), 0},
 		{"right empty", mk(5), nil, 1},
 	} {
-		if got := shareLeft(c.left, c.right); math.Abs(got-c.want) > 0.02 {
-			t.Errorf("%s: left share %.3f, want %.2f", c.name, got, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if got := shareLeft(c.left, c.right); math.Abs(got-c.want) > 0.02 {
+				t.Errorf("%s: left share %.3f, want %.2f", c.name, got, c.want)
+			}
+		})
 	}
 	if b.pick(nil, nil) != nil {
 		t.Error("picked from nothing")
@@ -60,19 +64,19 @@
 	}
 }
 
-// Below the first tier a server that holds several of our calls is passed over while others idle.
-func TestCrowdedServerIsPassedOver(t *testing.T) {
+// Below the first tier a server that holds several of the node's calls is avoided while others are idle.
+func TestLoadedServerIsAvoidedWhileOthersAreIdle(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(6)})
 	b.endpoints["s00"].inFlight, b.inFlight.now = 2, 2
-	got := traffic(b, 300, "get", func(string) AttemptResult { return Success })
+	got := sendTraffic(b, 300, "get", func(string) AttemptResult { return Success })
 	if got["s00"] != 0 || len(got) != 5 {
 		t.Errorf("draws: %v", got)
 	}
 }
 
-// Slow servers of the fleet are drawn less, though each node's own counts sit at zero.
-func TestDrawsFollowSizeAndLatency(t *testing.T) {
+// Servers that are slow for the whole fleet are picked less often, though each node's own counts are zero.
+func TestPickFollowsCapacityAndLatency(t *testing.T) {
 	list := servers(4)
 	for i := range list {
 		list[i].Capacity = 1
@@ -94,8 +98,8 @@
 	}
 }
 
-// Sizes that a host took from elsewhere may be odd: nobody is left without a draw for it.
-func TestOddSizesDraw(t *testing.T) {
+// Capacities that a host took from elsewhere may be invalid: no server becomes ineligible for that.
+func TestInvalidCapacitiesLeaveServersEligible(t *testing.T) {
 	list := servers(4)
 	for i, size := range []float64{math.NaN(), math.Inf(1), -1, 0} {
 		list[i].Capacity = size
@@ -107,8 +111,8 @@
 	}
 }
 
-// A coarse clock shows answers in no time at all: that must not make every server weigh nothing.
-func TestInstantAnswersLeaveServersToDraw(t *testing.T) {
+// A coarse clock measures responses in no time at all: that must not give every server a weight of zero.
+func TestZeroLatencyLeavesServersEligible(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(4)})
 	for i := range 50 {
@@ -117,30 +121,30 @@
 		if len(got) != 1 {
 			t.Fatalf("request %d: sent %v", i, got)
 		}
-		settle(b, msec, id, got[0], Success)
+		endAttempt(b, msec, id, got[0], Success)
 	}
 }
 
-// What answers first must not look fast against a guess of the latency, and then win every draw.
-func TestFirstAnswersDoNotLookFast(t *testing.T) {
+// The first server to respond must not look fast against a guess of the latency, and then win every pick.
+func TestFirstResponseDoesNotSkewLatency(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(8)})
 	s := sends(b.Handle(msec, Request{ID: "a", Class: "get", Deadline: time.Second}))[0]
-	settle(b, 3*msec, "a", s, Success)
+	endAttempt(b, 3*msec, "a", s, Success)
 	if got := b.endpoints[s.Endpoint].latency.logRatio; got < -0.1 {
 		t.Errorf("the first answer made its server look %.1f in log latency", got)
 	}
 }
 
-// A zone that is lost is on the list for seconds more. Copies that call their own zone lose nothing by
-// it; were their pools drawn from both, each copy of each tier would have to learn of each server that
-// is lost by a call that hangs.
-func TestFleetServesOnWhileAnotherZoneIsSilent(t *testing.T) {
-	const copies, rounds = 16, 40
+// The servers of a lost zone are listed for seconds more. Replicas that call their own zone lose nothing by it;
+// with subsets of both zones, each replica of each tier would have to discover each lost server by a call that is
+// never answered.
+func TestReplicasServeWhileAnotherZoneIsUnresponsive(t *testing.T) {
+	const replicas, rounds = 16, 40
 	hung, sent := 0, 0
-	for i := copies / 2; i < copies; i++ { // those of the zone that is left
-		b := newBalancer(t, func(s *Settings) { inZone(s, i, copies); s.Tier = 1 })
-		b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: zoned(40)})
+	for i := replicas / 2; i < replicas; i++ { // those of the remaining zone
+		b := newBalancer(t, func(s *Settings) { setZone(s, i, replicas); s.Tier = 1 })
+		b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: zonedServers(40)})
 		for k := range rounds {
 			id, now := fmt.Sprint(k), time.Duration(k+1)*100*msec
 			for _, s := range sends(b.Handle(now, Request{ID: id, Class: "pay", Deadline: now + time.Second})) {
@@ -149,11 +153,11 @@
 					hung++
 					continue
 				}
-				settle(b, now+20*msec, id, s, Success)
+				endAttempt(b, now+20*msec, id, s, Success)
 			}
 		}
 	}
-	if sent != copies/2*rounds || hung > 0 {
-		t.Errorf("%d of %d calls went to a zone that says nothing, want none of %d", hung, sent, copies/2*rounds)
+	if sent != replicas/2*rounds || hung > 0 {
+		t.Errorf("%d of %d calls went to an unresponsive zone, want none of %d", hung, sent, replicas/2*rounds)
 	}
 }
