--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -78,22 +78,10 @@
 // unreachableAddress returns an address at which no connection is ever established, as of a machine that is gone.
 func unreachableAddress(t *testing.T) string {
 	t.Helper()
-	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { syscall.Close(fd) })
-	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
-		t.Fatal(err)
-	}
+	fd, addr := boundSocket(t)
 	if err := syscall.Listen(fd, 0); err != nil {
 		t.Fatal(err)
 	}
-	name, err := syscall.Getsockname(fd)
-	if err != nil {
-		t.Fatal(err)
-	}
-	addr := fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
 	for { // until the queue of those that nobody accepts is full
 		c, err := net.DialTimeout("tcp", addr, 300*time.Millisecond)
 		if err != nil {
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -11,6 +11,7 @@
 	"strings"
 	"sync"
 	"sync/atomic"
+	"syscall"
 	"testing"
 	"time"
 
@@ -126,15 +127,30 @@
 	until(t, "the new settings", func() bool { return n.loop.rules.Load().revision == revision })
 }
 
-// closedPort is an address that refuses connections.
+// closedPort is an address that refuses connections for as long as the test runs: its socket is bound, so that no
+// other process gets the port, and does not listen.
 func closedPort(t *testing.T) string {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	_, address := boundSocket(t)
+	return address
+}
+
+// boundSocket binds a socket to a free port until the test ends.
+func boundSocket(t *testing.T) (fd int, address string) {
+	t.Helper()
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { syscall.Close(fd) })
+	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		t.Fatal(err)
+	}
+	name, err := syscall.Getsockname(fd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln.Close()
-	return ln.Addr().String()
+	return fd, fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
 }
 
 func readsAll(r io.Reader, p []byte) bool {
