--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -70,8 +70,8 @@
 
 func TestRefusedConnectionIsConnectFailed(t *testing.T) {
 	b := testPool(10)
-	if r := doAttempt(t, b, testAttempt(t, b, closedPort(t))); r.result != balancer.ConnectFailed || b.open != 0 {
-		t.Errorf("ending %d, %d open", r.result, b.open)
+	if r := doAttempt(t, b, testAttempt(t, b, closedPort(t))); r.result != balancer.ConnectFailed || b.connections() != 0 {
+		t.Errorf("ending %d, %d open", r.result, b.connections())
 	}
 }
 
@@ -96,8 +96,8 @@
 	addr := unreachableAddress(t)
 	b := testPool(10)
 	b.dial = (&net.Dialer{Timeout: 50 * time.Millisecond}).DialContext
-	if r := doAttempt(t, b, testAttempt(t, b, addr)); r.result != balancer.ConnectFailed || b.open != 0 {
-		t.Errorf("ending %d, %d open", r.result, b.open)
+	if r := doAttempt(t, b, testAttempt(t, b, addr)); r.result != balancer.ConnectFailed || b.connections() != 0 {
+		t.Errorf("ending %d, %d open", r.result, b.connections())
 	}
 }
 
@@ -120,8 +120,8 @@
 	}
 	b := testPool(10)
 	b.adopt(halfConn{nc}, testInstance(b, s.addr()))
-	if r := doAttempt(t, b, testAttempt(t, b, s.addr())); r.result != balancer.ConnectFailed || b.open != 0 {
-		t.Errorf("ending %d, %d open", r.result, b.open)
+	if r := doAttempt(t, b, testAttempt(t, b, s.addr())); r.result != balancer.ConnectFailed || b.connections() != 0 {
+		t.Errorf("ending %d, %d open", r.result, b.connections())
 	}
 	if s.received() != 0 {
 		t.Error("the server got the request")
@@ -148,8 +148,8 @@
 				io.WriteString(other, say)
 			}
 			until(t, "it to arrive", func() bool { return hasUnreadOrClosed(nc) })
-			if r := doAttempt(t, b, testAttempt(t, b, s.addr())); r.result != balancer.Success || string(r.body) != "for id" || b.open != 1 {
-				t.Errorf("ending %d, body %q, %d open", r.result, r.body, b.open)
+			if r := doAttempt(t, b, testAttempt(t, b, s.addr())); r.result != balancer.Success || string(r.body) != "for id" || b.connections() != 1 {
+				t.Errorf("ending %d, body %q, %d open", r.result, r.body, b.connections())
 			}
 		})
 	}
@@ -166,8 +166,8 @@
 	b.open = 1
 	a := testAttempt(t, b, "127.0.0.1:1")
 	c := b.startReader(nc, a.instance, waiter)
-	if b.beginWrite(a.ctx, c, waiter, a) != useAnotherConn || b.open != 0 {
-		t.Errorf("a request is written to a closed connection, or it is still counted: %d open", b.open)
+	if b.beginWrite(a.ctx, c, waiter, a) != useAnotherConn || b.connections() != 0 {
+		t.Errorf("a request is written to a closed connection, or it is still counted: %d open", b.connections())
 	}
 }
 
@@ -188,8 +188,8 @@
 			} else {
 				go func() { <-got; a.cancel() }()
 			}
-			if r := doAttempt(t, b, a); r.result != want || b.open != 0 {
-				t.Errorf("ending %d, %d open; want %d", r.result, b.open, want)
+			if r := doAttempt(t, b, a); r.result != want || b.connections() != 0 {
+				t.Errorf("ending %d, %d open; want %d", r.result, b.connections(), want)
 			}
 			wait(t, gone, "the close")
 		})
--- a/internal/node/upstreampool_test.go
+++ b/internal/node/upstreampool_test.go
@@ -83,8 +83,8 @@
 	if r := wait(t, end, "the attempt"); r.result != balancer.Success {
 		t.Errorf("ending %d", r.result)
 	}
-	if one.received() != 1 || b.open != 1 {
-		t.Errorf("%d requests at the first server, %d connections open", one.received(), b.open)
+	if one.received() != 1 || b.connections() != 1 {
+		t.Errorf("%d requests at the first server, %d connections open", one.received(), b.connections())
 	}
 }
 
