--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -37,8 +37,7 @@
 // delay the end of a node whose requests are all answered:
 //
 //   - One goroutine for each attempt ends with the attempt: by an answer, an error, its cancellation or its
-//     deadline. A hedged request, or an attempt whose client has departed, may still be in flight when all requests
-//     are answered.
+//     deadline. An attempt whose client has departed may still be in flight when all requests are answered.
 //   - One reader for each connection to an endpoint ends when that connection is closed, by either side. Idle
 //     connections stay open until the process exits.
 //
