--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -16,7 +16,7 @@
 	errConnUnusable = errors.New("the connection is unusable")
 )
 
-// attempt is one attempt to have a request served by one endpoint: the first one, a retry or a hedged request.
+// attempt is one attempt to have a request served by one endpoint: the first one, or a retry.
 type attempt struct {
 	ctx               context.Context // ends when the attempt is cancelled
 	cancel            context.CancelFunc
