--- a/balancer.go
+++ b/balancer.go
@@ -1,8 +1,101 @@
-// Package balancer decides where a load balancer sends each request, when it retries and when it gives up. It does
-// no I/O: the host feeds events to a Balancer and carries out the actions that it returns.
+// Package balancer decides where a load balancer sends each request, when it retries and when it gives up.
+// It does no I/O: the host feeds events to a Balancer and carries out the actions that it returns.
 //
-// A Balancer belongs to one goroutine. Its only clock is the time given to Handle, which must never go back, and its
-// only randomness is the seed given to New, so the same events always give the same actions. Balancers share
-// nothing. Memory is held for each request until it is answered and its attempts have ended, and for each endpoint
-// until it has left the list and its attempts have ended.
+// A Balancer belongs to one goroutine. Its only clock is the time given to Handle, which must never go back,
+// and its only randomness is the seed given to New, so the same events always give the same actions.
+// Balancers share nothing. Memory is held for each request until it is answered and its attempts have ended,
+// and for each endpoint until it has left the list and its attempts have ended.
 package balancer
+
+import (
+	"math/rand/v2"
+	"time"
+)
+
+// seedStream is the second half of the random generator's seed.
+const seedStream = 0x51a7e
+
+// Balancer decides for one replica. See the package comment for its contract. Each mechanism has a file,
+// which names its source, and keeps its state in a type of its own.
+type Balancer struct {
+	settings     Settings
+	rng          *rand.Rand
+	now          time.Duration
+	actions      []Action // of the event that is being handled
+	shuttingDown bool
+
+	// The endpoint list and the replica's subset of it.
+	subscription subscription
+	endpoints    map[string]*endpoint // by id: listed, or with attempts in flight
+	ready        endpointSet
+	subset       subset
+
+	// Requests and their attempts.
+	classes  classTable
+	requests map[string]*request // by id: not answered, or with attempts in flight
+	queue    []*request          // those that wait for capacity, in order of arrival
+	inFlight inFlightCount
+	retries  retryBudget
+
+	// Load and health.
+	admission   concurrencyLimit
+	shedding    sheddingRate
+	badResults  badResults
+	lastSuccess time.Duration
+	slowStart   slowStart
+}
+
+// New returns a Balancer that knows no endpoints yet. The error is a *SettingError.
+func New(settings Settings, seed uint64) (*Balancer, error) {
+	if err := settings.Validate(); err != nil {
+		return nil, err
+	}
+	b := &Balancer{
+		rng:        rand.New(rand.NewPCG(seed, seedStream)),
+		endpoints:  map[string]*endpoint{},
+		requests:   map[string]*request{},
+		badResults: badResults{firstBadShare},
+		retries:    newRetryBudget(),
+	}
+	b.applySettings(settings)
+	return b, nil
+}
+
+// Handle takes one event at the clock time now and returns what to do, in order.
+func (b *Balancer) Handle(now time.Duration, e Event) []Action {
+	b.now = max(b.now, now)
+	b.actions = nil
+	switch e := e.(type) {
+	case EndpointUpdate:
+		b.updateEndpoints(e)
+	case SubscriptionFailed:
+		b.retrySubscribe()
+	case Request:
+		b.accept(e)
+	case AttemptEnded:
+		b.endAttempt(e)
+	case StreamStarted:
+		b.startStream(e)
+	case ClientGone:
+		b.abandon(e)
+	case Shutdown:
+		b.shutdown()
+	case Reconfigure:
+		b.reconfigure(e.Settings)
+	case Timer:
+		b.handleTimer(e)
+	}
+	return b.actions
+}
+
+func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
+
+// handleTimer leads a timer to what asked for it. A host may round a time down, so a timer can come a little
+// early: nothing relies on its being late enough, and a review that finds nothing due asks for another.
+func (b *Balancer) handleTimer(e Timer) {
+	if e.Token == subscriptionToken {
+		b.subscribeIfDue()
+		return
+	}
+	b.reviewQueued(e.Token)
+}
--- a/cmd/balancer/reload_test.go
+++ b/cmd/balancer/reload_test.go
@@ -1,13 +1,8 @@
 package main
 
 import (
-	"bufio"
 	"fmt"
-	"io"
-	"net"
 	"net/http"
-	"net/http/httptest"
-	"os"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -16,68 +11,14 @@
 	"time"
 )
 
-// hup replaces a process's configuration as a whole, and tells it.
-func (p *process) hup(t *testing.T, config string) {
-	t.Helper()
-	path := strings.TrimPrefix(p.cmd.Env[len(p.cmd.Env)-1], "BALANCER_CONFIG=")
-	if err := os.WriteFile(path+".new", []byte(config), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	if err := os.Rename(path+".new", path); err != nil {
-		t.Fatal(err)
-	}
-	if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
-		t.Fatal(err)
-	}
-}
-
-// client asks on one connection, and on a new one where the node has closed it.
-type client struct {
-	address, name string
-	asked         int
-	nc            net.Conn
-	br            *bufio.Reader
-}
-
-func (c *client) ask(target string) (status int, body string, err error) {
-	if c.nc == nil {
-		if c.nc, err = net.Dial("tcp", c.address); err != nil {
-			return 0, "", err
-		}
-		c.br = bufio.NewReader(c.nc)
-	}
-	c.nc.SetDeadline(time.Now().Add(2 * limit))
-	c.asked++
-	fmt.Fprintf(c.nc, "GET %s HTTP/1.1\r\nHost: h\r\nX-Request-Id: %s-%d\r\nX-Deadline: 20\r\n\r\n", target, c.name, c.asked)
-	resp, err := http.ReadResponse(c.br, nil)
-	if err != nil {
-		return 0, "", err
-	}
-	text, err := io.ReadAll(resp.Body)
-	if resp.Close {
-		c.nc.Close()
-		c.nc = nil
-	}
-	return resp.StatusCode, string(text), err
-}
-
-// TestManySIGHUPsUnderLoad replaces the configuration many times in a row, without waiting for the node, while
-// callers ask: a class comes and goes, deadlines change, discovery moves to and fro, and every fifth file is
-// bad. No answer is lost or spoilt, the last file is in force in the end, and a request that is out when the
-// node is told to end, among further signals, is answered.
+// TestManySIGHUPsUnderLoad replaces the configuration many times in a row, without waiting for the node, under
+// load: a class comes and goes, deadlines change, discovery moves to and fro, and every fifth file is invalid. No
+// response is lost or wrong, the last file is in force in the end, and a request that is in flight when the node
+// gets SIGTERM, among further reloads, is answered.
 func TestManySIGHUPsUnderLoad(t *testing.T) {
-	buildOnce(t)
-	slow, hold := make(chan struct{}, 1), make(chan struct{})
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if strings.HasSuffix(r.URL.Path, "/slow") {
-			slow <- struct{}{}
-			<-hold
-		}
-		fmt.Fprint(w, "for ", r.Header.Get("X-Request-Id"))
-	}))
-	defer server.Close()
-	list := target("s-1", strings.TrimPrefix(server.URL, "http://"))
-	discoveries := []*registry{newRegistry(t, 5, list, none), newRegistry(t, 9, list, none)}
+	build(t)
+	list, held, release := newHoldingServer(t)
+	discoveries := []*registry{newRegistry(t, 5, list, available), newRegistry(t, 9, list, available)}
 	config := func(i int, extra string) string {
 		text := nodeConfig("127.0.0.1:0", discoveries[i%2].addr, list, "pushed", 256)
 		text = strings.Replace(text, `"deadline-ms":40000`, fmt.Sprintf(`"deadline-ms":%d`, 40000-i%3*1000), 1)
@@ -89,81 +30,149 @@
 	}
 	p := launch(t, config(0, ""), 0)
 	address := p.address(t)
-	var stop atomic.Bool
-	var answered atomic.Int64
-	var wg sync.WaitGroup
-	for i := range 8 {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			c := client{address: address, name: fmt.Sprint("c", i)}
-			for !stop.Load() {
-				status, body, err := c.ask("/view/k")
-				if err != nil || status != http.StatusOK || body != fmt.Sprintf("for c%d-%d", i, c.asked) {
-					t.Errorf("caller %d, request %d: %d %q, %v", i, c.asked, status, body, err)
-					return
-				}
-				answered.Add(1)
-			}
-		}()
-	}
-	wg.Add(1)
-	go func() { // a class that comes and goes is served or unknown, and nothing else
-		defer wg.Done()
-		c := client{address: address, name: "extra"}
-		for !stop.Load() {
-			status, body, err := c.ask("/extra/k")
-			if err != nil || status != http.StatusNotFound && (status != http.StatusOK || body != fmt.Sprint("for extra-", c.asked)) {
-				t.Errorf("class that comes and goes: %d %q, %v", status, body, err)
-				return
-			}
-		}
-	}()
+	l := startLoad(t, address)
 	for i := range 60 {
 		text := config(i, map[bool]string{true: "extra"}[i%2 == 0])
 		if i%5 == 4 {
 			text = strings.Replace(text, `"target-ms":20000`, `"target-ms":-1`, 1)
 		}
-		p.hup(t, text)
-		for seen := answered.Load(); i%10 == 9 && answered.Load() < seen+100 && !t.Failed(); { // under load
+		p.reload(t, text)
+		for seen := l.answered.Load(); i%10 == 9 && l.answered.Load() < seen+100 && !t.Failed(); { // under load
 			time.Sleep(time.Millisecond)
 		}
 	}
-	p.hup(t, strings.Replace(config(0, ""), `"target-ms":20000`, `"target-ms":-1`, 1))
+	p.reload(t, strings.Replace(config(0, ""), `"target-ms":20000`, `"target-ms":-1`, 1))
 	eventually(t, "the bad file to be named", func() bool {
-		return strings.Contains(p.said(), "the old one stays") && strings.Contains(p.said(), "LatencyObjective")
+		return strings.Contains(p.logText(), "the previous one stays in force") && strings.Contains(p.logText(), "LatencyObjective")
 	})
-	p.hup(t, config(1, "last"))
+	p.reload(t, config(1, "last"))
 	c := client{address: address, name: "last"}
 	eventually(t, "the last file to be in force", func() bool {
-		status, _, err := c.ask("/last/k")
+		status, _, err := c.get("/last/k")
 		return err == nil && status == http.StatusOK
 	})
-	if status, _, err := c.ask("/extra/k"); status != http.StatusNotFound {
+	if status, _, err := c.get("/extra/k"); status != http.StatusNotFound {
 		t.Errorf("the class that has gone: %d, %v", status, err)
 	}
-	stop.Store(true)
-	wg.Wait()
-	out := make(chan string, 1)
+	l.stop()
+	response := make(chan string, 1)
 	go func() {
 		c := client{address: address, name: "out"}
-		status, body, err := c.ask("/view/slow")
-		out <- fmt.Sprint(status, " ", body, " ", err)
+		status, body, err := c.get("/view/slow")
+		response <- fmt.Sprint(status, " ", body, " ", err)
 	}()
-	<-slow
+	waitFor(t, held, "the request to be in flight")
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 10 {
-		p.hup(t, config(i, ""))
+		p.reload(t, config(i, ""))
+	}
+	release()
+	if got := <-response; got != "200 for out-1 <nil>" {
+		t.Errorf("the request in flight: %s", got)
+	}
+	<-p.ended
+	if state := p.cmd.ProcessState; !state.Success() {
+		t.Errorf("it ends with %v: %s", state, p.logText())
+	}
+	t.Logf("%d answers, and %d times in force", l.answered.Load(), strings.Count(p.logText(), "are in force"))
+}
+
+// reloadLoad is clients that send requests until they are stopped.
+type reloadLoad struct {
+	t        *testing.T
+	address  string
+	stopped  atomic.Bool
+	answered atomic.Int64
+	running  sync.WaitGroup
+}
+
+// startLoad has eight clients send requests of a class that stays, and one those of a class that comes and goes.
+func startLoad(t *testing.T, address string) *reloadLoad {
+	l := &reloadLoad{t: t, address: address}
+	t.Cleanup(l.stop)
+	for i := range 8 {
+		l.running.Add(1)
+		go func() {
+			defer l.running.Done()
+			l.send(fmt.Sprint("c", i))
+		}()
+	}
+	l.running.Add(1)
+	go func() {
+		defer l.running.Done()
+		l.sendExtra()
+	}()
+	return l
+}
+
+func (l *reloadLoad) stop() {
+	l.stopped.Store(true)
+	l.running.Wait()
+}
+
+func (l *reloadLoad) send(name string) {
+	c := client{address: l.address, name: name}
+	for !l.stopped.Load() {
+		status, body, err := c.get("/view/k")
+		if err != nil || status != http.StatusOK || body != fmt.Sprintf("for %s-%d", name, c.sent) {
+			l.t.Errorf("client %s, request %d: %d %q, %v", name, c.sent, status, body, err)
+			return
+		}
+		l.answered.Add(1)
+	}
+}
+
+// sendExtra sends requests of a class that comes and goes: each is served or unknown, and nothing else.
+func (l *reloadLoad) sendExtra() {
+	c := client{address: l.address, name: "extra"}
+	for !l.stopped.Load() {
+		status, body, err := c.get("/extra/k")
+		if err != nil || status != http.StatusNotFound && (status != http.StatusOK || body != fmt.Sprint("for extra-", c.sent)) {
+			l.t.Errorf("class that comes and goes: %d %q, %v", status, body, err)
+			return
+		}
+	}
+}
+
+// TestSIGHUPUnderLoad replaces the file while requests are sent: an invalid one is logged and changes nothing, nor
+// does the same file once more, and a new one moves the node to the servers of another discovery. No request is
+// lost, and the client's connection stays open.
+func TestSIGHUPUnderLoad(t *testing.T) {
+	build(t)
+	old := newRegistry(t, 3, newNamingServer(t, "old"), available)
+	next := newRegistry(t, 3, newNamingServer(t, "next"), available)
+	config := nodeConfig("127.0.0.1:0", old.addr, "", "pushed", 256)
+	p := launch(t, config, 0)
+	c := client{address: p.address(t), name: "c"}
+	defer c.close()
+	get := func() string {
+		status, body, err := c.get("/view/k")
+		if err != nil || status != http.StatusOK {
+			t.Fatalf("request %d: %d %q, %v", c.sent, status, body, err)
+		}
+		return body
+	}
+	for _, reload := range []struct{ config, log string }{
+		{config[:len(config)/2], "configuration rejected"},
+		{config, "configuration reloaded"},
+	} {
+		p.reload(t, reload.config)
+		p.await(t, reload.log)
+		for range 20 {
+			if body := get(); body != "old" {
+				t.Fatalf("served by %q", body)
+			}
+		}
 	}
-	close(hold)
-	if got := <-out; got != "200 for out-1 <nil>" {
-		t.Errorf("the request that was out: %s", got)
+	p.reload(t, strings.Replace(config, old.addr, next.addr, 1))
+	eventually(t, "the new discovery's server to get a request", func() bool { return get() == "next" })
+	if c.dials != 1 {
+		t.Errorf("%d connections for one client, want 1", c.dials)
 	}
-	<-p.over
+	p.end(syscall.SIGTERM)
 	if state := p.cmd.ProcessState; !state.Success() {
-		t.Errorf("it ends with %v: %s", state, p.said())
+		t.Fatalf("it ends with %v: %s", state, p.logText())
 	}
-	t.Logf("%d answers, and %d times in force", answered.Load(), strings.Count(p.said(), "is in force"))
 }
--- a/cmd/balancer/restart_test.go
+++ b/cmd/balancer/restart_test.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	fleetSize = 20
-	readyIn   = 10 * time.Second // in which nine in ten of the restarted have to be ready
+	fleetSize   = 20
+	readyWithin = 10 * time.Second // in which nine in ten of the restarted have to be ready
 )
 
-// bareStart is how long this machine takes now to start and end as many processes of the program as a fleet
+// measureStart is how long this machine takes now to start and end as many processes of the program as a fleet
 // has, each of which finds no configuration.
-func bareStart(t *testing.T) time.Duration {
+func measureStart(t *testing.T) time.Duration {
 	t.Helper()
 	begin := time.Now()
 	var all []*exec.Cmd
@@ -37,18 +37,18 @@
 	return time.Since(begin)
 }
 
-// TestRestartedFleetIsReadyInTime kills and ends twenty nodes, and starts them again at their addresses,
-// whatever discovery is like: nine in ten are ready within 10 s. What a busy machine takes to start as many
-// processes is measured beside and added, five times over, so that what counts is the program's own waiting;
-// that is 1 s at most (firstWait), so that a machine several times slower passes, too.
+// TestRestartedFleetIsReadyInTime kills and ends twenty nodes, and starts them again at their addresses, whatever
+// the state of discovery: nine in ten are ready within 10 s. What a busy machine takes to start as many processes
+// is measured beside and added, five times over, so that what counts is the program's own waiting; that is 1 s at
+// most (startupWait), so that a machine several times slower passes, too.
 func TestRestartedFleetIsReadyInTime(t *testing.T) {
-	buildOnce(t)
+	build(t)
 	for row, mode := range []string{"pushed", "on_request"} {
-		for _, down := range []outage{none, mute, refusing} {
+		for _, down := range []registryState{available, unresponsive, refusing} {
 			net := 1 + 3*row + int(down) // an address of its own for each node, so that no other socket gets its port
 			t.Run(fmt.Sprintf("%s/%v", mode, down), func(t *testing.T) {
 				t.Parallel()
-				list := target("s-1", "127.0.0.1:9")
+				list := listEntry("s-1", "127.0.0.1:9")
 				d := newRegistry(t, 5, list, down)
 				fleet, at := make([]*process, fleetSize), make([]string, fleetSize)
 				for i := range fleet {
@@ -62,9 +62,9 @@
 						p.cmd.Process.Signal(end)
 					}
 					for _, p := range fleet {
-						<-p.over
+						<-p.ended
 					}
-					allowed := readyIn + 5*bareStart(t)
+					allowed := readyWithin + 5*measureStart(t)
 					begin := time.Now()
 					took := make(chan time.Duration, fleetSize)
 					for i := range fleet {
@@ -81,7 +81,7 @@
 					}
 					for _, p := range fleet {
 						if !p.alive() {
-							t.Errorf("one ended: %s", p.said())
+							t.Errorf("one ended: %s", p.logText())
 						}
 					}
 					if late > fleetSize/10 {
@@ -94,7 +94,7 @@
 	}
 }
 
-// readyAfter is how long a node takes to say that it is ready; more than allowed if it takes longer.
+// readyAfter is how long a node takes to become ready; more than allowed if it takes longer.
 func readyAfter(address string, begin time.Time, allowed time.Duration) time.Duration {
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: allowed}
 	for {
--- /dev/null
+++ b/eligibility.go
@@ -0,0 +1,107 @@
+// Eligibility: which endpoints a request may be sent to now. Unhealthy ones are excluded up to a share of the
+// list (as by Envoy's max_ejection_percent).
+
+package balancer
+
+import (
+	"cmp"
+	"math"
+	"slices"
+)
+
+// maxExcludedShare is the share of the list that may be excluded for its health; beyond that, only the worst
+// are.
+const maxExcludedShare = 0.2
+
+// candidates are endpoints to choose from, and how strictly.
+type candidates struct {
+	groups          groupPair
+	excludeOutliers bool
+	// warmingUp allows that all of them are warming up, and that a first attempt goes to an idle one without
+	// the draw of slow start. Else a subset that is warming up as a whole would take the requests of an
+	// endpoint that is not, while the rest of the list isn't.
+	warmingUp bool
+}
+
+// chooseFrom picks among the candidates that a request may be sent to: in its scope, not tried by it, healthy
+// and, as long as that leaves any, below the limits on what is in flight to one endpoint.
+func (b *Balancer) chooseFrom(from candidates, req *request) *endpoint {
+	b.excludeUnhealthy(from, req)
+	unlimited := func(*endpoint) int { return math.MaxInt }
+	for _, limit := range []func(*endpoint) int{b.endpointLimit, b.rejectionLimit, unlimited} {
+		left, idleLeft := b.eligible(from.groups.left, req, limit)
+		right, idleRight := b.eligible(from.groups.right, req, limit)
+		admitted := append(left, right...)
+		if from.warmingUp && len(admitted) > 0 || slices.ContainsFunc(admitted, b.isWarm) {
+			return b.pick(left, right)
+		}
+		if from.warmingUp && len(idleLeft)+len(idleRight) > 0 {
+			return b.pick(idleLeft, idleRight)
+		}
+	}
+	return nil
+}
+
+// excludeUnhealthy marks the candidates that are excluded for their health. When many seem unhealthy to one
+// replica, the fault is more likely its own or the tier below's, and the few others would take all the load.
+// So only the worst are excluded, up to a share of the list, and fewer the more load is shed: in overload
+// every endpoint is needed, and timeouts show load rather than ill health.
+func (b *Balancer) excludeUnhealthy(from candidates, req *request) {
+	var unhealthy []*endpoint
+	for _, ep := range slices.Concat(from.groups.left, from.groups.right) {
+		ep.excluded = from.excludeOutliers && b.isOutlier(ep, req.class)
+		if !ep.excluded && b.isUnhealthy(ep, req) {
+			ep.excluded = true
+			unhealthy = append(unhealthy, ep)
+		}
+	}
+	most := int(maxExcludedShare * (1 - b.shedding.share) * float64(b.ready.len()))
+	if len(unhealthy) <= most {
+		return
+	}
+	slices.SortStableFunc(unhealthy, func(ep, other *endpoint) int {
+		return cmp.Compare(other.ejection.consecutiveFailures, ep.ejection.consecutiveFailures)
+	})
+	for _, ep := range unhealthy[most:] {
+		ep.excluded = false
+	}
+}
+
+// eligible returns the endpoints of a group that the request may be sent to, and the idle ones that only the
+// draw of slow start keeps out.
+func (b *Balancer) eligible(
+	group []*endpoint, req *request, limit func(*endpoint) int,
+) (admitted, idle []*endpoint) {
+	for _, ep := range group {
+		switch {
+		case ep.excluded || ep.inFlight >= limit(ep) || !req.inScope(ep) || req.tried(ep):
+		case b.admitsInSlowStart(ep, req):
+			admitted = append(admitted, ep)
+		case ep.inFlight == 0 && len(req.attempts) == 0 && b.hasTokens(ep):
+			idle = append(idle, ep)
+		}
+	}
+	return admitted, idle
+}
+
+// endpointLimit is the count of requests in flight from which an endpoint is passed over: random draws meet
+// the same few endpoints twice now and then, and what several replicas send there together overloads them.
+func (b *Balancer) endpointLimit(ep *endpoint) int {
+	return min(b.rejectionLimit(ep), 1+b.inFlight.now/max(1, b.subset.size))
+}
+
+// tried says that the request has been sent to the endpoint before.
+func (req *request) tried(ep *endpoint) bool {
+	return slices.ContainsFunc(req.attempts, func(a *attempt) bool { return a.endpoint == ep })
+}
+
+// inScope says that the endpoint discards the repeat of a request with an idempotency key that may have run.
+func (req *request) inScope(ep *endpoint) bool {
+	if req.class.Effect != IdempotentByKey {
+		return true
+	}
+	return !slices.ContainsFunc(req.attempts, func(a *attempt) bool {
+		inCell := a.cell == ep.Cell || req.class.Scope == ScopeZone
+		return !a.neverRan && req.class.Scope != ScopeAll && (a.zone != ep.Zone || !inCell)
+	})
+}
--- a/internal/fleet/args.go
+++ b/internal/fleet/args.go
@@ -8,16 +8,19 @@
 
 // Bounds of a run.
 const (
-	mostHollow = 1100
-	mostReal   = 1100
-	mostFor    = 10 * time.Minute
-	mostCalls  = 400000 // a second over all nodes
-	// Margin is how much longer than its length a run may take in all: to build the program and start
-	// the nodes, for the last news and answers, and to end its children.
+	maxHollowNodes    = 1100
+	maxRealNodes      = 1100
+	maxRunLength      = 10 * time.Minute
+	maxCallsPerSecond = 400000 // over all nodes
+	// Margin is how much longer than its length a run may take in all: to build the program and start the nodes, to
+	// wait for the last updates and answers, and to end its children.
 	Margin = 2 * time.Minute
 )
 
-// Args are what a run is asked to do.
+// modePolled is the value of --mode with which lists are polled; with the other they are pushed.
+const modePolled = "asked"
+
+// Args are the arguments of a run.
 type Args struct {
 	Nodes    int           `help:"Hollow nodes: the real module, loop and discovery client, without sockets to callers and servers." default:"0" json:"nodes"`
 	Real     int           `help:"Real nodes, one process each, in chains of --depth." default:"0" json:"real"`
@@ -35,7 +38,7 @@
 	Program  string        `help:"The real nodes' program; built by go build where none is named." type:"path" json:"program,omitempty"`
 }
 
-// Check names the first argument at fault.
+// Check returns an error that names the first argument that can't be used.
 func (a Args) Check() error {
 	between := func(name string, v, least, most float64) error {
 		if !(v >= least && v <= most) {
@@ -44,18 +47,18 @@
 		return nil
 	}
 	for _, err := range []error{
-		between("nodes", float64(a.Nodes), 0, mostHollow), between("real", float64(a.Real), 0, mostReal),
+		between("nodes", float64(a.Nodes), 0, maxHollowNodes), between("real", float64(a.Real), 0, maxRealNodes),
 		between("servers", float64(a.Servers), 2, 5000), between("services", float64(a.Services), 1, 1000),
 		between("changes", a.Changes, 0, 6000), between("configs", a.Configs, 0, 600),
-		between("depth", float64(a.Depth), 1, mostReal), between("rate", a.Rate, 0, 10000),
+		between("depth", float64(a.Depth), 1, maxRealNodes), between("rate", a.Rate, 0, 10000),
 	} {
 		if err != nil {
 			return err
 		}
 	}
 	switch {
-	case a.For < time.Second || a.For > mostFor:
-		return fmt.Errorf("--for must be from 1s to %v, not %v", mostFor, a.For)
+	case a.For < time.Second || a.For > maxRunLength:
+		return fmt.Errorf("--for must be from 1s to %v, not %v", maxRunLength, a.For)
 	case a.Service < 0 || a.Service > time.Second:
 		return fmt.Errorf("--service must be from 0s to 1s, not %v", a.Service)
 	case a.Nodes+a.Real == 0:
@@ -66,13 +69,13 @@
 		return fmt.Errorf("--real %d makes no whole chains of --depth %d", a.Real, a.Depth)
 	case a.Configs > 0 && a.Real == 0:
 		return errors.New("--configs needs --real nodes")
-	case a.Rate*float64(a.Nodes+a.Real) > mostCalls:
-		return fmt.Errorf("--rate %v at %d nodes is more than %d calls a second", a.Rate, a.Nodes+a.Real, mostCalls)
+	case a.Rate*float64(a.Nodes+a.Real) > maxCallsPerSecond:
+		return fmt.Errorf("--rate %v at %d nodes is more than %d calls a second", a.Rate, a.Nodes+a.Real, maxCallsPerSecond)
 	case a.Services*a.Servers > 200000:
 		return fmt.Errorf("--services %d of --servers %d are more than 200000 entries", a.Services, a.Servers)
 	}
 	return nil
 }
 
-// bound is how long the run may take in all.
+// bound returns how long the run may take in all.
 func (a Args) bound() time.Duration { return a.For + Margin }
--- a/internal/fleet/caller.go
+++ b/internal/fleet/client.go
@@ -9,28 +9,31 @@
 	"time"
 )
 
-// outcome is how a call ended, as its caller sees it.
+// outcome is how a call ended, as its client sees it.
 type outcome int
 
 const (
 	served outcome = iota
-	refused
+	rejected
 	failed
-	unknown // the node does not know the class
+	unknownClass // the node does not know the class
 )
 
-// caller makes calls as PROTOCOL has them, one at a time on each connection.
-type caller struct{ client *http.Client }
+// client makes calls as PROTOCOL has them, one at a time on each connection.
+type client struct{ http *http.Client }
 
-func newCaller() *caller {
-	return &caller{&http.Client{Transport: &http.Transport{
+func newClient() *client {
+	return &client{&http.Client{Transport: &http.Transport{
 		DisableCompression: true, MaxIdleConnsPerHost: 1000,
 		IdleConnTimeout: 30 * time.Second,
 	}}}
 }
 
-// call asks a node or a server, which has until deadline, and reads the answer to its end.
-func (c *caller) call(ctx context.Context, address, class, id string, deadline time.Time) (outcome, error) {
+// maxAnswer is how much of an answer's body is read, in bytes.
+const maxAnswer = 64 << 10
+
+// call makes a call to a node or a server, which has until deadline, and reads the answer to its end.
+func (c *client) call(ctx context.Context, address, class, id string, deadline time.Time) (outcome, error) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/"+class+"/k", nil)
@@ -39,19 +42,19 @@
 	}
 	req.Header.Set("X-Request-Id", id)
 	req.Header.Set("X-Deadline", fmt.Sprintf("%.4f", time.Until(deadline).Seconds()))
-	resp, err := c.client.Do(req)
+	resp, err := c.http.Do(req)
 	if err != nil {
 		return failed, fmt.Errorf("call: %w", err)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, 64<<10))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
 	switch {
 	case err != nil:
 		return failed, fmt.Errorf("call: %w", err)
 	case resp.StatusCode == http.StatusNotFound:
-		return unknown, nil
+		return unknownClass, nil
 	case resp.StatusCode == http.StatusTooManyRequests || resp.StatusCode == http.StatusServiceUnavailable:
-		return refused, nil
+		return rejected, nil
 	case resp.StatusCode != http.StatusOK:
 		return failed, fmt.Errorf("call: status %d", resp.StatusCode)
 	case !strings.Contains(string(body), id):
@@ -60,4 +63,4 @@
 	return served, nil
 }
 
-func (c *caller) close() { c.client.CloseIdleConnections() }
+func (c *client) close() { c.http.CloseIdleConnections() }
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// tick is the unit of the processor times in /proc/PID/stat.
-const tick = 10 * time.Millisecond
+// clockTick is the unit of the processor times in /proc/PID/stat.
+const clockTick = 10 * time.Millisecond
 
 // Usage is what a process has used.
 type Usage struct {
@@ -19,8 +19,8 @@
 	RSS int64 // bytes in memory now
 }
 
-// UsageOf reads what a process has used. Its CPU comes from schedstat of its threads, which counts
-// nanoseconds, and is never under what stat says to its tick: a thread that has ended counts only there.
+// UsageOf reads what a process has used. The processor time comes from schedstat of its threads, which counts
+// nanoseconds, unless stat has more by at least a clock tick: threads that have ended count only there.
 func UsageOf(pid int) (Usage, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -37,7 +37,7 @@
 		}
 		return n
 	}
-	u := Usage{CPU: time.Duration(number(14)+number(15)) * tick, RSS: number(24) * int64(os.Getpagesize())}
+	u := Usage{CPU: time.Duration(number(14)+number(15)) * clockTick, RSS: number(24) * int64(os.Getpagesize())}
 	if err != nil {
 		return Usage{}, fmt.Errorf("usage: %w", err)
 	}
@@ -56,11 +56,11 @@
 			exact += time.Duration(ns)
 		}
 	}
-	u.CPU = max(u.CPU-tick, exact)
+	u.CPU = max(u.CPU-clockTick, exact)
 	return u, nil
 }
 
-// PeakMemory is the most memory that a process has held so far, in bytes.
+// PeakMemory returns the most memory that a process has held so far, in bytes.
 func PeakMemory(pid int) (int64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -78,7 +78,7 @@
 	return 0, fmt.Errorf("peak memory: /proc/%d/status has none", pid)
 }
 
-// Descriptors is how many file descriptors a process has open.
+// Descriptors returns how many file descriptors a process has open.
 func Descriptors(pid int) (int, error) {
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
--- a/internal/fleet/rotation.go
+++ b/internal/fleet/rotation.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// rotation is one list as the run changes it: one server after the other drains, goes and comes back. One
-// server at most is out at a time, but for a zone that is lost.
+// rotation changes one list: one server after the other drains, is removed and is listed again. At most one server
+// is missing at a time, except in the outage of a zone.
 type rotation struct {
 	service int
 
 	mu      sync.Mutex
-	targets []Target // as they are when in service
-	at      int      // the server whose turn it is
+	entries []ListEntry // as they are while in service
+	at      int         // the server whose turn it is
 	step    int
-	lost    bool // the first zone is
+	lost    bool // the first zone is in an outage
 }
 
 func newRotation(service, servers int, endpoint string) *rotation {
 	r := &rotation{service: service}
 	for i := range servers {
-		r.targets = append(r.targets, Target{
+		r.entries = append(r.entries, ListEntry{
 			UID: fmt.Sprintf("s-%d-%d", service, i), Endpoint: endpoint,
 			Zone: zones[i%len(zones)], Model: "m1", Cell: i % 10, State: inService, Capacity: 1,
 		})
@@ -29,47 +29,47 @@
 	return r
 }
 
-// next is the next change of one server, or none if all that could change are lost.
-func (r *rotation) next() []Target {
+// next returns the next change of one server, or none if all that could change are in the outage.
+func (r *rotation) next() []ListEntry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for range r.targets {
-		if !r.lost || r.targets[r.at].Zone != zones[0] {
+	for range r.entries {
+		if !r.lost || r.entries[r.at].Zone != zones[0] {
 			break
 		}
-		r.at, r.step = (r.at+1)%len(r.targets), 0
+		r.at, r.step = (r.at+1)%len(r.entries), 0
 	}
-	t := &r.targets[r.at]
+	t := &r.entries[r.at]
 	if r.lost && t.Zone == zones[0] {
 		return nil
 	}
-	news := *t
-	news.State = []string{terminating, terminated, inService}[r.step]
+	changed := *t
+	changed.State = []string{terminating, terminated, inService}[r.step]
 	if r.step++; r.step == 3 {
 		t.BootMS = time.Now().UnixMilli()
-		news.BootMS = t.BootMS
-		r.step, r.at = 0, (r.at+1)%len(r.targets)
+		changed.BootMS = t.BootMS
+		r.step, r.at = 0, (r.at+1)%len(r.entries)
 	}
-	return []Target{news}
+	return []ListEntry{changed}
 }
 
-// restart is the last server, started anew.
-func (r *rotation) restart() []Target {
+// restart returns the change in which the last server has restarted.
+func (r *rotation) restart() []ListEntry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := &r.targets[len(r.targets)-1]
+	t := &r.entries[len(r.entries)-1]
 	t.BootMS = time.Now().UnixMilli()
-	return []Target{*t}
+	return []ListEntry{*t}
 }
 
-// zone is all servers of the first zone, gone, or back with a new start.
-func (r *rotation) zone(back bool) []Target {
+// zone returns the change in which all servers of the first zone are removed, or are back after a restart.
+func (r *rotation) zone(back bool) []ListEntry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lost = !back
-	var news []Target
-	for i := range r.targets {
-		t := &r.targets[i]
+	var changed []ListEntry
+	for i := range r.entries {
+		t := &r.entries[i]
 		if t.Zone != zones[0] {
 			continue
 		}
@@ -79,7 +79,7 @@
 			t.BootMS = time.Now().UnixMilli()
 			n = *t
 		}
-		news = append(news, n)
+		changed = append(changed, n)
 	}
-	return news
+	return changed
 }
--- a/internal/fleet/storm.go
+++ b/internal/fleet/storm.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// stormTimes are when a storm began and ended.
+// stormTimes are when an outage began and ended.
 type stormTimes struct{ lost, back time.Time }
 
-// storm loses a zone or the registry for a part of the run. While the registry is silent each list changes
-// at least once, so that there is news at its return.
+// storm makes an outage of a zone or of the registry for a part of the run. During an outage of the registry each
+// list changes at least once, so that there is an update to send when it is back.
 func (r *run) storm(ctx context.Context) (*stormTimes, error) {
 	start := time.Now()
 	share := func(s float64) time.Time { return start.Add(time.Duration(s * float64(r.args.For))) }
@@ -30,51 +30,54 @@
 	return s, r.phase(ctx, afterStorm)
 }
 
+// phase has the hollow nodes' calls counted in another phase from now on.
 func (r *run) phase(ctx context.Context, phase int) error {
 	if r.hollows == nil {
 		return nil
 	}
-	return r.hollows.ask(ctx, "Phase", phase, &struct{}{})
+	return r.hollows.call(ctx, "Phase", phase, &struct{}{})
 }
 
+// lose begins the outage.
 func (r *run) lose(ctx context.Context, s *stormTimes) error {
 	if r.args.Storm == "zone" {
 		s.lost = time.Now()
 		return r.changeZone(ctx, false, groupZoneLost)
 	}
 	r.mu.Lock()
-	r.silent = true
+	r.registryUnresponsive = true
 	r.mu.Unlock()
 	var at int64
-	err := r.registry.ask(ctx, "Silence", true, &at)
+	err := r.registry.call(ctx, "Silence", true, &at)
 	s.lost = time.Unix(0, at)
 	return err
 }
 
+// restore ends the outage.
 func (r *run) restore(ctx context.Context, s *stormTimes) error {
 	if r.args.Storm == "zone" {
 		s.back = time.Now()
 		return r.changeZone(ctx, true, groupZoneBack)
 	}
-	// The newest version of each list is made last; what else changed while the registry was silent comes with it.
+	// The newest version of each list is made last; all other changes of the outage are sent along with it.
 	var last []ListChange
 	for _, l := range r.lists {
 		var changed Changed
-		if err := r.registry.ask(ctx, "Change", ChangeSpec{l.service, l.restart()}, &changed); err != nil {
+		if err := r.registry.call(ctx, "Change", ChangeSpec{l.service, l.restart()}, &changed); err != nil {
 			return err
 		}
 		if l.service < r.args.Services && r.args.Nodes > 0 {
-			last = append(last, ListChange{Group: groupSilent, Service: l.service, Rev: changed.Rev})
+			last = append(last, ListChange{Group: groupAfterOutage, Service: l.service, Rev: changed.Rev})
 		}
 	}
 	var at int64
-	if err := r.registry.ask(ctx, "Silence", false, &at); err != nil {
+	if err := r.registry.call(ctx, "Silence", false, &at); err != nil {
 		return err
 	}
 	s.back = time.Unix(0, at)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.silent = false
+	r.registryUnresponsive = false
 	for _, c := range last {
 		c.AtNS = at
 		r.changes = append(r.changes, c)
@@ -82,6 +85,7 @@
 	return nil
 }
 
+// changeZone removes the servers of the first zone from all lists, or lists them again.
 func (r *run) changeZone(ctx context.Context, back bool, group string) error {
 	for _, l := range r.lists {
 		if targets := l.zone(back); len(targets) > 0 {
@@ -93,7 +97,7 @@
 	return nil
 }
 
-// figures compares the registry's load at the return with the mean before.
+// figures compares the registry's load after the outage with the mean before it.
 func (s *stormTimes) figures(kind string, counted Counted, begin, end time.Time, h *HollowFigures) *StormFigures {
 	f := &StormFigures{Kind: kind, LostSec: s.back.Sub(s.lost).Seconds()}
 	watched := s.back.Add(stormWatch)
@@ -102,7 +106,7 @@
 	}
 	before, _, beforeSec := counted.Between(begin, s.lost)
 	during, _, duringSec := counted.Between(s.lost, s.back)
-	// The bucket of the return itself counts as after it.
+	// The bucket in which the outage ends counts as after it.
 	after, peak, afterSec := counted.Between(s.back.Add(-BucketWidth), watched)
 	f.Before, f.During = float64(before.Calls)/beforeSec, float64(during.Calls)/duringSec
 	f.After, f.AfterSec, f.PeakBytes = float64(after.Calls)/afterSec, afterSec, float64(after.Out)/afterSec
@@ -111,7 +115,7 @@
 		f.PeakToMean = f.PeakAfter / f.Before
 	}
 	if h != nil {
-		for _, group := range []string{groupSilent, groupZoneBack} {
+		for _, group := range []string{groupAfterOutage, groupZoneBack} {
 			if in, ok := h.InForce[group]; ok {
 				f.NewestAllMS, f.Missed = in.All.Worst, in.Missed
 			}
--- /dev/null
+++ b/internal/node/brokenconn_test.go
@@ -0,0 +1,79 @@
+package node
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"syscall"
+	"testing"
+)
+
+// A client whose connection breaks, by whatever error, has departed: nothing begins for it any more, and its
+// attempt is cancelled. Only the node's own read deadline says nothing about the client.
+func TestBrokenConnectionIsADeparture(t *testing.T) {
+	for _, cause := range []error{
+		syscall.ETIMEDOUT, syscall.ECONNRESET, syscall.EHOSTUNREACH, syscall.ENETUNREACH,
+		syscall.EPIPE, os.ErrDeadlineExceeded,
+	} {
+		for _, where := range []string{"dial", "in flight"} {
+			if cause == os.ErrDeadlineExceeded && where == "in flight" {
+				continue // one row shows it: the request is forwarded after the deadline, and answered
+			}
+			t.Run(fmt.Sprint(cause, " ", where), func(t *testing.T) {
+				t.Parallel()
+				breakWhileWaiting(t, cause, where)
+			})
+		}
+	}
+}
+
+func breakWhileWaiting(t *testing.T, cause error, where string) {
+	stays := cause == os.ErrDeadlineExceeded
+	got, calledOff := make(chan struct{}, 1), make(chan struct{}, 1)
+	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+		if r.Header.Get("X-Request-Id") == "other" || stays {
+			return echo(c, r, body)
+		}
+		got <- struct{}{}
+		c.Read(make([]byte, 1)) // until the node closes
+		calledOff <- struct{}{}
+		return false
+	})
+	var dials heldDials
+	conns := breakableConns{cause: cause, accepted: make(chan *breakableConn, 2)}
+	cfg := testConfig(completeList(entry("s1", s.addr(), "in_service")))
+	for i := range cfg.Settings.Classes { // no attempt times out before the test gives up
+		cfg.Settings.Classes[i].LatencyObjective, cfg.Settings.Classes[i].Deadline = 4*limit, 4*limit
+	}
+	n, _ := startNode(t, cfg, func(n *Node) {
+		conns.TCPListener = n.listener.(*net.TCPListener)
+		n.listener = conns
+		if dials = holdDials(n.upstream); where == "in flight" {
+			close(dials.release)
+		}
+	})
+	c := dial(t, n)
+	c.send("POST", "/note/k", "leaving", "x", "120")
+	wait(t, dials.dialed, "the connection")
+	if where == "in flight" {
+		wait(t, got, "the attempt")
+	}
+	conn := wait(t, conns.accepted, "the downstream connection")
+	conn.breakNow()
+	if stays {
+		wait(t, conn.watchEnded, "the end of the watch")
+		close(dials.release)
+		c.want(t, 200, "for leaving")
+		return
+	}
+	seen := map[string]int{"other": 1}
+	if where == "dial" {
+		until(t, "the node to notice", func() bool { return n.frontend.conns.count() == 0 })
+		close(dials.release)
+	} else {
+		wait(t, calledOff, "the end of the attempt")
+		seen["leaving"] = 1 // begun before its connection broke
+	}
+	checkNothingForwarded(t, n, s, seen)
+}
--- /dev/null
+++ b/internal/node/loop_test.go
@@ -0,0 +1,108 @@
+package node
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"runtime"
+	"testing"
+
+	"balancer"
+)
+
+// A complete list that names what is cached already is not passed to the module: it would build its subset anew
+// and open connections for nothing.
+func TestUnchangedCompleteListChangesNothing(t *testing.T) {
+	s := newServer(t, echo)
+	n, err := New(testConfig(completeList(entry("s1", s.addr(), "in_service"))), testLog())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer n.listener.Close()
+	n.loop.handleEvent(discoveryUnresponsive{})
+	told := 0
+	n.loop.updateEndpoints = func([]listEntry, bool) { told++ }
+	for i, c := range []struct {
+		entries []string
+		want    int
+	}{
+		{[]string{entry("s1", s.addr(), "in_service")}, 0},
+		{[]string{entry("s1", s.addr(), "terminating")}, 1},
+		{[]string{entry("s1", "127.0.0.1:1", "in_service")}, 2},
+		{nil, 3},
+	} {
+		if n.loop.handleEvent(listReceived{listOf(t, true, c.entries...)}); told != c.want {
+			t.Errorf("list %d: passed on %d times, want %d", i, told, c.want)
+		}
+	}
+}
+
+// A node is ready while a server is listed that it may forward to, whatever lists led to that.
+func TestReadinessFollowsTheLists(t *testing.T) {
+	rng := rand.New(rand.NewPCG(1, 2))
+	l := bootLoop(t, newMachineClocks(), true)
+	for i := range 500 {
+		full := rng.IntN(10) == 0
+		var entries []string
+		for s := range 3 {
+			state := []string{"in_service", "terminating", "terminated", ""}[rng.IntN(4)]
+			if state != "" && !(full && state == "terminated") {
+				entries = append(entries, entry(fmt.Sprint("s", s), "127.0.0.1:1", state))
+			}
+		}
+		l.handleEvent(listReceived{listOf(t, full, entries...)})
+		want := false
+		for _, held := range l.endpoints {
+			want = want || held.State == balancer.Ready
+		}
+		if got := l.ready.Load(); got != want {
+			t.Fatalf("list %d: ready: %v, want %v with %v", i, got, want, l.endpoints)
+		}
+	}
+}
+
+// The cached list of the configuration is long, and of no use once a list was received.
+func TestCachedListIsReleased(t *testing.T) {
+	cfg := testConfig(completeList(entry("s1", "127.0.0.1:1", "in_service")))
+	n, err := New(cfg, testLog())
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer n.listener.Close()
+	n.Reload(cfg)
+	n.loop.handleEvent(listReceived{listOf(t, true, entry("s2", "127.0.0.1:1", "in_service"))})
+	if n.cfg.Known != nil || n.loop.cachedList.entries != nil {
+		t.Errorf("%s and %v are kept", n.cfg.Known, n.loop.cachedList)
+	}
+}
+
+// Clients, requests and servers that are ever new leave no state behind.
+func TestStateStaysBounded(t *testing.T) {
+	s := newServer(t, echo)
+	n, _ := startNode(t, testConfig(completeList(entry("s0", s.addr(), "in_service"))), nil)
+	round := func(i int) {
+		l := endpointList{complete: true, version: int64(i), entries: []listEntry{{address: s.addr()}}}
+		l.entries[0].ID = fmt.Sprint("s", i)
+		n.loop.post(listReceived{l})
+		c := dial(t, n)
+		c.get(fmt.Sprint("r-", i))
+		c.want(t, http.StatusOK, "")
+		c.Close()
+	}
+	for i := range 50 {
+		round(i)
+	}
+	before := runtime.NumGoroutine()
+	for i := range 300 {
+		round(50 + i)
+	}
+	until(t, "all that has gone to be forgotten", func() bool {
+		b, f := n.upstream, n.frontend.conns
+		b.mu.Lock()
+		defer b.mu.Unlock()
+		f.mu.Lock()
+		defer f.mu.Unlock()
+		return len(f.conns) == 0 && len(b.endpoints) == 1 && len(b.idle) <= 1 && b.open <= 1 &&
+			runtime.NumGoroutine() <= before+5
+	})
+}
--- a/slowstart_test.go
+++ b/slowstart_test.go
@@ -1,7 +1,9 @@
 package balancer
 
 import (
+	"fmt"
 	"math"
+	"math/rand/v2"
 	"testing"
 	"time"
 )
@@ -12,7 +14,7 @@
 	low, high := 0.0, limit
 	for range 60 {
 		mean := (low + high) / 2
-		if limit-mean-limit*math.Log(limit/mean) <= -rarity {
+		if limit-mean-limit*math.Log(limit/mean) <= -overloadRarity {
 			low = mean
 		} else {
 			high = mean
@@ -21,7 +23,7 @@
 	return low
 }
 
-// allowedMean is what a node that is alone sends a cold server in a window, where the settings allow it n.
+// allowedMean is what a single replica sends a cold server in a window, where the settings allow it n.
 func allowedMean(t *testing.T, n float64) float64 {
 	t.Helper()
 	b := newBalancer(t, func(s *Settings) {
@@ -31,14 +33,16 @@
 	list := servers(2)
 	list[0].StartedAt = time.Minute
 	b.Handle(time.Minute, EndpointUpdate{Complete: true, Endpoints: list})
-	b.fitPool()
-	b.warmCapacity = capacityEstimate{answers: n * b.ramp(), seconds: b.ramp(), at: b.now} // n a second at a warm one
-	return b.creditRate(b.servers[list[0].ID]) * b.set.OverloadWindow.Seconds()
+	b.resizeSubset()
+	b.slowStart.warm = capacityEstimate{answers: n * b.capacityMemory(), seconds: b.capacityMemory(), at: b.now} // n a second at a warm one
+	ep := b.endpoints[list[0].ID]
+	b.updateFillRate(ep)
+	return ep.tokens.rate * b.settings.OverloadWindow.Seconds()
 }
 
-// A cold server is sent all that the limit allows on average: by the wider rule where the settings allow it
+// A warming server is sent all that the limit allows on average: by the wider rule where the settings allow it
 // less than 30 requests in a window. Just under 30 the limit is the one that holds at 30, and it never shrinks.
-func TestCreditFollowsTheFallLimit(t *testing.T) {
+func TestSlowStartRateFollowsTheOverloadLimit(t *testing.T) {
 	narrow := func(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
 	before := 0.0
 	for _, n := range []float64{0.5, 1, 2.4, 5, 10, 20, 24.9, 25.5, 29, 29.99, 30, 30.01, 31, 60, 300} {
@@ -56,3 +60,170 @@
 		before = got
 	}
 }
+
+// After an outage a node's whole subset may come back cold. That must not suspend slow start while the rest of the
+// list is warm: many such nodes would overload the cold servers.
+func TestColdSubsetKeepsSlowStartInForce(t *testing.T) {
+	b := newBalancer(t, func(s *Settings) { s.Tier, s.Replicas = 1, 50 })
+	list := servers(40)
+	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: list})
+	b.choose(&request{class: b.classes.byName["get"]})
+	for _, s := range append(append([]*endpoint{}, b.subset.own.left...), b.subset.own.right...) {
+		for i := range list {
+			if list[i].ID == s.ID {
+				list[i].StartedAt = time.Second
+			}
+		}
+	}
+	b.Handle(time.Second, EndpointUpdate{Complete: true, Endpoints: list})
+	cold := 0
+	for range 1000 {
+		if s := b.choose(&request{class: b.classes.byName["get"]}); s.StartedAt > 0 {
+			cold++
+		}
+	}
+	if got := float64(cold) / 1000; got > 0.05 { // thinned to a fifth, and a few of forty
+		t.Errorf("%.2f of the calls went to the cold subset", got)
+	}
+}
+
+// A cold server takes much longer for a heavy request than a warm one; a light request has time to spare.
+func TestWarmingServerGetsNoHeavyRequests(t *testing.T) {
+	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
+	list := servers(4)
+	list[1].StartedAt = time.Second
+	b.Handle(2*time.Second, EndpointUpdate{Complete: true, Endpoints: list}) // warmth 0.28
+	got := map[time.Duration]int{}
+	for i := range 400 {
+		effort := []time.Duration{10 * msec, 100 * msec}[i%2]
+		id, now := fmt.Sprint(i), b.now+10*time.Microsecond
+		s := sends(b.Handle(now, Request{ID: id, Class: "pay", Deadline: now + time.Second, ExpectedWork: effort}))[0]
+		if endAttempt(b, now, id, s, Success); s.Endpoint == "s01" && i >= 20 {
+			got[effort]++
+		}
+	}
+	if got[100*msec] > 0 || got[10*msec] < 20 {
+		t.Errorf("the cold server got %d heavy and %d light requests", got[100*msec], got[10*msec])
+	}
+}
+
+const overloadMultiple, overloadWindow = 3.0, 2 * time.Second // the limit of testSettings' deployment
+
+const coldCapacity, coldMean = 50.0, 20 * msec // of a warm server: a second's work of 50 requests of mean work
+
+// coldResult tells what a server got that was cold at first: how many requests, the most work that came in any
+// overloadWindow, as a part of its limit, and its share of all work from second 3 to 6.
+type coldResult struct {
+	requests     int
+	worst, early float64
+}
+
+// playColdServer has replicas send at three quarters of the capacity of 6 servers, one of which, s02, starts at
+// second 1. work draws a request's work, in parts of the mean; send returns the server that gets it.
+func playColdServer(set Settings, replicas int, seed uint64, work func(*rand.Rand) float64,
+	send func(replica int, now time.Duration, id string, work float64) string,
+) (res coldResult) {
+	rng := rand.New(rand.NewPCG(seed, seed))
+	type taken struct {
+		at   time.Duration
+		work float64
+	}
+	var cold []taken
+	early, all := 0.0, 0.0
+	for i := range int(0.75 * 6 * coldCapacity * 12) {
+		now := time.Second + time.Duration(float64(i)/(0.75*6*coldCapacity)*float64(time.Second))
+		part := work(rng)
+		server := send(rng.IntN(replicas), now, fmt.Sprint(i), part)
+		inEarly := now > 3*time.Second && now < 6*time.Second // warmth 0.36 to 0.6, a fair share 0.06 to 0.1
+		if inEarly {
+			all += part
+		}
+		if server != "s02" {
+			continue
+		}
+		cold = append(cold, taken{now, part})
+		if inEarly {
+			early += part
+		}
+	}
+	for i := range cold {
+		sum := 0.0
+		for _, c := range cold[i:] {
+			if c.at < cold[i].at+overloadWindow {
+				sum += c.work
+			}
+		}
+		grown := float64(cold[i].at-time.Second) / float64(set.SlowStartDuration)
+		limit := overloadMultiple * coldCapacity * min(1, set.SlowStartFloor+(1-set.SlowStartFloor)*grown) * overloadWindow.Seconds()
+		res.worst = max(res.worst, sum/limit)
+	}
+	res.requests, res.early = len(cold), early/all
+	return res
+}
+
+// coldFleet returns replicas whose list names six servers, of which s02 starts at second 1.
+func coldFleet(t *testing.T, set Settings, replicas int) (fleet []*Balancer) {
+	t.Helper()
+	list := servers(6)
+	list[2].StartedAt = time.Second
+	for i := range replicas {
+		set.ReplicaIndex = i
+		b, err := New(set, uint64(i))
+		if err != nil {
+			t.Fatal(err)
+		}
+		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: list})
+		fleet = append(fleet, b)
+	}
+	return fleet
+}
+
+// sameWork gives each request the mean work.
+func sameWork(*rand.Rand) float64 { return 1 }
+
+// No window of a warming server gets more requests from all replicas together than its limit.
+func TestWarmingServerStaysWithinItsLimit(t *testing.T) {
+	set := testSettings()
+	for _, replicas := range []int{12, 200} {
+		t.Run(fmt.Sprint(replicas, " replicas"), func(t *testing.T) {
+			set.Tier, set.Replicas = 1, replicas
+			fleet := coldFleet(t, set, replicas)
+			res := playColdServer(set, replicas, 3, sameWork, func(replica int, now time.Duration, id string, _ float64) string {
+				b := fleet[replica]
+				s := sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second}))[0]
+				b.Handle(now+coldMean, AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: Success, Answered: true})
+				return s.Endpoint
+			})
+			if res.requests < 20 || res.worst > 1 {
+				t.Errorf("%d replicas: %d requests to the cold server, %.2f of its limit", replicas, res.requests, res.worst)
+			}
+		})
+	}
+	// The check can fail: a policy that sends everything to the fresh server breaks the limit.
+	res := playColdServer(set, 12, 3, sameWork, func(int, time.Duration, string, float64) string { return "s02" })
+	if res.worst <= 1 {
+		t.Errorf("all requests to the cold server are %.2f of its limit", res.worst)
+	}
+}
+
+// Where the expected work is hinted, a warming server's quota consists of light requests. All replicas together
+// stay within its limit of work, and yet give it more than half of its capacity while the rest is busy.
+func TestWarmingServerIsUsedWithinItsLimit(t *testing.T) {
+	set := testSettings()
+	for _, replicas := range []int{12, 100} {
+		t.Run(fmt.Sprint(replicas, " replicas"), func(t *testing.T) {
+			set.Tier, set.Replicas = 1, replicas
+			fleet := coldFleet(t, set, replicas)
+			work := func(rng *rand.Rand) float64 { return max(0.01, rng.ExpFloat64()) }
+			res := playColdServer(set, replicas, 9, work, func(replica int, now time.Duration, id string, work float64) string {
+				b, took := fleet[replica], time.Duration(work*float64(coldMean))
+				s := sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second, ExpectedWork: took}))[0]
+				b.Handle(now+took, AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: Success, Answered: true})
+				return s.Endpoint
+			})
+			if res.worst > 1 || res.early < 0.1 {
+				t.Errorf("%d replicas: %.2f of the limit, %.3f of the work", replicas, res.worst, res.early)
+			}
+		})
+	}
+}
