--- a/internal/node/departure.go
+++ b/internal/node/departure.go
@@ -144,9 +144,7 @@
 func (c *downstreamConn) endWatch() (another bool) {
 	c.Conn.SetReadDeadline(pastDeadline)
 	<-c.watchEnded
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.requests.anotherBegun()
+	return c.pipelinedBehindBody()
 }
 
 // noteRead notes what the result of a read says about the client. Of the timeouts only
--- a/internal/node/requestscanner.go
+++ b/internal/node/requestscanner.go
@@ -96,9 +96,6 @@
 // midRequest reports whether a request has begun and is not complete.
 func (s *requestScanner) midRequest() bool { return s.err == nil && s.state != scanIdle }
 
-// anotherBegun reports whether a request has begun behind those whose heads were taken.
-func (s *requestScanner) anotherBegun() bool { return len(s.heads) > 0 || s.midRequest() }
-
 // behindBody reports whether a request has begun behind the complete body of the one that was taken last.
 func (s *requestScanner) behindBody() bool {
 	return len(s.heads) > 0 || s.err == nil && (s.state == scanRequestLine || s.state == scanFieldLine)
