--- a/endpoints_bench_test.go
+++ b/balancer/endpoints_bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 // benchmarkSizes are lengths of an endpoint list: the usual one, sixteen times that, and the longest.
--- a/example_test.go
+++ b/balancer/example_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 // One Balancer driven by hand: a list, a request, an attempt that never ran, and its response.
--- a/outagesim_test.go
+++ b/balancer/outagesim_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"balancer/internal/servermodel"
+	"basaltdrum/internal/servermodel"
 )
 
 // outage is a fleet of first-tier nodes in simulated time. Some of its servers become slow, a part of them is
--- a/recovery_test.go
+++ b/balancer/recovery_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"balancer/internal/servermodel"
+	"basaltdrum/internal/servermodel"
 )
 
 // shopsOutage is a deployment whose servers have few slots and a short queue, and stay slow after an overload.
--- a/size_test.go
+++ b/balancer/size_test.go
@@ -4,6 +4,7 @@
 	"go/ast"
 	"go/parser"
 	"go/token"
+	"io/fs"
 	"os"
 	"path/filepath"
 	"regexp"
@@ -23,7 +24,7 @@
 // policyFiles are those that the deploy file names as the module's decisions.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
-	text, err := os.ReadFile("deploy/balancer.toml")
+	text, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,21 +39,31 @@
 	return files
 }
 
-// sourceFiles are the package's files without its tests.
-func sourceFiles(t *testing.T) []string {
+// sourceFiles are the Go files of the module and its packages without their tests.
+func sourceFiles(t *testing.T) (files []string) {
 	t.Helper()
-	files, err := filepath.Glob("*.go")
+	err := filepath.WalkDir(".", func(path string, entry fs.DirEntry, err error) error {
+		if err == nil && strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go") {
+			files = append(files, path)
+		}
+		return err
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return slices.DeleteFunc(files, func(file string) bool { return strings.HasSuffix(file, "_test.go") })
+	return files
 }
 
 func TestDeployFileNamesAllSourceFiles(t *testing.T) {
 	named := policyFiles(t)
 	slices.Sort(named)
-	if files := sourceFiles(t); !slices.Equal(named, files) {
-		t.Errorf("the deploy file names %v, the package has %v", named, files)
+	var files []string
+	for _, file := range sourceFiles(t) {
+		files = append(files, "balancer/"+file)
+	}
+	slices.Sort(files)
+	if !slices.Equal(named, files) {
+		t.Errorf("the deploy file names %v, the module has %v", named, files)
 	}
 }
 
--- a/trace_test.go
+++ b/balancer/trace_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 // traceScenario is a setting of the seeded run whose actions are hashed.
--- a/cmd/balancer-sim/main.go
+++ b/cmd/balancer-sim/main.go
@@ -11,8 +11,8 @@
 	"os"
 	"time"
 
-	"balancer"
-	"balancer/internal/wire"
+	"basaltdrum/balancer"
+	"basaltdrum/internal/wire"
 )
 
 func main() {
--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -13,7 +13,7 @@
 	"os/signal"
 	"syscall"
 
-	"balancer/internal/node"
+	"basaltdrum/internal/node"
 )
 
 func main() {
--- a/cmd/fleetscale/main.go
+++ b/cmd/fleetscale/main.go
@@ -20,7 +20,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"balancer/internal/fleet"
+	"basaltdrum/internal/fleet"
 )
 
 // How the program exits.
--- a/cmd/fleetscale/main_test.go
+++ b/cmd/fleetscale/main_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"balancer/internal/fleet"
+	"basaltdrum/internal/fleet"
 )
 
 // limit is how long a test waits for what must come; only a failing one waits so long.
@@ -162,7 +162,7 @@
 // SIGTERM and SIGINT end a run and all its children; so does its own sudden death.
 func TestSignalsLeaveNoChildren(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "balancer")
-	if out, err := exec.Command("go", "build", "-o", program, "balancer/cmd/balancer").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", program, "basaltdrum/cmd/balancer").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGINT, syscall.SIGKILL} {
--- a/docs_test.go
+++ b/docs/docs_test.go
@@ -1,9 +1,11 @@
-package balancer
+// Package docs has no code: its tests hold the pages for engineers to the code.
+package docs
 
 import (
 	"go/ast"
 	"go/parser"
 	"go/token"
+	"io/fs"
 	"os"
 	"path"
 	"path/filepath"
@@ -14,6 +16,14 @@
 	"testing"
 )
 
+// TestMain runs the tests in the root of the repository.
+func TestMain(m *testing.M) {
+	if err := os.Chdir(".."); err != nil {
+		panic(err)
+	}
+	os.Exit(m.Run())
+}
+
 var backticked = regexp.MustCompile("`([^`]+)`")
 
 // TestArchitectureNamesWhatIsThere holds the tables of steps to the code: each function stands in one of the
@@ -45,14 +55,8 @@
 // bare name.
 func TestDocsNameFilesThatExist(t *testing.T) {
 	known := map[string]bool{}
-	for _, dir := range []string{".", "internal/*", "cmd/*"} {
-		files, err := filepath.Glob(dir + "/*.go")
-		if err != nil {
-			t.Fatal(err)
-		}
-		for _, file := range files {
-			known[file], known[path.Base(file)] = true, true
-		}
+	for _, file := range goFiles(t, ".") {
+		known[file], known[path.Base(file)] = true, true
 	}
 	for _, page := range []string{"README.md", "CONTRIBUTING.md", "docs/ARCHITECTURE.md", "docs/OPERATIONS.md"} {
 		for _, line := range docLines(t, page) {
@@ -70,11 +74,7 @@
 	page := strings.Join(docLines(t, "docs/OPERATIONS.md"), "\n")
 	messages := 0
 	for _, dir := range []string{"internal/node", "cmd/balancer"} {
-		files, err := filepath.Glob(dir + "/*.go")
-		if err != nil {
-			t.Fatal(err)
-		}
-		for _, file := range files {
+		for _, file := range goFiles(t, dir) {
 			if strings.HasSuffix(file, "_test.go") {
 				continue
 			}
@@ -94,15 +94,12 @@
 // TestDocsNameTestsThatExist checks every test that the pages name: what they claim to be shown is shown by it.
 func TestDocsNameTestsThatExist(t *testing.T) {
 	known := map[string]bool{}
-	for _, dir := range []string{".", "internal/*", "cmd/*"} {
-		files, err := filepath.Glob(dir + "/*_test.go")
-		if err != nil {
-			t.Fatal(err)
+	for _, file := range goFiles(t, ".") {
+		if !strings.HasSuffix(file, "_test.go") {
+			continue
 		}
-		for _, file := range files {
-			for _, name := range declarations(t, file) {
-				known[name] = true
-			}
+		for _, name := range declarations(t, file) {
+			known[name] = true
 		}
 	}
 	pages, err := filepath.Glob("docs/*.md")
@@ -121,6 +118,21 @@
 	}
 }
 
+// goFiles lists the Go files below a folder.
+func goFiles(t *testing.T, dir string) (files []string) {
+	t.Helper()
+	err := filepath.WalkDir(dir, func(path string, entry fs.DirEntry, err error) error {
+		if err == nil && strings.HasSuffix(path, ".go") {
+			files = append(files, path)
+		}
+		return err
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return files
+}
+
 func docLines(t *testing.T, page string) []string {
 	t.Helper()
 	text, err := os.ReadFile(page)
--- a/internal/fleet/hollownode.go
+++ b/internal/fleet/hollownode.go
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
-	"balancer"
-	"balancer/internal/node"
+	"basaltdrum/balancer"
+	"basaltdrum/internal/node"
 )
 
 // hollow is a hollow node, with the versions of its list that it has applied.
--- a/internal/fleet/hollows.go
+++ b/internal/fleet/hollows.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"balancer/internal/node"
+	"basaltdrum/internal/node"
 )
 
 // Phases of a storm, in which calls are counted apart.
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 var (
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 // A reused connection that breaks under a request may have carried it. Neither the node nor a library below it may
--- a/internal/node/boottime_test.go
+++ b/internal/node/boottime_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 // machineClocks are the clocks of a machine: time passes on both, and the wall clock can be stepped.
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -9,8 +9,8 @@
 	"strconv"
 	"time"
 
-	"balancer"
-	"balancer/internal/settings"
+	"basaltdrum/balancer"
+	"basaltdrum/internal/settings"
 )
 
 // configVariable is the environment variable that names the configuration file.
--- a/internal/node/config_error_test.go
+++ b/internal/node/config_error_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 func TestConfigErrorsCarryTheField(t *testing.T) {
--- a/internal/node/dial_test.go
+++ b/internal/node/dial_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 // dialError is the error that net.Dialer returns for a failed system call.
--- a/internal/node/endpointlist.go
+++ b/internal/node/endpointlist.go
@@ -1,6 +1,6 @@
 package node
 
-import "balancer"
+import "basaltdrum/balancer"
 
 // This file keeps the endpoint list as the loop holds it: the entries by uid, how many of them are ready, and the
 // cached list that stands in until discovery has been heard. The list itself is parsed in listparser.go.
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 // event is a message to the loop from another goroutine: one of the types of this file. String names it for
--- a/internal/node/goroutines_test.go
+++ b/internal/node/goroutines_test.go
@@ -9,7 +9,7 @@
 
 // startedByRun and itsWork find the goroutines that Run has started and that are still at work, in a dump of stacks.
 var (
-	startedByRun = "created by balancer/internal/node.(*Node).startBackground"
+	startedByRun = "created by basaltdrum/internal/node.(*Node).startBackground"
 	itsWork      = regexp.MustCompile(`\.\(\*(loop|discovery|upstreamPool)\)\.(run|runPushed|runPolled|closeExpired)\(`)
 )
 
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 // limit is how long a test waits for something; only a failing test waits so long.
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 // Answer says how a call that was made on a Hollow node ended.
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 // A hollow node receives lists from discovery, reports each that changes something, and answers calls from
--- a/internal/node/listparser.go
+++ b/internal/node/listparser.go
@@ -9,7 +9,7 @@
 	"net/netip"
 	"strings"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 // endpointList is a list as the registry sends it: all endpoints, or the entries that changed since a version.
--- a/internal/node/listparser_test.go
+++ b/internal/node/listparser_test.go
@@ -13,7 +13,7 @@
 	"strings"
 	"testing"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 // unmarshalList reads a list with json.Unmarshal, as the reference for the parser.
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 // eventQueueLength is how many events may wait for the loop before post blocks.
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -7,7 +7,7 @@
 	"runtime"
 	"testing"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 // A complete list that names what is cached already is not passed to the module: it would build its subset anew
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 // reservedDescriptors is how many descriptors are kept for the listener, discovery, the log and the Go runtime, and
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 // moduleSettings returns the settings in the form that the module gets. It paces its polls of discovery by parts
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 // scriptedServer holds each request until it is told whether to answer or to reset.
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 // request is a client's request. The front end's goroutine makes it and waits for its response; the loop and
--- a/internal/node/requestvalidation.go
+++ b/internal/node/requestvalidation.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 const (
--- a/internal/node/response_test.go
+++ b/internal/node/response_test.go
@@ -12,7 +12,7 @@
 	"time"
 	"unsafe"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 // Each response, or lack of one, has its attempt result, and leaves the connection in the pool or closes it.
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -4,7 +4,7 @@
 	"container/heap"
 	"time"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 // timerEntry is a timer that the module has set.
--- a/internal/node/trafficlog.go
+++ b/internal/node/trafficlog.go
@@ -4,7 +4,7 @@
 	"log/slog"
 	"time"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 // statsInterval is the time between two traffic lines in the log.
--- a/internal/node/upstreampool.go
+++ b/internal/node/upstreampool.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 // reuseDelay is how long a connection stays unused after a response before it may carry another request. A
--- a/internal/node/upstreampool_test.go
+++ b/internal/node/upstreampool_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 // testPool is an upstream pool that reuses connections without a delay.
--- a/internal/node/upstreamresponse.go
+++ b/internal/node/upstreamresponse.go
@@ -8,7 +8,7 @@
 	"net/http"
 	"strings"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 const (
--- a/internal/settings/example_test.go
+++ b/internal/settings/example_test.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"balancer/internal/settings"
+	"basaltdrum/internal/settings"
 )
 
 func ExampleParse() {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -8,7 +8,7 @@
 	"math"
 	"time"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 // Parse reads the settings object, in JSON. Times in it are milliseconds. Keys that it does not know are
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 func TestUnknownEffectIsNotIdempotent(t *testing.T) {
--- a/internal/wire/corpus_test.go
+++ b/internal/wire/corpus_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 var updateGolden = flag.Bool("update", false, "rewrite testdata/decoded.golden from the present decoder")
--- a/internal/wire/decoder.go
+++ b/internal/wire/decoder.go
@@ -7,8 +7,8 @@
 	"io"
 	"strings"
 
-	"balancer"
-	"balancer/internal/settings"
+	"basaltdrum/balancer"
+	"basaltdrum/internal/settings"
 )
 
 const (
--- a/internal/wire/decoder_test.go
+++ b/internal/wire/decoder_test.go
@@ -10,7 +10,7 @@
 	"testing/iotest"
 	"time"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 const sampleBatch = "sync\t8412.25\nabout\t3\nlist\t0\t1\nitem\ts:1\tz\tk\t4\t2\t1.5\t6100.5\nannounce\t2\t0\t41\n" +
--- a/internal/wire/encoder.go
+++ b/internal/wire/encoder.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 // Encoder writes replies. It keeps a reply until Flush, so that each is written completely or not at all.
--- a/internal/wire/encoder_test.go
+++ b/internal/wire/encoder_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 func TestEncode(t *testing.T) {
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"strings"
 
-	"balancer"
-	"balancer/internal/settings"
+	"basaltdrum/balancer"
+	"basaltdrum/internal/settings"
 )
 
 // decodeEvent decodes a message that carries an event for an instance. The comment of each function below
--- a/internal/wire/example_test.go
+++ b/internal/wire/example_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"balancer"
-	"balancer/internal/wire"
+	"basaltdrum/balancer"
+	"basaltdrum/internal/wire"
 )
 
 // A batch that says that a client of instance 3 has gone, and a timer of the same instance.
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"balancer/internal/settings"
+	"basaltdrum/internal/settings"
 )
 
 const (
--- a/internal/wire/list.go
+++ b/internal/wire/list.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"strings"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 // errListNumber is the error of a number outside 0 to listCount-1.
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"time"
 
-	"balancer"
+	"basaltdrum/balancer"
 )
 
 // Kind tells what a Message carries.
