--- a/internal/node/sleep.go
+++ b/internal/monotime/sleep.go
@@ -1,12 +1,12 @@
-package node
+package monotime
 
 import (
 	"context"
 	"time"
 )
 
-// sleep returns after a duration or when ctx ends, whichever is first.
-func sleep(ctx context.Context, d time.Duration) {
+// Sleep returns after a duration or when ctx ends, whichever is first.
+func Sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/node/dial.go
+++ b/internal/netdial/netdial.go
@@ -1,4 +1,6 @@
-package node
+// Package netdial tells faults of this machine from those of the other side when a connection can't be opened, and
+// dials again with backoff after the former. It starts no goroutine and holds no state.
+package netdial
 
 import (
 	"context"
@@ -6,10 +8,12 @@
 	"net"
 	"syscall"
 	"time"
+
+	"basaltdrum/internal/monotime"
 )
 
-// dialFunc opens a connection, as net.Dialer.DialContext does.
-type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
+// Func opens a connection, as net.Dialer.DialContext does.
+type Func func(ctx context.Context, network, address string) (net.Conn, error)
 
 // Exponential backoff between dials that failed by a local fault. It is short, as a request waits for the
 // connection, and long enough not to spin while the fault lasts.
@@ -18,10 +22,10 @@
 	maxRedialBackoff = 40 * time.Millisecond
 )
 
-// localDialErrors are the errors of socket and connect that concern this machine and not the one that is dialled.
+// localErrors are the errors of socket and connect that concern this machine and not the one that is dialled.
 // All others, such as ECONNREFUSED, ECONNRESET, EHOSTUNREACH, ETIMEDOUT and a dial that times out, are attributed
 // to the other side.
-var localDialErrors = []error{
+var localErrors = []error{
 	syscall.EMFILE,        // the process has no descriptor left
 	syscall.ENFILE,        // the machine has no descriptor left
 	syscall.ENOBUFS,       // the kernel has no buffer left
@@ -36,9 +40,9 @@
 	syscall.EINTR,         // a signal arrived
 }
 
-// isLocalDialError reports whether a connection could not be opened because of a fault of this machine.
-func isLocalDialError(err error) bool {
-	for _, local := range localDialErrors {
+// IsLocalError reports whether a connection could not be opened because of a fault of this machine.
+func IsLocalError(err error) bool {
+	for _, local := range localErrors {
 		if errors.Is(err, local) {
 			return true
 		}
@@ -46,21 +50,21 @@
 	return false
 }
 
-// dialWithBackoff dials until the dial succeeds or fails through the other side, or until mayWait denies the next
+// WithBackoff dials until the dial succeeds or fails through the other side, or until mayWait denies the next
 // backoff or ctx ends. heldUp reports whether a local fault delayed or prevented the connection.
-func dialWithBackoff(
+func WithBackoff(
 	ctx context.Context, mayWait func(time.Duration) bool, dial func() error,
 ) (heldUp bool, err error) {
 	for backoff := minRedialBackoff; ; backoff = min(2*backoff, maxRedialBackoff) {
 		err = dial()
-		if !isLocalDialError(err) {
+		if !IsLocalError(err) {
 			return heldUp, err
 		}
 		heldUp = true
 		if !mayWait(backoff) {
 			return heldUp, err
 		}
-		sleep(ctx, backoff)
+		monotime.Sleep(ctx, backoff)
 		if ctx.Err() != nil {
 			return heldUp, err
 		}
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -7,6 +7,8 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/netdial"
+	"basaltdrum/internal/socketpeek"
 )
 
 var (
@@ -41,11 +43,11 @@
 
 // do carries out an attempt and returns its outcome. By then its connection is closed, or idle again.
 func (p *upstreamPool) do(a *attempt) attemptOutcome {
-	ctx, cancel := context.WithTimeout(a.ctx, p.clock.until(a.deadline))
+	ctx, cancel := context.WithTimeout(a.ctx, p.clock.Until(a.deadline))
 	defer cancel()
 	outcome := p.roundTrip(ctx, a)
 	if outcome.endedAt == 0 {
-		outcome.endedAt = p.clock.now()
+		outcome.endedAt = p.clock.Now()
 	}
 	return outcome
 }
@@ -108,7 +110,7 @@
 // evidence against the endpoint.
 func (a *attempt) resultNotBegun(err error) balancer.AttemptResult {
 	switch {
-	case errors.Is(err, errNoDescriptor), isLocalDialError(err):
+	case errors.Is(err, errNoDescriptor), netdial.IsLocalError(err):
 		return balancer.NotSent
 	case errors.Is(a.ctx.Err(), context.Canceled):
 		return balancer.Cancelled
@@ -138,7 +140,7 @@
 	ctx context.Context, a *attempt, waiter chan upstreamReply,
 ) (c *upstreamConn, fresh bool, err error) {
 	mayWait := func(wait time.Duration) bool { return p.mayBeginIn(a, wait) }
-	heldUp, err := dialWithBackoff(ctx, mayWait, func() error {
+	heldUp, err := netdial.WithBackoff(ctx, mayWait, func() error {
 		c, fresh, err = p.connectOnce(ctx, a.instance, waiter)
 		return err
 	})
@@ -168,7 +170,7 @@
 func (p *upstreamPool) mayBeginIn(a *attempt, wait time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	begin := p.clock.now() + wait
+	begin := p.clock.Now() + wait
 	return begin < a.deadline && (a.notAfter == 0 || begin < a.notAfter) && p.isReady(a.instance)
 }
 
@@ -208,14 +210,14 @@
 	if c.waiter != waiter {
 		return useAnotherConn
 	}
-	overdue := a.notAfter > 0 && p.clock.now() >= a.notAfter || p.remainingTime(a) == 0
+	overdue := a.notAfter > 0 && p.clock.Now() >= a.notAfter || p.remainingTime(a) == 0
 	switch {
-	case hasUnreadOrClosed(c.Conn):
+	case socketpeek.HasUnreadOrClosed(c.Conn):
 		c.waiter = nil
 		p.closeConn(c)
 		return useAnotherConn
 	case ctx.Err() != nil || overdue || !p.isReady(c.instance) || !a.request.beginAttempt(a):
-		c.waiter, c.idleSince = nil, p.clock.now()
+		c.waiter, c.idleSince = nil, p.clock.Now()
 		p.putIdle(c)
 		if ctx.Err() != nil {
 			return useAnotherConn
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -13,28 +13,30 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/socketpeek"
+	"basaltdrum/internal/testutil"
 )
 
 // A reused connection that breaks under a request may have carried it. Neither the node nor a library below it may
 // send the request again, whatever its method or headers.
 func TestNonIdempotentRequestIsNotRetriedAfterAReset(t *testing.T) {
-	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	s := testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		if strings.HasPrefix(r.Header.Get("X-Request-Id"), "break") {
 			c.(*net.TCPConn).SetLinger(0)
 			return false
 		}
-		return reply200(c, "")
+		return testutil.ReplyOK(c, "")
 	})
-	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), nil)
+	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), nil)
 	c := dial(t, n)
 	for i := range 2 {
-		c.send("POST", "/note/k", fmt.Sprint("first-", i), "x", "60")
-		c.want(t, 200, "")
+		c.Send("POST", "/note/k", fmt.Sprint("first-", i), "x", "60")
+		c.Expect(t, 200, "")
 		id := fmt.Sprint("break-", i)
-		c.send("POST", "/note/k", id, "x", "60")
-		c.want(t, http.StatusBadGateway, "")
-		if s.received() != 2*(i+1) {
-			t.Fatalf("%d requests reached the server, want %d", s.received(), 2*(i+1))
+		c.Send("POST", "/note/k", id, "x", "60")
+		c.Expect(t, http.StatusBadGateway, "")
+		if s.Received() != 2*(i+1) {
+			t.Fatalf("%d requests reached the server, want %d", s.Received(), 2*(i+1))
 		}
 	}
 }
@@ -43,34 +45,34 @@
 // an idempotent one is rejected with Retry-After.
 func TestUnresponsiveServerTimesOut(t *testing.T) {
 	closedAt := make(chan struct{}, 2)
-	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	s := testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		c.Read(make([]byte, 1)) // says nothing until the node closes
 		closedAt <- struct{}{}
 		return false
 	})
-	cfg := testConfig(completeList(entry("s1", s.addr(), "in_service")))
+	cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service")))
 	for i := range cfg.Settings.Classes {
 		cfg.Settings.Classes[i].LatencyObjective = 300 * time.Millisecond
 	}
 	n, _ := startNode(t, cfg, nil)
 	c := dial(t, n)
-	c.send("POST", "/note/k", "unsafe", "x", "20")
-	c.want(t, http.StatusBadGateway, "") // it may have run: no refusal
-	wait(t, closedAt, "the close")
-	c.get("safe")
-	r, _ := c.answer(t)
+	c.Send("POST", "/note/k", "unsafe", "x", "20")
+	c.Expect(t, http.StatusBadGateway, "") // it may have run: no refusal
+	testutil.Wait(t, closedAt, "the close")
+	c.Get("safe")
+	r, _ := c.Response(t)
 	if r.StatusCode != 503 || r.Header.Get("Retry-After") == "" {
 		t.Errorf("got %d, Retry-After %q", r.StatusCode, r.Header.Get("Retry-After"))
 	}
-	wait(t, closedAt, "the close")
-	if s.received() != 2 {
-		t.Errorf("%d requests were sent, want 2", s.received())
+	testutil.Wait(t, closedAt, "the close")
+	if s.Received() != 2 {
+		t.Errorf("%d requests were sent, want 2", s.Received())
 	}
 }
 
 func TestRefusedConnectionIsConnectFailed(t *testing.T) {
 	b := testPool(10)
-	if r := doAttempt(t, b, testAttempt(t, b, closedPort(t))); r.result != balancer.ConnectFailed || b.connections() != 0 {
+	if r := doAttempt(t, b, testAttempt(t, b, testutil.ClosedPort(t))); r.result != balancer.ConnectFailed || b.connections() != 0 {
 		t.Errorf("ending %d, %d open", r.result, b.connections())
 	}
 }
@@ -78,7 +80,7 @@
 // unreachableAddress returns an address at which no connection is ever established, as of a machine that is gone.
 func unreachableAddress(t *testing.T) string {
 	t.Helper()
-	fd, addr := boundSocket(t)
+	fd, addr := testutil.BoundSocket(t)
 	if err := syscall.Listen(fd, 0); err != nil {
 		t.Fatal(err)
 	}
@@ -113,17 +115,17 @@
 func (c halfConn) SyscallConn() (syscall.RawConn, error) { return c.Conn.(syscall.Conn).SyscallConn() }
 
 func TestBreakBeforeTheLastByteIsConnectFailed(t *testing.T) {
-	s := newServer(t, echo)
-	nc, err := net.Dial("tcp", s.addr())
+	s := testutil.NewServer(t, testutil.Echo)
+	nc, err := net.Dial("tcp", s.Address())
 	if err != nil {
 		t.Fatal(err)
 	}
 	b := testPool(10)
-	b.adopt(halfConn{nc}, testInstance(b, s.addr()))
-	if r := doAttempt(t, b, testAttempt(t, b, s.addr())); r.result != balancer.ConnectFailed || b.connections() != 0 {
+	b.adopt(halfConn{nc}, testInstance(b, s.Address()))
+	if r := doAttempt(t, b, testAttempt(t, b, s.Address())); r.result != balancer.ConnectFailed || b.connections() != 0 {
 		t.Errorf("ending %d, %d open", r.result, b.connections())
 	}
-	if s.received() != 0 {
+	if s.Received() != 0 {
 		t.Error("the server got the request")
 	}
 }
@@ -133,13 +135,13 @@
 func TestUnsolicitedBytesOrACloseDisqualifyAnIdleConnection(t *testing.T) {
 	for name, say := range map[string]string{"a close": "", "an answer to nothing": "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale"} {
 		t.Run(name, func(t *testing.T) {
-			s := newServer(t, echo)
-			nc, other := connPair(t)
-			if hasUnreadOrClosed(nc) {
+			s := testutil.NewServer(t, testutil.Echo)
+			nc, other := testutil.ConnPair(t)
+			if socketpeek.HasUnreadOrClosed(nc) {
 				t.Fatal("a silent open connection has unread bytes or is closed")
 			}
 			b := testPool(10)
-			h := testInstance(b, s.addr())
+			h := testInstance(b, s.Address())
 			b.open = 1
 			b.idle[h] = []*upstreamConn{{Conn: nc, instance: h}} // with no reader
 			if say == "" {
@@ -147,8 +149,8 @@
 			} else {
 				io.WriteString(other, say)
 			}
-			until(t, "it to arrive", func() bool { return hasUnreadOrClosed(nc) })
-			if r := doAttempt(t, b, testAttempt(t, b, s.addr())); r.result != balancer.Success || string(r.body) != "for id" || b.connections() != 1 {
+			testutil.Until(t, "it to arrive", func() bool { return socketpeek.HasUnreadOrClosed(nc) })
+			if r := doAttempt(t, b, testAttempt(t, b, s.Address())); r.result != balancer.Success || string(r.body) != "for id" || b.connections() != 1 {
 				t.Errorf("ending %d, body %q, %d open", r.result, r.body, b.connections())
 			}
 		})
@@ -158,9 +160,9 @@
 // A new connection on which the server sends or closes before the request is not used: the attempt ends, and does
 // not dial again without end.
 func TestConnectionClosedBeforeTheRequestIsNotWritten(t *testing.T) {
-	nc, other := connPair(t)
+	nc, other := testutil.ConnPair(t)
 	other.Close()
-	until(t, "the close to arrive", func() bool { return hasUnreadOrClosed(nc) })
+	testutil.Until(t, "the close to arrive", func() bool { return socketpeek.HasUnreadOrClosed(nc) })
 	b := testPool(10)
 	waiter := make(chan upstreamReply, 1)
 	b.open = 1
@@ -175,14 +177,14 @@
 	for _, want := range []balancer.AttemptResult{balancer.TimedOut, balancer.Cancelled} {
 		t.Run(fmt.Sprint("result ", int(want)), func(t *testing.T) {
 			got, gone := make(chan struct{}), make(chan struct{})
-			s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+			s := testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 				close(got)
 				c.Read(make([]byte, 1))
 				close(gone)
 				return false
 			})
 			b := testPool(10)
-			a := testAttempt(t, b, s.addr())
+			a := testAttempt(t, b, s.Address())
 			if want == balancer.TimedOut {
 				a.deadline = a.sentAt + 100*time.Millisecond
 			} else {
@@ -191,7 +193,7 @@
 			if r := doAttempt(t, b, a); r.result != want || b.connections() != 0 {
 				t.Errorf("ending %d, %d open; want %d", r.result, b.connections(), want)
 			}
-			wait(t, gone, "the close")
+			testutil.Wait(t, gone, "the close")
 		})
 	}
 }
@@ -242,8 +244,8 @@
 		}, balancer.NotSent},
 		{"its client departed", func(b *upstreamPool, a *attempt) { a.request.markDeparted() }, balancer.NotSent},
 		{"called off", func(b *upstreamPool, a *attempt) { a.cancel() }, balancer.Cancelled},
-		{"repeats are discarded no longer", func(b *upstreamPool, a *attempt) { a.notAfter = b.clock.now() }, balancer.NotSent},
-		{"its time is over", func(b *upstreamPool, a *attempt) { a.deadline = b.clock.now() }, balancer.NotSent},
+		{"repeats are discarded no longer", func(b *upstreamPool, a *attempt) { a.notAfter = b.clock.Now() }, balancer.NotSent},
+		{"its time is over", func(b *upstreamPool, a *attempt) { a.deadline = b.clock.Now() }, balancer.NotSent},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			addr, came := newSink(t)
@@ -252,14 +254,14 @@
 			a := testAttempt(t, b, addr)
 			end := make(chan attemptOutcome, 1)
 			go func() { end <- b.do(a) }()
-			wait(t, held.dialed, "the connection")
+			testutil.Wait(t, held.dialed, "the connection")
 			c.do(b, a)
 			close(held.release)
-			if r := wait(t, end, "the attempt's end"); r.result != c.want {
+			if r := testutil.Wait(t, end, "the attempt's end"); r.result != c.want {
 				t.Errorf("ending %d, want %d", r.result, c.want)
 			}
 			b.updateEndpoints(nil, true) // closes what was kept
-			if text := wait(t, came, "the close"); text != "" {
+			if text := testutil.Wait(t, came, "the close"); text != "" {
 				t.Errorf("the server got %q", text)
 			}
 			if n := b.connections(); n != 0 {
@@ -281,7 +283,7 @@
 		"length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(long)), "close": "HTTP/1.1 200 OK\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+			s := testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 				io.WriteString(c, head+body)
 				return name == "length"
 			})
@@ -293,7 +295,7 @@
 				}
 				return drippingConn{nc.(*net.TCPConn)}, nc.(*net.TCPConn).SetWriteBuffer(1)
 			}
-			a := testAttempt(t, b, s.addr())
+			a := testAttempt(t, b, s.Address())
 			a.request.body = []byte(long)
 			if r := doAttempt(t, b, a); r.result != balancer.Success || string(r.body) != long {
 				t.Errorf("ending %d, a body of %d bytes, want %d", r.result, len(r.body), len(long))
--- a/internal/node/boottime.go
+++ b/internal/node/boottime.go
@@ -4,6 +4,8 @@
 	"math"
 	"slices"
 	"time"
+
+	"basaltdrum/internal/monotime"
 )
 
 const (
@@ -35,12 +37,12 @@
 //
 // It belongs to the goroutine of the loop.
 type bootClock struct {
-	clock     clock
+	clock     monotime.Clock
 	offsets   []time.Duration // clock time minus Unix time, in the order in which they were last seen
 	currentAt time.Duration   // clock time when the node's list was last known to be current; 0: not yet
 }
 
-func newBootClock(c clock) *bootClock {
+func newBootClock(c monotime.Clock) *bootClock {
 	b := &bootClock{clock: c}
 	b.observe()
 	return b
@@ -48,7 +50,7 @@
 
 // observe records the present offset between the two clocks.
 func (b *bootClock) observe() {
-	offset := b.clock.now() - b.clock.unix()
+	offset := b.clock.Now() - b.clock.Unix()
 	b.offsets = slices.DeleteFunc(b.offsets, func(known time.Duration) bool {
 		return (offset - known).Abs() <= offsetTolerance
 	})
@@ -61,7 +63,7 @@
 // confirm records that discovery has answered, so that the node's list is current now.
 func (b *bootClock) confirm() {
 	b.observe()
-	b.currentAt = b.clock.now()
+	b.currentAt = b.clock.Now()
 }
 
 // startTime returns the clock time of the start that an entry announces; 0: long ago. previous is the entry with the
@@ -83,7 +85,7 @@
 // convert returns the latest clock time that the offsets yield for a start and that is not in the future, or the
 // present one if there is none.
 func (b *bootClock) convert(bootMS float64) time.Duration {
-	now := b.clock.now()
+	now := b.clock.Now()
 	// Rounding to microseconds makes this exact; as a float64, nanoseconds since 1970 are not.
 	boot := time.Duration(math.Round(min(bootMS, maxConvertibleBootMS)*1000)) * time.Microsecond
 	var (
--- a/internal/node/boottime_test.go
+++ b/internal/node/boottime_test.go
@@ -8,6 +8,8 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/monotime"
+	"basaltdrum/internal/testutil"
 )
 
 // machineClocks are the clocks of a machine: time passes on both, and the wall clock can be stepped.
@@ -15,10 +17,13 @@
 
 func newMachineClocks() *machineClocks { return &machineClocks{unix: 1_800_000_000 * time.Second} }
 
-func (m *machineClocks) clock() clock {
-	return clock{elapsed: func() time.Duration { return m.elapsed }, unix: func() time.Duration { return m.unix }}
+func (m *machineClocks) clock() monotime.Clock {
+	return monotime.Simulated(func() time.Duration { return m.elapsed }, func() time.Duration { return m.unix })
 }
 
+// processStart is the clock time at which the process started.
+func (m *machineClocks) processStart() time.Duration { return m.clock().Now() - m.elapsed }
+
 func (m *machineClocks) pass(d time.Duration) { m.elapsed, m.unix = m.elapsed+d, m.unix+d }
 
 // bootMS is the wall clock as a server that starts now reports it.
@@ -34,7 +39,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newLoop(b, m.clock(), testLog())
+	l := newLoop(b, m.clock(), testutil.DiscardLog())
 	l.rules.Store(newRequestRules(1, cfg.Settings))
 	l.updateEndpoints, l.subscribe, l.listsPushed = func([]listEntry, bool) {}, func() {}, push
 	return l
@@ -42,11 +47,11 @@
 
 // bootEntry is a server in service that reports a start time.
 func bootEntry(uid string, bootMS int64) string {
-	return strings.Replace(entry(uid, "127.0.0.1:1", "in_service"), `"boot_ms":0`, fmt.Sprintf(`"boot_ms":%d`, bootMS), 1)
+	return strings.Replace(testutil.ListEntry(uid, "127.0.0.1:1", "in_service"), `"boot_ms":0`, fmt.Sprintf(`"boot_ms":%d`, bootMS), 1)
 }
 
 // neverRestarted is a server that never restarts.
-var neverRestarted = entry("other", "127.0.0.1:2", "in_service")
+var neverRestarted = testutil.ListEntry("other", "127.0.0.1:2", "in_service")
 
 // clockSteps are steps of the wall clock, some of them there and back.
 var clockSteps = [][]time.Duration{
@@ -83,7 +88,7 @@
 					l.handleEvent(listReceived{listOf(t, true, neverRestarted, bootEntry("s", m.bootMS()-1e6))})
 					m.pass(10 * time.Second)
 					set("before the start")
-					started, news := l.clock.now(), []string{bootEntry("s", m.bootMS())}
+					started, news := l.clock.Now(), []string{bootEntry("s", m.bootMS())}
 					if full {
 						news = append(news, neverRestarted)
 					}
@@ -185,7 +190,7 @@
 			m := newMachineClocks()
 			l := bootLoop(t, m, true)
 			c.do(m, l)
-			if got := l.endpoints["s1"].StartedAt - processStart; got != c.want {
+			if got := l.endpoints["s1"].StartedAt - m.processStart(); got != c.want {
 				t.Errorf("%s: taken to have started at %v, want %v", c.name, got, c.want)
 			}
 		})
@@ -245,7 +250,7 @@
 func newLoopTraffic(l *loop, m *machineClocks) *loopTraffic {
 	d := &loopTraffic{loop: l, m: m}
 	l.start = func(a *attempt) {
-		d.ends = append(d.ends, timedEnd{l.clock.now() + 4*time.Millisecond, a})
+		d.ends = append(d.ends, timedEnd{l.clock.Now() + 4*time.Millisecond, a})
 		d.sent++
 	}
 	return d
@@ -264,7 +269,7 @@
 }
 
 func (d *loopTraffic) step() {
-	now := d.loop.clock.now()
+	now := d.loop.clock.Now()
 	for len(d.ends) > 0 && d.ends[0].at <= now {
 		end := d.ends[0]
 		d.ends = d.ends[1:]
--- a/internal/node/brokenconn_test.go
+++ b/internal/node/brokenconn_test.go
@@ -7,6 +7,8 @@
 	"os"
 	"syscall"
 	"testing"
+
+	"basaltdrum/internal/testutil"
 )
 
 // A client whose connection breaks, by whatever error, has departed: nothing begins for it any more, and its
@@ -31,9 +33,9 @@
 func breakWhileWaiting(t *testing.T, cause error, where string) {
 	stays := cause == os.ErrDeadlineExceeded
 	got, calledOff := make(chan struct{}, 1), make(chan struct{}, 1)
-	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	s := testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		if r.Header.Get("X-Request-Id") == "other" || stays {
-			return echo(c, r, body)
+			return testutil.Echo(c, r, body)
 		}
 		got <- struct{}{}
 		c.Read(make([]byte, 1)) // until the node closes
@@ -42,9 +44,9 @@
 	})
 	var dials heldDials
 	conns := breakableConns{cause: cause, accepted: make(chan *breakableConn, 2)}
-	cfg := testConfig(completeList(entry("s1", s.addr(), "in_service")))
+	cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service")))
 	for i := range cfg.Settings.Classes { // no attempt times out before the test gives up
-		cfg.Settings.Classes[i].LatencyObjective, cfg.Settings.Classes[i].Deadline = 4*limit, 4*limit
+		cfg.Settings.Classes[i].LatencyObjective, cfg.Settings.Classes[i].Deadline = 4*testutil.Limit, 4*testutil.Limit
 	}
 	n, _ := startNode(t, cfg, func(n *Node) {
 		conns.TCPListener = n.listener.(*net.TCPListener)
@@ -54,25 +56,25 @@
 		}
 	})
 	c := dial(t, n)
-	c.send("POST", "/note/k", "leaving", "x", "120")
-	wait(t, dials.dialed, "the connection")
+	c.Send("POST", "/note/k", "leaving", "x", "120")
+	testutil.Wait(t, dials.dialed, "the connection")
 	if where == "in flight" {
-		wait(t, got, "the attempt")
+		testutil.Wait(t, got, "the attempt")
 	}
-	conn := wait(t, conns.accepted, "the downstream connection")
+	conn := testutil.Wait(t, conns.accepted, "the downstream connection")
 	conn.breakNow()
 	if stays {
-		wait(t, conn.watchEnded, "the end of the watch")
+		testutil.Wait(t, conn.watchEnded, "the end of the watch")
 		close(dials.release)
-		c.want(t, 200, "for leaving")
+		c.Expect(t, 200, "for leaving")
 		return
 	}
 	seen := map[string]int{"other": 1}
 	if where == "dial" {
-		until(t, "the node to notice", func() bool { return n.frontend.conns.count() == 0 })
+		testutil.Until(t, "the node to notice", func() bool { return n.frontend.conns.count() == 0 })
 		close(dials.release)
 	} else {
-		wait(t, calledOff, "the end of the attempt")
+		testutil.Wait(t, calledOff, "the end of the attempt")
 		seen["leaving"] = 1 // begun before its connection broke
 	}
 	checkNothingForwarded(t, n, s, seen)
--- a/internal/node/chunked_test.go
+++ b/internal/node/chunked_test.go
@@ -8,6 +8,8 @@
 	"net/http"
 	"strings"
 	"testing"
+
+	"basaltdrum/internal/testutil"
 )
 
 // chunkedHead is the head of a POST with a chunked body.
@@ -16,9 +18,9 @@
 }
 
 // framingServer answers with the framing of a request and a hash of its body.
-func framingServer(t *testing.T) *fakeServer {
-	return newServer(t, func(c net.Conn, r *http.Request, body string) bool {
-		return reply200(c, framed(r.Method, r.ContentLength, body, r.TransferEncoding, r.Trailer))
+func framingServer(t *testing.T) *testutil.Server {
+	return testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+		return testutil.ReplyOK(c, framed(r.Method, r.ContentLength, body, r.TransferEncoding, r.Trailer))
 	})
 }
 
@@ -30,7 +32,7 @@
 // after it is the next request.
 func TestChunkedBodiesAreForwardedWithALength(t *testing.T) {
 	s := framingServer(t)
-	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), nil)
+	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), nil)
 	full := strings.Repeat("b", maxBody)
 	for _, c := range []struct{ name, chunks, body string }{
 		{"one chunk", "2\r\nok\r\n0\r\n\r\n", "ok"},
@@ -51,32 +53,32 @@
 		t.Run(c.name, func(t *testing.T) {
 			want := framed("POST", int64(len(c.body)), c.body, nil, nil)
 			one := dial(t, n)
-			go io.WriteString(one, chunkedHead("whole-"+c.name)+c.chunks+requestText("behind-"+c.name))
-			one.want(t, 200, want)
-			one.want(t, 200, framed("GET", 0, "", nil, nil))
+			go io.WriteString(one, chunkedHead("whole-"+c.name)+c.chunks+testutil.RequestText("behind-"+c.name))
+			one.Expect(t, 200, want)
+			one.Expect(t, 200, framed("GET", 0, "", nil, nil))
 			expect := dial(t, n)
 			io.WriteString(expect, strings.Replace(chunkedHead("expect-"+c.name), "\r\n\r\n", "\r\nExpect: 100-continue\r\n\r\n", 1))
-			if r, _ := expect.answer(t); r.StatusCode != http.StatusContinue {
+			if r, _ := expect.Response(t); r.StatusCode != http.StatusContinue {
 				t.Fatalf("got %d, want 100", r.StatusCode)
 			}
 			go io.WriteString(expect, c.chunks)
-			expect.want(t, 200, want)
+			expect.Expect(t, 200, want)
 		})
 	}
 	c := dial(t, n)
 	io.WriteString(c, "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: get\r\nX-Deadline: 60\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
-	c.want(t, 200, framed("GET", 0, "", nil, nil))
+	c.Expect(t, 200, framed("GET", 0, "", nil, nil))
 }
 
 // Any error in the framing of a request is answered with an error and ends the connection: nothing of the request
 // is forwarded, nor anything in its body or after it.
 func TestFramingErrorsEndTheConnection(t *testing.T) {
 	s := framingServer(t)
-	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), nil)
+	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), nil)
 	const start = "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: bad\r\nX-Deadline: 60\r\n"
 	chunks := strings.TrimSuffix(start, "\r\n") + "\r\nTransfer-Encoding: chunked\r\n\r\n"
 	old := strings.Replace(start, "HTTP/1.1", "HTTP/1.0", 1) + "Connection: keep-alive\r\n"
-	hidden := requestText("hidden")
+	hidden := testutil.RequestText("hidden")
 	for _, c := range []struct {
 		name, text string
 		status     int
@@ -133,13 +135,13 @@
 			t.Parallel()
 			alone := dial(t, n)
 			go io.WriteString(alone, c.text+hidden)
-			alone.want(t, c.status, "")
-			expectClosed(t, alone.reader, "a connection whose framing is broken")
+			alone.Expect(t, c.status, "")
+			testutil.ExpectClosed(t, alone.Reader, "a connection whose framing is broken")
 			behind := dial(t, n)
-			go io.WriteString(behind, requestText("good-"+c.name)+c.text+hidden)
-			behind.want(t, 200, framed("GET", 0, "", nil, nil))
-			behind.want(t, c.status, "")
-			expectClosed(t, behind.reader, "a connection whose framing is broken")
+			go io.WriteString(behind, testutil.RequestText("good-"+c.name)+c.text+hidden)
+			behind.Expect(t, 200, framed("GET", 0, "", nil, nil))
+			behind.Expect(t, c.status, "")
+			testutil.ExpectClosed(t, behind.Reader, "a connection whose framing is broken")
 		})
 	}
 	t.Run("chunks without end", func(t *testing.T) {
@@ -151,13 +153,11 @@
 				_, err = io.WriteString(endless, strings.Repeat("1\r\nb\r\n", 1000))
 			}
 		}()
-		endless.want(t, 413, "")
-		expectClosed(t, endless.reader, "a connection with an endless body")
+		endless.Expect(t, 413, "")
+		testutil.ExpectClosed(t, endless.Reader, "a connection with an endless body")
 	})
 	t.Cleanup(func() {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		for _, id := range s.requests {
+		for _, id := range s.Requests() {
 			if !strings.HasPrefix(id, "good-") {
 				t.Errorf("%s was forwarded", id)
 			}
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -4,6 +4,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"basaltdrum/internal/testutil"
 )
 
 const goodConfig = `{"name":"n3","listen":"127.0.0.1:7070","discovery":"127.0.0.1:8500",
@@ -43,7 +45,7 @@
 				return
 			}
 			cfg.Listen = "127.0.0.1:0"
-			if n, err := New(cfg, testLog()); err != nil {
+			if n, err := New(cfg, testutil.DiscardLog()); err != nil {
 				t.Errorf("%s: %v", c[1], err)
 			} else {
 				n.listener.Close()
--- a/internal/node/deadlineheader_test.go
+++ b/internal/node/deadlineheader_test.go
@@ -10,6 +10,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"basaltdrum/internal/testutil"
 )
 
 // holdUpTime is how long the tests below delay something. The deadline that a server is given must be shorter by
@@ -25,12 +27,12 @@
 
 // fullValueConfig has classes whose responses keep their value up to the client's deadline, so that a server is
 // given the time until then.
-func fullValueConfig(servers ...*fakeServer) Config {
+func fullValueConfig(servers ...*testutil.Server) Config {
 	var entries []string
 	for i, s := range servers {
-		entries = append(entries, entry(fmt.Sprint("s", i), s.addr(), "in_service"))
+		entries = append(entries, testutil.ListEntry(fmt.Sprint("s", i), s.Address(), "in_service"))
 	}
-	cfg := testConfig(completeList(entries...))
+	cfg := testConfig(testutil.CompleteList(entries...))
 	for i := range cfg.Settings.Classes {
 		cfg.Settings.Classes[i].LateValue = 1
 	}
@@ -41,17 +43,17 @@
 func checkForwardedDeadline(t *testing.T, value string, over time.Duration) {
 	t.Helper()
 	seconds, err := strconv.ParseFloat(value, 64)
-	if most := (time.Minute - over).Seconds(); err != nil || seconds > most || seconds < most-limit.Seconds()+1 {
+	if most := (time.Minute - over).Seconds(); err != nil || seconds > most || seconds < most-testutil.Limit.Seconds()+1 {
 		t.Errorf("the server got %q, %v after the client began; at most %.3f was left", value, over, most)
 	}
 }
 
 // newDeadlineServer reports the X-Deadline of each request.
-func newDeadlineServer(t *testing.T) (s *fakeServer, deadlines chan string) {
+func newDeadlineServer(t *testing.T) (s *testutil.Server, deadlines chan string) {
 	deadlines = make(chan string, 10)
-	return newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	return testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		deadlines <- r.Header.Get("X-Deadline")
-		return echo(c, r, body)
+		return testutil.Echo(c, r, body)
 	}), deadlines
 }
 
@@ -59,8 +61,8 @@
 func TestForwardedDeadlineRunsFromTheFirstByte(t *testing.T) {
 	const post = "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: r\r\nX-Deadline: 60\r\n"
 	for _, pieces := range [][2]string{
-		{"G", requestText("r")[1:]},
-		{requestText("r")[:40], requestText("r")[40:]},
+		{"G", testutil.RequestText("r")[1:]},
+		{testutil.RequestText("r")[:40], testutil.RequestText("r")[40:]},
 		{post + "Content-Length: 4\r\n\r\n", "body"},
 		{post + "Content-Length: 4\r\n\r\nbo", "dy"},
 		{post + "Transfer-Encoding: chunked\r\n\r\n2\r\nb", "o\r\n0\r\n\r\n"},
@@ -71,7 +73,7 @@
 			n, _ := startNode(t, fullValueConfig(s), nil)
 			c := dial(t, n)
 			io.WriteString(c, pieces[0])
-			until(t, "the first piece to be read", func() bool {
+			testutil.Until(t, "the first piece to be read", func() bool {
 				n.frontend.conns.mu.Lock()
 				defer n.frontend.conns.mu.Unlock()
 				for c := range n.frontend.conns.conns {
@@ -81,8 +83,8 @@
 			})
 			over := holdUp()
 			io.WriteString(c, pieces[1])
-			checkForwardedDeadline(t, wait(t, deadlines, "the request"), over)
-			c.want(t, 200, "for r")
+			checkForwardedDeadline(t, testutil.Wait(t, deadlines, "the request"), over)
+			c.Expect(t, 200, "for r")
 		})
 	}
 }
@@ -90,22 +92,22 @@
 // The time of a pipelined request runs from its own first byte, while the request before it is still being served.
 func TestForwardedDeadlineOfAPipelinedRequest(t *testing.T) {
 	hold, deadlines := make(chan struct{}), make(chan string, 10)
-	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	s := testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		deadlines <- r.Header.Get("X-Deadline")
 		<-hold
-		return echo(c, r, body)
+		return testutil.Echo(c, r, body)
 	})
 	n, _ := startNode(t, fullValueConfig(s), nil)
 	c := dial(t, n)
-	c.get("first")
-	wait(t, deadlines, "the first request")
-	c.get("behind")
-	until(t, "the one behind to be read", func() bool { return readAheadBytes(n) == len(requestText("behind")) })
+	c.Get("first")
+	testutil.Wait(t, deadlines, "the first request")
+	c.Get("behind")
+	testutil.Until(t, "the one behind to be read", func() bool { return readAheadBytes(n) == len(testutil.RequestText("behind")) })
 	over := holdUp()
 	close(hold)
-	checkForwardedDeadline(t, wait(t, deadlines, "the pipelined request"), over)
-	c.want(t, 200, "for first")
-	c.want(t, 200, "for behind")
+	checkForwardedDeadline(t, testutil.Wait(t, deadlines, "the pipelined request"), over)
+	c.Expect(t, 200, "for first")
+	c.Expect(t, 200, "for behind")
 }
 
 // The forwarded deadline is the time left when the request is written, however late that is.
@@ -116,11 +118,11 @@
 		var dials heldDials
 		n, _ := startNode(t, fullValueConfig(s),
 			func(n *Node) { dials = holdDials(n.upstream) })
-		dial(t, n).get("r")
-		wait(t, dials.dialed, "the connection")
+		dial(t, n).Get("r")
+		testutil.Wait(t, dials.dialed, "the connection")
 		over := holdUp()
 		close(dials.release)
-		checkForwardedDeadline(t, wait(t, deadlines, "the request"), over)
+		checkForwardedDeadline(t, testutil.Wait(t, deadlines, "the request"), over)
 	})
 	t.Run("held up just before the write", func(t *testing.T) {
 		t.Parallel()
@@ -135,13 +137,13 @@
 				return gatedConn{nc.(*net.TCPConn), gatedConns{reads: newGate(0), peeks: looks}}, nil
 			}
 		})
-		dial(t, n).get("r")
+		dial(t, n).Get("r")
 		for range 2 {
-			wait(t, looks.arrived, "a look")
+			testutil.Wait(t, looks.arrived, "a look")
 		}
 		over := holdUp()
 		close(looks.release)
-		checkForwardedDeadline(t, wait(t, deadlines, "the request"), over)
+		checkForwardedDeadline(t, testutil.Wait(t, deadlines, "the request"), over)
 	})
 	t.Run("retry", func(t *testing.T) {
 		t.Parallel()
@@ -154,15 +156,15 @@
 				return true
 			}
 			deadlines <- r.Header.Get("X-Deadline")
-			return echo(c, r, body)
+			return testutil.Echo(c, r, body)
 		}
-		one, two := newServer(t, answer), newServer(t, answer)
+		one, two := testutil.NewServer(t, answer), testutil.NewServer(t, answer)
 		n, _ := startNode(t, fullValueConfig(one, two), nil)
-		dial(t, n).get("r")
-		wait(t, turn.arrived, "the first attempt")
+		dial(t, n).Get("r")
+		testutil.Wait(t, turn.arrived, "the first attempt")
 		over := holdUp()
 		close(turn.release)
-		checkForwardedDeadline(t, wait(t, deadlines, "the retry"), over)
+		checkForwardedDeadline(t, testutil.Wait(t, deadlines, "the retry"), over)
 	})
 }
 
@@ -184,7 +186,7 @@
 	b := testPool(1)
 	for _, left := range []time.Duration{-time.Second, 0, minRemainingTime / 2} {
 		a := testAttempt(t, b, "127.0.0.1:1")
-		a.deadline = b.clock.now() + left
+		a.deadline = b.clock.Now() + left
 		if wait := b.remainingTime(a); wait != 0 || writeDeadlineValue(nil, wait) {
 			t.Errorf("with %v left, %v is forwarded", left, wait)
 		}
--- a/internal/node/departure.go
+++ b/internal/node/departure.go
@@ -6,6 +6,8 @@
 	"io"
 	"os"
 	"syscall"
+
+	"basaltdrum/internal/socketpeek"
 )
 
 // departure is what the node knows about a client's leaving while its request is open. It only ever
@@ -84,12 +86,12 @@
 // awaitUnread waits until the kernel has received something from the client: bytes, a FIN or an RST. Before
 // it waits, it notes that everything received so far has been read.
 func (c *downstreamConn) awaitUnread() error {
-	raw := rawConn(c.Conn)
+	raw := socketpeek.RawConn(c.Conn)
 	if raw == nil {
 		return nil
 	}
 	return raw.Read(func(fd uintptr) bool {
-		unread := hasUnread(fd)
+		unread := socketpeek.HasUnread(fd)
 		if !unread {
 			c.markCaughtUp()
 		}
@@ -100,7 +102,7 @@
 // awaitReset waits, after the client's FIN, for a reset or the read deadline. It asks for the socket's error,
 // because a read would not wait but return the end of the stream at once.
 func (c *downstreamConn) awaitReset() error {
-	raw := rawConn(c.Conn)
+	raw := socketpeek.RawConn(c.Conn)
 	if raw == nil {
 		return io.EOF
 	}
--- a/internal/node/departure_test.go
+++ b/internal/node/departure_test.go
@@ -12,12 +12,14 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"basaltdrum/internal/testutil"
 )
 
 func TestClientDepartureCancelsTheAttempt(t *testing.T) {
 	got, gone := make(chan struct{}), make(chan struct{})
 	var first sync.Once
-	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	s := testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		answers := true
 		first.Do(func() {
 			close(got)
@@ -25,18 +27,18 @@
 			close(gone)
 			answers = false
 		})
-		return answers && echo(c, r, body)
+		return answers && testutil.Echo(c, r, body)
 	})
-	n, _ := startNode(t, withLongObjectives(testConfig(completeList(entry("s1", s.addr(), "in_service")))), nil)
+	n, _ := startNode(t, withLongObjectives(testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service")))), nil)
 	c := dial(t, n)
-	c.send("POST", "/note/k", "leaving", "x", "60")
-	wait(t, got, "the attempt")
+	c.Send("POST", "/note/k", "leaving", "x", "60")
+	testutil.Wait(t, got, "the attempt")
 	c.Close()
-	wait(t, gone, "the end of the attempt")
+	testutil.Wait(t, gone, "the end of the attempt")
 	again := dial(t, n)
-	until(t, "the id to be free again", func() bool {
-		again.send("POST", "/note/k", "leaving", "x", "60")
-		r, _ := again.answer(t)
+	testutil.Until(t, "the id to be free again", func() bool {
+		again.Send("POST", "/note/k", "leaving", "x", "60")
+		r, _ := again.Response(t)
 		return r.StatusCode == 200
 	})
 }
@@ -63,12 +65,12 @@
 }
 
 func departWhileQueued(t *testing.T, held bool, method string, reset bool, stray string, mayCancel bool) {
-	s := newServer(t, echo)
+	s := testutil.NewServer(t, testutil.Echo)
 	state := "in_service"
 	if held {
 		state = "terminating"
 	}
-	cfg := testConfig(completeList(entry("s1", s.addr(), state)))
+	cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), state)))
 	cfg.Settings.AllowCancel = mayCancel
 	var dials heldDials
 	n, _ := startNode(t, cfg, func(n *Node) {
@@ -81,23 +83,23 @@
 	if method == "POST" {
 		target, body = "/note/k", "body"
 	}
-	c.send(method, target, "leaving", body, "60")
+	c.Send(method, target, "leaving", body, "60")
 	if held {
 		untilActive(t, n, 1)
 	} else {
-		wait(t, dials.dialed, "the connection")
+		testutil.Wait(t, dials.dialed, "the connection")
 	}
 	if stray != "" {
 		io.WriteString(c, stray)
-		until(t, "the byte to be read", func() bool { return readAheadBytes(n) == len(stray) })
+		testutil.Until(t, "the byte to be read", func() bool { return readAheadBytes(n) == len(stray) })
 	}
 	if reset {
 		c.Conn.(*net.TCPConn).SetLinger(0)
 	}
 	c.Close()
-	until(t, "the node to notice", func() bool { return n.frontend.conns.count() == 0 })
+	testutil.Until(t, "the node to notice", func() bool { return n.frontend.conns.count() == 0 })
 	if held {
-		n.loop.post(listReceived{listOf(t, true, entry("s1", s.addr(), "in_service"))})
+		n.loop.post(listReceived{listOf(t, true, testutil.ListEntry("s1", s.Address(), "in_service"))})
 	} else {
 		close(dials.release)
 	}
@@ -127,7 +129,7 @@
 	ahead      int // bytes that it pipelines
 	mayCancel  bool
 
-	server  *fakeServer
+	server  *testutil.Server
 	node    *Node
 	dials   heldDials
 	conns   breakableConns
@@ -147,26 +149,26 @@
 }
 
 func (d *pipelinedDeparture) play(t *testing.T) {
-	d.server = newServer(t, d.serve)
-	cfg := testConfig(completeList(d.entries(d.state())...))
+	d.server = testutil.NewServer(t, d.serve)
+	cfg := testConfig(testutil.CompleteList(d.entries(d.state())...))
 	cfg.Settings.AllowCancel = d.mayCancel
 	d.node, _ = startNode(t, cfg, d.change)
 	c := dial(t, d.node)
 	d.begin(t, c)
-	text := pipelinedText(d.ahead)
+	text := testutil.PipelinedText(d.ahead)
 	if d.ahead > readAheadPerConn && d.where != "busy loop" {
 		text = strings.Repeat("x", d.ahead) // they are answered while the client is connected: no requests, then
 	}
 	io.WriteString(c, text)
 	if d.ahead <= readAheadPerConn {
-		until(t, "the bytes to be read", func() bool { return readAheadBytes(d.node) == d.ahead })
+		testutil.Until(t, "the bytes to be read", func() bool { return readAheadBytes(d.node) == d.ahead })
 	}
 	d.depart(t, c)
 	if d.where == "busy loop" {
-		until(t, "the departure to be queued", func() bool { return len(d.node.loop.events) >= 2 })
+		testutil.Until(t, "the departure to be queued", func() bool { return len(d.node.loop.events) >= 2 })
 		close(d.resume)
 	}
-	until(t, "the node to notice", func() bool { return d.node.frontend.conns.count() == 0 })
+	testutil.Until(t, "the node to notice", func() bool { return d.node.frontend.conns.count() == 0 })
 	d.proceed(t)
 	seen := map[string]int{"other": 1}
 	if d.where == "retry" || d.where == "in flight" {
@@ -177,7 +179,7 @@
 
 func (d *pipelinedDeparture) serve(c net.Conn, r *http.Request, body string) bool {
 	if r.Header.Get("X-Request-Id") != "leaving" {
-		return echo(c, r, body)
+		return testutil.Echo(c, r, body)
 	}
 	if d.where == "in flight" {
 		d.got <- struct{}{}
@@ -196,12 +198,12 @@
 }
 
 func (d *pipelinedDeparture) entries(state string) []string {
-	return []string{entry("s1", d.server.addr(), state), entry("s2", d.server.addr(), state)}
+	return []string{testutil.ListEntry("s1", d.server.Address(), state), testutil.ListEntry("s2", d.server.Address(), state)}
 }
 
 // change has the node stop where the client is to depart.
 func (d *pipelinedDeparture) change(n *Node) {
-	n.drainSchedule, n.drainLimit = drainSchedule{closeConns: time.Millisecond, answerAll: limit}, 2*limit // as short as it can be
+	n.drainSchedule, n.drainLimit = drainSchedule{closeConns: time.Millisecond, answerAll: testutil.Limit}, 2*testutil.Limit // as short as it can be
 	d.conns.TCPListener = n.listener.(*net.TCPListener)
 	n.listener = d.conns
 	switch d.where {
@@ -234,31 +236,31 @@
 }
 
 // begin sends the request, and waits until it is where the client is to depart.
-func (d *pipelinedDeparture) begin(t *testing.T, c *testClient) {
+func (d *pipelinedDeparture) begin(t *testing.T, c *testutil.Client) {
 	if d.where == "busy loop" {
-		until(t, "the first list to be taken", d.node.loop.ready.Load)
+		testutil.Until(t, "the first list to be taken", d.node.loop.ready.Load)
 		update := listOf(t, false, d.entries("in_service")...)
 		update.entries[0].Capacity = 2
 		d.node.loop.post(listReceived{update})
-		wait(t, d.stopped, "the loop")
+		testutil.Wait(t, d.stopped, "the loop")
 	}
-	c.get("leaving")
+	c.Get("leaving")
 	switch d.where {
 	case "held":
 		untilActive(t, d.node, 1)
 	case "dial", "retry":
-		wait(t, d.dials.dialed, "the connection")
+		testutil.Wait(t, d.dials.dialed, "the connection")
 	case "in flight":
-		wait(t, d.got, "the attempt")
+		testutil.Wait(t, d.got, "the attempt")
 	case "busy loop":
-		until(t, "the request to be queued", func() bool { return len(d.node.loop.events) == 1 })
+		testutil.Until(t, "the request to be queued", func() bool { return len(d.node.loop.events) == 1 })
 	}
 }
 
-func (d *pipelinedDeparture) depart(t *testing.T, c *testClient) {
+func (d *pipelinedDeparture) depart(t *testing.T, c *testutil.Client) {
 	switch d.how {
 	case "break":
-		wait(t, d.conns.accepted, "the downstream connection").breakNow()
+		testutil.Wait(t, d.conns.accepted, "the downstream connection").breakNow()
 	case "reset":
 		c.Conn.(*net.TCPConn).SetLinger(0)
 		c.Close()
@@ -281,12 +283,12 @@
 
 // checkNothingForwarded has another client served, waits for all attempts to end, and compares the requests that
 // the server received with what it may have received.
-func checkNothingForwarded(t *testing.T, n *Node, s *fakeServer, want map[string]int) {
+func checkNothingForwarded(t *testing.T, n *Node, s *testutil.Server, want map[string]int) {
 	t.Helper()
 	other := dial(t, n)
-	other.get("other")
-	other.want(t, 200, "for other")
-	until(t, "all attempts' end", func() bool {
+	other.Get("other")
+	other.Expect(t, 200, "for other")
+	testutil.Until(t, "all attempts' end", func() bool {
 		n.upstream.mu.Lock()
 		defer n.upstream.mu.Unlock()
 		kept := 0
@@ -295,10 +297,8 @@
 		}
 		return kept == n.upstream.open
 	})
-	s.mu.Lock()
-	defer s.mu.Unlock()
 	got := map[string]int{}
-	for _, id := range s.requests {
+	for _, id := range s.Requests() {
 		got[id]++
 	}
 	if !maps.Equal(got, want) {
@@ -311,24 +311,24 @@
 
 // Fifty departures at the same time are all noticed.
 func TestNothingBeginsForABurstOfDepartures(t *testing.T) {
-	s := newServer(t, echo)
+	s := testutil.NewServer(t, testutil.Echo)
 	through := make(chan struct{})
-	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) {
 		n.upstream.dial = func(_ context.Context, network, address string) (net.Conn, error) {
 			nc, err := net.Dial(network, address)
 			<-through
 			return nc, err
 		}
 	})
-	var leavers []*testClient
+	var leavers []*testutil.Client
 	for i := range 50 {
 		c := dial(t, n)
-		c.get(fmt.Sprint("leaving-", i))
+		c.Get(fmt.Sprint("leaving-", i))
 		leavers = append(leavers, c)
 	}
 	untilActive(t, n, len(leavers))
 	for i, c := range leavers {
-		io.WriteString(c, pipelinedText(1000*i))
+		io.WriteString(c, testutil.PipelinedText(1000*i))
 	}
 	for i, c := range leavers {
 		if i%2 == 0 {
@@ -336,7 +336,7 @@
 		}
 		c.Close()
 	}
-	until(t, "the node to notice", func() bool { return n.frontend.conns.count() == 0 })
+	testutil.Until(t, "the node to notice", func() bool { return n.frontend.conns.count() == 0 })
 	close(through)
 	checkNothingForwarded(t, n, s, map[string]int{"other": 1})
 }
@@ -344,34 +344,34 @@
 // A request whose client has closed before it is read does not reach the module before the close is noticed,
 // however late the departure watch looks at the connection.
 func TestNothingBeginsBeforeTheDepartureWatchHasCaughtUp(t *testing.T) {
-	s := newServer(t, echo)
+	s := testutil.NewServer(t, testutil.Echo)
 	reads, looks := newGate(2), newGate(2)
-	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) {
 		n.listener = gatedConns{n.listener.(*net.TCPListener), reads, looks}
 	})
 	c, other := dial(t, n), dial(t, n)
 	for range 2 {
-		wait(t, reads.arrived, "a read")
+		testutil.Wait(t, reads.arrived, "a read")
 	}
-	c.get("left")
+	c.Get("left")
 	c.Close()
-	other.get("other")
+	other.Get("other")
 	close(reads.release)
 	for range 2 {
-		wait(t, looks.arrived, "a look")
+		testutil.Wait(t, looks.arrived, "a look")
 	}
 	third := dial(t, n)
 	for i := range 20 { // time enough for either request, if it did not wait
-		third.get(fmt.Sprint("third-", i))
-		third.want(t, 200, "")
+		third.Get(fmt.Sprint("third-", i))
+		third.Expect(t, 200, "")
 	}
-	if s.received() != 20 {
-		t.Errorf("%d requests began, want 20", s.received())
+	if s.Received() != 20 {
+		t.Errorf("%d requests began, want 20", s.Received())
 	}
 	close(looks.release)
-	other.want(t, 200, "for other")
-	until(t, "the node to notice", func() bool { return n.frontend.conns.count() == 2 })
-	if s.received() != 21 {
-		t.Errorf("%d requests began, want 21", s.received())
+	other.Expect(t, 200, "for other")
+	testutil.Until(t, "the node to notice", func() bool { return n.frontend.conns.count() == 2 })
+	if s.Received() != 21 {
+		t.Errorf("%d requests began, want 21", s.Received())
 	}
 }
--- a/internal/node/descriptorbudget.go
+++ b/internal/node/descriptorbudget.go
@@ -9,6 +9,8 @@
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"basaltdrum/internal/monotime"
 )
 
 // gracePeriods are how long a connection without an open request is exempt from eviction, for each of the
@@ -32,7 +34,7 @@
 // descriptors. When there are too many, connections without an open request are evicted, those that are the
 // least useful first. A request is rejected only when open requests alone exceed the share.
 type downstreamConns struct {
-	clock           clock
+	clock           monotime.Clock
 	capacity        int        // descriptors for downstream and upstream connections together
 	upstreamReserve int        // the part of capacity that is always left to upstream connections
 	upstreamCount   func() int // how many upstream connections there are
@@ -89,7 +91,7 @@
 
 // newDownstreamConns takes the numbers of descriptors as downstreamConns documents them, and the node's
 // memory limit in bytes, of which the read-ahead buffers may use a share.
-func newDownstreamConns(c clock, capacity, rejectReserve int, memory int64, upstreamCount func() int) *downstreamConns {
+func newDownstreamConns(c monotime.Clock, capacity, rejectReserve int, memory int64, upstreamCount func() int) *downstreamConns {
 	return &downstreamConns{
 		clock: c, capacity: capacity, upstreamReserve: capacity / 4, upstreamCount: upstreamCount,
 		rejectReserve: rejectReserve, readAheadLimit: memory / readAheadMemoryShare,
@@ -142,7 +144,7 @@
 	if p == phaseActive {
 		s.active++
 	}
-	c.connActivity = connActivity{phase: p, since: s.clock.now()}
+	c.connActivity = connActivity{phase: p, since: s.clock.Now()}
 }
 
 // startLingering notes that net/http has written its last response and waits for the client to receive it.
@@ -214,7 +216,7 @@
 	if s.excess() <= 0 {
 		return
 	}
-	now := s.clock.now()
+	now := s.clock.Now()
 	var evictable []*downstreamConn
 	for c := range s.conns {
 		if !c.evicted && s.evictionRank(c, now) > 0 {
@@ -278,7 +280,7 @@
 func (s *downstreamConns) evictQuiet() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := s.clock.now()
+	now := s.clock.Now()
 	for c := range s.conns {
 		silent := c.phase == phaseNew && !c.hasRequestBytes() && now-c.since >= s.gracePeriods.newConn
 		if c.phase == phaseIdle || silent {
--- a/internal/node/descriptorbudget_test.go
+++ b/internal/node/descriptorbudget_test.go
@@ -12,46 +12,50 @@
 	"sync"
 	"testing"
 	"time"
+
+	"basaltdrum/internal/monotime"
+	"basaltdrum/internal/socketpeek"
+	"basaltdrum/internal/testutil"
 )
 
 func TestDownstreamConnectionsBeyondTheBudget(t *testing.T) {
-	s, got, release := newHoldingServer(t, "held")
+	s, got, release := testutil.NewHoldingServer(t, "held")
 	const most = 4
-	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) {
 		n.frontend.conns.capacity, n.frontend.conns.upstreamReserve = 2*most, most
 		n.frontend.conns.gracePeriods.idle = 0
 	})
 	idle := dial(t, n)
-	idle.get("idle")
-	idle.want(t, 200, "for idle")
+	idle.Get("idle")
+	idle.Expect(t, 200, "for idle")
 	untilIdle(t, n)
-	var held []*testClient
+	var held []*testutil.Client
 	for i := range most {
 		c := dial(t, n)
-		c.get(fmt.Sprint("held-", i))
-		wait(t, got, "an attempt")
+		c.Get(fmt.Sprint("held-", i))
+		testutil.Wait(t, got, "an attempt")
 		held = append(held, c)
 	}
-	expectClosed(t, idle.reader, "the idle connection when there are too many")
+	testutil.ExpectClosed(t, idle.Reader, "the idle connection when there are too many")
 	over := dial(t, n) // read and refused, never left unread
-	over.get("over")
-	r, _ := over.answer(t)
+	over.Get("over")
+	r, _ := over.Response(t)
 	if r.StatusCode != 503 || r.Header.Get("Retry-After") == "" || !r.Close {
 		t.Errorf("got %d, Retry-After %q, close %v", r.StatusCode, r.Header.Get("Retry-After"), r.Close)
 	}
 	release()
 	for i, c := range held {
-		c.want(t, 200, fmt.Sprint("for held-", i))
+		c.Expect(t, 200, fmt.Sprint("for held-", i))
 	}
 }
 
 // A connection is evicted only while it waits for a request: not once a request has been read that net/http has
 // not reported yet, nor once the first byte of the next request was read early, after a response.
 func TestEvictionSparesARequestBegun(t *testing.T) {
-	f := newDownstreamConns(newClock(), 2, 10, 16<<20, func() int { return 1 })
+	f := newDownstreamConns(monotime.New(), 2, 10, 16<<20, func() int { return 1 })
 	say := func(from, to net.Conn) {
 		t.Helper()
-		to.SetReadDeadline(time.Now().Add(limit))
+		to.SetReadDeadline(time.Now().Add(testutil.Limit))
 		if _, err := from.Write([]byte("x")); err != nil {
 			t.Fatal(err)
 		}
@@ -73,7 +77,7 @@
 	}
 	say(peer, a)
 	say(a, peer)
-	f.gracePeriods.idle = limit
+	f.gracePeriods.idle = testutil.Limit
 	f.connStateChanged(a, http.StateIdle)
 	if a.evicted || !f.overLimit() {
 		t.Fatal("a connection idle for a moment only was evicted")
@@ -95,12 +99,12 @@
 
 // A request that is unread in the kernel counts as begun: a close would reset the connection.
 func TestEvictionSparesUnreadBytes(t *testing.T) {
-	f := newDownstreamConns(newClock(), 2, 10, 16<<20, func() int { return 1 })
+	f := newDownstreamConns(monotime.New(), 2, 10, 16<<20, func() int { return 1 })
 	c, theirs := downstreamPair(t, f, 0)
 	f.connStateChanged(c, http.StateNew)
 	f.connStateChanged(c, http.StateIdle)
 	io.WriteString(theirs, "GET")
-	until(t, "the bytes to arrive", func() bool { return hasUnreadOrClosed(c.Conn) })
+	testutil.Until(t, "the bytes to arrive", func() bool { return socketpeek.HasUnreadOrClosed(c.Conn) })
 	if f.evictQuiet(); c.evicted {
 		t.Error("evicted with a request on it")
 	}
@@ -116,7 +120,7 @@
 // The rest of a request that is unread in the kernel protects the connection, though the first part arrived so
 // long ago that the read would be aborted.
 func TestReadAbortSparesUnreadBytes(t *testing.T) {
-	f := newDownstreamConns(newClock(), 2, 10, 16<<20, func() int { return 2 })
+	f := newDownstreamConns(monotime.New(), 2, 10, 16<<20, func() int { return 2 })
 	f.gracePeriods.partialRequest = 0
 	c, theirs := downstreamPair(t, f, 0)
 	io.WriteString(theirs, "GET")
@@ -124,7 +128,7 @@
 		t.Fatal("the first part is not read")
 	}
 	io.WriteString(theirs, " /v")
-	until(t, "the rest to arrive", func() bool { return hasUnreadOrClosed(c.Conn) })
+	testutil.Until(t, "the rest to arrive", func() bool { return socketpeek.HasUnreadOrClosed(c.Conn) })
 	f.connStateChanged(c, http.StateNew) // one too many
 	other, _ := net.Pipe()
 	f.connStateChanged(&downstreamConn{Conn: other, conns: f}, http.StateNew)
@@ -143,8 +147,8 @@
 // What reaches a server has been read by the node, so its client must get a response, however often idle
 // connections are evicted meanwhile.
 func TestNoRequestIsLostWhileIdleConnectionsAreEvicted(t *testing.T) {
-	s := newServer(t, echo)
-	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+	s := testutil.NewServer(t, testutil.Echo)
+	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) {
 		n.frontend.conns.capacity, n.frontend.conns.upstreamReserve = 8, 4
 		n.frontend.conns.gracePeriods.idle = 0
 	})
@@ -155,7 +159,7 @@
 		callers.Add(1)
 		go func() {
 			defer callers.Done()
-			var c *testClient
+			var c *testutil.Client
 			for j := range 60 {
 				if c == nil {
 					nc, err := net.Dial("tcp", n.Addr())
@@ -163,12 +167,12 @@
 						t.Error(err)
 						return
 					}
-					nc.SetDeadline(time.Now().Add(2 * limit))
-					c = &testClient{nc, bufio.NewReader(nc)}
+					nc.SetDeadline(time.Now().Add(2 * testutil.Limit))
+					c = &testutil.Client{Conn: nc, Reader: bufio.NewReader(nc)}
 				}
 				id := fmt.Sprintf("c%d-%d", i, j)
-				c.get(id)
-				r, _, err := c.read()
+				c.Get(id)
+				r, _, err := c.ReadResponse()
 				if err == nil {
 					mu.Lock()
 					answered[id] = true
@@ -185,14 +189,13 @@
 		}()
 	}
 	callers.Wait()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, id := range s.requests {
+	forwarded := s.Requests()
+	for _, id := range forwarded {
 		if !answered[id] {
 			t.Errorf("%s was forwarded to the server, and its client got no response", id)
 		}
 	}
-	if len(s.requests) == 0 {
+	if len(forwarded) == 0 {
 		t.Error("no request reached the server")
 	}
 }
@@ -200,18 +203,18 @@
 // Hundreds of connections that send nothing, a partial head or a partial body take no capacity that a well-behaved
 // client needs: they are evicted first, before they would time out, and that client is served.
 func TestClientIsServedBesideHundredsOfSilentConnections(t *testing.T) {
-	s := newServer(t, echo)
-	cfg := testConfig(completeList(entry("s1", s.addr(), "in_service")))
+	s := testutil.NewServer(t, testutil.Echo)
+	cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service")))
 	cfg.Sockets = 256
 	n, _ := startNode(t, cfg, func(n *Node) {
-		n.frontend.server.ReadTimeout = 2 * limit // connections end by eviction only
-		n.frontend.conns.gracePeriods = gracePeriods{idle: limit}
+		n.frontend.server.ReadTimeout = 2 * testutil.Limit // connections end by eviction only
+		n.frontend.conns.gracePeriods = gracePeriods{idle: testutil.Limit}
 	})
 	const body = "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: half\r\nX-Deadline: 60\r\nContent-Length: 9\r\n\r\nhal"
 	// served wants an answer, and returns the connection to go on with: the node may end this one with the answer.
-	served := func(c *testClient, id string) *testClient {
-		c.get(id)
-		r, got := c.answer(t)
+	served := func(c *testutil.Client, id string) *testutil.Client {
+		c.Get(id)
+		r, got := c.Response(t)
 		if r.StatusCode != http.StatusOK || got != "for "+id {
 			t.Fatalf("got %d %q, want %d for %s", r.StatusCode, got, http.StatusOK, id)
 		}
@@ -229,7 +232,7 @@
 			served(dial(t, n), fmt.Sprint("fresh-", i)).Close()
 		}
 	}
-	until(t, "the rest to be evicted", func() bool {
+	testutil.Until(t, "the rest to be evicted", func() bool {
 		n.frontend.conns.mu.Lock()
 		defer n.frontend.conns.mu.Unlock()
 		return n.frontend.conns.excess() <= 0
@@ -252,18 +255,18 @@
 	}
 	t.Run("half a request", func(t *testing.T) {
 		t.Parallel()
-		half := dial(t, startFullNode(t, newServer(t, echo), "head read"))
+		half := dial(t, startFullNode(t, testutil.NewServer(t, testutil.Echo), "head read"))
 		io.WriteString(half, "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: half\r\nX-Deadline: 60\r\n"+
 			"Content-Length: 9\r\n\r\nhal")
-		half.want(t, http.StatusBadRequest, "")
+		half.Expect(t, http.StatusBadRequest, "")
 	})
 }
 
 func completeDuringEviction(t *testing.T, moment, method, id string) {
 	got, ended := make(chan struct{}), make(chan struct{})
-	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	s := testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		if r.Header.Get("X-Request-Id") == "served" {
-			return echo(c, r, body)
+			return testutil.Echo(c, r, body)
 		}
 		close(got)
 		c.Read(make([]byte, 1)) // returns when the node closes
@@ -273,20 +276,20 @@
 	n := startFullNode(t, s, moment)
 	c := dial(t, n)
 	if method == http.MethodPost {
-		c.send(method, "/note/k", id, "body", "60")
+		c.Send(method, "/note/k", id, "body", "60")
 	} else {
-		c.get(id)
+		c.Get(id)
 	}
 	if id == "leaving" {
-		wait(t, got, "the attempt")
+		testutil.Wait(t, got, "the attempt")
 		c.Close()
-		wait(t, ended, "the end of the attempt")
+		testutil.Wait(t, ended, "the end of the attempt")
 		return
 	}
-	if r, body := c.answer(t); r.StatusCode != http.StatusOK || body != "for served" || r.Close {
+	if r, body := c.Response(t); r.StatusCode != http.StatusOK || body != "for served" || r.Close {
 		t.Fatalf("got %d %q, closing %v, want it served and the connection kept", r.StatusCode, body, r.Close)
 	}
-	until(t, "a silent connection to go", func() bool { return n.frontend.conns.count() == fullNodeConns })
+	testutil.Until(t, "a silent connection to go", func() bool { return n.frontend.conns.count() == fullNodeConns })
 }
 
 // fullNodeConns is how many connections startFullNode's node may hold; it holds that many silent ones.
@@ -294,18 +297,18 @@
 
 // startFullNode starts a node that has no capacity for one more connection, and that evicts at the given moment of
 // a request: first those connections that it takes for partial requests.
-func startFullNode(t *testing.T, s *fakeServer, moment string) *Node {
+func startFullNode(t *testing.T, s *testutil.Server, moment string) *Node {
 	t.Helper()
-	cfg := withLongObjectives(testConfig(completeList(entry("s1", s.addr(), "in_service"))))
+	cfg := withLongObjectives(testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))))
 	cfg.Sockets = reservedDescriptors + fullNodeConns + 1 // one is kept for the server
 	n, _ := startNode(t, cfg, func(n *Node) {
 		f := n.frontend
-		f.server.ReadTimeout = 2 * limit // reads end by eviction only
-		f.conns.gracePeriods = gracePeriods{lingering: limit, newConn: limit, partialRequest: limit, idle: limit}
+		f.server.ReadTimeout = 2 * testutil.Limit // reads end by eviction only
+		f.conns.gracePeriods = gracePeriods{lingering: testutil.Limit, newConn: testutil.Limit, partialRequest: testutil.Limit, idle: testutil.Limit}
 		makeRoom := func() {
 			f.conns.mu.Lock()
 			defer f.conns.mu.Unlock()
-			f.conns.gracePeriods = gracePeriods{lingering: limit, idle: limit}
+			f.conns.gracePeriods = gracePeriods{lingering: testutil.Limit, idle: testutil.Limit}
 			f.conns.evictExcess()
 		}
 		if moment == "head read" {
@@ -329,6 +332,6 @@
 	for range fullNodeConns {
 		dial(t, n)
 	}
-	until(t, "the silent connections to be held", func() bool { return n.frontend.conns.count() == fullNodeConns })
+	testutil.Until(t, "the silent connections to be held", func() bool { return n.frontend.conns.count() == fullNodeConns })
 	return n
 }
--- a/internal/node/dial_test.go
+++ b/internal/node/dial_test.go
@@ -11,13 +11,9 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/testutil"
 )
 
-// dialError is the error that net.Dialer returns for a failed system call.
-func dialError(call string, err error) error {
-	return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError(call, err)}
-}
-
 // failingDial fails a number of times and dials from then on. It counts all dials.
 type failingDial struct {
 	err   error
@@ -44,14 +40,14 @@
 	for _, errno := range localErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
-			s := newServer(t, echo)
-			f := &failingDial{err: dialError("connect", errno), times: 3}
-			n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) { n.upstream.dial = f.dial })
+			s := testutil.NewServer(t, testutil.Echo)
+			f := &failingDial{err: testutil.DialError("connect", errno), times: 3}
+			n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) { n.upstream.dial = f.dial })
 			c := dial(t, n)
-			c.send("POST", "/note/k", "r", "x", "60")
-			c.want(t, 200, "for r")
-			if s.received() != 1 || f.dials.Load() != 4 || n.upstream.connections() != 1 {
-				t.Errorf("%d requests at the server after %d dials, %d connections open", s.received(), f.dials.Load(), n.upstream.connections())
+			c.Send("POST", "/note/k", "r", "x", "60")
+			c.Expect(t, 200, "for r")
+			if s.Received() != 1 || f.dials.Load() != 4 || n.upstream.connections() != 1 {
+				t.Errorf("%d requests at the server after %d dials, %d connections open", s.Received(), f.dials.Load(), n.upstream.connections())
 			}
 		})
 	}
@@ -60,7 +56,7 @@
 // A local fault that lasts ends an attempt as not sent, before its time is over; an error of the server ends it at
 // once. The module is told whether the node itself held the attempt up.
 func TestFailedDials(t *testing.T) {
-	local, refused := dialError("socket", syscall.EMFILE), dialError("connect", syscall.ECONNREFUSED)
+	local, refused := testutil.DialError("socket", syscall.EMFILE), testutil.DialError("connect", syscall.ECONNREFUSED)
 	for _, c := range []struct {
 		name   string
 		err    error
@@ -71,8 +67,8 @@
 	}{
 		{"served", nil, 0, nil, balancer.Success, false},
 		{"local for a moment", local, 2, nil, balancer.Success, true},
-		{"local for long", local, 1e6, func(b *upstreamPool, a *attempt) { a.deadline = b.clock.now() + 150*time.Millisecond }, balancer.NotSent, true},
-		{"local until it must not begin", local, 1e6, func(b *upstreamPool, a *attempt) { a.notAfter = b.clock.now() + 150*time.Millisecond }, balancer.NotSent, true},
+		{"local for long", local, 1e6, func(b *upstreamPool, a *attempt) { a.deadline = b.clock.Now() + 150*time.Millisecond }, balancer.NotSent, true},
+		{"local until it must not begin", local, 1e6, func(b *upstreamPool, a *attempt) { a.notAfter = b.clock.Now() + 150*time.Millisecond }, balancer.NotSent, true},
 		{"local until its server is gone", local, 1e6, func(b *upstreamPool, a *attempt) { b.updateEndpoints(nil, true) }, balancer.NotSent, true},
 		{"local until it is called off", local, 1e6, func(b *upstreamPool, a *attempt) { a.cancel() }, balancer.NotSent, true},
 		{"local until a connection is idle", local, 1e6, func(b *upstreamPool, a *attempt) {
@@ -84,15 +80,15 @@
 			b.adopt(nc, a.instance)
 		}, balancer.Success, true},
 		{"refused", refused, 1e6, nil, balancer.ConnectFailed, false},
-		{"no way to the host", dialError("connect", syscall.EHOSTUNREACH), 1e6, nil, balancer.ConnectFailed, false},
-		{"timed out", dialError("connect", syscall.ETIMEDOUT), 1e6, nil, balancer.ConnectFailed, false},
-		{"reset", dialError("connect", syscall.ECONNRESET), 1e6, nil, balancer.ConnectFailed, false},
+		{"no way to the host", testutil.DialError("connect", syscall.EHOSTUNREACH), 1e6, nil, balancer.ConnectFailed, false},
+		{"timed out", testutil.DialError("connect", syscall.ETIMEDOUT), 1e6, nil, balancer.ConnectFailed, false},
+		{"reset", testutil.DialError("connect", syscall.ECONNRESET), 1e6, nil, balancer.ConnectFailed, false},
 		{"not up in time", &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}, 1e6, nil, balancer.ConnectFailed, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newServer(t, echo)
+			s := testutil.NewServer(t, testutil.Echo)
 			b := testPool(10)
-			a := testAttempt(t, b, s.addr())
+			a := testAttempt(t, b, s.Address())
 			f := &failingDial{err: c.err, times: c.times}
 			b.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 				nc, err := f.dial(ctx, network, address)
@@ -109,8 +105,8 @@
 			if c.want == balancer.Success {
 				served = 1
 			}
-			if b.connections() != served || s.received() != served {
-				t.Errorf("%d connections are open, the server got %d requests", b.connections(), s.received())
+			if b.connections() != served || s.Received() != served {
+				t.Errorf("%d connections are open, the server got %d requests", b.connections(), s.Received())
 			}
 			// 5, 10, 20 and 40 ms, and 40 ms each from then on: a wait may be longer, but never shorter.
 			if got := f.dials.Load(); got > 7 || c.want == balancer.ConnectFailed && got != 1 {
@@ -126,18 +122,18 @@
 	for _, asked := range []bool{false, true} {
 		for _, times := range []int32{3, 1e6} {
 			t.Run(fmt.Sprint("asked=", asked, " times=", times), func(t *testing.T) {
-				ag := newRegistryAgent(t)
-				ag.set(false, completeList(entry("s1", "127.0.0.1:1", "in_service")))
+				ag := testutil.NewRegistryAgent(t)
+				ag.Set(false, testutil.CompleteList(testutil.ListEntry("s1", "127.0.0.1:1", "in_service")))
 				cfg := testConfig("")
 				cfg.Discovery, cfg.Settings.PollDiscovery = ag.Addr().String(), asked
 				events, waits := make(chan event, 10), make(chan time.Duration, 10)
-				d := newDiscovery(cfg, -1, func(e event) { events <- e }, testLog())
-				d.startupWait = limit
+				d := newDiscovery(cfg, -1, func(e event) { events <- e }, testutil.DiscardLog())
+				d.startupWait = testutil.Limit
 				d.after = func(wait time.Duration) <-chan time.Time {
 					waits <- wait
 					return time.After(wait)
 				}
-				f := &failingDial{err: dialError("connect", syscall.ENETUNREACH), times: times}
+				f := &failingDial{err: testutil.DialError("connect", syscall.ENETUNREACH), times: times}
 				d.currentAddress().dial = f.dial
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
@@ -149,7 +145,7 @@
 				}
 				if times > 3 { // it lasts: neither reported as a failure nor retried in a hot loop
 					for range 2 {
-						if wait := wait(t, waits, "a wait"); wait != retryInterval {
+						if wait := testutil.Wait(t, waits, "a wait"); wait != retryInterval {
 							t.Errorf("waits for %v, want %v", wait, retryInterval)
 						}
 					}
@@ -158,7 +154,7 @@
 					}
 					return
 				}
-				if l, ok := wait(t, events, "the list").(listReceived); !ok || len(l.list.entries) != 1 {
+				if l, ok := testutil.Wait(t, events, "the list").(listReceived); !ok || len(l.list.entries) != 1 {
 					t.Errorf("got %#v", l)
 				}
 				if len(waits) != 0 {
--- a/internal/node/discoveryfaults_test.go
+++ b/internal/node/discoveryfaults_test.go
@@ -10,6 +10,8 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"basaltdrum/internal/testutil"
 )
 
 // faultyAgent stands in for discovery: some calls fail in one way, and it answers the others.
@@ -152,9 +154,9 @@
 }
 
 func changeAfterFailures(t *testing.T, asked bool, fault, when string, times int) {
-	old, joined := newServer(t, echo), newServer(t, echo)
-	before := completeList(entry("s1", old.addr(), "in_service"))
-	after := completeList(entry("s1", old.addr(), "terminating"), entry("s2", joined.addr(), "in_service"))
+	old, joined := testutil.NewServer(t, testutil.Echo), testutil.NewServer(t, testutil.Echo)
+	before := testutil.CompleteList(testutil.ListEntry("s1", old.Address(), "in_service"))
+	after := testutil.CompleteList(testutil.ListEntry("s1", old.Address(), "terminating"), testutil.ListEntry("s2", joined.Address(), "in_service"))
 	ag, first := newFaultyAgent(t), newFaultyAgent(t)
 	addr := ag.Addr().String()
 	if fault == "refused" && when != "middle" {
@@ -184,12 +186,12 @@
 			refused <- struct{}{}
 			return time.After(d)
 		}
-		n.discovery.hold, n.discovery.grace, n.discovery.startupWait = 100*time.Millisecond, 100*time.Millisecond, limit
+		n.discovery.hold, n.discovery.grace, n.discovery.startupWait = 100*time.Millisecond, 100*time.Millisecond, testutil.Limit
 	})
 	c, sent := dial(t, n), 0
-	ask := func() { sent++; c.get(fmt.Sprint("r", sent)); c.want(t, 200, "") }
+	ask := func() { sent++; c.Get(fmt.Sprint("r", sent)); c.Expect(t, 200, "") }
 	if when != "start" {
-		until(t, "the first list", n.loop.ready.Load)
+		testutil.Until(t, "the first list", n.loop.ready.Load)
 		ask()
 	}
 	switch {
@@ -203,7 +205,7 @@
 	}
 	if fault == "refused" {
 		for range times {
-			wait(t, refused, "a call that is refused")
+			testutil.Wait(t, refused, "a call that is refused")
 		}
 		ln, err := net.Listen("tcp", addr)
 		if err != nil {
@@ -214,15 +216,15 @@
 		go ag.serve(ln)
 	} else {
 		for range times {
-			wait(t, ag.failed, "a call that fails")
+			testutil.Wait(t, ag.failed, "a call that fails")
 		}
 	}
 	untilListed(t, n, "s2")
-	seen := old.received()
+	seen := old.Received()
 	for range 5 {
 		ask()
 	}
-	if old.received() != seen || joined.received() != 5 {
-		t.Errorf("%d requests came to the server that drains, %d of 5 to the one that joined", old.received()-seen, joined.received())
+	if old.Received() != seen || joined.Received() != 5 {
+		t.Errorf("%d requests came to the server that drains, %d of 5 to the one that joined", old.Received()-seen, joined.Received())
 	}
 }
--- a/internal/node/downstreamconn.go
+++ b/internal/node/downstreamconn.go
@@ -9,6 +9,8 @@
 	"net/http"
 	"sync"
 	"time"
+
+	"basaltdrum/internal/socketpeek"
 )
 
 // downstreamConn is a connection from a client. It sits between net/http and the socket, and adds four
@@ -78,7 +80,7 @@
 
 // scan follows the framing of bytes that were just read from the kernel.
 func (c *downstreamConn) scan(p []byte) {
-	at := c.conns.clock.now()
+	at := c.conns.clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.requests.feed(p, at)
@@ -212,7 +214,7 @@
 func (c *downstreamConn) evictIfQuiet() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.requestBegun && !hasUnreadOrClosed(c.Conn) {
+	if !c.requestBegun && !socketpeek.HasUnreadOrClosed(c.Conn) {
 		c.readEnded = true
 		c.Conn.SetReadDeadline(pastDeadline)
 	}
@@ -225,7 +227,7 @@
 func (c *downstreamConn) abortRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.requestComplete || hasUnreadOrClosed(c.Conn) {
+	if c.requestComplete || socketpeek.HasUnreadOrClosed(c.Conn) {
 		return false
 	}
 	c.readEnded, c.readAborted = true, true
--- a/internal/node/downstreamconn_test.go
+++ b/internal/node/downstreamconn_test.go
@@ -6,12 +6,15 @@
 	"net/http"
 	"testing"
 	"time"
+
+	"basaltdrum/internal/monotime"
+	"basaltdrum/internal/testutil"
 )
 
 // Silent connections, partial requests and idle connections time out.
 func TestConnectionsWithoutARequestTimeOut(t *testing.T) {
-	s := newServer(t, echo)
-	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+	s := testutil.NewServer(t, testutil.Echo)
+	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) {
 		n.frontend.server.ReadTimeout = 300 * time.Millisecond
 		n.frontend.server.IdleTimeout = 300 * time.Millisecond
 	})
@@ -24,18 +27,18 @@
 		}
 	}
 	c := dial(t, n)
-	c.get("once")
-	c.want(t, http.StatusOK, "for once")
-	expectClosed(t, c.reader, "a connection that asks no more")
+	c.Get("once")
+	c.Expect(t, http.StatusOK, "for once")
+	testutil.ExpectClosed(t, c.Reader, "a connection that asks no more")
 }
 
 // A client that stops in the middle of a request and stays connected gets an error or a close within the time for
 // reading a request, even if it has sent too little to be told from an idle one.
 func TestPartialRequestsTimeOut(t *testing.T) {
-	s := newServer(t, echo)
-	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+	s := testutil.NewServer(t, testutil.Echo)
+	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) {
 		n.frontend.server.ReadTimeout = 300 * time.Millisecond
-		n.frontend.server.IdleTimeout = 10 * limit
+		n.frontend.server.IdleTimeout = 10 * testutil.Limit
 	})
 	const post = "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: half\r\nX-Deadline: 60\r\n"
 	for _, half := range []string{
@@ -54,20 +57,20 @@
 				switch when {
 				case "after an answer":
 					io.WriteString(c, good)
-					c.want(t, http.StatusOK, "")
+					c.Expect(t, http.StatusOK, "")
 					io.WriteString(c, half)
 				case "behind a request":
 					io.WriteString(c, good+half)
-					c.want(t, http.StatusOK, "")
+					c.Expect(t, http.StatusOK, "")
 				default:
 					io.WriteString(c, half)
 				}
 				end := make(chan error, 1)
 				go func() {
-					_, err := io.Copy(io.Discard, c.reader)
+					_, err := io.Copy(io.Discard, c.Reader)
 					end <- err
 				}()
-				if err := wait(t, end, "the end"); err != nil {
+				if err := testutil.Wait(t, end, "the end"); err != nil {
 					t.Errorf("the connection ended by %v", err)
 				}
 			})
@@ -82,8 +85,8 @@
 		"G", "GET", "GET /view/k HTTP/1.1\r\nHo",
 		"POST /note/k HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\n",
 	} {
-		ours, theirs := downstreamPair(t, newDownstreamConns(newClock(), 10, 10, 16<<20, func() int { return 0 }), 2*limit)
-		ours.SetReadDeadline(time.Now().Add(limit))
+		ours, theirs := downstreamPair(t, newDownstreamConns(monotime.New(), 10, 10, 16<<20, func() int { return 0 }), 2*testutil.Limit)
+		ours.SetReadDeadline(time.Now().Add(testutil.Limit))
 		io.WriteString(theirs, first)
 		if text := make([]byte, len(first)); !readsAll(ours, text) {
 			t.Fatalf("%q is not read", first)
--- a/internal/node/downstreamlistener.go
+++ b/internal/node/downstreamlistener.go
@@ -106,7 +106,7 @@
 	}
 	l.backoff = min(max(2*l.backoff, minAcceptBackoff), limit)
 	l.unlogged++
-	if now := l.conns.clock.now(); l.lastLogged == 0 || now-l.lastLogged >= acceptLogInterval {
+	if now := l.conns.clock.Now(); l.lastLogged == 0 || now-l.lastLogged >= acceptLogInterval {
 		l.log.Warn("accept failed, retrying", "error", err, "failures", l.unlogged, "backoff", l.backoff)
 		l.lastLogged, l.unlogged = now, 0
 	}
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -4,6 +4,8 @@
 	"context"
 	"fmt"
 	"time"
+
+	"basaltdrum/internal/monotime"
 )
 
 // drainPollInterval is how often a draining frontend checks whether its connections are closed.
@@ -24,14 +26,14 @@
 // http.Server.Shutdown does not do: it waits for seconds on connections that never sent a request, past
 // SIGKILL, and closes an idle connection on which a request has just been read.
 func (f *frontend) drain(ctx context.Context, ln *downstreamListener, served <-chan struct{}, schedule drainSchedule) error {
-	begin := f.clock.now()
-	passed := func(at time.Duration) bool { return f.clock.now()-begin >= at }
+	begin := f.clock.Now()
+	passed := func(at time.Duration) bool { return f.clock.Now()-begin >= at }
 	f.draining.Store(true)
-	sleep(ctx, schedule.stopAccepting)
+	monotime.Sleep(ctx, schedule.stopAccepting)
 	ln.drainQueue()
 	defer func() { _ = ln.Close() }() // the process ends, and its listener with it
 	for ctx.Err() == nil && !passed(schedule.closeConns) && (!isClosed(served) || f.conns.count() > 0) {
-		sleep(ctx, drainPollInterval)
+		monotime.Sleep(ctx, drainPollInterval)
 	}
 	f.closing.Store(true)
 	return f.awaitDrained(ctx, ln, served, func() bool { return passed(schedule.answerAll) })
@@ -40,7 +42,7 @@
 // awaitDrained evicts quiet connections until none is left and the server accepts no more. Once the time to
 // answer all has come, it has the loop answer every open request.
 func (f *frontend) awaitDrained(ctx context.Context, ln *downstreamListener, served <-chan struct{}, answerAll func() bool) error {
-	for notified := false; ; sleep(ctx, drainPollInterval) {
+	for notified := false; ; monotime.Sleep(ctx, drainPollInterval) {
 		accepting := !isClosed(served) // read first, so that the count below has whatever was accepted
 		left := f.conns.evictQuiet()
 		switch {
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -7,6 +7,8 @@
 	"net/http"
 	"testing"
 	"time"
+
+	"basaltdrum/internal/testutil"
 )
 
 // However short the deadlines are, a draining node accepts for as long as new connections come, serves, sends its
@@ -51,26 +53,26 @@
 
 // Requests that wait complete in the listener's queue when accepting stops are accepted and served.
 func TestQueuedConnectionsAreAcceptedBeforeTheListenerCloses(t *testing.T) {
-	s := newServer(t, echo)
+	s := testutil.NewServer(t, testutil.Echo)
 	gate, shut := make(chan struct{}), make(chan struct{}, 1)
-	n, stop := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
-		n.drainSchedule, n.drainLimit = drainSchedule{closeConns: time.Millisecond, answerAll: limit}, 2*limit
+	n, stop := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) {
+		n.drainSchedule, n.drainLimit = drainSchedule{closeConns: time.Millisecond, answerAll: testutil.Limit}, 2*testutil.Limit
 		n.listener = gatedListener{n.listener.(*net.TCPListener), gate, shut}
 	})
-	var queued []*testClient
+	var queued []*testutil.Client
 	for i := range 5 {
 		c := dial(t, n)
-		c.get(fmt.Sprint("queued-", i))
+		c.Get(fmt.Sprint("queued-", i))
 		queued = append(queued, c)
 	}
 	end := make(chan error, 1)
 	go func() { end <- stop() }()
-	wait(t, shut, "the listener being shut")
+	testutil.Wait(t, shut, "the listener being shut")
 	close(gate)
 	for i, c := range queued {
-		c.want(t, 200, fmt.Sprint("for queued-", i))
+		c.Expect(t, 200, fmt.Sprint("for queued-", i))
 	}
-	if err := wait(t, end, "the node's end"); err != nil {
+	if err := testutil.Wait(t, end, "the node's end"); err != nil {
 		t.Error(err)
 	}
 	if c, err := net.Dial("tcp", n.Addr()); err == nil {
@@ -85,40 +87,40 @@
 	for _, advice := range []time.Duration{0, time.Second} {
 		t.Run(fmt.Sprint("Retry-After up to ", advice), func(t *testing.T) {
 			got := make(chan struct{}, 10)
-			s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+			s := testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 				got <- struct{}{}
 				c.Read(make([]byte, 1)) // until the node closes
 				return false
 			})
-			cfg := testConfig(completeList(entry("s1", s.addr(), "in_service")))
+			cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service")))
 			cfg.Settings.MaxRetryAfter = advice
 			n, stop := startNode(t, cfg, func(n *Node) {
-				n.drainSchedule, n.drainLimit = drainSchedule{answerAll: limit}, 2*limit
+				n.drainSchedule, n.drainLimit = drainSchedule{answerAll: testutil.Limit}, 2*testutil.Limit
 			})
 			unsafe, safe, after := dial(t, n), dial(t, n), dial(t, n)
-			unsafe.send("POST", "/note/k", "unsafe", "x", "60")
-			wait(t, got, "the unsafe attempt")
-			safe.get("safe")
-			wait(t, got, "the safe attempt")
+			unsafe.Send("POST", "/note/k", "unsafe", "x", "60")
+			testutil.Wait(t, got, "the unsafe attempt")
+			safe.Get("safe")
+			testutil.Wait(t, got, "the safe attempt")
 			n.loop.post(listReceived{listOf(t, true)})
 			held := dial(t, n)
-			held.send("POST", "/note/k", "held", "x", "60")
+			held.Send("POST", "/note/k", "held", "x", "60")
 			untilActive(t, n, 3)
-			after.get("before") // its response keeps the order: the queued one is with the module by then
+			after.Get("before") // its response keeps the order: the queued one is with the module by then
 			untilActive(t, n, 4)
 			n.loop.post(shutdownDeadline{})
 			for _, c := range []struct {
 				name   string
-				from   *testClient
+				from   *testutil.Client
 				status int
 			}{{"unsafe and in flight", unsafe, 502}, {"safe and in flight", safe, 503}, {"held", held, 503}, {"held and safe", after, 503}} {
-				r, _ := c.from.answer(t)
+				r, _ := c.from.Response(t)
 				if r.StatusCode != c.status || (r.Header.Get("Retry-After") != "") != (advice > 0 && c.status == 503) {
 					t.Errorf("%s: got %d, Retry-After %q", c.name, r.StatusCode, r.Header.Get("Retry-After"))
 				}
 			}
-			after.send("POST", "/note/k", "after", "x", "60")
-			after.want(t, 503, "")
+			after.Send("POST", "/note/k", "after", "x", "60")
+			after.Expect(t, 503, "")
 			if err := stop(); err != nil {
 				t.Error(err)
 			}
@@ -129,7 +131,7 @@
 // A client whose connection was accepted a moment ago has its request on the way: the connection is not evicted
 // unread.
 func TestNewConnectionIsReadWhileDraining(t *testing.T) {
-	n, err := New(testConfig(completeList()), testLog())
+	n, err := New(testConfig(testutil.CompleteList()), testutil.DiscardLog())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -139,7 +141,7 @@
 	defer one.Close()
 	s := n.frontend.conns
 	c := &downstreamConn{Conn: one, conns: s}
-	s.gracePeriods.newConn = limit
+	s.gracePeriods.newConn = testutil.Limit
 	s.connStateChanged(c, http.StateNew)
 	if s.evictQuiet() != 1 || c.evicted {
 		t.Error("evicted at once")
@@ -153,42 +155,42 @@
 // A draining node is not ready, still accepts and serves for a while, then closes idle connections, and answers
 // what is in flight before it ends.
 func TestGracefulShutdownAnswersAllAcceptedRequests(t *testing.T) {
-	s, got, release := newHoldingServer(t, "held")
-	n, stop := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
-		n.drainSchedule, n.drainLimit = drainSchedule{stopAccepting: time.Second, closeConns: 2 * time.Second, answerAll: limit}, 2*limit
+	s, got, release := testutil.NewHoldingServer(t, "held")
+	n, stop := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) {
+		n.drainSchedule, n.drainLimit = drainSchedule{stopAccepting: time.Second, closeConns: 2 * time.Second, answerAll: testutil.Limit}, 2*testutil.Limit
 	})
 	idle, held, mute := dial(t, n), dial(t, n), dial(t, n)
-	idle.get("before")
-	idle.want(t, 200, "for before")
+	idle.Get("before")
+	idle.Expect(t, 200, "for before")
 	untilIdle(t, n)
-	held.get("held")
-	wait(t, got, "the attempt")
+	held.Get("held")
+	testutil.Wait(t, got, "the attempt")
 	end := make(chan error, 1)
 	go func() { end <- stop() }()
-	until(t, "it to drain", n.frontend.draining.Load)
+	testutil.Until(t, "it to drain", n.frontend.draining.Load)
 	for _, moved := range []string{"127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:2"} { // SIGHUP while it ends
 		cfg := n.cfg
 		cfg.Discovery = moved
 		n.Reload(cfg)
 	}
-	idle.get("during") // whoever has a connection is served on it for a while
-	idle.want(t, 200, "for during")
+	idle.Get("during") // whoever has a connection is served on it for a while
+	idle.Expect(t, 200, "for during")
 	probe := dial(t, n)
 	fmt.Fprint(probe, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
-	probe.want(t, 503, "")
+	probe.Expect(t, 503, "")
 	late := dial(t, n) // new connections still come for a while
-	late.get("late")
-	r, body := late.answer(t)
+	late.Get("late")
+	r, body := late.Response(t)
 	if r.StatusCode != 200 || body != "for late" {
 		t.Errorf("late: %d %q", r.StatusCode, body)
 	}
-	expectClosed(t, idle.reader, "an idle connection at the end")
+	testutil.ExpectClosed(t, idle.Reader, "an idle connection at the end")
 	release()
-	if r, body := held.answer(t); r.StatusCode != 200 || body != "for held" || !r.Close {
+	if r, body := held.Response(t); r.StatusCode != 200 || body != "for held" || !r.Close {
 		t.Errorf("held: %d %q, close %v", r.StatusCode, body, r.Close)
 	}
-	expectClosed(t, mute.reader, "a connection that never sent a request")
-	if err := wait(t, end, "the node's end"); err != nil {
+	testutil.ExpectClosed(t, mute.Reader, "a connection that never sent a request")
+	if err := testutil.Wait(t, end, "the node's end"); err != nil {
 		t.Error(err)
 	}
 }
@@ -196,21 +198,21 @@
 // What no server answers before the node would be killed gets a final response all the same.
 func TestGracefulShutdownAnswersWhatIsInFlight(t *testing.T) {
 	got := make(chan struct{}, 1)
-	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	s := testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		got <- struct{}{}
 		io.Copy(io.Discard, c) // never answers
 		return false
 	})
-	n, stop := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
-		n.drainSchedule, n.drainLimit = drainSchedule{answerAll: 500 * time.Millisecond}, limit
+	n, stop := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) {
+		n.drainSchedule, n.drainLimit = drainSchedule{answerAll: 500 * time.Millisecond}, testutil.Limit
 	})
 	c := dial(t, n)
-	c.send("POST", "/note/k", "held", "x", "60")
-	wait(t, got, "the attempt")
+	c.Send("POST", "/note/k", "held", "x", "60")
+	testutil.Wait(t, got, "the attempt")
 	end := make(chan error, 1)
 	go func() { end <- stop() }()
-	c.want(t, http.StatusBadGateway, "")
-	if err := wait(t, end, "the node's end"); err != nil {
+	c.Expect(t, http.StatusBadGateway, "")
+	if err := testutil.Wait(t, end, "the node's end"); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/node/endpointlist.go
+++ b/internal/node/endpointlist.go
@@ -33,7 +33,7 @@
 	}
 	e := balancer.EndpointUpdate{Complete: update.complete, Cached: cached, Endpoints: l.applyEntries(update)}
 	l.updateEndpoints(update.entries, update.complete)
-	l.decide(l.clock.now(), e)
+	l.decide(l.clock.Now(), e)
 	l.ready.Store(l.readyServers > 0)
 }
 
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -7,6 +7,8 @@
 	"strings"
 	"sync/atomic"
 	"time"
+
+	"basaltdrum/internal/monotime"
 )
 
 // Limits on the time that a client may take, and on a request's head.
@@ -20,7 +22,7 @@
 // frontend is the HTTP server for clients. It reads and checks requests, passes them to the loop, and writes
 // exactly one final response for each.
 type frontend struct {
-	clock    clock
+	clock    monotime.Clock
 	post     func(event)
 	ready    func() bool
 	rules    *atomic.Pointer[requestRules]
@@ -31,7 +33,7 @@
 	conns *downstreamConns
 }
 
-func newFrontend(c clock, conns *downstreamConns, rules *atomic.Pointer[requestRules], post func(event), ready func() bool,
+func newFrontend(c monotime.Clock, conns *downstreamConns, rules *atomic.Pointer[requestRules], post func(event), ready func() bool,
 	log *slog.Logger,
 ) *frontend {
 	f := &frontend{clock: c, post: post, ready: ready, conns: conns, rules: rules}
@@ -117,7 +119,7 @@
 		}
 		notified = how
 		begun := c.markDeparted()
-		f.post(clientDeparted{request: c, how: how, at: f.clock.now(), retryAfter: f.rules.Load().retryAfter})
+		f.post(clientDeparted{request: c, how: how, at: f.clock.Now(), retryAfter: f.rules.Load().retryAfter})
 		switch {
 		case how == disconnected:
 			return response{}, false
@@ -141,7 +143,7 @@
 	if err := c.readBody(r, conn); err != nil {
 		return nil, err
 	}
-	c.receivedAt = f.clock.now()
+	c.receivedAt = f.clock.Now()
 	c.deadline += c.firstByte
 	return c, nil
 }
--- a/internal/node/frontend_test.go
+++ b/internal/node/frontend_test.go
@@ -8,6 +8,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"basaltdrum/internal/testutil"
 )
 
 // A hint is advisory: an invalid one must neither fail its request nor reach the module.
@@ -30,19 +32,19 @@
 	}
 	got := make(chan seen, 10)
 	answerBody := strings.Repeat("\x00\xff binary \r\n", 5000)
-	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	s := testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		got <- seen{r, body}
-		return reply200(c, answerBody)
+		return testutil.ReplyOK(c, answerBody)
 	})
-	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) { n.upstream.reuseDelay = 0 })
+	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) { n.upstream.reuseDelay = 0 })
 	c := dial(t, n)
 	long := strings.Repeat("b\r\n\x00", maxBody/4)
 	for i, target := range []string{"/keyed/a%2fB?q=%20%41&&x", `/keyed/"odd"|{};,`, "/keyed/", "/keyed//x/../y?"} {
 		id := fmt.Sprint("id-", i)
 		fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: h\r\nx-request-id: %s\r\nIdempotency-Key: K+/=%d\r\n"+
 			"X-Deadline: 20.5\r\nContent-Length: %d\r\n\r\n%s", target, id, i, len(long), long)
-		c.want(t, 200, answerBody)
-		g := wait(t, got, "the request")
+		c.Expect(t, 200, answerBody)
+		g := testutil.Wait(t, got, "the request")
 		if g.r.Method != "POST" || g.r.RequestURI != target || g.body != long ||
 			g.r.Header.Get("X-Request-Id") != id || g.r.Header.Get("Idempotency-Key") != fmt.Sprint("K+/=", i) {
 			t.Errorf("got %s %s %v", g.r.Method, g.r.RequestURI, g.r.Header)
@@ -52,33 +54,33 @@
 			t.Errorf("X-Deadline %q", g.r.Header.Get("X-Deadline"))
 		}
 	}
-	c.get("get")
-	c.want(t, 200, answerBody)
-	if g := wait(t, got, "the request"); g.r.Method != "GET" || g.body != "" || g.r.Header["Idempotency-Key"] != nil ||
+	c.Get("get")
+	c.Expect(t, 200, answerBody)
+	if g := testutil.Wait(t, got, "the request"); g.r.Method != "GET" || g.body != "" || g.r.Header["Idempotency-Key"] != nil ||
 		g.r.ContentLength != 0 {
 		t.Errorf("got %s %v", g.r.Method, g.r.Header)
 	}
-	if s.accepted() != 1 {
-		t.Errorf("%d connections for requests one after another, want 1", s.accepted())
+	if s.Accepted() != 1 {
+		t.Errorf("%d connections for requests one after another, want 1", s.Accepted())
 	}
 }
 
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	hold, got := make(chan struct{}), make(chan struct{}, 1)
-	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	s := testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		select {
 		case got <- struct{}{}:
 		default:
 		}
 		<-hold
-		return echo(c, r, body)
+		return testutil.Echo(c, r, body)
 	})
-	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) {
 		n.frontend.server.ReadTimeout = 300 * time.Millisecond
 	})
 	first := dial(t, n)
-	first.get("used")
-	wait(t, got, "the attempt")
+	first.Get("used")
+	testutil.Wait(t, got, "the attempt")
 	const ok = "Host: h\r\nX-Request-Id: new\r\nX-Deadline: 60\r\n"
 	for _, c := range []struct {
 		name, text string
@@ -128,30 +130,30 @@
 				}
 				return
 			}
-			conn.want(t, c.status, "")
-			expectClosed(t, conn.reader, "a connection that said what can't be used")
+			conn.Expect(t, c.status, "")
+			testutil.ExpectClosed(t, conn.Reader, "a connection that said what can't be used")
 		})
 	}
 	cut := dial(t, n)
 	io.WriteString(cut, "POST /note/k HTTP/1.1\r\n"+ok+"Content-Length: 10\r\n\r\nhalf")
 	cut.Conn.(*net.TCPConn).CloseWrite()
-	io.Copy(io.Discard, cut.reader) // an answer or none, but the end
-	if s.received() != 1 {
-		t.Errorf("%d requests reached the server, want only the good one", s.received())
+	io.Copy(io.Discard, cut.Reader) // an answer or none, but the end
+	if s.Received() != 1 {
+		t.Errorf("%d requests reached the server, want only the good one", s.Received())
 	}
 	close(hold)
-	first.want(t, 200, "for used")
+	first.Expect(t, 200, "for used")
 }
 
 // A request that the module gives up is rejected at once, with Retry-After, though its deadline is far off.
 func TestRejectionIsImmediateWithRetryAfter(t *testing.T) {
-	cfg := testConfig(completeList(entry("s1", closedPort(t), "in_service")))
+	cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", testutil.ClosedPort(t), "in_service")))
 	n, _ := startNode(t, cfg, nil)
 	c := dial(t, n)
 	begin := time.Now()
-	c.send("POST", "/note/k", "x", "x", "60")
-	r, _ := c.answer(t)
-	if r.StatusCode != 503 || r.Header.Get("Retry-After") == "" || time.Since(begin) > limit {
+	c.Send("POST", "/note/k", "x", "x", "60")
+	r, _ := c.Response(t)
+	if r.StatusCode != 503 || r.Header.Get("Retry-After") == "" || time.Since(begin) > testutil.Limit {
 		t.Errorf("got %d, Retry-After %q after %v", r.StatusCode, r.Header.Get("Retry-After"), time.Since(begin))
 	}
 }
@@ -160,25 +162,25 @@
 // not make other clients' first attempts look like retries past their latency objective, which are rejected at
 // once.
 func TestLongLastAttemptDoesNotMakeFirstAttemptsRetries(t *testing.T) {
-	s, got, release := newHoldingServer(t, "held")
-	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), nil)
+	s, got, release := testutil.NewHoldingServer(t, "held")
+	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), nil)
 	c := dial(t, n)
 	view := func(id, deadline string) {
 		t.Helper()
-		c.send("GET", "/view/k", id, "", deadline)
-		c.want(t, 200, "for "+id)
+		c.Send("GET", "/view/k", id, "", deadline)
+		c.Expect(t, 200, "for "+id)
 	}
 	for i := range 5 {
 		view(fmt.Sprint("first-", i), "25")
 	}
 	view("last", "59.9")
-	var busy []*testClient // with these in flight there is capacity for a first attempt, and none for a retry
+	var busy []*testutil.Client // with these in flight there is capacity for a first attempt, and none for a retry
 	holdMore := func(calls int) {
 		for range calls {
 			i := len(busy)
 			busy = append(busy, dial(t, n))
-			busy[i].send("POST", "/note/k", fmt.Sprint("held-", i), "x", "60")
-			wait(t, got, "an attempt")
+			busy[i].Send("POST", "/note/k", fmt.Sprint("held-", i), "x", "60")
+			testutil.Wait(t, got, "an attempt")
 		}
 	}
 	holdMore(4) // of the five calls that a new node admits to one server
@@ -187,12 +189,12 @@
 	}
 	holdMore(4) // good answers have opened the window
 	view("another-5", "25")
-	c.send("GET", "/view/k", "repeat", "", "20") // the class's deadline of 60 s began 40 s ago
-	if r, _ := c.answer(t); r.StatusCode != 503 || r.Header.Get("Retry-After") == "" {
+	c.Send("GET", "/view/k", "repeat", "", "20") // the class's deadline of 60 s began 40 s ago
+	if r, _ := c.Response(t); r.StatusCode != 503 || r.Header.Get("Retry-After") == "" {
 		t.Errorf("a retry past its latency objective: got %d, Retry-After %q", r.StatusCode, r.Header.Get("Retry-After"))
 	}
 	release()
 	for i, b := range busy {
-		b.want(t, 200, fmt.Sprint("for held-", i))
+		b.Expect(t, 200, fmt.Sprint("for held-", i))
 	}
 }
--- a/internal/node/goroutines_test.go
+++ b/internal/node/goroutines_test.go
@@ -5,6 +5,8 @@
 	"runtime"
 	"strings"
 	"testing"
+
+	"basaltdrum/internal/testutil"
 )
 
 // startedByRun and itsWork find the goroutines that Run has started and that are still at work, in a dump of stacks.
@@ -47,11 +49,11 @@
 func TestRunEndsTheGoroutinesThatItStarted(t *testing.T) {
 	for name, poll := range map[string]bool{"pushed": false, "polled": true} {
 		t.Run(name, func(t *testing.T) {
-			cfg := testConfig(completeList())
-			cfg.Settings.PollDiscovery, cfg.Settings.PollWithin = poll, limit
+			cfg := testConfig(testutil.CompleteList())
+			cfg.Settings.PollDiscovery, cfg.Settings.PollWithin = poll, testutil.Limit
 			before := backgroundGoroutines()
 			_, stop := startNode(t, cfg, func(n *Node) {
-				n.drainSchedule, n.drainLimit = drainSchedule{}, 2*limit
+				n.drainSchedule, n.drainLimit = drainSchedule{}, 2*testutil.Limit
 			})
 			for newBackground(before) < 3 {
 				runtime.Gosched()
--- a/internal/node/halfclose_test.go
+++ b/internal/node/halfclose_test.go
@@ -7,6 +7,8 @@
 	"net/http"
 	"strings"
 	"testing"
+
+	"basaltdrum/internal/testutil"
 )
 
 // halfCloseCase is a client that closes its side of the connection after it has sent some requests.
@@ -18,18 +20,18 @@
 }
 
 var halfCloseCases = []halfCloseCase{
-	{"in flight", requestText("r"), "200", "begun", []int{102, 200}, 1},
-	{"in flight, and one sent ahead", requestText("r") + requestText("next"), "200", "begun", []int{102, 200, 503}, 1},
-	{"in flight, and fails", requestText("r"), "500", "begun", []int{102, 502}, 1},
-	{"in flight, and breaks", requestText("r"), "reset", "begun", []int{102, 502}, 1},
-	{"in flight, and did not run", requestText("r"), "503", "begun", []int{102, 503}, 1},
-	{"in flight for HTTP/1.0", strings.Replace(requestText("r"), "HTTP/1.1", "HTTP/1.0", 1), "200", "begun", []int{200}, 1},
+	{"in flight", testutil.RequestText("r"), "200", "begun", []int{102, 200}, 1},
+	{"in flight, and one sent ahead", testutil.RequestText("r") + testutil.RequestText("next"), "200", "begun", []int{102, 200, 503}, 1},
+	{"in flight, and fails", testutil.RequestText("r"), "500", "begun", []int{102, 502}, 1},
+	{"in flight, and breaks", testutil.RequestText("r"), "reset", "begun", []int{102, 502}, 1},
+	{"in flight, and did not run", testutil.RequestText("r"), "503", "begun", []int{102, 503}, 1},
+	{"in flight for HTTP/1.0", strings.Replace(testutil.RequestText("r"), "HTTP/1.1", "HTTP/1.0", 1), "200", "begun", []int{200}, 1},
 	{"in flight, with a body that was waited for", "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: r\r\nX-Deadline: 60\r\n" +
 		"Expect: 100-continue\r\nContent-Length: 4\r\n\r\nbody", "200", "begun", []int{100, 102, 200}, 1},
-	{"held", requestText("r"), "", "held", []int{503}, 0},
-	{"held, and one sent ahead", requestText("r") + requestText("next"), "", "held", []int{503, 503}, 0},
-	{"its connection comes up", requestText("r"), "", "dial", []int{503}, 0},
-	{"in flight at the node's end", requestText("r"), "", "shutdown deadline", []int{102, 502}, 1},
+	{"held", testutil.RequestText("r"), "", "held", []int{503}, 0},
+	{"held, and one sent ahead", testutil.RequestText("r") + testutil.RequestText("next"), "", "held", []int{503, 503}, 0},
+	{"its connection comes up", testutil.RequestText("r"), "", "dial", []int{503}, 0},
+	{"in flight at the node's end", testutil.RequestText("r"), "", "shutdown deadline", []int{102, 502}, 1},
 }
 
 // A client that only stops sending still reads: it gets the response of the attempt that has begun, be it the only
@@ -47,7 +49,7 @@
 
 func (c halfCloseCase) play(t *testing.T, mayCancel bool) {
 	got, answer := make(chan struct{}, 10), make(chan struct{})
-	s := newServer(t, func(nc net.Conn, r *http.Request, body string) bool {
+	s := testutil.NewServer(t, func(nc net.Conn, r *http.Request, body string) bool {
 		got <- struct{}{}
 		<-answer
 		return c.serve(nc, r, body)
@@ -56,7 +58,7 @@
 	if c.where == "held" {
 		state = "terminating"
 	}
-	cfg := testConfig(completeList(entry("s1", s.addr(), state)))
+	cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), state)))
 	cfg.Settings.AllowCancel = mayCancel
 	var dials heldDials
 	n, _ := startNode(t, cfg, func(n *Node) {
@@ -70,9 +72,9 @@
 	case "held":
 		untilActive(t, n, 1)
 	case "dial":
-		wait(t, dials.dialed, "the connection")
+		testutil.Wait(t, dials.dialed, "the connection")
 	default:
-		wait(t, got, "the attempt")
+		testutil.Wait(t, got, "the attempt")
 	}
 	half.Conn.(*net.TCPConn).CloseWrite()
 	if c.want[0] == 200 { // no interim response before
@@ -80,7 +82,7 @@
 		close(answer)
 	}
 	c.checkResponses(t, n, half, answer)
-	expectClosed(t, half.reader, "the connection after the last response")
+	testutil.ExpectClosed(t, half.Reader, "the connection after the last response")
 	switch c.where {
 	case "dial":
 		close(dials.release)
@@ -88,8 +90,8 @@
 		close(answer)
 		return
 	}
-	if s.received() != c.seen {
-		t.Errorf("%d requests began, want %d", s.received(), c.seen)
+	if s.Received() != c.seen {
+		t.Errorf("%d requests began, want %d", s.Received(), c.seen)
 	}
 }
 
@@ -97,7 +99,7 @@
 func (c halfCloseCase) serve(nc net.Conn, r *http.Request, body string) bool {
 	switch c.then {
 	case "200":
-		return echo(nc, r, body)
+		return testutil.Echo(nc, r, body)
 	case "reset":
 		nc.(*net.TCPConn).SetLinger(0)
 		return false
@@ -109,7 +111,7 @@
 // untilHalfClosed waits until the node has noticed that its only client has closed its side.
 func untilHalfClosed(t *testing.T, n *Node) {
 	t.Helper()
-	until(t, "the close to be seen", func() bool {
+	testutil.Until(t, "the close to be seen", func() bool {
 		n.frontend.conns.mu.Lock()
 		defer n.frontend.conns.mu.Unlock()
 		for nc := range n.frontend.conns.conns {
@@ -120,10 +122,10 @@
 }
 
 // checkResponses reads the responses; at the interim one it has the server answer, or the shutdown deadline pass.
-func (c halfCloseCase) checkResponses(t *testing.T, n *Node, half *testClient, answer chan struct{}) {
+func (c halfCloseCase) checkResponses(t *testing.T, n *Node, half *testutil.Client, answer chan struct{}) {
 	t.Helper()
 	for i, status := range c.want {
-		r, body := half.answer(t)
+		r, body := half.Response(t)
 		if r.StatusCode != status || status == 200 && body != "for r" {
 			t.Errorf("response %d: got %d %q, want %d", i, r.StatusCode, body, status)
 		}
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/monotime"
 )
 
 // Answer says how a call that was made on a Hollow node ended.
@@ -70,7 +71,7 @@
 		return nil, fmt.Errorf("hollow node: %w", err)
 	}
 	h := &Hollow{listsPushed: !set.PollDiscovery, serve: serve, onList: onList, ended: make(chan struct{})}
-	h.loop = newLoop(module, newClock(), log)
+	h.loop = newLoop(module, monotime.New(), log)
 	h.loop.rules.Store(newRequestRules(1, set))
 	h.loop.start, h.loop.updateEndpoints, h.loop.listsPushed = h.start, h.listApplied, h.listsPushed
 	h.discovery = newDiscovery(cfg, noListVersion, h.post, log)
@@ -107,7 +108,7 @@
 	h.calls++
 	id := strconv.FormatInt(h.calls, 10)
 	h.mu.Unlock()
-	now := h.loop.clock.now()
+	now := h.loop.clock.Now()
 	r := &request{
 		id: id, class: class, receivedAt: now, deadline: now + deadline, revision: 1,
 		response: make(chan response, 1),
@@ -175,7 +176,7 @@
 // start runs an attempt in memory: it ends after the time drawn for it, at its deadline, or when it is cancelled.
 func (h *Hollow) start(a *attempt) {
 	delay, result := h.serve(a.instance.uid)
-	if left := h.loop.clock.until(a.deadline); delay > left {
+	if left := h.loop.clock.Until(a.deadline); delay > left {
 		delay, result = left, balancer.TimedOut
 	}
 	go func() {
@@ -188,6 +189,6 @@
 		case <-h.ended:
 		}
 		a.cancel()
-		h.post(attemptEnded{a, attemptOutcome{result: result, endedAt: h.loop.clock.now()}})
+		h.post(attemptEnded{a, attemptOutcome{result: result, endedAt: h.loop.clock.Now()}})
 	}()
 }
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/testutil"
 )
 
 // A hollow node receives lists from discovery, reports each that changes something, and answers calls from
@@ -15,14 +16,14 @@
 func TestHollowNode(t *testing.T) {
 	for _, asked := range []bool{false, true} {
 		t.Run(fmt.Sprint("polled=", asked), func(t *testing.T) {
-			ag := newRegistryAgent(t)
-			ag.set(false, completeList(entry("s1", "127.0.0.1:1", "in_service")))
+			ag := testutil.NewRegistryAgent(t)
+			ag.Set(false, testutil.CompleteList(testutil.ListEntry("s1", "127.0.0.1:1", "in_service")))
 			cfg := testConfig("")
 			cfg.Discovery, cfg.Settings.PollDiscovery = ag.Addr().String(), asked
 			lists := make(chan int64, 10)
 			var delay atomic.Int64
 			delay.Store(int64(time.Millisecond))
-			h, err := NewHollow(cfg, testLog(), func(server string) (time.Duration, balancer.AttemptResult) {
+			h, err := NewHollow(cfg, testutil.DiscardLog(), func(server string) (time.Duration, balancer.AttemptResult) {
 				if server != "s1" {
 					t.Errorf("sent to %q", server)
 				}
@@ -37,25 +38,25 @@
 				defer close(over)
 				h.Run(ctx)
 			}()
-			wait(t, lists, "the list")
-			until(t, "readiness", h.Ready)
+			testutil.Wait(t, lists, "the list")
+			testutil.Until(t, "readiness", h.Ready)
 			answers := make(chan Answer, 10)
 			for range 5 {
-				h.Call(cfg.Settings.Classes[0].Name, limit, func(a Answer) { answers <- a })
+				h.Call(cfg.Settings.Classes[0].Name, testutil.Limit, func(a Answer) { answers <- a })
 			}
 			for range 5 {
-				if a := wait(t, answers, "an answer"); a != Served {
+				if a := testutil.Wait(t, answers, "an answer"); a != Served {
 					t.Errorf("polled %v: answer %v, want served", asked, a)
 				}
 			}
 			delay.Store(int64(time.Hour))
 			h.Call(cfg.Settings.Classes[0].Name, 50*time.Millisecond, func(a Answer) { answers <- a })
-			if a := wait(t, answers, "an answer"); a == Served {
+			if a := testutil.Wait(t, answers, "an answer"); a == Served {
 				t.Error("a call that no attempt answers in time is served")
 			}
 			cancel()
-			wait(t, over, "the end")
-			h.Call(cfg.Settings.Classes[0].Name, limit, func(a Answer) { t.Error("answered after the end") })
+			testutil.Wait(t, over, "the end")
+			h.Call(cfg.Settings.Classes[0].Name, testutil.Limit, func(a Answer) { t.Error("answered after the end") })
 		})
 	}
 }
--- a/internal/node/invalidpipelined_test.go
+++ b/internal/node/invalidpipelined_test.go
@@ -4,6 +4,8 @@
 	"io"
 	"net/http"
 	"testing"
+
+	"basaltdrum/internal/testutil"
 )
 
 // A request that is invalid does not cost those that were read behind it their responses; it closes the
@@ -27,20 +29,20 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
-			s := newServer(t, echo)
-			n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), nil)
+			s := testutil.NewServer(t, testutil.Echo)
+			n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), nil)
 			c := dial(t, n)
-			io.WriteString(c, row.invalid+requestText("behind"))
-			if r, _ := c.answer(t); r.StatusCode != row.status || r.Close != row.closes {
+			io.WriteString(c, row.invalid+testutil.RequestText("behind"))
+			if r, _ := c.Response(t); r.StatusCode != row.status || r.Close != row.closes {
 				t.Fatalf("got %d, closing %v, want %d, %v", r.StatusCode, r.Close, row.status, row.closes)
 			}
 			if row.closes {
-				expectClosed(t, c, "behind an error in the body")
+				testutil.ExpectClosed(t, c, "behind an error in the body")
 				return
 			}
-			c.want(t, http.StatusOK, "for behind")
+			c.Expect(t, http.StatusOK, "for behind")
 			io.WriteString(c, row.invalid)
-			if r, _ := c.answer(t); r.StatusCode != row.status || !r.Close {
+			if r, _ := c.Response(t); r.StatusCode != row.status || !r.Close {
 				t.Fatalf("alone: got %d, closing %v, want %d and a close", r.StatusCode, r.Close, row.status)
 			}
 		})
--- a/internal/node/listener_test.go
+++ b/internal/node/listener_test.go
@@ -12,6 +12,9 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"basaltdrum/internal/monotime"
+	"basaltdrum/internal/testutil"
 )
 
 // failingListener fails accepts as the system would, for as long as fail returns an error.
@@ -27,18 +30,6 @@
 	return l.TCPListener.Accept()
 }
 
-// failing returns an error a number of times, and then none.
-func failing(err error, times int32) func() error {
-	var left atomic.Int32
-	left.Store(times)
-	return func() error {
-		if left.Add(-1) >= 0 {
-			return err
-		}
-		return nil
-	}
-}
-
 // acceptErrors are errors that accept may return though its listener is sound, and an unknown one.
 var acceptErrors = []error{
 	syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.ENETUNREACH, syscall.EHOSTUNREACH,
@@ -51,14 +42,14 @@
 	for _, cause := range acceptErrors {
 		t.Run(cause.Error(), func(t *testing.T) {
 			t.Parallel()
-			s := newServer(t, echo)
-			n, stop := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
-				n.drainSchedule, n.drainLimit = drainSchedule{closeConns: time.Millisecond, answerAll: limit}, 2*limit
-				n.listener = failingListener{n.listener.(*net.TCPListener), failing(cause, 3)}
+			s := testutil.NewServer(t, testutil.Echo)
+			n, stop := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) {
+				n.drainSchedule, n.drainLimit = drainSchedule{closeConns: time.Millisecond, answerAll: testutil.Limit}, 2*testutil.Limit
+				n.listener = failingListener{n.listener.(*net.TCPListener), testutil.FailTimes(cause, 3)}
 			})
 			c := dial(t, n)
-			c.get("r")
-			c.want(t, 200, "for r")
+			c.Get("r")
+			c.Expect(t, 200, "for r")
 			if err := stop(); err != nil {
 				t.Error(err)
 			}
@@ -72,11 +63,11 @@
 	for _, cause := range acceptErrors {
 		t.Run(cause.Error(), func(t *testing.T) {
 			t.Parallel()
-			s, got, release := newHoldingServer(t, "")
+			s, got, release := testutil.NewHoldingServer(t, "")
 			draining, resume := make(chan struct{}), make(chan struct{})
-			fail := failing(cause, 3)
-			n, stop := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
-				n.drainSchedule, n.drainLimit = drainSchedule{closeConns: time.Millisecond, answerAll: limit}, 2*limit
+			fail := testutil.FailTimes(cause, 3)
+			n, stop := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) {
+				n.drainSchedule, n.drainLimit = drainSchedule{closeConns: time.Millisecond, answerAll: testutil.Limit}, 2*testutil.Limit
 				n.listener = failingListener{n.listener.(*net.TCPListener), func() error {
 					if !n.frontend.draining.Load() {
 						return nil
@@ -91,19 +82,19 @@
 				}}
 			})
 			held := dial(t, n)
-			held.get("held")
-			wait(t, got, "the attempt")
+			held.Get("held")
+			testutil.Wait(t, got, "the attempt")
 			end := make(chan error, 1)
 			go func() { end <- stop() }()
-			wait(t, draining, "an accept after the listener was shut")
+			testutil.Wait(t, draining, "an accept after the listener was shut")
 			queued := dial(t, n)
-			queued.get("queued")
+			queued.Get("queued")
 			close(resume)
-			wait(t, got, "the attempt for the queued request")
+			testutil.Wait(t, got, "the attempt for the queued request")
 			release()
-			held.want(t, 200, "for held")
-			queued.want(t, 200, "for queued")
-			if err := wait(t, end, "the node's end"); err != nil {
+			held.Expect(t, 200, "for held")
+			queued.Expect(t, 200, "for queued")
+			if err := testutil.Wait(t, end, "the node's end"); err != nil {
 				t.Error(err)
 			}
 		})
@@ -117,15 +108,15 @@
 		t.Run(fmt.Sprint("in service=", inService), func(t *testing.T) {
 			t.Parallel()
 			got := make(chan struct{}, 1)
-			s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+			s := testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 				got <- struct{}{}
 				c.Read(make([]byte, 1)) // until the node closes
 				return false
 			})
 			var failing atomic.Bool
 			failed := make(chan struct{}, 1)
-			n, stop := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
-				n.drainSchedule, n.drainLimit = drainSchedule{closeConns: time.Millisecond, answerAll: 100 * time.Millisecond}, 2*limit
+			n, stop := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) {
+				n.drainSchedule, n.drainLimit = drainSchedule{closeConns: time.Millisecond, answerAll: 100 * time.Millisecond}, 2*testutil.Limit
 				n.listener = failingListener{n.listener.(*net.TCPListener), func() error {
 					if !failing.Load() {
 						return nil
@@ -138,17 +129,17 @@
 				}}
 			})
 			held := dial(t, n)
-			held.send("POST", "/note/k", "held", "x", "60")
-			wait(t, got, "the attempt")
+			held.Send("POST", "/note/k", "held", "x", "60")
+			testutil.Wait(t, got, "the attempt")
 			failing.Store(true)
 			if inService {
 				dial(t, n) // ends the accept that waits
-				wait(t, failed, "a failed accept")
+				testutil.Wait(t, failed, "a failed accept")
 			}
 			end := make(chan error, 1)
 			go func() { end <- stop() }()
-			held.want(t, http.StatusBadGateway, "") // at the shutdown deadline
-			if err := wait(t, end, "the node's end"); err != nil {
+			held.Expect(t, http.StatusBadGateway, "") // at the shutdown deadline
+			if err := testutil.Wait(t, end, "the node's end"); err != nil {
 				t.Error(err)
 			}
 		})
@@ -161,9 +152,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := newDownstreamConns(newClock(), 10, 10, 16<<20, func() int { return 0 })
+	s := newDownstreamConns(monotime.New(), 10, 10, 16<<20, func() int { return 0 })
 	var log bytes.Buffer
-	l := newDownstreamListener(failingListener{ln.(*net.TCPListener), failing(syscall.ENOBUFS, 6)}, s,
+	l := newDownstreamListener(failingListener{ln.(*net.TCPListener), testutil.FailTimes(syscall.ENOBUFS, 6)}, s,
 		slog.New(slog.NewTextHandler(&log, nil)))
 	defer l.Close()
 	theirs, err := net.Dial("tcp", ln.Addr().String())
--- a/internal/node/listparser_test.go
+++ b/internal/node/listparser_test.go
@@ -14,6 +14,7 @@
 	"testing"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/testutil"
 )
 
 // unmarshalList reads a list with json.Unmarshal, as the reference for the parser.
@@ -45,7 +46,7 @@
 // The parser reads a list as json.Unmarshal does, and rejects it where that fails: in any form, truncated at any
 // byte, with any byte replaced.
 func TestListParserAgreesWithUnmarshal(t *testing.T) {
-	s1, s2 := bootEntry("s1", 1.8e12), entry("s2", "[::1]:80", "terminating")
+	s1, s2 := bootEntry("s1", 1.8e12), testutil.ListEntry("s2", "[::1]:80", "terminating")
 	gone := `{"uid":"s3","state":"terminated"}`
 	good := []string{
 		`{"rev":3,"all":true,"targets":[]}`, `{"rev":3,"all":false,"targets":null}`, `{"all":false,"rev":-3}`,
@@ -100,7 +101,7 @@
 		entries[i] = fmt.Sprintf(`{"uid":"s-%08x","endpoint":"10.1.%d.%d:7070","az":"zone-a","model":"m2","note":%q,`+
 			`"pod_group":3,"state":"in_service","capacity_hint":1.0,"boot_ms":1800000000000}`, i, i/256, i%256, note)
 	}
-	text := strings.Replace(completeList(entries...), "%d", "7", 1)
+	text := strings.Replace(testutil.CompleteList(entries...), "%d", "7", 1)
 	if indented {
 		var b bytes.Buffer
 		json.Indent(&b, []byte(text), "", "        ")
@@ -122,12 +123,12 @@
 		{"endless", manyServers(3200, strings.Repeat("x", 2000), false), 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			ag := newRegistryAgent(t)
-			ag.set(false, c.text)
+			ag := testutil.NewRegistryAgent(t)
+			ag.Set(false, c.text)
 			var got []listEntry
 			cfg := testConfig("")
 			cfg.Discovery = ag.Addr().String()
-			d := newDiscovery(cfg, -1, func(e event) { got = e.(listReceived).list.entries }, testLog())
+			d := newDiscovery(cfg, -1, func(e event) { got = e.(listReceived).list.entries }, testutil.DiscardLog())
 			if _, err := d.watchOnce(t.Context(), d.currentAddress(), false); (err == nil) != (c.want > 0) || len(got) != c.want {
 				t.Errorf("%s: %d servers, %v, want %d", c.name, len(got), err, c.want)
 			}
@@ -151,13 +152,13 @@
 		{"cut", "HTTP/1.1 200 OK\r\nContent-Length: 31\r\n\r\n" + `{"rev":8,"all":true,"targets":[`, -1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			agent := newServer(t, func(conn net.Conn, _ *http.Request, _ string) bool {
+			agent := testutil.NewServer(t, func(conn net.Conn, _ *http.Request, _ string) bool {
 				io.WriteString(conn, c.answer)
 				return false
 			})
 			cfg := testConfig("")
-			cfg.Discovery, cfg.Settings.PollDiscovery = agent.addr(), true
-			d := newDiscovery(cfg, 7, func(e event) { t.Errorf("%s: posted %v", c.name, e) }, testLog())
+			cfg.Discovery, cfg.Settings.PollDiscovery = agent.Address(), true
+			d := newDiscovery(cfg, 7, func(e event) { t.Errorf("%s: posted %v", c.name, e) }, testutil.DiscardLog())
 			if _, err := d.watchOnce(t.Context(), d.currentAddress(), false); err == nil || d.currentAddress().version != c.want {
 				t.Errorf("%s: %v; rev %d is cached, want %d", c.name, err, d.currentAddress().version, c.want)
 			}
@@ -228,29 +229,29 @@
 func TestMalformedListIsDiscarded(t *testing.T) {
 	for _, bad := range []string{
 		"", "{", "[]", `{"rev":2,"targets":[]}`, `{"all":true,"targets":[]}`,
-		`{"rev":2,"all":true,"targets":[` + entry("s1", "127.0.0.1:1", "in_service") + `,` + entry("s2", "name:80", "in_service") + `]}`,
-		`{"rev":2,"all":true,"targets":[` + entry("s1", "127.0.0.1:1", "asleep") + `]}`,
-		`{"rev":2,"all":true,"targets":[` + entry("", "127.0.0.1:1", "in_service") + `]}`,
-		`{"rev":2,"all":true,"targets":[` + entry("s1", "127.0.0.1:1", "in_service") + `,` + entry("s1", "127.0.0.1:2", "in_service") + `]}`,
+		`{"rev":2,"all":true,"targets":[` + testutil.ListEntry("s1", "127.0.0.1:1", "in_service") + `,` + testutil.ListEntry("s2", "name:80", "in_service") + `]}`,
+		`{"rev":2,"all":true,"targets":[` + testutil.ListEntry("s1", "127.0.0.1:1", "asleep") + `]}`,
+		`{"rev":2,"all":true,"targets":[` + testutil.ListEntry("", "127.0.0.1:1", "in_service") + `]}`,
+		`{"rev":2,"all":true,"targets":[` + testutil.ListEntry("s1", "127.0.0.1:1", "in_service") + `,` + testutil.ListEntry("s1", "127.0.0.1:2", "in_service") + `]}`,
 		`{"rev":2,"all":true,"targets":[{"uid":"s1","endpoint":"127.0.0.1:1","state":"in_service","boot_ms":-1}]}`,
 	} {
 		if l, err := parseList([]byte(bad)); err == nil || l.entries != nil {
 			t.Errorf("%q: %v, %v", bad, l, err)
 		}
 	}
-	s := newServer(t, echo)
-	ag := newRegistryAgent(t)
-	cfg := testConfig(completeList(entry("s1", s.addr(), "in_service")))
+	s := testutil.NewServer(t, testutil.Echo)
+	ag := testutil.NewRegistryAgent(t)
+	cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service")))
 	cfg.Discovery = ag.Addr().String()
-	ag.set(false, completeList(entry("s1", s.addr(), "in_service")))
+	ag.Set(false, testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service")))
 	n, _ := startNode(t, cfg, nil)
-	for wait(t, ag.calls, "the watch for changes") == "" {
+	for testutil.Wait(t, ag.Calls, "the watch for changes") == "" {
 	}
-	ag.set(false, `{"rev":%d,"all":true,"targets":[`+entry("s1", s.addr(), "terminated")+`,{"uid":""}]}`)
-	if q := wait(t, ag.calls, "the call after the bad list"); q != "" {
+	ag.Set(false, `{"rev":%d,"all":true,"targets":[`+testutil.ListEntry("s1", s.Address(), "terminated")+`,{"uid":""}]}`)
+	if q := testutil.Wait(t, ag.Calls, "the call after the bad list"); q != "" {
 		t.Errorf("called with %q, want the complete list", q)
 	}
 	c := dial(t, n)
-	c.get("r")
-	c.want(t, 200, "for r")
+	c.Get("r")
+	c.Expect(t, 200, "for r")
 }
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/monotime"
 )
 
 // eventQueueLength is how many events may wait for the loop before post blocks.
@@ -17,7 +18,7 @@
 // not marked otherwise. It never blocks on I/O: answers go to buffered channels, and each attempt runs in a
 // goroutine of its own.
 type loop struct {
-	clock           clock
+	clock           monotime.Clock
 	balancer        *balancer.Balancer
 	events          chan event
 	start           func(*attempt) // starts an attempt; must not block
@@ -44,7 +45,7 @@
 	listKnown    bool         // a list has been applied: discovery's, or the cached one in its place
 }
 
-func newLoop(b *balancer.Balancer, c clock, log *slog.Logger) *loop {
+func newLoop(b *balancer.Balancer, c monotime.Clock, log *slog.Logger) *loop {
 	return &loop{
 		clock: c, balancer: b, connectionStats: func() []any { return nil }, events: make(chan event, eventQueueLength), log: log,
 		pending: map[string]*requestState{}, endpoints: map[string]listEntry{}, bootClock: newBootClock(c),
@@ -64,7 +65,7 @@
 	for {
 		l.fireTimers()
 		if len(l.timers) > 0 {
-			timer.Reset(max(0, l.clock.until(l.timers[0].at)))
+			timer.Reset(max(0, l.clock.Until(l.timers[0].at)))
 		}
 		select {
 		case e := <-l.events:
@@ -88,9 +89,9 @@
 	case attemptEnded:
 		l.endAttempt(e.attempt, e.result)
 	case settingsChanged:
-		l.decide(l.clock.now(), balancer.Reconfigure{Settings: e.settings})
+		l.decide(l.clock.Now(), balancer.Reconfigure{Settings: e.settings})
 		l.rules.Store(e.rules)
-		e.inForce(l.clock.now())
+		e.inForce(l.clock.Now())
 	case shutdownDeadline:
 		l.answerAll()
 	case listReceived:
@@ -101,7 +102,7 @@
 	case listConfirmed:
 		l.bootClock.confirm()
 	case subscriptionFailed:
-		l.decide(l.clock.now(), balancer.SubscriptionFailed{})
+		l.decide(l.clock.Now(), balancer.SubscriptionFailed{})
 	case discoveryUnresponsive:
 		l.useCachedList()
 	}
@@ -133,7 +134,7 @@
 // answerAll answers every request that is not answered, at the end of draining. To the module, the requests of
 // departed clients are answered already, so it returns no action for them.
 func (l *loop) answerAll() {
-	l.decide(l.clock.now(), balancer.Shutdown{})
+	l.decide(l.clock.Now(), balancer.Shutdown{})
 	for _, state := range l.pending {
 		if state.departed != present && !state.answered {
 			l.respondToDeparted(state)
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -8,13 +8,14 @@
 	"testing"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/testutil"
 )
 
 // A complete list that names what is cached already is not passed to the module: it would build its subset anew
 // and open connections for nothing.
 func TestUnchangedCompleteListChangesNothing(t *testing.T) {
-	s := newServer(t, echo)
-	n, err := New(testConfig(completeList(entry("s1", s.addr(), "in_service"))), testLog())
+	s := testutil.NewServer(t, testutil.Echo)
+	n, err := New(testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), testutil.DiscardLog())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,9 +27,9 @@
 		entries []string
 		want    int
 	}{
-		{[]string{entry("s1", s.addr(), "in_service")}, 0},
-		{[]string{entry("s1", s.addr(), "terminating")}, 1},
-		{[]string{entry("s1", "127.0.0.1:1", "in_service")}, 2},
+		{[]string{testutil.ListEntry("s1", s.Address(), "in_service")}, 0},
+		{[]string{testutil.ListEntry("s1", s.Address(), "terminating")}, 1},
+		{[]string{testutil.ListEntry("s1", "127.0.0.1:1", "in_service")}, 2},
 		{nil, 3},
 	} {
 		if n.loop.handleEvent(listReceived{listOf(t, true, c.entries...)}); told != c.want {
@@ -47,7 +48,7 @@
 		for s := range 3 {
 			state := []string{"in_service", "terminating", "terminated", ""}[rng.IntN(4)]
 			if state != "" && !(full && state == "terminated") {
-				entries = append(entries, entry(fmt.Sprint("s", s), "127.0.0.1:1", state))
+				entries = append(entries, testutil.ListEntry(fmt.Sprint("s", s), "127.0.0.1:1", state))
 			}
 		}
 		l.handleEvent(listReceived{listOf(t, full, entries...)})
@@ -63,14 +64,14 @@
 
 // The cached list of the configuration is long, and of no use once a list was received.
 func TestCachedListIsReleased(t *testing.T) {
-	cfg := testConfig(completeList(entry("s1", "127.0.0.1:1", "in_service")))
-	n, err := New(cfg, testLog())
+	cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", "127.0.0.1:1", "in_service")))
+	n, err := New(cfg, testutil.DiscardLog())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer n.listener.Close()
 	n.Reload(cfg)
-	n.loop.handleEvent(listReceived{listOf(t, true, entry("s2", "127.0.0.1:1", "in_service"))})
+	n.loop.handleEvent(listReceived{listOf(t, true, testutil.ListEntry("s2", "127.0.0.1:1", "in_service"))})
 	if n.cfg.Known != nil || n.loop.cachedList.entries != nil {
 		t.Errorf("%s and %v are kept", n.cfg.Known, n.loop.cachedList)
 	}
@@ -78,15 +79,15 @@
 
 // Clients, requests and servers that are ever new leave no state behind.
 func TestStateStaysBounded(t *testing.T) {
-	s := newServer(t, echo)
-	n, _ := startNode(t, testConfig(completeList(entry("s0", s.addr(), "in_service"))), nil)
+	s := testutil.NewServer(t, testutil.Echo)
+	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s0", s.Address(), "in_service"))), nil)
 	round := func(i int) {
-		l := endpointList{complete: true, version: int64(i), entries: []listEntry{{address: s.addr()}}}
+		l := endpointList{complete: true, version: int64(i), entries: []listEntry{{address: s.Address()}}}
 		l.entries[0].ID = fmt.Sprint("s", i)
 		n.loop.post(listReceived{l})
 		c := dial(t, n)
-		c.get(fmt.Sprint("r-", i))
-		c.want(t, http.StatusOK, "")
+		c.Get(fmt.Sprint("r-", i))
+		c.Expect(t, http.StatusOK, "")
 		c.Close()
 	}
 	for i := range 50 {
@@ -96,7 +97,7 @@
 	for i := range 300 {
 		round(50 + i)
 	}
-	until(t, "all that has gone to be forgotten", func() bool {
+	testutil.Until(t, "all that has gone to be forgotten", func() bool {
 		b, f := n.upstream, n.frontend.conns
 		b.mu.Lock()
 		defer b.mu.Unlock()
--- a/internal/node/main_test.go
+++ b/internal/node/main_test.go
@@ -1,27 +1,10 @@
 package node
 
 import (
-	"fmt"
-	"os"
 	"testing"
-	"time"
 
-	"go.uber.org/goleak"
+	"basaltdrum/internal/testutil"
 )
 
-// TestMain fails the package's tests if a goroutine outlives them. It looks again for as long as a busy machine may
-// take to end what has been told to end.
-func TestMain(m *testing.M) {
-	code := m.Run()
-	if code == 0 {
-		leaked := goleak.Find()
-		for end := time.Now().Add(limit); leaked != nil && time.Now().Before(end); {
-			leaked = goleak.Find()
-		}
-		if leaked != nil {
-			fmt.Fprintln(os.Stderr, leaked)
-			code = 1
-		}
-	}
-	os.Exit(code)
-}
+// TestMain fails the package's tests if a goroutine outlives them.
+func TestMain(m *testing.M) { testutil.Main(m) }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/monotime"
 )
 
 // reservedDescriptors is how many descriptors are kept for the listener, discovery, the log and the Go runtime, and
@@ -48,7 +49,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("node: %w", err)
 	}
-	clock := newClock()
+	clock := monotime.New()
 	l := newLoop(module, clock, log)
 	l.rules.Store(newRequestRules(1, set))
 	descriptors := cfg.Sockets - reservedDescriptors
--- a/internal/node/outlier_test.go
+++ b/internal/node/outlier_test.go
@@ -11,6 +11,8 @@
 	"sync"
 	"testing"
 	"time"
+
+	"basaltdrum/internal/testutil"
 )
 
 // faultyFleet is a list of servers that fail some requests at once with a 500, by class, and count all that they
@@ -41,7 +43,7 @@
 
 // serve starts a server and returns its entry.
 func (f *faultyFleet) serve(t *testing.T, uid string) string {
-	s := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	s := testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		class := strings.Split(r.URL.Path, "/")[1]
 		f.mu.Lock()
 		f.received[uid+" "+class]++
@@ -66,12 +68,12 @@
 			return false
 		default:
 			time.Sleep(f.work)
-			return echo(c, r, body)
+			return testutil.Echo(c, r, body)
 		}
 		_, err := io.WriteString(c, "HTTP/1.1 "+head+"\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
 	})
-	return entry(uid, s.addr(), "in_service")
+	return testutil.ListEntry(uid, s.Address(), "in_service")
 }
 
 // count resets the counts, and returns a function for the share of a class that some servers received since.
@@ -98,7 +100,7 @@
 
 // sendEach has clients send requests on connections of their own, each request after the response to the one
 // before. It returns the status codes by client and request.
-func sendEach(t *testing.T, n *Node, clients, each int, send func(c *testClient, client, i int)) [][]int {
+func sendEach(t *testing.T, n *Node, clients, each int, send func(c *testutil.Client, client, i int)) [][]int {
 	status := make([][]int, clients)
 	var running sync.WaitGroup
 	for client := range status {
@@ -108,7 +110,7 @@
 			defer running.Done()
 			for i := range each {
 				send(c, client, i)
-				r, _, err := c.read()
+				r, _, err := c.ReadResponse()
 				if err != nil {
 					t.Error(err)
 					return
@@ -124,12 +126,12 @@
 // load sends requests of both classes, and returns the share served.
 func load(t *testing.T, n *Node, clients, each int) float64 {
 	served := 0
-	for _, codes := range sendEach(t, n, clients, each, func(c *testClient, client, i int) {
+	for _, codes := range sendEach(t, n, clients, each, func(c *testutil.Client, client, i int) {
 		id := fmt.Sprintf("%p-%d-%d", c, client, i)
 		if i%3 == 0 {
-			c.get(id)
+			c.Get(id)
 		} else {
-			c.send("POST", "/note/k", id, "x", "60")
+			c.Send("POST", "/note/k", id, "x", "60")
 		}
 	}) {
 		for _, code := range codes {
@@ -149,14 +151,14 @@
 		t.Run(fmt.Sprint("one served in ", part), func(t *testing.T) {
 			f := newFaultyFleet(part, 0, "s3 view", "s4 view", "s5 view", "s6 view")
 			list := []string{f.serve(t, "s1"), f.serve(t, "s2"), f.serve(t, "s3"), f.serve(t, "s4")}
-			ag := newRegistryAgent(t)
-			cfg := testConfig(completeList(list...))
+			ag := testutil.NewRegistryAgent(t)
+			cfg := testConfig(testutil.CompleteList(list...))
 			cfg.Discovery = ag.Addr().String()
 			n, _ := startNode(t, cfg, nil)
 			for _, bad := range [][]string{{"s3", "s4"}, {"s5", "s6"}} {
 				if bad[0] == "s5" {
 					list[2], list[3] = f.serve(t, "s5"), f.serve(t, "s6")
-					ag.set(false, completeList(list...))
+					ag.Set(false, testutil.CompleteList(list...))
 					untilListed(t, n, "s6")
 				}
 				load(t, n, 20, 20) // to meet them
@@ -181,7 +183,7 @@
 	for _, uid := range []string{"s1", "s2", "s3", "s4"} {
 		list = append(list, f.serve(t, uid))
 	}
-	cfg := testConfig(completeList(list...))
+	cfg := testConfig(testutil.CompleteList(list...))
 	for i := range cfg.Settings.Classes {
 		cfg.Settings.Classes[i].LatencyObjective = 900 * time.Millisecond
 	}
@@ -200,17 +202,17 @@
 func TestUnresponsiveAttemptsAreRetriedInTime(t *testing.T) {
 	f := newFaultyFleet(0, 0)
 	f.hangsOneIn = 5
-	cfg := testConfig(completeList(f.serve(t, "s1"), f.serve(t, "s2"), f.serve(t, "s3"), f.serve(t, "s4")))
+	cfg := testConfig(testutil.CompleteList(f.serve(t, "s1"), f.serve(t, "s2"), f.serve(t, "s3"), f.serve(t, "s4")))
 	cfg.Settings.Tier = 1
 	n, _ := startNode(t, cfg, nil)
 	const clients, each = 8, 20
 	var served [2]int // of the views and of the notes
-	for _, codes := range sendEach(t, n, clients, 2*each, func(c *testClient, client, i int) {
+	for _, codes := range sendEach(t, n, clients, 2*each, func(c *testutil.Client, client, i int) {
 		method, target, body := "GET", "/view/k", ""
 		if i%2 == 1 {
 			method, target, body = "POST", "/note/k", "x"
 		}
-		c.send(method, target, fmt.Sprintf("%d-%d", client, i), body, "1")
+		c.Send(method, target, fmt.Sprintf("%d-%d", client, i), body, "1")
 	}) {
 		for i, code := range codes {
 			if code == http.StatusOK {
@@ -231,7 +233,7 @@
 	for _, uid := range []string{"s1", "s2", "s3", "s4"} {
 		list = append(list, f.serve(t, uid))
 	}
-	n, _ := startNode(t, testConfig(completeList(list...)), nil)
+	n, _ := startNode(t, testConfig(testutil.CompleteList(list...)), nil)
 	load(t, n, 20, 100)
 	f.mu.Lock()
 	clear(f.fails)
@@ -258,7 +260,7 @@
 			for _, uid := range uids {
 				list = append(list, f.serve(t, uid))
 			}
-			n, _ := startNode(t, testConfig(completeList(list...)), nil)
+			n, _ := startNode(t, testConfig(testutil.CompleteList(list...)), nil)
 			load(t, n, 6, 60)
 			share := f.count()
 			load(t, n, 6, 200)
--- a/internal/node/polling_test.go
+++ b/internal/node/polling_test.go
@@ -9,34 +9,36 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"basaltdrum/internal/testutil"
 )
 
 // Where lists are polled, a watch follows only a Subscribe, and its failure is reported.
 func TestPolledDiscoveryFollowsSubscribe(t *testing.T) {
-	ag := newRegistryAgent(t)
+	ag := testutil.NewRegistryAgent(t)
 	events := make(chan event, 10)
 	cfg := testConfig("")
 	cfg.Discovery = ag.Addr().String()
 	cfg.Settings.PollDiscovery = true
-	d := newDiscovery(cfg, 7, func(e event) { events <- e }, testLog())
-	ag.set(false, completeList(entry("s1", "127.0.0.1:1", "in_service")))
+	d := newDiscovery(cfg, 7, func(e event) { events <- e }, testutil.DiscardLog())
+	ag.Set(false, testutil.CompleteList(testutil.ListEntry("s1", "127.0.0.1:1", "in_service")))
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go d.runPolled(ctx)
 	d.subscribe()
-	if q := wait(t, ag.calls, "a watch"); !strings.HasPrefix(q, "from=7&") {
+	if q := testutil.Wait(t, ag.Calls, "a watch"); !strings.HasPrefix(q, "from=7&") {
 		t.Errorf("called with %q", q)
 	}
-	if e, ok := wait(t, events, "the list").(listReceived); !ok || len(e.list.entries) != 1 {
+	if e, ok := testutil.Wait(t, events, "the list").(listReceived); !ok || len(e.list.entries) != 1 {
 		t.Errorf("got %v", e)
 	}
-	wait(t, ag.calls, "the watch to go on")
-	ag.set(false, "{bad %d")
-	if e, ok := wait(t, events, "the failure").(subscriptionFailed); !ok {
+	testutil.Wait(t, ag.Calls, "the watch to go on")
+	ag.Set(false, "{bad %d")
+	if e, ok := testutil.Wait(t, events, "the failure").(subscriptionFailed); !ok {
 		t.Errorf("got %v", e)
 	}
 	select {
-	case q := <-ag.calls:
+	case q := <-ag.Calls:
 		t.Errorf("called with %q without a Subscribe", q)
 	default:
 	}
@@ -45,20 +47,20 @@
 // Where lists are polled, a changed discovery address opens a watch though none is in progress: what discovery has
 // there counts as notified whether it was polled or not.
 func TestAddressChangePollsAnew(t *testing.T) {
-	ag := newRegistryAgent(t)
-	ag.set(false, completeList(entry("s1", "127.0.0.1:1", "in_service")))
+	ag := testutil.NewRegistryAgent(t)
+	ag.Set(false, testutil.CompleteList(testutil.ListEntry("s1", "127.0.0.1:1", "in_service")))
 	events := make(chan event, 10)
 	cfg := testConfig("")
 	cfg.Settings.PollDiscovery = true
-	d := newDiscovery(cfg, 7, func(e event) { events <- e }, testLog())
+	d := newDiscovery(cfg, 7, func(e event) { events <- e }, testutil.DiscardLog())
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go d.runPolled(ctx)
 	d.setAddress(ag.Addr().String())
-	if q := wait(t, ag.calls, "a call"); q != "" {
+	if q := testutil.Wait(t, ag.Calls, "a call"); q != "" {
 		t.Errorf("called with %q, want the complete list", q)
 	}
-	if e, ok := wait(t, events, "the list").(listReceived); !ok || len(e.list.entries) != 1 {
+	if e, ok := testutil.Wait(t, events, "the list").(listReceived); !ok || len(e.list.entries) != 1 {
 		t.Errorf("got %v", e)
 	}
 }
@@ -67,9 +69,9 @@
 // unresponsive: the module's backoff between its calls is a part of that.
 func TestPollBackoffIsBoundedByTheNotificationTime(t *testing.T) {
 	for seed := range uint64(20) {
-		cfg := testConfig(completeList())
+		cfg := testConfig(testutil.CompleteList())
 		cfg.Settings.PollDiscovery, cfg.Settings.PollWithin, cfg.Seed = true, time.Hour, seed
-		n, err := New(cfg, testLog())
+		n, err := New(cfg, testutil.DiscardLog())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -78,7 +80,7 @@
 			n.loop.handleEvent(subscriptionFailed{})
 		}
 		for _, a := range n.loop.timers {
-			if left := n.loop.clock.until(a.at); left > notifiedWithin/4 {
+			if left := n.loop.clock.Until(a.at); left > notifiedWithin/4 {
 				t.Fatalf("seed %d: polls %v from now", seed, left)
 			}
 		}
@@ -90,8 +92,8 @@
 func TestRefusedDiscoveryIsNotPolledInAHotLoop(t *testing.T) {
 	for _, within := range []time.Duration{0, time.Millisecond, time.Hour} {
 		t.Run(fmt.Sprint(within), func(t *testing.T) {
-			cfg := testConfig(completeList())
-			cfg.Discovery, cfg.Settings.PollDiscovery, cfg.Settings.PollWithin = closedPort(t), true, within
+			cfg := testConfig(testutil.CompleteList())
+			cfg.Discovery, cfg.Settings.PollDiscovery, cfg.Settings.PollWithin = testutil.ClosedPort(t), true, within
 			dials, waits := make(chan struct{}, 1000), make(chan time.Duration, 1000)
 			clock := make(chan time.Time)
 			n, _ := startNode(t, cfg, func(n *Node) {
@@ -106,22 +108,22 @@
 			})
 			n.discovery.subscribe()
 			for range 5 {
-				wait(t, dials, "a call")
-				if d := wait(t, waits, "the wait"); d != retryInterval {
+				testutil.Wait(t, dials, "a call")
+				if d := testutil.Wait(t, waits, "the wait"); d != retryInterval {
 					t.Errorf("waits for %v, want %v", d, retryInterval)
 				}
 				n.discovery.subscribe()
-				until(t, "the failure to be taken", func() bool { return len(n.loop.events) == 0 })
+				testutil.Until(t, "the failure to be taken", func() bool { return len(n.loop.events) == 0 })
 				if len(dials) != 0 {
 					t.Fatal("called before the wait was over")
 				}
 				clock <- time.Time{}
 			}
-			wait(t, waits, "the wait")
-			ag := newRegistryAgent(t)
-			ag.set(false, completeList())
+			testutil.Wait(t, waits, "the wait")
+			ag := testutil.NewRegistryAgent(t)
+			ag.Set(false, testutil.CompleteList())
 			n.discovery.setAddress(ag.Addr().String())
-			wait(t, ag.calls, "the call after the move")
+			testutil.Wait(t, ag.Calls, "the call after the move")
 		})
 	}
 }
@@ -135,9 +137,9 @@
 	} {
 		for _, asked := range []bool{false, true} {
 			for failures := range 6 {
-				cfg := testConfig(completeList())
+				cfg := testConfig(testutil.CompleteList())
 				cfg.Settings.PollDiscovery, cfg.Settings.PollWithin = asked, within
-				n, err := New(cfg, testLog())
+				n, err := New(cfg, testutil.DiscardLog())
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -147,7 +149,7 @@
 					for range failures {
 						n.loop.handleEvent(subscriptionFailed{})
 					}
-					before := n.loop.clock.now()
+					before := n.loop.clock.Now()
 					n.loop.handleEvent(subscriptionFailed{})
 					for _, a := range n.loop.timers {
 						again = max(again, a.at-before)
--- a/internal/node/readahead_test.go
+++ b/internal/node/readahead_test.go
@@ -5,25 +5,27 @@
 	"net"
 	"net/http"
 	"testing"
+
+	"basaltdrum/internal/testutil"
 )
 
 // What a client sends before its response has come is its next request, in order and complete.
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
-	s, got, release := newHoldingServer(t, "")
-	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), nil)
+	s, got, release := testutil.NewHoldingServer(t, "")
+	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), nil)
 	c := dial(t, n)
-	c.get("r0")
-	wait(t, got, "the first request")
+	c.Get("r0")
+	testutil.Wait(t, got, "the first request")
 	const more = 800 // much longer than what is read at once
 	sent := 0
 	for i := 1; i <= more; i++ {
-		c.get(fmt.Sprint("r", i))
-		sent += len(requestText(fmt.Sprint("r", i)))
+		c.Get(fmt.Sprint("r", i))
+		sent += len(testutil.RequestText(fmt.Sprint("r", i)))
 	}
-	until(t, "the bytes to be read", func() bool { return readAheadBytes(n) == sent })
+	testutil.Until(t, "the bytes to be read", func() bool { return readAheadBytes(n) == sent })
 	release()
 	for i := 0; i <= more; i++ {
-		c.want(t, 200, fmt.Sprint("for r", i))
+		c.Expect(t, 200, fmt.Sprint("for r", i))
 	}
 }
 
@@ -53,9 +55,9 @@
 
 func (c readAheadCase) play(t *testing.T) {
 	got := make(chan struct{}, 1)
-	s := newServer(t, func(nc net.Conn, r *http.Request, body string) bool {
+	s := testutil.NewServer(t, func(nc net.Conn, r *http.Request, body string) bool {
 		if r.Header.Get("X-Request-Id") != "r" {
-			return echo(nc, r, body)
+			return testutil.Echo(nc, r, body)
 		}
 		got <- struct{}{}
 		nc.Read(make([]byte, 1)) // until the node closes
@@ -65,35 +67,35 @@
 	if c.begun {
 		state = "in_service"
 	}
-	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), state))), func(n *Node) {
+	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), state))), func(n *Node) {
 		n.frontend.conns.readAheadLimit = c.all
 	})
 	many := dial(t, n)
-	many.get("r")
+	many.Get("r")
 	if c.begun {
-		wait(t, got, "the attempt")
+		testutil.Wait(t, got, "the attempt")
 	} else {
 		untilActive(t, n, 1)
 	}
 	const more = 2 * readAheadPerConn / 80
 	go func() {
 		for i := range more {
-			many.get(fmt.Sprint("next-", i))
+			many.Get(fmt.Sprint("next-", i))
 		}
 	}()
-	many.want(t, c.want, "")
+	many.Expect(t, c.want, "")
 	if !c.begun { // whoever can be watched again waits for a server
-		n.loop.post(listReceived{listOf(t, true, entry("s1", s.addr(), "in_service"))})
+		n.loop.post(listReceived{listOf(t, true, testutil.ListEntry("s1", s.Address(), "in_service"))})
 	}
 	served, aborted := readPipelined(t, many, more)
 	if c.begun {
 		served++
 	}
-	if seen := s.received(); seen < served || seen > served+aborted {
+	if seen := s.Received(); seen < served || seen > served+aborted {
 		t.Errorf("%d requests began, %d were served and %d aborted", seen, served, aborted)
 	}
-	many.get("last")
-	many.want(t, 200, "for last")
+	many.Get("last")
+	many.Expect(t, 200, "for last")
 	if kept := n.frontend.conns.readAheadReserved.Load(); kept != 0 {
 		t.Errorf("%d bytes are kept with nothing sent ahead", kept)
 	}
@@ -101,10 +103,10 @@
 
 // readPipelined reads the responses to pipelined requests, and counts those that were served and those whose attempt
 // was aborted.
-func readPipelined(t *testing.T, c *testClient, requests int) (served, aborted int) {
+func readPipelined(t *testing.T, c *testutil.Client, requests int) (served, aborted int) {
 	t.Helper()
 	for i := range requests {
-		r, body := c.answer(t)
+		r, body := c.Response(t)
 		switch {
 		case r.StatusCode == 200 && body == fmt.Sprint("for next-", i):
 			served++
--- a/internal/node/registryaddress.go
+++ b/internal/node/registryaddress.go
@@ -8,6 +8,9 @@
 	"net/url"
 	"strconv"
 	"time"
+
+	"basaltdrum/internal/monotime"
+	"basaltdrum/internal/netdial"
 )
 
 // noVersion stands for no list at all: the next poll requests the complete list.
@@ -27,7 +30,7 @@
 	abandon context.CancelFunc
 	addr    string
 	client  *http.Client
-	dial    dialFunc
+	dial    netdial.Func
 	version int64 // of the list received last, or noVersion
 }
 
@@ -48,7 +51,7 @@
 	defer cancel()
 	deadline, _ := ctx.Deadline()
 	mayWait := func(wait time.Duration) bool { return time.Until(deadline) > wait }
-	_, err = dialWithBackoff(ctx, mayWait, func() error {
+	_, err = netdial.WithBackoff(ctx, mayWait, func() error {
 		nc, err = a.dial(ctx, network, address)
 		return err
 	})
@@ -79,7 +82,7 @@
 // checkAgent is a health check of the agent: it polls without a hold until a response arrives, which it reports, or
 // until ctx ends. It begins after a delay, in which a healthy agent responds to the watch beside it.
 func (a *registryAddress) checkAgent(ctx context.Context, from int64) bool {
-	sleep(ctx, agentCheckTimeout)
+	monotime.Sleep(ctx, agentCheckTimeout)
 	for ctx.Err() == nil {
 		next := time.After(retryInterval)
 		if a.responds(ctx, from) {
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -30,7 +30,7 @@
 	n.revision++
 	log := n.log.With("revision", n.revision, "changed", changed)
 	log.Info("configuration reloaded", "discovery", cfg.Discovery)
-	since := n.loop.clock.now()
+	since := n.loop.clock.Now()
 	n.cfg, n.drainSchedule, n.drainLimit = cfg, drainScheduleOf(cfg), drainLimit(cfg)
 	n.upstream.configure(cfg)
 	n.discovery.setAddress(cfg.Discovery)
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -9,21 +9,22 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/testutil"
 )
 
 // scriptedServer holds each request until it is told whether to answer or to reset.
 type scriptedServer struct {
-	*fakeServer
+	*testutil.Server
 	arrived chan string
 	succeed chan bool
 }
 
 func newScriptedServer(t *testing.T) scriptedServer {
 	s := scriptedServer{arrived: make(chan string, 100), succeed: make(chan bool, 100)}
-	s.fakeServer = newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	s.Server = testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		s.arrived <- r.Header.Get("X-Request-Id")
 		if <-s.succeed {
-			return echo(c, r, body)
+			return testutil.Echo(c, r, body)
 		}
 		c.(*net.TCPConn).SetLinger(0)
 		return false
@@ -60,7 +61,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			one, two := newScriptedServer(t), newScriptedServer(t)
-			cfg := testConfig(completeList(entry("s1", one.addr(), "in_service"), entry("s2", two.addr(), "in_service")))
+			cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", one.Address(), "in_service"), testutil.ListEntry("s2", two.Address(), "in_service")))
 			n, _ := startNode(t, cfg, nil)
 			next := func(id string) scriptedServer {
 				select {
@@ -71,7 +72,7 @@
 					return one
 				case <-two.arrived:
 					return two
-				case <-time.After(limit):
+				case <-time.After(testutil.Limit):
 					t.Fatalf("%s comes to no server", id)
 				}
 				return one
@@ -81,23 +82,23 @@
 				target, body = "/note/k", "body"
 			}
 			c := dial(t, n)
-			c.send(row.method, target, "before", body, "60")
+			c.Send(row.method, target, "before", body, "60")
 			first := next("before")
 			reload(t, n, with(cfg, row.change))
 			first.succeed <- false
 			if row.again {
 				next("before").succeed <- true
-				c.want(t, 200, "for before")
+				c.Expect(t, 200, "for before")
 			} else {
-				c.want(t, 502, "")
+				c.Expect(t, 502, "")
 			}
 			c = dial(t, n)
-			c.send(row.method, target, "after", body, "60")
+			c.Send(row.method, target, "after", body, "60")
 			if row.servers > 0 {
 				next("after").succeed <- true
 			}
-			c.want(t, row.status, "")
-			if got := one.received() + two.received(); got != row.servers+1+map[bool]int{true: 1}[row.again] {
+			c.Expect(t, row.status, "")
+			if got := one.Received() + two.Received(); got != row.servers+1+map[bool]int{true: 1}[row.again] {
 				t.Errorf("the servers got %d requests", got)
 			}
 		})
@@ -107,20 +108,20 @@
 // A class that is added is served at once, and one that is removed is answered as unknown, on a connection that
 // stays open.
 func TestReloadAddsAndRemovesClasses(t *testing.T) {
-	s := newServer(t, echo)
-	cfg := testConfig(completeList(entry("s1", s.addr(), "in_service")))
+	s := testutil.NewServer(t, testutil.Echo)
+	cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service")))
 	n, _ := startNode(t, cfg, nil)
 	more := with(cfg, func(l []balancer.Class) []balancer.Class {
-		return append(l, balancer.Class{Name: "extra", Effect: balancer.Idempotent, LatencyObjective: limit, Deadline: 2 * limit})
+		return append(l, balancer.Class{Name: "extra", Effect: balancer.Idempotent, LatencyObjective: testutil.Limit, Deadline: 2 * testutil.Limit})
 	})
 	for range 3 {
 		c := dial(t, n)
-		c.send("GET", "/extra/k", "early", "", "60")
-		c.want(t, 404, "")
+		c.Send("GET", "/extra/k", "early", "", "60")
+		c.Expect(t, 404, "")
 		reload(t, n, more)
 		c = dial(t, n)
-		c.send("GET", "/extra/k", "there", "", "60")
-		c.want(t, 200, "for there")
+		c.Send("GET", "/extra/k", "there", "", "60")
+		c.Expect(t, 200, "for there")
 		reload(t, n, cfg)
 	}
 }
@@ -140,10 +141,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := newServer(t, echo)
-			cfg := testConfig(completeList(entry("s1", s.addr(), "in_service")))
+			s := testutil.NewServer(t, testutil.Echo)
+			cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service")))
 			n, _ := startNode(t, cfg, nil)
-			until(t, "readiness", func() bool { return isReady(t, n) })
+			testutil.Until(t, "readiness", func() bool { return isReady(t, n) })
 			held, release := make(chan struct{}), make(chan struct{})
 			free := sync.OnceFunc(func() { close(release) })
 			defer free()
@@ -151,15 +152,15 @@
 				settings: moduleSettings(cfg), rules: newRequestRules(1, cfg.Settings),
 				inForce: func(time.Duration) { close(held); <-release },
 			})
-			wait(t, held, "the loop to be held")
+			testutil.Wait(t, held, "the loop to be held")
 			n.Reload(with(cfg, row.change))
 			c := dial(t, n)
-			c.send("POST", "/note/k", "crossing", "body", "60")
-			until(t, "the request to be on its way to the module", func() bool { return len(n.loop.events) == 2 })
+			c.Send("POST", "/note/k", "crossing", "body", "60")
+			testutil.Until(t, "the request to be on its way to the module", func() bool { return len(n.loop.events) == 2 })
 			free()
-			c.want(t, row.status, "")
-			if want := map[bool]int{true: 1}[row.status == 200]; s.received() != want {
-				t.Errorf("the server got %d requests, want %d", s.received(), want)
+			c.Expect(t, row.status, "")
+			if want := map[bool]int{true: 1}[row.status == 200]; s.Received() != want {
+				t.Errorf("the server got %d requests, want %d", s.Received(), want)
 			}
 		})
 	}
@@ -168,7 +169,7 @@
 // What cannot change in a running node stays as it is, whatever the file says, and the rest of the file is in
 // force.
 func TestReloadKeepsImmutableSettings(t *testing.T) {
-	cfg := testConfig(completeList())
+	cfg := testConfig(testutil.CompleteList())
 	n, _ := startNode(t, cfg, nil)
 	other := cfg
 	other.Listen, other.Sockets, other.MemoryMB = "127.0.0.1:1", 64, 16
@@ -189,7 +190,7 @@
 }
 
 func TestChangesNamesWhatDiffers(t *testing.T) {
-	cfg := testConfig(completeList())
+	cfg := testConfig(testutil.CompleteList())
 	other := with(cfg, func(l []balancer.Class) []balancer.Class {
 		l[0].LatencyObjective++
 		return append(l[:2], balancer.Class{Name: "extra"})
--- a/internal/node/response_test.go
+++ b/internal/node/response_test.go
@@ -13,6 +13,8 @@
 	"unsafe"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/socketpeek"
+	"basaltdrum/internal/testutil"
 )
 
 // Each response, or lack of one, has its attempt result, and leaves the connection in the pool or closes it.
@@ -58,7 +60,7 @@
 		{"no HTTP", "what?\r\n\r\n", balancer.ConnectionLost, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newServer(t, func(conn net.Conn, r *http.Request, body string) bool {
+			s := testutil.NewServer(t, func(conn net.Conn, r *http.Request, body string) bool {
 				if c.answer == "-" {
 					conn.(*net.TCPConn).SetLinger(0)
 					return false
@@ -70,8 +72,8 @@
 				return c.keeps
 			})
 			b := testPool(10)
-			h := testInstance(b, s.addr())
-			r := doAttempt(t, b, testAttempt(t, b, s.addr()))
+			h := testInstance(b, s.Address())
+			r := doAttempt(t, b, testAttempt(t, b, s.Address()))
 			if r.result != c.want || c.want == balancer.Success && string(r.body) != "ok" {
 				t.Errorf("ending %d, body %q; want %d", r.result, r.body, c.want)
 			}
@@ -124,7 +126,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			answered := make(chan struct{})
-			s := newServer(t, func(conn net.Conn, r *http.Request, body string) bool {
+			s := testutil.NewServer(t, func(conn net.Conn, r *http.Request, body string) bool {
 				io.WriteString(conn, c.answer)
 				close(answered)
 				switch c.end {
@@ -137,7 +139,7 @@
 				return false
 			})
 			b := testPool(10)
-			a := testAttempt(t, b, s.addr())
+			a := testAttempt(t, b, s.Address())
 			switch c.end {
 			case "time-out":
 				a.deadline = a.sentAt + 200*time.Millisecond
@@ -156,27 +158,27 @@
 
 // The client gets the body unchanged, and an error where the end was a reset.
 func TestResponseWithoutALengthIsForwarded(t *testing.T) {
-	s := newServer(t, func(conn net.Conn, r *http.Request, body string) bool {
+	s := testutil.NewServer(t, func(conn net.Conn, r *http.Request, body string) bool {
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Type: a/b\r\n\r\nfor %s\r\n\x00", r.Header.Get("X-Request-Id"))
 		if r.Header.Get("X-Request-Id") == "reset" {
 			conn.(*net.TCPConn).SetLinger(0)
 		}
 		return false
 	})
-	n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), nil)
+	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), nil)
 	c := dial(t, n)
 	for i := range 3 {
 		id := fmt.Sprint("n", i)
-		c.send("POST", "/note/k", id, "x", "60")
-		r, body := c.answer(t)
+		c.Send("POST", "/note/k", id, "x", "60")
+		r, body := c.Response(t)
 		if want := "for " + id + "\r\n\x00"; r.StatusCode != 200 || body != want || r.Header.Get("Content-Type") != "a/b" {
 			t.Errorf("got %d %q, %v; want 200 %q", r.StatusCode, body, r.Header, want)
 		}
 	}
-	c.send("POST", "/note/k", "reset", "x", "60")
-	c.want(t, http.StatusBadGateway, "")
-	if s.received() != 4 || s.accepted() != 4 {
-		t.Errorf("%d requests on %d connections, want 4 on 4", s.received(), s.accepted())
+	c.Send("POST", "/note/k", "reset", "x", "60")
+	c.Expect(t, http.StatusBadGateway, "")
+	if s.Received() != 4 || s.Accepted() != 4 {
+		t.Errorf("%d requests on %d connections, want 4 on 4", s.Received(), s.Accepted())
 	}
 }
 
@@ -217,7 +219,7 @@
 // tcpClosed reports whether the system has ended a connection, as by a reset; unlike a read it leaves the error
 // there.
 func tcpClosed(nc net.Conn) (is bool) {
-	rawConn(nc).Control(func(fd uintptr) {
+	socketpeek.RawConn(nc).Control(func(fd uintptr) {
 		var info [256]byte // struct tcp_info: the state is its first byte
 		size := uint32(len(info))
 		syscall.Syscall6(syscall.SYS_GETSOCKOPT, fd, syscall.IPPROTO_TCP, syscall.TCP_INFO,
@@ -230,19 +232,19 @@
 // The system reports a reset once. If a write got the error, the next read finds what looks like the end of a
 // response without a length: the part that was read is no success.
 func TestResetReportedToTheWriteIsNoEndOfResponse(t *testing.T) {
-	nc, server := connPair(t)
+	nc, server := testutil.ConnPair(t)
 	c := &lateWriteConn{TCPConn: nc.(*net.TCPConn), read: make(chan struct{}), wrote: make(chan struct{})}
 	c.reset = func() {
 		server.(*net.TCPConn).SetLinger(0)
 		server.Close()
-		until(t, "the reset to arrive", func() bool { return tcpClosed(nc) })
+		testutil.Until(t, "the reset to arrive", func() bool { return tcpClosed(nc) })
 	}
 	go func() {
 		server.Read(make([]byte, 1))
 		io.WriteString(server, "HTTP/1.1 200 OK\r\n\r\nhal")
 	}()
 	b := testPool(10)
-	c.ended = func() { until(t, "the reader's end", func() bool { return b.connections() == 0 }) }
+	c.ended = func() { testutil.Until(t, "the reader's end", func() bool { return b.connections() == 0 }) }
 	b.adopt(c, testInstance(b, nc.RemoteAddr().String()))
 	if r := doAttempt(t, b, testAttempt(t, b, nc.RemoteAddr().String())); r.result != balancer.ConnectFailed || b.connections() != 0 {
 		t.Errorf("ending %d, body %q, %d open; want %d", r.result, r.body, b.connections(), balancer.ConnectFailed)
--- a/internal/node/responsedeadline_test.go
+++ b/internal/node/responsedeadline_test.go
@@ -10,6 +10,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"basaltdrum/internal/testutil"
 )
 
 // responseSlack is how long after its deadline a request must have its final response.
@@ -28,33 +30,33 @@
 }
 
 func silentServer(t *testing.T) []string {
-	return []string{newServer(t, func(c net.Conn, _ *http.Request, _ string) bool {
+	return []string{testutil.NewServer(t, func(c net.Conn, _ *http.Request, _ string) bool {
 		io.Copy(io.Discard, c)
 		return false
-	}).addr()}
+	}).Address()}
 }
 
 func resettingServer(t *testing.T) []string {
-	return []string{newServer(t, func(c net.Conn, _ *http.Request, _ string) bool {
+	return []string{testutil.NewServer(t, func(c net.Conn, _ *http.Request, _ string) bool {
 		c.(*net.TCPConn).SetLinger(0)
 		return false
-	}).addr()}
+	}).Address()}
 }
 
 // endlessServer begins a response without a length, and never ends it.
 func endlessServer(t *testing.T) []string {
-	return []string{newServer(t, func(c net.Conn, _ *http.Request, _ string) bool {
+	return []string{testutil.NewServer(t, func(c net.Conn, _ *http.Request, _ string) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nhal")
 		io.Copy(io.Discard, c)
 		return false
-	}).addr()}
+	}).Address()}
 }
 
 func faultyServers(t *testing.T) (all []string) {
 	for _, some := range []func(*testing.T) []string{silentServer, resettingServer, endlessServer} {
 		all = append(all, some(t)...)
 	}
-	return append(all, closedPort(t), unreachableAddress(t))
+	return append(all, testutil.ClosedPort(t), unreachableAddress(t))
 }
 
 // Faults of servers, of discovery or of other clients leave no request without its final response: whatever its
@@ -62,7 +64,7 @@
 func TestFaultsLeaveNoRequestWithoutAResponse(t *testing.T) {
 	none := func(*testing.T) []string { return nil }
 	for _, c := range []faultCase{
-		{name: "servers gone", servers: func(t *testing.T) []string { return []string{closedPort(t), closedPort(t)} }},
+		{name: "servers gone", servers: func(t *testing.T) []string { return []string{testutil.ClosedPort(t), testutil.ClosedPort(t)} }},
 		{name: "servers hung", servers: silentServer},
 		{name: "servers that never accept", servers: func(t *testing.T) []string { return []string{unreachableAddress(t)} }},
 		{name: "servers that reset", servers: resettingServer},
@@ -70,11 +72,11 @@
 		{name: "an empty list", servers: none},
 		{name: "discovery refuses", servers: none, discovery: "refused"},
 		{name: "discovery is silent", servers: none, discovery: "silent"},
-		{name: "no dial succeeds", servers: silentServer, dial: dialError("socket", syscall.EMFILE)},
+		{name: "no dial succeeds", servers: silentServer, dial: testutil.DialError("socket", syscall.EMFILE)},
 		{name: "descriptors full", servers: silentServer, crowd: 100},
 		{name: "discovery is silent, descriptors full", servers: none, discovery: "silent", crowd: 100},
 		{name: "all at once", servers: faultyServers, discovery: "refused", crowd: 100},
-		{name: "all at once, and no dial succeeds", servers: faultyServers, crowd: 100, dial: dialError("connect", syscall.ENETUNREACH)},
+		{name: "all at once, and no dial succeeds", servers: faultyServers, crowd: 100, dial: testutil.DialError("connect", syscall.ENETUNREACH)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -102,12 +104,12 @@
 		io.WriteString(bad, []string{"", "GET /view/k HTTP/1.1\r\nX-"}[i%2])
 	}
 	for range cap(ended) {
-		if err := wait(t, ended, "a final answer"); err != nil {
+		if err := testutil.Wait(t, ended, "a final answer"); err != nil {
 			t.Error(err)
 		}
 	}
 	if c.crowd > 0 { // new connections may be closed unread then
-		until(t, "an answer on a new connection", func() bool {
+		testutil.Until(t, "an answer on a new connection", func() bool {
 			err := checkResponse(dial(t, n), "late", stalled)
 			if errors.Is(err, errLateResponse) {
 				t.Error(err)
@@ -118,9 +120,9 @@
 }
 
 // untilRead waits until the node has read a client's request, or has answered it.
-func untilRead(t *testing.T, n *Node, c *testClient, answered <-chan struct{}) {
+func untilRead(t *testing.T, n *Node, c *testutil.Client, answered <-chan struct{}) {
 	t.Helper()
-	until(t, "the request to be read", func() bool {
+	testutil.Until(t, "the request to be read", func() bool {
 		select {
 		case <-answered:
 			return true
@@ -140,14 +142,14 @@
 var errLateResponse = errors.New("the final answer comes late")
 
 // checkResponse sends one request, and returns what is wrong with its response.
-func checkResponse(c *testClient, id string, stalled func() time.Duration) error {
+func checkResponse(c *testutil.Client, id string, stalled func() time.Duration) error {
 	begin, before := time.Now(), stalled()
 	if id[len(id)-1]%2 == 0 {
-		c.send("POST", "/note/k", id, "", fmt.Sprint(faultDeadline.Seconds()))
+		c.Send("POST", "/note/k", id, "", fmt.Sprint(faultDeadline.Seconds()))
 	} else {
-		c.send("GET", "/view/k", id, "", fmt.Sprint(faultDeadline.Seconds()))
+		c.Send("GET", "/view/k", id, "", fmt.Sprint(faultDeadline.Seconds()))
 	}
-	r, _, err := c.read()
+	r, _, err := c.ReadResponse()
 	if err != nil {
 		return fmt.Errorf("%s: no answer: %w", id, err)
 	}
@@ -161,9 +163,9 @@
 func (c faultCase) startNode(t *testing.T) *Node {
 	var entries []string
 	for i, endpoint := range c.servers(t) {
-		entries = append(entries, entry(fmt.Sprint("s", i), endpoint, "in_service"))
+		entries = append(entries, testutil.ListEntry(fmt.Sprint("s", i), endpoint, "in_service"))
 	}
-	cfg := testConfig(completeList(entries...))
+	cfg := testConfig(testutil.CompleteList(entries...))
 	cfg.Sockets = minSockets
 	for i := range cfg.Settings.Classes {
 		cfg.Settings.Classes[i].Deadline, cfg.Settings.Classes[i].LatencyObjective = faultDeadline, faultDeadline/2
@@ -171,10 +173,10 @@
 	first := time.Duration(0)
 	switch c.discovery {
 	case "refused":
-		cfg.Discovery = closedPort(t)
+		cfg.Discovery = testutil.ClosedPort(t)
 	case "silent":
-		ag := newRegistryAgent(t)
-		ag.set(true, "")
+		ag := testutil.NewRegistryAgent(t)
+		ag.Set(true, "")
 		cfg.Discovery, first = ag.Addr().String(), startupWait
 	}
 	n, _ := startNode(t, cfg, func(n *Node) {
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -11,6 +11,8 @@
 	"sync"
 	"testing"
 	"time"
+
+	"basaltdrum/internal/testutil"
 )
 
 // recordingConns records what the node reads of each downstream connection, by its remote address.
@@ -99,17 +101,17 @@
 }
 
 func drainUnderLoad(t *testing.T, deadlines []time.Duration, mayCancel bool) {
-	hangs := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	hangs := testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		io.Copy(io.Discard, c) // never answers
 		return false
 	})
-	fails := newServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	fails := testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		_, err := io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
 	})
-	mute := closedPort(t)
-	cfg := testConfig(completeList(entry("s1", hangs.addr(), "in_service"), entry("s2", fails.addr(), "in_service"),
-		entry("s3", mute, "in_service")))
+	mute := testutil.ClosedPort(t)
+	cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", hangs.Address(), "in_service"), testutil.ListEntry("s2", fails.Address(), "in_service"),
+		testutil.ListEntry("s3", mute, "in_service")))
 	cfg.Settings.AllowCancel = mayCancel
 	longest := time.Duration(0)
 	for i := range cfg.Settings.Classes {
@@ -133,7 +135,7 @@
 	for i := range 12 {
 		class := cfg.Settings.Classes[i%len(cfg.Settings.Classes)]
 		clients = append(clients, &persistentClient{
-			testClient: dial(t, n), name: fmt.Sprint("c", i), class: class.Name,
+			Client: dial(t, n), name: fmt.Sprint("c", i), class: class.Name,
 			deadline: class.Deadline,
 		})
 	}
@@ -171,7 +173,7 @@
 
 // persistentClient sends one request after another on one connection for as long as that stays open.
 type persistentClient struct {
-	*testClient
+	*testutil.Client
 	name, class string
 	deadline    time.Duration
 	answers     int
@@ -193,7 +195,7 @@
 		if i == 0 {
 			sent()
 		}
-		r, _, err := c.read()
+		r, _, err := c.ReadResponse()
 		if err != nil {
 			return
 		}
@@ -212,23 +214,23 @@
 		for _, pieces := range []int{1, 2} {
 			t.Run(fmt.Sprint(why, " pieces=", pieces), func(t *testing.T) {
 				t.Parallel()
-				s, got, release := newHoldingServer(t, "")
+				s, got, release := testutil.NewHoldingServer(t, "")
 				var reads recordingConns
-				n, _ := startNode(t, testConfig(completeList(entry("s1", s.addr(), "in_service"))), func(n *Node) {
+				n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) {
 					reads = recordReads(n)
 				})
 				c := dial(t, n)
-				more := requestText("second") + requestText("third")
+				more := testutil.RequestText("second") + testutil.RequestText("third")
 				if pieces == 1 {
-					io.WriteString(c, requestText("first")+more)
+					io.WriteString(c, testutil.RequestText("first")+more)
 				} else {
-					c.get("first")
+					c.Get("first")
 				}
-				wait(t, got, "the attempt")
+				testutil.Wait(t, got, "the attempt")
 				if pieces == 2 {
 					io.WriteString(c, more)
 				}
-				until(t, "all to be read", func() bool { return reads.complete(c.LocalAddr().String()) == 3 })
+				testutil.Until(t, "all to be read", func() bool { return reads.complete(c.LocalAddr().String()) == 3 })
 				if why == "the node ends" {
 					n.frontend.closing.Store(true)
 				} else {
@@ -238,11 +240,11 @@
 				}
 				release()
 				for i := range 3 {
-					if r, body := c.answer(t); r.Close != (i == 2) {
+					if r, body := c.Response(t); r.Close != (i == 2) {
 						t.Errorf("answer %d: %d %q, close %v", i, r.StatusCode, body, r.Close)
 					}
 				}
-				expectClosed(t, c.reader, "the connection after the last answer")
+				testutil.ExpectClosed(t, c.Reader, "the connection after the last answer")
 			})
 		}
 	}
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -45,7 +45,7 @@
 // events before it take time too.
 func (l *loop) fireTimers() {
 	for len(l.timers) > 0 {
-		now := l.clock.now()
+		now := l.clock.Now()
 		if l.timers[0].at > now {
 			return
 		}
--- a/internal/node/traffic_test.go
+++ b/internal/node/traffic_test.go
@@ -7,6 +7,8 @@
 	"regexp"
 	"strings"
 	"testing"
+
+	"basaltdrum/internal/testutil"
 )
 
 // TestOperationsExplainsEveryFigure holds the on-call page to the traffic line: each key of the line has a row.
@@ -16,7 +18,7 @@
 		t.Fatal(err)
 	}
 	var log bytes.Buffer
-	n, err := New(testConfig(completeList()), slog.New(slog.NewTextHandler(&log, nil)))
+	n, err := New(testConfig(testutil.CompleteList()), slog.New(slog.NewTextHandler(&log, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/trafficlog.go
+++ b/internal/node/trafficlog.go
@@ -35,7 +35,7 @@
 }
 
 // noteLag measures how long after it happened an event is handled.
-func (l *loop) noteLag(at time.Duration) { l.traffic.noteLag(-l.clock.until(at)) }
+func (l *loop) noteLag(at time.Duration) { l.traffic.noteLag(-l.clock.Until(at)) }
 
 // logTraffic logs what happened since the last traffic line, if anything did.
 func (l *loop) logTraffic() {
--- a/internal/node/upstreamconn.go
+++ b/internal/node/upstreamconn.go
@@ -7,6 +7,8 @@
 	"fmt"
 	"net"
 	"time"
+
+	"basaltdrum/internal/socketpeek"
 )
 
 // errUnsolicited reports that an endpoint has sent bytes or has closed the connection while no request was
@@ -80,7 +82,7 @@
 // awaits it. It reports whether the connection remains open. Until a request is being written, it leaves what
 // arrives in the kernel's buffer, where beginWrite detects it.
 func (p *upstreamPool) readNext(c *upstreamConn) bool {
-	awaitReadable(c.Conn)
+	socketpeek.AwaitReadable(c.Conn)
 	p.mu.Lock()
 	stage, expected := c.stage, c.waiter != nil && c.stage != stageIdle
 	p.mu.Unlock()
--- a/internal/node/upstreampool.go
+++ b/internal/node/upstreampool.go
@@ -9,6 +9,8 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/monotime"
+	"basaltdrum/internal/netdial"
 )
 
 // reuseDelay is how long a connection stays unused after a response before it may carry another request. A
@@ -44,8 +46,8 @@
 // connections expire. http.Transport does not fit: it retries some requests by itself, and it does not report
 // whether the last byte of a request was written.
 type upstreamPool struct {
-	clock               clock
-	dial                dialFunc
+	clock               monotime.Clock
+	dial                netdial.Func
 	maxConns            int        // limit of connections that are open or being opened
 	descriptorAllowance func() int // the limit that downstream connections leave at the moment
 
@@ -59,7 +61,7 @@
 	endpoints   map[string]listEntry                 // the listed endpoints by uid
 }
 
-func newUpstreamPool(cfg Config, c clock, maxConns int) *upstreamPool {
+func newUpstreamPool(cfg Config, c monotime.Clock, maxConns int) *upstreamPool {
 	p := &upstreamPool{
 		clock:               c,
 		maxConns:            maxConns,
@@ -103,7 +105,7 @@
 	limit := min(p.maxConns, p.descriptorAllowance())
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	idle, now := p.idle[to], p.clock.now()
+	idle, now := p.idle[to], p.clock.Now()
 	for i := len(idle) - 1; i >= 0; i-- {
 		if c := idle[i]; now >= c.reusableAt {
 			p.idle[to] = slices.Delete(idle, i, i+1)
@@ -218,12 +220,12 @@
 // closeExpired closes connections whose idle timeout has passed, until ctx ends.
 func (p *upstreamPool) closeExpired(ctx context.Context) {
 	for {
-		if sleep(ctx, p.sweepInterval()); ctx.Err() != nil {
+		if monotime.Sleep(ctx, p.sweepInterval()); ctx.Err() != nil {
 			return
 		}
 		p.mu.Lock()
 		for instance, idle := range p.idle {
-			for len(idle) > 0 && p.clock.now()-idle[0].idleSince >= p.idleTimeout {
+			for len(idle) > 0 && p.clock.Now()-idle[0].idleSince >= p.idleTimeout {
 				p.closeConn(idle[0])
 				idle = p.idle[instance]
 			}
--- a/internal/node/upstreamrequest.go
+++ b/internal/node/upstreamrequest.go
@@ -67,7 +67,7 @@
 // until the deadline by the node's clock, less an allowance for the time in transit, as the clock shows neither
 // when the client sent the request nor when the endpoint will read it. Of a short time the greater part remains.
 func (p *upstreamPool) remainingTime(a *attempt) time.Duration {
-	left := p.clock.until(a.deadline)
+	left := p.clock.Until(a.deadline)
 	left -= min(transitAllowance, left/4)
 	if left < minRemainingTime {
 		return 0
--- a/internal/node/upstreamresponse.go
+++ b/internal/node/upstreamresponse.go
@@ -82,7 +82,7 @@
 		return upstreamReply{err: err}, false
 	}
 	complete := framing == framedByLength && err == nil
-	reply.endedAt, reply.endedByClose = p.clock.now(), framing == framedByClose
+	reply.endedAt, reply.endedByClose = p.clock.Now(), framing == framedByClose
 	switch {
 	case ok:
 		reply.result, reply.body, reply.contentType = balancer.Success, body, resp.Header.Get("Content-Type")
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -6,6 +6,9 @@
 	"fmt"
 	"net/http"
 	"time"
+
+	"basaltdrum/internal/monotime"
+	"basaltdrum/internal/netdial"
 )
 
 // Durations of a watch.
@@ -93,7 +96,7 @@
 	if err == nil || address.ctx.Err() != nil || ctx.Err() != nil {
 		return ctx.Err() == nil
 	}
-	again = isLocalDialError(err)
+	again = netdial.IsLocalError(err)
 	d.log.Warn("discovery poll failed, retrying", "error", err)
 	if !again {
 		d.post(subscriptionFailed{})
@@ -136,7 +139,7 @@
 	if err := d.receive(ctx, address); err != nil {
 		return false, err
 	}
-	sleep(ctx, watchInterval-time.Since(started))
+	monotime.Sleep(ctx, watchInterval-time.Since(started))
 	return false, nil
 }
 
--- a/internal/node/socketpeek.go
+++ b/internal/socketpeek/socketpeek.go
@@ -1,18 +1,18 @@
-package node
+// Package socketpeek looks into a socket's receive buffer without reading from it (recv with MSG_PEEK). An idle
+// connection is checked so before its reuse, and a reader that waits so needs no buffer of its own. The package
+// starts no goroutine and holds no state.
+package socketpeek
 
 import (
 	"net"
 	"syscall"
 )
 
-// The functions below look into a socket's receive buffer without reading from it (recv with MSG_PEEK). An idle
-// connection is checked so before its reuse, and a reader that waits so needs no buffer of its own.
-
 // recvFunc receives from a socket, as syscall.Recvfrom does.
 type recvFunc func(fd int, p []byte, flags int) (int, syscall.Sockaddr, error)
 
-// rawConn returns the socket of a connection, or nil if it has none.
-func rawConn(nc net.Conn) syscall.RawConn {
+// RawConn returns the socket of a connection, or nil if it has none.
+func RawConn(nc net.Conn) syscall.RawConn {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
 		return nil
@@ -24,11 +24,11 @@
 	return raw
 }
 
-// hasUnread reports whether a socket has bytes that were not read yet, or its other side has closed, or it has
+// HasUnread reports whether a socket has bytes that were not read yet, or its other side has closed, or it has
 // failed: in all three cases a read does not block.
-func hasUnread(fd uintptr) bool { return hasUnreadBy(syscall.Recvfrom, fd) }
+func HasUnread(fd uintptr) bool { return hasUnreadBy(syscall.Recvfrom, fd) }
 
-// hasUnreadBy is hasUnread with a given recv. An interrupted call is repeated, as it gives no information about
+// hasUnreadBy is HasUnread with a given recv. An interrupted call is repeated, as it gives no information about
 // the socket: the runtime's poller is edge-triggered, so that what is missed here is not reported again.
 func hasUnreadBy(recv recvFunc, fd uintptr) bool {
 	var buf [1]byte
@@ -40,21 +40,21 @@
 	}
 }
 
-// awaitReadable waits until a connection has bytes to read, has been closed by either side, or has failed.
-func awaitReadable(nc net.Conn) {
-	if raw := rawConn(nc); raw != nil {
-		_ = raw.Read(hasUnread) // The next read of the connection returns the same error.
+// AwaitReadable waits until a connection has bytes to read, has been closed by either side, or has failed.
+func AwaitReadable(nc net.Conn) {
+	if raw := RawConn(nc); raw != nil {
+		_ = raw.Read(HasUnread) // The next read of the connection returns the same error.
 	}
 }
 
-// hasUnreadOrClosed reports the same without waiting.
-func hasUnreadOrClosed(nc net.Conn) bool {
-	raw := rawConn(nc)
+// HasUnreadOrClosed reports the same without waiting.
+func HasUnreadOrClosed(nc net.Conn) bool {
+	raw := RawConn(nc)
 	if raw == nil {
 		return false
 	}
 	var readable bool
 	// Control and not Read, as the connection's reader holds the lock that Read takes.
-	err := raw.Control(func(fd uintptr) { readable = hasUnread(fd) })
+	err := raw.Control(func(fd uintptr) { readable = HasUnread(fd) })
 	return readable || err != nil
 }
--- /dev/null
+++ b/internal/testutil/sockets.go
@@ -0,0 +1,70 @@
+package testutil
+
+import (
+	"fmt"
+	"io"
+	"net"
+	"syscall"
+	"testing"
+)
+
+// ClosedPort is an address that refuses connections for as long as the test runs: its socket is bound, so that no
+// other process gets the port, and does not listen.
+func ClosedPort(t *testing.T) string {
+	t.Helper()
+	_, address := BoundSocket(t)
+	return address
+}
+
+// BoundSocket binds a socket to a free port until the test ends.
+func BoundSocket(t *testing.T) (fd int, address string) {
+	t.Helper()
+	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { syscall.Close(fd) })
+	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+		t.Fatal(err)
+	}
+	name, err := syscall.Getsockname(fd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return fd, fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
+}
+
+// ConnPair returns the two ends of a connection over loopback.
+func ConnPair(t *testing.T) (dialed, accepted net.Conn) {
+	t.Helper()
+	return ConnPairBy(t, func(ln net.Listener) net.Listener { return ln })
+}
+
+// ConnPairBy is ConnPair with the accepting listener wrapped.
+func ConnPairBy(t *testing.T, wrap func(net.Listener) net.Listener) (dialed, accepted net.Conn) {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	if dialed, err = net.Dial("tcp", ln.Addr().String()); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { dialed.Close() })
+	if accepted, err = wrap(ln).Accept(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { accepted.Close() })
+	return dialed, accepted
+}
+
+// ExpectClosed waits for the other side to close a connection, and fails the test if more is read before.
+func ExpectClosed(t *testing.T, r io.Reader, what string) {
+	t.Helper()
+	if n, err := r.Read(make([]byte, 1)); n != 0 || err == nil {
+		t.Fatalf("%s: still open", what)
+	} else if ne, ok := err.(net.Error); ok && ne.Timeout() {
+		t.Fatalf("%s: %v", what, err)
+	}
+}
