--- a/internal/node/listparser.go
+++ b/internal/endpointlist/parser.go
@@ -1,4 +1,7 @@
-package node
+// Package endpointlist has the endpoint list as discovery sends it, and its parser. It does no I/O of its own and
+// starts no goroutine; its values are not changed once they are handed on, but for the start times that the event
+// loop fills in.
+package endpointlist
 
 import (
 	"bytes"
@@ -12,21 +15,29 @@
 	"basaltdrum/balancer"
 )
 
-// endpointList is a list as the registry sends it: all endpoints, or the entries that changed since a version.
-type endpointList struct {
-	version  int64
-	complete bool
-	entries  []listEntry
+// List is a list as the registry sends it: all endpoints, or the entries that changed since a version.
+type List struct {
+	Version  int64
+	Complete bool
+	Entries  []Entry
 }
 
-// listEntry is an entry of a list: the endpoint as the policy knows it, with its address and its start.
-type listEntry struct {
+// Entry is an entry of a list: the endpoint as the policy knows it, with its address and its start.
+type Entry struct {
 	balancer.Endpoint // its StartedAt is set by the loop
-	address           string
-	bootMS            float64 // as listed: Unix time in milliseconds; 0: long ago
+	Address           string
+	BootMS            float64 // as listed: Unix time in milliseconds; 0: long ago
 }
 
-func (e listEntry) instance() endpointInstance { return endpointInstance{e.ID, e.address, e.bootMS} }
+// Instance returns the process that the entry stands for.
+func (e Entry) Instance() Instance { return Instance{e.ID, e.Address, e.BootMS} }
+
+// Instance is one process of an endpoint at one address. An endpoint that has restarted, or another
+// endpoint at an address that was in use before, must not be reached over connections to its predecessor.
+type Instance struct {
+	UID, Address string
+	BootMS       float64 // start of the process as listed: Unix time in milliseconds
+}
 
 // endpointStates maps the states of the registry to those of the policy.
 var endpointStates = map[string]balancer.EndpointState{
@@ -61,20 +72,20 @@
 }
 
 // toListEntry validates an entry and converts it. An endpoint that was removed needs no address.
-func (e *wireEntry) toListEntry() (listEntry, error) {
+func (e *wireEntry) toListEntry() (Entry, error) {
 	state, ok := endpointStates[e.State]
 	_, err := netip.ParseAddrPort(e.Endpoint)
 	switch {
 	case e.UID == "":
-		return listEntry{}, errNoUID
+		return Entry{}, errNoUID
 	case !ok:
-		return listEntry{}, fmt.Errorf("unknown state %q", e.State)
+		return Entry{}, fmt.Errorf("unknown state %q", e.State)
 	case err != nil && state != balancer.Removed:
-		return listEntry{}, err
+		return Entry{}, err
 	case !inRange(e.Size, 0, maxCapacity), !inRange(e.Boot, 0, maxBootMS), !inRange(e.Cell, -maxCell, maxCell):
-		return listEntry{}, errOutOfRange
+		return Entry{}, errOutOfRange
 	}
-	return listEntry{address: e.Endpoint, bootMS: e.Boot, Endpoint: balancer.Endpoint{
+	return Entry{Address: e.Endpoint, BootMS: e.Boot, Endpoint: balancer.Endpoint{
 		ID: e.UID, Zone: e.Zone, Cell: int(e.Cell), State: state, Capacity: e.Size,
 	}}, nil
 }
@@ -89,24 +100,24 @@
 	decoder  *json.Decoder
 	version  *int64
 	complete *bool
-	entries  []listEntry
+	entries  []Entry
 	seen     map[string]bool // the uids of entries
 }
 
-// parseList parses a list that is in memory.
-func parseList(text []byte) (endpointList, error) { return readList(bytes.NewReader(text)) }
+// Parse parses a list that is in memory.
+func Parse(text []byte) (List, error) { return Read(bytes.NewReader(text)) }
 
-// readList parses a list up to the end of its text. Nothing of a malformed one is returned: a part of a list would
+// Read parses a list up to the end of its text. Nothing of a malformed one is returned: a part of a list would
 // look as if all other endpoints had been removed.
-func readList(text io.Reader) (endpointList, error) {
+func Read(text io.Reader) (List, error) {
 	p := listParser{decoder: json.NewDecoder(text)}
 	if err := p.parse(); err != nil {
-		return endpointList{}, err
+		return List{}, err
 	}
 	if p.version == nil || p.complete == nil {
-		return endpointList{}, fmt.Errorf("list: %w", errNoVersion)
+		return List{}, fmt.Errorf("list: %w", errNoVersion)
 	}
-	return endpointList{version: *p.version, complete: *p.complete, entries: p.entries}, nil
+	return List{Version: *p.version, Complete: *p.complete, Entries: p.entries}, nil
 }
 
 // parse parses the object of the list, which must be all of the text.
--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/netdial"
 	"basaltdrum/internal/socketpeek"
 )
@@ -24,7 +25,7 @@
 	cancel            context.CancelFunc
 	request           *request
 	number            int // of the attempt within its request, from 0
-	instance          endpointInstance
+	instance          endpointlist.Instance
 	sentAt, deadline  time.Duration // clock times
 	notAfter          time.Duration // clock time after which endpoints no longer discard a repeat; 0: no limit
 	begun             bool          // a byte of it may have been written. Guarded by request.mu
@@ -150,18 +151,18 @@
 
 // connectOnce is connect with at most one dial.
 func (p *upstreamPool) connectOnce(
-	ctx context.Context, to endpointInstance, waiter chan upstreamReply,
+	ctx context.Context, to endpointlist.Instance, waiter chan upstreamReply,
 ) (c *upstreamConn, fresh bool, err error) {
 	c, err = p.takeIdle(to, waiter)
 	if c != nil || err != nil {
 		return c, false, err
 	}
-	nc, err := p.dial(ctx, "tcp", to.address)
+	nc, err := p.dial(ctx, "tcp", to.Address)
 	if err != nil {
 		p.mu.Lock()
 		p.open--
 		p.mu.Unlock()
-		return nil, true, fmt.Errorf("connect to %s: %w", to.uid, err)
+		return nil, true, fmt.Errorf("connect to %s: %w", to.UID, err)
 	}
 	return p.startReader(nc, to, waiter), true, nil
 }
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/socketpeek"
 	"basaltdrum/internal/testutil"
 )
@@ -221,10 +222,10 @@
 
 // What makes an attempt obsolete while its connection is being established is noticed before its first byte.
 func TestObsoleteAttemptIsNotBegunAfterTheDial(t *testing.T) {
-	now := func(b *upstreamPool, h endpointInstance, change func(*listEntry)) {
-		e := listEntry{Endpoint: balancer.Endpoint{ID: h.uid, State: balancer.Ready}, address: h.address, bootMS: h.bootMS}
+	now := func(b *upstreamPool, h endpointlist.Instance, change func(*endpointlist.Entry)) {
+		e := endpointlist.Entry{Endpoint: balancer.Endpoint{ID: h.UID, State: balancer.Ready}, Address: h.Address, BootMS: h.BootMS}
 		change(&e)
-		b.updateEndpoints([]listEntry{e}, false)
+		b.updateEndpoints([]endpointlist.Entry{e}, false)
 	}
 	for _, c := range []struct {
 		name string
@@ -232,15 +233,15 @@
 		want balancer.AttemptResult
 	}{
 		{"drains", func(b *upstreamPool, a *attempt) {
-			now(b, a.instance, func(e *listEntry) { e.State = balancer.Draining })
+			now(b, a.instance, func(e *endpointlist.Entry) { e.State = balancer.Draining })
 		}, balancer.NotSent},
 		{"gone", func(b *upstreamPool, a *attempt) {
-			now(b, a.instance, func(e *listEntry) { e.State = balancer.Removed })
+			now(b, a.instance, func(e *endpointlist.Entry) { e.State = balancer.Removed })
 		}, balancer.NotSent},
 		{"left out of a whole list", func(b *upstreamPool, a *attempt) { b.updateEndpoints(nil, true) }, balancer.NotSent},
-		{"started anew", func(b *upstreamPool, a *attempt) { now(b, a.instance, func(e *listEntry) { e.bootMS = 1 }) }, balancer.NotSent},
+		{"started anew", func(b *upstreamPool, a *attempt) { now(b, a.instance, func(e *endpointlist.Entry) { e.BootMS = 1 }) }, balancer.NotSent},
 		{"moved", func(b *upstreamPool, a *attempt) {
-			now(b, a.instance, func(e *listEntry) { e.address = "127.0.0.1:2" })
+			now(b, a.instance, func(e *endpointlist.Entry) { e.Address = "127.0.0.1:2" })
 		}, balancer.NotSent},
 		{"its client departed", func(b *upstreamPool, a *attempt) { a.request.markDeparted() }, balancer.NotSent},
 		{"called off", func(b *upstreamPool, a *attempt) { a.cancel() }, balancer.Cancelled},
--- a/internal/node/boottime.go
+++ b/internal/node/boottime.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/monotime"
 )
 
@@ -68,9 +69,9 @@
 
 // startTime returns the clock time of the start that an entry announces; 0: long ago. previous is the entry with the
 // same uid in the node's list, if listed: while boot_ms remains the same, so does the result.
-func (b *bootClock) startTime(bootMS float64, previous listEntry, listed bool) time.Duration {
+func (b *bootClock) startTime(bootMS float64, previous endpointlist.Entry, listed bool) time.Duration {
 	switch {
-	case listed && previous.bootMS == bootMS:
+	case listed && previous.BootMS == bootMS:
 		return previous.StartedAt
 	case bootMS == 0:
 		return 0
--- a/internal/node/boottime_test.go
+++ b/internal/node/boottime_test.go
@@ -3,11 +3,11 @@
 import (
 	"fmt"
 	"slices"
-	"strings"
 	"testing"
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/monotime"
 	"basaltdrum/internal/testutil"
 )
@@ -41,15 +41,10 @@
 	}
 	l := newLoop(b, m.clock(), testutil.DiscardLog())
 	l.rules.Store(newRequestRules(1, cfg.Settings))
-	l.updateEndpoints, l.subscribe, l.listsPushed = func([]listEntry, bool) {}, func() {}, push
+	l.updateEndpoints, l.subscribe, l.listsPushed = func([]endpointlist.Entry, bool) {}, func() {}, push
 	return l
 }
 
-// bootEntry is a server in service that reports a start time.
-func bootEntry(uid string, bootMS int64) string {
-	return strings.Replace(testutil.ListEntry(uid, "127.0.0.1:1", "in_service"), `"boot_ms":0`, fmt.Sprintf(`"boot_ms":%d`, bootMS), 1)
-}
-
 // neverRestarted is a server that never restarts.
 var neverRestarted = testutil.ListEntry("other", "127.0.0.1:2", "in_service")
 
@@ -85,10 +80,10 @@
 							m.pass(10 * time.Millisecond)
 						}
 					}
-					l.handleEvent(listReceived{listOf(t, true, neverRestarted, bootEntry("s", m.bootMS()-1e6))})
+					l.handleEvent(listReceived{listOf(t, true, neverRestarted, testutil.StartedListEntry("s", m.bootMS()-1e6))})
 					m.pass(10 * time.Second)
 					set("before the start")
-					started, news := l.clock.Now(), []string{bootEntry("s", m.bootMS())}
+					started, news := l.clock.Now(), []string{testutil.StartedListEntry("s", m.bootMS())}
 					if full {
 						news = append(news, neverRestarted)
 					}
@@ -124,66 +119,66 @@
 	}{
 		{"in the future", func(m *machineClocks, l *loop) {
 			m.pass(2 * time.Second)
-			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", m.bootMS()+hour))})
+			l.handleEvent(listReceived{listOf(t, true, testutil.StartedListEntry("s1", m.bootMS()+hour))})
 		}, 2 * time.Second},
 		{"beyond all times", func(m *machineClocks, l *loop) {
 			m.pass(2 * time.Second)
-			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", 1e13))})
+			l.handleEvent(listReceived{listOf(t, true, testutil.StartedListEntry("s1", 1e13))})
 		}, 2 * time.Second},
 		{"a moment in the future is now, though another offset makes it an hour ago", func(m *machineClocks, l *loop) {
 			m.unix -= time.Hour
 			m.pass(2 * time.Second)
-			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", m.bootMS()+50))})
+			l.handleEvent(listReceived{listOf(t, true, testutil.StartedListEntry("s1", m.bootMS()+50))})
 		}, 2 * time.Second},
 		{"before the process, and before the clock was set back", func(m *machineClocks, l *loop) {
 			boot := m.bootMS() - 20_000
 			m.unix -= time.Hour
 			m.pass(2 * time.Second)
-			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", boot))})
+			l.handleEvent(listReceived{listOf(t, true, testutil.StartedListEntry("s1", boot))})
 		}, -20 * time.Second},
 		{"either of two times, as the clock was set back by less than its age", func(m *machineClocks, l *loop) {
 			boot := m.bootMS() - 20_000
 			m.unix -= 5 * time.Second
 			m.pass(2 * time.Second)
-			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", boot))})
+			l.handleEvent(listReceived{listOf(t, true, testutil.StartedListEntry("s1", boot))})
 		}, -15 * time.Second},
 		{"in the list that the node last had", func(m *machineClocks, l *loop) {
-			l.cachedList = listOf(t, true, bootEntry("s1", m.bootMS()-3000))
+			l.cachedList = listOf(t, true, testutil.StartedListEntry("s1", m.bootMS()-3000))
 			l.handleEvent(discoveryUnresponsive{})
 			m.unix += time.Hour
 			m.pass(2 * time.Second)
-			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", m.bootMS()-3000-2000-hour))})
+			l.handleEvent(listReceived{listOf(t, true, testutil.StartedListEntry("s1", m.bootMS()-3000-2000-hour))})
 		}, -3 * time.Second},
 		{"before the process, whose clock was off at its start", func(m *machineClocks, l *loop) {
 			boot := m.bootMS() - 3000
 			m.unix += time.Hour // it is right from now on
 			m.pass(2 * time.Second)
-			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", boot+hour))})
+			l.handleEvent(listReceived{listOf(t, true, testutil.StartedListEntry("s1", boot+hour))})
 		}, -3 * time.Second},
 		{"since the list before, under a clock that the node never saw", func(m *machineClocks, l *loop) {
-			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", 0))})
+			l.handleEvent(listReceived{listOf(t, true, testutil.StartedListEntry("s1", 0))})
 			m.pass(time.Second)
-			l.handleEvent(listReceived{listOf(t, false, bootEntry("s2", 0))})
+			l.handleEvent(listReceived{listOf(t, false, testutil.StartedListEntry("s2", 0))})
 			m.pass(time.Second)
-			l.handleEvent(listReceived{listOf(t, false, bootEntry("s1", m.bootMS()-hour))})
+			l.handleEvent(listReceived{listOf(t, false, testutil.StartedListEntry("s1", m.bootMS()-hour))})
 		}, time.Second},
 		{"since a watch told that nothing had changed", func(m *machineClocks, l *loop) {
-			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", 0))})
+			l.handleEvent(listReceived{listOf(t, true, testutil.StartedListEntry("s1", 0))})
 			m.pass(time.Second)
 			l.handleEvent(listConfirmed{})
 			m.pass(time.Second)
-			l.handleEvent(listReceived{listOf(t, false, bootEntry("s1", m.bootMS()-hour))})
+			l.handleEvent(listReceived{listOf(t, false, testutil.StartedListEntry("s1", m.bootMS()-hour))})
 		}, time.Second},
 		{"new in the list: it may have run all the while", func(m *machineClocks, l *loop) {
-			l.handleEvent(listReceived{listOf(t, true, bootEntry("s2", 0))})
+			l.handleEvent(listReceived{listOf(t, true, testutil.StartedListEntry("s2", 0))})
 			m.pass(2 * time.Second)
-			l.handleEvent(listReceived{listOf(t, false, bootEntry("s1", m.bootMS()-10_000))})
+			l.handleEvent(listReceived{listOf(t, false, testutil.StartedListEntry("s1", m.bootMS()-10_000))})
 		}, -8 * time.Second},
 		{"since the list that the node last had, which may be old", func(m *machineClocks, l *loop) {
-			l.cachedList = listOf(t, true, bootEntry("s1", 0))
+			l.cachedList = listOf(t, true, testutil.StartedListEntry("s1", 0))
 			l.handleEvent(discoveryUnresponsive{})
 			m.pass(2 * time.Second)
-			l.handleEvent(listReceived{listOf(t, true, bootEntry("s1", m.bootMS()-10_000))})
+			l.handleEvent(listReceived{listOf(t, true, testutil.StartedListEntry("s1", m.bootMS()-10_000))})
 		}, -8 * time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -204,7 +199,7 @@
 	l := bootLoop(t, m, true)
 	seen := map[time.Duration]bool{}
 	for i := range int64(4) {
-		l.handleEvent(listReceived{listOf(t, true, bootEntry("s", m.bootMS()+1e6*(i+1)))})
+		l.handleEvent(listReceived{listOf(t, true, testutil.StartedListEntry("s", m.bootMS()+1e6*(i+1)))})
 		seen[l.endpoints["s"].StartedAt] = true
 	}
 	if len(seen) != 4 {
@@ -289,11 +284,11 @@
 	restart := func(before, after time.Duration) []int {
 		m := newMachineClocks()
 		l := bootLoop(t, m, true)
-		l.handleEvent(listReceived{listOf(t, true, bootEntry("s", 0))})
+		l.handleEvent(listReceived{listOf(t, true, testutil.StartedListEntry("s", 0))})
 		d := newLoopTraffic(l, m)
 		d.run(5)
 		m.unix += before
-		news := listOf(t, true, bootEntry("s", m.bootMS()))
+		news := listOf(t, true, testutil.StartedListEntry("s", m.bootMS()))
 		m.unix += after
 		l.handleEvent(listReceived{news})
 		return d.run(8)
--- a/internal/node/departure_test.go
+++ b/internal/node/departure_test.go
@@ -13,6 +13,7 @@
 	"testing"
 	"time"
 
+	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/testutil"
 )
 
@@ -211,7 +212,7 @@
 		d.dials = holdDials(n.upstream)
 	case "busy loop": // it stops at the first list that is pushed
 		update := n.loop.updateEndpoints
-		n.loop.updateEndpoints = func(entries []listEntry, complete bool) {
+		n.loop.updateEndpoints = func(entries []endpointlist.Entry, complete bool) {
 			if !complete {
 				close(d.stopped)
 				<-d.resume
@@ -240,7 +241,7 @@
 	if d.where == "busy loop" {
 		testutil.Until(t, "the first list to be taken", d.node.loop.ready.Load)
 		update := listOf(t, false, d.entries("in_service")...)
-		update.entries[0].Capacity = 2
+		update.Entries[0].Capacity = 2
 		d.node.loop.post(listReceived{update})
 		testutil.Wait(t, d.stopped, "the loop")
 	}
--- a/internal/node/dial_test.go
+++ b/internal/node/dial_test.go
@@ -72,7 +72,7 @@
 		{"local until its server is gone", local, 1e6, func(b *upstreamPool, a *attempt) { b.updateEndpoints(nil, true) }, balancer.NotSent, true},
 		{"local until it is called off", local, 1e6, func(b *upstreamPool, a *attempt) { a.cancel() }, balancer.NotSent, true},
 		{"local until a connection is idle", local, 1e6, func(b *upstreamPool, a *attempt) {
-			nc, err := net.Dial("tcp", a.instance.address)
+			nc, err := net.Dial("tcp", a.instance.Address)
 			if err != nil {
 				t.Error(err)
 				return
@@ -154,7 +154,7 @@
 					}
 					return
 				}
-				if l, ok := testutil.Wait(t, events, "the list").(listReceived); !ok || len(l.list.entries) != 1 {
+				if l, ok := testutil.Wait(t, events, "the list").(listReceived); !ok || len(l.list.Entries) != 1 {
 					t.Errorf("got %#v", l)
 				}
 				if len(waits) != 0 {
--- a/internal/node/endpointlist.go
+++ b/internal/node/endpointlist.go
@@ -1,6 +1,9 @@
 package node
 
-import "basaltdrum/balancer"
+import (
+	"basaltdrum/balancer"
+	"basaltdrum/internal/endpointlist"
+)
 
 // This file keeps the endpoint list as the loop holds it: the entries by uid, how many of them are ready, and the
 // cached list that stands in until discovery has been heard. The list itself is parsed in listparser.go.
@@ -22,40 +25,40 @@
 // lists are pushed, one that changes nothing, as it comes after discovery has moved to another address, is not
 // passed on: the module treats every list as a change and selects its subset anew, which would move requests
 // and open connections without need.
-func (l *loop) applyList(update endpointList, cached bool) {
-	l.listKnown, l.cachedList = true, endpointList{}
-	l.setStartTimes(update.entries)
+func (l *loop) applyList(update endpointlist.List, cached bool) {
+	l.listKnown, l.cachedList = true, endpointlist.List{}
+	l.setStartTimes(update.Entries)
 	if !cached {
 		defer l.bootClock.confirm()
 	}
 	if !cached && l.listsPushed && l.isUnchanged(update) {
 		return
 	}
-	e := balancer.EndpointUpdate{Complete: update.complete, Cached: cached, Endpoints: l.applyEntries(update)}
-	l.updateEndpoints(update.entries, update.complete)
+	e := balancer.EndpointUpdate{Complete: update.Complete, Cached: cached, Endpoints: l.applyEntries(update)}
+	l.updateEndpoints(update.Entries, update.Complete)
 	l.decide(l.clock.Now(), e)
 	l.ready.Store(l.readyServers > 0)
 }
 
 // setStartTimes sets the clock time of each entry's start. An entry that is already held keeps the time that was
 // worked out when its boot_ms was first seen.
-func (l *loop) setStartTimes(entries []listEntry) {
+func (l *loop) setStartTimes(entries []endpointlist.Entry) {
 	l.bootClock.observe()
 	for i := range entries {
 		entry := &entries[i]
 		held, isHeld := l.endpoints[entry.ID]
-		entry.StartedAt = l.bootClock.startTime(entry.bootMS, held, isHeld)
+		entry.StartedAt = l.bootClock.startTime(entry.BootMS, held, isHeld)
 	}
 }
 
 // applyEntries takes over the entries of a list and returns them in the module's form.
-func (l *loop) applyEntries(update endpointList) []balancer.Endpoint {
-	if update.complete {
+func (l *loop) applyEntries(update endpointlist.List) []balancer.Endpoint {
+	if update.Complete {
 		clear(l.endpoints)
 		l.readyServers = 0
 	}
-	endpoints := make([]balancer.Endpoint, len(update.entries))
-	for i, entry := range update.entries {
+	endpoints := make([]balancer.Endpoint, len(update.Entries))
+	for i, entry := range update.Entries {
 		endpoints[i] = entry.Endpoint
 		l.applyEntry(entry)
 	}
@@ -63,7 +66,7 @@
 }
 
 // applyEntry takes over one entry and keeps the count of ready endpoints.
-func (l *loop) applyEntry(entry listEntry) {
+func (l *loop) applyEntry(entry endpointlist.Entry) {
 	if old, listed := l.endpoints[entry.ID]; listed && old.State == balancer.Ready {
 		l.readyServers--
 	}
@@ -78,12 +81,12 @@
 }
 
 // isUnchanged reports whether applying a list would change nothing.
-func (l *loop) isUnchanged(update endpointList) bool {
-	for _, entry := range update.entries {
+func (l *loop) isUnchanged(update endpointlist.List) bool {
+	for _, entry := range update.Entries {
 		held, isHeld := l.endpoints[entry.ID]
 		if isHeld && held != entry || !isHeld && entry.State != balancer.Removed {
 			return false
 		}
 	}
-	return !update.complete || len(update.entries) == len(l.endpoints)
+	return !update.Complete || len(update.Entries) == len(l.endpoints)
 }
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/endpointlist"
 )
 
 // event is a message to the loop from another goroutine: one of the types of this file. String names it for
@@ -28,7 +29,7 @@
 }
 
 // listReceived carries an endpoint list, or the changes to it, from discovery.
-type listReceived struct{ list endpointList }
+type listReceived struct{ list endpointlist.List }
 
 // listConfirmed reports that discovery has answered and that nothing has changed.
 type listConfirmed struct{}
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/testutil"
 )
 
@@ -126,9 +127,9 @@
 }
 
 // parsedList is the endpoint list that a text contains.
-func parsedList(t testing.TB, text string) endpointList {
+func parsedList(t testing.TB, text string) endpointlist.List {
 	t.Helper()
-	l, err := parseList([]byte(text))
+	l, err := endpointlist.Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,7 +137,7 @@
 }
 
 // listOf is an endpoint list, complete or of changes.
-func listOf(t testing.TB, complete bool, entries ...string) endpointList {
+func listOf(t testing.TB, complete bool, entries ...string) endpointlist.List {
 	t.Helper()
 	return parsedList(t, fmt.Sprintf(`{"rev":9,"all":%v,"targets":[%s]}`, complete, strings.Join(entries, ",")))
 }
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/monotime"
 )
 
@@ -58,7 +59,7 @@
 // postedList remembers the version of a list that was posted. The loop passes on the entries alone, so the list is
 // recognised by the address of its first entry.
 type postedList struct {
-	first   *listEntry
+	first   *endpointlist.Entry
 	version int64
 }
 
@@ -76,7 +77,7 @@
 	h.loop.start, h.loop.updateEndpoints, h.loop.listsPushed = h.start, h.listApplied, h.listsPushed
 	h.discovery = newDiscovery(cfg, noListVersion, h.post, log)
 	h.loop.subscribe = h.discovery.subscribe
-	h.loop.cachedList = endpointList{complete: true}
+	h.loop.cachedList = endpointlist.List{Complete: true}
 	if !h.listsPushed {
 		h.loop.useCachedList() // the module subscribes for a newer list
 	}
@@ -137,9 +138,9 @@
 
 // post queues an event for the loop, unless the loop has ended.
 func (h *Hollow) post(e event) {
-	if received, ok := e.(listReceived); ok && len(received.list.entries) > 0 {
+	if received, ok := e.(listReceived); ok && len(received.list.Entries) > 0 {
 		h.mu.Lock()
-		h.lists = append(h.lists, postedList{&received.list.entries[0], received.list.version})
+		h.lists = append(h.lists, postedList{&received.list.Entries[0], received.list.Version})
 		h.mu.Unlock()
 	}
 	select {
@@ -150,7 +151,7 @@
 
 // listApplied reports the version of a list that the loop applies. Lists that were posted before it and changed
 // nothing are dropped.
-func (h *Hollow) listApplied(entries []listEntry, _ bool) {
+func (h *Hollow) listApplied(entries []endpointlist.Entry, _ bool) {
 	if len(entries) == 0 {
 		return
 	}
@@ -160,7 +161,7 @@
 }
 
 // takePosted removes a list from those that were posted, together with the older ones, and returns its version.
-func (h *Hollow) takePosted(first *listEntry) (version int64, found bool) {
+func (h *Hollow) takePosted(first *endpointlist.Entry) (version int64, found bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for len(h.lists) > 0 {
@@ -175,7 +176,7 @@
 
 // start runs an attempt in memory: it ends after the time drawn for it, at its deadline, or when it is cancelled.
 func (h *Hollow) start(a *attempt) {
-	delay, result := h.serve(a.instance.uid)
+	delay, result := h.serve(a.instance.UID)
 	if left := h.loop.clock.Until(a.deadline); delay > left {
 		delay, result = left, balancer.TimedOut
 	}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/monotime"
 )
 
@@ -23,7 +24,7 @@
 	events          chan event
 	start           func(*attempt) // starts an attempt; must not block
 	subscribe       func()         // starts a poll of discovery; must not block
-	updateEndpoints func(entries []listEntry, complete bool)
+	updateEndpoints func(entries []endpointlist.Entry, complete bool)
 	listsPushed     bool         // discovery pushes lists; otherwise they are polled
 	connectionStats func() []any // further attributes for the traffic line
 	log             *slog.Logger
@@ -38,17 +39,17 @@
 	timers  timerHeap
 	traffic trafficCounts
 
-	endpoints    map[string]listEntry // the endpoint list by uid
-	readyServers int                  // how many of endpoints are ready
+	endpoints    map[string]endpointlist.Entry // the endpoint list by uid
+	readyServers int                           // how many of endpoints are ready
 	bootClock    *bootClock
-	cachedList   endpointList // as the node last had it; dropped once listKnown
-	listKnown    bool         // a list has been applied: discovery's, or the cached one in its place
+	cachedList   endpointlist.List // as the node last had it; dropped once listKnown
+	listKnown    bool              // a list has been applied: discovery's, or the cached one in its place
 }
 
 func newLoop(b *balancer.Balancer, c monotime.Clock, log *slog.Logger) *loop {
 	return &loop{
 		clock: c, balancer: b, connectionStats: func() []any { return nil }, events: make(chan event, eventQueueLength), log: log,
-		pending: map[string]*requestState{}, endpoints: map[string]listEntry{}, bootClock: newBootClock(c),
+		pending: map[string]*requestState{}, endpoints: map[string]endpointlist.Entry{}, bootClock: newBootClock(c),
 	}
 }
 
@@ -95,7 +96,7 @@
 	case shutdownDeadline:
 		l.answerAll()
 	case listReceived:
-		if !e.list.complete {
+		if !e.list.Complete {
 			l.useCachedList() // it holds what these changes are changes to
 		}
 		l.applyList(e.list, false)
@@ -159,7 +160,7 @@
 		l.respond(state, response{kind: responseServed, body: outcome.body, contentType: outcome.contentType})
 	}
 	l.decide(outcome.endedAt, balancer.AttemptEnded{
-		ID: a.request.id, Attempt: a.number, Endpoint: a.instance.uid, Result: outcome.result,
+		ID: a.request.id, Attempt: a.number, Endpoint: a.instance.UID, Result: outcome.result,
 		Latency: outcome.endedAt - a.sentAt, Answered: state.answered, HeldUp: a.heldUp,
 	})
 	if state.departed != present {
@@ -198,7 +199,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &attempt{
 		ctx: ctx, cancel: cancel, request: state.request, number: len(state.attempts),
-		instance: l.endpoints[s.Endpoint].instance(), sentAt: l.now, notAfter: s.NotAfter,
+		instance: l.endpoints[s.Endpoint].Instance(), sentAt: l.now, notAfter: s.NotAfter,
 		deadline: min(l.now+s.Timeout, state.request.deadline),
 	}
 	state.attempts = append(state.attempts, a)
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -8,6 +8,7 @@
 	"testing"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/testutil"
 )
 
@@ -22,7 +23,7 @@
 	defer n.listener.Close()
 	n.loop.handleEvent(discoveryUnresponsive{})
 	told := 0
-	n.loop.updateEndpoints = func([]listEntry, bool) { told++ }
+	n.loop.updateEndpoints = func([]endpointlist.Entry, bool) { told++ }
 	for i, c := range []struct {
 		entries []string
 		want    int
@@ -72,7 +73,7 @@
 	defer n.listener.Close()
 	n.Reload(cfg)
 	n.loop.handleEvent(listReceived{listOf(t, true, testutil.ListEntry("s2", "127.0.0.1:1", "in_service"))})
-	if n.cfg.Known != nil || n.loop.cachedList.entries != nil {
+	if n.cfg.Known != nil || n.loop.cachedList.Entries != nil {
 		t.Errorf("%s and %v are kept", n.cfg.Known, n.loop.cachedList)
 	}
 }
@@ -82,8 +83,8 @@
 	s := testutil.NewServer(t, testutil.Echo)
 	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s0", s.Address(), "in_service"))), nil)
 	round := func(i int) {
-		l := endpointList{complete: true, version: int64(i), entries: []listEntry{{address: s.Address()}}}
-		l.entries[0].ID = fmt.Sprint("s", i)
+		l := endpointlist.List{Complete: true, Version: int64(i), Entries: []endpointlist.Entry{{Address: s.Address()}}}
+		l.Entries[0].ID = fmt.Sprint("s", i)
 		n.loop.post(listReceived{l})
 		c := dial(t, n)
 		c.Get(fmt.Sprint("r-", i))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/monotime"
 )
 
@@ -73,11 +74,11 @@
 // startDiscovery sets up discovery and hands the cached list to the loop. Where lists are polled the loop applies
 // it at once, and the module subscribes for a newer one.
 func (n *Node) startDiscovery(cfg Config) {
-	cached, err := parseList(cfg.Known)
-	version := cached.version
+	cached, err := endpointlist.Parse(cfg.Known)
+	version := cached.Version
 	if err != nil {
 		n.log.Warn("cached endpoint list is not usable", "error", err)
-		cached, version = endpointList{complete: true}, noListVersion
+		cached, version = endpointlist.List{Complete: true}, noListVersion
 	}
 	n.cfg.Known = nil // it is long, and only counts at the start
 	n.discovery = newDiscovery(cfg, version, n.loop.post, n.log)
--- a/internal/node/polling_test.go
+++ b/internal/node/polling_test.go
@@ -29,7 +29,7 @@
 	if q := testutil.Wait(t, ag.Calls, "a watch"); !strings.HasPrefix(q, "from=7&") {
 		t.Errorf("called with %q", q)
 	}
-	if e, ok := testutil.Wait(t, events, "the list").(listReceived); !ok || len(e.list.entries) != 1 {
+	if e, ok := testutil.Wait(t, events, "the list").(listReceived); !ok || len(e.list.Entries) != 1 {
 		t.Errorf("got %v", e)
 	}
 	testutil.Wait(t, ag.Calls, "the watch to go on")
@@ -60,7 +60,7 @@
 	if q := testutil.Wait(t, ag.Calls, "a call"); q != "" {
 		t.Errorf("called with %q, want the complete list", q)
 	}
-	if e, ok := testutil.Wait(t, events, "the list").(listReceived); !ok || len(e.list.entries) != 1 {
+	if e, ok := testutil.Wait(t, events, "the list").(listReceived); !ok || len(e.list.Entries) != 1 {
 		t.Errorf("got %v", e)
 	}
 }
--- a/internal/node/upstreamconn.go
+++ b/internal/node/upstreamconn.go
@@ -8,6 +8,8 @@
 	"net"
 	"time"
 
+	"basaltdrum/internal/endpointlist"
+	"basaltdrum/internal/http1"
 	"basaltdrum/internal/socketpeek"
 )
 
@@ -20,8 +22,8 @@
 // ones at once.
 type upstreamConn struct {
 	net.Conn
-	instance   endpointInstance
-	limited    *limitedReader
+	instance   endpointlist.Instance
+	limited    *http1.LimitedReader
 	reader     *bufio.Reader      // reads from limited; empty between responses
 	waiter     chan upstreamReply // receives one reply for the attempt in progress; nil if none is. Guarded by pool.mu
 	idleSince  time.Duration      // clock time
@@ -59,8 +61,8 @@
 }
 
 // startReader makes a new connection known to the pool with its first attempt registered, and starts its reader.
-func (p *upstreamPool) startReader(nc net.Conn, to endpointInstance, waiter chan upstreamReply) *upstreamConn {
-	limited := &limitedReader{Reader: nc}
+func (p *upstreamPool) startReader(nc net.Conn, to endpointlist.Instance, waiter chan upstreamReply) *upstreamConn {
+	limited := &http1.LimitedReader{Reader: nc}
 	c := &upstreamConn{
 		Conn:     nc,
 		instance: to,
--- a/internal/node/upstreampool.go
+++ b/internal/node/upstreampool.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/monotime"
 	"basaltdrum/internal/netdial"
 )
@@ -34,13 +35,6 @@
 // errNoDescriptor reports that the node has no file descriptor left for a connection. No endpoint is at fault.
 var errNoDescriptor = errors.New("no file descriptor left for an upstream connection")
 
-// endpointInstance is one process of an endpoint at one address. An endpoint that has restarted, or another
-// endpoint at an address that was in use before, must not be reached over connections to its predecessor.
-type endpointInstance struct {
-	uid, address string
-	bootMS       float64 // start of the process as listed: Unix time in milliseconds
-}
-
 // upstreamPool is a pool of persistent HTTP/1.1 connections to the endpoints, and carries out attempts over
 // them. Among the idle connections to an endpoint it prefers the one used last (LIFO), so that surplus
 // connections expire. http.Transport does not fit: it retries some requests by itself, and it does not report
@@ -55,10 +49,10 @@
 	dialTimeout time.Duration
 	idleTimeout time.Duration
 	reuseDelay  time.Duration
-	idle        map[endpointInstance][]*upstreamConn // in the order in which they became idle
-	open        int                                  // connections that are open or being opened
-	connsMade   int                                  // connections opened since the start, for the log
-	endpoints   map[string]listEntry                 // the listed endpoints by uid
+	idle        map[endpointlist.Instance][]*upstreamConn // in the order in which they became idle
+	open        int                                       // connections that are open or being opened
+	connsMade   int                                       // connections opened since the start, for the log
+	endpoints   map[string]endpointlist.Entry             // the listed endpoints by uid
 }
 
 func newUpstreamPool(cfg Config, c monotime.Clock, maxConns int) *upstreamPool {
@@ -66,8 +60,8 @@
 		clock:               c,
 		maxConns:            maxConns,
 		descriptorAllowance: func() int { return maxConns },
-		idle:                map[endpointInstance][]*upstreamConn{},
-		endpoints:           map[string]listEntry{},
+		idle:                map[endpointlist.Instance][]*upstreamConn{},
+		endpoints:           map[string]endpointlist.Entry{},
 	}
 	p.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 		p.mu.Lock()
@@ -100,7 +94,7 @@
 // takeIdle returns the reusable idle connection to an instance that was used last, and registers waiter for its
 // next response. It returns nil once a descriptor is reserved for a new connection; at the limit, the connection
 // that has been idle for longest is closed for it.
-func (p *upstreamPool) takeIdle(to endpointInstance, waiter chan upstreamReply) (*upstreamConn, error) {
+func (p *upstreamPool) takeIdle(to endpointlist.Instance, waiter chan upstreamReply) (*upstreamConn, error) {
 	// The allowance is read before locking: the downstream side counts upstream connections while it holds its lock.
 	limit := min(p.maxConns, p.descriptorAllowance())
 	p.mu.Lock()
@@ -164,22 +158,22 @@
 }
 
 // closeIdle closes the idle connections to an instance. The caller holds mu.
-func (p *upstreamPool) closeIdle(to endpointInstance) {
+func (p *upstreamPool) closeIdle(to endpointlist.Instance) {
 	for idle := p.idle[to]; len(idle) > 0; idle = p.idle[to] {
 		p.closeConn(idle[len(idle)-1])
 	}
 }
 
 // isReady reports whether the list has an endpoint as ready, in the same instance. The caller holds mu.
-func (p *upstreamPool) isReady(to endpointInstance) bool {
-	entry, listed := p.endpoints[to.uid]
-	return listed && entry.State == balancer.Ready && entry.instance() == to
+func (p *upstreamPool) isReady(to endpointlist.Instance) bool {
+	entry, listed := p.endpoints[to.UID]
+	return listed && entry.State == balancer.Ready && entry.Instance() == to
 }
 
 // updateEndpoints applies an update of the endpoint list, and closes idle connections to endpoints that were
 // removed, that drain or that have restarted. Of an incremental update only the named entries are visited, as
 // updates of a long list are frequent.
-func (p *upstreamPool) updateEndpoints(entries []listEntry, complete bool) {
+func (p *upstreamPool) updateEndpoints(entries []endpointlist.Entry, complete bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, entry := range entries {
@@ -191,10 +185,10 @@
 }
 
 // applyEntry applies one entry of an endpoint list. The caller holds mu.
-func (p *upstreamPool) applyEntry(entry listEntry) {
+func (p *upstreamPool) applyEntry(entry endpointlist.Entry) {
 	previous, known := p.endpoints[entry.ID]
-	if known && (entry.State != balancer.Ready || entry.instance() != previous.instance()) {
-		p.closeIdle(previous.instance())
+	if known && (entry.State != balancer.Ready || entry.Instance() != previous.Instance()) {
+		p.closeIdle(previous.Instance())
 	}
 	if entry.State == balancer.Removed {
 		delete(p.endpoints, entry.ID)
@@ -204,14 +198,14 @@
 }
 
 // removeUnlisted removes the endpoints that a complete list does not name. The caller holds mu.
-func (p *upstreamPool) removeUnlisted(entries []listEntry) {
+func (p *upstreamPool) removeUnlisted(entries []endpointlist.Entry) {
 	listed := make(map[string]bool, len(entries))
 	for _, entry := range entries {
 		listed[entry.ID] = true
 	}
 	for id, entry := range p.endpoints {
 		if !listed[id] {
-			p.closeIdle(entry.instance())
+			p.closeIdle(entry.Instance())
 			delete(p.endpoints, id)
 		}
 	}
--- a/internal/node/upstreampool_test.go
+++ b/internal/node/upstreampool_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/monotime"
 	"basaltdrum/internal/testutil"
 )
@@ -22,15 +23,15 @@
 }
 
 // testInstance puts a server that is named by its address into the pool's list.
-func testInstance(b *upstreamPool, endpoint string) endpointInstance {
-	t := listEntry{Endpoint: balancer.Endpoint{ID: endpoint, State: balancer.Ready}, address: endpoint}
-	b.updateEndpoints([]listEntry{t}, false)
-	return t.instance()
+func testInstance(b *upstreamPool, endpoint string) endpointlist.Instance {
+	t := endpointlist.Entry{Endpoint: balancer.Endpoint{ID: endpoint, State: balancer.Ready}, Address: endpoint}
+	b.updateEndpoints([]endpointlist.Entry{t}, false)
+	return t.Instance()
 }
 
 // instanceOf is a server as testInstance names it.
-func instanceOf(s *testutil.Server) endpointInstance {
-	return endpointInstance{uid: s.Address(), address: s.Address()}
+func instanceOf(s *testutil.Server) endpointlist.Instance {
+	return endpointlist.Instance{UID: s.Address(), Address: s.Address()}
 }
 
 // testAttempt is an attempt at an address with plenty of time.
@@ -52,7 +53,7 @@
 }
 
 // adopt puts a connection among the idle ones.
-func (b *upstreamPool) adopt(nc net.Conn, to endpointInstance) {
+func (b *upstreamPool) adopt(nc net.Conn, to endpointlist.Instance) {
 	waiter := make(chan upstreamReply, 1)
 	b.open++
 	c := b.startReader(nc, to, waiter)
@@ -179,7 +180,7 @@
 		strings.Replace(testutil.ListEntry("s2", s.Address(), "in_service"), `"boot_ms":0`, `"boot_ms":5`, 1),
 	} {
 		l := listOf(t, true, next)
-		want := l.entries[0] // copied before the loop, which sets its start time, owns the list
+		want := l.Entries[0] // copied before the loop, which sets its start time, owns the list
 		n.loop.post(listReceived{l})
 		before := s.Accepted()
 		testutil.Until(t, "the list to be taken", func() bool {
@@ -225,7 +226,7 @@
 			n.upstream.mu.Lock()
 			defer n.upstream.mu.Unlock()
 			for h, idle := range n.upstream.idle {
-				if h.address == a.Address() && len(idle) > 0 {
+				if h.Address == a.Address() && len(idle) > 0 {
 					return false
 				}
 			}
--- a/internal/node/upstreamresponse.go
+++ b/internal/node/upstreamresponse.go
@@ -9,6 +9,7 @@
 	"strings"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/http1"
 )
 
 const (
@@ -64,7 +65,7 @@
 // response conclusive. Bytes that follow a response do not invalidate it, but the connection is not reusable then,
 // as they could not be distinguished from the next response.
 func (p *upstreamPool) readResponse(c *upstreamConn) (reply upstreamReply, reusable bool) {
-	c.limited.remaining = maxResponseOverhead
+	c.limited.Remaining = maxResponseOverhead
 	resp, err := readHead(c.reader)
 	if err != nil {
 		return upstreamReply{err: fmt.Errorf("read response head: %w", err)}, false
@@ -133,11 +134,11 @@
 }
 
 // readBody reads a body to its end, and fails if it has more than maxBody bytes.
-func readBody(limited *limitedReader, resp *http.Response) ([]byte, error) {
-	limited.remaining += maxBody + 1
+func readBody(limited *http1.LimitedReader, resp *http.Response) ([]byte, error) {
+	limited.Remaining += maxBody + 1
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBody+1))
 	if err == nil && len(body) > maxBody {
-		err = errResponseTooLong
+		err = http1.ErrTooLong
 	}
 	return body, err
 }
--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -7,6 +7,7 @@
 	"net/http"
 	"time"
 
+	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/monotime"
 	"basaltdrum/internal/netdial"
 )
@@ -155,19 +156,19 @@
 		return fmt.Errorf("watch: %w", statusError(resp.StatusCode))
 	}
 	body := newListBody(resp.Body)
-	list, err := readList(body)
+	list, err := endpointlist.Read(body)
 	if body.err != nil {
 		return fmt.Errorf("watch: %w", body.err)
 	}
-	if err == nil && !list.complete && list.version < address.version {
-		err = fmt.Errorf("list: %w: version %d after %d", errStaleList, list.version, address.version)
+	if err == nil && !list.Complete && list.Version < address.version {
+		err = fmt.Errorf("list: %w: version %d after %d", errStaleList, list.Version, address.version)
 	}
 	if err != nil {
 		address.version = noVersion
 		return err
 	}
-	address.version = list.version
-	if !list.complete && len(list.entries) == 0 {
+	address.version = list.Version
+	if !list.Complete && len(list.Entries) == 0 {
 		d.postFrom(address, listConfirmed{}) // the hold ended without a change
 		return nil
 	}
--- a/internal/testutil/agent.go
+++ b/internal/testutil/agent.go
@@ -1,6 +1,8 @@
 package testutil
 
 import (
+	"bytes"
+	"encoding/json"
 	"fmt"
 	"io"
 	"net"
@@ -101,7 +103,31 @@
 		`"capacity_hint":1,"boot_ms":0}`, uid, endpoint, state)
 }
 
+// StartedListEntry is the entry of a server in service that reports a start time, in Unix milliseconds.
+func StartedListEntry(uid string, bootMS int64) string {
+	return strings.Replace(
+		ListEntry(uid, "127.0.0.1:1", "in_service"), `"boot_ms":0`, fmt.Sprintf(`"boot_ms":%d`, bootMS), 1)
+}
+
 // CompleteList is the text of a complete endpoint list, with %d for its version.
 func CompleteList(entries ...string) string {
 	return `{"rev":%d,"all":true,"targets":[` + strings.Join(entries, ",") + `]}`
 }
+
+// LongList is the text of a complete list of servers, each with the same note beside what a node reads.
+func LongList(servers int, note string, indented bool) string {
+	entries := make([]string, servers)
+	for i := range entries {
+		entries[i] = fmt.Sprintf(`{"uid":"s-%08x","endpoint":"10.1.%d.%d:7070","az":"zone-a","model":"m2","note":%q,`+
+			`"pod_group":3,"state":"in_service","capacity_hint":1.0,"boot_ms":1800000000000}`, i, i/256, i%256, note)
+	}
+	text := strings.Replace(CompleteList(entries...), "%d", "7", 1)
+	if indented {
+		var b bytes.Buffer
+		if err := json.Indent(&b, []byte(text), "", "        "); err != nil {
+			panic(err)
+		}
+		text = b.String()
+	}
+	return text
+}
