--- a/cmd/balancer/clients_test.go
+++ b/cmd/balancer/clients_test.go
@@ -35,7 +35,8 @@
 	}
 	c.conn.SetDeadline(time.Now().Add(2 * limit))
 	c.sent++
-	fmt.Fprintf(c.conn, "GET %s HTTP/1.1\r\nHost: h\r\nX-Request-Id: %s-%d\r\nX-Deadline: 20\r\n\r\n", target, c.name, c.sent)
+	fmt.Fprintf(c.conn, "GET %s HTTP/1.1\r\nHost: h\r\nX-Request-Id: %s-%d\r\nX-Deadline: 20\r\n\r\n",
+		target, c.name, c.sent)
 	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return 0, "", err
@@ -79,20 +80,20 @@
 }
 
 // newHoldingServer starts a server that answers with the id of each request. It holds those whose path ends in
-// /slow until they are released, and notes their arrival.
+// /slow until they are released, and reports their arrival.
 func newHoldingServer(t *testing.T) (entry string, held <-chan struct{}, release func()) {
 	t.Helper()
-	came, hold := make(chan struct{}, 1), make(chan struct{})
+	arrived, hold := make(chan struct{}, 1), make(chan struct{})
 	entry = newServer(t, "s-1", func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasSuffix(r.URL.Path, "/slow") {
-			came <- struct{}{}
+			arrived <- struct{}{}
 			<-hold
 		}
 		fmt.Fprint(w, "for ", r.Header.Get("X-Request-Id"))
 	})
 	release = sync.OnceFunc(func() { close(hold) })
 	t.Cleanup(release) // before the server closes, which waits for its requests
-	return entry, came, release
+	return entry, arrived, release
 }
 
 // crowd is idle clients: each connects, does what its kind does, and stays until the node closes the connection;
@@ -129,15 +130,16 @@
 	c.mu.Unlock()
 	kind := c.kind
 	if kind == "mixed" {
-		kind = []string{"silent", "half", "resting"}[n%3]
+		kind = []string{"silent", "partial", "resting"}[n%3]
 	}
 	switch kind {
-	case "half":
+	case "partial":
 		io.WriteString(nc, "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Req")
 	case "resting":
-		c.inFlight.Add(1) // before the look at quiet: whoever finds no one asking after it was set can rely on that
+		c.inFlight.Add(1) // before resting is read, so that nothing is sent once it is set and no request is counted
 		if !c.resting.Load() {
-			fmt.Fprintf(nc, "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: idle-%p-%d\r\nX-Deadline: 40\r\n\r\n", nc, n)
+			fmt.Fprintf(nc, "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: idle-%p-%d\r\nX-Deadline: 40\r\n\r\n",
+				nc, n)
 			nc.Read(make([]byte, 1))
 		}
 		c.inFlight.Add(-1)
--- a/cmd/balancer/descriptors_test.go
+++ b/cmd/balancer/descriptors_test.go
@@ -19,10 +19,10 @@
 // but 48.
 func minFreeDescriptors(sockets int) int { return (sockets - 48) / 4 }
 
-// A good client may have so many connections shut unread by a crowded node before it is served, and pauses
-// after each. A node that makes room needs a fifth of a second of these pauses at most, for that long half a
-// request is spared; their sum is longer, and on a busy machine longer still. One that waits for its idle
-// clients to time out needs 2.5 s.
+// A client may have so many connections closed unread by a node with too many connections before it is served,
+// and pauses after each. A node that evicts idle clients needs a fifth of a second of these pauses at most, which is
+// how long it spares a partial request; their sum is longer, and on a busy machine longer still. A node that waits
+// for its idle clients to time out needs 2.5 s.
 const (
 	maxClosed = 100
 	pause     = 10 * time.Millisecond
@@ -34,21 +34,20 @@
 func TestIdleClientsDoNotExhaustDescriptors(t *testing.T) {
 	build(t)
 	old, next := newNamingServer(t, "old"), newNamingServer(t, "next")
-	// What the node knows of servers when its discovery goes down: what it was notified of, its configuration's
-	// list, or nothing. Where it knows none, nobody can have been served and rest.
-	beginnings := []string{"told", "known", "nothing"}
+	// The list that the node has when discovery fails. Without one, no client can have been served and rest.
+	lists := []listSource{fromRegistry, fromConfiguration, noList}
 	row := 0
 	for _, sockets := range []int{64, 256, 1024} {
-		for _, kind := range []string{"silent", "half", "resting", "mixed"} {
+		for _, kind := range []string{"silent", "partial", "resting", "mixed"} {
 			for _, mode := range []string{"pushed", "on_request"} {
 				for _, down := range []registryState{unresponsive, refusing} {
-					begin := beginnings[row%len(beginnings)]
-					if row++; begin == "nothing" && kind == "resting" {
-						begin = "known"
+					c := idleClientsCase{sockets, kind, mode, down, lists[row%len(lists)], old, next}
+					if row++; c.list == noList && kind == "resting" {
+						c.list = fromConfiguration
 					}
-					t.Run(fmt.Sprintf("%d/%s/%s/%v/%s", sockets, kind, mode, down, begin), func(t *testing.T) {
+					t.Run(fmt.Sprintf("%d/%s/%s/%v/%s", sockets, kind, mode, down, c.list), func(t *testing.T) {
 						t.Parallel()
-						checkIdleClients(t, sockets, kind, mode, down, begin, old, next)
+						c.check(t)
 					})
 				}
 			}
@@ -56,6 +55,25 @@
 	}
 }
 
+// listSource is where the list comes from that a node has when discovery fails.
+type listSource string
+
+const (
+	fromRegistry      listSource = "from the registry"
+	fromConfiguration listSource = "from the configuration"
+	noList            listSource = "none"
+)
+
+// idleClientsCase is a row of TestIdleClientsDoNotExhaustDescriptors.
+type idleClientsCase struct {
+	sockets   int
+	kind      string // of idle clients
+	mode      string // of discovery: pushed or on_request
+	down      registryState
+	list      listSource
+	old, next string // entries of the server before and after the failure
+}
+
 // descriptorWatch follows how many descriptors a node uses while idle clients fill them.
 type descriptorWatch struct {
 	t       *testing.T
@@ -68,12 +86,21 @@
 	w.most = max(w.most, openDescriptors(w.t, w.process.cmd.Process.Pid))
 }
 
+// lookFor looks at the descriptors over and over for a while: time is the subject, since nothing tells when the node
+// would open the next one.
+func (w *descriptorWatch) lookFor(period time.Duration) {
+	w.t.Helper()
+	for end := time.Now().Add(period); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
+		w.look()
+	}
+}
+
 // fill has many idle clients connect, and waits until the node has closed some of their connections.
 func (w *descriptorWatch) fill(address, kind string) *crowd {
 	w.t.Helper()
 	const beyond = 100
 	idle := newCrowd(w.t, address, kind, w.sockets+beyond)
-	w.eventually("the node to hold as many as it will", func() bool { return idle.ended.Load() >= beyond })
+	w.eventually("the node to evict the excess", func() bool { return idle.ended.Load() >= beyond })
 	return idle
 }
 
@@ -106,44 +133,60 @@
 	}
 }
 
-func checkIdleClients(t *testing.T, sockets int, kind, mode string, down registryState, begin, old, next string) {
-	d := newRegistry(t, 5, old, map[bool]registryState{true: available, false: down}[begin == "told"])
-	known := map[bool]string{true: old}[begin == "known"]
-	p := launch(t, nodeConfig("127.0.0.1:0", d.addr, known, mode, sockets), sockets)
-	w := &descriptorWatch{t: t, process: p, sockets: sockets}
+func (c idleClientsCase) check(t *testing.T) {
+	t.Helper()
+	registry, p := c.launch(t)
+	w := &descriptorWatch{t: t, process: p, sockets: c.sockets}
 	address := p.address(t)
-	if begin != "nothing" { // its list is in use
+	if c.list != noList {
 		if status, body, err := getOnce(address); status != http.StatusOK || body != "old" {
 			t.Fatalf("before: %d %q, %v", status, body, err)
 		}
 	}
-	if begin == "told" {
-		waitFor(t, d.fetched(5), "the first list to be taken")
-		d.set(t, 5, old, down)
+	if c.list == fromRegistry {
+		waitFor(t, registry.fetched(5), "the first list to be in use")
+		registry.set(t, 5, c.old, c.down)
 	}
-	idle := w.fill(address, kind)
+	idle := w.fill(address, c.kind)
 	idle.resting.Store(true)
-	eventually(t, "the idle clients to rest", func() bool { return idle.inFlight.Load() == 0 || begin == "nothing" })
-	if begin == "nothing" {
+	eventually(t, "the idle clients to rest", func() bool { return idle.inFlight.Load() == 0 || c.list == noList })
+	if c.list == noList {
 		w.checkReserve()
 	}
-	back := d.fetched(6)
-	since := time.Now()
-	d.set(t, 6, next, available)
-	w.eventually("the list to be taken", func() bool {
-		select {
-		case <-back:
-			return true
-		default:
-			return false
-		}
-	})
-	took := time.Since(since)
+	fetched, since := registry.fetched(6), time.Now()
+	registry.set(t, 6, c.next, available)
+	w.eventually("the next list to be in use", func() bool { return isClosed(fetched) })
+	elapsed := time.Since(since)
 	// What was queued is answered, and the node is not full of requests any more.
 	eventually(t, "the idle clients to rest", func() bool { return idle.inFlight.Load() == 0 })
 	closed := getFromFullNode(t, address)
 	w.check()
-	t.Logf("list taken after %v, %d closed, at most %d of %d descriptors", took, closed, w.most, sockets)
+	t.Logf("list in use after %v, %d closed, at most %d of %d descriptors", elapsed, closed, w.most, c.sockets)
+}
+
+// launch starts the row's registry and its node.
+func (c idleClientsCase) launch(t *testing.T) (*registry, *process) {
+	t.Helper()
+	state, known := c.down, ""
+	switch c.list {
+	case fromRegistry:
+		state = available
+	case fromConfiguration:
+		known = c.old
+	case noList:
+	}
+	d := newRegistry(t, 5, c.old, state)
+	return d, launch(t, nodeConfig("127.0.0.1:0", d.addr, known, c.mode, c.sockets), c.sockets)
+}
+
+// isClosed reports, without waiting, whether a channel that is only ever closed has been closed.
+func isClosed(c <-chan struct{}) bool {
+	select {
+	case <-c:
+		return true
+	default:
+		return false
+	}
 }
 
 // getFromFullNode sends a request until it is answered, by the server next, and returns how many connections were
@@ -175,26 +218,20 @@
 func TestQueuedRequestsLeaveDescriptors(t *testing.T) {
 	build(t)
 	for _, sockets := range []int{64, 256, 1024} {
-		for _, c := range [][2]string{{"silent", "pushed"}, {"silent", "on_request"}, {"half", "pushed"}, {"half", "on_request"}} {
-			kind, mode := c[0], c[1]
-			t.Run(fmt.Sprintf("%d/%s/%s", sockets, kind, mode), func(t *testing.T) {
-				t.Parallel()
-				checkQueuedRequests(t, sockets, kind, mode)
-			})
+		for _, kind := range []string{"silent", "partial"} {
+			for _, mode := range []string{"pushed", "on_request"} {
+				t.Run(fmt.Sprintf("%d/%s/%s", sockets, kind, mode), func(t *testing.T) {
+					t.Parallel()
+					checkQueuedRequests(t, sockets, kind, mode)
+				})
+			}
 		}
 	}
 }
 
 func checkQueuedRequests(t *testing.T, sockets int, kind, mode string) {
-	var came atomic.Int64
-	hold := make(chan struct{})
-	release := sync.OnceFunc(func() { close(hold) })
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		came.Add(1)
-		<-hold
-	}))
-	defer s.Close()
-	defer release()
+	t.Helper()
+	s, release := newCountingServer(t)
 	d := newRegistry(t, 5, "", refusing)
 	p := launch(t, nodeConfig("127.0.0.1:0", d.addr, "", mode, sockets), sockets)
 	w := &descriptorWatch{t: t, process: p, sockets: sockets}
@@ -211,16 +248,36 @@
 	}
 	d.set(t, 6, strings.Join(list, ","), available)
 	quota := int64(minFreeDescriptors(sockets))
-	w.eventually("the server to get its quota", func() bool { return came.Load() >= quota || queued.inFlight.Load() == 0 })
-	if got := came.Load(); got < quota {
+	w.eventually("the server to get its quota", func() bool {
+		return s.requests.Load() >= quota || queued.inFlight.Load() == 0
+	})
+	if got := s.requests.Load(); got < quota {
 		t.Errorf("%d of %d requests came to the server; the others were rejected", got, requests)
 	}
-	for range 200 { // all others have been decided on with these; a busy machine sees less, and passes
-		w.look()
-		time.Sleep(2 * time.Millisecond)
-	}
+	// All others have been decided on with these. A busy machine sees less, and passes.
+	w.lookFor(400 * time.Millisecond)
 	release()
 	w.eventually("each request to be answered", func() bool { return queued.inFlight.Load() == 0 })
 	w.check()
-	t.Logf("%d of %d came, at most %d of %d descriptors", came.Load(), requests, w.most, sockets)
+	t.Logf("%d of %d came, at most %d of %d descriptors", s.requests.Load(), requests, w.most, sockets)
+}
+
+// countingServer counts the requests that come, and answers them once it is released.
+type countingServer struct {
+	*httptest.Server
+	requests atomic.Int64
+}
+
+func newCountingServer(t *testing.T) (s *countingServer, release func()) {
+	t.Helper()
+	hold := make(chan struct{})
+	release = sync.OnceFunc(func() { close(hold) })
+	s = &countingServer{}
+	s.Server = httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
+		s.requests.Add(1)
+		<-hold
+	}))
+	t.Cleanup(s.Close)
+	t.Cleanup(release) // before the server closes, which waits for its requests
+	return s, release
 }
--- a/cmd/balancer/helpers_test.go
+++ b/cmd/balancer/helpers_test.go
@@ -53,6 +53,7 @@
 			return string(m[1])
 		}
 		run, sim := command("run"), command("sim")
+		//nolint:usetesting // The folder is shared by all tests of the package.
 		if program.dir, err = os.MkdirTemp("", "balancer"); err != nil {
 			t.Fatal(err)
 		}
@@ -134,12 +135,7 @@
 
 // alive says that the process has not ended.
 func (p *process) alive() bool {
-	select {
-	case <-p.ended:
-		return false
-	default:
-		return true
-	}
+	return !isClosed(p.ended)
 }
 
 // address is where the process listens, once it does.
--- a/cmd/balancer/main_test.go
+++ b/cmd/balancer/main_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -37,46 +38,17 @@
 	if status, body, err := fast.get("/view/fast"); err != nil || status != http.StatusOK || body != "for fast-1" {
 		t.Fatalf("got %d %q, %v", status, body, err)
 	}
-	idle, err := net.Dial("tcp", address)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer idle.Close()
-	idle.SetDeadline(time.Now().Add(limit))
-	ready := bufio.NewReader(idle)
-	for status := 0; status != http.StatusOK; { // an unresponsive agent delays it, and does not prevent it
-		fmt.Fprint(idle, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
-		resp, err := http.ReadResponse(ready, nil)
-		if err != nil {
-			t.Fatalf("not ready: %v", err)
-		}
-		io.Copy(io.Discard, resp.Body)
-		if resp.Close { // what is unready closes
-			idle.Close()
-			if idle, err = net.Dial("tcp", address); err != nil {
-				t.Fatal(err)
-			}
-			defer idle.Close()
-			idle.SetDeadline(time.Now().Add(limit))
-			ready.Reset(idle)
-		}
-		status = resp.StatusCode
-	}
-	answer := make(chan string, 1)
-	go func() {
-		slow := client{address: address, name: "slow"}
-		status, body, err := slow.get("/view/slow")
-		answer <- fmt.Sprint(status, " ", body, " ", err)
-	}()
+	idle := awaitReady(t, address)
+	response := getInBackground(address, "slow")
 	waitFor(t, held, "the request to be in flight")
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := idle.Read(make([]byte, 1)); err != io.EOF { // it closes its idle connections
+	if _, err := idle.Read(make([]byte, 1)); !errors.Is(err, io.EOF) { // it closes its idle connections
 		t.Fatalf("an idle connection after SIGTERM: %v", err)
 	}
 	release()
-	if got := <-answer; got != "200 for slow-1 <nil>" {
+	if got := <-response; got != "200 for slow-1 <nil>" {
 		t.Fatalf("the request in flight: %s", got)
 	}
 	<-p.ended
@@ -89,6 +61,42 @@
 	}
 }
 
+// awaitReady makes health checks until the node is ready, and returns the idle connection of the last one. An
+// unresponsive agent delays its readiness and does not prevent it.
+func awaitReady(t *testing.T, address string) net.Conn {
+	t.Helper()
+	for {
+		c, err := net.Dial("tcp", address)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { c.Close() })
+		c.SetDeadline(time.Now().Add(limit))
+		fmt.Fprint(c, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
+		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+		if err != nil {
+			t.Fatalf("not ready: %v", err)
+		}
+		io.Copy(io.Discard, resp.Body)
+		if resp.StatusCode == http.StatusOK {
+			return c
+		}
+		c.Close()
+	}
+}
+
+// getInBackground has a client send a request that the server holds, and returns the channel of its result: the
+// status, the body and the error.
+func getInBackground(address, name string) <-chan string {
+	result := make(chan string, 1)
+	go func() {
+		c := client{address: address, name: name}
+		status, body, err := c.get("/view/slow")
+		result <- fmt.Sprint(status, " ", body, " ", err)
+	}()
+	return result
+}
+
 func TestBadConfigExitsWithOneLine(t *testing.T) {
 	build(t)
 	dir := t.TempDir()
--- a/cmd/balancer/registry_test.go
+++ b/cmd/balancer/registry_test.go
@@ -15,7 +15,9 @@
 // registryState is what discovery is like.
 type registryState int
 
-func (o registryState) String() string { return [...]string{"up", "mute", "refusing"}[o] }
+func (o registryState) String() string {
+	return [...]string{"available", "unresponsive", "refusing"}[o]
+}
 
 const (
 	available    registryState = iota
@@ -34,7 +36,7 @@
 	state      registryState
 	version    int
 	list       string
-	calledFrom map[int]chan struct{} // closed when a call from that version comes, so that its list has been taken
+	calledFrom map[int]chan struct{} // closed when a call from that version comes, so that its list is in use
 }
 
 // set changes discovery's list, and whether it answers.
@@ -82,12 +84,10 @@
 	if err != nil {
 		from = -1
 	}
-	heard := d.fetched(from)
+	fetched := d.fetched(from)
 	d.mu.Lock()
-	select {
-	case <-heard:
-	default:
-		close(heard)
+	if !isClosed(fetched) {
+		close(fetched)
 	}
 	down, rev, list := d.state, d.version, d.list
 	d.mu.Unlock()
--- a/cmd/balancer/reload_test.go
+++ b/cmd/balancer/reload_test.go
@@ -8,7 +8,6 @@
 	"sync/atomic"
 	"syscall"
 	"testing"
-	"time"
 )
 
 // TestManySIGHUPsUnderLoad replaces the configuration many times in a row, without waiting for the node, under
@@ -18,55 +17,31 @@
 func TestManySIGHUPsUnderLoad(t *testing.T) {
 	build(t)
 	list, held, release := newHoldingServer(t)
-	discoveries := []*registry{newRegistry(t, 5, list, available), newRegistry(t, 9, list, available)}
-	config := func(i int, extra string) string {
-		text := nodeConfig("127.0.0.1:0", discoveries[i%2].addr, list, "pushed", 256)
-		text = strings.Replace(text, `"deadline-ms":40000`, fmt.Sprintf(`"deadline-ms":%d`, 40000-i%3*1000), 1)
-		if extra != "" {
-			text = strings.Replace(text, `"lanes":[`, fmt.Sprintf(`"lanes":[{"name":%q,"effect":"read_like",
-				"target-ms":20000,"deadline-ms":40000},`, extra), 1)
-		}
-		return text
-	}
-	p := launch(t, config(0, ""), 0)
+	configs := newReloadConfigs(t, list)
+	p := launch(t, configs.valid(0, ""), 0)
 	address := p.address(t)
 	l := startLoad(t, address)
 	for i := range 60 {
-		text := config(i, map[bool]string{true: "extra"}[i%2 == 0])
-		if i%5 == 4 {
-			text = strings.Replace(text, `"target-ms":20000`, `"target-ms":-1`, 1)
-		}
-		p.reload(t, text)
-		for seen := l.answered.Load(); i%10 == 9 && l.answered.Load() < seen+100 && !t.Failed(); { // under load
-			time.Sleep(time.Millisecond)
+		p.reload(t, configs.file(i))
+		if i%10 == 9 {
+			l.awaitAnswers(100)
 		}
 	}
-	p.reload(t, strings.Replace(config(0, ""), `"target-ms":20000`, `"target-ms":-1`, 1))
+	p.reload(t, invalid(configs.valid(0, "")))
 	eventually(t, "the bad file to be named", func() bool {
-		return strings.Contains(p.logText(), "the previous one stays in force") && strings.Contains(p.logText(), "LatencyObjective")
-	})
-	p.reload(t, config(1, "last"))
-	c := client{address: address, name: "last"}
-	eventually(t, "the last file to be in force", func() bool {
-		status, _, err := c.get("/last/k")
-		return err == nil && status == http.StatusOK
+		log := p.logText()
+		return strings.Contains(log, "the previous one stays in force") && strings.Contains(log, "LatencyObjective")
 	})
-	if status, _, err := c.get("/extra/k"); status != http.StatusNotFound {
-		t.Errorf("the class that has gone: %d, %v", status, err)
-	}
+	p.reload(t, configs.valid(1, "last"))
+	checkClassesOfLastFile(t, address)
 	l.stop()
-	response := make(chan string, 1)
-	go func() {
-		c := client{address: address, name: "out"}
-		status, body, err := c.get("/view/slow")
-		response <- fmt.Sprint(status, " ", body, " ", err)
-	}()
+	response := getInBackground(address, "out")
 	waitFor(t, held, "the request to be in flight")
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 10 {
-		p.reload(t, config(i, ""))
+		p.reload(t, configs.valid(i, ""))
 	}
 	release()
 	if got := <-response; got != "200 for out-1 <nil>" {
@@ -79,6 +54,61 @@
 	t.Logf("%d answers, and %d times in force", l.answered.Load(), strings.Count(p.logText(), "are in force"))
 }
 
+// checkClassesOfLastFile waits until the class that only the last file has is served, and checks that the class of
+// the files before it is unknown.
+func checkClassesOfLastFile(t *testing.T, address string) {
+	t.Helper()
+	c := client{address: address, name: "last"}
+	defer c.close()
+	eventually(t, "the last file to be in force", func() bool {
+		status, _, err := c.get("/last/k")
+		return err == nil && status == http.StatusOK
+	})
+	if status, _, err := c.get("/extra/k"); status != http.StatusNotFound {
+		t.Errorf("the class that was removed: %d, %v", status, err)
+	}
+}
+
+// reloadConfigs makes the configuration files of a test, which differ in discovery, deadlines and classes.
+type reloadConfigs struct {
+	list       string
+	registries []*registry
+}
+
+func newReloadConfigs(t *testing.T, list string) reloadConfigs {
+	t.Helper()
+	return reloadConfigs{list, []*registry{newRegistry(t, 5, list, available), newRegistry(t, 9, list, available)}}
+}
+
+// file is the file of a number: every other one has the class extra, and every fifth is invalid.
+func (r reloadConfigs) file(i int) string {
+	extra := ""
+	if i%2 == 0 {
+		extra = "extra"
+	}
+	text := r.valid(i, extra)
+	if i%5 == 4 {
+		text = invalid(text)
+	}
+	return text
+}
+
+// valid is the valid file of a number, with one class more unless extra is empty.
+func (r reloadConfigs) valid(i int, extra string) string {
+	text := nodeConfig("127.0.0.1:0", r.registries[i%2].addr, r.list, "pushed", 256)
+	text = strings.Replace(text, `"deadline-ms":40000`, fmt.Sprintf(`"deadline-ms":%d`, 40000-i%3*1000), 1)
+	if extra != "" {
+		text = strings.Replace(text, `"lanes":[`, fmt.Sprintf(`"lanes":[{"name":%q,"effect":"read_like",
+			"target-ms":20000,"deadline-ms":40000},`, extra), 1)
+	}
+	return text
+}
+
+// invalid makes a file invalid by the latency objective of a class.
+func invalid(config string) string {
+	return strings.Replace(config, `"target-ms":20000`, `"target-ms":-1`, 1)
+}
+
 // reloadLoad is clients that send requests until they are stopped.
 type reloadLoad struct {
 	t        *testing.T
@@ -107,6 +137,16 @@
 	return l
 }
 
+// awaitAnswers waits until the clients have got so many answers more, or one of them has failed the test.
+func (l *reloadLoad) awaitAnswers(more int64) {
+	l.t.Helper()
+	before := l.answered.Load()
+	eventually(l.t, "answers under load", func() bool {
+		return l.answered.Load() >= before+more || l.t.Failed()
+	})
+}
+
+// stop ends the clients.
 func (l *reloadLoad) stop() {
 	l.stopped.Store(true)
 	l.running.Wait()
@@ -129,7 +169,8 @@
 	c := client{address: l.address, name: "extra"}
 	for !l.stopped.Load() {
 		status, body, err := c.get("/extra/k")
-		if err != nil || status != http.StatusNotFound && (status != http.StatusOK || body != fmt.Sprint("for extra-", c.sent)) {
+		served := status == http.StatusOK && body == fmt.Sprint("for extra-", c.sent)
+		if err != nil || !served && status != http.StatusNotFound {
 			l.t.Errorf("class that comes and goes: %d %q, %v", status, body, err)
 			return
 		}
