--- a/cmd/balancer-sim/main_test.go
+++ b/cmd/balancer-sim/main_test.go
@@ -23,7 +23,9 @@
 }
 
 func TestRunStopsAtBadInputWithoutAPartialReply(t *testing.T) {
-	for _, bad := range []string{"nonsense\n", "sync\t2\nabout\t0\njob_in\n", "sync\t2\nabout\t0\nhello\t7\t{}\neob\n"} {
+	for _, bad := range []string{
+		"nonsense\n", "sync\t2\nabout\t0\njob_in\n", "sync\t2\nabout\t0\nhello\t7\t{}\neob\n",
+	} {
 		var out bytes.Buffer
 		err := run(strings.NewReader("sync\t1\neob\n"+bad), &out)
 		if err == nil {
--- a/internal/endpointlist/parser_test.go
+++ b/internal/endpointlist/parser_test.go
@@ -40,22 +40,24 @@
 // byte, with any byte replaced.
 func TestListParserAgreesWithUnmarshal(t *testing.T) {
 	s1, s2 := testutil.StartedListEntry("s1", 1_800_000_000_000), testutil.ListEntry("s2", "[::1]:80", "terminating")
-	gone := `{"uid":"s3","state":"terminated"}`
-	good := []string{
+	removed := `{"uid":"s3","state":"terminated"}`
+	valid := []string{
 		`{"rev":3,"all":true,"targets":[]}`, `{"rev":3,"all":false,"targets":null}`, `{"all":false,"rev":-3}`,
 		`{"targets":[` + s1 + `,` + s2 + `],"all":true,"rev":3}`,
-		` { "REV" : 3 , "All":true, "tarGets" : [ ` + s1 + ` , ` + gone + `] } ` + "\n",
-		`{"rev":3,"all":true,"more":{"a":[1,{"b":null}],"rev":4},"x":"}]","targets":[` + gone + `]}`,
+		` { "REV" : 3 , "All":true, "tarGets" : [ ` + s1 + ` , ` + removed + `] } ` + "\n",
+		`{"rev":3,"all":true,"more":{"a":[1,{"b":null}],"rev":4},"x":"}]","targets":[` + removed + `]}`,
 		`{"rev":3,"rev":4,"all":false,"all":true}`, `{"\u0072ev":3,"all":true,"targets":[]}`,
 		`{"rev":3,"all":true,"targets":[{"UID":"s1","State":"in_service","endpoint":"1.2.3.4:5","weight":{"a":[]}}]}`,
 	}
-	bad := []string{
+	malformed := []string{
 		"", "null", "[]", "3", `"rev"`, `{"rev":null,"all":true}`, `{"rev":3,"all":null}`, `{"rev":"3","all":true}`,
-		`{"rev":3.5,"all":true}`, `{"rev":3,"all":1}`, `{"rev":3,"all":true,"targets":{}}`, `{"rev":3,"all":true,"targets":3}`,
-		`{"rev":3,"all":true,"targets":[null]}`, `{"rev":3,"all":true,"targets":[[]]}`, `{"rev":3,"all":true,"targets":["s1"]}`,
+		`{"rev":3.5,"all":true}`, `{"rev":3,"all":1}`, `{"rev":3,"all":true,"targets":{}}`,
+		`{"rev":3,"all":true,"targets":3}`, `{"rev":3,"all":true,"targets":[null]}`,
+		`{"rev":3,"all":true,"targets":[[]]}`, `{"rev":3,"all":true,"targets":["s1"]}`,
 		`{"rev":3,"all":true,"targets":[` + s1 + `,` + s1 + `]}`, `{"rev":3,"all":true,"targets":[` + s1 + `,]}`,
 		`{"rev":3,"all":true,"targets":[` + s1 + ` ` + s2 + `]}`, `{"rev":3,"all":true,"targets":[` + s1 + `}}`,
-		`{"rev":3,"all":true,}`, `{"rev":3,"all":true}{}`, `{"rev":3,"all":true}x`, `{"rev":3,"all":true},`, `{"rev" 3,"all":true}`,
+		`{"rev":3,"all":true,}`, `{"rev":3,"all":true}{}`, `{"rev":3,"all":true}x`, `{"rev":3,"all":true},`,
+		`{"rev" 3,"all":true}`,
 		`{"rev":3 "all":true}`, `{"rev":99999999999999999999,"all":true}`, `{"rev":3,"all":true,"targets":[{"uid":3}]}`,
 	}
 	same := func(text []byte) error {
@@ -66,12 +68,12 @@
 		}
 		return err
 	}
-	for _, text := range bad {
+	for _, text := range malformed {
 		if same([]byte(text)) == nil {
-			t.Errorf("%s is taken", text)
+			t.Errorf("%s is accepted", text)
 		}
 	}
-	for _, text := range good {
+	for _, text := range valid {
 		if err := same([]byte(text)); err != nil {
 			t.Errorf("%s: %v", text, err)
 		}
--- a/internal/netdial/netdial_test.go
+++ b/internal/netdial/netdial_test.go
@@ -47,8 +47,14 @@
 		{name: "succeeds", dials: 1, mayWait: true},
 		{name: "a local fault passes", err: local, times: 2, mayWait: true, dials: 3, heldUp: true},
 		{name: "no time to wait", err: local, times: 2, dials: 1, heldUp: true, want: syscall.EMFILE},
-		{name: "the context has ended", err: local, times: 2, mayWait: true, ended: true, dials: 1, heldUp: true, want: syscall.EMFILE},
-		{name: "a fault of the other side", err: refused, times: 2, mayWait: true, dials: 1, want: syscall.ECONNREFUSED},
+		{
+			name: "the context has ended", err: local, times: 2, mayWait: true, ended: true,
+			dials: 1, heldUp: true, want: syscall.EMFILE,
+		},
+		{
+			name: "a fault of the other side", err: refused, times: 2, mayWait: true,
+			dials: 1, want: syscall.ECONNREFUSED,
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
--- a/internal/servermodel/trace_test.go
+++ b/internal/servermodel/trace_test.go
@@ -25,7 +25,9 @@
 		{"all mechanisms, warm", warm, false, 0x752116784eff88eb},
 		{"all mechanisms, slow start", warm, true, 0x537dd97891311966},
 		{"no mechanism", Settings{Cores: 3, Speed: 1.1, ConcurrencyLimit: 50}, false, 0x6db369429677afd9},
-		{"slow start alone", Settings{Cores: 3, Speed: 1.1, ConcurrencyLimit: 5, QueueLimit: 60, SlowStartFloor: 0.2, SlowStartCalls: 300}, true, 0x5a53c16e9cbd6fc5},
+		{"slow start alone", Settings{
+			Cores: 3, Speed: 1.1, ConcurrencyLimit: 5, QueueLimit: 60, SlowStartFloor: 0.2, SlowStartCalls: 300,
+		}, true, 0x5a53c16e9cbd6fc5},
 	} {
 		if got, changes := hashOfRun(tt.settings, tt.slowStart); got != tt.want {
 			t.Errorf("%s: hash %#x, want %#x (degraded or recovered %d times)", tt.name, got, tt.want, changes)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -13,9 +13,12 @@
 func TestUnknownEffectIsNotIdempotent(t *testing.T) {
 	s, err := Parse([]byte(`{"lanes":[{"name":"a","effect":"odd"},{"name":"b","effect":"read_like"}],"new":1,
 		"zone":"east","localities":["north","east"]}`))
-	if err != nil || s.Zone != "east" || s.ZoneCount != 2 || s.Classes[0].Effect != balancer.NonIdempotent || s.Classes[1].Effect != balancer.Idempotent {
+	if err != nil || s.Zone != "east" || s.ZoneCount != 2 {
 		t.Fatalf("got %+v, %v", s, err)
 	}
+	if s.Classes[0].Effect != balancer.NonIdempotent || s.Classes[1].Effect != balancer.Idempotent {
+		t.Errorf("got the classes %+v", s.Classes)
+	}
 }
 
 func TestEachKeyIsRead(t *testing.T) {
@@ -29,10 +32,12 @@
 		Replicas: 12, ReplicaIndex: 3, Tier: 1, Zone: "north", ZoneCount: 2, TotalWeight: 0.7, WorstClassWeight: 0.3,
 		MaxAttempts: 4, AllowCancel: true, PollDiscovery: true, PollWithin: 800 * time.Millisecond,
 		Tick: 2500 * time.Microsecond, MaxRetryAfter: 1500500 * time.Microsecond,
-		SlowStartFloor: 0.25, SlowStartDuration: 9 * time.Second, OverloadMultiple: 1.5, OverloadWindow: 400 * time.Millisecond,
+		SlowStartFloor: 0.25, SlowStartDuration: 9 * time.Second,
+		OverloadMultiple: 1.5, OverloadWindow: 400 * time.Millisecond,
 		Classes: []balancer.Class{{
-			Name: "pay", Effect: balancer.IdempotentByKey, Scope: balancer.ScopeZone, DedupWindow: 700 * time.Millisecond,
-			LatencyObjective: 200250 * time.Microsecond, Deadline: 1200 * time.Millisecond, LateValue: 0.5, PriorityWeight: 2,
+			Name: "pay", Effect: balancer.IdempotentByKey, Scope: balancer.ScopeZone,
+			DedupWindow: 700 * time.Millisecond, LatencyObjective: 200250 * time.Microsecond,
+			Deadline: 1200 * time.Millisecond, LateValue: 0.5, PriorityWeight: 2,
 		}},
 	}
 	if err != nil || !reflect.DeepEqual(got, want) {
@@ -40,7 +45,7 @@
 	}
 }
 
-// Each case is a number that counts nothing. Validate names the setting then.
+// Each case is a number that is no count: Validate names the setting.
 func TestCountOutOfRangeIsRejectedByTheModule(t *testing.T) {
 	for _, text := range []string{"-1", "1.5", "3e9"} {
 		s, err := Parse([]byte(`{"me":` + text + `,"lanes":[{"name":"a","target-ms":1,"deadline-ms":1}]}`))
@@ -63,7 +68,8 @@
 		t.Errorf("bad syntax: got %v", err)
 	}
 	var wrongType *json.UnmarshalTypeError
-	if _, err := Parse([]byte(`{"limits":{"max-attempts":"4"}}`)); !errors.As(err, &wrongType) || wrongType.Field != "limits.max-attempts" {
+	_, err := Parse([]byte(`{"limits":{"max-attempts":"4"}}`))
+	if !errors.As(err, &wrongType) || wrongType.Field != "limits.max-attempts" {
 		t.Errorf("wrong type: got %v", err)
 	}
 }
--- a/internal/socketpeek/socketpeek.go
+++ b/internal/socketpeek/socketpeek.go
@@ -4,6 +4,7 @@
 package socketpeek
 
 import (
+	"errors"
 	"net"
 	"syscall"
 )
@@ -34,8 +35,8 @@
 	var buf [1]byte
 	for {
 		_, _, err := recv(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		if err != syscall.EINTR {
-			return err != syscall.EAGAIN
+		if !errors.Is(err, syscall.EINTR) {
+			return !errors.Is(err, syscall.EAGAIN)
 		}
 	}
 }
--- a/internal/testutil/sockets.go
+++ b/internal/testutil/sockets.go
@@ -1,6 +1,7 @@
 package testutil
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -62,9 +63,12 @@
 // ExpectClosed waits for the other side to close a connection, and fails the test if more is read before.
 func ExpectClosed(t *testing.T, r io.Reader, what string) {
 	t.Helper()
-	if n, err := r.Read(make([]byte, 1)); n != 0 || err == nil {
+	n, err := r.Read(make([]byte, 1))
+	if n != 0 || err == nil {
 		t.Fatalf("%s: still open", what)
-	} else if ne, ok := err.(net.Error); ok && ne.Timeout() {
+	}
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() {
 		t.Fatalf("%s: %v", what, err)
 	}
 }
--- a/internal/wire/corpus_test.go
+++ b/internal/wire/corpus_test.go
@@ -22,7 +22,8 @@
 	`"rules":{"ask-within-ms":800,"cold-from":0.25,"warm-after-ms":9000,"fall-multiple":1.5,"fall-ms":400},` +
 	`"lanes":[{"name":"get","effect":"read_like","target-ms":200.25,"deadline-ms":900,"late-share":0.5,"worth":2},` +
 	`{"name":"pay","effect":"idempotency_key","key-scope":"zone","window-ms":700,"deadline-ms":1200},` +
-	`{"name":"put","effect":"idempotency_key","key-scope":"all"},{"name":"set","effect":"idempotency_key","key-scope":"cell"},` +
+	`{"name":"put","effect":"idempotency_key","key-scope":"all"},` +
+	`{"name":"set","effect":"idempotency_key","key-scope":"cell"},` +
 	`{"name":"post","effect":"non_idempotent","key-scope":"odd"}],"unknown":{"key":[1]}}`
 
 const inInstance = "sync\t1\nabout\t7\n" // a batch begins, and its events are those of instance 7
@@ -35,16 +36,20 @@
 	{"hello", inInstance + "hello\t18446744073709551615\t" + fullSettings + "\neob\n"},
 	{"hello, negative seed, tab in the settings", inInstance + "hello\t-3\t{\"zone\":\t\"a\"}\neob\n"},
 	{"hello, counts that are none", inInstance +
-		`hello	1	{"balancers":-1,"me":1.5,"tier":3e9,"limits":{"max-retry-after-ms":9},"lanes":[{"effect":"?"}]}` + "\neob\n"},
+		`hello	1	{"balancers":-1,"me":1.5,"tier":3e9,"limits":{"max-retry-after-ms":9},"lanes":[{"effect":"?"}]}` +
+		"\neob\n"},
 	{"crash", inInstance + "crash_now\neob\n"},
-	{"lists", inInstance + "list\t0\t3\nitem\ts:1\tz\tk\t4\t2\t1.5\t6100.5\nitem\ts:2\tz\tk\t5\t0\t-\t-\nitem\ts:3\tz\tk\t6\t1\n" +
-		"announce\t0\t0\t41\nlist\t15\t0\nannounce\t1\t15\t42\nannounce\t2\t0\t43\nlist\t0\t1\nitem\ts:4\tz\tk\t-1\t2\t0\t0\n" +
+	{"lists", inInstance + "list\t0\t3\n" +
+		"item\ts:1\tz\tk\t4\t2\t1.5\t6100.5\nitem\ts:2\tz\tk\t5\t0\t-\t-\nitem\ts:3\tz\tk\t6\t1\n" +
+		"announce\t0\t0\t41\nlist\t15\t0\nannounce\t1\t15\t42\nannounce\t2\t0\t43\n" +
+		"list\t0\t1\nitem\ts:4\tz\tk\t-1\t2\t0\t0\n" +
 		"announce\t2\t0\t44\nannounce\t1\t9\t44\nannounce\t3\t-\t-\neob\n"},
 	{"requests", inInstance + "job_in\tid\t8652.25\t-\tget\t3\t-\t12.0\njob_in\tid2\t90\t7\tget\t2\tacme\t12.0\n" +
 		"job_in\tid3\t90\t7\tget\t5\tacme\t-\njob_in\tid4\t90\t7\tget\neob\n"},
 	{"outcomes", inInstance + "outcome\tid\ts:1\t18.5\t1\t0\tsuccess\tbusy_reqs:3,odd:1\n" +
 		"outcome\tid\ts:1\t18.5\t0\t1\tfailure\tsvc_ms:2.25\noutcome\tid\ts:1\t0\t0\t2\toverloaded\t-\n" +
-		"outcome\tid\ts:1\t0\t0\t3\ttimed_out\noutcome\tid\ts:1\t0\t0\t4\tunreachable\t-\noutcome\tid\ts:1\t0\t0\t5\tbroken\t-\n" +
+		"outcome\tid\ts:1\t0\t0\t3\ttimed_out\n" +
+		"outcome\tid\ts:1\t0\t0\t4\tunreachable\t-\noutcome\tid\ts:1\t0\t0\t5\tbroken\t-\n" +
 		"outcome\tid\ts:1\t0\t0\t6\twithdrawn\t-\noutcome\tid\ts:1\t0\t0\t7\tvoid\t-\neob\n"},
 	{"other events", inInstance + "timed_out_client\tid\nflowing\tid\ts:1\t9.25\t2\nchecked\tx\nmail\ty\neob\n"},
 
@@ -169,11 +174,15 @@
 		return nil
 	}
 	values := []any{
-		s.Replicas, s.ReplicaIndex, s.Tier, s.Zone, s.ZoneCount, s.TotalWeight, s.WorstClassWeight, s.MaxAttempts, s.AllowCancel,
-		s.PollDiscovery, s.PollWithin, s.Tick, s.MaxRetryAfter, s.SlowStartFloor, s.SlowStartDuration, s.OverloadMultiple, s.OverloadWindow,
+		s.Replicas, s.ReplicaIndex, s.Tier, s.Zone, s.ZoneCount, s.TotalWeight, s.WorstClassWeight,
+		s.MaxAttempts, s.AllowCancel, s.PollDiscovery, s.PollWithin, s.Tick, s.MaxRetryAfter,
+		s.SlowStartFloor, s.SlowStartDuration, s.OverloadMultiple, s.OverloadWindow,
 	}
 	for _, c := range s.Classes {
-		values = append(values, []any{c.Name, int(c.Effect), int(c.Scope), c.DedupWindow, c.LatencyObjective, c.Deadline, c.LateValue, c.PriorityWeight})
+		values = append(values, []any{
+			c.Name, int(c.Effect), int(c.Scope), c.DedupWindow, c.LatencyObjective, c.Deadline, c.LateValue,
+			c.PriorityWeight,
+		})
 	}
 	return values
 }
--- a/internal/wire/decoder_test.go
+++ b/internal/wire/decoder_test.go
@@ -42,7 +42,9 @@
 		{Kind: BatchStart, Instance: -1, Now: 8412250 * time.Microsecond},
 		{Kind: InstanceEvent, Instance: 3, Event: balancer.EndpointUpdate{
 			Complete: true, Cached: true,
-			Endpoints: []balancer.Endpoint{{ID: "s:1", Zone: "z", Cell: 4, Capacity: 1.5, StartedAt: 6100500 * time.Microsecond}},
+			Endpoints: []balancer.Endpoint{
+				{ID: "s:1", Zone: "z", Cell: 4, Capacity: 1.5, StartedAt: 6100500 * time.Microsecond},
+			},
 		}},
 		{Kind: InstanceEvent, Instance: 3, Event: balancer.Request{
 			ID: "id", Class: "get", Retry: true,
@@ -59,87 +61,90 @@
 	}
 }
 
-// Each row is an input that breaks the protocol. The error says where, by its fields and in its text, and can
-// be compared with the one that the row wants.
+// badInputs are inputs that break the protocol. The error says where, by its fields and in its text, and can be
+// compared with the one that the row wants.
+var badInputs = []struct {
+	name, input string
+	want        ParseError
+	wantText    string
+}{
+	{
+		"message outside a batch", "eob\n",
+		ParseError{Line: 1, Message: "eob", Err: ErrOutsideBatch},
+		"line 1: \"eob\" outside a batch",
+	},
+	{
+		"batch inside a batch", "sync\t1\nsync\t2\n",
+		ParseError{Line: 2, Message: "sync", Err: ErrNestedBatch},
+		"line 2: sync inside a batch",
+	},
+	{
+		"no time", "sync\tx\n",
+		ParseError{Line: 1, Message: "sync", Field: 1, Err: ErrInvalidValue},
+		"line 1: sync: value 1 is not a time in milliseconds",
+	},
+	{
+		"no instance", "sync\t1\nhuh\t1\n",
+		ParseError{Line: 2, Message: "huh", Err: ErrNoInstance},
+		"line 2: \"huh\" before any about",
+	},
+	{
+		"unknown message", "sync\t1\nabout\t1\nhuh\t1\n",
+		ParseError{Line: 3, Message: "huh", Err: ErrUnknownMessage},
+		"line 3: unknown message \"huh\"",
+	},
+	{
+		"value is missing", "sync\t1\nabout\t1\njob_in\ta\n",
+		ParseError{Line: 3, Message: "job_in", Field: 2, Err: ErrMissingValue},
+		"line 3: job_in: value 2 is missing",
+	},
+	{
+		"value of an item is missing", "sync\t1\nlist\t0\t2\nitem\ta\tb\n",
+		ParseError{Line: 3, Message: "item", Field: 4, Err: ErrMissingValue},
+		"line 3: item: value 4 is missing",
+	},
+	{
+		"list number out of range", "sync\t1\nlist\t77\t2\n",
+		ParseError{Line: 2, Message: "list", Field: 1, Err: ErrInvalidValue},
+		"line 2: list: value 1 is out of range",
+	},
+	{
+		"list with another message", "sync\t1\nlist\t0\t1\neob\n",
+		ParseError{Line: 3, Message: "eob", Err: ErrIncompleteList},
+		"want item 1 of 1, got \"eob\"",
+	},
+	{
+		"input ends inside a list", "sync\t1\nlist\t0\t1\n",
+		ParseError{Line: 3, Message: "list", Err: ErrIncompleteList},
+		"ends after 0 of 1 items: input ends inside a batch",
+	},
+	{
+		"input ends inside a batch", "sync\t1\n",
+		ParseError{Line: 2, Err: ErrTruncated},
+		"line 2: input ends inside a batch",
+	},
+	{
+		"input ends inside a line", "sync\t1\nabout\t1\nannounce\t9\t0\t0",
+		ParseError{Line: 3, Err: ErrTruncated},
+		"line 3: input ends inside a batch",
+	},
+	{
+		"no settings", "sync\t1\nabout\t1\nhello\t5\n",
+		ParseError{Line: 3, Message: "hello", Field: 2, Err: ErrMissingValue},
+		"line 3: hello: value 2 is missing",
+	},
+}
+
 func TestBadInputIsNamed(t *testing.T) {
-	for _, tt := range []struct {
-		name, input string
-		want        ParseError
-		wantText    string
-	}{
-		{
-			"message outside a batch", "eob\n",
-			ParseError{Line: 1, Message: "eob", Err: ErrOutsideBatch},
-			"line 1: \"eob\" outside a batch",
-		},
-		{
-			"batch inside a batch", "sync\t1\nsync\t2\n",
-			ParseError{Line: 2, Message: "sync", Err: ErrNestedBatch},
-			"line 2: sync inside a batch",
-		},
-		{
-			"no time", "sync\tx\n",
-			ParseError{Line: 1, Message: "sync", Field: 1, Err: ErrInvalidValue},
-			"line 1: sync: value 1 is not a time in milliseconds",
-		},
-		{
-			"no instance", "sync\t1\nhuh\t1\n",
-			ParseError{Line: 2, Message: "huh", Err: ErrNoInstance},
-			"line 2: \"huh\" before any about",
-		},
-		{
-			"unknown message", "sync\t1\nabout\t1\nhuh\t1\n",
-			ParseError{Line: 3, Message: "huh", Err: ErrUnknownMessage},
-			"line 3: unknown message \"huh\"",
-		},
-		{
-			"value is missing", "sync\t1\nabout\t1\njob_in\ta\n",
-			ParseError{Line: 3, Message: "job_in", Field: 2, Err: ErrMissingValue},
-			"line 3: job_in: value 2 is missing",
-		},
-		{
-			"value of an item is missing", "sync\t1\nlist\t0\t2\nitem\ta\tb\n",
-			ParseError{Line: 3, Message: "item", Field: 4, Err: ErrMissingValue},
-			"line 3: item: value 4 is missing",
-		},
-		{
-			"list number out of range", "sync\t1\nlist\t77\t2\n",
-			ParseError{Line: 2, Message: "list", Field: 1, Err: ErrInvalidValue},
-			"line 2: list: value 1 is out of range",
-		},
-		{
-			"list with another message", "sync\t1\nlist\t0\t1\neob\n",
-			ParseError{Line: 3, Message: "eob", Err: ErrIncompleteList},
-			"want item 1 of 1, got \"eob\"",
-		},
-		{
-			"input ends inside a list", "sync\t1\nlist\t0\t1\n",
-			ParseError{Line: 3, Message: "list", Err: ErrIncompleteList},
-			"ends after 0 of 1 items: input ends inside a batch",
-		},
-		{
-			"input ends inside a batch", "sync\t1\n",
-			ParseError{Line: 2, Err: ErrTruncated},
-			"line 2: input ends inside a batch",
-		},
-		{
-			"input ends inside a line", "sync\t1\nabout\t1\nannounce\t9\t0\t0",
-			ParseError{Line: 3, Err: ErrTruncated},
-			"line 3: input ends inside a batch",
-		},
-		{
-			"no settings", "sync\t1\nabout\t1\nhello\t5\n",
-			ParseError{Line: 3, Message: "hello", Field: 2, Err: ErrMissingValue},
-			"line 3: hello: value 2 is missing",
-		},
-	} {
+	for _, tt := range badInputs {
 		t.Run(tt.name, func(t *testing.T) {
 			_, err := decodeAll(t, tt.input)
 			var got *ParseError
 			if !errors.As(err, &got) {
 				t.Fatalf("got %v, want a *ParseError", err)
 			}
-			if got.Line != tt.want.Line || got.Message != tt.want.Message || got.Field != tt.want.Field || !errors.Is(err, tt.want.Err) {
+			samePlace := got.Line == tt.want.Line && got.Message == tt.want.Message && got.Field == tt.want.Field
+			if !samePlace || !errors.Is(err, tt.want.Err) {
 				t.Errorf("got %+v, want %+v", *got, tt.want)
 			}
 			if !strings.Contains(err.Error(), tt.wantText) {
@@ -172,7 +177,9 @@
 }
 
 func TestKindsHaveNames(t *testing.T) {
-	for kind, want := range map[Kind]string{BatchStart: "batch start", BatchEnd: "batch end", -1: "Kind(-1)", BatchEnd + 1: "Kind(6)"} {
+	for kind, want := range map[Kind]string{
+		BatchStart: "batch start", BatchEnd: "batch end", -1: "Kind(-1)", BatchEnd + 1: "Kind(6)",
+	} {
 		if got := kind.String(); got != want {
 			t.Errorf("got %q, want %q", got, want)
 		}
--- a/internal/wire/encoder_test.go
+++ b/internal/wire/encoder_test.go
@@ -39,7 +39,8 @@
 		}
 	}
 	flush()
-	reply(0, balancer.Subscribe{}, balancer.Fail{ID: "a"}, balancer.SetTimer{At: 8912250 * time.Microsecond, Token: "r:a"})
+	reply(0, balancer.Subscribe{}, balancer.Fail{ID: "a"},
+		balancer.SetTimer{At: 8912250 * time.Microsecond, Token: "r:a"})
 	reply(3, balancer.Send{ID: "b", Endpoint: "10.0.0.1:7", Timeout: 1}, balancer.Send{ID: "c", Endpoint: "s"},
 		balancer.Cancel{ID: "b", Attempt: 2}, balancer.Reject{ID: "d", RetryAfter: 1234567 * time.Nanosecond})
 	flush()
@@ -49,7 +50,8 @@
 	flush()
 	const want = "yield\n" +
 		"instance\t0\nsubscribe\t1\nreport_failure\ta\nremind\t8912.25\tr:a\n" +
-		"instance\t3\nforward\tb\t10.0.0.1:7\t0.000001\nforward\tc\ts\t0\nretract\tb\t2\nturn_away\td\t1.234567\nyield\n" +
+		"instance\t3\nforward\tb\t10.0.0.1:7\t0.000001\nforward\tc\ts\t0\nretract\tb\t2\n" +
+		"turn_away\td\t1.234567\nyield\n" +
 		"instance\t3\nforward\te\ts\t-1\ninstance\t0\nturn_away\tf\t0\ninstance\t3\nremind\t1000000000000\tt\nyield\n"
 	if out.String() != want {
 		t.Fatalf("got  %q\nwant %q", out.String(), want)
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -53,7 +53,9 @@
 		f.fail(1, errListNumber)
 		return nil
 	}
-	return balancer.EndpointUpdate{Complete: mode != modeChanges, Cached: mode == modeCached, Endpoints: d.lists[number]}
+	return balancer.EndpointUpdate{
+		Complete: mode != modeChanges, Cached: mode == modeCached, Endpoints: d.lists[number],
+	}
 }
 
 // The bits of a request's state.
--- a/internal/wire/example_test.go
+++ b/internal/wire/example_test.go
@@ -12,7 +12,7 @@
 	"basaltdrum/internal/wire"
 )
 
-// A batch that says that a client of instance 3 has gone, and a timer of the same instance.
+// A batch that says that a client of instance 3 has departed, and a timer of the same instance.
 func ExampleDecoder() {
 	batch := "sync\t8412.25\nabout\t3\ntimed_out_client\tid-1\nring\tsweep\neob\n"
 	decoder := wire.NewDecoder(strings.NewReader(batch))
--- a/internal/wire/list.go
+++ b/internal/wire/list.go
@@ -42,7 +42,8 @@
 	line, err := d.readLine()
 	if err != nil {
 		f := newFields(d.line+1, "list", "")
-		f.failMessage(fmt.Errorf("%w: it ends after %d of %d items: %w", ErrIncompleteList, index, length, truncation(err)))
+		f.failMessage(fmt.Errorf("%w: it ends after %d of %d items: %w",
+			ErrIncompleteList, index, length, truncation(err)))
 		return f
 	}
 	name, values, _ := strings.Cut(line, "\t")
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -10,7 +10,7 @@
 	"basaltdrum/balancer"
 )
 
-// Kind tells what a Message carries.
+// Kind says what a Message carries.
 type Kind int
 
 // Message kinds, in the order in which a batch may bring them.
@@ -43,10 +43,11 @@
 // noInstance is the Instance of messages before the first that selects one.
 const noInstance = -1
 
-// Message is one decoded message. Kind tells which of the other fields are set.
+// Message is one decoded message. Kind says which of the other fields are set.
 type Message struct {
-	Kind     Kind
-	Instance int           // the instance selected last, or -1; the message is for it, unless it is a batch's start or end
+	Kind Kind
+	// Instance is the instance selected last, or -1. The message is for it, unless it is a batch's start or end.
+	Instance int
 	Now      time.Duration // clock time of all events of the batch
 	Seed     uint64
 	Settings balancer.Settings
