--- a/internal/wire/corpus_test.go
+++ b/internal/wire/corpus_test.go
@@ -36,7 +36,8 @@
 	{"hello", inInstance + "hello\t18446744073709551615\t" + fullSettings + "\neob\n"},
 	{"hello, negative seed, tab in the settings", inInstance + "hello\t-3\t{\"zone\":\t\"a\"}\neob\n"},
 	{"hello, counts that are none", inInstance +
-		`hello	1	{"balancers":-1,"me":1.5,"tier":3e9,"limits":{"max-retry-after-ms":9},"lanes":[{"effect":"?"}]}` +
+		`hello	1	{"balancers":-1,"me":1.5,"tier":3e9,` +
+		`"limits":{"max-retry-after-ms":9},"lanes":[{"effect":"?"}]}` +
 		"\neob\n"},
 	{"crash", inInstance + "crash_now\neob\n"},
 	{"lists", inInstance + "list\t0\t3\n" +
