--- /dev/null
+++ b/examples/examples.go
@@ -0,0 +1,39 @@
+// Package examples holds a complete example configuration of a node, in config.json. docs/CONFIGURATION.md explains
+// its keys. The program quickstart, in the folder below, runs a node with it.
+package examples
+
+import (
+	_ "embed" // for the configuration
+	"strings"
+)
+
+// Config is the example configuration, as it stands in config.json.
+//
+//go:embed config.json
+var Config string
+
+// Addresses are the addresses that a configuration names.
+type Addresses struct {
+	Listen    string    // where the node accepts clients' connections
+	Discovery string    // of the agent or the registry
+	Servers   [3]string // in the cached endpoint list
+}
+
+// ConfigAddresses returns the addresses in Config.
+func ConfigAddresses() Addresses {
+	return Addresses{
+		Listen:    "127.0.0.1:7070",
+		Discovery: "127.0.0.1:8500",
+		Servers:   [3]string{"127.0.0.1:9001", "127.0.0.1:9002", "127.0.0.1:9003"},
+	}
+}
+
+// ConfigWith returns the example configuration with other addresses in it.
+func ConfigWith(addresses Addresses) string {
+	example := ConfigAddresses()
+	replacements := []string{example.Listen, addresses.Listen, example.Discovery, addresses.Discovery}
+	for i, server := range example.Servers {
+		replacements = append(replacements, server, addresses.Servers[i])
+	}
+	return strings.NewReplacer(replacements...).Replace(Config)
+}
