--- /dev/null
+++ b/examples/quickstart/main_test.go
@@ -0,0 +1,104 @@
+package main
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"net/http"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"go.uber.org/goleak"
+)
+
+// TestMain fails the package's tests if a goroutine outlives them.
+func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
+
+// TestRun plays the whole run. Which server gets how many requests while more than one can serve is up to the node's
+// random draws; all else in the table is certain.
+func TestRun(t *testing.T) {
+	var out bytes.Buffer
+	if err := run(t.Context(), &out); err != nil {
+		t.Fatalf("%v\n%s", err, out.String())
+	}
+	for _, row := range []string{
+		`\nall three are in service +120 +\d+ +\d+ +\d+ +0\n`,
+		`\nserver-2 crashes, and stays in the list +120 +\d+ +\d+ +\d+ +\d+\n`,
+		`\nserver-3 is listed as terminating +120 +\d+ +0 +\d+ +0\n`,
+		`\nserver-1 is left +120 +120 +0 +0 +0\n`,
+		`msg=traffic .*requests\.received=480 `,
+	} {
+		if !regexp.MustCompile(row).MatchString(out.String()) {
+			t.Errorf("the report has no line %s:\n%s", row, out.String())
+		}
+	}
+}
+
+// TestRunEndsWithItsContext has the time for the run be over at once. The run says so and ends.
+func TestRunEndsWithItsContext(t *testing.T) {
+	ctx, cancel := context.WithCancelCause(t.Context())
+	over := errors.New("time is over")
+	cancel(over)
+	var out bytes.Buffer
+	if err := run(ctx, &out); !errors.Is(err, over) {
+		t.Errorf("got %v, want %v", err, over)
+	}
+}
+
+func TestCheckFindsWhatIsAmiss(t *testing.T) {
+	start := time.Now()
+	servers := serverGroup{{name: "server-1"}, {name: "server-2", goneAt: start}, {name: "server-3"}}
+	crash, quiet := phase{mayLose: true}, phase{}
+	served := func(body string) result {
+		return result{class: classView, id: "r", sentAt: start.Add(1), status: http.StatusOK, body: body}
+	}
+	failed := func(class *requestClass, status int) result {
+		return result{class: class, id: "r", sentAt: start.Add(1), status: status}
+	}
+	early := served("server-2 r")
+	early.sentAt = start
+	for _, c := range []struct {
+		name  string
+		phase phase
+		ended result
+		want  error // nil: nothing is amiss
+	}{
+		{"served", quiet, served("server-1 r"), nil},
+		{"served before the crash", crash, early, nil},
+		{"served after the crash", crash, served("server-2 r"), errServedByGone},
+		{"response to another request", quiet, served("server-1 other"), errWrongResponse},
+		{"response of nobody", quiet, served(""), errWrongResponse},
+		{"no response", quiet, result{class: classView, err: errors.New("reset")}, errNoResponse},
+		{"order that may have run", crash, failed(classOrder, http.StatusBadGateway), nil},
+		{"order that failed without a crash", quiet, failed(classOrder, http.StatusBadGateway), errFailed},
+		{"order that was rejected", crash, failed(classOrder, http.StatusServiceUnavailable), errFailed},
+		{"view that was not retried", crash, failed(classView, http.StatusBadGateway), errFailed},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if err := c.phase.check(c.ended, servers); !errors.Is(err, c.want) {
+				t.Errorf("got %v, want %v", err, c.want)
+			}
+		})
+	}
+}
+
+func TestCheckFindsRequestsAfterTheDrain(t *testing.T) {
+	servers := serverGroup{{name: "server-1"}, {name: "server-2"}, {name: "server-3"}}
+	if err := checkResults(nil, servers); err != nil {
+		t.Errorf("got %v", err)
+	}
+	servers[drainingServer].late.Add(1)
+	if err := checkResults(nil, servers); !errors.Is(err, errSentToDrained) {
+		t.Errorf("got %v, want %v", err, errSentToDrained)
+	}
+}
+
+// TestNodeThatDoesNotStop waits for a node whose Run does not return.
+func TestNodeThatDoesNotStop(t *testing.T) {
+	hung := &runningNode{log: &logBuffer{}, shutdown: func() {}, ended: make(chan error)}
+	if err := hung.stop(time.Millisecond); !errors.Is(err, errNotStopped) || !strings.Contains(err.Error(), "in time") {
+		t.Errorf("got %v, want %v", err, errNotStopped)
+	}
+}
--- /dev/null
+++ b/examples/quickstart/report.go
@@ -0,0 +1,33 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"text/tabwriter"
+)
+
+// columnPadding is how many spaces stand between two columns of the report.
+const columnPadding = 2
+
+// writeReport writes a table of who served what in each phase, and the node's traffic line.
+func writeReport(out io.Writer, phases []phaseResult, trafficLine string) {
+	table := tabwriter.NewWriter(out, 0, 0, columnPadding, ' ', 0)
+	fmt.Fprint(table, "phase\trequests")
+	for index := range serverCount {
+		fmt.Fprintf(table, "\t%s", serverName(index))
+	}
+	fmt.Fprintln(table, "\tnot served")
+	for _, played := range phases {
+		served := map[string]int{}
+		for _, ended := range played.results {
+			served[ended.server()]++
+		}
+		fmt.Fprintf(table, "%s\t%d", played.name, len(played.results))
+		for index := range serverCount {
+			fmt.Fprintf(table, "\t%d", served[serverName(index)])
+		}
+		fmt.Fprintf(table, "\t%d\n", served[""])
+	}
+	_ = table.Flush() // out keeps its first error
+	fmt.Fprintf(out, "\nthe node's traffic line (docs/OPERATIONS.md explains it):\n%s\n", trafficLine)
+}
