--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -16,12 +16,12 @@
 	"testing"
 )
 
-// TestMain runs the tests in the root of the repository.
-func TestMain(m *testing.M) {
-	if err := os.Chdir(".."); err != nil {
-		panic(err)
-	}
-	os.Exit(m.Run())
+// inRoot runs a test in the root of the repository. It has to be called in the test and not in TestMain: go test notes
+// which files a test reads, to tell whether its cached result still holds, and it follows a change of the directory
+// only while tests run.
+func inRoot(t *testing.T) {
+	t.Helper()
+	t.Chdir("..")
 }
 
 var backticked = regexp.MustCompile("`([^`]+)`")
@@ -29,6 +29,7 @@
 // TestArchitectureNamesWhatIsThere holds the tables of steps to the code: each function stands in one of the
 // files that its row names.
 func TestArchitectureNamesWhatIsThere(t *testing.T) {
+	inRoot(t)
 	steps := 0
 	for _, line := range docLines(t, "docs/ARCHITECTURE.md") {
 		cells := strings.Split(line, "|")
@@ -54,6 +55,7 @@
 // TestDocsNameFilesThatExist checks every Go file that the pages for engineers name, from the root or by its
 // bare name.
 func TestDocsNameFilesThatExist(t *testing.T) {
+	inRoot(t)
 	known := map[string]bool{}
 	for _, file := range goFiles(t, ".") {
 		known[file], known[path.Base(file)] = true, true
@@ -71,6 +73,7 @@
 
 // TestOperationsExplainsEveryLogLine holds the on-call page to the log: each message of the node is on it.
 func TestOperationsExplainsEveryLogLine(t *testing.T) {
+	inRoot(t)
 	page := strings.Join(docLines(t, "docs/OPERATIONS.md"), "\n")
 	messages := 0
 	for _, dir := range []string{"internal/node", "cmd/balancer"} {
@@ -93,6 +96,7 @@
 
 // TestDocsNameTestsThatExist checks every test that the pages name: what they claim to be shown is shown by it.
 func TestDocsNameTestsThatExist(t *testing.T) {
+	inRoot(t)
 	known := map[string]bool{}
 	for _, file := range goFiles(t, ".") {
 		if !strings.HasSuffix(file, "_test.go") {
--- a/docs/readme_test.go
+++ b/docs/readme_test.go
@@ -9,6 +9,7 @@
 // TestTryCommandNamesAProgram holds the command that the README gives a newcomer to the code: it runs a program of the
 // repository, and CI runs the same.
 func TestTryCommandNamesAProgram(t *testing.T) {
+	inRoot(t)
 	try := fencedBlock(t, "README.md", "<!-- try -->")
 	dir, isRun := strings.CutPrefix(try, "go run ./")
 	if !isRun || strings.ContainsAny(dir, " \n") {
