--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -60,7 +60,9 @@
 	for _, file := range goFiles(t, ".") {
 		known[file], known[path.Base(file)] = true, true
 	}
-	for _, page := range []string{"README.md", "CONTRIBUTING.md", "docs/ARCHITECTURE.md", "docs/OPERATIONS.md"} {
+	for _, page := range []string{
+		"README.md", "CONTRIBUTING.md", "docs/ARCHITECTURE.md", "docs/OPERATIONS.md", configurationPage,
+	} {
 		for _, line := range docLines(t, page) {
 			for _, name := range quoted(line) {
 				if strings.HasSuffix(name, ".go") && !strings.Contains(name, "*") && !known[name] {
