--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -73,6 +73,37 @@
 	}
 }
 
+// TestDocsLinkToFilesThatExist follows the links of the pages to files of the repository.
+func TestDocsLinkToFilesThatExist(t *testing.T) {
+	inRoot(t)
+	link := regexp.MustCompile(`\]\(([^)#]+)(#[^)]*)?\)`)
+	links := 0
+	for _, page := range allPages(t) {
+		for _, match := range link.FindAllStringSubmatch(strings.Join(docLines(t, page), "\n"), -1) {
+			if strings.Contains(match[1], "://") {
+				continue
+			}
+			links++
+			if _, err := os.Stat(path.Join(path.Dir(page), match[1])); err != nil {
+				t.Errorf("%s links to %s: %v", page, match[1], err)
+			}
+		}
+	}
+	if links < 10 {
+		t.Errorf("found %d links, want at least 10", links)
+	}
+}
+
+// allPages lists the pages of the root and of docs.
+func allPages(t *testing.T) []string {
+	t.Helper()
+	pages, err := filepath.Glob("docs/*.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return append(pages, "README.md", "CONTRIBUTING.md")
+}
+
 // TestOperationsExplainsEveryLogLine holds the on-call page to the log: each message of the node is on it.
 func TestOperationsExplainsEveryLogLine(t *testing.T) {
 	inRoot(t)
@@ -108,12 +139,8 @@
 			known[name] = true
 		}
 	}
-	pages, err := filepath.Glob("docs/*.md")
-	if err != nil {
-		t.Fatal(err)
-	}
 	named := regexp.MustCompile(`^(Test|Fuzz|Benchmark)[A-Z]\w*$`)
-	for _, page := range append(pages, "README.md", "CONTRIBUTING.md") {
+	for _, page := range allPages(t) {
 		for _, line := range docLines(t, page) {
 			for _, name := range quoted(line) {
 				if named.MatchString(name) && !known[name] {
