--- a/internal/node/watch.go
+++ b/internal/node/watch.go
@@ -6,6 +6,10 @@
 	"fmt"
 	"net/http"
 	"time"
+
+	"basaltdrum/internal/endpointlist"
+	"basaltdrum/internal/monotime"
+	"basaltdrum/internal/netdial"
 )
 
 // Durations of a watch.
@@ -93,7 +97,7 @@
 	if err == nil || address.ctx.Err() != nil || ctx.Err() != nil {
 		return ctx.Err() == nil
 	}
-	again = isLocalDialError(err)
+	again = netdial.IsLocalError(err)
 	d.log.Warn("discovery poll failed, retrying", "error", err)
 	if !again {
 		d.post(subscriptionFailed{})
@@ -136,7 +140,7 @@
 	if err := d.receive(ctx, address); err != nil {
 		return false, err
 	}
-	sleep(ctx, watchInterval-time.Since(started))
+	monotime.Sleep(ctx, watchInterval-time.Since(started))
 	return false, nil
 }
 
@@ -152,19 +156,19 @@
 		return fmt.Errorf("watch: %w", statusError(resp.StatusCode))
 	}
 	body := newListBody(resp.Body)
-	list, err := readList(body)
+	list, err := endpointlist.Read(body)
 	if body.err != nil {
 		return fmt.Errorf("watch: %w", body.err)
 	}
-	if err == nil && !list.complete && list.version < address.version {
-		err = fmt.Errorf("list: %w: version %d after %d", errStaleList, list.version, address.version)
+	if err == nil && !list.Complete && list.Version < address.version {
+		err = fmt.Errorf("list: %w: version %d after %d", errStaleList, list.Version, address.version)
 	}
 	if err != nil {
 		address.version = noVersion
 		return err
 	}
-	address.version = list.version
-	if !list.complete && len(list.entries) == 0 {
+	address.version = list.Version
+	if !list.Complete && len(list.Entries) == 0 {
 		d.postFrom(address, listConfirmed{}) // the hold ended without a change
 		return nil
 	}
