--- a/docs/glossary_test.go
+++ b/docs/glossary_test.go
@@ -25,7 +25,8 @@
 	}
 }
 
-// declaredNames returns the types, functions, fields, constants and variables of the module and the node's packages.
+// declaredNames returns the types, functions, fields, constants and variables of the module and the node's packages,
+// each by its name alone and by that of its package and its own.
 func declaredNames(t *testing.T) map[string]bool {
 	t.Helper()
 	files := nodeSources(t)
@@ -36,27 +37,26 @@
 	}
 	declared := map[string]bool{}
 	for _, file := range files {
+		declare := func(names ...*ast.Ident) {
+			for _, name := range names {
+				declared[name.Name], declared[file.Name.Name+"."+name.Name] = true, true
+			}
+		}
 		ast.Inspect(file, func(n ast.Node) bool {
 			switch n := n.(type) {
 			case *ast.FuncDecl:
-				declared[n.Name.Name] = true
+				declare(n.Name)
 			case *ast.TypeSpec:
-				declared[n.Name.Name] = true
+				declare(n.Name)
 			case *ast.StructType:
 				for _, field := range n.Fields.List {
-					declareAll(declared, field.Names)
+					declare(field.Names...)
 				}
 			case *ast.ValueSpec:
-				declareAll(declared, n.Names)
+				declare(n.Names...)
 			}
 			return true
 		})
 	}
 	return declared
 }
-
-func declareAll(declared map[string]bool, names []*ast.Ident) {
-	for _, name := range names {
-		declared[name.Name] = true
-	}
-}
