--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -73,7 +73,7 @@
 func TestOperationsExplainsEveryLogLine(t *testing.T) {
 	page := strings.Join(docLines(t, "docs/OPERATIONS.md"), "\n")
 	messages := 0
-	for _, dir := range []string{"internal/node", "cmd/balancer"} {
+	for _, dir := range []string{"internal/node", "internal/discovery", "cmd/balancer"} {
 		for _, file := range goFiles(t, dir) {
 			if strings.HasSuffix(file, "_test.go") {
 				continue
--- a/internal/node/listbody.go
+++ b/internal/discovery/listbody.go
@@ -1,4 +1,4 @@
-package node
+package discovery
 
 import (
 	"errors"
--- a/internal/node/registryaddress.go
+++ b/internal/discovery/registryaddress.go
@@ -1,4 +1,4 @@
-package node
+package discovery
 
 import (
 	"context"
@@ -13,9 +13,6 @@
 	"basaltdrum/internal/netdial"
 )
 
-// noVersion stands for no list at all: the next poll requests the complete list.
-const noVersion = -1
-
 // Limits of the connections to an address of the registry. One that is never established occupies a slot until its
 // dial is abandoned.
 const (
@@ -31,11 +28,11 @@
 	addr    string
 	client  *http.Client
 	dial    netdial.Func
-	version int64 // of the list received last, or noVersion
+	version int64 // of the list received last, or NoVersion
 }
 
-func newRegistryAddress(addr string, version int64) *registryAddress {
-	a := &registryAddress{addr: addr, version: version, dial: (&net.Dialer{}).DialContext}
+func newRegistryAddress(addr string, version int64, dial netdial.Func) *registryAddress {
+	a := &registryAddress{addr: addr, version: version, dial: dial}
 	a.client = &http.Client{Transport: &http.Transport{
 		DisableCompression: true,
 		MaxConnsPerHost:    maxAgentConns,
@@ -58,7 +55,7 @@
 	return nc, err
 }
 
-// get requests what is newer than a version, or the complete list for noVersion. The response may be withheld for
+// get requests what is newer than a version, or the complete list for NoVersion. The response may be withheld for
 // up to hold while nothing is newer.
 func (a *registryAddress) get(ctx context.Context, from int64, hold time.Duration) (*http.Response, error) {
 	u := url.URL{Scheme: "http", Host: a.addr, Path: "/registry/instances"}
--- a/internal/node/watch.go
+++ b/internal/discovery/watch.go
@@ -1,4 +1,4 @@
-package node
+package discovery
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 
 // Durations of a watch.
 //
-// A poll that is lost must be replaced within notifiedWithin. The worst case is shorter: from the moment when
+// A poll that is lost must be replaced within NotifiedWithin. The worst case is shorter: from the moment when
 // discovery falls silent, the poll is abandoned after hold and grace; where lists are pushed, a dial and a response
 // head that never arrive cost agentCheckTimeout and retryInterval once more; where the registry is polled, the next
 // poll follows after retryInterval or a quarter of the poll interval from the settings (which is 6 s at most),
@@ -35,10 +35,13 @@
 	// watchInterval is the shortest time from the start of a poll to the start of the next. While a long list
 	// changes many times a second, several changes share a poll, which costs a node more than its content does. An
 	// open watch allows 200 ms without a poll, and changes must be in force 250 ms later.
-	watchInterval  = 20 * time.Millisecond
-	notifiedWithin = 6 * time.Second // after which a change counts as known to the node, received or not
+	watchInterval = 20 * time.Millisecond
 )
 
+// NotifiedWithin is the time after which a change counts as known to the node, whether it was received or not. The
+// delay of a subscription after one that failed must be a quarter of it at most.
+const NotifiedWithin = 6 * time.Second
+
 // errStaleList reports an incremental update that is older than the list that the node has.
 var errStaleList = errors.New("the update is older than the list")
 
@@ -49,16 +52,16 @@
 
 // runPushed watches until ctx ends. Each poll follows the previous response within watchInterval, as a watch counts
 // as lost when the next poll is late.
-func (d *discovery) runPushed(ctx context.Context) {
-	late := time.AfterFunc(d.startupWait, func() { d.post(discoveryUnresponsive{}) })
+func (c *Client) runPushed(ctx context.Context) {
+	late := time.AfterFunc(c.StartupWait, c.handler.Unresponsive)
 	defer late.Stop()
 	suspect := true // whether it is in doubt that the agent responds at all
 	var watched *registryAddress
 	for ctx.Err() == nil {
-		address := d.currentAddress()
+		address := c.currentAddress()
 		suspect = suspect || address != watched
 		watched = address
-		responds, err := d.watchOnce(ctx, address, suspect)
+		responds, err := c.watchOnce(ctx, address, suspect)
 		switch {
 		case ctx.Err() != nil:
 			return
@@ -66,64 +69,64 @@
 			suspect = false
 			continue
 		case !suspect:
-			d.log.Warn("discovery does not answer, retrying", "error", err)
+			c.log.Warn("discovery does not answer, retrying", "error", err)
 			suspect = true
 		}
-		d.awaitRetry(ctx, address)
+		c.awaitRetry(ctx, address)
 	}
 }
 
 // runPolled serves subscriptions until ctx ends. A subscription is a series of watches until one fails, which is
-// posted once; the policy then subscribes anew after its own delay. That is a part of the configured poll interval
+// reported once; the policy then subscribes anew after its own delay. That is a part of the configured poll interval
 // and may be close to 0, and a refused connection fails at once. So the next poll also waits for retryInterval, or
 // until the watch moves to another address.
-func (d *discovery) runPolled(ctx context.Context) {
+func (c *Client) runPolled(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-d.subscribeSignal:
+		case <-c.subscribeSignal:
 		}
-		for d.pollOnce(ctx) {
+		for c.pollOnce(ctx) {
 		}
 	}
 }
 
 // pollOnce makes one poll, and reports whether another one follows without a new subscription. A poll that failed
-// by a local fault never reached discovery: the policy need not delay the next one, and is not notified.
-func (d *discovery) pollOnce(ctx context.Context) (again bool) {
-	address := d.currentAddress()
-	_, err := d.watchOnce(ctx, address, false)
+// by a local fault never reached the registry: the policy need not delay the next one, and is not notified.
+func (c *Client) pollOnce(ctx context.Context) (again bool) {
+	address := c.currentAddress()
+	_, err := c.watchOnce(ctx, address, false)
 	if err == nil || address.ctx.Err() != nil || ctx.Err() != nil {
 		return ctx.Err() == nil
 	}
 	again = netdial.IsLocalError(err)
-	d.log.Warn("discovery poll failed, retrying", "error", err)
+	c.log.Warn("discovery poll failed, retrying", "error", err)
 	if !again {
-		d.post(subscriptionFailed{})
+		c.handler.SubscriptionFailed()
 	}
-	d.awaitRetry(ctx, address)
+	c.awaitRetry(ctx, address)
 	return again && ctx.Err() == nil
 }
 
 // awaitRetry waits for retryInterval, or until ctx ends or the watch moves to another address.
-func (d *discovery) awaitRetry(ctx context.Context, address *registryAddress) {
+func (c *Client) awaitRetry(ctx context.Context, address *registryAddress) {
 	select {
 	case <-ctx.Done():
 	case <-address.ctx.Done():
-	case <-d.after(retryInterval):
+	case <-c.After(retryInterval):
 	}
 }
 
-// watchOnce makes one poll and posts its result. A suspect agent is checked beside the poll: if the agent
+// watchOnce makes one poll and passes on its result. A suspect agent is checked beside the poll: if the agent
 // responds to the check, the poll is known to be lost and is abandoned, and responds is true.
 //
 // A successful poll returns after watchInterval at the earliest, which paces consecutive polls.
-func (d *discovery) watchOnce(
+func (c *Client) watchOnce(
 	ctx context.Context, address *registryAddress, suspect bool,
 ) (responds bool, err error) {
 	started := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, d.hold+d.grace)
+	ctx, cancel := context.WithTimeout(ctx, c.Hold+c.Grace)
 	defer cancel()
 	defer context.AfterFunc(address.ctx, cancel)()
 	if suspect {
@@ -137,17 +140,17 @@
 		}()
 		defer func() { cancel(); responds = <-checked }()
 	}
-	if err := d.receive(ctx, address); err != nil {
+	if err := c.receive(ctx, address); err != nil {
 		return false, err
 	}
 	monotime.Sleep(ctx, watchInterval-time.Since(started))
 	return false, nil
 }
 
-// receive makes one poll, reads the list in its response and posts it. After a malformed or stale list, the next
+// receive makes one poll, reads the list in its response and passes it on. After a malformed or stale list, the next
 // poll requests the complete list, as it is unknown which changes were missed.
-func (d *discovery) receive(ctx context.Context, address *registryAddress) error {
-	resp, err := address.get(ctx, address.version, d.hold)
+func (c *Client) receive(ctx context.Context, address *registryAddress) error {
+	resp, err := address.get(ctx, address.version, c.Hold)
 	if err != nil {
 		return err
 	}
@@ -164,21 +167,16 @@
 		err = fmt.Errorf("list: %w: version %d after %d", errStaleList, list.Version, address.version)
 	}
 	if err != nil {
-		address.version = noVersion
+		address.version = NoVersion
 		return err
 	}
 	address.version = list.Version
-	if !list.Complete && len(list.Entries) == 0 {
-		d.postFrom(address, listConfirmed{}) // the hold ended without a change
-		return nil
+	switch {
+	case address.ctx.Err() != nil: // the watch has moved to another address
+	case !list.Complete && len(list.Entries) == 0: // the hold ended without a change
+		c.handler.ListConfirmed()
+	default:
+		c.handler.ListReceived(list)
 	}
-	d.postFrom(address, listReceived{list: list})
 	return nil
 }
-
-// postFrom posts an event from an address, unless the watch has moved to another one.
-func (d *discovery) postFrom(address *registryAddress, e event) {
-	if address.ctx.Err() == nil {
-		d.post(e)
-	}
-}
--- /dev/null
+++ b/internal/discovery/watch_test.go
@@ -0,0 +1,173 @@
+package discovery
+
+import (
+	"context"
+	"fmt"
+	"net"
+	"net/http"
+	"syscall"
+	"testing"
+	"time"
+
+	"basaltdrum/internal/testutil"
+)
+
+// changingAgent answers each poll at once with a list that has one more server, up to a number of polls, and
+// withholds its response from then on. It reports the versions that it has sent.
+func changingAgent(t *testing.T, polls int) (address string, sent <-chan int) {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	versions, version := make(chan int, polls), 0
+	agent := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		version++ // polls come one after another
+		if version > polls {
+			<-r.Context().Done()
+			return
+		}
+		fmt.Fprintf(w, `{"rev":%d,"all":%v,"targets":[%s]}`, version, version == 1,
+			testutil.ListEntry(fmt.Sprint("s", version), "127.0.0.1:1", "in_service"))
+		versions <- version
+	})}
+	go agent.Serve(ln)
+	t.Cleanup(func() { agent.Close() })
+	return ln.Addr().String(), versions
+}
+
+// Polls for a list that changes all the time are paced, and each change is still received.
+func TestCallsForAListInConstantChangeArePaced(t *testing.T) {
+	const polls = 20
+	for _, polled := range []bool{false, true} {
+		t.Run(fmt.Sprint("polled=", polled), func(t *testing.T) {
+			t.Parallel()
+			address, sent := changingAgent(t, polls)
+			c, reports := newClient(t, Config{Address: address, Polled: polled, Version: NoVersion})
+			c.Hold, c.StartupWait = 100*testutil.Limit, 100*testutil.Limit
+			begun := time.Now()
+			c.Subscribe()
+			run(t, c)
+			for range polls {
+				testutil.Wait(t, sent, "a poll")
+			}
+			if took := time.Since(begun); took < (polls-1)*watchInterval {
+				t.Errorf("%d polls came within %v, want %v between two at least", polls, took, watchInterval)
+			}
+			for i := range polls {
+				got := testutil.Wait(t, reports, "a change")
+				if got.kind != received || len(got.list.Entries) != 1 || got.list.Entries[0].ID != fmt.Sprint("s", i+1) {
+					t.Fatalf("report %d is %+v, want the change of s%d", i, got, i+1)
+				}
+			}
+		})
+	}
+}
+
+// A watch that ends without changes is no list, which the module would take for a change: it only confirms the
+// list.
+func TestWatchWithoutChangesOnlyConfirmsTheList(t *testing.T) {
+	agent := testutil.NewRegistryAgent(t)
+	c, reports := newClient(t, Config{Address: agent.Addr().String()})
+	entry := testutil.ListEntry("s1", "127.0.0.1:1", "in_service")
+	for _, row := range []struct {
+		name, text string
+		want       reportKind
+	}{
+		{"no changes", `{"rev":%d,"all":false,"targets":[]}`, confirmed},
+		{"an empty complete list", testutil.CompleteList(), received},
+		{"a change", `{"rev":%d,"all":false,"targets":[` + entry + `]}`, received},
+	} {
+		agent.Set(false, row.text)
+		if _, err := c.watchOnce(t.Context(), c.currentAddress(), false); err != nil {
+			t.Fatal(err)
+		}
+		if version := c.currentAddress().version; len(reports) != 1 || version != int64(agent.Version()) {
+			t.Fatalf("%s: %d reports at version %d, want 1 at %d", row.name, len(reports), version, agent.Version())
+		}
+		if got := <-reports; got.kind != row.want {
+			t.Errorf("%s: reported %q, want %q", row.name, got.kind, row.want)
+		}
+	}
+}
+
+// localDialErrorClient is a client, with an agent that has a list of one entry, whose dials fail a number of times by
+// a fault of this machine. It reports the waits between its polls.
+func localDialErrorClient(t *testing.T, polled bool, failures int32) (recorder, <-chan time.Duration) {
+	t.Helper()
+	agent := testutil.NewRegistryAgent(t)
+	agent.Set(false, testutil.CompleteList(testutil.ListEntry("s1", "127.0.0.1:1", "in_service")))
+	c, reports := newClient(t, Config{Address: agent.Addr().String(), Polled: polled, Version: NoVersion})
+	waits := make(chan time.Duration, 10)
+	c.StartupWait = testutil.Limit
+	c.After = func(wait time.Duration) <-chan time.Time {
+		waits <- wait
+		return time.After(wait)
+	}
+	fail := testutil.FailTimes(testutil.DialError("connect", syscall.ENETUNREACH), failures)
+	c.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+		if err := fail(); err != nil {
+			return nil, err
+		}
+		return (&net.Dialer{}).DialContext(ctx, network, address)
+	}
+	c.Subscribe()
+	run(t, c)
+	return reports, waits
+}
+
+// A local fault for a moment loses no watch event: the registry is dialled again at once.
+func TestTransientLocalDialErrorDelaysNoPoll(t *testing.T) {
+	for _, polled := range []bool{false, true} {
+		t.Run(fmt.Sprint("polled=", polled), func(t *testing.T) {
+			t.Parallel()
+			reports, waits := localDialErrorClient(t, polled, 3)
+			waitForEntries(t, reports, 1)
+			if len(waits) != 0 {
+				t.Errorf("waited for %v", <-waits)
+			}
+		})
+	}
+}
+
+// A local fault that lasts is not reported as a failure, after which the module would back off, and dials are not
+// repeated in a hot loop.
+func TestLocalDialErrorIsNoDiscoveryFailure(t *testing.T) {
+	for _, polled := range []bool{false, true} {
+		t.Run(fmt.Sprint("polled=", polled), func(t *testing.T) {
+			t.Parallel()
+			reports, waits := localDialErrorClient(t, polled, 1e6)
+			for range 2 {
+				if wait := testutil.Wait(t, waits, "a wait"); wait != retryInterval {
+					t.Errorf("waits for %v, want %v", wait, retryInterval)
+				}
+			}
+			if len(reports) != 0 {
+				t.Errorf("got %+v", <-reports)
+			}
+		})
+	}
+}
+
+// However a poll was lost, the next one is made early enough for its list to be known before it counts as notified.
+// Where lists are polled, the policy delays each poll by a quarter of NotifiedWithin at most
+// (TestPollBackoffIsBoundedByTheNotificationTime).
+func TestLostCallIsMadeUpForInTime(t *testing.T) {
+	const longestPolicyDelay = NotifiedWithin / 4
+	for _, row := range []struct {
+		name   string
+		polled bool
+		retry  time.Duration
+	}{
+		{"pushed", false, retryInterval},
+		{"polled, retried at once", true, retryInterval},
+		{"polled, retried after the policy's longest delay", true, max(retryInterval, longestPolicyDelay)},
+	} {
+		c, _ := newClient(t, Config{Address: "127.0.0.1:1", Polled: row.polled, Version: NoVersion})
+		// The pace, the poll that is lost, the wait, a dial that never comes up and its wait, and the next poll.
+		worst := watchInterval + c.Hold + c.Grace + row.retry + agentDialTimeout + row.retry + agentCheckTimeout
+		if worst >= NotifiedWithin {
+			t.Errorf("%s: %v, want less than %v", row.name, worst, NotifiedWithin)
+		}
+	}
+}
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -6,7 +6,6 @@
 	"io"
 	"net"
 	"net/http"
-	"reflect"
 	"strings"
 	"testing"
 	"time"
@@ -22,7 +21,7 @@
 	ag.Set(true, "")
 	cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", old.Address(), "in_service")))
 	cfg.Discovery = ag.Addr().String()
-	n, _ := startNode(t, cfg, func(n *Node) { n.discovery.hold, n.discovery.startupWait = 100*testutil.Limit, 100*testutil.Limit })
+	n, _ := startNode(t, cfg, func(n *Node) { n.discovery.Hold, n.discovery.StartupWait = 100*testutil.Limit, 100*testutil.Limit })
 	testutil.Wait(t, ag.Calls, "the call that is lost")
 	testutil.Wait(t, ag.Calls, "a call beside it")
 	early := dial(t, n) // from a client that makes no readiness check
@@ -50,7 +49,7 @@
 	ag.Set(true, "")
 	cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service")))
 	cfg.Discovery = ag.Addr().String()
-	n, _ := startNode(t, cfg, func(n *Node) { n.discovery.startupWait = 100 * testutil.Limit })
+	n, _ := startNode(t, cfg, func(n *Node) { n.discovery.StartupWait = 100 * testutil.Limit })
 	if q := testutil.Wait(t, ag.Calls, "the first call"); q != "" {
 		t.Errorf("called with %q, want the complete list", q)
 	}
@@ -61,7 +60,7 @@
 	testutil.Until(t, "readiness", func() bool { return isReady(t, n) })
 
 	ag.Set(true, "")
-	n, _ = startNode(t, cfg, func(n *Node) { n.discovery.startupWait = time.Millisecond })
+	n, _ = startNode(t, cfg, func(n *Node) { n.discovery.StartupWait = time.Millisecond })
 	testutil.Until(t, "readiness beside a silent agent", func() bool { return isReady(t, n) })
 	c := dial(t, n)
 	c.Get("r")
@@ -114,8 +113,8 @@
 				cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", testutil.ClosedPort(t), "in_service")))
 				cfg.Discovery = ln.Addr().String()
 				n, stop := startNode(t, cfg, func(n *Node) {
-					n.discovery.hold, n.discovery.grace = 200*time.Millisecond, 200*time.Millisecond
-					n.discovery.startupWait = 100 * testutil.Limit
+					n.discovery.Hold, n.discovery.Grace = 200*time.Millisecond, 200*time.Millisecond
+					n.discovery.StartupWait = 100 * testutil.Limit
 				})
 				defer stop()
 				testutil.Until(t, "readiness", func() bool { return isReady(t, n) })
@@ -127,50 +126,6 @@
 	}
 }
 
-// Calls for a list that changes all the time are paced, and each change is still received.
-func TestCallsForAListInConstantChangeArePaced(t *testing.T) {
-	const calls = 20
-	s := testutil.NewServer(t, testutil.Echo)
-	for _, asked := range []bool{false, true} {
-		t.Run(fmt.Sprint("asked ", asked), func(t *testing.T) {
-			t.Parallel()
-			seen := make(chan int, calls)
-			ln, err := net.Listen("tcp", "127.0.0.1:0")
-			if err != nil {
-				t.Fatal(err)
-			}
-			rev := 0
-			agent := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				rev++ // calls come one after another
-				if rev > calls {
-					<-r.Context().Done()
-					return
-				}
-				fmt.Fprintf(w, `{"rev":%d,"all":%v,"targets":[%s]}`, rev, rev == 1,
-					testutil.ListEntry(fmt.Sprint("s", rev), s.Address(), "in_service"))
-				seen <- rev
-			})}
-			go agent.Serve(ln)
-			t.Cleanup(func() { agent.Close() })
-			cfg := testConfig(testutil.CompleteList())
-			cfg.Discovery, cfg.Settings.PollDiscovery = ln.Addr().String(), asked
-			begun := time.Now()
-			n, _ := startNode(t, cfg, func(n *Node) { n.discovery.hold, n.discovery.startupWait = 100*testutil.Limit, 100*testutil.Limit })
-			for range calls {
-				testutil.Wait(t, seen, "a call")
-			}
-			if took := time.Since(begun); took < (calls-1)*watchInterval {
-				t.Errorf("%d calls came within %v, want %v between two at least", calls, took, watchInterval)
-			}
-			testutil.Until(t, "the last change to be known", func() bool {
-				n.upstream.mu.Lock()
-				defer n.upstream.mu.Unlock()
-				return len(n.upstream.endpoints) == calls
-			})
-		})
-	}
-}
-
 // An agent that was unresponsive may never answer the call that was in flight then: it must be called again.
 func TestUnresponsiveDiscoveryIsCalledAgain(t *testing.T) {
 	s := testutil.NewServer(t, testutil.Echo)
@@ -179,7 +134,7 @@
 	cfg := testConfig(testutil.CompleteList())
 	cfg.Discovery = ag.Addr().String()
 	n, _ := startNode(t, cfg, func(n *Node) {
-		n.discovery.hold, n.discovery.grace = 20*time.Millisecond, 20*time.Millisecond
+		n.discovery.Hold, n.discovery.Grace = 20*time.Millisecond, 20*time.Millisecond
 	})
 	for range 3 {
 		if q := testutil.Wait(t, ag.Calls, "a watch"); q != "" {
@@ -199,35 +154,6 @@
 	c.Expect(t, 200, "for late")
 }
 
-// A watch that ends without changes is no list, which the module would take for a change: it only confirms the
-// list.
-func TestWatchWithoutChangesOnlyConfirmsTheList(t *testing.T) {
-	ag := testutil.NewRegistryAgent(t)
-	events := make(chan event, 10)
-	cfg := testConfig("")
-	cfg.Discovery = ag.Addr().String()
-	d := newDiscovery(cfg, 1, func(e event) { events <- e }, testutil.DiscardLog())
-	for i, c := range []struct {
-		text string
-		want event
-	}{
-		{`{"rev":%d,"all":false,"targets":[]}`, listConfirmed{}},
-		{testutil.CompleteList(), listReceived{}},
-		{`{"rev":%d,"all":false,"targets":[` + testutil.ListEntry("s1", "127.0.0.1:1", "in_service") + `]}`, listReceived{}},
-	} {
-		ag.Set(false, c.text)
-		if _, err := d.watchOnce(t.Context(), d.currentAddress(), false); err != nil {
-			t.Fatal(err)
-		}
-		if len(events) != 1 || d.currentAddress().version != int64(ag.Version()) {
-			t.Fatalf("call %d: %d events at rev %d, want 1 at %d", i, len(events), d.currentAddress().version, ag.Version())
-		}
-		if got, want := reflect.TypeOf(<-events), reflect.TypeOf(c.want); got != want {
-			t.Errorf("call %d: posted %v, want %v", i, got, want)
-		}
-	}
-}
-
 // The watch moves to a new address at once, though a call to the old address is waiting, and versions start anew
 // there.
 func TestReloadMovesTheWatch(t *testing.T) {
@@ -238,7 +164,7 @@
 	next.Set(false, testutil.CompleteList(testutil.ListEntry("s2", b.Address(), "in_service")))
 	cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", a.Address(), "in_service")))
 	cfg.Discovery = old.Addr().String()
-	n, _ := startNode(t, cfg, func(n *Node) { n.discovery.hold = testutil.Limit })
+	n, _ := startNode(t, cfg, func(n *Node) { n.discovery.Hold = testutil.Limit })
 	for !strings.Contains(testutil.Wait(t, old.Calls, "the watch"), "from=1001&") {
 	}
 	c := dial(t, n)
--- a/internal/node/discoveryfaults_test.go
+++ b/internal/node/discoveryfaults_test.go
@@ -182,11 +182,11 @@
 	}
 	refused := make(chan struct{}, 1000)
 	n, _ := startNode(t, cfg, func(n *Node) {
-		n.discovery.after = func(d time.Duration) <-chan time.Time { // follows a call that failed at once
+		n.discovery.After = func(d time.Duration) <-chan time.Time { // follows a call that failed at once
 			refused <- struct{}{}
 			return time.After(d)
 		}
-		n.discovery.hold, n.discovery.grace, n.discovery.startupWait = 100*time.Millisecond, 100*time.Millisecond, testutil.Limit
+		n.discovery.Hold, n.discovery.Grace, n.discovery.StartupWait = 100*time.Millisecond, 100*time.Millisecond, testutil.Limit
 	})
 	c, sent := dial(t, n), 0
 	ask := func() { sent++; c.Get(fmt.Sprint("r", sent)); c.Expect(t, 200, "") }
@@ -201,7 +201,7 @@
 	case when == "middle":
 		begin()
 	case when == "move":
-		n.discovery.setAddress(addr)
+		n.discovery.SetAddress(addr)
 	}
 	if fault == "refused" {
 		for range times {
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -12,7 +12,6 @@
 //
 //   - downstreamConns: the clients' connections and their part of the descriptors;
 //   - upstreamPool: the connections to endpoints, and the list as far as the pool needs it;
-//   - discovery: the address that is watched;
 //   - request: whether its client has departed and whether an attempt has begun;
 //   - loop.rules and loop.ready: set by the loop, read by the front end;
 //   - Node: what Reload changes.
@@ -22,8 +21,8 @@
 // Node.Run starts the first four kinds, and it has waited for all of these when it returns:
 //
 //   - The loop ends when Run cancels its context, after all the others of this list.
-//   - Discovery (one goroutine, and one more while an agent's health check runs beside a watch) ends when Run
-//     cancels its context; a call that is open is aborted by that.
+//   - Discovery's client (package discovery) ends when Run cancels its context; a call that is open is aborted by
+//     that.
 //   - The sweep that closes expired idle connections to endpoints ends with the same context.
 //   - The HTTP server's accept loop ends when the listener is closed, by draining. If accepting fails for good, Run
 //     returns its error.
--- a/internal/node/endpointlist.go
+++ b/internal/node/endpointlist.go
@@ -8,10 +8,6 @@
 // This file keeps the endpoint list as the loop holds it: the entries by uid, how many of them are ready, and the
 // cached list that stands in until discovery has been heard. The list itself is parsed in listparser.go.
 
-// noListVersion stands for the version of the list where the node holds none: discovery then asks for the complete
-// list.
-const noListVersion int64 = -1
-
 // useCachedList starts with the list that the node last had, unless a newer one has been applied. The agent's
 // list is binding from the first moment of the process. So until that list has come, or discovery counts as
 // unresponsive, no request is sent by the cached list, and the module queues what clients send.
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -65,7 +65,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.discovery.startupWait = 0 // the known list will do, where a test has no agent
+	n.discovery.StartupWait = 0 // the known list will do, where a test has no agent
 	if change != nil {
 		change(n)
 	}
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/discovery"
 	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/monotime"
 )
@@ -42,7 +43,7 @@
 // the hollow nodes of kubemark.
 type Hollow struct {
 	loop        *loop
-	discovery   *discovery
+	discovery   *discovery.Client
 	listsPushed bool
 	serve       ServeFunc
 	onList      func(version int64, at time.Time)
@@ -75,8 +76,11 @@
 	h.loop = newLoop(module, monotime.New(), log)
 	h.loop.rules.Store(newRequestRules(1, set))
 	h.loop.start, h.loop.updateEndpoints, h.loop.listsPushed = h.start, h.listApplied, h.listsPushed
-	h.discovery = newDiscovery(cfg, noListVersion, h.post, log)
-	h.loop.subscribe = h.discovery.subscribe
+	h.discovery = discovery.New(
+		discovery.Config{Address: cfg.Discovery, Polled: set.PollDiscovery, Version: discovery.NoVersion},
+		discoveryHandler{h.post}, log,
+	)
+	h.loop.subscribe = h.discovery.Subscribe
 	h.loop.cachedList = endpointlist.List{Complete: true}
 	if !h.listsPushed {
 		h.loop.useCachedList() // the module subscribes for a newer list
@@ -90,13 +94,9 @@
 		defer close(h.ended)
 		h.loop.run(ctx)
 	}()
-	if h.listsPushed {
-		h.discovery.runPushed(ctx)
-	} else {
-		h.discovery.runPolled(ctx)
-	}
+	h.discovery.Run(ctx)
 	<-h.ended
-	h.discovery.currentAddress().client.CloseIdleConnections()
+	h.discovery.CloseIdleConnections()
 }
 
 // Ready reports whether a listed endpoint is ready.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/discovery"
 	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/monotime"
 )
@@ -25,7 +26,7 @@
 	loop        *loop
 	frontend    *frontend
 	upstream    *upstreamPool
-	discovery   *discovery
+	discovery   *discovery.Client
 	listener    net.Listener
 	listsPushed bool
 	log         *slog.Logger
@@ -78,11 +79,14 @@
 	version := cached.Version
 	if err != nil {
 		n.log.Warn("cached endpoint list is not usable", "error", err)
-		cached, version = endpointlist.List{Complete: true}, noListVersion
+		cached, version = endpointlist.List{Complete: true}, discovery.NoVersion
 	}
 	n.cfg.Known = nil // it is long, and only counts at the start
-	n.discovery = newDiscovery(cfg, version, n.loop.post, n.log)
-	n.loop.subscribe = n.discovery.subscribe
+	n.discovery = discovery.New(
+		discovery.Config{Address: cfg.Discovery, Polled: cfg.Settings.PollDiscovery, Version: version},
+		discoveryHandler{n.loop.post}, n.log,
+	)
+	n.loop.subscribe = n.discovery.Subscribe
 	n.loop.cachedList = cached
 	if !n.listsPushed {
 		n.loop.useCachedList()
@@ -156,11 +160,7 @@
 	}
 	start(&loop, loopCtx, n.loop.run)
 	start(&feeders, feederCtx, n.upstream.closeExpired)
-	if n.listsPushed {
-		start(&feeders, feederCtx, n.discovery.runPushed)
-	} else {
-		start(&feeders, feederCtx, n.discovery.runPolled)
-	}
+	start(&feeders, feederCtx, n.discovery.Run)
 	return func() {
 		stopFeeders()
 		feeders.Wait()
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -7,13 +7,14 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/discovery"
 )
 
 // moduleSettings returns the settings in the form that the module gets. It paces its polls of discovery by parts
-// of PollWithin; a change counts as notified after notifiedWithin, so no poll may be put off longer than that.
+// of PollWithin; a change counts as notified after discovery.NotifiedWithin, so no poll may be put off longer than that.
 func moduleSettings(cfg Config) balancer.Settings {
 	set := cfg.Settings
-	set.PollWithin = min(set.PollWithin, notifiedWithin)
+	set.PollWithin = min(set.PollWithin, discovery.NotifiedWithin)
 	return set
 }
 
@@ -33,7 +34,7 @@
 	since := n.loop.clock.Now()
 	n.cfg, n.drainSchedule, n.drainLimit = cfg, drainScheduleOf(cfg), drainLimit(cfg)
 	n.upstream.configure(cfg)
-	n.discovery.setAddress(cfg.Discovery)
+	n.discovery.SetAddress(cfg.Discovery)
 	if sameSettings {
 		return
 	}
--- a/internal/node/responsedeadline_test.go
+++ b/internal/node/responsedeadline_test.go
@@ -170,6 +170,7 @@
 	for i := range cfg.Settings.Classes {
 		cfg.Settings.Classes[i].Deadline, cfg.Settings.Classes[i].LatencyObjective = faultDeadline, faultDeadline/2
 	}
+	const startupWait = time.Second // discovery's default
 	first := time.Duration(0)
 	switch c.discovery {
 	case "refused":
@@ -180,7 +181,7 @@
 		cfg.Discovery, first = ag.Addr().String(), startupWait
 	}
 	n, _ := startNode(t, cfg, func(n *Node) {
-		n.discovery.startupWait = first
+		n.discovery.StartupWait = first
 		if c.dial != nil {
 			n.upstream.dial = func(context.Context, string, string) (net.Conn, error) { return nil, c.dial }
 		}
