--- a/internal/node/downstreamconn.go
+++ b/internal/node/downstreamconn.go
@@ -14,7 +14,7 @@
 )
 
 // downstreamConn is a connection from a client. It sits between net/http and the socket, and adds four
-// things: the framing of the requests (requestScanner), the watch for the client's departure while a request
+// things: the framing of the requests (RequestScanner), the watch for the client's departure while a request
 // is open (departure.go), a read timeout for each request, and eviction without the loss of a request.
 //
 // Eviction does not close the connection. net/http reads the first bytes of a request some time before it
@@ -38,7 +38,7 @@
 	caughtUp          chan struct{} // closed once the departure watch has read all that had arrived
 	watchEnded        chan struct{} // closed once the departure watch has ended
 	departureChanged  chan struct{} // receives a value when departed changes
-	requests          requestScanner
+	requests          RequestScanner
 	readTimeout       time.Duration // for reading the rest of a request that has begun; 0: no limit
 	requestDeadline   time.Time     // when readTimeout expires; zero while no request is being read
 
@@ -83,29 +83,29 @@
 	at := c.conns.clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.requests.feed(p, at)
+	c.requests.Feed(p, at)
 }
 
 // takeHead returns the scanner's head of the request that net/http has just read the head of, or the error
 // in its framing.
-func (c *downstreamConn) takeHead(r *http.Request) (requestHead, error) {
+func (c *downstreamConn) takeHead(r *http.Request) (RequestHead, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.requests.takeHead(r)
+	return c.requests.TakeHead(r)
 }
 
 // bodyError returns the error in the framing of the body that net/http has just read, or nil.
 func (c *downstreamConn) bodyError() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.requests.bodyError()
+	return c.requests.BodyError()
 }
 
 // pipelinedBehindBody reports whether another request was read behind the complete body of the current one.
 func (c *downstreamConn) pipelinedBehindBody() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.requests.behindBody()
+	return c.requests.BehindBody()
 }
 
 // limitRequestTime gives the rest of a request that has begun its own read timeout. The timeouts of net/http
@@ -114,7 +114,7 @@
 func (c *downstreamConn) limitRequestTime() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.readTimeout <= 0 || !c.requestDeadline.IsZero() || !c.requests.midRequest() {
+	if c.readTimeout <= 0 || !c.requestDeadline.IsZero() || !c.requests.MidRequest() {
 		return
 	}
 	c.requestDeadline = time.Now().Add(c.readTimeout)
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -13,10 +13,12 @@
 
 // Limits on the time that a client may take, and on a request's head.
 const (
-	readTimeout    = 2500 * time.Millisecond // for reading a request, from its first bytes or the connection's start
-	idleTimeout    = 4 * time.Second         // after which an idle connection is closed
-	writeTimeout   = 5 * time.Second         // for writing a response
-	maxHeaderBytes = 16 << 10                // bytes of a request's head; net/http allows some more
+	readTimeout  = 2500 * time.Millisecond // for reading a request, from its first bytes or the connection's start
+	idleTimeout  = 4 * time.Second         // after which an idle connection is closed
+	writeTimeout = 5 * time.Second         // for writing a response
+
+	// MaxHeaderBytes is the longest head of a request, in bytes; net/http allows some more.
+	MaxHeaderBytes = 16 << 10
 )
 
 // frontend is the HTTP server for clients. It reads and checks requests, passes them to the loop, and writes
@@ -41,7 +43,7 @@
 		Handler:                      f,
 		ReadTimeout:                  readTimeout,
 		IdleTimeout:                  idleTimeout,
-		MaxHeaderBytes:               maxHeaderBytes,
+		MaxHeaderBytes:               MaxHeaderBytes,
 		DisableGeneralOptionsHandler: true,
 		ConnState:                    conns.connStateChanged,
 		ConnContext:                  withConn,
@@ -131,11 +133,11 @@
 
 // readRequest reads a complete request and checks what the node and the servers rely on; nothing has been
 // forwarded of a request that is invalid. The client's deadline counts from the request's first byte.
-func (f *frontend) readRequest(r *http.Request, conn *downstreamConn, head requestHead) (*request, error) {
+func (f *frontend) readRequest(r *http.Request, conn *downstreamConn, head RequestHead) (*request, error) {
 	c := &request{
 		method: r.Method, target: r.RequestURI, id: r.Header.Get("X-Request-Id"),
 		key: r.Header.Get("Idempotency-Key"), contentType: r.Header.Get("Content-Type"),
-		firstByte: head.firstByte, response: make(chan response, 1),
+		firstByte: head.FirstByte, response: make(chan response, 1),
 	}
 	if err := f.validateHead(c, r); err != nil {
 		return nil, err
@@ -154,10 +156,10 @@
 		return nil
 	}
 	var err error
-	c.body, err = io.ReadAll(io.LimitReader(r.Body, maxBody+1))
+	c.body, err = io.ReadAll(io.LimitReader(r.Body, MaxBodyBytes+1))
 	framing := conn.bodyError()
 	switch {
-	case len(c.body) > maxBody:
+	case len(c.body) > MaxBodyBytes:
 		return errBodyTooLong
 	case framing != nil:
 		return framing
--- a/internal/node/readahead.go
+++ b/internal/node/readahead.go
@@ -9,7 +9,7 @@
 	readAheadStep = 4 << 10
 
 	// readAheadPerConn bounds the read-ahead buffer of one connection, in bytes: the longest request allowed.
-	readAheadPerConn = maxHeaderBytes + maxBody
+	readAheadPerConn = MaxHeaderBytes + MaxBodyBytes
 
 	// readAheadMemoryShare is the divisor that gives the part of the node's memory limit which the read-ahead
 	// buffers of all connections together may use.
--- a/internal/node/requestbodyscanner.go
+++ b/internal/node/requestbodyscanner.go
@@ -5,8 +5,8 @@
 	"strconv"
 )
 
-// bodyError returns the error in the body of the request whose head was taken last, or nil.
-func (s *requestScanner) bodyError() error {
+// BodyError returns the error in the body of the request whose head was taken last, or nil.
+func (s *RequestScanner) BodyError() error {
 	if len(s.heads) == 0 && s.errInBody {
 		return s.err
 	}
@@ -14,7 +14,7 @@
 }
 
 // skipBody skips bytes of a body or a chunk, and returns those behind it.
-func (s *requestScanner) skipBody(p []byte) []byte {
+func (s *RequestScanner) skipBody(p []byte) []byte {
 	n := min(s.remaining, uint64(len(p)))
 	if s.remaining -= n; s.remaining == 0 {
 		if s.state == scanChunk {
@@ -28,7 +28,7 @@
 
 // parseChunkSize parses the line before a chunk (RFC 9112, section 7.1): hexadecimal digits only, followed by
 // the line's end or an extension, which is ignored.
-func (s *requestScanner) parseChunkSize(line []byte) error {
+func (s *RequestScanner) parseChunkSize(line []byte) error {
 	line, hasEnd := bytes.CutSuffix(line, []byte("\r\n"))
 	digits, _, _ := bytes.Cut(line, []byte(";"))
 	size, err := strconv.ParseUint(string(digits), 16, 64)
@@ -43,7 +43,7 @@
 }
 
 // parseTrailerLine parses a line behind the last chunk. Trailer fields are ignored.
-func (s *requestScanner) parseTrailerLine(line []byte) error {
+func (s *RequestScanner) parseTrailerLine(line []byte) error {
 	switch {
 	case string(line) == "\r\n":
 		s.endRequest()
--- a/internal/node/requestheadscanner.go
+++ b/internal/node/requestheadscanner.go
@@ -11,9 +11,9 @@
 // chunkedLength is the bodyLength of a chunked body, as in http.Request.ContentLength.
 const chunkedLength = -1
 
-// requestHead is what the scanner knows about one request once its head is complete.
-type requestHead struct {
-	firstByte  time.Duration // clock time when its first byte was read
+// RequestHead is what the scanner knows about one request once its head is complete.
+type RequestHead struct {
+	FirstByte  time.Duration // clock time when its first byte was read
 	lineHash   uint64        // hash of the request line
 	bodyLength int64         // in bytes, or chunkedLength
 }
@@ -30,14 +30,14 @@
 	fieldOther
 )
 
-// takeHead removes and returns the next head. It fails if net/http has read another one here, because the two
+// TakeHead removes and returns the next head. It fails if net/http has read another one here, because the two
 // then disagree about where the request before it ends.
-func (s *requestScanner) takeHead(r *http.Request) (requestHead, error) {
+func (s *RequestScanner) TakeHead(r *http.Request) (RequestHead, error) {
 	if len(s.heads) == 0 {
 		if s.err != nil {
-			return requestHead{}, s.err
+			return RequestHead{}, s.err
 		}
-		return requestHead{}, errFramingDisagrees
+		return RequestHead{}, errFramingDisagrees
 	}
 	head := s.heads[0]
 	if s.heads = s.heads[1:]; len(s.heads) == 0 {
@@ -45,7 +45,7 @@
 	}
 	line := maphash.String(requestLineSeed, r.Method+" "+r.RequestURI+" "+r.Proto)
 	if head.lineHash != line || head.bodyLength != r.ContentLength {
-		return requestHead{}, errFramingDisagrees
+		return RequestHead{}, errFramingDisagrees
 	}
 	return head, nil
 }
@@ -55,7 +55,7 @@
 	return bytes.TrimSuffix(bytes.TrimSuffix(line, []byte("\n")), []byte("\r"))
 }
 
-func (s *requestScanner) parseRequestLine(line []byte) error {
+func (s *RequestScanner) parseRequestLine(line []byte) error {
 	method, rest, _ := bytes.Cut(line, []byte(" "))
 	_, proto, _ := bytes.Cut(rest, []byte(" "))
 	version, isHTTP1 := bytes.CutPrefix(proto, []byte("HTTP/1."))
@@ -69,7 +69,7 @@
 	return nil
 }
 
-func (s *requestScanner) parseFieldLine(line []byte) error {
+func (s *RequestScanner) parseFieldLine(line []byte) error {
 	if len(line) == 0 {
 		return s.endHead()
 	}
@@ -94,7 +94,7 @@
 }
 
 // parseFoldedLine parses a line that continues the field line before it (obs-fold, RFC 9112, section 5.2).
-func (s *requestScanner) parseFoldedLine() error {
+func (s *RequestScanner) parseFoldedLine() error {
 	switch s.previousField {
 	case fieldNone:
 		return errFieldLine
@@ -104,7 +104,7 @@
 	return nil
 }
 
-func (s *requestScanner) parseContentLength(value []byte) error {
+func (s *RequestScanner) parseContentLength(value []byte) error {
 	length, err := strconv.ParseUint(string(value), 10, 63)
 	differs := s.hasLength && int64(length) != s.current.bodyLength
 	if err != nil || s.truncated || differs {
@@ -114,7 +114,7 @@
 	return nil
 }
 
-func (s *requestScanner) parseTransferEncoding(value []byte) error {
+func (s *RequestScanner) parseTransferEncoding(value []byte) error {
 	if s.hasCoding || s.truncated || !bytes.EqualFold(value, []byte("chunked")) {
 		return errCoding
 	}
@@ -123,7 +123,7 @@
 }
 
 // endHead checks how the fields of a complete head go together, queues the head, and begins its body.
-func (s *requestScanner) endHead() error {
+func (s *RequestScanner) endHead() error {
 	switch {
 	case s.hasCoding && s.hasLength:
 		return errLengthAndCoding
--- a/internal/node/requestscanner.go
+++ b/internal/node/requestscanner.go
@@ -7,7 +7,7 @@
 
 // Limits on what one downstream connection may make the scanner buffer or skip.
 const (
-	maxRequestLine    = maxHeaderBytes + 4<<10 // bytes; the limit of net/http for a complete head
+	maxRequestLine    = MaxHeaderBytes + 4<<10 // bytes; the limit of net/http for a complete head
 	maxBufferedField  = 256                    // bytes of a field line that are buffered; a valid Content-Length is shorter
 	maxChunkLine      = 4 << 10                // bytes of a chunk's size and extensions, as in net/http
 	maxTrailers       = 4 << 10                // bytes of all trailers of a request, as in net/http
@@ -16,25 +16,25 @@
 	maxBlankBytes     = 4                      // bytes of CR and LF that net/http skips after a POST
 )
 
-// framingError says why the framing of a request is ambiguous or malformed. Its text is sent to the client.
-type framingError string
+// FramingError says why the framing of a request is ambiguous or malformed. Its text is sent to the client.
+type FramingError string
 
-func (e framingError) Error() string { return string(e) }
+func (e FramingError) Error() string { return string(e) }
 
 // Errors in the framing of a request, all answered with 400.
 const (
-	errRequestLine      framingError = "the request line can't be read"
-	errFieldLine        framingError = "a header field can't be read"
-	errFoldedFraming    framingError = "Content-Length or Transfer-Encoding is folded"
-	errContentLength    framingError = "Content-Length is no number or differs from another"
-	errCoding           framingError = "the transfer coding is not chunked alone"
-	errCodingInHTTP10   framingError = "HTTP/1.0 has no transfer coding"
-	errLengthAndCoding  framingError = "Content-Length comes beside Transfer-Encoding"
-	errChunkSize        framingError = "a chunk's size can't be read"
-	errChunkEnd         framingError = "a chunk does not end where its size says"
-	errTrailer          framingError = "the trailers can't be read or are too long"
-	errTooManyPipelined framingError = "too many requests are sent ahead"
-	errFramingDisagrees framingError = "the request is not where the one before it ends"
+	errRequestLine      FramingError = "the request line can't be read"
+	errFieldLine        FramingError = "a header field can't be read"
+	errFoldedFraming    FramingError = "Content-Length or Transfer-Encoding is folded"
+	errContentLength    FramingError = "Content-Length is no number or differs from another"
+	errCoding           FramingError = "the transfer coding is not chunked alone"
+	errCodingInHTTP10   FramingError = "HTTP/1.0 has no transfer coding"
+	errLengthAndCoding  FramingError = "Content-Length comes beside Transfer-Encoding"
+	errChunkSize        FramingError = "a chunk's size can't be read"
+	errChunkEnd         FramingError = "a chunk does not end where its size says"
+	errTrailer          FramingError = "the trailers can't be read or are too long"
+	errTooManyPipelined FramingError = "too many requests are sent ahead"
+	errFramingDisagrees FramingError = "the request is not where the one before it ends"
 )
 
 // scanState is what the next byte of a connection belongs to.
@@ -51,36 +51,36 @@
 	scanTrailers
 )
 
-// requestScanner follows the framing of the requests on one downstream connection (RFC 9112, sections 2, 6 and
+// RequestScanner follows the framing of the requests on one downstream connection (RFC 9112, sections 2, 6 and
 // 7), and is fed every byte as it is read from the kernel. It learns what net/http does not report: when the
 // first byte of each request was read, pipelined ones included, and whether Content-Length came beside
 // Transfer-Encoding, in which case net/http drops the former. It is at least as strict as net/http. What it
 // rejects is answered with an error that closes the connection, so that no request can be smuggled in the body
 // of another. After an error it scans no more.
 //
-// It buffers one line at most, and a requestHead for each pipelined request. requestheadscanner.go parses the
+// It buffers one line at most, and a RequestHead for each pipelined request. requestheadscanner.go parses the
 // lines of heads, requestbodyscanner.go those of bodies.
-type requestScanner struct {
+type RequestScanner struct {
 	state        scanState
 	line         []byte // the current line so far
 	truncated    bool   // the field line is longer than the buffered part of it
 	remaining    uint64 // bytes of the body or chunk that are still to come, or that trailers may still have
 	blankAllowed int    // bytes of CR and LF that may be skipped before the next request line
 
-	current       requestHead
+	current       RequestHead
 	http10        bool
 	isPost        bool
 	hasLength     bool
 	hasCoding     bool
 	previousField fieldKind // of the line before
 
-	heads     []requestHead // complete heads that net/http has not reached yet
+	heads     []RequestHead // complete heads that net/http has not reached yet
 	err       error
 	errInBody bool // err is in the body of the last complete head, not in the head after it
 }
 
-// feed scans bytes that were read at the given clock time.
-func (s *requestScanner) feed(p []byte, at time.Duration) {
+// Feed scans bytes that were read at the given clock time.
+func (s *RequestScanner) Feed(p []byte, at time.Duration) {
 	for len(p) > 0 && s.err == nil {
 		switch s.state {
 		case scanIdle:
@@ -93,36 +93,36 @@
 	}
 }
 
-// midRequest reports whether a request has begun and is not complete.
-func (s *requestScanner) midRequest() bool { return s.err == nil && s.state != scanIdle }
+// MidRequest reports whether a request has begun and is not complete.
+func (s *RequestScanner) MidRequest() bool { return s.err == nil && s.state != scanIdle }
 
-// behindBody reports whether a request has begun behind the complete body of the one that was taken last.
-func (s *requestScanner) behindBody() bool {
+// BehindBody reports whether a request has begun behind the complete body of the one that was taken last.
+func (s *RequestScanner) BehindBody() bool {
 	return len(s.heads) > 0 || s.err == nil && (s.state == scanRequestLine || s.state == scanFieldLine)
 }
 
 // fail ends the scan. The state says whether the error is in a head or in a body: those of heads come first.
-func (s *requestScanner) fail(err error) {
+func (s *RequestScanner) fail(err error) {
 	s.err = err
 	s.errInBody = s.state > scanFieldLine
 	s.line = nil
 }
 
 // beginRequest notes the first byte of a request, after the line ends that net/http skips behind a POST.
-func (s *requestScanner) beginRequest(p []byte, at time.Duration) []byte {
+func (s *RequestScanner) beginRequest(p []byte, at time.Duration) []byte {
 	if s.blankAllowed > 0 && (p[0] == '\r' || p[0] == '\n') {
 		s.blankAllowed--
 		return p[1:]
 	}
 	s.state = scanRequestLine
-	s.current = requestHead{firstByte: at}
+	s.current = RequestHead{FirstByte: at}
 	s.hasLength, s.hasCoding, s.previousField = false, false, fieldNone
 	return p
 }
 
 // collectLine adds bytes to the current line, parses the line once it is complete, and returns the bytes
 // behind it.
-func (s *requestScanner) collectLine(p []byte) []byte {
+func (s *RequestScanner) collectLine(p []byte) []byte {
 	part, rest, complete := p, []byte(nil), false
 	if end := bytes.IndexByte(p, '\n'); end >= 0 {
 		part, rest, complete = p[:end+1], p[end+1:], true
@@ -148,7 +148,7 @@
 
 // lineLimit returns how much of the current line is buffered, in bytes, and the error if it is longer. Without
 // an error, the rest of the line is skipped.
-func (s *requestScanner) lineLimit() (limit int, tooLong error) {
+func (s *RequestScanner) lineLimit() (limit int, tooLong error) {
 	switch s.state {
 	case scanRequestLine:
 		return maxRequestLine, errRequestLine
@@ -163,7 +163,7 @@
 }
 
 // parseLine parses the current line, which is complete.
-func (s *requestScanner) parseLine() {
+func (s *RequestScanner) parseLine() {
 	var err error
 	switch s.state {
 	case scanRequestLine:
@@ -185,7 +185,7 @@
 }
 
 // endRequest notes that a request is complete.
-func (s *requestScanner) endRequest() {
+func (s *RequestScanner) endRequest() {
 	s.state, s.blankAllowed, s.line = scanIdle, 0, nil
 	if s.isPost {
 		s.blankAllowed = maxBlankBytes
--- a/internal/node/requestscanner_test.go
+++ b/internal/node/requestscanner_test.go
@@ -13,13 +13,13 @@
 )
 
 // scanned is the result of a scanner fed some bytes in pieces of a size (0: all at once).
-func scanned(text string, size int) *requestScanner {
-	s := &requestScanner{}
+func scanned(text string, size int) *RequestScanner {
+	s := &RequestScanner{}
 	if size == 0 {
 		size = max(1, len(text))
 	}
 	for part := range slices.Chunk([]byte(text), size) {
-		s.feed(part, 0)
+		s.Feed(part, 0)
 	}
 	return s
 }
@@ -60,7 +60,7 @@
 		if len(want.heads) == 0 {
 			break
 		}
-		if _, err := want.takeHead(r); err != nil {
+		if _, err := want.TakeHead(r); err != nil {
 			t.Fatalf("net/http reads %s %s with length %d elsewhere: %v", r.Method, r.RequestURI, r.ContentLength, err)
 		}
 	}
@@ -120,21 +120,21 @@
 // Each request's time starts with its own first byte: not with line ends before it, and not with the end of the
 // request before it.
 func TestScannerNotesTheFirstByteOfEachRequest(t *testing.T) {
-	s := &requestScanner{}
+	s := &RequestScanner{}
 	for i, part := range []string{
 		"P", "OST /a HTTP/1.1\r\nContent-Le", "ngth: 1\r\n\r", "\n", "a", "\r\n",
 		"GET /b HTTP/1.1\r\n\r\nG", "ET /c HTTP/1.1\r\n\r\n",
 	} {
-		s.feed([]byte(part), time.Duration(i+1))
+		s.Feed([]byte(part), time.Duration(i+1))
 	}
 	var got []time.Duration
 	for _, h := range s.heads {
-		got = append(got, h.firstByte)
+		got = append(got, h.FirstByte)
 	}
 	if want := []time.Duration{1, 7, 7}; !slices.Equal(got, want) || s.err != nil {
 		t.Errorf("first bytes at %v, %v; want %v", got, s.err, want)
 	}
-	if s.line != nil || s.midRequest() {
+	if s.line != nil || s.MidRequest() {
 		t.Errorf("an idle connection holds %d bytes", cap(s.line))
 	}
 }
--- a/internal/node/upstreamresponse.go
+++ b/internal/node/upstreamresponse.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// maxBody is the longest body of a request or a response, in bytes.
-	maxBody = 64 << 10
+	// MaxBodyBytes is the longest body of a request or a response, in bytes.
+	MaxBodyBytes = 64 << 10
 	// maxResponseOverhead limits everything in a response besides its body, in bytes: the head, the interim
 	// responses before it and the framing of chunks.
 	maxResponseOverhead = 16 << 10
@@ -33,7 +33,7 @@
 const (
 	framedByLength bodyFraming = iota // a Content-Length, or the last chunk
 	framedByClose                     // the end of the connection: a FIN; a reset does not count
-	framingTooLong                    // a Content-Length beyond maxBody
+	framingTooLong                    // a Content-Length beyond MaxBodyBytes
 )
 
 func (f bodyFraming) String() string {
@@ -50,7 +50,7 @@
 
 func framingOf(resp *http.Response) bodyFraming {
 	switch {
-	case resp.ContentLength > maxBody:
+	case resp.ContentLength > MaxBodyBytes:
 		return framingTooLong
 	case resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0:
 		return framedByLength
@@ -133,11 +133,11 @@
 	}
 }
 
-// readBody reads a body to its end, and fails if it has more than maxBody bytes.
+// readBody reads a body to its end, and fails if it has more than MaxBodyBytes bytes.
 func readBody(limited *http1.LimitedReader, resp *http.Response) ([]byte, error) {
-	limited.Remaining += maxBody + 1
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBody+1))
-	if err == nil && len(body) > maxBody {
+	limited.Remaining += MaxBodyBytes + 1
+	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxBodyBytes+1))
+	if err == nil && len(body) > MaxBodyBytes {
 		err = http1.ErrTooLong
 	}
 	return body, err
