--- a/internal/node/requestheadscanner.go
+++ b/internal/http1/head.go
@@ -1,4 +1,4 @@
-package node
+package http1
 
 import (
 	"bytes"
--- a/internal/http1/limitedreader.go
+++ b/internal/http1/limitedreader.go
@@ -1,5 +1,9 @@
-// Package http1 has what the node adds to net/http where messages of HTTP/1.1 are read. It knows no sockets and starts
-// no goroutine.
+// Package http1 has what the node adds to net/http where messages of HTTP/1.1 are read: a scanner that follows the
+// framing of the requests on a connection, a reader that limits the length of a response, and the limits on both
+// sides' messages. Package downstream feeds the scanner and package upstream reads responses through the reader.
+//
+// The package does no I/O of its own, starts no goroutine and has no lock: a scanner or reader is used by one
+// goroutine at a time, which its owner sees to.
 package http1
 
 import (
--- a/internal/node/requestscanner.go
+++ b/internal/http1/scanner.go
@@ -1,4 +1,4 @@
-package node
+package http1
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	maxChunkLine      = 4 << 10                // bytes of a chunk's size and extensions, as in net/http
 	maxTrailers       = 4 << 10                // bytes of all trailers of a request, as in net/http
 	maxChunkDigits    = 16                     // hexadecimal digits of a chunk's size, as in net/http
-	maxPipelinedHeads = 2048                   // more than the valid requests that fit in readAheadPerConn bytes
+	maxPipelinedHeads = 2048                   // more than the valid requests that fit in MaxHeaderBytes + MaxBodyBytes
 	maxBlankBytes     = 4                      // bytes of CR and LF that net/http skips after a POST
 )
 
@@ -58,8 +58,8 @@
 // rejects is answered with an error that closes the connection, so that no request can be smuggled in the body
 // of another. After an error it scans no more.
 //
-// It buffers one line at most, and a RequestHead for each pipelined request. requestheadscanner.go parses the
-// lines of heads, requestbodyscanner.go those of bodies.
+// It buffers one line at most, and a RequestHead for each pipelined request. head.go parses the
+// lines of heads, body.go those of bodies.
 type RequestScanner struct {
 	state        scanState
 	line         []byte // the current line so far
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -14,6 +14,7 @@
 
 	"basaltdrum/balancer"
 	"basaltdrum/internal/endpointlist"
+	"basaltdrum/internal/http1"
 	"basaltdrum/internal/socketpeek"
 	"basaltdrum/internal/testutil"
 )
@@ -279,7 +280,7 @@
 
 // However few bytes a read or write moves, requests and responses arrive complete and unchanged.
 func TestShortReadsAndWritesLoseNothing(t *testing.T) {
-	long := strings.Repeat("\x00\r\n0\r\n", MaxBodyBytes/8)
+	long := strings.Repeat("\x00\r\n0\r\n", http1.MaxBodyBytes/8)
 	for name, head := range map[string]string{
 		"length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(long)), "close": "HTTP/1.1 200 OK\r\n\r\n",
 	} {
--- a/internal/node/downstreamconn.go
+++ b/internal/node/downstreamconn.go
@@ -10,11 +10,12 @@
 	"sync"
 	"time"
 
+	"basaltdrum/internal/http1"
 	"basaltdrum/internal/socketpeek"
 )
 
 // downstreamConn is a connection from a client. It sits between net/http and the socket, and adds four
-// things: the framing of the requests (RequestScanner), the watch for the client's departure while a request
+// things: the framing of the requests (http1.RequestScanner), the watch for the client's departure while a request
 // is open (departure.go), a read timeout for each request, and eviction without the loss of a request.
 //
 // Eviction does not close the connection. net/http reads the first bytes of a request some time before it
@@ -38,7 +39,7 @@
 	caughtUp          chan struct{} // closed once the departure watch has read all that had arrived
 	watchEnded        chan struct{} // closed once the departure watch has ended
 	departureChanged  chan struct{} // receives a value when departed changes
-	requests          RequestScanner
+	requests          http1.RequestScanner
 	readTimeout       time.Duration // for reading the rest of a request that has begun; 0: no limit
 	requestDeadline   time.Time     // when readTimeout expires; zero while no request is being read
 
@@ -88,7 +89,7 @@
 
 // takeHead returns the scanner's head of the request that net/http has just read the head of, or the error
 // in its framing.
-func (c *downstreamConn) takeHead(r *http.Request) (RequestHead, error) {
+func (c *downstreamConn) takeHead(r *http.Request) (http1.RequestHead, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requests.TakeHead(r)
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -8,17 +8,15 @@
 	"sync/atomic"
 	"time"
 
+	"basaltdrum/internal/http1"
 	"basaltdrum/internal/monotime"
 )
 
-// Limits on the time that a client may take, and on a request's head.
+// Limits on the time that a client may take.
 const (
 	readTimeout  = 2500 * time.Millisecond // for reading a request, from its first bytes or the connection's start
 	idleTimeout  = 4 * time.Second         // after which an idle connection is closed
 	writeTimeout = 5 * time.Second         // for writing a response
-
-	// MaxHeaderBytes is the longest head of a request, in bytes; net/http allows some more.
-	MaxHeaderBytes = 16 << 10
 )
 
 // frontend is the HTTP server for clients. It reads and checks requests, passes them to the loop, and writes
@@ -43,7 +41,7 @@
 		Handler:                      f,
 		ReadTimeout:                  readTimeout,
 		IdleTimeout:                  idleTimeout,
-		MaxHeaderBytes:               MaxHeaderBytes,
+		MaxHeaderBytes:               http1.MaxHeaderBytes,
 		DisableGeneralOptionsHandler: true,
 		ConnState:                    conns.connStateChanged,
 		ConnContext:                  withConn,
@@ -133,7 +131,7 @@
 
 // readRequest reads a complete request and checks what the node and the servers rely on; nothing has been
 // forwarded of a request that is invalid. The client's deadline counts from the request's first byte.
-func (f *frontend) readRequest(r *http.Request, conn *downstreamConn, head RequestHead) (*request, error) {
+func (f *frontend) readRequest(r *http.Request, conn *downstreamConn, head http1.RequestHead) (*request, error) {
 	c := &request{
 		method: r.Method, target: r.RequestURI, id: r.Header.Get("X-Request-Id"),
 		key: r.Header.Get("Idempotency-Key"), contentType: r.Header.Get("Content-Type"),
@@ -156,10 +154,10 @@
 		return nil
 	}
 	var err error
-	c.body, err = io.ReadAll(io.LimitReader(r.Body, MaxBodyBytes+1))
+	c.body, err = io.ReadAll(io.LimitReader(r.Body, http1.MaxBodyBytes+1))
 	framing := conn.bodyError()
 	switch {
-	case len(c.body) > MaxBodyBytes:
+	case len(c.body) > http1.MaxBodyBytes:
 		return errBodyTooLong
 	case framing != nil:
 		return framing
--- a/internal/node/requestvalidation.go
+++ b/internal/node/requestvalidation.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/http1"
 )
 
 const (
@@ -31,7 +32,7 @@
 
 func (e *requestError) Error() string { return e.reason }
 
-// Errors of requests whose framing is sound (see FramingError) and which are invalid nevertheless.
+// Errors of requests whose framing is sound (see http1.FramingError) and which are invalid nevertheless.
 var (
 	errMethodNotServed   = &requestError{status: http.StatusMethodNotAllowed, reason: "only GET and POST are served"}
 	errMethodOfClass     = &requestError{status: http.StatusMethodNotAllowed, reason: "the class is not asked for by this method"}
@@ -109,7 +110,7 @@
 		return err
 	case wait > maxDeadlineFactor*rules.classes[c.class].Deadline:
 		return errDeadlineOfClass
-	case r.ContentLength > MaxBodyBytes:
+	case r.ContentLength > http1.MaxBodyBytes:
 		return errBodyTooLong
 	case r.ContentLength > 0 && c.method == http.MethodGet:
 		return errBodyOfGet
--- a/internal/node/response_test.go
+++ b/internal/node/response_test.go
@@ -13,6 +13,7 @@
 	"unsafe"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/http1"
 	"basaltdrum/internal/socketpeek"
 	"basaltdrum/internal/testutil"
 )
@@ -42,7 +43,7 @@
 		{"cut head", "200 OK\r\nContent-Le", balancer.ConnectionLost, false},
 		{"cut body", "200 OK\r\nContent-Length: 9\r\n\r\nok", balancer.ConnectionLost, false},
 		{"cut chunks", "200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", balancer.ConnectionLost, false},
-		{"too long", fmt.Sprintf("200 OK\r\nContent-Length: %d\r\n\r\n%s", MaxBodyBytes+1, strings.Repeat("x", MaxBodyBytes+1)), balancer.ConnectionLost, false},
+		{"too long", fmt.Sprintf("200 OK\r\nContent-Length: %d\r\n\r\n%s", http1.MaxBodyBytes+1, strings.Repeat("x", http1.MaxBodyBytes+1)), balancer.ConnectionLost, false},
 		{"said to be too long", "200 OK\r\nContent-Length: 3000000000\r\n\r\nand so on", balancer.ConnectionLost, false},
 		{"an error said to be too long", "500 Internal Server Error\r\nContent-Length: 3000000000\r\n\r\nand so on", balancer.ServerError, false},
 		{"a head too long", "200 OK\r\n" + strings.Repeat("X-Pad: pppp\r\n", maxResponseOverhead/10), balancer.ConnectionLost, false},
@@ -90,7 +91,7 @@
 // node's own close and a body that is too long do not. Its connection is never reused.
 func TestResponsesWithoutALength(t *testing.T) {
 	const plain, old = "HTTP/1.1 200 OK\r\n\r\nok", "HTTP/1.0 200 OK\r\n\r\nok"
-	longest := strings.Repeat("x", MaxBodyBytes)
+	longest := strings.Repeat("x", http1.MaxBodyBytes)
 	head := "HTTP/1.1 200 OK\r\nX-Pad: " + strings.Repeat("p", maxResponseOverhead-28) + "\r\n\r\n"
 	if len(head) != maxResponseOverhead {
 		t.Fatalf("the longest head has %d bytes, want %d", len(head), maxResponseOverhead)
@@ -120,7 +121,7 @@
 		{"reset", plain, "reset", balancer.ConnectionLost, ""},
 		{"reset, HTTP/1.0", old, "reset", balancer.ConnectionLost, ""},
 		{"reset, no body", "HTTP/1.1 200 OK\r\n\r\n", "reset", balancer.ConnectionLost, ""},
-		{"without end", strings.Repeat(plain, MaxBodyBytes/len("ok")), "open", balancer.ConnectionLost, ""},
+		{"without end", strings.Repeat(plain, http1.MaxBodyBytes/len("ok")), "open", balancer.ConnectionLost, ""},
 		{"open until the time is over", plain, "time-out", balancer.TimedOut, ""},
 		{"open until it is called off", plain, "cancel", balancer.Cancelled, ""},
 	} {
--- a/internal/node/upstreamresponse.go
+++ b/internal/node/upstreamresponse.go
@@ -12,13 +12,9 @@
 	"basaltdrum/internal/http1"
 )
 
-const (
-	// MaxBodyBytes is the longest body of a request or a response, in bytes.
-	MaxBodyBytes = 64 << 10
-	// maxResponseOverhead limits everything in a response besides its body, in bytes: the head, the interim
-	// responses before it and the framing of chunks.
-	maxResponseOverhead = 16 << 10
-)
+// maxResponseOverhead limits everything in a response besides its body, in bytes: the head, the interim
+// responses before it and the framing of chunks.
+const maxResponseOverhead = 16 << 10
 
 var (
 	// errIncompleteResponse reports a response that is not complete, or that cannot be known to be.
@@ -33,7 +29,7 @@
 const (
 	framedByLength bodyFraming = iota // a Content-Length, or the last chunk
 	framedByClose                     // the end of the connection: a FIN; a reset does not count
-	framingTooLong                    // a Content-Length beyond MaxBodyBytes
+	framingTooLong                    // a Content-Length beyond http1.MaxBodyBytes
 )
 
 func (f bodyFraming) String() string {
@@ -50,7 +46,7 @@
 
 func framingOf(resp *http.Response) bodyFraming {
 	switch {
-	case resp.ContentLength > MaxBodyBytes:
+	case resp.ContentLength > http1.MaxBodyBytes:
 		return framingTooLong
 	case resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0:
 		return framedByLength
@@ -133,11 +129,11 @@
 	}
 }
 
-// readBody reads a body to its end, and fails if it has more than MaxBodyBytes bytes.
+// readBody reads a body to its end, and fails if it has more than http1.MaxBodyBytes bytes.
 func readBody(limited *http1.LimitedReader, resp *http.Response) ([]byte, error) {
-	limited.Remaining += MaxBodyBytes + 1
-	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxBodyBytes+1))
-	if err == nil && len(body) > MaxBodyBytes {
+	limited.Remaining += http1.MaxBodyBytes + 1
+	body, err := io.ReadAll(io.LimitReader(resp.Body, http1.MaxBodyBytes+1))
+	if err == nil && len(body) > http1.MaxBodyBytes {
 		err = http1.ErrTooLong
 	}
 	return body, err
