--- a/internal/node/brokenconn_test.go
+++ b/internal/node/brokenconn_test.go
@@ -71,7 +71,7 @@
 	}
 	seen := map[string]int{"other": 1}
 	if where == "dial" {
-		testutil.Until(t, "the node to notice", func() bool { return n.frontend.conns.count() == 0 })
+		testutil.Until(t, "the node to notice", func() bool { return n.frontend.conns.Count() == 0 })
 		close(dials.release)
 	} else {
 		testutil.Wait(t, calledOff, "the end of the attempt")
--- a/internal/node/connstates_test.go
+++ b/internal/node/connstates_test.go
@@ -6,17 +6,17 @@
 // its type and number.
 func TestPhasesAndDeparturesPrintTheirNames(t *testing.T) {
 	for want, value := range map[string]interface{ String() string }{
-		"new":           phaseNew,
-		"reading":       phaseReading,
-		"active":        phaseActive,
-		"idle":          phaseIdle,
-		"lingering":     phaseLingering,
-		"connPhase(5)":  phaseLingering + 1,
-		"present":       present,
-		"unobservable":  unobservable,
-		"half-closed":   halfClosed,
-		"disconnected":  disconnected,
-		"departure(-1)": departure(-1),
+		"new":           PhaseNew,
+		"reading":       PhaseReading,
+		"active":        PhaseActive,
+		"idle":          PhaseIdle,
+		"lingering":     PhaseLingering,
+		"Phase(5)":      PhaseLingering + 1,
+		"present":       Present,
+		"unobservable":  Unobservable,
+		"half-closed":   HalfClosed,
+		"disconnected":  Disconnected,
+		"Departure(-1)": Departure(-1),
 	} {
 		if got := value.String(); got != want {
 			t.Errorf("got %q, want %q", got, want)
--- a/internal/node/departure.go
+++ b/internal/node/departure.go
@@ -10,30 +10,30 @@
 	"basaltdrum/internal/socketpeek"
 )
 
-// departure is what the node knows about a client's leaving while its request is open. It only ever
+// Departure is what the node knows about a client's leaving while its request is open. It only ever
 // increases during a request: of two observations, the greater holds.
-type departure int
+type Departure int
 
 const (
-	present      departure = iota // nothing was seen of a departure
-	unobservable                  // the read-ahead buffer is full, so that a close behind it could not be seen
-	halfClosed                    // a FIN was received; the client may still read the response
-	disconnected                  // the connection was reset or has failed
+	Present      Departure = iota // nothing was seen of a departure
+	Unobservable                  // the read-ahead buffer is full, so that a close behind it could not be seen
+	HalfClosed                    // a FIN was received; the client may still read the response
+	Disconnected                  // the connection was reset or has failed
 )
 
 // String returns the departure's name for logs and test failures.
-func (d departure) String() string {
+func (d Departure) String() string {
 	switch d {
-	case present:
+	case Present:
 		return "present"
-	case unobservable:
+	case Unobservable:
 		return "unobservable"
-	case halfClosed:
+	case HalfClosed:
 		return "half-closed"
-	case disconnected:
+	case Disconnected:
 		return "disconnected"
 	}
-	return fmt.Sprintf("departure(%d)", int(d))
+	return fmt.Sprintf("Departure(%d)", int(d))
 }
 
 // errReadAheadFull ends the departure watch when the client has pipelined more than may be buffered.
@@ -66,7 +66,7 @@
 		}
 		buffer := c.readAheadBuffer()
 		if buffer == nil {
-			c.noteDeparture(unobservable)
+			c.noteDeparture(Unobservable)
 			return errReadAheadFull
 		}
 		n, err := c.Conn.Read(buffer)
@@ -116,7 +116,7 @@
 		return err != nil
 	})
 	if err == nil {
-		c.noteDeparture(disconnected)
+		c.noteDeparture(Disconnected)
 		err = socketErr
 	}
 	return err
@@ -131,22 +131,22 @@
 	}
 }
 
-// awaitCaughtUp waits until the watch has read everything that had arrived, and returns the departure known
+// AwaitCaughtUp waits until the watch has read everything that had arrived, and returns the departure known
 // then.
-func (c *downstreamConn) awaitCaughtUp() departure {
+func (c *downstreamConn) AwaitCaughtUp() Departure {
 	c.mu.Lock()
 	caughtUp := c.caughtUp
 	c.mu.Unlock()
 	<-caughtUp
-	return c.departure()
+	return c.Departure()
 }
 
-// endWatch ends the watch of an open request, which must have begun (see awaitCaughtUp); bytes that arrive
+// EndWatch ends the watch of an open request, which must have begun (see AwaitCaughtUp); bytes that arrive
 // from now on stay unread. It reports whether another request, or a part of one, was read behind this one.
-func (c *downstreamConn) endWatch() (another bool) {
+func (c *downstreamConn) EndWatch() (another bool) {
 	c.Conn.SetReadDeadline(pastDeadline)
 	<-c.watchEnded
-	return c.pipelinedBehindBody()
+	return c.PipelinedBehindBody()
 }
 
 // noteRead notes what the result of a read says about the client. Of the timeouts only
@@ -159,14 +159,14 @@
 		c.noteBytes()
 		c.mu.Unlock()
 	case errors.Is(err, io.EOF):
-		c.noteDeparture(halfClosed)
+		c.noteDeparture(HalfClosed)
 	case err != nil && !errors.Is(err, os.ErrDeadlineExceeded):
-		c.noteDeparture(disconnected)
+		c.noteDeparture(Disconnected)
 	}
 }
 
 // noteDeparture records an observation. If it exceeds what was known, the handler of the open request is notified.
-func (c *downstreamConn) noteDeparture(observed departure) {
+func (c *downstreamConn) noteDeparture(observed Departure) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if observed <= c.departed {
@@ -179,7 +179,7 @@
 	}
 }
 
-func (c *downstreamConn) departure() departure {
+func (c *downstreamConn) Departure() Departure {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.departed
--- a/internal/node/departure_test.go
+++ b/internal/node/departure_test.go
@@ -98,7 +98,7 @@
 		c.Conn.(*net.TCPConn).SetLinger(0)
 	}
 	c.Close()
-	testutil.Until(t, "the node to notice", func() bool { return n.frontend.conns.count() == 0 })
+	testutil.Until(t, "the node to notice", func() bool { return n.frontend.conns.Count() == 0 })
 	if held {
 		n.loop.post(listReceived{listOf(t, true, testutil.ListEntry("s1", s.Address(), "in_service"))})
 	} else {
@@ -111,7 +111,7 @@
 // begins for its request or for what it pipelined, wherever the request is at that moment.
 func TestNothingBeginsForAClientThatPipelinedAndLeft(t *testing.T) {
 	for _, where := range []string{"held", "dial", "retry", "busy loop", "in flight"} {
-		for _, ahead := range []int{0, 100, 3000, 8192, 20000, 60000, 2 * readAheadPerConn} {
+		for _, ahead := range []int{0, 100, 3000, 8192, 20000, 60000, 2 * ReadAheadPerConn} {
 			for _, how := range []string{"close", "reset", "break"} {
 				for _, mayCancel := range []bool{true, false} {
 					t.Run(fmt.Sprint(where, " ", ahead, " ", how, " mayCancel=", mayCancel), func(t *testing.T) {
@@ -157,11 +157,11 @@
 	c := dial(t, d.node)
 	d.begin(t, c)
 	text := testutil.PipelinedText(d.ahead)
-	if d.ahead > readAheadPerConn && d.where != "busy loop" {
+	if d.ahead > ReadAheadPerConn && d.where != "busy loop" {
 		text = strings.Repeat("x", d.ahead) // they are answered while the client is connected: no requests, then
 	}
 	io.WriteString(c, text)
-	if d.ahead <= readAheadPerConn {
+	if d.ahead <= ReadAheadPerConn {
 		testutil.Until(t, "the bytes to be read", func() bool { return readAheadBytes(d.node) == d.ahead })
 	}
 	d.depart(t, c)
@@ -169,7 +169,7 @@
 		testutil.Until(t, "the departure to be queued", func() bool { return len(d.node.loop.events) >= 2 })
 		close(d.resume)
 	}
-	testutil.Until(t, "the node to notice", func() bool { return d.node.frontend.conns.count() == 0 })
+	testutil.Until(t, "the node to notice", func() bool { return d.node.frontend.conns.Count() == 0 })
 	d.proceed(t)
 	seen := map[string]int{"other": 1}
 	if d.where == "retry" || d.where == "in flight" {
@@ -337,7 +337,7 @@
 		}
 		c.Close()
 	}
-	testutil.Until(t, "the node to notice", func() bool { return n.frontend.conns.count() == 0 })
+	testutil.Until(t, "the node to notice", func() bool { return n.frontend.conns.Count() == 0 })
 	close(through)
 	checkNothingForwarded(t, n, s, map[string]int{"other": 1})
 }
@@ -371,7 +371,7 @@
 	}
 	close(looks.release)
 	other.Expect(t, 200, "for other")
-	testutil.Until(t, "the node to notice", func() bool { return n.frontend.conns.count() == 2 })
+	testutil.Until(t, "the node to notice", func() bool { return n.frontend.conns.Count() == 2 })
 	if s.Received() != 21 {
 		t.Errorf("%d requests began, want 21", s.Received())
 	}
--- a/internal/node/descriptorbudget.go
+++ b/internal/node/descriptorbudget.go
@@ -13,18 +13,18 @@
 	"basaltdrum/internal/monotime"
 )
 
-// gracePeriods are how long a connection without an open request is exempt from eviction, for each of the
+// GracePeriods are how long a connection without an open request is exempt from eviction, for each of the
 // states that it may be in.
-type gracePeriods struct{ lingering, newConn, partialRequest, idle time.Duration }
+type GracePeriods struct{ lingering, newConn, partialRequest, idle time.Duration }
 
 // pressureDivisor shortens the grace periods while descriptors are about to run out.
 const pressureDivisor = 5
 
-// defaultGracePeriods follow from how well-behaved clients use a connection: they send a request as soon as
+// DefaultGracePeriods follow from how well-behaved clients use a connection: they send a request as soon as
 // they have connected, and in one piece. A connection that has just become idle may already have its next
 // request on the way.
-func defaultGracePeriods() gracePeriods {
-	return gracePeriods{
+func DefaultGracePeriods() GracePeriods {
+	return GracePeriods{
 		lingering: 50 * time.Millisecond, newConn: 100 * time.Millisecond, partialRequest: time.Second,
 		idle: 500 * time.Millisecond,
 	}
@@ -47,7 +47,7 @@
 	conns        map[*downstreamConn]struct{}
 	evicting     int // connections that are being evicted and not closed yet
 	active       int // connections with an open request
-	gracePeriods gracePeriods
+	gracePeriods GracePeriods
 	counts       downstreamCounts
 }
 
@@ -56,37 +56,37 @@
 
 // connActivity is what a connection is doing, and since when.
 type connActivity struct {
-	phase   connPhase
+	phase   Phase
 	since   time.Duration
 	evicted bool // being evicted, and counted in downstreamConns.evicting
 }
 
-// connPhase is the phase of a connection's life cycle, from the first request to the close.
-type connPhase int
+// Phase is the phase of a connection's life cycle, from the first request to the close.
+type Phase int
 
 const (
-	phaseNew       connPhase = iota // no request has been read yet
-	phaseReading                    // a request's head is read, its body may not be
-	phaseActive                     // a request is open: it waits for its response
-	phaseIdle                       // the response is written, and no other request has begun
-	phaseLingering                  // the last response is written; what still arrives is discarded
+	PhaseNew       Phase = iota // no request has been read yet
+	PhaseReading                // a request's head is read, its body may not be
+	PhaseActive                 // a request is open: it waits for its response
+	PhaseIdle                   // the response is written, and no other request has begun
+	PhaseLingering              // the last response is written; what still arrives is discarded
 )
 
 // String returns the phase's name for logs and errors.
-func (p connPhase) String() string {
+func (p Phase) String() string {
 	switch p {
-	case phaseNew:
+	case PhaseNew:
 		return "new"
-	case phaseReading:
+	case PhaseReading:
 		return "reading"
-	case phaseActive:
+	case PhaseActive:
 		return "active"
-	case phaseIdle:
+	case PhaseIdle:
 		return "idle"
-	case phaseLingering:
+	case PhaseLingering:
 		return "lingering"
 	}
-	return fmt.Sprintf("connPhase(%d)", int(p))
+	return fmt.Sprintf("Phase(%d)", int(p))
 }
 
 // newDownstreamConns takes the numbers of descriptors as downstreamConns documents them, and the node's
@@ -95,13 +95,13 @@
 	return &downstreamConns{
 		clock: c, capacity: capacity, upstreamReserve: capacity / 4, upstreamCount: upstreamCount,
 		rejectReserve: rejectReserve, readAheadLimit: memory / readAheadMemoryShare,
-		conns: map[*downstreamConn]struct{}{}, gracePeriods: defaultGracePeriods(),
+		conns: map[*downstreamConn]struct{}{}, gracePeriods: DefaultGracePeriods(),
 	}
 }
 
-// connStateChanged is the ConnState hook of the http.Server. Each change is an occasion to evict, as it may
+// ConnStateChanged is the ConnState hook of the http.Server. Each change is an occasion to evict, as it may
 // have added a connection or made one evictable.
-func (s *downstreamConns) connStateChanged(nc net.Conn, state http.ConnState) {
+func (s *downstreamConns) ConnStateChanged(nc net.Conn, state http.ConnState) {
 	c := nc.(*downstreamConn)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,14 +109,14 @@
 	case http.StateNew:
 		s.counts.Accepted++
 		s.conns[c] = struct{}{}
-		s.setPhase(c, phaseNew)
+		s.setPhase(c, PhaseNew)
 	case http.StateActive:
 		c.beginRequest()
-		s.setPhase(c, phaseReading)
+		s.setPhase(c, PhaseReading)
 	case http.StateIdle:
-		s.setPhase(c, phaseIdle)
+		s.setPhase(c, PhaseIdle)
 	default:
-		s.setPhase(c, phaseLingering)
+		s.setPhase(c, PhaseLingering)
 		delete(s.conns, c)
 		c.mu.Lock()
 		c.releaseReadAhead()
@@ -134,14 +134,14 @@
 }
 
 // setPhase notes what a connection does from now on, which ends an eviction that was begun. s.mu is held.
-func (s *downstreamConns) setPhase(c *downstreamConn, p connPhase) {
+func (s *downstreamConns) setPhase(c *downstreamConn, p Phase) {
 	if c.evicted {
 		s.evicting--
 	}
-	if c.phase == phaseActive {
+	if c.phase == PhaseActive {
 		s.active--
 	}
-	if p == phaseActive {
+	if p == PhaseActive {
 		s.active++
 	}
 	c.connActivity = connActivity{phase: p, since: s.clock.Now()}
@@ -152,18 +152,18 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, known := s.conns[c]; known {
-		s.setPhase(c, phaseLingering)
+		s.setPhase(c, PhaseLingering)
 	}
 }
 
-// admitRequest notes that a connection's request is open, and reports whether it may go to the decision
+// AdmitRequest notes that a connection's request is open, and reports whether it may go to the decision
 // module. It may not if open requests hold more than half of the capacity. An excess of connections is no
 // reason to reject: silent clients must not cost a well-behaved one its response. If this connection was
 // being evicted, another is evicted in its place.
-func (s *downstreamConns) admitRequest(c *downstreamConn) bool {
+func (s *downstreamConns) AdmitRequest(c *downstreamConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.setPhase(c, phaseActive)
+	s.setPhase(c, PhaseActive)
 	s.evictExcess()
 	if s.active > s.capacity/2 {
 		s.counts.Rejected++
@@ -181,21 +181,21 @@
 // excess is how many connections there are beyond the limit, not counting those being evicted. s.mu is held.
 func (s *downstreamConns) excess() int { return len(s.conns) - s.evicting - s.limit() }
 
-func (s *downstreamConns) overLimit() bool {
+func (s *downstreamConns) OverLimit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.excess() > 0
 }
 
-// upstreamAllowance is how many descriptors downstream connections leave for upstream ones.
-func (s *downstreamConns) upstreamAllowance() int {
+// UpstreamAllowance is how many descriptors downstream connections leave for upstream ones.
+func (s *downstreamConns) UpstreamAllowance() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.capacity + s.rejectReserve - len(s.conns)
 }
 
 // atHardLimit reports whether one more connection would take a descriptor that is reserved for others. Such a
-// connection is closed without reaching net/http and so without a call of connStateChanged, which is why
+// connection is closed without reaching net/http and so without a call of ConnStateChanged, which is why
 // others are evicted here, for the next one.
 func (s *downstreamConns) atHardLimit() bool {
 	s.mu.Lock()
@@ -239,15 +239,15 @@
 	if s.excess() > s.rejectReserve/2 {
 		age *= pressureDivisor
 	}
-	partial := c.phase == phaseReading || c.phase != phaseActive && c.hasRequestBytes()
+	partial := c.phase == PhaseReading || c.phase != PhaseActive && c.hasRequestBytes()
 	switch {
-	case c.phase == phaseLingering && age >= s.gracePeriods.lingering:
+	case c.phase == PhaseLingering && age >= s.gracePeriods.lingering:
 		return 1
 	case partial && age >= s.gracePeriods.partialRequest:
 		return 2
-	case c.phase == phaseNew && !partial && age >= s.gracePeriods.newConn:
+	case c.phase == PhaseNew && !partial && age >= s.gracePeriods.newConn:
 		return 3
-	case c.phase == phaseIdle && !partial && age >= s.gracePeriods.idle:
+	case c.phase == PhaseIdle && !partial && age >= s.gracePeriods.idle:
 		return 4
 	}
 	return 0
@@ -261,9 +261,9 @@
 	}
 	evicting := true
 	switch {
-	case c.phase == phaseLingering:
+	case c.phase == PhaseLingering:
 		c.Close()
-	case c.phase == phaseReading || c.phase == phaseNew && c.hasRequestBytes():
+	case c.phase == PhaseReading || c.phase == PhaseNew && c.hasRequestBytes():
 		evicting = c.abortRead()
 	default:
 		evicting = c.evictIfQuiet()
@@ -275,41 +275,41 @@
 	}
 }
 
-// evictQuiet evicts idle connections and those on which nothing has arrived for a while; a client that has
+// EvictQuiet evicts idle connections and those on which nothing has arrived for a while; a client that has
 // just connected has its request on the way. It returns how many connections of all kinds are left.
-func (s *downstreamConns) evictQuiet() int {
+func (s *downstreamConns) EvictQuiet() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
 	for c := range s.conns {
-		silent := c.phase == phaseNew && !c.hasRequestBytes() && now-c.since >= s.gracePeriods.newConn
-		if c.phase == phaseIdle || silent {
+		silent := c.phase == PhaseNew && !c.hasRequestBytes() && now-c.since >= s.gracePeriods.newConn
+		if c.phase == PhaseIdle || silent {
 			s.evict(c)
 		}
 	}
 	return len(s.conns)
 }
 
-// count is how many connections there are.
-func (s *downstreamConns) count() int {
+// Count is how many connections there are.
+func (s *downstreamConns) Count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// phaseCounts is how many connections are in each phase, for the log.
-func (s *downstreamConns) phaseCounts() map[connPhase]int {
+// PhaseCounts is how many connections are in each phase, for the log.
+func (s *downstreamConns) PhaseCounts() map[Phase]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	counts := map[connPhase]int{}
+	counts := map[Phase]int{}
 	for c := range s.conns {
 		counts[c.phase]++
 	}
 	return counts
 }
 
-// takeCounts returns what happened to connections since the last call, and how many there are.
-func (s *downstreamConns) takeCounts() (counts downstreamCounts, conns int) {
+// TakeCounts returns what happened to connections since the last call, and how many there are.
+func (s *downstreamConns) TakeCounts() (counts downstreamCounts, conns int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	counts, s.counts = s.counts, downstreamCounts{}
--- a/internal/node/descriptorbudget_test.go
+++ b/internal/node/descriptorbudget_test.go
@@ -66,32 +66,32 @@
 	a, peer := downstreamPair(t, f, 0)
 	b, _ := downstreamPair(t, f, 0)
 	say(peer, a) // a request
-	f.connStateChanged(a, http.StateNew)
-	f.connStateChanged(a, http.StateActive)
+	f.ConnStateChanged(a, http.StateNew)
+	f.ConnStateChanged(a, http.StateActive)
 	say(a, peer) // its answer
 	say(peer, a) // the next request's first byte
-	f.connStateChanged(a, http.StateIdle)
-	f.connStateChanged(b, http.StateNew) // one too many
-	if a.evicted || !f.overLimit() {
+	f.ConnStateChanged(a, http.StateIdle)
+	f.ConnStateChanged(b, http.StateNew) // one too many
+	if a.evicted || !f.OverLimit() {
 		t.Fatal("a connection with a request on it was evicted")
 	}
 	say(peer, a)
 	say(a, peer)
 	f.gracePeriods.idle = testutil.Limit
-	f.connStateChanged(a, http.StateIdle)
-	if a.evicted || !f.overLimit() {
+	f.ConnStateChanged(a, http.StateIdle)
+	if a.evicted || !f.OverLimit() {
 		t.Fatal("a connection idle for a moment only was evicted")
 	}
 	f.gracePeriods.idle = 0
-	f.connStateChanged(b, http.StateActive)
-	if !a.evicted || f.overLimit() {
+	f.ConnStateChanged(b, http.StateActive)
+	if !a.evicted || f.OverLimit() {
 		t.Fatal("the idle connection was not evicted")
 	}
 	a.SetReadDeadline(time.Time{}) // net/http does, after it has said that it is idle
 	if _, err := a.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the wait goes on: %v", err)
 	}
-	f.connStateChanged(a, http.StateClosed)
+	f.ConnStateChanged(a, http.StateClosed)
 	if f.evicting != 0 || len(f.conns) != 1 {
 		t.Errorf("%d leaving of %d", f.evicting, len(f.conns))
 	}
@@ -101,18 +101,18 @@
 func TestEvictionSparesUnreadBytes(t *testing.T) {
 	f := newDownstreamConns(monotime.New(), 2, 10, 16<<20, func() int { return 1 })
 	c, theirs := downstreamPair(t, f, 0)
-	f.connStateChanged(c, http.StateNew)
-	f.connStateChanged(c, http.StateIdle)
+	f.ConnStateChanged(c, http.StateNew)
+	f.ConnStateChanged(c, http.StateIdle)
 	io.WriteString(theirs, "GET")
 	testutil.Until(t, "the bytes to arrive", func() bool { return socketpeek.HasUnreadOrClosed(c.Conn) })
-	if f.evictQuiet(); c.evicted {
+	if f.EvictQuiet(); c.evicted {
 		t.Error("evicted with a request on it")
 	}
 	if text := make([]byte, 3); !readsAll(c, text) || string(text) != "GET" {
 		t.Errorf("read %q", text)
 	}
 	c.Write([]byte("answer"))
-	if f.evictQuiet(); !c.evicted {
+	if f.EvictQuiet(); !c.evicted {
 		t.Error("not evicted once it is answered")
 	}
 }
@@ -129,16 +129,16 @@
 	}
 	io.WriteString(theirs, " /v")
 	testutil.Until(t, "the rest to arrive", func() bool { return socketpeek.HasUnreadOrClosed(c.Conn) })
-	f.connStateChanged(c, http.StateNew) // one too many
+	f.ConnStateChanged(c, http.StateNew) // one too many
 	other, _ := net.Pipe()
-	f.connStateChanged(&downstreamConn{Conn: other, conns: f}, http.StateNew)
+	f.ConnStateChanged(&downstreamConn{Conn: other, conns: f}, http.StateNew)
 	if c.evicted {
 		t.Error("aborted with the rest of a request unread")
 	}
 	if text := make([]byte, 3); !readsAll(c, text) || string(text) != " /v" {
 		t.Errorf("read %q", text)
 	}
-	f.connStateChanged(&downstreamConn{Conn: other, conns: f}, http.StateNew)
+	f.ConnStateChanged(&downstreamConn{Conn: other, conns: f}, http.StateNew)
 	if !c.evicted {
 		t.Error("not aborted once all is read")
 	}
@@ -208,7 +208,7 @@
 	cfg.Sockets = 256
 	n, _ := startNode(t, cfg, func(n *Node) {
 		n.frontend.server.ReadTimeout = 2 * testutil.Limit // connections end by eviction only
-		n.frontend.conns.gracePeriods = gracePeriods{idle: testutil.Limit}
+		n.frontend.conns.gracePeriods = GracePeriods{idle: testutil.Limit}
 	})
 	const body = "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: half\r\nX-Deadline: 60\r\nContent-Length: 9\r\n\r\nhal"
 	// served wants an answer, and returns the connection to go on with: the node may end this one with the answer.
@@ -289,7 +289,7 @@
 	if r, body := c.Response(t); r.StatusCode != http.StatusOK || body != "for served" || r.Close {
 		t.Fatalf("got %d %q, closing %v, want it served and the connection kept", r.StatusCode, body, r.Close)
 	}
-	testutil.Until(t, "a silent connection to go", func() bool { return n.frontend.conns.count() == fullNodeConns })
+	testutil.Until(t, "a silent connection to go", func() bool { return n.frontend.conns.Count() == fullNodeConns })
 }
 
 // fullNodeConns is how many connections startFullNode's node may hold; it holds that many silent ones.
@@ -304,16 +304,16 @@
 	n, _ := startNode(t, cfg, func(n *Node) {
 		f := n.frontend
 		f.server.ReadTimeout = 2 * testutil.Limit // reads end by eviction only
-		f.conns.gracePeriods = gracePeriods{lingering: testutil.Limit, newConn: testutil.Limit, partialRequest: testutil.Limit, idle: testutil.Limit}
+		f.conns.gracePeriods = GracePeriods{lingering: testutil.Limit, newConn: testutil.Limit, partialRequest: testutil.Limit, idle: testutil.Limit}
 		makeRoom := func() {
 			f.conns.mu.Lock()
 			defer f.conns.mu.Unlock()
-			f.conns.gracePeriods = gracePeriods{lingering: testutil.Limit, idle: testutil.Limit}
+			f.conns.gracePeriods = GracePeriods{lingering: testutil.Limit, idle: testutil.Limit}
 			f.conns.evictExcess()
 		}
 		if moment == "head read" {
 			f.server.ConnState = func(c net.Conn, state http.ConnState) {
-				if f.conns.connStateChanged(c, state); state == http.StateActive {
+				if f.conns.ConnStateChanged(c, state); state == http.StateActive {
 					makeRoom()
 				}
 			}
@@ -324,7 +324,7 @@
 				body, _ := io.ReadAll(r.Body)
 				r.Body = io.NopCloser(bytes.NewReader(body))
 			}
-			connOf(r.Context()).awaitCaughtUp()
+			FromContext(r.Context()).AwaitCaughtUp()
 			makeRoom()
 			f.ServeHTTP(w, r)
 		})
@@ -332,6 +332,6 @@
 	for range fullNodeConns {
 		dial(t, n)
 	}
-	testutil.Until(t, "the silent connections to be held", func() bool { return n.frontend.conns.count() == fullNodeConns })
+	testutil.Until(t, "the silent connections to be held", func() bool { return n.frontend.conns.Count() == fullNodeConns })
 	return n
 }
--- a/internal/node/downstreamconn.go
+++ b/internal/node/downstreamconn.go
@@ -35,7 +35,7 @@
 	requestComplete   bool      // the body of the open request is read to its end
 	readAhead         []byte    // pipelined bytes, to be read once the open request is answered
 	readAheadReserved int       // bytes reserved for readAhead
-	departed          departure
+	departed          Departure
 	caughtUp          chan struct{} // closed once the departure watch has read all that had arrived
 	watchEnded        chan struct{} // closed once the departure watch has ended
 	departureChanged  chan struct{} // receives a value when departed changes
@@ -53,12 +53,12 @@
 
 type connKey struct{}
 
-// withConn is the ConnContext of the http.Server: it makes the connection available to the handler.
-func withConn(ctx context.Context, conn net.Conn) context.Context {
+// NewContext is the ConnContext of the http.Server: it makes the connection available to the handler.
+func NewContext(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-func connOf(ctx context.Context) *downstreamConn {
+func FromContext(ctx context.Context) *downstreamConn {
 	c, _ := ctx.Value(connKey{}).(*downstreamConn)
 	return c
 }
@@ -87,23 +87,23 @@
 	c.requests.Feed(p, at)
 }
 
-// takeHead returns the scanner's head of the request that net/http has just read the head of, or the error
+// TakeHead returns the scanner's head of the request that net/http has just read the head of, or the error
 // in its framing.
-func (c *downstreamConn) takeHead(r *http.Request) (http1.RequestHead, error) {
+func (c *downstreamConn) TakeHead(r *http.Request) (http1.RequestHead, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requests.TakeHead(r)
 }
 
-// bodyError returns the error in the framing of the body that net/http has just read, or nil.
-func (c *downstreamConn) bodyError() error {
+// BodyError returns the error in the framing of the body that net/http has just read, or nil.
+func (c *downstreamConn) BodyError() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requests.BodyError()
 }
 
-// pipelinedBehindBody reports whether another request was read behind the complete body of the current one.
-func (c *downstreamConn) pipelinedBehindBody() bool {
+// PipelinedBehindBody reports whether another request was read behind the complete body of the current one.
+func (c *downstreamConn) PipelinedBehindBody() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requests.BehindBody()
@@ -131,8 +131,8 @@
 	if c.departureChanged == nil {
 		c.departureChanged = make(chan struct{}, 1)
 	}
-	if c.departed == unobservable { // the read-ahead buffer may have been emptied since
-		c.departed = present
+	if c.departed == Unobservable { // the read-ahead buffer may have been emptied since
+		c.departed = Present
 	}
 }
 
@@ -164,12 +164,12 @@
 	return c.Conn.Write(p)
 }
 
-// sendInterimResponse probes a client that has sent a FIN: if it has closed its socket, its kernel responds
+// SendInterimResponse probes a client that has sent a FIN: if it has closed its socket, its kernel responds
 // with a reset; if it has only shut down its sending side, it skips the response and waits on.
-func (c *downstreamConn) sendInterimResponse() {
+func (c *downstreamConn) SendInterimResponse() {
 	c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := io.WriteString(c, "HTTP/1.1 102 Processing\r\n\r\n"); err != nil {
-		c.noteDeparture(disconnected)
+		c.noteDeparture(Disconnected)
 	}
 }
 
--- a/internal/node/downstreamlistener.go
+++ b/internal/node/downstreamlistener.go
@@ -52,9 +52,9 @@
 // deadlineSetter is a listener whose Accept can be interrupted without closing it, as *net.TCPListener's.
 type deadlineSetter interface{ SetDeadline(time.Time) error }
 
-// drainQueue has Accept take what is in the accept queue and then close the listener. Closing it at once
+// DrainQueue has Accept take what is in the accept queue and then close the listener. Closing it at once
 // would make the kernel reset the queued connections, on which complete requests may already have arrived.
-func (l *downstreamListener) drainQueue() {
+func (l *downstreamListener) DrainQueue() {
 	l.drainOnce.Do(func() { close(l.draining) })
 	if d, ok := l.Listener.(deadlineSetter); !ok || d.SetDeadline(pastDeadline) != nil {
 		_ = l.Close() // nothing more can be done for a listener that can't be closed
@@ -73,7 +73,7 @@
 	for !isClosed(l.closed) {
 		draining := isClosed(l.draining)
 		if draining {
-			// With drainQueue's deadline in the past Accept would not look into the queue. If this fails, that
+			// With DrainQueue's deadline in the past Accept would not look into the queue. If this fails, that
 			// deadline still holds and ends the loop.
 			_ = l.Listener.(deadlineSetter).SetDeadline(time.Now().Add(emptyQueueWait))
 		}
@@ -88,7 +88,7 @@
 			return nil, net.ErrClosed
 		case errors.Is(err, os.ErrDeadlineExceeded) && draining:
 			_ = l.Close() // the loop ends either way
-		case errors.Is(err, os.ErrDeadlineExceeded): // drainQueue has interrupted the wait
+		case errors.Is(err, os.ErrDeadlineExceeded): // DrainQueue has interrupted the wait
 		default:
 			l.backOff(err, draining)
 		}
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -30,9 +30,9 @@
 	passed := func(at time.Duration) bool { return f.clock.Now()-begin >= at }
 	f.draining.Store(true)
 	monotime.Sleep(ctx, schedule.stopAccepting)
-	ln.drainQueue()
+	ln.DrainQueue()
 	defer func() { _ = ln.Close() }() // the process ends, and its listener with it
-	for ctx.Err() == nil && !passed(schedule.closeConns) && (!isClosed(served) || f.conns.count() > 0) {
+	for ctx.Err() == nil && !passed(schedule.closeConns) && (!isClosed(served) || f.conns.Count() > 0) {
 		monotime.Sleep(ctx, drainPollInterval)
 	}
 	f.closing.Store(true)
@@ -44,12 +44,12 @@
 func (f *frontend) awaitDrained(ctx context.Context, ln *downstreamListener, served <-chan struct{}, answerAll func() bool) error {
 	for notified := false; ; monotime.Sleep(ctx, drainPollInterval) {
 		accepting := !isClosed(served) // read first, so that the count below has whatever was accepted
-		left := f.conns.evictQuiet()
+		left := f.conns.EvictQuiet()
 		switch {
 		case !accepting && left == 0:
 			return nil
 		case ctx.Err() != nil:
-			return fmt.Errorf("connections are left open: %d, by phase %v: %w", left, f.conns.phaseCounts(), ctx.Err())
+			return fmt.Errorf("connections are left open: %d, by phase %v: %w", left, f.conns.PhaseCounts(), ctx.Err())
 		case !notified && answerAll():
 			_ = ln.Close() // it is still open only if every accept fails, and needs no answer
 			f.post(shutdownDeadline{})
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -142,12 +142,12 @@
 	s := n.frontend.conns
 	c := &downstreamConn{Conn: one, conns: s}
 	s.gracePeriods.newConn = testutil.Limit
-	s.connStateChanged(c, http.StateNew)
-	if s.evictQuiet() != 1 || c.evicted {
+	s.ConnStateChanged(c, http.StateNew)
+	if s.EvictQuiet() != 1 || c.evicted {
 		t.Error("evicted at once")
 	}
 	s.gracePeriods.newConn = 0
-	if s.evictQuiet(); !c.evicted {
+	if s.EvictQuiet(); !c.evicted {
 		t.Error("never evicted")
 	}
 }
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -17,7 +17,7 @@
 // clientDeparted reports that the client of a waiting request has closed its connection, or may have.
 type clientDeparted struct {
 	request    *request
-	how        departure
+	how        Departure
 	at         time.Duration // clock time when it was seen
 	retryAfter time.Duration // for the answer, should the request be rejected
 }
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -43,8 +43,8 @@
 		IdleTimeout:                  idleTimeout,
 		MaxHeaderBytes:               http1.MaxHeaderBytes,
 		DisableGeneralOptionsHandler: true,
-		ConnState:                    conns.connStateChanged,
-		ConnContext:                  withConn,
+		ConnState:                    conns.ConnStateChanged,
+		ConnContext:                  NewContext,
 		ErrorLog:                     slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
 	return f
@@ -71,8 +71,8 @@
 	// A response to a request that has not been read to its end closes the connection. Otherwise net/http would
 	// wait for the rest of the body.
 	w.Header().Set("Connection", "close")
-	conn := connOf(r.Context())
-	head, err := conn.takeHead(r)
+	conn := FromContext(r.Context())
+	head, err := conn.TakeHead(r)
 	if err != nil {
 		writeInvalid(w, err)
 		return
@@ -90,7 +90,7 @@
 	w.Header().Del("Connection")
 	// If the client has left, or its departure could not be seen, no attempt may begin: its pipelined requests
 	// are rejected one after another. A client that has only shut down its sending side may read the responses.
-	if conn.awaitCaughtUp() != present || !f.conns.admitRequest(conn) {
+	if conn.AwaitCaughtUp() != Present || !f.conns.AdmitRequest(conn) {
 		f.writeResponse(w, conn, response{kind: responseRejected, retryAfter: f.rules.Load().retryAfter})
 		return
 	}
@@ -107,13 +107,13 @@
 // one. The request is marked as departed before the loop is notified, because an attempt's connection to a
 // server may be established at that very moment, and the attempt must not begin any more.
 func (f *frontend) awaitResponse(conn *downstreamConn, c *request, interims bool) (a response, reads bool) {
-	for notified := present; ; {
+	for notified := Present; ; {
 		select {
 		case a := <-c.response:
 			return a, true
 		case <-conn.departureChanged:
 		}
-		how := conn.departure()
+		how := conn.Departure()
 		if how <= notified {
 			continue
 		}
@@ -121,10 +121,10 @@
 		begun := c.markDeparted()
 		f.post(clientDeparted{request: c, how: how, at: f.clock.Now(), retryAfter: f.rules.Load().retryAfter})
 		switch {
-		case how == disconnected:
+		case how == Disconnected:
 			return response{}, false
-		case how == halfClosed && begun && interims:
-			conn.sendInterimResponse()
+		case how == HalfClosed && begun && interims:
+			conn.SendInterimResponse()
 		}
 	}
 }
@@ -155,7 +155,7 @@
 	}
 	var err error
 	c.body, err = io.ReadAll(io.LimitReader(r.Body, http1.MaxBodyBytes+1))
-	framing := conn.bodyError()
+	framing := conn.BodyError()
 	switch {
 	case len(c.body) > http1.MaxBodyBytes:
 		return errBodyTooLong
--- a/internal/node/halfclose_test.go
+++ b/internal/node/halfclose_test.go
@@ -115,7 +115,7 @@
 		n.frontend.conns.mu.Lock()
 		defer n.frontend.conns.mu.Unlock()
 		for nc := range n.frontend.conns.conns {
-			return nc.departure() == halfClosed
+			return nc.Departure() == HalfClosed
 		}
 		return false
 	})
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -173,7 +173,7 @@
 		n.frontend.conns.mu.Lock()
 		defer n.frontend.conns.mu.Unlock()
 		for c := range n.frontend.conns.conns {
-			if c.phase == phaseIdle {
+			if c.phase == PhaseIdle {
 				return true
 			}
 		}
--- a/internal/node/listener_test.go
+++ b/internal/node/listener_test.go
@@ -172,7 +172,7 @@
 	if lines := bytes.Count(log.Bytes(), []byte("\n")); lines < 1 || lines > most {
 		t.Errorf("%d lines, want 1 to %d:\n%s", lines, most, log.String())
 	}
-	if counts, _ := s.takeCounts(); counts.AcceptFailed != 6 {
+	if counts, _ := s.TakeCounts(); counts.AcceptFailed != 6 {
 		t.Errorf("%d failures counted, want 6", counts.AcceptFailed)
 	}
 	l.Close()
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -137,7 +137,7 @@
 func (l *loop) answerAll() {
 	l.decide(l.clock.Now(), balancer.Shutdown{})
 	for _, state := range l.pending {
-		if state.departed != present && !state.answered {
+		if state.departed != Present && !state.answered {
 			l.respondToDeparted(state)
 		}
 	}
@@ -163,7 +163,7 @@
 		ID: a.request.id, Attempt: a.number, Endpoint: a.instance.UID, Result: outcome.result,
 		Latency: outcome.endedAt - a.sentAt, Answered: state.answered, HeldUp: a.heldUp,
 	})
-	if state.departed != present {
+	if state.departed != Present {
 		l.respondUnlessBegun(state)
 	}
 	l.forget(state)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -59,7 +59,7 @@
 		cfg: cfg, revision: 1, drainSchedule: drainScheduleOf(cfg), drainLimit: drainLimit(cfg),
 	}
 	conns := newDownstreamConns(clock, descriptors, reservedDescriptors/2, int64(cfg.MemoryMB)<<20, n.upstream.connections)
-	n.upstream.descriptorAllowance = conns.upstreamAllowance
+	n.upstream.descriptorAllowance = conns.UpstreamAllowance
 	n.frontend = newFrontend(clock, conns, &l.rules, l.post, l.ready.Load, log)
 	l.connectionStats = n.connectionStats
 	l.start = n.startAttempt
@@ -100,7 +100,7 @@
 
 // connectionStats returns the attributes of the traffic line that tell of connections, and resets their counts.
 func (n *Node) connectionStats() []any {
-	counts, open := n.frontend.conns.takeCounts()
+	counts, open := n.frontend.conns.TakeCounts()
 	return []any{
 		slog.Group("downstream", "open", open, "accepted", counts.Accepted, "accept_failed", counts.AcceptFailed,
 			"evicted", counts.Evicted, "over_capacity", counts.Rejected, "closed_unread", counts.ClosedUnread),
--- a/internal/node/readahead.go
+++ b/internal/node/readahead.go
@@ -10,8 +10,8 @@
 	// readAheadStep is the smallest read-ahead buffer, in bytes; it doubles as it fills.
 	readAheadStep = 4 << 10
 
-	// readAheadPerConn bounds the read-ahead buffer of one connection, in bytes: the longest request allowed.
-	readAheadPerConn = http1.MaxHeaderBytes + http1.MaxBodyBytes
+	// ReadAheadPerConn bounds the read-ahead buffer of one connection, in bytes: the longest request allowed.
+	ReadAheadPerConn = http1.MaxHeaderBytes + http1.MaxBodyBytes
 
 	// readAheadMemoryShare is the divisor that gives the part of the node's memory limit which the read-ahead
 	// buffers of all connections together may use.
@@ -34,7 +34,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if used := len(c.readAhead); used == cap(c.readAhead) {
-		size := min(max(readAheadStep, 2*used), readAheadPerConn)
+		size := min(max(readAheadStep, 2*used), ReadAheadPerConn)
 		if used >= size || !c.conns.reserveReadAhead(size-c.readAheadReserved) {
 			return nil
 		}
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -97,7 +97,7 @@
 	attempts   []*attempt // all that were started, by their number
 	inFlight   int        // attempts that have not ended
 	answered   bool
-	departed   departure     // anything but present: the module was notified that the client is gone
+	departed   Departure     // anything but present: the module was notified that the client is gone
 	retryAfter time.Duration // for the answer, should the request be rejected after its client has departed
 	mayHaveRun bool          // an attempt that has ended may have been executed by its endpoint
 }
@@ -111,13 +111,13 @@
 	if state == nil || state.request != e.request || state.answered {
 		return
 	}
-	first := state.departed == present
+	first := state.departed == Present
 	state.departed, state.retryAfter = e.how, e.retryAfter
 	if first {
 		l.traffic.Departed++
 		l.decide(e.at, balancer.ClientGone{ID: e.request.id})
 	}
-	if e.how == disconnected {
+	if e.how == Disconnected {
 		state.answered = true // no client is left to read an answer
 		l.cancelOutliving(state)
 		l.forget(state)
@@ -133,7 +133,7 @@
 		return
 	}
 	for _, a := range state.attempts {
-		if state.departed == halfClosed && !a.ended && a.hasBegun() {
+		if state.departed == HalfClosed && !a.ended && a.hasBegun() {
 			return
 		}
 	}
@@ -157,7 +157,7 @@
 // cancel cancels an attempt, unless its client may still read what the attempt brings: then it goes on until the
 // request is answered.
 func (l *loop) cancel(state *requestState, a *attempt) {
-	a.outlivesHalfClose = state.departed == halfClosed && a.hasBegun()
+	a.outlivesHalfClose = state.departed == HalfClosed && a.hasBegun()
 	if !a.outlivesHalfClose {
 		a.cancel()
 	}
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -13,7 +13,7 @@
 func (f *frontend) writeResponse(w http.ResponseWriter, conn *downstreamConn, a response) {
 	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	h := w.Header()
-	if (f.conns.overLimit() || f.closing.Load()) && !conn.endWatch() {
+	if (f.conns.OverLimit() || f.closing.Load()) && !conn.EndWatch() {
 		h.Set("Connection", "close")
 	}
 	switch a.kind {
@@ -50,7 +50,7 @@
 func writeInvalidRequest(w http.ResponseWriter, conn *downstreamConn, err error) {
 	var invalid *requestError
 	sound := errors.As(err, &invalid) && !invalid.ofBody
-	if sound && conn.pipelinedBehindBody() {
+	if sound && conn.PipelinedBehindBody() {
 		http.NewResponseController(w).SetReadDeadline(time.Time{}) // the deadline was for reading the request
 		w.Header().Del("Connection")
 	}
--- a/internal/node/responsedeadline_test.go
+++ b/internal/node/responsedeadline_test.go
@@ -132,7 +132,7 @@
 		defer n.frontend.conns.mu.Unlock()
 		for conn := range n.frontend.conns.conns {
 			if conn.RemoteAddr().String() == c.LocalAddr().String() {
-				return conn.phase == phaseActive
+				return conn.phase == PhaseActive
 			}
 		}
 		return false
