--- a/internal/node/deadlineheader_test.go
+++ b/internal/node/deadlineheader_test.go
@@ -74,12 +74,8 @@
 			c := dial(t, n)
 			io.WriteString(c, pieces[0])
 			testutil.Until(t, "the first piece to be read", func() bool {
-				n.frontend.conns.mu.Lock()
-				defer n.frontend.conns.mu.Unlock()
-				for c := range n.frontend.conns.conns {
-					return c.hasRequestBytes()
-				}
-				return false
+				conns := n.frontend.conns.Status()
+				return len(conns) == 1 && conns[0].RequestBegun
 			})
 			over := holdUp()
 			io.WriteString(c, pieces[1])
--- a/internal/node/departure.go
+++ b/internal/node/departure.go
@@ -14,6 +14,7 @@
 // increases during a request: of two observations, the greater holds.
 type Departure int
 
+// The values of Departure, from the least to the greatest.
 const (
 	Present      Departure = iota // nothing was seen of a departure
 	Unobservable                  // the read-ahead buffer is full, so that a close behind it could not be seen
@@ -165,6 +166,9 @@
 	}
 }
 
+// DepartureChanged returns a channel that receives a value when more is known of the client's departure.
+func (c *downstreamConn) DepartureChanged() <-chan struct{} { return c.departureChanged }
+
 // noteDeparture records an observation. If it exceeds what was known, the handler of the open request is notified.
 func (c *downstreamConn) noteDeparture(observed Departure) {
 	c.mu.Lock()
@@ -179,6 +183,7 @@
 	}
 }
 
+// Departure returns what is known of the client's departure since its request is open.
 func (c *downstreamConn) Departure() Departure {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/node/departure_test.go
+++ b/internal/node/departure_test.go
@@ -305,7 +305,7 @@
 	if !maps.Equal(got, want) {
 		t.Errorf("the server got %v, want %v", got, want)
 	}
-	if kept := n.frontend.conns.readAheadReserved.Load(); kept != 0 {
+	if kept := n.frontend.conns.ReadAheadReserved(); kept != 0 {
 		t.Errorf("%d bytes are buffered of clients that have departed", kept)
 	}
 }
--- a/internal/node/descriptorbudget.go
+++ b/internal/node/descriptorbudget.go
@@ -13,9 +13,18 @@
 	"basaltdrum/internal/monotime"
 )
 
+// Limits are what downstream connections are kept within.
+type Limits struct {
+	Descriptors     int   // for downstream and upstream connections together
+	UpstreamReserve int   // the part of Descriptors that is always left to upstream connections
+	RejectReserve   int   // descriptors beyond Descriptors, for connections whose requests are only read to be rejected
+	ReadAhead       int64 // bytes that the read-ahead buffers of all connections together may have
+	GracePeriods    GracePeriods
+}
+
 // GracePeriods are how long a connection without an open request is exempt from eviction, for each of the
 // states that it may be in.
-type GracePeriods struct{ lingering, newConn, partialRequest, idle time.Duration }
+type GracePeriods struct{ Lingering, New, PartialRequest, Idle time.Duration }
 
 // pressureDivisor shortens the grace periods while descriptors are about to run out.
 const pressureDivisor = 5
@@ -25,8 +34,8 @@
 // request on the way.
 func DefaultGracePeriods() GracePeriods {
 	return GracePeriods{
-		lingering: 50 * time.Millisecond, newConn: 100 * time.Millisecond, partialRequest: time.Second,
-		idle: 500 * time.Millisecond,
+		Lingering: 50 * time.Millisecond, New: 100 * time.Millisecond, PartialRequest: time.Second,
+		Idle: 500 * time.Millisecond,
 	}
 }
 
@@ -34,25 +43,22 @@
 // descriptors. When there are too many, connections without an open request are evicted, those that are the
 // least useful first. A request is rejected only when open requests alone exceed the share.
 type downstreamConns struct {
-	clock           monotime.Clock
-	capacity        int        // descriptors for downstream and upstream connections together
-	upstreamReserve int        // the part of capacity that is always left to upstream connections
-	upstreamCount   func() int // how many upstream connections there are
-	rejectReserve   int        // descriptors beyond capacity, for connections whose requests are read only to be rejected
+	clock         monotime.Clock
+	upstreamCount func() int // how many upstream connections there are
 
-	readAheadLimit    int64        // bytes that all read-ahead buffers together may have
+	readAheadLimit    atomic.Int64 // bytes that all read-ahead buffers together may have
 	readAheadReserved atomic.Int64 // bytes that they have reserved
 
-	mu           sync.Mutex
-	conns        map[*downstreamConn]struct{}
-	evicting     int // connections that are being evicted and not closed yet
-	active       int // connections with an open request
-	gracePeriods GracePeriods
-	counts       downstreamCounts
+	mu       sync.Mutex
+	limits   Limits
+	conns    map[*downstreamConn]struct{}
+	evicting int // connections that are being evicted and not closed yet
+	active   int // connections with an open request
+	counts   Counts
 }
 
-// downstreamCounts count, for the log, what happened to connections.
-type downstreamCounts struct{ Accepted, AcceptFailed, Evicted, Rejected, ClosedUnread int }
+// Counts count, for the log, what happened to connections.
+type Counts struct{ Accepted, AcceptFailed, Evicted, Rejected, ClosedUnread int }
 
 // connActivity is what a connection is doing, and since when.
 type connActivity struct {
@@ -64,6 +70,7 @@
 // Phase is the phase of a connection's life cycle, from the first request to the close.
 type Phase int
 
+// The phases of a connection.
 const (
 	PhaseNew       Phase = iota // no request has been read yet
 	PhaseReading                // a request's head is read, its body may not be
@@ -89,14 +96,21 @@
 	return fmt.Sprintf("Phase(%d)", int(p))
 }
 
-// newDownstreamConns takes the numbers of descriptors as downstreamConns documents them, and the node's
-// memory limit in bytes, of which the read-ahead buffers may use a share.
-func newDownstreamConns(c monotime.Clock, capacity, rejectReserve int, memory int64, upstreamCount func() int) *downstreamConns {
-	return &downstreamConns{
-		clock: c, capacity: capacity, upstreamReserve: capacity / 4, upstreamCount: upstreamCount,
-		rejectReserve: rejectReserve, readAheadLimit: memory / readAheadMemoryShare,
-		conns: map[*downstreamConn]struct{}{}, gracePeriods: DefaultGracePeriods(),
-	}
+// newDownstreamConns returns an empty set. upstreamCount tells how many upstream connections there are; it is called
+// while the set's lock is held.
+func newDownstreamConns(clock monotime.Clock, limits Limits, upstreamCount func() int) *downstreamConns {
+	s := &downstreamConns{clock: clock, upstreamCount: upstreamCount, conns: map[*downstreamConn]struct{}{}}
+	s.Configure(limits)
+	return s
+}
+
+// Configure puts limits into force, and evicts the connections that exceed them.
+func (s *downstreamConns) Configure(limits Limits) {
+	s.readAheadLimit.Store(limits.ReadAhead)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.limits = limits
+	s.evictExcess()
 }
 
 // ConnStateChanged is the ConnState hook of the http.Server. Each change is an occasion to evict, as it may
@@ -165,7 +179,7 @@
 	defer s.mu.Unlock()
 	s.setPhase(c, PhaseActive)
 	s.evictExcess()
-	if s.active > s.capacity/2 {
+	if s.active > s.limits.Descriptors/2 {
 		s.counts.Rejected++
 		return false
 	}
@@ -175,7 +189,8 @@
 // limit is how many downstream connections there may be now: what upstream connections leave of the
 // capacity. s.mu is held.
 func (s *downstreamConns) limit() int {
-	return max(s.capacity/2, s.capacity-max(s.upstreamReserve, s.upstreamCount()))
+	descriptors := s.limits.Descriptors
+	return max(descriptors/2, descriptors-max(s.limits.UpstreamReserve, s.upstreamCount()))
 }
 
 // excess is how many connections there are beyond the limit, not counting those being evicted. s.mu is held.
@@ -191,7 +206,7 @@
 func (s *downstreamConns) UpstreamAllowance() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.capacity + s.rejectReserve - len(s.conns)
+	return s.limits.Descriptors + s.limits.RejectReserve - len(s.conns)
 }
 
 // atHardLimit reports whether one more connection would take a descriptor that is reserved for others. Such a
@@ -200,7 +215,8 @@
 func (s *downstreamConns) atHardLimit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.conns) < s.capacity+s.rejectReserve-max(s.upstreamReserve, s.upstreamCount()) {
+	usable := s.limits.Descriptors + s.limits.RejectReserve
+	if len(s.conns) < usable-max(s.limits.UpstreamReserve, s.upstreamCount()) {
 		return false
 	}
 	s.counts.ClosedUnread++
@@ -236,18 +252,18 @@
 // evictionRank is the order of eviction: 1 is evicted first, and 0 not at all. s.mu is held.
 func (s *downstreamConns) evictionRank(c *downstreamConn, now time.Duration) int {
 	age := now - c.since
-	if s.excess() > s.rejectReserve/2 {
+	if s.excess() > s.limits.RejectReserve/2 {
 		age *= pressureDivisor
 	}
 	partial := c.phase == PhaseReading || c.phase != PhaseActive && c.hasRequestBytes()
 	switch {
-	case c.phase == PhaseLingering && age >= s.gracePeriods.lingering:
+	case c.phase == PhaseLingering && age >= s.limits.GracePeriods.Lingering:
 		return 1
-	case partial && age >= s.gracePeriods.partialRequest:
+	case partial && age >= s.limits.GracePeriods.PartialRequest:
 		return 2
-	case c.phase == PhaseNew && !partial && age >= s.gracePeriods.newConn:
+	case c.phase == PhaseNew && !partial && age >= s.limits.GracePeriods.New:
 		return 3
-	case c.phase == PhaseIdle && !partial && age >= s.gracePeriods.idle:
+	case c.phase == PhaseIdle && !partial && age >= s.limits.GracePeriods.Idle:
 		return 4
 	}
 	return 0
@@ -282,7 +298,7 @@
 	defer s.mu.Unlock()
 	now := s.clock.Now()
 	for c := range s.conns {
-		silent := c.phase == PhaseNew && !c.hasRequestBytes() && now-c.since >= s.gracePeriods.newConn
+		silent := c.phase == PhaseNew && !c.hasRequestBytes() && now-c.since >= s.limits.GracePeriods.New
 		if c.phase == PhaseIdle || silent {
 			s.evict(c)
 		}
@@ -297,21 +313,43 @@
 	return len(s.conns)
 }
 
-// PhaseCounts is how many connections are in each phase, for the log.
-func (s *downstreamConns) PhaseCounts() map[Phase]int {
+// ConnStatus is what one connection is doing at a moment.
+type ConnStatus struct {
+	RemoteAddr   net.Addr
+	Phase        Phase
+	RequestBegun bool // bytes of a request were read that has no response yet
+	Departure    Departure
+	ReadAhead    int // bytes that are buffered of what the client pipelined behind an open request
+}
+
+// Status returns what each connection is doing.
+func (s *downstreamConns) Status() []ConnStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	counts := map[Phase]int{}
+	var all []ConnStatus
 	for c := range s.conns {
-		counts[c.phase]++
+		all = append(all, c.status())
 	}
-	return counts
+	return all
 }
 
+// status returns what the connection is doing. s.mu is held.
+func (c *downstreamConn) status() ConnStatus {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return ConnStatus{
+		RemoteAddr: c.RemoteAddr(), Phase: c.phase, RequestBegun: c.requestBegun, Departure: c.departed,
+		ReadAhead: len(c.readAhead),
+	}
+}
+
+// ReadAheadReserved is how many bytes are reserved for the read-ahead buffers of all connections.
+func (s *downstreamConns) ReadAheadReserved() int64 { return s.readAheadReserved.Load() }
+
 // TakeCounts returns what happened to connections since the last call, and how many there are.
-func (s *downstreamConns) TakeCounts() (counts downstreamCounts, conns int) {
+func (s *downstreamConns) TakeCounts() (counts Counts, conns int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	counts, s.counts = s.counts, downstreamCounts{}
+	counts, s.counts = s.counts, Counts{}
 	return counts, len(s.conns)
 }
--- a/internal/node/descriptorbudget_test.go
+++ b/internal/node/descriptorbudget_test.go
@@ -22,8 +22,9 @@
 	s, got, release := testutil.NewHoldingServer(t, "held")
 	const most = 4
 	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) {
-		n.frontend.conns.capacity, n.frontend.conns.upstreamReserve = 2*most, most
-		n.frontend.conns.gracePeriods.idle = 0
+		limits := downstreamLimits(n.cfg)
+		limits.Descriptors, limits.UpstreamReserve, limits.GracePeriods.Idle = 2*most, most, 0
+		n.frontend.conns.Configure(limits)
 	})
 	idle := dial(t, n)
 	idle.Get("idle")
@@ -52,7 +53,7 @@
 // A connection is evicted only while it waits for a request: not once a request has been read that net/http has
 // not reported yet, nor once the first byte of the next request was read early, after a response.
 func TestEvictionSparesARequestBegun(t *testing.T) {
-	f := newDownstreamConns(monotime.New(), 2, 10, 16<<20, func() int { return 1 })
+	f := newDownstreamConns(monotime.New(), testLimits(2), func() int { return 1 })
 	say := func(from, to net.Conn) {
 		t.Helper()
 		to.SetReadDeadline(time.Now().Add(testutil.Limit))
@@ -77,12 +78,12 @@
 	}
 	say(peer, a)
 	say(a, peer)
-	f.gracePeriods.idle = testutil.Limit
+	f.limits.GracePeriods.Idle = testutil.Limit
 	f.ConnStateChanged(a, http.StateIdle)
 	if a.evicted || !f.OverLimit() {
 		t.Fatal("a connection idle for a moment only was evicted")
 	}
-	f.gracePeriods.idle = 0
+	f.limits.GracePeriods.Idle = 0
 	f.ConnStateChanged(b, http.StateActive)
 	if !a.evicted || f.OverLimit() {
 		t.Fatal("the idle connection was not evicted")
@@ -99,7 +100,7 @@
 
 // A request that is unread in the kernel counts as begun: a close would reset the connection.
 func TestEvictionSparesUnreadBytes(t *testing.T) {
-	f := newDownstreamConns(monotime.New(), 2, 10, 16<<20, func() int { return 1 })
+	f := newDownstreamConns(monotime.New(), testLimits(2), func() int { return 1 })
 	c, theirs := downstreamPair(t, f, 0)
 	f.ConnStateChanged(c, http.StateNew)
 	f.ConnStateChanged(c, http.StateIdle)
@@ -120,8 +121,8 @@
 // The rest of a request that is unread in the kernel protects the connection, though the first part arrived so
 // long ago that the read would be aborted.
 func TestReadAbortSparesUnreadBytes(t *testing.T) {
-	f := newDownstreamConns(monotime.New(), 2, 10, 16<<20, func() int { return 2 })
-	f.gracePeriods.partialRequest = 0
+	f := newDownstreamConns(monotime.New(), testLimits(2), func() int { return 2 })
+	f.limits.GracePeriods.PartialRequest = 0
 	c, theirs := downstreamPair(t, f, 0)
 	io.WriteString(theirs, "GET")
 	if text := make([]byte, 3); !readsAll(c, text) {
@@ -149,8 +150,9 @@
 func TestNoRequestIsLostWhileIdleConnectionsAreEvicted(t *testing.T) {
 	s := testutil.NewServer(t, testutil.Echo)
 	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) {
-		n.frontend.conns.capacity, n.frontend.conns.upstreamReserve = 8, 4
-		n.frontend.conns.gracePeriods.idle = 0
+		limits := downstreamLimits(n.cfg)
+		limits.Descriptors, limits.UpstreamReserve, limits.GracePeriods.Idle = 8, 4, 0
+		n.frontend.conns.Configure(limits)
 	})
 	var mu sync.Mutex
 	answered := map[string]bool{}
@@ -208,7 +210,9 @@
 	cfg.Sockets = 256
 	n, _ := startNode(t, cfg, func(n *Node) {
 		n.frontend.server.ReadTimeout = 2 * testutil.Limit // connections end by eviction only
-		n.frontend.conns.gracePeriods = GracePeriods{idle: testutil.Limit}
+		limits := downstreamLimits(n.cfg)
+		limits.GracePeriods = GracePeriods{Idle: testutil.Limit}
+		n.frontend.conns.Configure(limits)
 	})
 	const body = "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: half\r\nX-Deadline: 60\r\nContent-Length: 9\r\n\r\nhal"
 	// served wants an answer, and returns the connection to go on with: the node may end this one with the answer.
@@ -232,11 +236,7 @@
 			served(dial(t, n), fmt.Sprint("fresh-", i)).Close()
 		}
 	}
-	testutil.Until(t, "the rest to be evicted", func() bool {
-		n.frontend.conns.mu.Lock()
-		defer n.frontend.conns.mu.Unlock()
-		return n.frontend.conns.excess() <= 0
-	})
+	testutil.Until(t, "the rest to be evicted", func() bool { return !n.frontend.conns.OverLimit() })
 }
 
 // A complete request is served even if its connection is chosen for eviction at the moment in which its head has
@@ -304,13 +304,13 @@
 	n, _ := startNode(t, cfg, func(n *Node) {
 		f := n.frontend
 		f.server.ReadTimeout = 2 * testutil.Limit // reads end by eviction only
-		f.conns.gracePeriods = GracePeriods{lingering: testutil.Limit, newConn: testutil.Limit, partialRequest: testutil.Limit, idle: testutil.Limit}
-		makeRoom := func() {
-			f.conns.mu.Lock()
-			defer f.conns.mu.Unlock()
-			f.conns.gracePeriods = GracePeriods{lingering: testutil.Limit, idle: testutil.Limit}
-			f.conns.evictExcess()
+		limits := downstreamLimits(cfg)
+		limits.GracePeriods = GracePeriods{
+			Lingering: testutil.Limit, New: testutil.Limit, PartialRequest: testutil.Limit, Idle: testutil.Limit,
 		}
+		f.conns.Configure(limits)
+		limits.GracePeriods = GracePeriods{Lingering: testutil.Limit, Idle: testutil.Limit}
+		makeRoom := func() { f.conns.Configure(limits) }
 		if moment == "head read" {
 			f.server.ConnState = func(c net.Conn, state http.ConnState) {
 				if f.conns.ConnStateChanged(c, state); state == http.StateActive {
--- a/internal/node/downstreamconn.go
+++ b/internal/node/downstreamconn.go
@@ -58,6 +58,7 @@
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
+// FromContext returns the connection on which a request came, for the request's context.
 func FromContext(ctx context.Context) *downstreamConn {
 	c, _ := ctx.Value(connKey{}).(*downstreamConn)
 	return c
@@ -166,8 +167,8 @@
 
 // SendInterimResponse probes a client that has sent a FIN: if it has closed its socket, its kernel responds
 // with a reset; if it has only shut down its sending side, it skips the response and waits on.
-func (c *downstreamConn) SendInterimResponse() {
-	c.SetWriteDeadline(time.Now().Add(writeTimeout))
+func (c *downstreamConn) SendInterimResponse(timeout time.Duration) {
+	c.SetWriteDeadline(time.Now().Add(timeout))
 	if _, err := io.WriteString(c, "HTTP/1.1 102 Processing\r\n\r\n"); err != nil {
 		c.noteDeparture(Disconnected)
 	}
--- a/internal/node/downstreamconn_test.go
+++ b/internal/node/downstreamconn_test.go
@@ -85,7 +85,7 @@
 		"G", "GET", "GET /view/k HTTP/1.1\r\nHo",
 		"POST /note/k HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\n",
 	} {
-		ours, theirs := downstreamPair(t, newDownstreamConns(monotime.New(), 10, 10, 16<<20, func() int { return 0 }), 2*testutil.Limit)
+		ours, theirs := downstreamPair(t, newDownstreamConns(monotime.New(), testLimits(10), func() int { return 0 }), 2*testutil.Limit)
 		ours.SetReadDeadline(time.Now().Add(testutil.Limit))
 		io.WriteString(theirs, first)
 		if text := make([]byte, len(first)); !readsAll(ours, text) {
--- a/internal/node/downstreamlistener.go
+++ b/internal/node/downstreamlistener.go
@@ -42,9 +42,13 @@
 	unlogged   int           // failures since then
 }
 
-func newDownstreamListener(ln net.Listener, conns *downstreamConns, log *slog.Logger) *downstreamListener {
+// newDownstreamListener accepts connections from ln for the given set. readTimeout is the time for reading the rest of
+// a request that has begun; 0: no limit.
+func newDownstreamListener(
+	ln net.Listener, conns *downstreamConns, readTimeout time.Duration, log *slog.Logger,
+) *downstreamListener {
 	return &downstreamListener{
-		Listener: ln, conns: conns, log: log,
+		Listener: ln, conns: conns, readTimeout: readTimeout, log: log,
 		draining: make(chan struct{}), closed: make(chan struct{}),
 	}
 }
@@ -118,13 +122,3 @@
 	case <-l.closed:
 	}
 }
-
-// isClosed reports, without waiting, whether a channel that is only ever closed has been closed.
-func isClosed(c <-chan struct{}) bool {
-	select {
-	case <-c:
-		return true
-	default:
-		return false
-	}
-}
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -49,7 +49,7 @@
 		case !accepting && left == 0:
 			return nil
 		case ctx.Err() != nil:
-			return fmt.Errorf("connections are left open: %d, by phase %v: %w", left, f.conns.PhaseCounts(), ctx.Err())
+			return fmt.Errorf("connections are left open: %d, by phase %v: %w", left, f.connsByPhase(), ctx.Err())
 		case !notified && answerAll():
 			_ = ln.Close() // it is still open only if every accept fails, and needs no answer
 			f.post(shutdownDeadline{})
@@ -57,3 +57,22 @@
 		}
 	}
 }
+
+// connsByPhase is how many connections are in each phase.
+func (f *frontend) connsByPhase() map[Phase]int {
+	counts := map[Phase]int{}
+	for _, conn := range f.conns.Status() {
+		counts[conn.Phase]++
+	}
+	return counts
+}
+
+// isClosed reports, without waiting, whether a channel that is only ever closed has been closed.
+func isClosed(c <-chan struct{}) bool {
+	select {
+	case <-c:
+		return true
+	default:
+		return false
+	}
+}
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -141,12 +141,12 @@
 	defer one.Close()
 	s := n.frontend.conns
 	c := &downstreamConn{Conn: one, conns: s}
-	s.gracePeriods.newConn = testutil.Limit
+	s.limits.GracePeriods.New = testutil.Limit
 	s.ConnStateChanged(c, http.StateNew)
 	if s.EvictQuiet() != 1 || c.evicted {
 		t.Error("evicted at once")
 	}
-	s.gracePeriods.newConn = 0
+	s.limits.GracePeriods.New = 0
 	if s.EvictQuiet(); !c.evicted {
 		t.Error("never evicted")
 	}
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -111,7 +111,7 @@
 		select {
 		case a := <-c.response:
 			return a, true
-		case <-conn.departureChanged:
+		case <-conn.DepartureChanged():
 		}
 		how := conn.Departure()
 		if how <= notified {
@@ -124,7 +124,7 @@
 		case how == Disconnected:
 			return response{}, false
 		case how == HalfClosed && begun && interims:
-			conn.SendInterimResponse()
+			conn.SendInterimResponse(writeTimeout)
 		}
 	}
 }
--- a/internal/node/halfclose_test.go
+++ b/internal/node/halfclose_test.go
@@ -112,12 +112,8 @@
 func untilHalfClosed(t *testing.T, n *Node) {
 	t.Helper()
 	testutil.Until(t, "the close to be seen", func() bool {
-		n.frontend.conns.mu.Lock()
-		defer n.frontend.conns.mu.Unlock()
-		for nc := range n.frontend.conns.conns {
-			return nc.Departure() == HalfClosed
-		}
-		return false
+		conns := n.frontend.conns.Status()
+		return len(conns) == 1 && conns[0].Departure == HalfClosed
 	})
 }
 
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -142,26 +142,28 @@
 	return parsedList(t, fmt.Sprintf(`{"rev":9,"all":%v,"targets":[%s]}`, complete, strings.Join(entries, ",")))
 }
 
+// testLimits are limits on downstream connections, with a number of descriptors beside ten for rejections.
+func testLimits(descriptors int) Limits {
+	return Limits{
+		Descriptors: descriptors, UpstreamReserve: descriptors / 4, RejectReserve: 10, ReadAhead: 1 << 20,
+		GracePeriods: DefaultGracePeriods(),
+	}
+}
+
 // downstreamPair returns a downstream connection as the node's listener hands it to net/http, and its client's
 // end.
 func downstreamPair(t *testing.T, conns *downstreamConns, readTimeout time.Duration) (ours *downstreamConn, theirs net.Conn) {
 	t.Helper()
 	theirs, accepted := testutil.ConnPairBy(t, func(ln net.Listener) net.Listener {
-		l := newDownstreamListener(ln, conns, testutil.DiscardLog())
-		l.readTimeout = readTimeout
-		return l
+		return newDownstreamListener(ln, conns, readTimeout, testutil.DiscardLog())
 	})
 	return accepted.(*downstreamConn), theirs
 }
 
 // readAheadBytes is how many bytes are buffered of clients whose requests have no response yet.
 func readAheadBytes(n *Node) (sum int) {
-	n.frontend.conns.mu.Lock()
-	defer n.frontend.conns.mu.Unlock()
-	for c := range n.frontend.conns.conns {
-		c.mu.Lock()
-		sum += len(c.readAhead)
-		c.mu.Unlock()
+	for _, conn := range n.frontend.conns.Status() {
+		sum += conn.ReadAhead
 	}
 	return sum
 }
@@ -170,14 +172,7 @@
 func untilIdle(t *testing.T, n *Node) {
 	t.Helper()
 	testutil.Until(t, "a connection to be idle", func() bool {
-		n.frontend.conns.mu.Lock()
-		defer n.frontend.conns.mu.Unlock()
-		for c := range n.frontend.conns.conns {
-			if c.phase == PhaseIdle {
-				return true
-			}
-		}
-		return false
+		return n.frontend.connsByPhase()[PhaseIdle] > 0
 	})
 }
 
@@ -185,9 +180,7 @@
 func untilActive(t *testing.T, n *Node, many int) {
 	t.Helper()
 	testutil.Until(t, "the requests to be with the module", func() bool {
-		n.frontend.conns.mu.Lock()
-		defer n.frontend.conns.mu.Unlock()
-		return n.frontend.conns.active == many
+		return n.frontend.connsByPhase()[PhaseActive] == many
 	})
 }
 
--- a/internal/node/listener_test.go
+++ b/internal/node/listener_test.go
@@ -152,9 +152,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := newDownstreamConns(monotime.New(), 10, 10, 16<<20, func() int { return 0 })
+	s := newDownstreamConns(monotime.New(), testLimits(10), func() int { return 0 })
 	var log bytes.Buffer
-	l := newDownstreamListener(failingListener{ln.(*net.TCPListener), testutil.FailTimes(syscall.ENOBUFS, 6)}, s,
+	l := newDownstreamListener(failingListener{ln.(*net.TCPListener), testutil.FailTimes(syscall.ENOBUFS, 6)}, s, 0,
 		slog.New(slog.NewTextHandler(&log, nil)))
 	defer l.Close()
 	theirs, err := net.Dial("tcp", ln.Addr().String())
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -99,12 +99,13 @@
 		round(50 + i)
 	}
 	testutil.Until(t, "all that has gone to be forgotten", func() bool {
-		b, f := n.upstream, n.frontend.conns
+		if n.frontend.conns.Count() > 0 {
+			return false
+		}
+		b := n.upstream
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		return len(f.conns) == 0 && len(b.endpoints) == 1 && len(b.idle) <= 1 && b.open <= 1 &&
+		return len(b.endpoints) == 1 && len(b.idle) <= 1 && b.open <= 1 &&
 			runtime.NumGoroutine() <= before+5
 	})
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -19,6 +19,10 @@
 // for clients whose requests are only read to be rejected.
 const reservedDescriptors = 48
 
+// readAheadMemoryShare is the divisor that gives the part of the node's memory limit which the read-ahead buffers of
+// all downstream connections together may use.
+const readAheadMemoryShare = 16
+
 // Node is one load balancer on sockets. New makes one, Run serves until its context ends, and Reload puts another
 // configuration into force meanwhile.
 type Node struct {
@@ -53,12 +57,11 @@
 	clock := monotime.New()
 	l := newLoop(module, clock, log)
 	l.rules.Store(newRequestRules(1, set))
-	descriptors := cfg.Sockets - reservedDescriptors
 	n := &Node{
-		loop: l, upstream: newUpstreamPool(cfg, clock, descriptors/2), listsPushed: !set.PollDiscovery, log: log,
+		loop: l, upstream: newUpstreamPool(cfg, clock, (cfg.Sockets-reservedDescriptors)/2), listsPushed: !set.PollDiscovery, log: log,
 		cfg: cfg, revision: 1, drainSchedule: drainScheduleOf(cfg), drainLimit: drainLimit(cfg),
 	}
-	conns := newDownstreamConns(clock, descriptors, reservedDescriptors/2, int64(cfg.MemoryMB)<<20, n.upstream.connections)
+	conns := newDownstreamConns(clock, downstreamLimits(cfg), n.upstream.connections)
 	n.upstream.descriptorAllowance = conns.UpstreamAllowance
 	n.frontend = newFrontend(clock, conns, &l.rules, l.post, l.ready.Load, log)
 	l.connectionStats = n.connectionStats
@@ -71,6 +74,15 @@
 	return n, nil
 }
 
+// downstreamLimits are the limits on downstream connections that follow from a configuration.
+func downstreamLimits(cfg Config) Limits {
+	descriptors := cfg.Sockets - reservedDescriptors
+	return Limits{
+		Descriptors: descriptors, UpstreamReserve: descriptors / 4, RejectReserve: reservedDescriptors / 2,
+		ReadAhead: int64(cfg.MemoryMB) << 20 / readAheadMemoryShare, GracePeriods: DefaultGracePeriods(),
+	}
+}
+
 // startDiscovery sets up discovery and hands the cached list to the loop. Where lists are polled the loop applies
 // it at once, and the module subscribes for a newer one.
 func (n *Node) startDiscovery(cfg Config) {
@@ -118,8 +130,7 @@
 	defer stop()
 	var serveErr error
 	served := make(chan struct{})
-	ln := newDownstreamListener(n.listener, n.frontend.conns, n.log)
-	ln.readTimeout = n.frontend.server.ReadTimeout
+	ln := newDownstreamListener(n.listener, n.frontend.conns, n.frontend.server.ReadTimeout, n.log)
 	go func() {
 		defer close(served)
 		serveErr = n.frontend.server.Serve(ln)
--- a/internal/node/readahead.go
+++ b/internal/node/readahead.go
@@ -12,16 +12,12 @@
 
 	// ReadAheadPerConn bounds the read-ahead buffer of one connection, in bytes: the longest request allowed.
 	ReadAheadPerConn = http1.MaxHeaderBytes + http1.MaxBodyBytes
-
-	// readAheadMemoryShare is the divisor that gives the part of the node's memory limit which the read-ahead
-	// buffers of all connections together may use.
-	readAheadMemoryShare = 16
 )
 
 // reserveReadAhead reserves n bytes of the read-ahead memory of all connections, or releases them if n is
 // negative. It reports false, and reserves nothing, if the limit would be exceeded.
 func (s *downstreamConns) reserveReadAhead(n int) bool {
-	if s.readAheadReserved.Add(int64(n)) > s.readAheadLimit && n > 0 {
+	if s.readAheadReserved.Add(int64(n)) > s.readAheadLimit.Load() && n > 0 {
 		s.readAheadReserved.Add(int64(-n))
 		return false
 	}
--- a/internal/node/readahead_test.go
+++ b/internal/node/readahead_test.go
@@ -68,7 +68,9 @@
 		state = "in_service"
 	}
 	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), state))), func(n *Node) {
-		n.frontend.conns.readAheadLimit = c.all
+		limits := downstreamLimits(n.cfg)
+		limits.ReadAhead = c.all
+		n.frontend.conns.Configure(limits)
 	})
 	many := dial(t, n)
 	many.Get("r")
@@ -96,7 +98,7 @@
 	}
 	many.Get("last")
 	many.Expect(t, 200, "for last")
-	if kept := n.frontend.conns.readAheadReserved.Load(); kept != 0 {
+	if kept := n.frontend.conns.ReadAheadReserved(); kept != 0 {
 		t.Errorf("%d bytes are kept with nothing sent ahead", kept)
 	}
 }
--- a/internal/node/responsedeadline_test.go
+++ b/internal/node/responsedeadline_test.go
@@ -7,6 +7,7 @@
 	"io"
 	"net"
 	"net/http"
+	"slices"
 	"syscall"
 	"testing"
 	"time"
@@ -128,14 +129,9 @@
 			return true
 		default:
 		}
-		n.frontend.conns.mu.Lock()
-		defer n.frontend.conns.mu.Unlock()
-		for conn := range n.frontend.conns.conns {
-			if conn.RemoteAddr().String() == c.LocalAddr().String() {
-				return conn.phase == PhaseActive
-			}
-		}
-		return false
+		return slices.ContainsFunc(n.frontend.conns.Status(), func(conn ConnStatus) bool {
+			return conn.RemoteAddr.String() == c.LocalAddr().String() && conn.Phase == PhaseActive
+		})
 	})
 }
 
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -234,9 +234,9 @@
 				if why == "the node ends" {
 					n.frontend.closing.Store(true)
 				} else {
-					n.frontend.conns.mu.Lock()
-					n.frontend.conns.capacity, n.frontend.conns.upstreamReserve = 1, 1
-					n.frontend.conns.mu.Unlock()
+					limits := downstreamLimits(n.cfg)
+					limits.Descriptors, limits.UpstreamReserve = 1, 1
+					n.frontend.conns.Configure(limits)
 				}
 				release()
 				for i := range 3 {
