--- a/internal/node/descriptorbudget.go
+++ b/internal/node/descriptorbudget.go
@@ -13,20 +13,29 @@
 	"basaltdrum/internal/monotime"
 )
 
-// gracePeriods are how long a connection without an open request is exempt from eviction, for each of the
+// Limits are what downstream connections are kept within.
+type Limits struct {
+	Descriptors     int   // for downstream and upstream connections together
+	UpstreamReserve int   // the part of Descriptors that is always left to upstream connections
+	RejectReserve   int   // descriptors beyond Descriptors, for connections whose requests are only read to be rejected
+	ReadAhead       int64 // bytes that the read-ahead buffers of all connections together may have
+	GracePeriods    GracePeriods
+}
+
+// GracePeriods are how long a connection without an open request is exempt from eviction, for each of the
 // states that it may be in.
-type gracePeriods struct{ lingering, newConn, partialRequest, idle time.Duration }
+type GracePeriods struct{ Lingering, New, PartialRequest, Idle time.Duration }
 
 // pressureDivisor shortens the grace periods while descriptors are about to run out.
 const pressureDivisor = 5
 
-// defaultGracePeriods follow from how well-behaved clients use a connection: they send a request as soon as
+// DefaultGracePeriods follow from how well-behaved clients use a connection: they send a request as soon as
 // they have connected, and in one piece. A connection that has just become idle may already have its next
 // request on the way.
-func defaultGracePeriods() gracePeriods {
-	return gracePeriods{
-		lingering: 50 * time.Millisecond, newConn: 100 * time.Millisecond, partialRequest: time.Second,
-		idle: 500 * time.Millisecond,
+func DefaultGracePeriods() GracePeriods {
+	return GracePeriods{
+		Lingering: 50 * time.Millisecond, New: 100 * time.Millisecond, PartialRequest: time.Second,
+		Idle: 500 * time.Millisecond,
 	}
 }
 
@@ -34,74 +43,79 @@
 // descriptors. When there are too many, connections without an open request are evicted, those that are the
 // least useful first. A request is rejected only when open requests alone exceed the share.
 type downstreamConns struct {
-	clock           monotime.Clock
-	capacity        int        // descriptors for downstream and upstream connections together
-	upstreamReserve int        // the part of capacity that is always left to upstream connections
-	upstreamCount   func() int // how many upstream connections there are
-	rejectReserve   int        // descriptors beyond capacity, for connections whose requests are read only to be rejected
+	clock         monotime.Clock
+	upstreamCount func() int // how many upstream connections there are
 
-	readAheadLimit    int64        // bytes that all read-ahead buffers together may have
+	readAheadLimit    atomic.Int64 // bytes that all read-ahead buffers together may have
 	readAheadReserved atomic.Int64 // bytes that they have reserved
 
-	mu           sync.Mutex
-	conns        map[*downstreamConn]struct{}
-	evicting     int // connections that are being evicted and not closed yet
-	active       int // connections with an open request
-	gracePeriods gracePeriods
-	counts       downstreamCounts
+	mu       sync.Mutex
+	limits   Limits
+	conns    map[*downstreamConn]struct{}
+	evicting int // connections that are being evicted and not closed yet
+	active   int // connections with an open request
+	counts   Counts
 }
 
-// downstreamCounts count, for the log, what happened to connections.
-type downstreamCounts struct{ Accepted, AcceptFailed, Evicted, Rejected, ClosedUnread int }
+// Counts count, for the log, what happened to connections.
+type Counts struct{ Accepted, AcceptFailed, Evicted, Rejected, ClosedUnread int }
 
 // connActivity is what a connection is doing, and since when.
 type connActivity struct {
-	phase   connPhase
+	phase   Phase
 	since   time.Duration
 	evicted bool // being evicted, and counted in downstreamConns.evicting
 }
 
-// connPhase is the phase of a connection's life cycle, from the first request to the close.
-type connPhase int
+// Phase is the phase of a connection's life cycle, from the first request to the close.
+type Phase int
 
+// The phases of a connection.
 const (
-	phaseNew       connPhase = iota // no request has been read yet
-	phaseReading                    // a request's head is read, its body may not be
-	phaseActive                     // a request is open: it waits for its response
-	phaseIdle                       // the response is written, and no other request has begun
-	phaseLingering                  // the last response is written; what still arrives is discarded
+	PhaseNew       Phase = iota // no request has been read yet
+	PhaseReading                // a request's head is read, its body may not be
+	PhaseActive                 // a request is open: it waits for its response
+	PhaseIdle                   // the response is written, and no other request has begun
+	PhaseLingering              // the last response is written; what still arrives is discarded
 )
 
 // String returns the phase's name for logs and errors.
-func (p connPhase) String() string {
+func (p Phase) String() string {
 	switch p {
-	case phaseNew:
+	case PhaseNew:
 		return "new"
-	case phaseReading:
+	case PhaseReading:
 		return "reading"
-	case phaseActive:
+	case PhaseActive:
 		return "active"
-	case phaseIdle:
+	case PhaseIdle:
 		return "idle"
-	case phaseLingering:
+	case PhaseLingering:
 		return "lingering"
 	}
-	return fmt.Sprintf("connPhase(%d)", int(p))
+	return fmt.Sprintf("Phase(%d)", int(p))
 }
 
-// newDownstreamConns takes the numbers of descriptors as downstreamConns documents them, and the node's
-// memory limit in bytes, of which the read-ahead buffers may use a share.
-func newDownstreamConns(c monotime.Clock, capacity, rejectReserve int, memory int64, upstreamCount func() int) *downstreamConns {
-	return &downstreamConns{
-		clock: c, capacity: capacity, upstreamReserve: capacity / 4, upstreamCount: upstreamCount,
-		rejectReserve: rejectReserve, readAheadLimit: memory / readAheadMemoryShare,
-		conns: map[*downstreamConn]struct{}{}, gracePeriods: defaultGracePeriods(),
-	}
+// newDownstreamConns returns an empty set. upstreamCount tells how many upstream connections there are; it is called
+// while the set's lock is held.
+func newDownstreamConns(clock monotime.Clock, limits Limits, upstreamCount func() int) *downstreamConns {
+	s := &downstreamConns{clock: clock, upstreamCount: upstreamCount, conns: map[*downstreamConn]struct{}{}}
+	s.Configure(limits)
+	return s
+}
+
+// Configure puts limits into force, and evicts the connections that exceed them.
+func (s *downstreamConns) Configure(limits Limits) {
+	s.readAheadLimit.Store(limits.ReadAhead)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.limits = limits
+	s.evictExcess()
 }
 
-// connStateChanged is the ConnState hook of the http.Server. Each change is an occasion to evict, as it may
+// ConnStateChanged is the ConnState hook of the http.Server. Each change is an occasion to evict, as it may
 // have added a connection or made one evictable.
-func (s *downstreamConns) connStateChanged(nc net.Conn, state http.ConnState) {
+func (s *downstreamConns) ConnStateChanged(nc net.Conn, state http.ConnState) {
 	c := nc.(*downstreamConn)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,14 +123,14 @@
 	case http.StateNew:
 		s.counts.Accepted++
 		s.conns[c] = struct{}{}
-		s.setPhase(c, phaseNew)
+		s.setPhase(c, PhaseNew)
 	case http.StateActive:
 		c.beginRequest()
-		s.setPhase(c, phaseReading)
+		s.setPhase(c, PhaseReading)
 	case http.StateIdle:
-		s.setPhase(c, phaseIdle)
+		s.setPhase(c, PhaseIdle)
 	default:
-		s.setPhase(c, phaseLingering)
+		s.setPhase(c, PhaseLingering)
 		delete(s.conns, c)
 		c.mu.Lock()
 		c.releaseReadAhead()
@@ -134,14 +148,14 @@
 }
 
 // setPhase notes what a connection does from now on, which ends an eviction that was begun. s.mu is held.
-func (s *downstreamConns) setPhase(c *downstreamConn, p connPhase) {
+func (s *downstreamConns) setPhase(c *downstreamConn, p Phase) {
 	if c.evicted {
 		s.evicting--
 	}
-	if c.phase == phaseActive {
+	if c.phase == PhaseActive {
 		s.active--
 	}
-	if p == phaseActive {
+	if p == PhaseActive {
 		s.active++
 	}
 	c.connActivity = connActivity{phase: p, since: s.clock.Now()}
@@ -152,20 +166,20 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, known := s.conns[c]; known {
-		s.setPhase(c, phaseLingering)
+		s.setPhase(c, PhaseLingering)
 	}
 }
 
-// admitRequest notes that a connection's request is open, and reports whether it may go to the decision
+// AdmitRequest notes that a connection's request is open, and reports whether it may go to the decision
 // module. It may not if open requests hold more than half of the capacity. An excess of connections is no
 // reason to reject: silent clients must not cost a well-behaved one its response. If this connection was
 // being evicted, another is evicted in its place.
-func (s *downstreamConns) admitRequest(c *downstreamConn) bool {
+func (s *downstreamConns) AdmitRequest(c *downstreamConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.setPhase(c, phaseActive)
+	s.setPhase(c, PhaseActive)
 	s.evictExcess()
-	if s.active > s.capacity/2 {
+	if s.active > s.limits.Descriptors/2 {
 		s.counts.Rejected++
 		return false
 	}
@@ -175,32 +189,34 @@
 // limit is how many downstream connections there may be now: what upstream connections leave of the
 // capacity. s.mu is held.
 func (s *downstreamConns) limit() int {
-	return max(s.capacity/2, s.capacity-max(s.upstreamReserve, s.upstreamCount()))
+	descriptors := s.limits.Descriptors
+	return max(descriptors/2, descriptors-max(s.limits.UpstreamReserve, s.upstreamCount()))
 }
 
 // excess is how many connections there are beyond the limit, not counting those being evicted. s.mu is held.
 func (s *downstreamConns) excess() int { return len(s.conns) - s.evicting - s.limit() }
 
-func (s *downstreamConns) overLimit() bool {
+func (s *downstreamConns) OverLimit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.excess() > 0
 }
 
-// upstreamAllowance is how many descriptors downstream connections leave for upstream ones.
-func (s *downstreamConns) upstreamAllowance() int {
+// UpstreamAllowance is how many descriptors downstream connections leave for upstream ones.
+func (s *downstreamConns) UpstreamAllowance() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.capacity + s.rejectReserve - len(s.conns)
+	return s.limits.Descriptors + s.limits.RejectReserve - len(s.conns)
 }
 
 // atHardLimit reports whether one more connection would take a descriptor that is reserved for others. Such a
-// connection is closed without reaching net/http and so without a call of connStateChanged, which is why
+// connection is closed without reaching net/http and so without a call of ConnStateChanged, which is why
 // others are evicted here, for the next one.
 func (s *downstreamConns) atHardLimit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.conns) < s.capacity+s.rejectReserve-max(s.upstreamReserve, s.upstreamCount()) {
+	usable := s.limits.Descriptors + s.limits.RejectReserve
+	if len(s.conns) < usable-max(s.limits.UpstreamReserve, s.upstreamCount()) {
 		return false
 	}
 	s.counts.ClosedUnread++
@@ -236,18 +252,18 @@
 // evictionRank is the order of eviction: 1 is evicted first, and 0 not at all. s.mu is held.
 func (s *downstreamConns) evictionRank(c *downstreamConn, now time.Duration) int {
 	age := now - c.since
-	if s.excess() > s.rejectReserve/2 {
+	if s.excess() > s.limits.RejectReserve/2 {
 		age *= pressureDivisor
 	}
-	partial := c.phase == phaseReading || c.phase != phaseActive && c.hasRequestBytes()
+	partial := c.phase == PhaseReading || c.phase != PhaseActive && c.hasRequestBytes()
 	switch {
-	case c.phase == phaseLingering && age >= s.gracePeriods.lingering:
+	case c.phase == PhaseLingering && age >= s.limits.GracePeriods.Lingering:
 		return 1
-	case partial && age >= s.gracePeriods.partialRequest:
+	case partial && age >= s.limits.GracePeriods.PartialRequest:
 		return 2
-	case c.phase == phaseNew && !partial && age >= s.gracePeriods.newConn:
+	case c.phase == PhaseNew && !partial && age >= s.limits.GracePeriods.New:
 		return 3
-	case c.phase == phaseIdle && !partial && age >= s.gracePeriods.idle:
+	case c.phase == PhaseIdle && !partial && age >= s.limits.GracePeriods.Idle:
 		return 4
 	}
 	return 0
@@ -261,9 +277,9 @@
 	}
 	evicting := true
 	switch {
-	case c.phase == phaseLingering:
+	case c.phase == PhaseLingering:
 		c.Close()
-	case c.phase == phaseReading || c.phase == phaseNew && c.hasRequestBytes():
+	case c.phase == PhaseReading || c.phase == PhaseNew && c.hasRequestBytes():
 		evicting = c.abortRead()
 	default:
 		evicting = c.evictIfQuiet()
@@ -275,43 +291,65 @@
 	}
 }
 
-// evictQuiet evicts idle connections and those on which nothing has arrived for a while; a client that has
+// EvictQuiet evicts idle connections and those on which nothing has arrived for a while; a client that has
 // just connected has its request on the way. It returns how many connections of all kinds are left.
-func (s *downstreamConns) evictQuiet() int {
+func (s *downstreamConns) EvictQuiet() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
 	for c := range s.conns {
-		silent := c.phase == phaseNew && !c.hasRequestBytes() && now-c.since >= s.gracePeriods.newConn
-		if c.phase == phaseIdle || silent {
+		silent := c.phase == PhaseNew && !c.hasRequestBytes() && now-c.since >= s.limits.GracePeriods.New
+		if c.phase == PhaseIdle || silent {
 			s.evict(c)
 		}
 	}
 	return len(s.conns)
 }
 
-// count is how many connections there are.
-func (s *downstreamConns) count() int {
+// Count is how many connections there are.
+func (s *downstreamConns) Count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// phaseCounts is how many connections are in each phase, for the log.
-func (s *downstreamConns) phaseCounts() map[connPhase]int {
+// ConnStatus is what one connection is doing at a moment.
+type ConnStatus struct {
+	RemoteAddr   net.Addr
+	Phase        Phase
+	RequestBegun bool // bytes of a request were read that has no response yet
+	Departure    Departure
+	ReadAhead    int // bytes that are buffered of what the client pipelined behind an open request
+}
+
+// Status returns what each connection is doing.
+func (s *downstreamConns) Status() []ConnStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	counts := map[connPhase]int{}
+	var all []ConnStatus
 	for c := range s.conns {
-		counts[c.phase]++
+		all = append(all, c.status())
 	}
-	return counts
+	return all
 }
 
-// takeCounts returns what happened to connections since the last call, and how many there are.
-func (s *downstreamConns) takeCounts() (counts downstreamCounts, conns int) {
+// status returns what the connection is doing. s.mu is held.
+func (c *downstreamConn) status() ConnStatus {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return ConnStatus{
+		RemoteAddr: c.RemoteAddr(), Phase: c.phase, RequestBegun: c.requestBegun, Departure: c.departed,
+		ReadAhead: len(c.readAhead),
+	}
+}
+
+// ReadAheadReserved is how many bytes are reserved for the read-ahead buffers of all connections.
+func (s *downstreamConns) ReadAheadReserved() int64 { return s.readAheadReserved.Load() }
+
+// TakeCounts returns what happened to connections since the last call, and how many there are.
+func (s *downstreamConns) TakeCounts() (counts Counts, conns int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	counts, s.counts = s.counts, downstreamCounts{}
+	counts, s.counts = s.counts, Counts{}
 	return counts, len(s.conns)
 }
--- a/internal/node/downstreamconn.go
+++ b/internal/node/downstreamconn.go
@@ -10,11 +10,12 @@
 	"sync"
 	"time"
 
+	"basaltdrum/internal/http1"
 	"basaltdrum/internal/socketpeek"
 )
 
 // downstreamConn is a connection from a client. It sits between net/http and the socket, and adds four
-// things: the framing of the requests (requestScanner), the watch for the client's departure while a request
+// things: the framing of the requests (http1.RequestScanner), the watch for the client's departure while a request
 // is open (departure.go), a read timeout for each request, and eviction without the loss of a request.
 //
 // Eviction does not close the connection. net/http reads the first bytes of a request some time before it
@@ -34,11 +35,11 @@
 	requestComplete   bool      // the body of the open request is read to its end
 	readAhead         []byte    // pipelined bytes, to be read once the open request is answered
 	readAheadReserved int       // bytes reserved for readAhead
-	departed          departure
+	departed          Departure
 	caughtUp          chan struct{} // closed once the departure watch has read all that had arrived
 	watchEnded        chan struct{} // closed once the departure watch has ended
 	departureChanged  chan struct{} // receives a value when departed changes
-	requests          requestScanner
+	requests          http1.RequestScanner
 	readTimeout       time.Duration // for reading the rest of a request that has begun; 0: no limit
 	requestDeadline   time.Time     // when readTimeout expires; zero while no request is being read
 
@@ -52,12 +53,13 @@
 
 type connKey struct{}
 
-// withConn is the ConnContext of the http.Server: it makes the connection available to the handler.
-func withConn(ctx context.Context, conn net.Conn) context.Context {
+// NewContext is the ConnContext of the http.Server: it makes the connection available to the handler.
+func NewContext(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-func connOf(ctx context.Context) *downstreamConn {
+// FromContext returns the connection on which a request came, for the request's context.
+func FromContext(ctx context.Context) *downstreamConn {
 	c, _ := ctx.Value(connKey{}).(*downstreamConn)
 	return c
 }
@@ -83,29 +85,29 @@
 	at := c.conns.clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.requests.feed(p, at)
+	c.requests.Feed(p, at)
 }
 
-// takeHead returns the scanner's head of the request that net/http has just read the head of, or the error
+// TakeHead returns the scanner's head of the request that net/http has just read the head of, or the error
 // in its framing.
-func (c *downstreamConn) takeHead(r *http.Request) (requestHead, error) {
+func (c *downstreamConn) TakeHead(r *http.Request) (http1.RequestHead, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.requests.takeHead(r)
+	return c.requests.TakeHead(r)
 }
 
-// bodyError returns the error in the framing of the body that net/http has just read, or nil.
-func (c *downstreamConn) bodyError() error {
+// BodyError returns the error in the framing of the body that net/http has just read, or nil.
+func (c *downstreamConn) BodyError() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.requests.bodyError()
+	return c.requests.BodyError()
 }
 
-// pipelinedBehindBody reports whether another request was read behind the complete body of the current one.
-func (c *downstreamConn) pipelinedBehindBody() bool {
+// PipelinedBehindBody reports whether another request was read behind the complete body of the current one.
+func (c *downstreamConn) PipelinedBehindBody() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.requests.behindBody()
+	return c.requests.BehindBody()
 }
 
 // limitRequestTime gives the rest of a request that has begun its own read timeout. The timeouts of net/http
@@ -114,7 +116,7 @@
 func (c *downstreamConn) limitRequestTime() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.readTimeout <= 0 || !c.requestDeadline.IsZero() || !c.requests.midRequest() {
+	if c.readTimeout <= 0 || !c.requestDeadline.IsZero() || !c.requests.MidRequest() {
 		return
 	}
 	c.requestDeadline = time.Now().Add(c.readTimeout)
@@ -130,8 +132,8 @@
 	if c.departureChanged == nil {
 		c.departureChanged = make(chan struct{}, 1)
 	}
-	if c.departed == unobservable { // the read-ahead buffer may have been emptied since
-		c.departed = present
+	if c.departed == Unobservable { // the read-ahead buffer may have been emptied since
+		c.departed = Present
 	}
 }
 
@@ -163,12 +165,12 @@
 	return c.Conn.Write(p)
 }
 
-// sendInterimResponse probes a client that has sent a FIN: if it has closed its socket, its kernel responds
+// SendInterimResponse probes a client that has sent a FIN: if it has closed its socket, its kernel responds
 // with a reset; if it has only shut down its sending side, it skips the response and waits on.
-func (c *downstreamConn) sendInterimResponse() {
-	c.SetWriteDeadline(time.Now().Add(writeTimeout))
+func (c *downstreamConn) SendInterimResponse(timeout time.Duration) {
+	c.SetWriteDeadline(time.Now().Add(timeout))
 	if _, err := io.WriteString(c, "HTTP/1.1 102 Processing\r\n\r\n"); err != nil {
-		c.noteDeparture(disconnected)
+		c.noteDeparture(Disconnected)
 	}
 }
 
--- a/internal/node/downstreamlistener.go
+++ b/internal/node/downstreamlistener.go
@@ -42,9 +42,13 @@
 	unlogged   int           // failures since then
 }
 
-func newDownstreamListener(ln net.Listener, conns *downstreamConns, log *slog.Logger) *downstreamListener {
+// newDownstreamListener accepts connections from ln for the given set. readTimeout is the time for reading the rest of
+// a request that has begun; 0: no limit.
+func newDownstreamListener(
+	ln net.Listener, conns *downstreamConns, readTimeout time.Duration, log *slog.Logger,
+) *downstreamListener {
 	return &downstreamListener{
-		Listener: ln, conns: conns, log: log,
+		Listener: ln, conns: conns, readTimeout: readTimeout, log: log,
 		draining: make(chan struct{}), closed: make(chan struct{}),
 	}
 }
@@ -52,9 +56,9 @@
 // deadlineSetter is a listener whose Accept can be interrupted without closing it, as *net.TCPListener's.
 type deadlineSetter interface{ SetDeadline(time.Time) error }
 
-// drainQueue has Accept take what is in the accept queue and then close the listener. Closing it at once
+// DrainQueue has Accept take what is in the accept queue and then close the listener. Closing it at once
 // would make the kernel reset the queued connections, on which complete requests may already have arrived.
-func (l *downstreamListener) drainQueue() {
+func (l *downstreamListener) DrainQueue() {
 	l.drainOnce.Do(func() { close(l.draining) })
 	if d, ok := l.Listener.(deadlineSetter); !ok || d.SetDeadline(pastDeadline) != nil {
 		_ = l.Close() // nothing more can be done for a listener that can't be closed
@@ -73,7 +77,7 @@
 	for !isClosed(l.closed) {
 		draining := isClosed(l.draining)
 		if draining {
-			// With drainQueue's deadline in the past Accept would not look into the queue. If this fails, that
+			// With DrainQueue's deadline in the past Accept would not look into the queue. If this fails, that
 			// deadline still holds and ends the loop.
 			_ = l.Listener.(deadlineSetter).SetDeadline(time.Now().Add(emptyQueueWait))
 		}
@@ -88,7 +92,7 @@
 			return nil, net.ErrClosed
 		case errors.Is(err, os.ErrDeadlineExceeded) && draining:
 			_ = l.Close() // the loop ends either way
-		case errors.Is(err, os.ErrDeadlineExceeded): // drainQueue has interrupted the wait
+		case errors.Is(err, os.ErrDeadlineExceeded): // DrainQueue has interrupted the wait
 		default:
 			l.backOff(err, draining)
 		}
@@ -118,13 +122,3 @@
 	case <-l.closed:
 	}
 }
-
-// isClosed reports, without waiting, whether a channel that is only ever closed has been closed.
-func isClosed(c <-chan struct{}) bool {
-	select {
-	case <-c:
-		return true
-	default:
-		return false
-	}
-}
--- a/internal/node/readahead.go
+++ b/internal/node/readahead.go
@@ -1,5 +1,7 @@
 package node
 
+import "basaltdrum/internal/http1"
+
 // Read-ahead: while a request is open, the departure watch reads whatever the client pipelines behind it, so
 // that a close or reset behind those bytes is seen. They are buffered here and served to net/http once the
 // request is answered.
@@ -8,18 +10,14 @@
 	// readAheadStep is the smallest read-ahead buffer, in bytes; it doubles as it fills.
 	readAheadStep = 4 << 10
 
-	// readAheadPerConn bounds the read-ahead buffer of one connection, in bytes: the longest request allowed.
-	readAheadPerConn = maxHeaderBytes + maxBody
-
-	// readAheadMemoryShare is the divisor that gives the part of the node's memory limit which the read-ahead
-	// buffers of all connections together may use.
-	readAheadMemoryShare = 16
+	// ReadAheadPerConn bounds the read-ahead buffer of one connection, in bytes: the longest request allowed.
+	ReadAheadPerConn = http1.MaxHeaderBytes + http1.MaxBodyBytes
 )
 
 // reserveReadAhead reserves n bytes of the read-ahead memory of all connections, or releases them if n is
 // negative. It reports false, and reserves nothing, if the limit would be exceeded.
 func (s *downstreamConns) reserveReadAhead(n int) bool {
-	if s.readAheadReserved.Add(int64(n)) > s.readAheadLimit && n > 0 {
+	if s.readAheadReserved.Add(int64(n)) > s.readAheadLimit.Load() && n > 0 {
 		s.readAheadReserved.Add(int64(-n))
 		return false
 	}
@@ -32,7 +30,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if used := len(c.readAhead); used == cap(c.readAhead) {
-		size := min(max(readAheadStep, 2*used), readAheadPerConn)
+		size := min(max(readAheadStep, 2*used), ReadAheadPerConn)
 		if used >= size || !c.conns.reserveReadAhead(size-c.readAheadReserved) {
 			return nil
 		}
