--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -126,8 +126,8 @@
 // The more load is shed, the surer it is that some endpoints are overloaded. Then a lower target is better,
 // but never one that only an idle endpoint meets, or shedding would keep itself up.
 func (c *class) target(shed float64) float64 {
-	lowered := (1 - maxTargetCut*shed) * targetShare * math.Sqrt(c.base*float64(c.LatencyObjective))
-	return min(float64(c.LatencyObjective), max(minTargetRatio*c.base, lowered))
+	lowered := (1 - maxTargetCut*shed) * targetShare * math.Sqrt(c.latency.Base()*float64(c.LatencyObjective))
+	return min(float64(c.LatencyObjective), max(minTargetRatio*c.latency.Base(), lowered))
 }
 
 // adjustLimit moves the limit so that latencies stay at their target: overloaded endpoints slow down and stay
@@ -148,7 +148,7 @@
 	}
 	b.admission.observe(overTarget, b.inFlight)
 	if e.Result == Rejected {
-		b.admission.decrease(b.now, time.Duration(req.class.mean), b.inFlight)
+		b.admission.decrease(b.now, time.Duration(req.class.latency.Mean()), b.inFlight)
 	}
 	b.admission.move(overTarget, b.inFlight, b.minLimit())
 }
--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A new node's window begins at its floor, and each good response opens it by one call, for as long as it is in
-// use; a few rejections end that.
+// A new node's window begins at its floor, and each good response opens it by one call, for as long as it is
+// in use; a few rejections end that.
 func TestNewWindowGrowsUntilServersReject(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
@@ -42,9 +42,8 @@
 		t.Run(fmt.Sprint("responses after ", tc.took), func(t *testing.T) {
 			b := newBalancer(t, nil)
 			b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
-			c := b.classes.byName["get"] // known to answer in 40 ms without overload
-			c.samples, c.mean, c.base = 100, float64(40*msec), float64(40*msec)
-			b.admission.limit = 15 // less than its growth may reach with the ten calls that are out here
+			observeLatency(b.classes.byName["get"], 40*msec, 100) // without overload
+			b.admission.limit = 15                                // less than its growth may reach with the ten calls that are out here
 			start, now := b.admission.limit, time.Duration(0)
 			var open []Send
 			for i := range 3000 {
@@ -80,7 +79,8 @@
 	return b.admission.limit
 }
 
-// While much load is shed some servers are overloaded for certain, so the window must shrink at lower latencies.
+// While much load is shed some servers are overloaded for certain, so the window must shrink at lower
+// latencies.
 func TestWindowShrinksSoonerUnderLoadShedding(t *testing.T) {
 	late := func(c *class) float64 { return 0.95 * c.target(0) }
 	calm, shedding := windowAfter(t, 0, Success, late), windowAfter(t, 0.8, Success, late)
@@ -89,10 +89,10 @@
 	}
 }
 
-// Responses as fast as those of idle servers must open the window however much is shed, or load shedding sustains
-// itself; lost connections and server errors are no sign of overload.
+// Responses as fast as those of idle servers must open the window however much is shed, or load shedding
+// sustains itself; lost connections and server errors are no sign of overload.
 func TestLoadSheddingDoesNotSustainItself(t *testing.T) {
-	idle := func(c *class) float64 { return 1.05 * c.base }
+	idle := func(c *class) float64 { return 1.05 * c.latency.Base() }
 	if w := windowAfter(t, 1, Success, idle); w <= 100 {
 		t.Errorf("idle servers' answers moved the window from 100 to %.1f", w)
 	}
@@ -103,8 +103,8 @@
 	}
 }
 
-// With hundreds of replicas a node's quota of the servers is one call or less: a window that starts or stays there
-// rejects requests that the servers could serve, so it must open within seconds of good responses.
+// With hundreds of replicas a node's quota of the servers is one call or less: a window that starts or stays
+// there rejects requests that the servers could serve, so it must open within seconds of good responses.
 func TestWindowGrowsOnOneOfManyReplicas(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Replicas = 300 })
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(60)})
@@ -122,8 +122,8 @@
 	}
 }
 
-// The part of the window that is not in use is given up at once when servers reject calls: else all replicas fill
-// it together.
+// The part of the window that is not in use is given up at once when servers reject calls: else all replicas
+// fill it together.
 func TestRejectionsCutTheUnusedWindow(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
@@ -170,8 +170,8 @@
 	}
 }
 
-// A marked retry is mostly past its latency objective already: while there is little capacity, first attempts go
-// first.
+// A marked retry is mostly past its latency objective already: while there is little capacity, first attempts
+// go first.
 func TestFirstAttemptsGoBeforeRetries(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(1)})
@@ -188,8 +188,8 @@
 	}
 }
 
-// The Retry-After of a rejection is short: a client that waits long returns when its latency objective is mostly
-// over.
+// The Retry-After of a rejection is short: a client that waits long returns when its latency objective is
+// mostly over.
 func TestRetryAfterOfARejectionIsShort(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(2)})
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -10,8 +10,14 @@
 import (
 	"math/rand/v2"
 	"time"
+
+	"basaltdrum/balancer/internal/retrybudget"
+	"basaltdrum/balancer/internal/subscription"
 )
 
+// subscriptionToken is the token of the timer after which the host is asked to subscribe.
+const subscriptionToken = "list"
+
 // seedStream is the second half of the random generator's seed.
 const seedStream = 0x51a7e
 
@@ -25,7 +31,7 @@
 	shuttingDown bool
 
 	// The endpoint list and the replica's subset of it.
-	subscription subscription
+	subscription subscription.Backoff
 	endpoints    map[string]*endpoint // by id: listed, or with attempts in flight
 	ready        endpointSet
 	subset       subset
@@ -35,7 +41,7 @@
 	requests map[string]*request // by id: not answered, or with attempts in flight
 	queue    []*request          // those that wait for capacity, in order of arrival
 	inFlight inFlightCount
-	retries  retryBudget
+	retries  retrybudget.Budget
 
 	// Load and health.
 	admission   concurrencyLimit
@@ -55,7 +61,7 @@
 		endpoints:  map[string]*endpoint{},
 		requests:   map[string]*request{},
 		badResults: badResults{firstBadShare},
-		retries:    newRetryBudget(),
+		retries:    retrybudget.New(),
 	}
 	b.applySettings(settings)
 	return b, nil
@@ -99,3 +105,24 @@
 	}
 	b.reviewQueued(e.Token)
 }
+
+// scheduleSubscribe plans a Subscribe where endpoint updates come only after one.
+func (b *Balancer) scheduleSubscribe() {
+	if b.settings.PollDiscovery {
+		at := b.subscription.Schedule(b.now, b.settings.PollWithin, b.rng.Float64())
+		b.emit(SetTimer{At: at, Token: subscriptionToken})
+	}
+}
+
+// retrySubscribe plans another Subscribe after one has failed or the subscription has ended.
+func (b *Balancer) retrySubscribe() {
+	b.subscription.Fail()
+	b.scheduleSubscribe()
+}
+
+// subscribeIfDue sends the planned Subscribe.
+func (b *Balancer) subscribeIfDue() {
+	if b.subscription.Due(b.now, b.settings.Tick) {
+		b.emit(Subscribe{})
+	}
+}
--- a/balancer/classes.go
+++ b/balancer/classes.go
@@ -1,23 +1,19 @@
-// Statistics of each class of requests: exponentially weighted averages of latency and its deviation, as in
-// TCP's estimate of the round-trip time (RFC 6298), and of what else the mechanisms go by.
+// The classes of requests: settings, and statistics that outlive them.
 
 package balancer
 
 import (
 	"cmp"
-	"math"
 	"slices"
-	"time"
+
+	"basaltdrum/balancer/internal/clienttimeout"
+	"basaltdrum/balancer/internal/latency"
 )
 
-// Constants of the averages: weights of a new sample, or ratios.
+// Constants of the averages.
 const (
-	averageWeight  = 0.06   // least weight in averages over all endpoints (about 16 samples)
-	baseRiseWeight = 0.0005 // weight in a class's base latency when the mean lies above it
-	baseFallWeight = 0.02   // and when it lies below; the mean is noisy and at times lower than any real one
-	baseSamples    = 8      // samples from which base latency has a value of its own and answers can be slow
-	slowDeviations = 3.0    // deviations above the mean from which an answer is slow
-	countDecay     = 0.99   // factor of the counts of arrivals and answers at each request
+	averageWeight = 0.06 // weight of a new sample in averages over all endpoints (about 16 samples)
+	countDecay    = 0.99 // factor of the counts of arrivals and answers at each request
 )
 
 // class is a class as the settings had it when its requests were accepted, with its statistics, which outlive
@@ -29,42 +25,15 @@
 
 // classStats is what was observed of a class.
 type classStats struct {
-	mean, deviation  float64 // latency of successes, in ns
-	base             float64 // what mean was when load was lowest
-	samples          int
+	latency          latency.Estimator
 	failureShare     float64 // share of its attempts that fail
 	arrivals, served float64 // requests, and answers within the latency objective: decayed counts
-	timeout          usualTimeout
+	timeout          clienttimeout.Usual
 }
 
-// newClass returns a class with the first guess at its latency.
+// newClass returns a class of which nothing was observed yet.
 func newClass(c Class) *class {
-	objective := float64(c.LatencyObjective)
-	return &class{c, &classStats{mean: objective / 4, deviation: objective / 8, base: objective / 4}}
-}
-
-// observe takes in the latency of a success, and says whether enough are known to call one slow. The first
-// samples replace the guess, or the endpoint that answers first would look fast against it.
-func (c *classStats) observe(latency float64) bool {
-	c.samples++
-	weight := max(averageWeight, 1/float64(c.samples))
-	c.deviation += weight * (math.Abs(latency-c.mean) - c.deviation)
-	c.mean += weight * (latency - c.mean)
-	c.base += baseRiseWeight * (c.mean - c.base)
-	c.base += min(0, baseFallWeight*(c.mean-c.base))
-	if c.samples < baseSamples {
-		c.base = c.mean
-		return false
-	}
-	return true
-}
-
-// isSlow says that an answer after so many nanoseconds is slow for the class.
-func (c *classStats) isSlow(latency float64) bool { return latency > c.mean+slowDeviations*c.deviation }
-
-// slowLatency returns the latency that most answers of the class stay well under.
-func (c *classStats) slowLatency() time.Duration {
-	return time.Duration(c.mean + slowDeviations*c.deviation)
+	return &class{c, &classStats{latency: latency.NewEstimator(c.LatencyObjective)}}
 }
 
 // classTable is the classes of the settings in force.
@@ -81,7 +50,7 @@
 		if was := old.byName[c.Name]; was != nil {
 			c.classStats = was.classStats
 			if was.Deadline != c.Deadline {
-				c.timeout.votes = 0 // the usual timeout was a share of the deadline
+				c.timeout.Reset() // the usual timeout was a share of the deadline
 			}
 		}
 		table.byName[c.Name] = c
--- a/balancer/deadlines.go
+++ b/balancer/deadlines.go
@@ -3,7 +3,11 @@
 
 package balancer
 
-import "time"
+import (
+	"time"
+
+	"basaltdrum/balancer/internal/retrybudget"
+)
 
 // hangingShare is the share of a class's attempts that may fail before attempts get only half of the time
 // that is left.
@@ -16,8 +20,8 @@
 func (b *Balancer) attemptTimeout(req *request) time.Duration {
 	c, left := req.class, b.answerDeadline(req)-b.now
 	retryLikely := c.Effect == Idempotent && len(req.attempts) < b.settings.MaxAttempts &&
-		b.retries.affords(fullCost)
-	if retryLikely && b.settings.Tier > 0 && c.failureShare > hangingShare && left/2 > c.slowLatency() {
+		b.retries.Affords(retrybudget.FullCost)
+	if retryLikely && b.settings.Tier > 0 && c.failureShare > hangingShare && left/2 > c.latency.Slow() {
 		return left / 2
 	}
 	return left
@@ -41,6 +45,6 @@
 		return last
 	}
 	objective := req.class.LatencyObjective
-	slack := max(objective/4, objective-time.Duration(req.class.mean+2*req.class.deviation))
+	slack := max(objective/4, objective-req.class.latency.Usual())
 	return min(last, req.arrived+slack)
 }
--- a/balancer/ejection.go
+++ b/balancer/ejection.go
@@ -11,7 +11,7 @@
 // Constants of ejection.
 const (
 	luckProbability   = 0.08 // probability from which a run of failures counts as chance
-	baseEjection      = 12   // mean latencies that a first ejection, or the wait after a rejection, lasts
+	baseEjection      = 12   // mean latencies that a first ejection lasts
 	maxEjectionLevel  = 5    // doublings of an ejection
 	recoverySuccesses = 3    // consecutive successes that take one doubling back
 	firstBadShare     = 0.02 // share of bad results that is assumed at first
@@ -68,7 +68,7 @@
 func (b *Balancer) observeFailure(ep *endpoint, c *class) {
 	ep.ejection.failure()
 	if b.badResults.unlikely(ep.ejection.consecutiveFailures) {
-		ep.ejection.eject(b.now, time.Duration(baseEjection*c.mean))
+		ep.ejection.eject(b.now, time.Duration(baseEjection*c.latency.Mean()))
 	}
 	b.badResults.failure()
 }
--- a/balancer/eligibility.go
+++ b/balancer/eligibility.go
@@ -84,6 +84,11 @@
 	return admitted, idle
 }
 
+// rejectionLimit is the count of requests in flight from which an endpoint is passed over because it rejected
+// one more a while ago. It is not unhealthy, so the cap on the exclusion of unhealthy endpoints does not
+// apply.
+func (b *Balancer) rejectionLimit(ep *endpoint) int { return ep.rejections.Limit(b.now) }
+
 // endpointLimit is the count of requests in flight from which an endpoint is passed over: random draws meet
 // the same few endpoints twice now and then, and what several replicas send there together overloads them.
 func (b *Balancer) endpointLimit(ep *endpoint) int {
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -2,7 +2,12 @@
 
 package balancer
 
-import "time"
+import (
+	"time"
+
+	"basaltdrum/balancer/internal/latency"
+	"basaltdrum/balancer/internal/rejection"
+)
 
 // endpoint is a listed endpoint, or one that left the list while attempts of this replica were in flight.
 type endpoint struct {
@@ -12,9 +17,9 @@
 	attempts []*attempt // the same attempts in order of sending
 
 	lastSuccess time.Duration
-	latency     relativeLatency
+	latency     latency.Relative
 	ejection    ejection
-	rejections  rejections
+	rejections  rejection.Record
 	failures    failureRates
 	tokens      tokenBucket // to send to it while it warms up
 	excluded    bool        // for its health, from the pick for the request at hand
@@ -37,7 +42,7 @@
 	if e.Cached {
 		b.scheduleSubscribe()
 	} else {
-		b.subscription.failures = 0
+		b.subscription.Succeed()
 	}
 	b.dispatchQueued()
 }
--- a/balancer/endpoints_bench_test.go
+++ b/balancer/endpoints_bench_test.go
@@ -37,7 +37,8 @@
 	return balancer.Endpoint{ID: fmt.Sprintf("%04d-%s", i, kind), Zone: fmt.Sprint("z", i%3), Capacity: 1, StartedAt: boot}
 }
 
-// replaceServer notifies the node that a server was removed and that another has joined: two changes of one entry.
+// replaceServer notifies the node that a server was removed and that another has joined: two changes of one
+// entry.
 func replaceServer(b *balancer.Balancer, now time.Duration, old, new balancer.Endpoint) {
 	old.State = balancer.Removed
 	b.Handle(now, balancer.EndpointUpdate{Endpoints: []balancer.Endpoint{old}})
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -11,8 +11,9 @@
 	"time"
 )
 
-// listReference builds groups and subsets from scratch for each list, in the plain way: sort all ready servers,
-// divide them in two, take the own zone's servers and then the others', each from the node's position on.
+// listReference builds groups and subsets from scratch for each list, in the plain way: sort all ready
+// servers, divide them in two, take the own zone's servers and then the others', each from the node's
+// position on.
 type listReference struct {
 	listed map[string]Endpoint
 }
--- a/balancer/heldup_test.go
+++ b/balancer/heldup_test.go
@@ -33,8 +33,8 @@
 				t.Errorf("ending %d: errors %v, window %v, crowding %v; had %v, %v, %v", e,
 					b.badResults.share, b.admission.limit, b.admission.meanOverTarget, before.badResults.share, before.admission.limit, before.admission.meanOverTarget)
 			}
-			if now := *b.classes.byName["get"].classStats; now.mean != failing.mean || now.failureShare != failing.failureShare {
-				t.Errorf("ending %d: mean %v, failing %v; had %v, %v", e, now.mean, now.failureShare, failing.mean, failing.failureShare)
+			if now := *b.classes.byName["get"].classStats; now.latency != failing.latency || now.failureShare != failing.failureShare {
+				t.Errorf("ending %d: mean %v, failing %v; had %v, %v", e, now.latency.Mean(), now.failureShare, failing.latency.Mean(), failing.failureShare)
 			}
 			for id, s := range b.endpoints {
 				if is := withoutSends(*s); fmt.Sprint(is) != fmt.Sprint(known[id]) {
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -63,8 +63,8 @@
 	return b.Handle(now, AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: e, Answered: e == Success})
 }
 
-// sendTraffic sends n requests one after another; fate decides how attempts at a server end. It returns how many
-// first attempts each server got in the second half.
+// sendTraffic sends n requests one after another; fate decides how attempts at a server end. It returns how
+// many first attempts each server got in the second half.
 func sendTraffic(b *Balancer, n int, class string, fate func(server string) AttemptResult) map[string]int {
 	got := map[string]int{}
 	for i := range n {
@@ -87,6 +87,13 @@
 	return got
 }
 
+// observeLatency makes so many answers of a class known, all with the same latency.
+func observeLatency(c *class, latency time.Duration, samples int) {
+	for range samples {
+		c.latency.Observe(float64(latency))
+	}
+}
+
 // zonedServers lists servers of two zones, each in both groups.
 func zonedServers(n int) []Endpoint {
 	l := servers(n)
--- /dev/null
+++ b/balancer/internal/latency/latency_test.go
@@ -0,0 +1,124 @@
+package latency
+
+import (
+	"fmt"
+	"math"
+	"testing"
+	"time"
+)
+
+const (
+	objective = 400 * time.Millisecond
+	usual     = float64(40 * time.Millisecond)
+)
+
+// observeAll records a number of equal latencies.
+func observeAll(e *Estimator, latency float64, samples int) (reliable bool) {
+	for range samples {
+		reliable = e.Observe(latency)
+	}
+	return reliable
+}
+
+func TestEstimatorFollowsTheSamples(t *testing.T) {
+	for _, c := range []struct {
+		name                string
+		samples             int
+		reliable            bool
+		leastMean, mostMean float64
+	}{
+		{"no sample: a quarter of the objective", 0, false, float64(objective) / 4, float64(objective) / 4},
+		{"the first sample replaces the guess", 1, false, usual, usual},
+		{"seven samples are too few", baseSamples - 1, false, usual, usual},
+		{"eight samples are enough", baseSamples, true, usual, usual},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			e := NewEstimator(objective)
+			if got := observeAll(&e, usual, c.samples); got != c.reliable {
+				t.Errorf("reliable %v, want %v", got, c.reliable)
+			}
+			if got := e.Mean(); got < c.leastMean || got > c.mostMean {
+				t.Errorf("mean %v, want %v to %v", got, c.leastMean, c.mostMean)
+			}
+		})
+	}
+}
+
+// The deviation shrinks with equal samples, and a latency is slow from three deviations above the mean.
+func TestSlowIsThreeDeviationsAboveTheMean(t *testing.T) {
+	e := Estimator{mean: usual, deviation: usual / 4, samples: 100}
+	if got, want := e.Slow(), time.Duration(usual*1.75); got != want {
+		t.Errorf("slow from %v, want %v", got, want)
+	}
+	if got, want := e.Usual(), time.Duration(usual*1.5); got != want {
+		t.Errorf("usual up to %v, want %v", got, want)
+	}
+	for latency, want := range map[float64]bool{usual: false, usual * 1.75: false, usual * 1.76: true} {
+		if got := e.IsSlow(latency); got != want {
+			t.Errorf("a latency of %v is slow: %v, want %v", latency, got, want)
+		}
+	}
+}
+
+// Base latency falls fast when the mean falls, and rises slowly when load slows answers down.
+func TestBaseFollowsTheLowestLoad(t *testing.T) {
+	for _, c := range []struct {
+		name                string
+		latency             float64
+		leastBase, mostBase float64
+	}{
+		{"answers slow down", 4 * usual, usual, 1.2 * usual},
+		{"answers get faster", usual / 4, usual / 4, usual / 2},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			e := NewEstimator(objective)
+			observeAll(&e, usual, 100)
+			observeAll(&e, c.latency, 100)
+			if got := e.Base(); got < c.leastBase || got > c.mostBase {
+				t.Errorf("base %v, want %v to %v", got, c.leastBase, c.mostBase)
+			}
+		})
+	}
+}
+
+func TestSpeedFollowsTheRatio(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		ratio   float64
+		samples int
+		want    float64
+	}{
+		{"nothing known", 1, 0, 1},
+		{"as the mean", 1, 10, 1},
+		{"half as fast", 2, 100, 0.5},
+		{"twice as fast", 0.5, 100, 2},
+		{"much faster: bounded", 0.01, 100, math.E},
+		{"the first sample counts by half", 4, 1, 0.5},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var r Relative
+			for range c.samples {
+				r.Observe(c.ratio)
+			}
+			if got := r.Speed(); math.Abs(got-c.want) > 0.001 {
+				t.Errorf("speed %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+func Example() {
+	class := NewEstimator(400 * time.Millisecond)
+	for range 20 {
+		class.Observe(float64(40 * time.Millisecond))
+	}
+	late := float64(200 * time.Millisecond)
+	fmt.Println("slow:", class.IsSlow(late))
+
+	var endpoint Relative
+	endpoint.Observe(late / class.Mean())
+	fmt.Printf("speed of the endpoint: %.2f\n", endpoint.Speed())
+	// Output:
+	// slow: true
+	// speed of the endpoint: 0.45
+}
--- a/balancer/outagesim_test.go
+++ b/balancer/outagesim_test.go
@@ -11,8 +11,8 @@
 )
 
 // outage is a fleet of first-tier nodes in simulated time. Some of its servers become slow, a part of them is
-// replaced by cold ones, and then most nodes are killed together and come back without state, while the servers
-// still work on what was sent before.
+// replaced by cold ones, and then most nodes are killed together and come back without state, while the
+// servers still work on what was sent before.
 type outage struct {
 	nodes, servers int
 	model          servermodel.Settings
@@ -165,7 +165,8 @@
 			return
 		}
 		class := r.set.Classes[r.rng.IntN(len(r.set.Classes))]
-		// Lognormal with a coefficient of variation of 1.3; classes of longer latency objectives have more work.
+		// Lognormal with a coefficient of variation of 1.3; classes of longer latency objectives have more
+		// work.
 		mean := r.work.Seconds() * float64(class.LatencyObjective) / float64(aims)
 		work := time.Duration(mean * math.Exp(r.rng.NormFloat64()-0.5) * float64(time.Second))
 		place, node := r.rng.Float64()*sum, 0
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -46,7 +46,7 @@
 	}
 	ratio := 1.0
 	for _, k := range b.classAndTotal(c) {
-		ratio = min(ratio, (1-ep.failures[k].after(b.now, c.mean))/(1-k.failureShare))
+		ratio = min(ratio, (1-ep.failures[k].after(b.now, c.latency.Mean()))/(1-k.failureShare))
 	}
 	return ratio < failureMargin && b.rng.Float64() >= math.Pow(ratio/failureMargin, failurePower)
 }
@@ -70,7 +70,7 @@
 		ep.failures = failureRates{}
 	}
 	for _, k := range b.classAndTotal(c) {
-		ep.failures.observe(k, failed, b.now, c.mean)
+		ep.failures.observe(k, failed, b.now, c.latency.Mean())
 		k.failureShare += averageWeight * (failed - k.failureShare)
 	}
 }
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// A server whose connection table is filled by other replicas refuses connections at once: it gets no more own
-// calls than it had, however many others refuse too, and is tried again later.
+// A server whose connection table is filled by other replicas refuses connections at once: it gets no more
+// own calls than it had, however many others refuse too, and is tried again later.
 func TestServerThatRefusesConnectionsGetsNoMoreCalls(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier, s.Replicas = 1, 1 })
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
@@ -134,8 +134,9 @@
 	}
 }
 
-// An overloaded server answers, but late: one overlong response must be enough to eject it for a while, for one of
-// many nodes calls it too rarely to wait for a mean. Where overlong responses are common none is ejected.
+// An overloaded server answers, but late: one overlong response must be enough to eject it for a while, for
+// one of many nodes calls it too rarely to wait for a mean. Where overlong responses are common none is
+// ejected.
 func TestOverlongResponseEjects(t *testing.T) {
 	for _, c := range []struct {
 		common float64
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -3,13 +3,8 @@
 
 package balancer
 
-import "math"
-
-// Bounds of an endpoint's weight.
-const (
-	minLogRatio = -1  // logarithm of relative latency from which a faster endpoint gains no more weight
-	maxCapacity = 1e6 // listed capacity that counts: with an infinite weight no draw would take any
-)
+// maxCapacity is the listed capacity that counts: with an infinite weight no draw would take any endpoint.
+const maxCapacity = 1e6
 
 // pick draws one endpoint from each group, and the one with fewer requests in flight wins. Equal counts above
 // zero go left; at zero the side is drawn by the groups' weights. Draws go by weight, which is equal as long
@@ -45,7 +40,7 @@
 // could carry, and one replica's counts are too small to show it. One replica's samples are few, too, but the
 // errors of many replicas cancel out.
 func (ep *endpoint) weight() float64 {
-	weight := math.Exp(-max(ep.latency.logRatio, minLogRatio))
+	weight := ep.latency.Speed()
 	if ep.Capacity > 0 {
 		weight *= min(ep.Capacity, maxCapacity)
 	}
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// The pick draws a candidate from each group and takes the one with fewer calls in flight; a tie goes to the first
-// group, and with no calls at all by the groups' sizes.
+// The pick draws a candidate from each group and takes the one with fewer calls in flight; a tie goes to the
+// first group, and with no calls at all by the groups' sizes.
 func TestPickComparesTwoCandidatesByCalls(t *testing.T) {
 	mk := func(calls ...int) []*endpoint {
 		var l []*endpoint
@@ -84,7 +84,9 @@
 	list[0].Capacity = 2
 	b := newBalancer(t, func(s *Settings) { s.Tier, s.Replicas = 1, 1 })
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: list})
-	b.endpoints["s02"].latency.logRatio = math.Log(2)
+	for range 100 {
+		b.endpoints["s02"].latency.Observe(2)
+	}
 	got := map[string]int{}
 	for range 9000 {
 		got[b.choose(&request{class: b.classes.byName["get"]}).ID]++
@@ -131,14 +133,14 @@
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(8)})
 	s := sends(b.Handle(msec, Request{ID: "a", Class: "get", Deadline: time.Second}))[0]
 	endAttempt(b, 3*msec, "a", s, Success)
-	if got := b.endpoints[s.Endpoint].latency.logRatio; got < -0.1 {
-		t.Errorf("the first answer made its server look %.1f in log latency", got)
+	if got := math.Log(b.endpoints[s.Endpoint].latency.Speed()); got > 0.1 {
+		t.Errorf("the first answer made its server look fast by %.1f in log speed", got)
 	}
 }
 
-// The servers of a lost zone are listed for seconds more. Replicas that call their own zone lose nothing by it;
-// with subsets of both zones, each replica of each tier would have to discover each lost server by a call that is
-// never answered.
+// The servers of a lost zone are listed for seconds more. Replicas that call their own zone lose nothing by
+// it; with subsets of both zones, each replica of each tier would have to discover each lost server by a call
+// that is never answered.
 func TestReplicasServeWhileAnotherZoneIsUnresponsive(t *testing.T) {
 	const replicas, rounds = 16, 40
 	hung, sent := 0, 0
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -74,7 +74,7 @@
 		return Success
 	})
 	open := sends(b.Handle(b.now, Request{ID: "open", Class: "get", Deadline: b.now + time.Second}))[0]
-	mean, calls, until := b.classes.byName["get"].mean, b.endpoints[open.Endpoint].inFlight, b.endpoints["s02"].ejection.until
+	mean, calls, until := b.classes.byName["get"].latency.Mean(), b.endpoints[open.Endpoint].inFlight, b.endpoints["s02"].ejection.until
 	if calls == 0 || until == 0 {
 		t.Fatalf("%d calls out, ejected until %v: nothing to keep", calls, until)
 	}
@@ -83,7 +83,7 @@
 	set.Classes[0].LatencyObjective *= 2
 	set.Classes = append(set.Classes, Class{Name: "new", LatencyObjective: time.Second, Deadline: 2 * time.Second})
 	b.Handle(b.now, Reconfigure{set})
-	if got := b.classes.byName["get"].mean; got != mean {
+	if got := b.classes.byName["get"].latency.Mean(); got != mean {
 		t.Errorf("mean latency %v, want %v", got, mean)
 	}
 	if got := b.endpoints[open.Endpoint].inFlight; got != calls {
@@ -97,7 +97,8 @@
 	}
 }
 
-// However often settings come, and though classes come and go while calls are in flight, no state accumulates.
+// However often settings come, and though classes come and go while calls are in flight, no state
+// accumulates.
 func TestReconfigureLeaksNoState(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(3)})
--- a/balancer/recovery_test.go
+++ b/balancer/recovery_test.go
@@ -7,7 +7,8 @@
 	"basaltdrum/internal/servermodel"
 )
 
-// shopsOutage is a deployment whose servers have few slots and a short queue, and stay slow after an overload.
+// shopsOutage is a deployment whose servers have few slots and a short queue, and stay slow after an
+// overload.
 func shopsOutage() outage {
 	return outage{
 		nodes: 46, servers: 84, work: 75 * msec, elsewhere: 3.2, load: 0.55,
@@ -32,8 +33,8 @@
 	}
 }
 
-// galleryOutage is a deployment whose servers have many slots and a long queue, and recover from an overload at
-// once.
+// galleryOutage is a deployment whose servers have many slots and a long queue, and recover from an overload
+// at once.
 func galleryOutage() outage {
 	o := shopsOutage()
 	o.nodes, o.servers, o.work, o.elsewhere = 48, 60, 150*msec, 2
@@ -49,8 +50,8 @@
 	return o
 }
 
-// recoveryCase is a deployment, and the shares of the offered priority weight that it must serve before the faults
-// and once all is over. Most nodes' clients are without a node in between.
+// recoveryCase is a deployment, and the shares of the offered priority weight that it must serve before the
+// faults and once all is over. Most nodes' clients are without a node in between.
 type recoveryCase struct {
 	name          string
 	outage        outage
@@ -75,9 +76,9 @@
 	return cases
 }
 
-// After an outage the fleet serves about as before, though servers that were overloaded stay slow until they have
-// rested, and though most nodes have lost their state: the overload must not sustain itself. Nor may careful nodes
-// reject what servers can serve, before the outage or after.
+// After an outage the fleet serves about as before, though servers that were overloaded stay slow until they
+// have rested, and though most nodes have lost their state: the overload must not sustain itself. Nor may
+// careful nodes reject what servers can serve, before the outage or after.
 func TestFleetRecoversFromAnOutage(t *testing.T) {
 	for _, c := range recoveryCases() {
 		t.Run(c.name, func(t *testing.T) {
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -64,6 +64,27 @@
 	b.dispatch(req)
 }
 
+// inferFirstAttempt finds when the client's first attempt began. Most attempts of a class have the same
+// timeout, a share of its deadline. One with another timeout has all that earlier attempts left: less than
+// the share, or more where it is the last. This would hurt the clients in the minority if those of one class
+// used different timeouts. A timeout runs from the first byte (0: now), so that a request that is written
+// slowly does not look unusual.
+func (b *Balancer) inferFirstAttempt(req *request, firstByte time.Duration) {
+	if b.settings.Tier > 0 {
+		return
+	}
+	began := b.now
+	if firstByte > 0 {
+		began = min(b.now, firstByte)
+	}
+	c := req.class
+	if c.timeout.Vote(float64(req.deadline - began)) {
+		return
+	}
+	req.arrived = min(b.now, req.deadline-c.Deadline)
+	req.retry = req.retry || began-req.arrived > c.LatencyObjective/2
+}
+
 // dispatch sends a request, or queues it while no endpoint may take it.
 func (b *Balancer) dispatch(req *request) {
 	if !b.atCapacity(req) {
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -1,47 +1,25 @@
-// Retries, and the budget that bounds them.
-//
-// The budget is a token bucket, as in gRPC's retry throttling (proposal A6) and Finagle's RetryBudget:
-// successes fill it and each retry takes from it, so that retries stay a small share of the traffic when much
-// fails. Without it the retries of every tier multiply. Requests are never hedged: a second attempt begins
-// only when the first one has ended.
+// Retries: when one is allowed, and whether the budget pays for it. Requests are never hedged: a second
+// attempt begins only when the first one has ended.
 
 package balancer
 
 import (
 	"slices"
 	"time"
-)
 
-// Constants of the retry budget, all counted in retries.
-const (
-	tokensPerSuccess = 0.15 // earned by a success
-	fullCost         = 1.0  // of a retry after an attempt that may have run
-	neverRanCost     = 0.1  // of a retry after an attempt that proved not to have run
-	maxRetryTokens   = 10   // most that can be saved up
+	"basaltdrum/balancer/internal/retrybudget"
 )
 
-// retryBudget is the token bucket that retries are paid from.
-type retryBudget struct{ tokens float64 }
-
-func newRetryBudget() retryBudget { return retryBudget{tokens: maxRetryTokens / 2} }
-
-// earn pays in for a success.
-func (r *retryBudget) earn() { r.tokens = min(maxRetryTokens, r.tokens+tokensPerSuccess) }
-
-func (r *retryBudget) affords(cost float64) bool { return r.tokens >= cost }
-
-func (r *retryBudget) spend(cost float64) { r.tokens -= cost }
-
 // retryCost returns what a retry after this attempt costs: the less the attempt can have asked of an
 // endpoint, the cheaper it is.
 func retryCost(last *attempt) float64 {
 	switch {
 	case last.notSent:
-		return 0
+		return retrybudget.NotSentCost
 	case last.neverRan:
-		return neverRanCost
+		return retrybudget.NeverRanCost
 	}
-	return fullCost
+	return retrybudget.FullCost
 }
 
 // mayRetry says whether the effect of the request's class and the limit on attempts allow one more attempt.
@@ -61,9 +39,9 @@
 func (b *Balancer) retryOrAnswer(req *request) {
 	left := float64(b.answerDeadline(req) - b.now)
 	cost := retryCost(req.attempts[len(req.attempts)-1])
-	if b.mayRetry(req) && b.retries.affords(cost) && left >= req.class.mean/2 {
+	if b.mayRetry(req) && b.retries.Affords(cost) && left >= req.class.latency.Mean()/2 {
 		if ep := b.choose(req); ep != nil {
-			b.retries.spend(cost)
+			b.retries.Spend(cost)
 			b.send(req, ep)
 			return
 		}
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -5,8 +5,11 @@
 	"time"
 )
 
-// An attempt is cut short only where attempts go unanswered, where it may be retried, and where a retry has time
-// and budget.
+// newBudget is how many retries a new budget pays for.
+const newBudget = 5.0
+
+// An attempt is cut short only where attempts go unanswered, where it may be retried, and where a retry has
+// time and budget.
 func TestAttemptTimeoutIsCutOnlyWhereARetryMayFollow(t *testing.T) {
 	for _, c := range []struct {
 		name            string
@@ -25,7 +28,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := newBalancer(t, func(s *Settings) { s.Tier = c.tier })
 			b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
-			b.classes.byName[c.class].failureShare, b.retries.tokens = c.failing, c.tokens
+			b.classes.byName[c.class].failureShare = c.failing
+			b.retries.Spend(newBudget - c.tokens)
 			s := sends(b.Handle(0, Request{ID: "a", Class: c.class, Deadline: c.left}))[0]
 			if s.Timeout != c.want {
 				t.Errorf("%s: time-out %v, want %v", c.name, s.Timeout, c.want)
@@ -34,19 +38,20 @@
 	}
 }
 
-// An attempt that never left the host costs no server anything: its retry is free, but counts against the maximum
-// of attempts of a request.
+// An attempt that never left the host costs no server anything: its retry is free, but counts against the
+// maximum of attempts of a request.
 func TestNotSentCostsNoRetryBudget(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.MaxAttempts = 4 })
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
-	b.retries.tokens = 0.05
+	b.retries.Spend(newBudget - 0.05) // less than any retry costs but a free one
+	before := b.retries
 	sent := sends(b.Handle(0, Request{ID: "r", Class: "get", Deadline: time.Second}))
 	for n := 0; len(sent) > 0; n++ {
 		if n == 4 {
 			t.Fatal("more attempts than allowed")
 		}
-		if b.retries.tokens != 0.05 {
-			t.Errorf("attempt %d: the budget is %v", n, b.retries.tokens)
+		if b.retries != before {
+			t.Errorf("attempt %d: the budget is %v, was %v", n, b.retries, before)
 		}
 		acts := b.Handle(0, AttemptEnded{ID: "r", Attempt: n, Endpoint: sent[0].Endpoint, Result: NotSent})
 		if sent = sends(acts); len(sent) == 0 && n != 3 {
@@ -66,15 +71,16 @@
 	if r := b.requests["first"]; r == nil || r.retry || r.arrived != 0 {
 		t.Errorf("a first attempt was taken for a retry: %+v", r)
 	}
-	// The retry's latency objective of 500 ms ended 100 ms before it came: without a server it is still queued.
+	// The retry's latency objective of 500 ms ended 100 ms before it came: without a server it is still
+	// queued.
 	r := b.requests["again"]
 	if r == nil || !r.retry || r.arrived != 5*time.Second-600*msec {
 		t.Errorf("the retry was not recognised: %+v", r)
 	}
 }
 
-// A request that its client sends slowly is not unusual among those that are given the same time, and an unusual
-// one is a retry only if it is so by its first byte.
+// A request that its client sends slowly is not unusual among those that are given the same time, and an
+// unusual one is a retry only if it is so by its first byte.
 func TestSlowlySentRequestIsNotARetry(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(time.Second, Request{ID: "first", Class: "get", Deadline: 2500 * msec})
@@ -94,7 +100,8 @@
 			if r := b.requests[c.id]; r == nil || r.retry != c.repeat || r.arrived != c.arrived {
 				t.Errorf("%s: %+v", c.id, r)
 			}
-			b.classes.byName["get"].timeout.votes = 1
+			b.classes.byName["get"].timeout.Reset()
+			b.classes.byName["get"].timeout.Vote(float64(1500 * msec)) // one vote for the usual timeout
 		})
 	}
 }
--- a/balancer/rulechecker_test.go
+++ b/balancer/rulechecker_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// ruleChecker follows the events given to one Balancer and its actions, and records every violated rule. It shares
-// no code with the module.
+// ruleChecker follows the events given to one Balancer and its actions, and records every violated rule. It
+// shares no code with the module.
 type ruleChecker struct {
 	set    Settings
 	slack  time.Duration
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// changedSettings draws other settings: classes that come, go, or have another effect, scope, window or deadline,
-// and other limits. Now and then they are invalid.
+// changedSettings draws other settings: classes that come, go, or have another effect, scope, window or
+// deadline, and other limits. Now and then they are invalid.
 func changedSettings(set Settings, rng *rand.Rand) Settings {
 	set.Classes = nil
 	for _, c := range testSettings().Classes {
@@ -157,8 +157,8 @@
 	}
 }
 
-// kill ends the Balancer with all that it holds, now and then as a planned restart does, and a new instance takes
-// over.
+// kill ends the Balancer with all that it holds, now and then as a planned restart does, and a new instance
+// takes over.
 func (r *randomRun) kill(seed uint64) {
 	if r.rng.IntN(2) == 0 {
 		r.give(Shutdown{})
@@ -233,8 +233,8 @@
 	}
 }
 
-// changeList changes a server, and notifies the Balancer by a complete list, by a change, or by one after a failed
-// watch.
+// changeList changes a server, and notifies the Balancer by a complete list, by a change, or by one after a
+// failed watch.
 func (r *randomRun) changeList() {
 	s := &r.fleet[r.rng.IntN(len(r.fleet))]
 	s.State = EndpointState(r.rng.IntN(3))
--- a/balancer/shedding.go
+++ b/balancer/shedding.go
@@ -48,7 +48,7 @@
 	if retry {
 		value *= c.LateValue
 	}
-	return value / c.mean
+	return value / c.latency.Mean()
 }
 
 // dispatchQueued sends requests from the queue while there is capacity, the highest priority first.
--- a/balancer/simulation_test.go
+++ b/balancer/simulation_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// simulation runs planned steps in the order of their times, in simulated time. Steps of the same time run in the
-// order in which they were planned.
+// simulation runs planned steps in the order of their times, in simulated time. Steps of the same time run in
+// the order in which they were planned.
 type simulation struct {
 	now     time.Duration
 	queue   simEvents
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// chernoffMean is the largest mean with which a count goes over a limit with a chance of exp(-rarity) at most,
-// by Chernoff's bound, found by bisection.
+// chernoffMean is the largest mean with which a count goes over a limit with a chance of exp(-rarity) at
+// most, by Chernoff's bound, found by bisection.
 func chernoffMean(limit float64) float64 {
 	low, high := 0.0, limit
 	for range 60 {
@@ -40,8 +40,9 @@
 	return ep.tokens.rate * b.settings.OverloadWindow.Seconds()
 }
 
-// A warming server is sent all that the limit allows on average: by the wider rule where the settings allow it
-// less than 30 requests in a window. Just under 30 the limit is the one that holds at 30, and it never shrinks.
+// A warming server is sent all that the limit allows on average: by the wider rule where the settings allow
+// it less than 30 requests in a window. Just under 30 the limit is the one that holds at 30, and it never
+// shrinks.
 func TestSlowStartRateFollowsTheOverloadLimit(t *testing.T) {
 	narrow := func(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
 	before := 0.0
@@ -61,8 +62,8 @@
 	}
 }
 
-// After an outage a node's whole subset may come back cold. That must not suspend slow start while the rest of the
-// list is warm: many such nodes would overload the cold servers.
+// After an outage a node's whole subset may come back cold. That must not suspend slow start while the rest
+// of the list is warm: many such nodes would overload the cold servers.
 func TestColdSubsetKeepsSlowStartInForce(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier, s.Replicas = 1, 50 })
 	list := servers(40)
@@ -111,15 +112,15 @@
 
 const coldCapacity, coldMean = 50.0, 20 * msec // of a warm server: a second's work of 50 requests of mean work
 
-// coldResult tells what a server got that was cold at first: how many requests, the most work that came in any
-// overloadWindow, as a part of its limit, and its share of all work from second 3 to 6.
+// coldResult tells what a server got that was cold at first: how many requests, the most work that came in
+// any overloadWindow, as a part of its limit, and its share of all work from second 3 to 6.
 type coldResult struct {
 	requests     int
 	worst, early float64
 }
 
-// playColdServer has replicas send at three quarters of the capacity of 6 servers, one of which, s02, starts at
-// second 1. work draws a request's work, in parts of the mean; send returns the server that gets it.
+// playColdServer has replicas send at three quarters of the capacity of 6 servers, one of which, s02, starts
+// at second 1. work draws a request's work, in parts of the mean; send returns the server that gets it.
 func playColdServer(set Settings, replicas int, seed uint64, work func(*rand.Rand) float64,
 	send func(replica int, now time.Duration, id string, work float64) string,
 ) (res coldResult) {
@@ -206,8 +207,9 @@
 	}
 }
 
-// Where the expected work is hinted, a warming server's quota consists of light requests. All replicas together
-// stay within its limit of work, and yet give it more than half of its capacity while the rest is busy.
+// Where the expected work is hinted, a warming server's quota consists of light requests. All replicas
+// together stay within its limit of work, and yet give it more than half of its capacity while the rest is
+// busy.
 func TestWarmingServerIsUsedWithinItsLimit(t *testing.T) {
 	set := testSettings()
 	for _, replicas := range []int{12, 100} {
--- a/balancer/slowstartfleet_test.go
+++ b/balancer/slowstartfleet_test.go
@@ -40,9 +40,9 @@
 	return f
 }
 
-// No warming server gets more from all replicas together than the settings allow, however many are cold, whether
-// the replicas are few or many, old or new, and though the warm servers fail meanwhile. Nor are the cold ones left
-// idle: where few are cold, or the limit is wide, they take most of their share of the work.
+// No warming server gets more from all replicas together than the settings allow, however many are cold,
+// whether the replicas are few or many, old or new, and though the warm servers fail meanwhile. Nor are the
+// cold ones left idle: where few are cold, or the limit is wide, they take most of their share of the work.
 func TestSlowStartLimitHoldsForAllReplicas(t *testing.T) {
 	for _, replicas := range []int{5, 20, 30, 100} {
 		for _, multiple := range []float64{2, 4} {
@@ -76,8 +76,8 @@
 	}
 }
 
-// warmingSize is the size of a fleet and the capacity of its servers, which determines what the settings allow a
-// cold server in a window: N.
+// warmingSize is the size of a fleet and the capacity of its servers, which determines what the settings
+// allow a cold server in a window: N.
 type warmingSize struct {
 	replicas, servers, cores int
 	multiple                 float64
@@ -85,9 +85,9 @@
 	share                    float64 // that the cold servers take at least
 }
 
-// The limit holds in fleets from one replica to the largest, with N under 30, over it, and on both sides of it as
-// the servers warm up. With one or two replicas the cold servers take less than their share: a replica has one
-// call at a time at each.
+// The limit holds in fleets from one replica to the largest, with N under 30, over it, and on both sides of
+// it as the servers warm up. With one or two replicas the cold servers take less than their share: a replica
+// has one call at a time at each.
 func TestSlowStartLimitHoldsInFleetsOfAnySize(t *testing.T) {
 	for _, size := range []warmingSize{
 		{replicas: 1, servers: 20, cores: 1, multiple: 2, window: time.Second, share: 0.5}, // N from 1.2 to 10
@@ -114,7 +114,8 @@
 	}
 }
 
-// play plays a tenth, half and nine tenths of the servers cold; for the largest fleets with hints only at one.
+// play plays a tenth, half and nine tenths of the servers cold; for the largest fleets with hints only at
+// one.
 func (size warmingSize) play(t *testing.T) {
 	sum, worst, rows := 0.0, 0.0, 0
 	for i, tenths := range []int{1, 5, 9} {
@@ -140,8 +141,8 @@
 	}
 }
 
-// The check can fail: one server that gets all requests is overloaded, and so is one that gets a warm one's share
-// from its first moment.
+// The check can fail: one server that gets all requests is overloaded, and so is one that gets a warm one's
+// share from its first moment.
 func TestSlowStartLimitCheckCanFail(t *testing.T) {
 	f := warmingCase{replicas: 20, cold: 2, multiple: 2, window: time.Second}.fleet(1)
 	if res := f.play(t, func() int { return 0 }); res.overloaded != 1 {
--- a/balancer/slowstartsim_test.go
+++ b/balancer/slowstartsim_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// warmingFleet is a fleet of replicas in simulated time whose servers are partly replaced by ones that warm up.
-// Servers are alike: cores that each serve one call at a time, a queue before them, and a speed that grows from
-// SlowStartFloor to 1 over SlowStartDuration, as slowly as the settings allow. Some replicas get several times the
-// mean of the requests, whose work is 0.5 to 1.5 times the mean.
+// warmingFleet is a fleet of replicas in simulated time whose servers are partly replaced by ones that warm
+// up. Servers are alike: cores that each serve one call at a time, a queue before them, and a speed that
+// grows from SlowStartFloor to 1 over SlowStartDuration, as slowly as the settings allow. Some replicas get
+// several times the mean of the requests, whose work is 0.5 to 1.5 times the mean.
 type warmingFleet struct {
 	replicas, servers, cold int
 	cores, capacity         int           // of a server: calls in work, and calls that it holds at most
@@ -28,8 +28,8 @@
 const replacedAt = 8 * time.Second
 
 // warmingResult tells what became of a warmingFleet. Worst is the most work that came to a cold server in a
-// window, as a part of its limit. Share is the part of the work that went to cold servers in the first half of the
-// warm-up, as a part of their share of the capacity then.
+// window, as a part of its limit. Share is the part of the work that went to cold servers in the first half
+// of the warm-up, as a part of their share of the capacity then.
 type warmingResult struct {
 	overloaded    int // cold servers that got more than they may
 	worst, share  float64
@@ -249,7 +249,8 @@
 	}
 }
 
-// countShare notes what goes to cold servers, and their part of the capacity, in the first half of the warm-up.
+// countShare notes what goes to cold servers, and their part of the capacity, in the first half of the
+// warm-up.
 func (r *warmingRun) countShare(s *warmingServer, work float64) {
 	if r.now < replacedAt || r.now >= replacedAt+r.set.SlowStartDuration/2 {
 		return
--- a/balancer/subsetting_test.go
+++ b/balancer/subsetting_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// The subsets of a zone's replicas cover its servers evenly, however the replicas are numbered, and include the
-// other zone when they are wider than their own.
+// The subsets of a zone's replicas cover its servers evenly, however the replicas are numbered, and include
+// the other zone when they are wider than their own.
 func TestSubsetsPreferTheirZoneAndCoverItEvenly(t *testing.T) {
 	for _, numbered := range []string{"in a row", "in turns"} {
 		count := map[string]int{}
@@ -85,8 +85,8 @@
 	}
 }
 
-// Lists of 1,024 servers and as many replicas are used completely: all subsets together contain each server, each
-// about as often as the others, and a replica whose subset rejects it finds the rest.
+// Lists of 1,024 servers and as many replicas are used completely: all subsets together contain each server,
+// each about as often as the others, and a replica whose subset rejects it finds the rest.
 func TestSubsetsOfAThousandReplicasCoverAThousandServers(t *testing.T) {
 	const many = 1024
 	var list []Endpoint
--- a/balancer/unresponsive.go
+++ b/balancer/unresponsive.go
@@ -10,7 +10,7 @@
 		return false
 	}
 	oldest := ep.attempts[0]
-	wait := oldest.request.class.slowLatency()
+	wait := oldest.request.class.latency.Slow()
 	recent := oldest.sent + wait/2
 	return b.now-oldest.sent > wait && b.lastSuccess > recent && ep.lastSuccess < recent
 }
