--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -11,8 +11,10 @@
 	"math/rand/v2"
 	"time"
 
+	"basaltdrum/balancer/internal/outlier"
 	"basaltdrum/balancer/internal/retrybudget"
 	"basaltdrum/balancer/internal/subscription"
+	"basaltdrum/balancer/internal/unresponsive"
 )
 
 // subscriptionToken is the token of the timer after which the host is asked to subscribe.
@@ -44,11 +46,11 @@
 	retries  retrybudget.Budget
 
 	// Load and health.
-	admission   concurrencyLimit
-	shedding    sheddingRate
-	badResults  badResults
-	lastSuccess time.Duration
-	slowStart   slowStart
+	admission concurrencyLimit
+	shedding  sheddingRate
+	outliers  outlier.Detector
+	responses unresponsive.Detector
+	slowStart slowStart
 }
 
 // New returns a Balancer that knows no endpoints yet. The error is a *SettingError.
@@ -57,11 +59,11 @@
 		return nil, err
 	}
 	b := &Balancer{
-		rng:        rand.New(rand.NewPCG(seed, seedStream)),
-		endpoints:  map[string]*endpoint{},
-		requests:   map[string]*request{},
-		badResults: badResults{firstBadShare},
-		retries:    retrybudget.New(),
+		rng:       rand.New(rand.NewPCG(seed, seedStream)),
+		endpoints: map[string]*endpoint{},
+		requests:  map[string]*request{},
+		outliers:  outlier.NewDetector(),
+		retries:   retrybudget.New(),
 	}
 	b.applySettings(settings)
 	return b, nil
--- a/balancer/classes.go
+++ b/balancer/classes.go
@@ -8,6 +8,7 @@
 
 	"basaltdrum/balancer/internal/clienttimeout"
 	"basaltdrum/balancer/internal/latency"
+	"basaltdrum/balancer/internal/outlier"
 )
 
 // Constants of the averages.
@@ -26,7 +27,7 @@
 // classStats is what was observed of a class.
 type classStats struct {
 	latency          latency.Estimator
-	failureShare     float64 // share of its attempts that fail
+	failures         outlier.ClassRate
 	arrivals, served float64 // requests, and answers within the latency objective: decayed counts
 	timeout          clienttimeout.Usual
 }
@@ -73,6 +74,11 @@
 // unknown returns the unknown class. Its failure rates stand for all classes together.
 func (t *classTable) unknown() *class { return t.ordered[len(t.ordered)-1] }
 
+// rates returns the failure rates that a result of the class counts for.
+func (t *classTable) rates(c *class) outlier.Classes {
+	return outlier.Classes{&c.failures, &t.unknown().failures}
+}
+
 // get returns the class of this name, or the unknown one.
 func (t *classTable) get(name string) *class {
 	if c := t.byName[name]; c != nil {
@@ -81,9 +87,9 @@
 	return t.unknown()
 }
 
-// has says whether the statistics belong to a class of the table.
-func (t *classTable) has(stats *classStats) bool {
-	return slices.ContainsFunc(t.ordered, func(c *class) bool { return c.classStats == stats })
+// hasRate says whether the failure rate is that of a class of the table.
+func (t *classTable) hasRate(rate *outlier.ClassRate) bool {
+	return slices.ContainsFunc(t.ordered, func(c *class) bool { return &c.failures == rate })
 }
 
 // countArrival counts a request of a class.
--- a/balancer/deadlines.go
+++ b/balancer/deadlines.go
@@ -21,7 +21,7 @@
 	c, left := req.class, b.answerDeadline(req)-b.now
 	retryLikely := c.Effect == Idempotent && len(req.attempts) < b.settings.MaxAttempts &&
 		b.retries.Affords(retrybudget.FullCost)
-	if retryLikely && b.settings.Tier > 0 && c.failureShare > hangingShare && left/2 > c.latency.Slow() {
+	if retryLikely && b.settings.Tier > 0 && c.failures.Share() > hangingShare && left/2 > c.latency.Slow() {
 		return left / 2
 	}
 	return left
--- a/balancer/eligibility.go
+++ b/balancer/eligibility.go
@@ -4,7 +4,6 @@
 package balancer
 
 import (
-	"cmp"
 	"math"
 	"slices"
 )
@@ -60,13 +59,29 @@
 		return
 	}
 	slices.SortStableFunc(unhealthy, func(ep, other *endpoint) int {
-		return cmp.Compare(other.ejection.consecutiveFailures, ep.ejection.consecutiveFailures)
+		return ep.health.CompareWorst(&other.health)
 	})
 	for _, ep := range unhealthy[most:] {
 		ep.excluded = false
 	}
 }
 
+// isOutlier says, by a random draw, that an endpoint should not be sent a class now, by its success rate.
+func (b *Balancer) isOutlier(ep *endpoint, c *class) bool {
+	eligibility := ep.health.Eligibility(b.classes.rates(c), b.now, c.latency.Mean())
+	return eligibility < 1 && b.rng.Float64() >= eligibility
+}
+
+// isUnhealthy says that a request should not be sent to an endpoint now for its health. After an ejection one
+// idempotent request at a time tries the endpoint: a bad one must not fail a request that can't be retried,
+// nor many at once.
+func (b *Balancer) isUnhealthy(ep *endpoint, req *request) bool {
+	if ep.health.IsEjected(b.now) || b.responses.Suspects(&ep.attempts, b.now) {
+		return true
+	}
+	return ep.health.OnTrial() && (req.class.Effect == NonIdempotent || ep.attempts.InFlight() > 0)
+}
+
 // eligible returns the endpoints of a group that the request may be sent to, and the idle ones that only the
 // draw of slow start keeps out.
 func (b *Balancer) eligible(
@@ -74,10 +89,10 @@
 ) (admitted, idle []*endpoint) {
 	for _, ep := range group {
 		switch {
-		case ep.excluded || ep.inFlight >= limit(ep) || !req.inScope(ep) || req.tried(ep):
+		case ep.excluded || ep.attempts.InFlight() >= limit(ep) || !req.inScope(ep) || req.tried(ep):
 		case b.admitsInSlowStart(ep, req):
 			admitted = append(admitted, ep)
-		case ep.inFlight == 0 && len(req.attempts) == 0 && b.hasTokens(ep):
+		case ep.attempts.InFlight() == 0 && len(req.attempts) == 0 && b.hasTokens(ep):
 			idle = append(idle, ep)
 		}
 	}
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -3,27 +3,24 @@
 package balancer
 
 import (
-	"time"
-
 	"basaltdrum/balancer/internal/latency"
+	"basaltdrum/balancer/internal/outlier"
 	"basaltdrum/balancer/internal/rejection"
+	"basaltdrum/balancer/internal/unresponsive"
 )
 
 // endpoint is a listed endpoint, or one that left the list while attempts of this replica were in flight.
 type endpoint struct {
 	Endpoint
 	listed   bool
-	inFlight int        // this replica's attempts in flight
-	attempts []*attempt // the same attempts in order of sending
+	attempts unresponsive.Record // this replica's attempts in flight
 
-	lastSuccess time.Duration
-	latency     latency.Relative
-	ejection    ejection
-	rejections  rejection.Record
-	failures    failureRates
-	tokens      tokenBucket // to send to it while it warms up
-	excluded    bool        // for its health, from the pick for the request at hand
-	inSubset    bool        // in this replica's subset
+	latency    latency.Relative
+	health     outlier.Record
+	rejections rejection.Record
+	tokens     tokenBucket // to send to it while it warms up
+	excluded   bool        // for its health, from the pick for the request at hand
+	inSubset   bool        // in this replica's subset
 }
 
 // isReady says that an endpoint is listed and may be sent requests.
@@ -100,7 +97,7 @@
 		ep = &endpoint{}
 		b.endpoints[entry.ID] = ep
 	} else if ep.StartedAt != entry.StartedAt {
-		*ep = endpoint{inFlight: ep.inFlight, attempts: ep.attempts}
+		*ep = endpoint{attempts: ep.attempts.AfterRestart()}
 	}
 	ep.Endpoint = entry
 	ep.listed = entry.State != Removed
@@ -109,7 +106,7 @@
 
 // forgetEndpoint drops an endpoint that has left the list once no attempt at it is in flight.
 func (b *Balancer) forgetEndpoint(ep *endpoint) {
-	if !ep.listed && ep.inFlight == 0 {
+	if !ep.listed && ep.attempts.InFlight() == 0 {
 		delete(b.endpoints, ep.ID)
 	}
 }
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -197,7 +197,7 @@
 			r.fail("server", s.Endpoint, r.ref.listed[id])
 		}
 		cold = cold || s.listed && s.State == Ready && r.b.capacityShare(s) < 1
-		if !s.listed && s.inFlight > 0 {
+		if !s.listed && s.attempts.InFlight() > 0 {
 			known = append(known, id)
 		}
 	}
--- a/balancer/heldup_test.go
+++ b/balancer/heldup_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"maps"
 	"testing"
 	"time"
 )
@@ -16,7 +15,7 @@
 			b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 			sendTraffic(b, 200, "get", func(string) AttemptResult { return Success })
 			now, before := b.now, *b // what follows reads its figures only
-			known, failing := map[string]endpoint{}, *b.classes.byName["get"].classStats
+			known, failing := map[string]string{}, *b.classes.byName["get"].classStats
 			for id, s := range b.endpoints {
 				known[id] = withoutSends(*s)
 			}
@@ -29,25 +28,24 @@
 				now += 400 * msec
 				b.Handle(now, AttemptEnded{ID: id, Endpoint: sent[0].Endpoint, Result: e, Latency: 400 * msec, Answered: true, HeldUp: true})
 			}
-			if b.badResults.share != before.badResults.share || b.admission.limit != before.admission.limit || b.admission.meanOverTarget != before.admission.meanOverTarget || b.lastSuccess != before.lastSuccess {
+			if b.outliers != before.outliers || b.admission.limit != before.admission.limit || b.admission.meanOverTarget != before.admission.meanOverTarget || b.responses != before.responses {
 				t.Errorf("ending %d: errors %v, window %v, crowding %v; had %v, %v, %v", e,
-					b.badResults.share, b.admission.limit, b.admission.meanOverTarget, before.badResults.share, before.admission.limit, before.admission.meanOverTarget)
+					b.outliers, b.admission.limit, b.admission.meanOverTarget, before.outliers, before.admission.limit, before.admission.meanOverTarget)
 			}
-			if now := *b.classes.byName["get"].classStats; now.latency != failing.latency || now.failureShare != failing.failureShare {
-				t.Errorf("ending %d: mean %v, failing %v; had %v, %v", e, now.latency.Mean(), now.failureShare, failing.latency.Mean(), failing.failureShare)
+			if now := *b.classes.byName["get"].classStats; now.latency != failing.latency || now.failures != failing.failures {
+				t.Errorf("ending %d: mean %v, failing %v; had %v, %v", e, now.latency.Mean(), now.failures, failing.latency.Mean(), failing.failures)
 			}
 			for id, s := range b.endpoints {
-				if is := withoutSends(*s); fmt.Sprint(is) != fmt.Sprint(known[id]) {
-					t.Errorf("ending %d: %s is %+v, was %+v", e, id, is, known[id])
+				if is := withoutSends(*s); is != known[id] {
+					t.Errorf("ending %d: %s is %s, was %s", e, id, is, known[id])
 				}
 			}
 		})
 	}
 }
 
-// withoutSends is a server without what a send alone changes.
-func withoutSends(s endpoint) endpoint {
-	s.inFlight, s.attempts, s.excluded, s.inSubset, s.tokens = 0, nil, false, false, tokenBucket{}
-	s.failures = maps.Clone(s.failures)
-	return s
+// withoutSends prints a server without what a send alone changes.
+func withoutSends(s endpoint) string {
+	s.excluded, s.inSubset, s.tokens = false, false, tokenBucket{}
+	return fmt.Sprintf("%+v", s)
 }
--- /dev/null
+++ b/balancer/internal/outlier/outlier_test.go
@@ -0,0 +1,203 @@
+package outlier
+
+import (
+	"fmt"
+	"math"
+	"testing"
+	"time"
+)
+
+const meanLatency = float64(10 * time.Millisecond)
+
+const firstEjection = baseEjection * 10 * time.Millisecond
+
+// fail records bad results of one endpoint at one time.
+func fail(d *Detector, r *Record, now time.Duration, results int) {
+	for range results {
+		d.ObserveFailure(r, now, meanLatency)
+	}
+}
+
+// succeed records good results of one endpoint.
+func succeed(d *Detector, r *Record, results int) {
+	for range results {
+		d.ObserveSuccess(r)
+	}
+}
+
+// A run of failures ejects an endpoint unless failures are common among all endpoints.
+func TestRunOfFailuresEjectsUnlessItIsChance(t *testing.T) {
+	for _, c := range []struct {
+		name          string
+		otherFailures int // of other endpoints, just before
+		run           int
+		want          bool
+	}{
+		{"no failure", 0, 0, false},
+		{"one failure where none is usual", 0, 1, true},
+		{"one failure where half of the results are bad", 11, 1, false},
+		{"three failures where half of the results are bad", 11, 3, false},
+		{"six failures where half of the results are bad", 11, 6, true},
+		{"six failures where all results are bad", 100, 6, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			detector := NewDetector()
+			fail(&detector, &Record{}, 0, c.otherFailures)
+			var record Record
+			fail(&detector, &record, 0, c.run)
+			if got := record.IsEjected(0); got != c.want {
+				t.Errorf("ejected %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+// An ejection doubles with each failed trial, up to a bound, and successes take the doublings back.
+func TestEjectionDoublesWithEachFailedTrial(t *testing.T) {
+	for _, c := range []struct {
+		name      string
+		ejections int // before
+		successes int // after them
+		want      time.Duration
+	}{
+		{"the first", 0, 0, firstEjection},
+		{"the second", 1, 0, 2 * firstEjection},
+		{"the third", 2, 0, 4 * firstEjection},
+		{"the tenth", 9, 0, firstEjection << maxEjectionLevel},
+		{"two successes take nothing back", 1, recoverySuccesses - 1, 2 * firstEjection},
+		{"three successes take one doubling back", 1, recoverySuccesses, firstEjection},
+		{"five successes take two doublings back", 2, recoverySuccesses + 2, firstEjection},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			detector := NewDetector()
+			var record Record
+			now := time.Duration(0)
+			for range c.ejections {
+				fresh := NewDetector() // one failure is enough for it
+				fail(&fresh, &record, now, 1)
+				now = record.until
+			}
+			succeed(&detector, &record, c.successes)
+			fail(&detector, &record, now, 1)
+			if !record.IsEjected(now+c.want-1) || record.IsEjected(now+c.want) {
+				t.Errorf("ejected for %v, want %v", record.until-now, c.want)
+			}
+		})
+	}
+}
+
+// After an ejection the endpoint is on trial until its first success.
+func TestTrialEndsWithASuccess(t *testing.T) {
+	detector := NewDetector()
+	var record Record
+	if record.OnTrial() {
+		t.Error("a new endpoint is on trial")
+	}
+	fail(&detector, &record, 0, 1)
+	if !record.OnTrial() {
+		t.Error("an ejected endpoint is not on trial")
+	}
+	if succeed(&detector, &record, 1); record.OnTrial() {
+		t.Error("an endpoint with a success is on trial")
+	}
+}
+
+func TestCompareWorstPutsTheLongestRunFirst(t *testing.T) {
+	worse, better := Record{consecutiveFailures: 3}, Record{consecutiveFailures: 1}
+	if worse.CompareWorst(&better) >= 0 || better.CompareWorst(&worse) <= 0 || worse.CompareWorst(&worse) != 0 {
+		t.Error("records are not ordered by their runs of failures")
+	}
+}
+
+// An endpoint is eligible in full as long as its success rate is near that of all endpoints.
+func TestEligibilityFollowsTheSuccessRate(t *testing.T) {
+	for _, c := range []struct {
+		name        string
+		here        int // failures at the endpoint, after as many successes at another
+		elsewhere   int // failures at another endpoint
+		after       time.Duration
+		least, most float64
+	}{
+		{"nothing known", 0, 0, 0, 1, 1},
+		{"one failure", 1, 0, 0, 1, 1},
+		{"three failures: 0.4 to 0.6", 3, 0, 0, 0.4, 0.6},
+		{"twenty failures", 20, 0, 0, 0, 0.1},
+		{"twenty failures, as everywhere", 20, 200, 0, 1, 1},
+		{"twenty failures, long ago", 20, 0, 10 * time.Second, 1, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var class, total ClassRate
+			classes := Classes{&class, &total}
+			var endpoint, other Record
+			for i := range c.here {
+				endpoint.ObserveRate(classes, true, 0, meanLatency)
+				for range 20 { // other endpoints serve meanwhile
+					other.ObserveRate(classes, c.elsewhere > i, 0, meanLatency)
+				}
+			}
+			for range c.elsewhere {
+				other.ObserveRate(classes, true, 0, meanLatency)
+			}
+			if got := endpoint.Eligibility(classes, c.after, meanLatency); got < c.least || got > c.most {
+				t.Errorf("eligible with %.3f, want %v to %v", got, c.least, c.most)
+			}
+		})
+	}
+}
+
+// An endpoint that fails one class alone is an outlier for it, though most of its results are good.
+func TestFailuresOfOneClassCountForIt(t *testing.T) {
+	var reads, writes, total ClassRate
+	var endpoint Record
+	for range 30 {
+		endpoint.ObserveRate(Classes{&writes, &total}, true, 0, meanLatency)
+		for range 20 {
+			endpoint.ObserveRate(Classes{&reads, &total}, false, 0, meanLatency)
+		}
+		var other Record
+		for range 40 {
+			other.ObserveRate(Classes{&writes, &total}, false, 0, meanLatency)
+		}
+	}
+	if got := endpoint.Eligibility(Classes{&writes, &total}, 0, meanLatency); got > 0.1 {
+		t.Errorf("eligible for the failing class with %.3f", got)
+	}
+	if got := endpoint.Eligibility(Classes{&reads, &total}, 0, meanLatency); got < 1 {
+		t.Errorf("eligible for the other class with %.3f", got)
+	}
+}
+
+func TestForgetDiscardsRatesOfUnknownClasses(t *testing.T) {
+	var known, removed, total ClassRate
+	var endpoint Record
+	endpoint.ObserveRate(Classes{&known, &total}, true, 0, meanLatency)
+	endpoint.ObserveRate(Classes{&removed, &total}, true, 0, meanLatency)
+	endpoint.Forget(func(class *ClassRate) bool { return class != &removed })
+	if _, found := endpoint.failures[&removed]; found || len(endpoint.failures) != 2 {
+		t.Errorf("%d rates are left, want those of the known class and of all", len(endpoint.failures))
+	}
+}
+
+// A rate falls to a third in its decay time.
+func TestRateDecaysWithTime(t *testing.T) {
+	rate := failureRate{share: 0.9, at: time.Second}
+	now := time.Second + time.Duration(failureDecay*meanLatency)
+	if got, want := rate.after(now, meanLatency), 0.9/math.E; math.Abs(got-want) > 1e-9 {
+		t.Errorf("%v counts after the decay time, want %v", got, want)
+	}
+}
+
+func Example() {
+	detector := NewDetector()
+	var endpoint Record
+	const mean = float64(10 * time.Millisecond)
+	detector.ObserveFailure(&endpoint, time.Second, mean)
+	fmt.Println("ejected:", endpoint.IsEjected(time.Second))
+	fmt.Println("ejected 200 ms later:", endpoint.IsEjected(1200*time.Millisecond), "on trial:", endpoint.OnTrial())
+	detector.ObserveSuccess(&endpoint)
+	fmt.Println("on trial after a success:", endpoint.OnTrial())
+	// Output:
+	// ejected: true
+	// ejected 200 ms later: false on trial: true
+	// on trial after a success: false
+}
--- /dev/null
+++ b/balancer/internal/unresponsive/unresponsive_test.go
@@ -0,0 +1,96 @@
+package unresponsive
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"basaltdrum/balancer/internal/latency"
+)
+
+// newClass returns the latency of a class that answers in 100 ms at most.
+func newClass() *latency.Estimator {
+	class := latency.NewEstimator(160 * time.Millisecond) // mean 40 ms, deviation 20 ms
+	return &class
+}
+
+func TestSuspicionNeedsAnAnswerOfAnother(t *testing.T) {
+	const sent, now = time.Second, 1200 * time.Millisecond
+	for _, c := range []struct {
+		name        string
+		sent        time.Duration
+		otherAnswer time.Duration // when another endpoint answered last
+		ownAnswer   time.Duration // when this one did; 0: never
+		want        bool
+	}{
+		{"another has answered since", sent, now, 0, true},
+		{"none has answered since", sent, sent, 0, false},
+		{"this one has answered since", sent, now, now - 1, false},
+		{"this one has answered before", sent, now, sent, true},
+		{"the attempt is young", now - 99*time.Millisecond, now, 0, false},
+		{"the attempt is old", now - 101*time.Millisecond, now, 0, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var detector Detector
+			var record, other Record
+			record.Begin(c.sent, newClass())
+			if c.ownAnswer > 0 {
+				detector.ObserveSuccess(&record, c.ownAnswer)
+			}
+			detector.ObserveSuccess(&other, c.otherAnswer)
+			if got := detector.Suspects(&record, now); got != c.want {
+				t.Errorf("suspected %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+// The count follows attempts that begin and end in any order; an attempt that is not known changes nothing.
+func TestInFlightCountsAttempts(t *testing.T) {
+	class, other := newClass(), newClass()
+	var record Record
+	record.Begin(1, class)
+	record.Begin(2, class)
+	record.Begin(2, other)
+	for i, ended := range []struct {
+		sent  time.Duration
+		class *latency.Estimator
+		want  int
+	}{{2, class, 2}, {2, class, 2}, {1, other, 2}, {2, other, 1}, {1, class, 0}, {1, class, 0}} {
+		if record.End(ended.sent, ended.class); record.InFlight() != ended.want {
+			t.Errorf("after end %d: %d in flight, want %d", i, record.InFlight(), ended.want)
+		}
+	}
+}
+
+// The attempts at an endpoint outlive its restart, its answers don't.
+func TestRestartKeepsAttempts(t *testing.T) {
+	const now = time.Minute
+	var detector Detector
+	var record, other Record
+	record.Begin(time.Second, newClass())
+	detector.ObserveSuccess(&record, now)
+	detector.ObserveSuccess(&other, now)
+	if detector.Suspects(&record, now) {
+		t.Error("suspected though it has just answered")
+	}
+	record = record.AfterRestart()
+	if record.InFlight() != 1 || !detector.Suspects(&record, now) {
+		t.Errorf("after a restart %d attempts are in flight, want 1 that makes it suspect", record.InFlight())
+	}
+}
+
+func Example() {
+	class := latency.NewEstimator(160 * time.Millisecond)
+	var detector Detector
+	var hanging, healthy Record
+	hanging.Begin(0, &class)
+	healthy.Begin(0, &class)
+	healthy.End(0, &class)
+	detector.ObserveSuccess(&healthy, 150*time.Millisecond)
+	fmt.Println(detector.Suspects(&hanging, 200*time.Millisecond))
+	fmt.Println(detector.Suspects(&healthy, 200*time.Millisecond))
+	// Output:
+	// true
+	// false
+}
--- a/balancer/observe.go
+++ b/balancer/observe.go
@@ -2,22 +2,25 @@
 
 package balancer
 
-// observeAttempt learns from the end of an attempt: the latency of its class, and the endpoint's health and
-// latency relative to the others.
+// observeAttempt records what the end of an attempt shows: the latency of its class, and the endpoint's
+// health and latency relative to the others.
 func (b *Balancer) observeAttempt(a *attempt, result AttemptResult) {
 	ep, c := a.endpoint, a.request.class
 	latency := max(1, float64(b.now-a.sent)) // a coarse clock may show none, which has no logarithm
 	slow := c.latency.IsSlow(latency)
-	b.observeFailureRate(ep, c, result)
+	switch result {
+	case Success, ServerError, TimedOut:
+		ep.health.ObserveRate(b.classes.rates(c), result != Success, b.now, c.latency.Mean())
+	}
 	switch result {
 	case Success:
 		b.retries.Earn()
-		b.lastSuccess, ep.lastSuccess = b.now, b.now
+		b.responses.ObserveSuccess(&ep.attempts, b.now)
 		slow = c.latency.Observe(latency) && slow
 		ep.rejections.ObserveSuccess()
 		b.observeCapacity(ep)
 	case Rejected, ConnectFailed:
-		ep.rejections.Observe(b.now, c.latency.Mean(), b.rng.Float64(), ep.inFlight)
+		ep.rejections.Observe(b.now, c.latency.Mean(), b.rng.Float64(), ep.attempts.InFlight())
 		return
 	case ServerError, ConnectionLost, TimedOut:
 	case Cancelled:
@@ -31,9 +34,8 @@
 		ep.latency.Observe(latency / c.latency.Mean())
 	}
 	if slow || result != Success {
-		b.observeFailure(ep, c)
+		b.outliers.ObserveFailure(&ep.health, b.now, c.latency.Mean())
 		return
 	}
-	ep.ejection.success()
-	b.badResults.success()
+	b.outliers.ObserveSuccess(&ep.health)
 }
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"testing"
 	"time"
+
+	"basaltdrum/balancer/internal/outlier"
 )
 
 // A server that fails at once has few calls in flight; without ejection it would win every pick.
@@ -56,12 +58,19 @@
 	}
 }
 
+// eject ejects an endpoint for so long, whatever the others do.
+func eject(ep *endpoint, now, length time.Duration) {
+	detector := outlier.NewDetector()
+	const baseEjection = 12 // mean latencies that a first ejection lasts
+	detector.ObserveFailure(&ep.health, now, float64(length)/baseEjection)
+}
+
 // After an ejection the first trial must not be a request that cannot be retried.
 func TestServerOnTrialGetsNoNonIdempotentRequest(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 	s := b.endpoints["s03"]
-	s.ejection.level, s.ejection.until = 1, 0
+	eject(s, 0, 0)
 	if got := sendTraffic(b, 400, "pay", func(string) AttemptResult { return Success }); got["s03"] != 0 {
 		t.Errorf("a server on trial got %d unsafe requests", got["s03"])
 	}
@@ -80,7 +89,7 @@
 			b := newBalancer(t, nil)
 			b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(20)})
 			for _, s := range b.ready.all[:10] {
-				s.ejection.until = time.Minute
+				eject(s, msec, time.Minute)
 			}
 			b.shedding.share = c.shed
 			out := 0
@@ -139,19 +148,22 @@
 // ejected.
 func TestOverlongResponseEjects(t *testing.T) {
 	for _, c := range []struct {
-		common float64
-		want   bool
-	}{{0.02, true}, {0.5, false}} {
-		t.Run(fmt.Sprint("overlong ", c.common), func(t *testing.T) {
+		otherBadResults int // of the latest; 11 make half of them bad
+		want            bool
+	}{{0, true}, {11, false}} {
+		t.Run(fmt.Sprint(c.otherBadResults, " other bad results"), func(t *testing.T) {
 			b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 			b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 			sendTraffic(b, 40, "get", func(string) AttemptResult { return Success })
-			b.badResults.share = c.common
+			b.outliers = outlier.NewDetector()
+			for range c.otherBadResults {
+				b.outliers.ObserveFailure(&outlier.Record{}, b.now, float64(msec))
+			}
 			now := b.now
 			s := sends(b.Handle(now, Request{ID: "slow", Class: "get", Deadline: now + time.Second}))[0]
 			endAttempt(b, now+400*msec, "slow", s, Success)
-			if out := b.endpoints[s.Endpoint].ejection.until > b.now; out != c.want {
-				t.Errorf("with %.2f of answers overlong: ejected %v, want %v", c.common, out, c.want)
+			if out := b.endpoints[s.Endpoint].health.IsEjected(b.now); out != c.want {
+				t.Errorf("with %d other bad results: ejected %v, want %v", c.otherBadResults, out, c.want)
 			}
 		})
 	}
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -13,11 +13,11 @@
 	first, firstWeight := b.draw(left)
 	second, secondWeight := b.draw(right)
 	switch {
-	case second == nil || first != nil && first.inFlight < second.inFlight:
+	case second == nil || first != nil && first.attempts.InFlight() < second.attempts.InFlight():
 		return first
-	case first == nil || second.inFlight < first.inFlight:
+	case first == nil || second.attempts.InFlight() < first.attempts.InFlight():
 		return second
-	case first.inFlight > 0 || b.rng.Float64()*(firstWeight+secondWeight) < firstWeight:
+	case first.attempts.InFlight() > 0 || b.rng.Float64()*(firstWeight+secondWeight) < firstWeight:
 		return first
 	}
 	return second
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -5,6 +5,8 @@
 	"math"
 	"testing"
 	"time"
+
+	"basaltdrum/balancer/internal/latency"
 )
 
 // The pick draws a candidate from each group and takes the one with fewer calls in flight; a tie goes to the
@@ -13,7 +15,11 @@
 	mk := func(calls ...int) []*endpoint {
 		var l []*endpoint
 		for i, c := range calls {
-			l = append(l, &endpoint{Endpoint: Endpoint{ID: fmt.Sprint(i, c)}, inFlight: c})
+			ep := &endpoint{Endpoint: Endpoint{ID: fmt.Sprint(i, c)}}
+			for range c {
+				ep.attempts.Begin(0, nil)
+			}
+			l = append(l, ep)
 		}
 		return l
 	}
@@ -68,7 +74,11 @@
 func TestLoadedServerIsAvoidedWhileOthersAreIdle(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(6)})
-	b.endpoints["s00"].inFlight, b.inFlight.now = 2, 2
+	patient := latency.NewEstimator(time.Hour) // of a class whose attempts make no endpoint suspect
+	for range 2 {
+		b.endpoints["s00"].attempts.Begin(0, &patient)
+		b.inFlight.begin()
+	}
 	got := sendTraffic(b, 300, "get", func(string) AttemptResult { return Success })
 	if got["s00"] != 0 || len(got) != 5 {
 		t.Errorf("draws: %v", got)
--- a/balancer/reconfigure.go
+++ b/balancer/reconfigure.go
@@ -2,10 +2,7 @@
 
 package balancer
 
-import (
-	"maps"
-	"slices"
-)
+import "slices"
 
 // applySettings puts settings in force.
 func (b *Balancer) applySettings(settings Settings) {
@@ -41,8 +38,6 @@
 // attempt that is still in flight may bring one back.
 func (b *Balancer) forgetRemovedClasses() {
 	for _, ep := range b.endpoints {
-		maps.DeleteFunc(ep.failures, func(stats *classStats, _ failureRate) bool {
-			return !b.classes.has(stats)
-		})
+		ep.health.Forget(b.classes.hasRate)
 	}
 }
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -5,6 +5,8 @@
 	"slices"
 	"testing"
 	"time"
+
+	"basaltdrum/balancer/internal/outlier"
 )
 
 // A request that was accepted keeps what its client was promised by the settings of its time; later requests
@@ -74,9 +76,9 @@
 		return Success
 	})
 	open := sends(b.Handle(b.now, Request{ID: "open", Class: "get", Deadline: b.now + time.Second}))[0]
-	mean, calls, until := b.classes.byName["get"].latency.Mean(), b.endpoints[open.Endpoint].inFlight, b.endpoints["s02"].ejection.until
-	if calls == 0 || until == 0 {
-		t.Fatalf("%d calls out, ejected until %v: nothing to keep", calls, until)
+	mean, calls, health := b.classes.byName["get"].latency.Mean(), b.endpoints[open.Endpoint].attempts.InFlight(), fmt.Sprint(b.endpoints["s02"].health)
+	if calls == 0 || health == fmt.Sprint(outlier.Record{}) {
+		t.Fatalf("%d calls out, health %v: nothing to keep", calls, health)
 	}
 	set := testSettings()
 	set.Classes = slices.Clone(set.Classes)
@@ -86,17 +88,26 @@
 	if got := b.classes.byName["get"].latency.Mean(); got != mean {
 		t.Errorf("mean latency %v, want %v", got, mean)
 	}
-	if got := b.endpoints[open.Endpoint].inFlight; got != calls {
+	if got := b.endpoints[open.Endpoint].attempts.InFlight(); got != calls {
 		t.Errorf("%d calls, want %d", got, calls)
 	}
-	if got := b.endpoints["s02"].ejection.until; got != until {
-		t.Errorf("ejected until %v, want %v", got, until)
+	if got := fmt.Sprint(b.endpoints["s02"].health); got != health {
+		t.Errorf("health %v, want %v", got, health)
 	}
 	if b.classes.byName["get"].LatencyObjective != set.Classes[0].LatencyObjective || b.classes.byName["new"] == nil {
 		t.Error("the new settings are not in force")
 	}
 }
 
+// countRates counts the failure rates that an endpoint's record holds.
+func countRates(ep *endpoint) (rates int) {
+	ep.health.Forget(func(*outlier.ClassRate) bool {
+		rates++
+		return true
+	})
+	return rates
+}
+
 // However often settings come, and though classes come and go while calls are in flight, no state
 // accumulates.
 func TestReconfigureLeaksNoState(t *testing.T) {
@@ -118,8 +129,8 @@
 		t.Errorf("%d classes, %d in order, want 4", len(b.classes.byName), len(b.classes.ordered))
 	}
 	for id, s := range b.endpoints {
-		if len(s.failures) > 4 {
-			t.Errorf("%s: shares of %d classes", id, len(s.failures))
+		if n := countRates(s); n > 4 {
+			t.Errorf("%s: rates of %d classes", id, n)
 		}
 	}
 }
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -109,8 +109,7 @@
 	req.inFlight++
 	b.dequeue(req)
 	b.spendTokens(ep, req)
-	ep.inFlight++
-	ep.attempts = append(ep.attempts, a)
+	ep.attempts.Begin(b.now, &req.class.latency)
 	b.inFlight.begin()
 	timeout := max(b.attemptTimeout(req), b.settings.Tick)
 	b.emit(Send{ID: req.id, Endpoint: ep.ID, Timeout: timeout, NotAfter: notAfter})
@@ -188,16 +187,15 @@
 	a.notSent = e.Result == NotSent
 	a.request.inFlight--
 	b.inFlight.end()
-	ep.inFlight--
 	// The waits of an unresponsive endpoint say nothing of how loaded the others are.
-	if !e.HeldUp && !b.isUnresponsive(ep) {
+	if !e.HeldUp && !b.responses.Suspects(&ep.attempts, b.now) {
 		b.adjustLimit(a.request, e)
 	}
-	ep.attempts = slices.DeleteFunc(ep.attempts, func(other *attempt) bool { return other == a })
+	ep.attempts.End(a.sent, &a.request.class.latency)
 	if !e.HeldUp {
 		b.observeAttempt(a, e.Result)
 	}
-	if !ep.listed && ep.inFlight == 0 && b.endpoints[ep.ID] == ep {
+	if !ep.listed && ep.attempts.InFlight() == 0 && b.endpoints[ep.ID] == ep {
 		delete(b.endpoints, ep.ID)
 	}
 }
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -3,32 +3,42 @@
 import (
 	"testing"
 	"time"
+
+	"basaltdrum/balancer/internal/outlier"
 )
 
 // newBudget is how many retries a new budget pays for.
 const newBudget = 5.0
 
+// failAttempts makes so many failures of a class known, at an endpoint that is not listed.
+func failAttempts(b *Balancer, name string, failures int) {
+	for range failures {
+		(&outlier.Record{}).ObserveRate(b.classes.rates(b.classes.byName[name]), true, b.now, float64(msec))
+	}
+}
+
 // An attempt is cut short only where attempts go unanswered, where it may be retried, and where a retry has
 // time and budget.
 func TestAttemptTimeoutIsCutOnlyWhereARetryMayFollow(t *testing.T) {
 	for _, c := range []struct {
-		name            string
-		tier            int
-		class           string
-		failing, tokens float64
-		left, want      time.Duration
+		name       string
+		tier       int
+		class      string
+		failures   int // of the latest attempts
+		tokens     float64
+		left, want time.Duration
 	}{
-		{"calls hang", 1, "get", 0.2, 5, 800 * msec, 400 * msec},
-		{"in the first tier", 0, "get", 0.2, 5, 400 * msec, 400 * msec},
-		{"must not run twice", 1, "pay", 0.2, 5, 800 * msec, 800 * msec},
+		{"calls hang", 1, "get", 4, 5, 800 * msec, 400 * msec},
+		{"in the first tier", 0, "get", 4, 5, 400 * msec, 400 * msec},
+		{"must not run twice", 1, "pay", 4, 5, 800 * msec, 800 * msec},
 		{"none fails", 1, "get", 0, 5, 800 * msec, 800 * msec},
-		{"the budget is spent", 1, "get", 0.2, 0, 800 * msec, 800 * msec},
-		{"answers may take that long", 1, "get", 0.2, 5, 500 * msec, 500 * msec},
+		{"the budget is spent", 1, "get", 4, 0, 800 * msec, 800 * msec},
+		{"answers may take that long", 1, "get", 4, 5, 500 * msec, 500 * msec},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			b := newBalancer(t, func(s *Settings) { s.Tier = c.tier })
 			b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
-			b.classes.byName[c.class].failureShare = c.failing
+			failAttempts(b, c.class, c.failures)
 			b.retries.Spend(newBudget - c.tokens)
 			s := sends(b.Handle(0, Request{ID: "a", Class: c.class, Deadline: c.left}))[0]
 			if s.Timeout != c.want {
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -276,7 +276,7 @@
 					len(b.queue), b.inFlight.now)
 			}
 			for id, s := range b.endpoints {
-				if !s.listed || s.inFlight != 0 || len(s.attempts) != 0 {
+				if !s.listed || s.attempts.InFlight() != 0 {
 					t.Errorf("seed %d: server %s is left over", seed, id)
 				}
 			}
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -63,7 +63,7 @@
 	switch {
 	case share == 1:
 		return true
-	case ep.inFlight > 0 || !b.hasTokens(ep):
+	case ep.attempts.InFlight() > 0 || !b.hasTokens(ep):
 		return false
 	case req.work > 0:
 		return req.work <= lightWorkRatio*share*b.slowStart.work.mean
