--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -2,147 +2,129 @@
 
 import (
 	"fmt"
+	"math"
 	"testing"
 	"time"
 )
 
-// A new node's window begins at its floor, and each good response opens it by one call, for as long as it is
-// in use; a few rejections end that.
-func TestNewWindowGrowsUntilServersReject(t *testing.T) {
-	b := newBalancer(t, nil)
-	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
-	floor := minLimitPerEndpoint * b.endpointsPerReplica()
-	if b.admission.limit != floor {
-		t.Fatalf("a new window is %.1f, want its floor, %.1f", b.admission.limit, floor)
+// holdAttempts has so many attempts in flight, besides those that a test sends.
+func holdAttempts(b *Balancer, attempts int) {
+	for range attempts {
+		b.admission.Begin()
 	}
-	r := &request{class: b.classes.byName["get"], attempts: []*attempt{{sent: 0}}}
-	answers := func(n int, ending AttemptResult, share float64) {
-		for range n {
-			b.now, b.inFlight.now = time.Duration(share*r.class.target(0)), int(b.admission.limit)
-			b.adjustLimit(r, AttemptEnded{Result: ending})
+}
+
+// requestLoad sends requests at a steady rate and answers their attempts after a fixed time.
+type requestLoad struct {
+	b        *Balancer
+	now      time.Duration
+	requests int
+	open     []Send
+	sentAt   []time.Duration // of the open ones
+}
+
+// play sends requests, one each interval, whose answers take so long.
+func (l *requestLoad) play(requests int, interval, latency time.Duration) {
+	for range requests {
+		l.now += interval
+		l.requests++
+		id := fmt.Sprint(l.requests)
+		l.record(l.b.Handle(l.now, Request{ID: id, Class: "get", Deadline: l.now + time.Second}))
+		for len(l.open) > 0 && l.sentAt[0]+latency <= l.now {
+			first := l.open[0]
+			l.open, l.sentAt = l.open[1:], l.sentAt[1:]
+			l.record(endAttempt(l.b, l.now, first.ID, first, Success))
 		}
 	}
-	answers(20, Success, 0.8)
-	if want := floor + 20; b.admission.limit != want {
-		t.Errorf("20 good answers opened the window from %.1f to %.1f, want %.1f", floor, b.admission.limit, want)
-	}
-	answers(8, Rejected, 0.1)
-	crowded := b.admission.limit
-	if answers(20, Success, 0.8); b.admission.limit > crowded+5 {
-		t.Errorf("after rejections 20 good responses opened the window from %.1f to %.1f", crowded, b.admission.limit)
+}
+
+func (l *requestLoad) record(actions []Action) {
+	for _, s := range sends(actions) {
+		l.open, l.sentAt = append(l.open, s), append(l.sentAt, l.now)
 	}
 }
 
-// In overload the window shrinks, though never below its floor.
-func TestWindowFollowsLatency(t *testing.T) {
-	for _, tc := range []struct {
-		took time.Duration
-		grow bool
-	}{{450 * msec, false}, {40 * msec, true}} {
-		t.Run(fmt.Sprint("responses after ", tc.took), func(t *testing.T) {
+// In overload the limit shrinks, though never below its floor.
+func TestLimitFollowsLatency(t *testing.T) {
+	const floor = 10.0 // five for each of two endpoints
+	for _, c := range []struct {
+		name        string
+		slow        bool // after the fast answers
+		least, most float64
+	}{
+		{"fast answers", false, 1.5 * floor, math.MaxFloat64},
+		{"fast answers, then slow ones", true, floor, floor + 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
 			b := newBalancer(t, nil)
 			b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
 			observeLatency(b.classes.byName["get"], 40*msec, 100) // without overload
-			b.admission.limit = 15                                // less than its growth may reach with the ten calls that are out here
-			start, now := b.admission.limit, time.Duration(0)
-			var open []Send
-			for i := range 3000 {
-				now += 4 * msec
-				open = append(open, sends(b.Handle(now, Request{ID: fmt.Sprint(i), Class: "get", Deadline: now + time.Second}))...)
-				for len(open) > 0 && b.requests[open[0].ID].attempts[0].sent+tc.took <= now {
-					s := open[0]
-					open = append(open[1:], sends(endAttempt(b, now, s.ID, s, Success))...)
-				}
+			load := requestLoad{b: b}
+			load.play(3000, 4*msec, 40*msec)
+			if c.slow {
+				load.play(3000, 4*msec, 450*msec)
 			}
-			if grew := b.admission.limit > start; grew != tc.grow && tc.grow || b.admission.limit < minLimitPerEndpoint*b.endpointsPerReplica() {
-				t.Errorf("answers after %v: window %.1f from %.1f", tc.took, b.admission.limit, start)
-			}
-			if !tc.grow && b.admission.limit > minLimitPerEndpoint*b.endpointsPerReplica()+1 {
-				t.Errorf("late answers left the window at %.1f", b.admission.limit)
+			if limit := b.admission.Limit(); limit < c.least || limit > c.most {
+				t.Errorf("the limit is %.1f, want %v to %v", limit, c.least, c.most)
 			}
 		})
 	}
 }
 
-// windowAfter is the window after 50 results of one kind, from 100 calls; after is the latency of each.
-func windowAfter(t *testing.T, shed float64, ending AttemptResult, after func(*class) float64) float64 {
-	t.Helper()
-	b := newBalancer(t, nil)
-	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
-	b.admission.limit, b.inFlight.mean = 100, 100
-	r := &request{class: b.classes.byName["get"], attempts: []*attempt{{sent: 0}}}
-	for range 50 {
-		b.shedding.share = shed
-		b.now, b.inFlight.now = time.Duration(after(r.class)), int(b.admission.limit)
-		b.adjustLimit(r, AttemptEnded{Result: ending})
-	}
-	return b.admission.limit
-}
-
-// While much load is shed some servers are overloaded for certain, so the window must shrink at lower
-// latencies.
-func TestWindowShrinksSoonerUnderLoadShedding(t *testing.T) {
-	late := func(c *class) float64 { return 0.95 * c.target(0) }
-	calm, shedding := windowAfter(t, 0, Success, late), windowAfter(t, 0.8, Success, late)
-	if calm <= 100 || shedding >= 100 {
-		t.Errorf("window from 100: nothing shed %.1f, want growth; much shed %.1f, want shrinking", calm, shedding)
-	}
-}
-
-// Responses as fast as those of idle servers must open the window however much is shed, or load shedding
-// sustains itself; lost connections and server errors are no sign of overload.
-func TestLoadSheddingDoesNotSustainItself(t *testing.T) {
-	idle := func(c *class) float64 { return 1.05 * c.latency.Base() }
-	if w := windowAfter(t, 1, Success, idle); w <= 100 {
-		t.Errorf("idle servers' answers moved the window from 100 to %.1f", w)
-	}
-	for _, e := range []AttemptResult{ConnectionLost, ServerError} {
-		if w := windowAfter(t, 0, e, idle); w != 100 {
-			t.Errorf("ending %v moved the window from 100 to %.1f", e, w)
+// Which results of attempts move the limit. Lost connections and server errors are no sign of overload.
+func TestLimitFollowsResultsThatShowLoad(t *testing.T) {
+	for _, c := range []struct {
+		result         AttemptResult
+		grows, shrinks bool
+	}{
+		{Success, true, false},
+		{TimedOut, false, true},
+		{Rejected, false, true},
+		{ConnectFailed, false, true},
+		{ConnectionLost, false, false},
+		{ServerError, false, false},
+		{Cancelled, false, false},
+		{NotSent, false, false},
+	} {
+		for _, tier := range []int{0, 1} {
+			t.Run(fmt.Sprintf("%v in tier %d", c.result, tier), func(t *testing.T) {
+				b := newBalancer(t, func(s *Settings) { s.Tier = tier })
+				b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
+				a := &attempt{request: &request{class: b.classes.byName["get"]}}
+				b.now = 40 * msec
+				holdAttempts(b, 25)
+				b.adjustLimit(a, Success)
+				b.adjustLimit(a, Success)
+				before := b.admission.Limit()
+				for range 50 {
+					b.adjustLimit(a, c.result)
+				}
+				after := b.admission.Limit()
+				if (after > before) != (c.grows && tier == 0) || (after < before) != (c.shrinks && tier == 0) {
+					t.Errorf("the limit went from %.1f to %.1f", before, after)
+				}
+			})
 		}
 	}
 }
 
-// With hundreds of replicas a node's quota of the servers is one call or less: a window that starts or stays
+// With hundreds of replicas a node's quota of the servers is one call or less: a limit that starts or stays
 // there rejects requests that the servers could serve, so it must open within seconds of good responses.
-func TestWindowGrowsOnOneOfManyReplicas(t *testing.T) {
+func TestLimitGrowsOnOneOfManyReplicas(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Replicas = 300 })
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(60)})
-	var open []Send
-	for i := range 150 { // thirty a second, answered in 100 ms: three in flight
-		now := time.Duration(i) * 33 * msec
-		for len(open) > 0 && b.requests[open[0].ID].attempts[0].sent+100*msec <= now {
-			s := open[0]
-			open = append(open[1:], sends(endAttempt(b, now, s.ID, s, Success))...)
-		}
-		open = append(open, sends(b.Handle(now, Request{ID: fmt.Sprint(i), Class: "get", Deadline: now + time.Second}))...)
-	}
-	if b.admission.limit < 3 {
-		t.Errorf("the window is %.1f after five seconds", b.admission.limit)
-	}
-}
-
-// The part of the window that is not in use is given up at once when servers reject calls: else all replicas
-// fill it together.
-func TestRejectionsCutTheUnusedWindow(t *testing.T) {
-	b := newBalancer(t, nil)
-	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
-	b.admission.limit, b.inFlight.mean, b.admission.initialGrowth = 80, 40, false
-	r := &request{class: b.classes.byName["get"], attempts: []*attempt{{sent: 0}}}
-	for range 8 {
-		b.now = msec
-		b.adjustLimit(r, AttemptEnded{Result: Rejected})
-	}
-	if b.admission.limit > b.inFlight.mean+1 {
-		t.Errorf("8 rejections left a window of %.1f with %.0f calls in flight", b.admission.limit, b.inFlight.mean)
+	load := requestLoad{b: b}
+	load.play(150, 33*msec, 100*msec) // thirty a second: three in flight
+	if b.admission.Limit() < 3 {
+		t.Errorf("the limit is %.1f after five seconds", b.admission.Limit())
 	}
 }
 
-// Retries by clients prolong an overload: they get only half of the window.
-func TestRetriesLeaveWindowForFirstAttempts(t *testing.T) {
+// Retries by clients prolong an overload: they get only half of the limit.
+func TestRetriesLeaveHalfOfTheLimit(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
-	b.admission.limit, b.inFlight.now = 10, 6
+	holdAttempts(b, 6) // of ten
 	repeat := sends(b.Handle(msec, Request{ID: "again", Class: "get", Deadline: time.Second, Retry: true}))
 	first := sends(b.Handle(msec, Request{ID: "first", Class: "get", Deadline: time.Second}))
 	if len(repeat) != 0 || len(first) != 1 {
@@ -150,38 +132,16 @@
 	}
 }
 
-// In overload the lowest priority weight is rejected first, also where too few requests are queued to choose
-// among; with nothing shed every class may fill the window, and no class loses more than half of it.
-func TestWindowIsSharedByPriorityWeight(t *testing.T) {
-	b := newBalancer(t, func(s *Settings) {
-		s.Classes[0].PriorityWeight, s.Classes[2].PriorityWeight, s.WorstClassWeight = 1, 12, 0
-	})
-	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
-	for _, c := range b.classes.ordered {
-		c.arrivals, c.served = 10, 5
-	}
-	low, high := &request{class: b.classes.byName["get"]}, &request{class: b.classes.byName["pay"]}
-	if l, h := b.limitShare(low), b.limitShare(high); l != 1 || h != 1 {
-		t.Errorf("nothing shed: parts of the window %.2f and %.2f, want 1", l, h)
-	}
-	b.shedding.share = 0.6
-	if l, h := b.limitShare(low), b.limitShare(high); l > 0.7 || l < 0.5 || h < 1.3 || h > 2 {
-		t.Errorf("much shed: parts of the window %.2f for the low weight and %.2f for the high", l, h)
-	}
-}
-
 // A marked retry is mostly past its latency objective already: while there is little capacity, first attempts
 // go first.
 func TestFirstAttemptsGoBeforeRetries(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(1)})
-	b.admission.limit = 1
 	first := sends(b.Handle(0, Request{ID: "a", Class: "get", Deadline: time.Second}))
+	holdAttempts(b, 2) // with the first one, as many as are admitted
 	b.Handle(msec, Request{ID: "new", Class: "get", Deadline: time.Second})
 	b.Handle(2*msec, Request{ID: "repeat", Class: "get", Deadline: time.Second, Retry: true})
-	b.classes.byName["get"].LateValue = 0.5
-	b.inFlight.now = int(minLimitPerEndpoint*b.endpointsPerReplica()) + 2
-	b.admission.limit = float64(b.inFlight.now) // one comes free by the next answer
+	b.classes.byName["get"].admission.LateValue = 0.5
 	next := sends(endAttempt(b, 10*msec, "a", first[0], Success))
 	if len(next) == 0 || next[0].ID != "new" {
 		t.Errorf("after an answer %v was sent", next)
@@ -193,7 +153,7 @@
 func TestRetryAfterOfARejectionIsShort(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(2)})
-	b.admission.limit, b.inFlight.now = 1, 1
+	holdAttempts(b, 5) // as many as are admitted
 	r := Request{ID: "a", Class: "get", Deadline: time.Second}
 	b.Handle(2*msec, r)
 	for _, a := range b.Handle(600*msec, Timer{Token: "r:a"}) {
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -11,6 +11,7 @@
 	"math/rand/v2"
 	"time"
 
+	"basaltdrum/balancer/internal/admission"
 	"basaltdrum/balancer/internal/outlier"
 	"basaltdrum/balancer/internal/retrybudget"
 	"basaltdrum/balancer/internal/subscription"
@@ -42,15 +43,14 @@
 	classes  classTable
 	requests map[string]*request // by id: not answered, or with attempts in flight
 	queue    []*request          // those that wait for capacity, in order of arrival
-	inFlight inFlightCount
 	retries  retrybudget.Budget
 
 	// Load and health.
-	admission concurrencyLimit
-	shedding  sheddingRate
-	outliers  outlier.Detector
-	responses unresponsive.Detector
-	slowStart slowStart
+	admission  admission.Limiter
+	priorities admission.Priorities
+	outliers   outlier.Detector
+	responses  unresponsive.Detector
+	slowStart  slowStart
 }
 
 // New returns a Balancer that knows no endpoints yet. The error is a *SettingError.
--- a/balancer/classes.go
+++ b/balancer/classes.go
@@ -6,35 +6,37 @@
 	"cmp"
 	"slices"
 
+	"basaltdrum/balancer/internal/admission"
 	"basaltdrum/balancer/internal/clienttimeout"
 	"basaltdrum/balancer/internal/latency"
 	"basaltdrum/balancer/internal/outlier"
 )
 
-// Constants of the averages.
-const (
-	averageWeight = 0.06 // weight of a new sample in averages over all endpoints (about 16 samples)
-	countDecay    = 0.99 // factor of the counts of arrivals and answers at each request
-)
-
 // class is a class as the settings had it when its requests were accepted, with its statistics, which outlive
 // those settings.
 type class struct {
 	Class
 	*classStats
+	admission admission.Class
 }
 
 // classStats is what was observed of a class.
 type classStats struct {
-	latency          latency.Estimator
-	failures         outlier.ClassRate
-	arrivals, served float64 // requests, and answers within the latency objective: decayed counts
-	timeout          clienttimeout.Usual
+	latency  latency.Estimator
+	failures outlier.ClassRate
+	traffic  admission.Traffic
+	timeout  clienttimeout.Usual
 }
 
-// newClass returns a class of which nothing was observed yet.
-func newClass(c Class) *class {
-	return &class{c, &classStats{latency: latency.NewEstimator(c.LatencyObjective)}}
+// newClass returns a class with its settings and its statistics; nil: nothing was observed yet.
+func newClass(c Class, stats *classStats) *class {
+	if stats == nil {
+		stats = &classStats{latency: latency.NewEstimator(c.LatencyObjective)}
+	}
+	return &class{c, stats, admission.Class{
+		Objective: c.LatencyObjective, PriorityWeight: c.PriorityWeight, LateValue: c.LateValue,
+		Latency: &stats.latency, Traffic: &stats.traffic,
+	}}
 }
 
 // classTable is the classes of the settings in force.
@@ -47,13 +49,14 @@
 func newClassTable(classes []Class, old classTable) classTable {
 	table := classTable{byName: map[string]*class{}}
 	for _, settings := range append(slices.Clone(classes), unknownClass(classes)) {
-		c := newClass(settings)
-		if was := old.byName[c.Name]; was != nil {
-			c.classStats = was.classStats
-			if was.Deadline != c.Deadline {
-				c.timeout.Reset() // the usual timeout was a share of the deadline
+		var stats *classStats
+		if was := old.byName[settings.Name]; was != nil {
+			stats = was.classStats
+			if was.Deadline != settings.Deadline {
+				stats.timeout.Reset() // the usual timeout was a share of the deadline
 			}
 		}
+		c := newClass(settings, stats)
 		table.byName[c.Name] = c
 		table.ordered = append(table.ordered, c)
 	}
@@ -92,11 +95,13 @@
 	return slices.ContainsFunc(t.ordered, func(c *class) bool { return &c.failures == rate })
 }
 
-// countArrival counts a request of a class.
-func (t *classTable) countArrival(c *class) {
-	for _, k := range t.ordered {
-		k.arrivals *= countDecay
-		k.served *= countDecay
+// priorities returns the ranking of the classes for load shedding.
+func (t *classTable) priorities(settings *Settings) admission.Priorities {
+	priorities := admission.Priorities{
+		TotalWeight: settings.TotalWeight, WorstClassWeight: settings.WorstClassWeight,
+	}
+	for _, c := range t.ordered {
+		priorities.Classes = append(priorities.Classes, &c.admission)
 	}
-	c.arrivals++
+	return priorities
 }
--- a/balancer/eligibility.go
+++ b/balancer/eligibility.go
@@ -54,7 +54,7 @@
 			unhealthy = append(unhealthy, ep)
 		}
 	}
-	most := int(maxExcludedShare * (1 - b.shedding.share) * float64(b.ready.len()))
+	most := int(maxExcludedShare * (1 - b.admission.ShedShare()) * float64(b.ready.len()))
 	if len(unhealthy) <= most {
 		return
 	}
@@ -107,7 +107,7 @@
 // endpointLimit is the count of requests in flight from which an endpoint is passed over: random draws meet
 // the same few endpoints twice now and then, and what several replicas send there together overloads them.
 func (b *Balancer) endpointLimit(ep *endpoint) int {
-	return min(b.rejectionLimit(ep), 1+b.inFlight.now/max(1, b.subset.size))
+	return min(b.rejectionLimit(ep), 1+b.admission.InFlight()/max(1, b.subset.size))
 }
 
 // tried says that the request has been sent to the endpoint before.
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -35,7 +35,7 @@
 		b.applyChanges(e.Endpoints)
 	}
 	b.subset.cut(b.ready.all)
-	b.admission.start(b.minLimit())
+	b.admission.Start(b.endpointsPerReplica())
 	if e.Cached {
 		b.scheduleSubscribe()
 	} else {
--- a/balancer/heldup_test.go
+++ b/balancer/heldup_test.go
@@ -4,48 +4,70 @@
 	"fmt"
 	"testing"
 	"time"
+
+	"basaltdrum/balancer/internal/admission"
 )
 
 // An attempt that the host itself held up says nothing about its server, nor about the load of all of them,
 // however it ended and however long that took.
 func TestHeldUpAttemptsAreNotCounted(t *testing.T) {
-	for _, e := range []AttemptResult{Success, ServerError, Rejected, TimedOut, ConnectFailed, ConnectionLost, Cancelled, NotSent} {
-		t.Run(fmt.Sprint("result ", int(e)), func(t *testing.T) {
-			b := newBalancer(t, nil)
-			b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
-			sendTraffic(b, 200, "get", func(string) AttemptResult { return Success })
-			now, before := b.now, *b // what follows reads its figures only
-			known, failing := map[string]string{}, *b.classes.byName["get"].classStats
-			for id, s := range b.endpoints {
-				known[id] = withoutSends(*s)
-			}
-			for i := range 50 {
-				id := fmt.Sprint("held-", i)
-				sent := sends(b.Handle(now, Request{ID: id, Class: "pay", Deadline: now + time.Second}))
-				if len(sent) != 1 {
-					t.Fatalf("ending %d: %d sends", e, len(sent))
-				}
-				now += 400 * msec
-				b.Handle(now, AttemptEnded{ID: id, Endpoint: sent[0].Endpoint, Result: e, Latency: 400 * msec, Answered: true, HeldUp: true})
-			}
-			if b.outliers != before.outliers || b.admission.limit != before.admission.limit || b.admission.meanOverTarget != before.admission.meanOverTarget || b.responses != before.responses {
-				t.Errorf("ending %d: errors %v, window %v, crowding %v; had %v, %v, %v", e,
-					b.outliers, b.admission.limit, b.admission.meanOverTarget, before.outliers, before.admission.limit, before.admission.meanOverTarget)
-			}
-			if now := *b.classes.byName["get"].classStats; now.latency != failing.latency || now.failures != failing.failures {
-				t.Errorf("ending %d: mean %v, failing %v; had %v, %v", e, now.latency.Mean(), now.failures, failing.latency.Mean(), failing.failures)
-			}
-			for id, s := range b.endpoints {
-				if is := withoutSends(*s); is != known[id] {
-					t.Errorf("ending %d: %s is %s, was %s", e, id, is, known[id])
-				}
+	limiter := playHeldUpAttempts(t, Cancelled)
+	for result := range attemptResults {
+		t.Run(result.String(), func(t *testing.T) {
+			// The limiter counts the same sends after any result, so that all of it must be equal.
+			if got := playHeldUpAttempts(t, result); got != limiter {
+				t.Errorf("the concurrency limit is %+v, after cancelled attempts %+v", got, limiter)
 			}
 		})
 	}
 }
 
-// withoutSends prints a server without what a send alone changes.
-func withoutSends(s endpoint) string {
-	s.excluded, s.inSubset, s.tokens = false, false, tokenBucket{}
-	return fmt.Sprintf("%+v", s)
+// playHeldUpAttempts ends fifty attempts, held up by the host, in one way, and checks that nothing is learned
+// from them. It returns the concurrency limit.
+func playHeldUpAttempts(t *testing.T, result AttemptResult) admission.Limiter {
+	t.Helper()
+	b := newBalancer(t, nil)
+	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
+	sendTraffic(b, 200, "get", func(string) AttemptResult { return Success })
+	now, limit, before := b.now, b.admission.Limit(), observationsOf(b)
+	for i := range 50 {
+		id := fmt.Sprint("held-", i)
+		sent := sends(b.Handle(now, Request{ID: id, Class: "pay", Deadline: now + time.Second}))
+		if len(sent) != 1 {
+			t.Fatalf("%v: %d sends", result, len(sent))
+		}
+		now += 400 * msec
+		b.Handle(now, AttemptEnded{
+			ID: id, Endpoint: sent[0].Endpoint, Result: result, Latency: 400 * msec, Answered: true, HeldUp: true,
+		})
+	}
+	if b.admission.Limit() != limit {
+		t.Errorf("%v: the concurrency limit went from %v to %v", result, limit, b.admission.Limit())
+	}
+	after := observationsOf(b)
+	for what, was := range before {
+		if after[what] != was {
+			t.Errorf("%v: %s is %s, was %s", result, what, after[what], was)
+		}
+	}
+	return b.admission
+}
+
+// observationsOf prints what was observed of all endpoints, of each and of the class of the traffic.
+func observationsOf(b *Balancer) map[string]string {
+	class := b.classes.byName["get"]
+	observations := map[string]string{
+		"health":        fmt.Sprintf("%+v %+v", b.outliers, b.responses),
+		"class latency": fmt.Sprintf("%+v %+v", class.latency, class.failures),
+	}
+	for id, ep := range b.endpoints {
+		observations[id] = withoutSends(*ep)
+	}
+	return observations
+}
+
+// withoutSends prints an endpoint without what a send alone changes.
+func withoutSends(ep endpoint) string {
+	ep.excluded, ep.inSubset, ep.tokens = false, false, tokenBucket{}
+	return fmt.Sprintf("%+v", ep)
 }
--- a/balancer/observe.go
+++ b/balancer/observe.go
@@ -39,3 +39,19 @@
 	}
 	b.outliers.ObserveSuccess(&ep.health)
 }
+
+// adjustLimit moves the concurrency limit of the first tier by the result of an attempt.
+func (b *Balancer) adjustLimit(a *attempt, result AttemptResult) {
+	if b.settings.Tier > 0 {
+		return
+	}
+	class := &a.request.class.admission
+	switch result {
+	case Success:
+		b.admission.ObserveSuccess(class, float64(b.now-a.sent), b.endpointsPerReplica())
+	case TimedOut, ConnectFailed:
+		b.admission.ObserveFailure(b.endpointsPerReplica())
+	case Rejected:
+		b.admission.ObserveRejection(b.now, class, b.endpointsPerReplica())
+	}
+}
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -79,6 +79,14 @@
 	}
 }
 
+// shedUpTo sheds requests until a share of them is shed, within two hundredths and not over it.
+func shedUpTo(b *Balancer, share float64) {
+	for b.admission.ShedShare() < share {
+		b.admission.ObserveShed()
+	}
+	b.admission.ObserveAdmitted()
+}
+
 // In overload every server is needed: the more is shed, the fewer may be ejected.
 func TestLoadSheddingEjectsFewerServers(t *testing.T) {
 	for _, c := range []struct {
@@ -91,7 +99,7 @@
 			for _, s := range b.ready.all[:10] {
 				eject(s, msec, time.Minute)
 			}
-			b.shedding.share = c.shed
+			shedUpTo(b, c.shed)
 			out := 0
 			b.excludeUnhealthy(candidates{groups: b.subset.all, excludeOutliers: true}, &request{class: b.classes.byName["get"]})
 			for _, s := range b.ready.all {
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -77,7 +77,7 @@
 	patient := latency.NewEstimator(time.Hour) // of a class whose attempts make no endpoint suspect
 	for range 2 {
 		b.endpoints["s00"].attempts.Begin(0, &patient)
-		b.inFlight.begin()
+		b.admission.Begin()
 	}
 	got := sendTraffic(b, 300, "get", func(string) AttemptResult { return Success })
 	if got["s00"] != 0 || len(got) != 5 {
--- a/balancer/reconfigure.go
+++ b/balancer/reconfigure.go
@@ -8,6 +8,7 @@
 func (b *Balancer) applySettings(settings Settings) {
 	b.settings = settings
 	b.classes = newClassTable(settings.Classes, b.classes)
+	b.priorities = b.classes.priorities(&settings)
 	b.ready.setZone(settings.Zone)
 }
 
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -56,7 +56,7 @@
 	b.requests[e.ID] = req
 	b.slowStart.arrivals.observe(b.now, b.settings.SlowStartDuration)
 	b.inferFirstAttempt(req, e.FirstByte)
-	b.classes.countArrival(req.class)
+	b.priorities.ObserveArrival(&req.class.admission)
 	if b.shuttingDown {
 		b.answer(req)
 		return
@@ -96,6 +96,45 @@
 	b.enqueue(req)
 }
 
+// atCapacity says that this request can't be sent now: no endpoint is ready, or as many requests are in
+// flight as the tiers below answer in time. Only the first tier limits them: a request rejected further down
+// wastes the work done above it.
+func (b *Balancer) atCapacity(req *request) bool {
+	if b.ready.len() == 0 {
+		return true
+	}
+	return b.settings.Tier == 0 && !b.admission.Admits(b.limitShare(req), req.retry)
+}
+
+// limitShare returns the part of the concurrency limit that a request may use.
+func (b *Balancer) limitShare(req *request) float64 {
+	return b.priorities.LimitShare(&req.class.admission, req.retry, b.admission.ShedShare())
+}
+
+func (b *Balancer) priority(req *request) float64 {
+	return b.priorities.Of(&req.class.admission, req.retry)
+}
+
+// dispatchQueued sends requests from the queue while there is capacity, the highest priority first.
+func (b *Balancer) dispatchQueued() {
+	for tries := len(b.queue); tries > 0 && len(b.queue) > 0; tries-- {
+		best := b.queue[0]
+		for _, req := range b.queue[1:] {
+			if b.priority(req) >= b.priority(best) { // equal: the youngest has most time left
+				best = req
+			}
+		}
+		if b.atCapacity(best) {
+			return
+		}
+		ep := b.choose(best)
+		if ep == nil {
+			return
+		}
+		b.send(best, ep)
+	}
+}
+
 // send begins the next attempt of a request.
 func (b *Balancer) send(req *request, ep *endpoint) {
 	notAfter := b.dedupDeadline(req)
@@ -103,14 +142,14 @@
 		request: req, endpoint: ep, number: len(req.attempts), sent: b.now, zone: ep.Zone, cell: ep.Cell,
 	}
 	if a.number == 0 {
-		b.shedding.admitted()
+		b.admission.ObserveAdmitted()
 	}
 	req.attempts = append(req.attempts, a)
 	req.inFlight++
 	b.dequeue(req)
 	b.spendTokens(ep, req)
 	ep.attempts.Begin(b.now, &req.class.latency)
-	b.inFlight.begin()
+	b.admission.Begin()
 	timeout := max(b.attemptTimeout(req), b.settings.Tick)
 	b.emit(Send{ID: req.id, Endpoint: ep.ID, Timeout: timeout, NotAfter: notAfter})
 }
@@ -169,7 +208,7 @@
 	switch {
 	case e.Answered:
 		if e.Result == Success && !req.answered && b.now <= req.arrived+req.class.LatencyObjective {
-			req.class.served++
+			req.class.traffic.ObserveServed()
 		}
 		b.finish(req)
 	case !req.answered && req.inFlight == 0:
@@ -186,10 +225,10 @@
 	a.neverRan = e.Result == Rejected || e.Result == ConnectFailed || e.Result == NotSent
 	a.notSent = e.Result == NotSent
 	a.request.inFlight--
-	b.inFlight.end()
+	b.admission.End()
 	// The waits of an unresponsive endpoint say nothing of how loaded the others are.
 	if !e.HeldUp && !b.responses.Suspects(&ep.attempts, b.now) {
-		b.adjustLimit(a.request, e)
+		b.adjustLimit(a, e.Result)
 	}
 	ep.attempts.End(a.sent, &a.request.class.latency)
 	if !e.HeldUp {
@@ -207,7 +246,7 @@
 		return
 	}
 	if len(req.attempts) == 0 {
-		b.shedding.shed()
+		b.admission.ObserveShed()
 	}
 	if req.harmlessToRetry() {
 		// A client that is told to wait long comes back when its latency objective is mostly used up, and its
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -10,6 +10,9 @@
 // be sent to an endpoint that warms up.
 const lightWorkRatio = 6.0
 
+// averageWeight is the least weight of a new sample in averages (about 16 samples).
+const averageWeight = 0.06
+
 // slowStart is what is known for all endpoints that warm up together.
 type slowStart struct {
 	warm      capacityEstimate // of endpoints that have all of their capacity
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -48,7 +48,7 @@
 // that a request passes. This hurts where a zone's replicas need more than its endpoints can carry.
 func (b *Balancer) resizeSubset() {
 	shared := minReplicasPerEndpoint * b.endpointsPerReplica()
-	needed := max(minSubset, subsetPerInFlight*b.inFlight.mean, shared)
+	needed := max(minSubset, subsetPerInFlight*b.admission.MeanInFlight(), shared)
 	if b.subset.fits(needed) {
 		return
 	}
--- a/balancer/subsetting_test.go
+++ b/balancer/subsetting_test.go
@@ -7,6 +7,15 @@
 	"time"
 )
 
+// holdOnAverage has so many attempts in flight on average.
+func holdOnAverage(b *Balancer, attempts int) {
+	holdAttempts(b, attempts)
+	for range 200 {
+		b.admission.End()
+		b.admission.Begin()
+	}
+}
+
 // Replicas order the endpoints alike, whatever order their lists came in.
 func TestReplicasOrderEndpointsAlike(t *testing.T) {
 	a, b := newBalancer(t, nil), newBalancer(t, nil)
@@ -36,7 +45,7 @@
 		if idle := b.subset.size; idle >= 20 {
 			t.Fatalf("an idle node's subset has %d servers", idle)
 		}
-		b.inFlight.mean = 8
+		holdOnAverage(b, 8)
 		if b.resizeSubset(); b.subset.size < 12 {
 			t.Fatalf("a busy node's subset has %d servers", b.subset.size)
 		}
@@ -70,7 +79,7 @@
 					t.Fatalf("replica %d in %s has %s of %s in a subset of %d", i, b.settings.Zone, s.ID, s.Zone, b.subset.size)
 				}
 			}
-			b.inFlight.mean = 100
+			holdOnAverage(b, 100)
 			if b.resizeSubset(); len(b.subset.own.left)+len(b.subset.own.right) != 40 {
 				t.Fatalf("a replica's widest subset has %d and %d servers", len(b.subset.own.left), len(b.subset.own.right))
 			}
