--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -14,6 +14,7 @@
 	"basaltdrum/balancer/internal/admission"
 	"basaltdrum/balancer/internal/outlier"
 	"basaltdrum/balancer/internal/retrybudget"
+	"basaltdrum/balancer/internal/slowstart"
 	"basaltdrum/balancer/internal/subscription"
 	"basaltdrum/balancer/internal/unresponsive"
 )
@@ -50,7 +51,7 @@
 	priorities admission.Priorities
 	outliers   outlier.Detector
 	responses  unresponsive.Detector
-	slowStart  slowStart
+	slowStart  slowstart.Limiter
 }
 
 // New returns a Balancer that knows no endpoints yet. The error is a *SettingError.
--- a/balancer/eligibility.go
+++ b/balancer/eligibility.go
@@ -6,6 +6,9 @@
 import (
 	"math"
 	"slices"
+	"time"
+
+	"basaltdrum/balancer/internal/slowstart"
 )
 
 // maxExcludedShare is the share of the list that may be excluded for its health; beyond that, only the worst
@@ -82,6 +85,49 @@
 	return ep.health.OnTrial() && (req.class.Effect == NonIdempotent || ep.attempts.InFlight() > 0)
 }
 
+// admitsInSlowStart says whether a request may be sent to an endpoint as far as slow start goes. One that
+// warms up takes one request of this replica at a time, within its token bucket, and its share of the work of
+// a warm one.
+func (b *Balancer) admitsInSlowStart(ep *endpoint, req *request) bool {
+	share := b.slowStart.CapacityShare(&ep.slowStart, b.now)
+	switch {
+	case share == 1:
+		return true
+	case ep.attempts.InFlight() > 0 || !b.hasTokens(ep):
+		return false
+	}
+	return b.slowStart.AdmitsWork(share, req.work, b.rng)
+}
+
+func (b *Balancer) isWarm(ep *endpoint) bool { return b.slowStart.IsWarm(&ep.slowStart, b.now) }
+
+// hasTokens says that an endpoint in slow start may be sent a request now.
+func (b *Balancer) hasTokens(ep *endpoint) bool {
+	if b.slowStart.NeedsCounts(b.now) {
+		b.slowStart.UpdateCounts(b.now, b.slowStartCounts())
+	}
+	return b.slowStart.HasTokens(&ep.slowStart, b.now, ep.inSubset, b.rng)
+}
+
+// slowStartCounts counts the endpoints for slow start.
+func (b *Balancer) slowStartCounts() slowstart.Counts {
+	counts := slowstart.Counts{Ready: b.ready.len(), SubsetSize: b.subset.size}
+	for _, group := range [][]*endpoint{b.subset.own.left, b.subset.own.right} {
+		for _, ep := range group {
+			b.slowStart.Count(&counts, &ep.slowStart, b.now)
+		}
+	}
+	return counts
+}
+
+// nextFillCheck returns when the queue is to be looked at again for the token buckets of slow start.
+func (b *Balancer) nextFillCheck() time.Duration {
+	if ep := b.ready.youngest(); ep != nil {
+		return b.slowStart.NextCheck(&ep.slowStart, b.now)
+	}
+	return math.MaxInt64
+}
+
 // eligible returns the endpoints of a group that the request may be sent to, and the idle ones that only the
 // draw of slow start keeps out.
 func (b *Balancer) eligible(
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -6,6 +6,7 @@
 	"basaltdrum/balancer/internal/latency"
 	"basaltdrum/balancer/internal/outlier"
 	"basaltdrum/balancer/internal/rejection"
+	"basaltdrum/balancer/internal/slowstart"
 	"basaltdrum/balancer/internal/unresponsive"
 )
 
@@ -18,9 +19,9 @@
 	latency    latency.Relative
 	health     outlier.Record
 	rejections rejection.Record
-	tokens     tokenBucket // to send to it while it warms up
-	excluded   bool        // for its health, from the pick for the request at hand
-	inSubset   bool        // in this replica's subset
+	slowStart  slowstart.Record
+	excluded   bool // for its health, from the pick for the request at hand
+	inSubset   bool // in this replica's subset
 }
 
 // isReady says that an endpoint is listed and may be sent requests.
@@ -94,10 +95,12 @@
 func (b *Balancer) updateEntry(entry Endpoint) *endpoint {
 	ep := b.endpoints[entry.ID]
 	if ep == nil {
-		ep = &endpoint{}
+		ep = &endpoint{slowStart: slowstart.NewRecord(entry.StartedAt)}
 		b.endpoints[entry.ID] = ep
 	} else if ep.StartedAt != entry.StartedAt {
-		*ep = endpoint{attempts: ep.attempts.AfterRestart()}
+		*ep = endpoint{
+			attempts: ep.attempts.AfterRestart(), slowStart: slowstart.NewRecord(entry.StartedAt),
+		}
 	}
 	ep.Endpoint = entry
 	ep.listed = entry.State != Removed
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -196,7 +196,7 @@
 		if s.listed && s.Endpoint != r.ref.listed[id] {
 			r.fail("server", s.Endpoint, r.ref.listed[id])
 		}
-		cold = cold || s.listed && s.State == Ready && r.b.capacityShare(s) < 1
+		cold = cold || s.listed && s.State == Ready && !r.b.isWarm(s)
 		if !s.listed && s.attempts.InFlight() > 0 {
 			known = append(known, id)
 		}
--- a/balancer/heldup_test.go
+++ b/balancer/heldup_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"basaltdrum/balancer/internal/admission"
+	"basaltdrum/balancer/internal/slowstart"
 )
 
 // An attempt that the host itself held up says nothing about its server, nor about the load of all of them,
@@ -68,6 +69,6 @@
 
 // withoutSends prints an endpoint without what a send alone changes.
 func withoutSends(ep endpoint) string {
-	ep.excluded, ep.inSubset, ep.tokens = false, false, tokenBucket{}
+	ep.excluded, ep.inSubset, ep.slowStart = false, false, slowstart.Record{}
 	return fmt.Sprintf("%+v", ep)
 }
--- a/balancer/capacity.go
+++ b/balancer/internal/slowstart/capacity.go
@@ -1,7 +1,4 @@
-// An estimate of the endpoints' capacity from their answers to this replica, from which slow start derives
-// its limits.
-
-package balancer
+package slowstart
 
 import (
 	"math"
@@ -21,7 +18,7 @@
 	at      time.Duration
 }
 
-// rate returns the answers a second at the best time of late, once a window of seconds or more was seen:
+// rate returns the answers a second at the best recent time, once a window of seconds or more was observed:
 // endpoints that are overloaded while others warm up slow down, and answer less than they could.
 func (c *capacityEstimate) rate(window float64) float64 {
 	c.peak = max(c.peak, c.answers/max(c.seconds, window))
@@ -44,34 +41,22 @@
 	}
 }
 
-// observeCapacity takes in the time and, where an endpoint is given, a good answer of it. The answers of warm
-// endpoints say most, as the others answer no more than they are sent. Where the subset has no warm one, the
-// estimate of warm ones stays, and that of the others counts if it is higher.
-func (b *Balancer) observeCapacity(ep *endpoint) {
-	counts := ep != nil && ep.listed && ep.inSubset
-	warm, warmingUp := b.subsetCapacity()
-	over := b.capacityMemory()
-	b.slowStart.warm.observe(b.now, over, warm, counts && b.isWarm(ep))
-	b.slowStart.warmingUp.observe(b.now, over, warmingUp, counts && !b.isWarm(ep))
+// ObserveAnswer records a good answer of an endpoint; inSubset says that this replica has it in its subset.
+func (l *Limiter) ObserveAnswer(r *Record, now time.Duration, counts Counts, inSubset bool) {
+	l.observeCapacity(now, counts, inSubset, l.IsWarm(r, now))
 }
 
-// capacityMemory returns how many seconds the estimate goes back: half of the time of a slow start is long
-// enough for a replica of little traffic, and short enough to follow the load.
-func (b *Balancer) capacityMemory() float64 {
-	return (b.settings.SlowStartDuration/2 + b.settings.OverloadWindow).Seconds()
+// observeCapacity records the time and, where answered says so, a good answer of a warm endpoint or of
+// another. The answers of warm endpoints say most, as the others answer no more than they are sent. Where the
+// subset has no warm one, the estimate of warm ones stays, and that of the others counts if it is higher.
+func (l *Limiter) observeCapacity(now time.Duration, counts Counts, answered, warm bool) {
+	over := l.capacityMemory()
+	l.warm.observe(now, over, counts.warm, answered && warm)
+	l.warmingUp.observe(now, over, counts.warmingUp, answered && !warm)
 }
 
-// subsetCapacity returns the sums of the capacity shares of the subset's endpoints, for those that are warm
-// and for those that warm up.
-func (b *Balancer) subsetCapacity() (warm, warmingUp float64) {
-	for _, group := range [][]*endpoint{b.subset.own.left, b.subset.own.right} {
-		for _, ep := range group {
-			if share := b.capacityShare(ep); share == 1 {
-				warm++
-			} else {
-				warmingUp += share
-			}
-		}
-	}
-	return warm, warmingUp
+// capacityMemory returns how many seconds the estimate goes back: half of the time of a slow start is long
+// enough for a replica of little traffic, and short enough to follow the load.
+func (l *Limiter) capacityMemory() float64 {
+	return (l.settings.Duration/2 + l.settings.OverloadWindow).Seconds()
 }
--- /dev/null
+++ b/balancer/internal/slowstart/helpers_test.go
@@ -0,0 +1,35 @@
+package slowstart
+
+import (
+	"math/rand/v2"
+	"time"
+)
+
+// startedAt is when the endpoints of the tests that warm up were started.
+const startedAt = time.Minute
+
+// testSettings has slow start over twenty seconds, from half of the capacity on, and an overload limit.
+func testSettings() Settings {
+	return Settings{
+		Floor: 0.5, Duration: 20 * time.Second, Replicas: 1, OverloadMultiple: 2, OverloadWindow: time.Second,
+	}
+}
+
+// newLimiter returns a limiter with the test settings.
+func newLimiter() *Limiter {
+	var limiter Limiter
+	limiter.Configure(testSettings())
+	return &limiter
+}
+
+// countsOf counts a list of endpoints, all of them in the subset.
+func countsOf(l *Limiter, now time.Duration, records ...Record) Counts {
+	counts := Counts{Ready: len(records), SubsetSize: len(records)}
+	for i := range records {
+		l.Count(&counts, &records[i], now)
+	}
+	return counts
+}
+
+// newRand returns a random source that is the same each time.
+func newRand() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
--- a/balancer/overload.go
+++ b/balancer/internal/slowstart/overload.go
@@ -1,7 +1,7 @@
-// What an endpoint in slow start surely bears: the bound on requests in a window, and the mean rate that
-// hardly ever exceeds it.
+// The bound on requests in a window that an endpoint in slow start can serve, and the mean rate that hardly
+// ever exceeds it.
 
-package balancer
+package slowstart
 
 import "math"
 
@@ -12,11 +12,11 @@
 	newtonSteps      = 8   // that solve for the mean
 )
 
-// overloadLimit returns how many requests of mean work an endpoint surely bears in a window, by an estimate n
-// of what the settings allow it then. It is overloaded by more than n + 2 x root of n + 2, and under 30 by
-// more than n + 3 x root of n + 3. That rule steps down at 30, from 49 to 43, and the estimate may be a
-// little low: one just under 30 counts on no more than what holds at 30, so that the limit never falls as n
-// grows.
+// overloadLimit returns how many requests of mean work an endpoint can serve in a window without being
+// overloaded, by an estimate n of what the settings allow it then. It is overloaded by more than n + 2 x root
+// of n + 2, and under 30 by more than n + 3 x root of n + 3. That rule steps down at 30, from 49 to 43, and
+// the estimate may be a little low: one just under 30 gets no more than the limit at 30, so that the limit
+// never falls as n grows.
 func overloadLimit(n float64) float64 {
 	wide := max(n, smallWindowCount)
 	return min(n+3*math.Sqrt(n)+3, wide+2*math.Sqrt(wide)+2)
--- a/balancer/observe.go
+++ b/balancer/observe.go
@@ -18,7 +18,7 @@
 		b.responses.ObserveSuccess(&ep.attempts, b.now)
 		slow = c.latency.Observe(latency) && slow
 		ep.rejections.ObserveSuccess()
-		b.observeCapacity(ep)
+		b.slowStart.ObserveAnswer(&ep.slowStart, b.now, b.slowStartCounts(), ep.listed && ep.inSubset)
 	case Rejected, ConnectFailed:
 		ep.rejections.Observe(b.now, c.latency.Mean(), b.rng.Float64(), ep.attempts.InFlight())
 		return
--- a/balancer/reconfigure.go
+++ b/balancer/reconfigure.go
@@ -2,7 +2,11 @@
 
 package balancer
 
-import "slices"
+import (
+	"slices"
+
+	"basaltdrum/balancer/internal/slowstart"
+)
 
 // applySettings puts settings in force.
 func (b *Balancer) applySettings(settings Settings) {
@@ -10,6 +14,10 @@
 	b.classes = newClassTable(settings.Classes, b.classes)
 	b.priorities = b.classes.priorities(&settings)
 	b.ready.setZone(settings.Zone)
+	b.slowStart.Configure(slowstart.Settings{
+		Floor: settings.SlowStartFloor, Duration: settings.SlowStartDuration, Replicas: settings.Replicas,
+		OverloadMultiple: settings.OverloadMultiple, OverloadWindow: settings.OverloadWindow,
+	})
 }
 
 // reconfigure replaces the settings by new ones. Requests keep the class that they were accepted with, so
@@ -23,7 +31,6 @@
 	old := b.settings
 	settings.PollDiscovery = old.PollDiscovery // the host subscribes, or not, as long as it runs
 	b.applySettings(settings)
-	b.slowStart.basis.known = false
 	if settings.Replicas != old.Replicas || settings.ReplicaIndex != old.ReplicaIndex ||
 		settings.Zone != old.Zone || settings.ZoneCount != old.ZoneCount {
 		b.subset.size = 0
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -50,11 +50,8 @@
 		id: e.ID, class: b.classes.get(e.Class), arrived: b.now, deadline: e.Deadline, retry: e.Retry,
 		work: max(0, float64(e.ExpectedWork)),
 	}
-	if req.work > 0 {
-		b.slowStart.work.observe(req.work)
-	}
 	b.requests[e.ID] = req
-	b.slowStart.arrivals.observe(b.now, b.settings.SlowStartDuration)
+	b.slowStart.ObserveRequest(b.now, req.work)
 	b.inferFirstAttempt(req, e.FirstByte)
 	b.priorities.ObserveArrival(&req.class.admission)
 	if b.shuttingDown {
@@ -147,7 +144,7 @@
 	req.attempts = append(req.attempts, a)
 	req.inFlight++
 	b.dequeue(req)
-	b.spendTokens(ep, req)
+	b.slowStart.Spend(&ep.slowStart, b.now, req.work)
 	ep.attempts.Begin(b.now, &req.class.latency)
 	b.admission.Begin()
 	timeout := max(b.attemptTimeout(req), b.settings.Tick)
--- a/balancer/subset.go
+++ b/balancer/subset.go
@@ -56,7 +56,7 @@
 	left, right := b.ready.split(len(b.subset.all.left))
 	b.subset.own = groupPair{b.subsetPart(left), b.subsetPart(right)}
 	b.ready.markSubset(b.subset.own)
-	b.slowStart.basis.known = false
+	b.slowStart.ObserveSubsetChange()
 }
 
 // endpointsPerReplica returns how many endpoints there are for each replica of this tier.
