--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"basaltdrum/balancer/internal/admission"
+	"basaltdrum/balancer/internal/endpoints"
 	"basaltdrum/balancer/internal/outlier"
 	"basaltdrum/balancer/internal/retrybudget"
 	"basaltdrum/balancer/internal/slowstart"
@@ -36,9 +37,7 @@
 
 	// The endpoint list and the replica's subset of it.
 	subscription subscription.Backoff
-	endpoints    map[string]*endpoint // by id: listed, or with attempts in flight
-	ready        endpointSet
-	subset       subset
+	endpoints    endpoints.List
 
 	// Requests and their attempts.
 	classes  classTable
@@ -61,7 +60,7 @@
 	}
 	b := &Balancer{
 		rng:       rand.New(rand.NewPCG(seed, seedStream)),
-		endpoints: map[string]*endpoint{},
+		endpoints: endpoints.NewList(),
 		requests:  map[string]*request{},
 		outliers:  outlier.NewDetector(),
 		retries:   retrybudget.New(),
@@ -109,6 +108,23 @@
 	b.reviewQueued(e.Token)
 }
 
+// updateEndpoints applies an update of the endpoint list. A list from the host's cache may be out of date, so
+// a subscription is still wanted.
+func (b *Balancer) updateEndpoints(e EndpointUpdate) {
+	if e.Complete {
+		b.endpoints.Replace(e.Endpoints)
+	} else {
+		b.endpoints.Change(e.Endpoints)
+	}
+	b.admission.Start(b.endpoints.PerReplica())
+	if e.Cached {
+		b.scheduleSubscribe()
+	} else {
+		b.subscription.Succeed()
+	}
+	b.dispatchQueued()
+}
+
 // scheduleSubscribe plans a Subscribe where endpoint updates come only after one.
 func (b *Balancer) scheduleSubscribe() {
 	if b.settings.PollDiscovery {
--- a/balancer/deadlines.go
+++ b/balancer/deadlines.go
@@ -41,7 +41,7 @@
 // at all a late answer is the best there can be, so then almost until the deadline.
 func (b *Balancer) queueDeadline(req *request) time.Duration {
 	last := req.deadline - 2*b.settings.Tick
-	if b.ready.len() == 0 {
+	if b.endpoints.Ready() == 0 {
 		return last
 	}
 	objective := req.class.LatencyObjective
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -3,27 +3,28 @@
 import (
 	"fmt"
 	"time"
+
+	"basaltdrum/balancer/internal/endpoints"
 )
 
 // EndpointState is what discovery says of an endpoint.
-type EndpointState int
+type EndpointState = endpoints.State
 
 // Endpoint states.
 const (
-	Ready EndpointState = iota
-	Draining
-	Removed
+	Ready    = endpoints.Ready
+	Draining = endpoints.Draining
+	Removed  = endpoints.Removed
 )
 
-// Endpoint is an entry of the endpoint list.
-type Endpoint struct {
-	ID        string
-	Zone      string
-	Cell      int
-	State     EndpointState
-	Capacity  float64       // against other endpoints, as listed; 0: unknown
-	StartedAt time.Duration // clock time of its last start; 0: long ago
-}
+// Endpoint is an entry of the endpoint list, with these fields:
+//
+//	ID, Zone  string
+//	Cell      int
+//	State     EndpointState
+//	Capacity  float64       // against other endpoints, as listed; 0: unknown
+//	StartedAt time.Duration // clock time of its last start; 0: long ago
+type Endpoint = endpoints.Entry
 
 // AttemptResult says how an attempt ended.
 type AttemptResult int
--- a/balancer/heldup_test.go
+++ b/balancer/heldup_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"basaltdrum/balancer/internal/admission"
-	"basaltdrum/balancer/internal/slowstart"
+	"basaltdrum/balancer/internal/endpoints"
 )
 
 // An attempt that the host itself held up says nothing about its server, nor about the load of all of them,
@@ -61,14 +61,13 @@
 		"health":        fmt.Sprintf("%+v %+v", b.outliers, b.responses),
 		"class latency": fmt.Sprintf("%+v %+v", class.latency, class.failures),
 	}
-	for id, ep := range b.endpoints {
-		observations[id] = withoutSends(*ep)
+	for ep := range b.endpoints.Known() {
+		observations[ep.ID] = withoutSends(*ep)
 	}
 	return observations
 }
 
 // withoutSends prints an endpoint without what a send alone changes.
-func withoutSends(ep endpoint) string {
-	ep.excluded, ep.inSubset, ep.slowStart = false, false, slowstart.Record{}
-	return fmt.Sprintf("%+v", ep)
+func withoutSends(ep endpoints.Endpoint) string {
+	return fmt.Sprintf("%+v %+v %+v %+v %+v", ep.Entry, ep.Attempts, ep.Latency, ep.Health, ep.Rejections)
 }
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -2,8 +2,11 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"time"
+
+	"basaltdrum/balancer/internal/endpoints"
 )
 
 const msec = time.Millisecond
@@ -108,3 +111,21 @@
 	s.Replicas, s.ReplicaIndex, s.ZoneCount = replicas, index, 2
 	s.Zone = []string{"north", "east"}[2*index/replicas]
 }
+
+// knownEndpoint returns the endpoint with this id.
+func knownEndpoint(t testing.TB, b *Balancer, id string) *endpoints.Endpoint {
+	t.Helper()
+	for ep := range b.endpoints.Known() {
+		if ep.ID == id {
+			return ep
+		}
+	}
+	t.Fatalf("no endpoint %s is known", id)
+	return nil
+}
+
+// allReady returns the ready endpoints in order.
+func allReady(b *Balancer) []*endpoints.Endpoint {
+	groups := b.endpoints.Groups()
+	return slices.Concat(groups.Left, groups.Right)
+}
--- /dev/null
+++ b/balancer/internal/endpoints/endpoints_test.go
@@ -0,0 +1,318 @@
+package endpoints
+
+import (
+	"cmp"
+	"fmt"
+	"maps"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"basaltdrum/balancer/internal/latency"
+)
+
+// listUpdate is a complete list or changes of it.
+type listUpdate struct {
+	complete bool
+	entries  []Entry
+}
+
+// listReference builds groups and subsets from scratch for each list, in the plain way: sort all ready
+// endpoints, divide them in two, take the own zone's endpoints and then the others', each from the replica's
+// position on.
+type listReference struct {
+	listed    map[string]Entry
+	placement Placement
+}
+
+func (l *listReference) apply(update listUpdate) {
+	if update.complete {
+		clear(l.listed)
+	}
+	for _, entry := range update.entries {
+		if l.listed[entry.ID] = entry; entry.State == Removed {
+			delete(l.listed, entry.ID)
+		}
+	}
+}
+
+func (l *listReference) ready() (ready []Entry) {
+	for entry := range maps.Values(l.listed) {
+		if entry.State == Ready {
+			ready = append(ready, entry)
+		}
+	}
+	slices.SortFunc(ready, func(entry, other Entry) int { return cmp.Compare(entry.ID, other.ID) })
+	return ready
+}
+
+// groups returns the ready endpoints' ids cut in two, and the subsets of a replica whose subset has this
+// size.
+func (l *listReference) groups(size int) (groups, subsets [2][]string) {
+	ready := l.ready()
+	cut := int(math.Ceil(leftShare * float64(len(ready))))
+	for i, group := range [][]Entry{ready[:cut], ready[cut:]} {
+		for _, entry := range group {
+			groups[i] = append(groups[i], entry.ID)
+		}
+		part := int(math.Ceil(float64(size) * float64(len(group)) / max(float64(len(ready)), 1)))
+		subset := slices.Concat(l.rotated(group, true), l.rotated(group, false))
+		subsets[i] = subset[:min(part, len(group))]
+	}
+	return groups, subsets
+}
+
+func (l *listReference) rotated(group []Entry, own bool) []string {
+	var ids []string
+	for _, entry := range group {
+		if (entry.Zone == l.placement.Zone) == own {
+			ids = append(ids, entry.ID)
+		}
+	}
+	p := l.placement
+	start := p.Index * max(1, p.ZoneCount) * len(ids) / max(1, p.Replicas) % max(1, len(ids))
+	return slices.Concat(ids[start:], ids[:start])
+}
+
+// sentAttempt is an attempt in flight.
+type sentAttempt struct {
+	endpoint *Endpoint
+	sent     time.Duration
+}
+
+// randomListRun plays random steps at a list and compares it with the reference.
+type randomListRun struct {
+	*testing.T
+	rng     *rand.Rand
+	list    List
+	ref     listReference
+	now     time.Duration
+	class   latency.Estimator
+	open    []sentAttempt
+	history []string
+}
+
+func (r *randomListRun) randomListed() Entry {
+	if len(r.ref.listed) > 0 && r.rng.IntN(4) > 0 {
+		known := slices.Sorted(maps.Keys(r.ref.listed))
+		return r.ref.listed[known[r.rng.IntN(len(known))]]
+	}
+	return Entry{
+		ID: fmt.Sprintf("s%02d", r.rng.IntN(60)), Zone: fmt.Sprint("z", r.rng.IntN(3)), Capacity: 1,
+		StartedAt: time.Duration(r.rng.IntN(2)) * r.now,
+	}
+}
+
+// randomEntry changes an endpoint in one way, or leaves it as it is.
+func (r *randomListRun) randomEntry() Entry {
+	entry := r.randomListed()
+	switch r.rng.IntN(8) {
+	case 0, 1:
+		entry.State = Removed
+	case 2:
+		entry.State = Draining
+	case 3:
+		entry.State = Ready
+	case 4:
+		entry.StartedAt = r.now - time.Duration(r.rng.IntN(3))*time.Second
+	case 5:
+		entry.Zone = fmt.Sprint("z", r.rng.IntN(3))
+	case 6:
+		entry.Capacity, entry.Cell = r.rng.Float64(), r.rng.IntN(3)
+	}
+	return entry
+}
+
+// randomUpdate is a change of few entries, some of which name an endpoint twice, or a complete list in any
+// order.
+func (r *randomListRun) randomUpdate() listUpdate {
+	update := listUpdate{complete: r.rng.IntN(12) == 0}
+	if update.complete {
+		for _, entry := range r.ref.listed {
+			if r.rng.IntN(8) > 0 {
+				update.entries = append(update.entries, entry)
+			}
+		}
+		slices.SortFunc(update.entries, func(entry, other Entry) int { return cmp.Compare(entry.ID, other.ID) })
+		r.rng.Shuffle(len(update.entries), func(i, j int) {
+			update.entries[i], update.entries[j] = update.entries[j], update.entries[i]
+		})
+	}
+	for range 1 + r.rng.IntN(3) {
+		update.entries = append(update.entries, r.randomEntry())
+	}
+	if r.rng.IntN(4) == 0 {
+		again := update.entries[r.rng.IntN(len(update.entries))]
+		again.State = State(r.rng.IntN(3))
+		update.entries = append(update.entries, again)
+	}
+	return update
+}
+
+func (r *randomListRun) randomPlacement() Placement {
+	placement := r.ref.placement
+	switch r.rng.IntN(3) {
+	case 0:
+		placement.Zone = fmt.Sprint("z", r.rng.IntN(4)) // one of them has no endpoint
+	case 1:
+		placement.Index = r.rng.IntN(100)
+	case 2:
+		placement.Replicas, placement.ZoneCount = r.rng.IntN(30), r.rng.IntN(4)
+	}
+	return placement
+}
+
+// step plays one event.
+func (r *randomListRun) step() {
+	r.now += time.Duration(r.rng.IntN(300)) * time.Millisecond
+	switch n := r.rng.IntN(10); {
+	case n < 5:
+		update := r.randomUpdate()
+		r.record("update %+v", update)
+		r.ref.apply(update)
+		if update.complete {
+			r.list.Replace(update.entries)
+		} else {
+			r.list.Change(update.entries)
+		}
+	case n < 6:
+		r.ref.placement = r.randomPlacement()
+		r.record("placement %+v", r.ref.placement)
+		r.list.Configure(r.ref.placement)
+	case n < 8 || len(r.open) == 0:
+		r.record("attempt with %d in flight", len(r.open))
+		r.send()
+	default:
+		i := r.rng.IntN(len(r.open))
+		r.record("end of attempt %d", i)
+		ended := r.open[i]
+		ended.endpoint.Attempts.End(ended.sent, &r.class)
+		r.list.Release(ended.endpoint)
+		r.open = slices.Delete(r.open, i, i+1)
+	}
+}
+
+// send begins an attempt at an endpoint of the subset.
+func (r *randomListRun) send() {
+	r.list.ResizeSubset(float64(len(r.open)))
+	subset, _ := r.list.Subset()
+	if endpoints := slices.Concat(subset.Left, subset.Right); len(endpoints) > 0 {
+		ep := endpoints[r.rng.IntN(len(endpoints))]
+		ep.Attempts.Begin(r.now, &r.class)
+		r.open = append(r.open, sentAttempt{ep, r.now})
+	}
+}
+
+func (r *randomListRun) check() {
+	groups, size := r.list.Subset()
+	want, subsets := r.ref.groups(size)
+	r.same("left group", endpointIDs(r.list.Groups().Left), want[0])
+	r.same("right group", endpointIDs(r.list.Groups().Right), want[1])
+	if size > 0 { // else the next request has the subset made anew
+		r.same("left part of the subset", endpointIDs(groups.Left), subsets[0])
+		r.same("right part of the subset", endpointIDs(groups.Right), subsets[1])
+		var marked []string
+		for _, ep := range r.list.ready.all {
+			if ep.InSubset() {
+				marked = append(marked, ep.ID)
+			}
+		}
+		r.same("marked as in the subset", marked, slices.Sorted(slices.Values(slices.Concat(subsets[0], subsets[1]))))
+	}
+	r.checkKnown()
+	r.checkYoungest()
+}
+
+// checkKnown compares the endpoints that are known with those that are listed or have attempts in flight.
+func (r *randomListRun) checkKnown() {
+	known := slices.Collect(maps.Keys(r.ref.listed))
+	for id, ep := range r.list.byID {
+		if ep.listed && ep.Entry != r.ref.listed[id] {
+			r.fail("entry", ep.Entry, r.ref.listed[id])
+		}
+		if !ep.listed && ep.Attempts.InFlight() > 0 {
+			known = append(known, id)
+		}
+	}
+	r.same("known endpoints", slices.Sorted(maps.Keys(r.list.byID)), slices.Sorted(slices.Values(known)))
+}
+
+// checkYoungest compares the start of the youngest ready endpoint.
+func (r *randomListRun) checkYoungest() {
+	ready, youngest := r.ref.ready(), r.list.Youngest()
+	if len(ready) == 0 || youngest == nil {
+		if len(ready) > 0 || youngest != nil {
+			r.fail("youngest", youngest, ready)
+		}
+		return
+	}
+	latest := slices.MaxFunc(ready, func(entry, other Entry) int { return cmp.Compare(entry.StartedAt, other.StartedAt) })
+	if youngest.StartedAt != latest.StartedAt {
+		r.fail("start of the youngest", youngest.StartedAt, latest.StartedAt)
+	}
+}
+
+func (r *randomListRun) record(format string, args ...any) {
+	r.history = append(r.history, fmt.Sprintf("%v ", r.now)+fmt.Sprintf(format, args...))
+}
+
+func (r *randomListRun) same(what string, got, want []string) {
+	if !slices.Equal(got, want) {
+		r.fail(what, got, want)
+	}
+}
+
+func (r *randomListRun) fail(what string, got, want any) {
+	r.Helper()
+	last := r.history[max(0, len(r.history)-5):]
+	r.Fatalf("step %d: %s: got %v, want %v; last events: %q", len(r.history), what, got, want, last)
+}
+
+// However a list changes, groups, subsets and marks are what the plain construction makes of it.
+func TestListChangesFollowThePlainConstruction(t *testing.T) {
+	for seed := range uint64(60) {
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			placement := Placement{Zone: "z1", ZoneCount: 3, Replicas: 9, Index: 4}
+			r := randomListRun{
+				T: t, rng: rand.New(rand.NewPCG(seed, 5)), now: time.Hour, list: NewList(),
+				ref: listReference{map[string]Entry{}, placement},
+			}
+			r.list.Configure(placement)
+			for range 400 {
+				r.step()
+				r.check()
+			}
+		})
+	}
+}
+
+// After a restart only the attempts in flight to an endpoint are known; after any other change all is.
+func TestRestartDiscardsTheRecords(t *testing.T) {
+	class := latency.NewEstimator(time.Second)
+	for _, c := range []struct {
+		name   string
+		change Entry
+		kept   bool
+	}{
+		{"another cell and capacity", Entry{ID: "s00", Zone: "z", Cell: 1, Capacity: 2}, true},
+		{"another zone", Entry{ID: "s00", Zone: "other"}, true},
+		{"draining", Entry{ID: "s00", Zone: "z", State: Draining}, true},
+		{"a restart", Entry{ID: "s00", Zone: "z", StartedAt: time.Minute}, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			list := newTestList(Placement{}, testEntries(3))
+			ep := list.byID["s00"]
+			ep.Latency.Observe(2)
+			ep.Attempts.Begin(time.Second, &class)
+			list.Change([]Entry{c.change})
+			if list.byID["s00"] != ep || ep.Attempts.InFlight() != 1 || ep.Entry != c.change {
+				t.Errorf("%+v with %d attempts in flight, want one", ep.Entry, ep.Attempts.InFlight())
+			}
+			if kept := ep.Latency.Speed() != 1; kept != c.kept {
+				t.Errorf("the latency is kept: %v, want %v", kept, c.kept)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/balancer/internal/endpoints/subset_test.go
@@ -0,0 +1,140 @@
+package endpoints
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+)
+
+// Replicas order the endpoints alike, whatever order their lists came in.
+func TestReplicasOrderEndpointsAlike(t *testing.T) {
+	entries := testEntries(7)
+	complete, changed := NewList(), NewList()
+	complete.Replace(entries)
+	for i := len(entries) - 1; i >= 0; i-- {
+		changed.Change(entries[i : i+1])
+	}
+	if got, want := endpointIDs(changed.ready.all), endpointIDs(complete.ready.all); !slices.Equal(got, want) {
+		t.Errorf("by changes %v, by a complete list %v", got, want)
+	}
+}
+
+// coverage counts in how many subsets each endpoint is, of many replicas with one list.
+type coverage map[string]int
+
+func (c coverage) add(groups Groups) {
+	for _, ep := range slices.Concat(groups.Left, groups.Right) {
+		c[ep.ID]++
+	}
+}
+
+// bounds returns the counts of the endpoints that are in the fewest and in the most subsets.
+func (c coverage) bounds(entries []Entry) (least, most int) {
+	least = c[entries[0].ID]
+	for _, entry := range entries {
+		least, most = min(least, c[entry.ID]), max(most, c[entry.ID])
+	}
+	return least, most
+}
+
+// The subsets of many replicas cover each group evenly, and a busy replica takes a larger one.
+func TestSubsetsCoverTheGroupsEvenly(t *testing.T) {
+	const replicas = 60
+	entries, count := testEntries(40), coverage{}
+	for i := range replicas {
+		list := newTestList(Placement{Replicas: replicas, Index: i}, entries)
+		list.ResizeSubset(0)
+		groups, idle := list.Subset()
+		count.add(groups)
+		if idle >= 20 {
+			t.Fatalf("an idle replica's subset has %d endpoints", idle)
+		}
+		list.ResizeSubset(8)
+		if _, busy := list.Subset(); busy < 12 {
+			t.Fatalf("a busy replica's subset has %d endpoints", busy)
+		}
+	}
+	if least, most := count.bounds(entries); least < 4 || most-least > 3 {
+		t.Errorf("endpoints are in %d to %d subsets", least, most)
+	}
+}
+
+// The subsets of a zone's replicas cover its endpoints evenly, however the replicas are numbered, and include
+// the other zone when they are larger than their own.
+func TestSubsetsPreferTheirZoneAndCoverItEvenly(t *testing.T) {
+	const replicas = 60
+	for _, c := range []struct {
+		name string
+		zone func(index int) string
+	}{
+		{"numbered in a row", func(index int) string { return []string{"north", "east"}[2*index/replicas] }},
+		{"numbered in turns", func(index int) string { return []string{"north", "east"}[index%2] }},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			entries, count := zonedEntries(40), coverage{}
+			for i := range replicas {
+				placement := Placement{Zone: c.zone(i), ZoneCount: 2, Replicas: replicas, Index: i}
+				list := newTestList(placement, entries)
+				list.ResizeSubset(0)
+				groups, size := list.Subset()
+				count.add(groups)
+				for _, ep := range slices.Concat(groups.Left, groups.Right) {
+					if ep.Zone != placement.Zone {
+						t.Fatalf("replica %d in %s has %s of %s in a subset of %d", i, placement.Zone, ep.ID, ep.Zone, size)
+					}
+				}
+				list.ResizeSubset(100)
+				if groups, _ := list.Subset(); len(groups.Left)+len(groups.Right) != 40 {
+					t.Fatalf("a replica's largest subset has %d and %d endpoints", len(groups.Left), len(groups.Right))
+				}
+			}
+			if least, most := count.bounds(entries); least < 4 || most-least > 4 {
+				t.Errorf("endpoints are in %d to %d subsets", least, most)
+			}
+		})
+	}
+}
+
+// A subset is made anew when it is too small, or much too large, or when the placement has changed.
+func TestSubsetIsResizedRarely(t *testing.T) {
+	placement := Placement{Replicas: 20}
+	list := newTestList(placement, testEntries(40))
+	for _, step := range []struct {
+		name         string
+		meanInFlight float64
+		index        int
+		want         bool
+	}{
+		{"at first", 0, 0, true},
+		{"the same", 0, 0, false},
+		{"a little more", 3, 0, false},
+		{"too small", 12, 0, true},
+		{"a little less", 8, 0, false},
+		{"much too large", 0, 0, true},
+		{"another place among the replicas", 0, 1, true},
+	} {
+		placement.Index = step.index
+		list.Configure(placement)
+		if got := list.ResizeSubset(step.meanInFlight); got != step.want {
+			t.Errorf("%s: made anew %v, want %v", step.name, got, step.want)
+		}
+	}
+}
+
+func Example() {
+	list := NewList()
+	list.Configure(Placement{Zone: "north", ZoneCount: 2, Replicas: 4, Index: 1})
+	var entries []Entry
+	for i := range 12 {
+		entries = append(entries, Entry{ID: fmt.Sprintf("s%02d", i), Zone: []string{"north", "east"}[i%2]})
+	}
+	list.Replace(entries)
+	list.ResizeSubset(0)
+	subset, _ := list.Subset()
+	fmt.Println("left:", endpointIDs(subset.Left))
+	fmt.Println("right:", endpointIDs(subset.Right))
+	// Output:
+	// left: [s02 s04 s00 s03]
+	// right: [s08 s10 s06 s09]
+	// Output:
+}
--- a/balancer/observe.go
+++ b/balancer/observe.go
@@ -10,17 +10,17 @@
 	slow := c.latency.IsSlow(latency)
 	switch result {
 	case Success, ServerError, TimedOut:
-		ep.health.ObserveRate(b.classes.rates(c), result != Success, b.now, c.latency.Mean())
+		ep.Health.ObserveRate(b.classes.rates(c), result != Success, b.now, c.latency.Mean())
 	}
 	switch result {
 	case Success:
 		b.retries.Earn()
-		b.responses.ObserveSuccess(&ep.attempts, b.now)
+		b.responses.ObserveSuccess(&ep.Attempts, b.now)
 		slow = c.latency.Observe(latency) && slow
-		ep.rejections.ObserveSuccess()
-		b.slowStart.ObserveAnswer(&ep.slowStart, b.now, b.slowStartCounts(), ep.listed && ep.inSubset)
+		ep.Rejections.ObserveSuccess()
+		b.slowStart.ObserveAnswer(&ep.SlowStart, b.now, b.slowStartCounts(), ep.InSubset())
 	case Rejected, ConnectFailed:
-		ep.rejections.Observe(b.now, c.latency.Mean(), b.rng.Float64(), ep.attempts.InFlight())
+		ep.Rejections.Observe(b.now, c.latency.Mean(), b.rng.Float64(), ep.Attempts.InFlight())
 		return
 	case ServerError, ConnectionLost, TimedOut:
 	case Cancelled:
@@ -31,13 +31,13 @@
 		return
 	}
 	if slow || result == Success {
-		ep.latency.Observe(latency / c.latency.Mean())
+		ep.Latency.Observe(latency / c.latency.Mean())
 	}
 	if slow || result != Success {
-		b.outliers.ObserveFailure(&ep.health, b.now, c.latency.Mean())
+		b.outliers.ObserveFailure(&ep.Health, b.now, c.latency.Mean())
 		return
 	}
-	b.outliers.ObserveSuccess(&ep.health)
+	b.outliers.ObserveSuccess(&ep.Health)
 }
 
 // adjustLimit moves the concurrency limit of the first tier by the result of an attempt.
@@ -48,10 +48,10 @@
 	class := &a.request.class.admission
 	switch result {
 	case Success:
-		b.admission.ObserveSuccess(class, float64(b.now-a.sent), b.endpointsPerReplica())
+		b.admission.ObserveSuccess(class, float64(b.now-a.sent), b.endpoints.PerReplica())
 	case TimedOut, ConnectFailed:
-		b.admission.ObserveFailure(b.endpointsPerReplica())
+		b.admission.ObserveFailure(b.endpoints.PerReplica())
 	case Rejected:
-		b.admission.ObserveRejection(b.now, class, b.endpointsPerReplica())
+		b.admission.ObserveRejection(b.now, class, b.endpoints.PerReplica())
 	}
 }
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"basaltdrum/balancer/internal/endpoints"
 	"basaltdrum/balancer/internal/outlier"
 )
 
@@ -59,17 +60,17 @@
 }
 
 // eject ejects an endpoint for so long, whatever the others do.
-func eject(ep *endpoint, now, length time.Duration) {
+func eject(ep *endpoints.Endpoint, now, length time.Duration) {
 	detector := outlier.NewDetector()
 	const baseEjection = 12 // mean latencies that a first ejection lasts
-	detector.ObserveFailure(&ep.health, now, float64(length)/baseEjection)
+	detector.ObserveFailure(&ep.Health, now, float64(length)/baseEjection)
 }
 
 // After an ejection the first trial must not be a request that cannot be retried.
 func TestServerOnTrialGetsNoNonIdempotentRequest(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
-	s := b.endpoints["s03"]
+	s := knownEndpoint(t, b, "s03")
 	eject(s, 0, 0)
 	if got := sendTraffic(b, 400, "pay", func(string) AttemptResult { return Success }); got["s03"] != 0 {
 		t.Errorf("a server on trial got %d unsafe requests", got["s03"])
@@ -96,14 +97,14 @@
 		t.Run(fmt.Sprint("shed ", c.shed), func(t *testing.T) {
 			b := newBalancer(t, nil)
 			b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(20)})
-			for _, s := range b.ready.all[:10] {
+			for _, s := range allReady(b)[:10] {
 				eject(s, msec, time.Minute)
 			}
 			shedUpTo(b, c.shed)
 			out := 0
-			b.excludeUnhealthy(candidates{groups: b.subset.all, excludeOutliers: true}, &request{class: b.classes.byName["get"]})
-			for _, s := range b.ready.all {
-				if s.excluded {
+			b.excludeUnhealthy(candidates{groups: b.endpoints.Groups(), excludeOutliers: true}, &request{class: b.classes.byName["get"]})
+			for _, s := range allReady(b) {
+				if s.Excluded {
 					out++
 				}
 			}
@@ -170,7 +171,7 @@
 			now := b.now
 			s := sends(b.Handle(now, Request{ID: "slow", Class: "get", Deadline: now + time.Second}))[0]
 			endAttempt(b, now+400*msec, "slow", s, Success)
-			if out := b.endpoints[s.Endpoint].health.IsEjected(b.now); out != c.want {
+			if out := knownEndpoint(t, b, s.Endpoint).Health.IsEjected(b.now); out != c.want {
 				t.Errorf("with %d other bad results: ejected %v, want %v", c.otherBadResults, out, c.want)
 			}
 		})
--- a/balancer/pick.go
+++ b/balancer/pick.go
@@ -3,30 +3,32 @@
 
 package balancer
 
+import "basaltdrum/balancer/internal/endpoints"
+
 // maxCapacity is the listed capacity that counts: with an infinite weight no draw would take any endpoint.
 const maxCapacity = 1e6
 
 // pick draws one endpoint from each group, and the one with fewer requests in flight wins. Equal counts above
 // zero go left; at zero the side is drawn by the groups' weights. Draws go by weight, which is equal as long
 // as nothing distinguishes the endpoints. An empty group leaves the pick to the other.
-func (b *Balancer) pick(left, right []*endpoint) *endpoint {
+func (b *Balancer) pick(left, right []*endpoints.Endpoint) *endpoints.Endpoint {
 	first, firstWeight := b.draw(left)
 	second, secondWeight := b.draw(right)
 	switch {
-	case second == nil || first != nil && first.attempts.InFlight() < second.attempts.InFlight():
+	case second == nil || first != nil && first.Attempts.InFlight() < second.Attempts.InFlight():
 		return first
-	case first == nil || second.attempts.InFlight() < first.attempts.InFlight():
+	case first == nil || second.Attempts.InFlight() < first.Attempts.InFlight():
 		return second
-	case first.attempts.InFlight() > 0 || b.rng.Float64()*(firstWeight+secondWeight) < firstWeight:
+	case first.Attempts.InFlight() > 0 || b.rng.Float64()*(firstWeight+secondWeight) < firstWeight:
 		return first
 	}
 	return second
 }
 
 // draw draws one endpoint of a group by weight (reservoir sampling), and returns the weight of the group.
-func (b *Balancer) draw(group []*endpoint) (drawn *endpoint, total float64) {
+func (b *Balancer) draw(group []*endpoints.Endpoint) (drawn *endpoints.Endpoint, total float64) {
 	for _, ep := range group {
-		weight := ep.weight()
+		weight := weight(ep)
 		total += weight
 		if b.rng.Float64()*total < weight {
 			drawn = ep
@@ -39,8 +41,8 @@
 // relative latency. Equal draws among unequal endpoints overload the slow ones at loads that all together
 // could carry, and one replica's counts are too small to show it. One replica's samples are few, too, but the
 // errors of many replicas cancel out.
-func (ep *endpoint) weight() float64 {
-	weight := ep.latency.Speed()
+func weight(ep *endpoints.Endpoint) float64 {
+	weight := ep.Latency.Speed()
 	if ep.Capacity > 0 {
 		weight *= min(ep.Capacity, maxCapacity)
 	}
@@ -49,12 +51,16 @@
 
 // choose picks an endpoint from the replica's subset and, when none there is eligible, from all; outliers
 // come last. It returns nil when no endpoint is eligible.
-func (b *Balancer) choose(req *request) *endpoint {
-	b.resizeSubset()
+func (b *Balancer) choose(req *request) *endpoints.Endpoint {
+	if b.endpoints.ResizeSubset(b.admission.MeanInFlight()) {
+		b.slowStart.ObserveSubsetChange()
+	}
+	subset, _ := b.endpoints.Subset()
+	all := b.endpoints.Groups()
 	for _, from := range []candidates{
-		{groups: b.subset.own, excludeOutliers: true},
-		{groups: b.subset.all, excludeOutliers: true, warmingUp: true},
-		{groups: b.subset.all, warmingUp: true},
+		{groups: subset, excludeOutliers: true},
+		{groups: all, excludeOutliers: true, warmingUp: true},
+		{groups: all, warmingUp: true},
 	} {
 		if ep := b.chooseFrom(from, req); ep != nil {
 			return ep
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -6,18 +6,19 @@
 	"testing"
 	"time"
 
+	"basaltdrum/balancer/internal/endpoints"
 	"basaltdrum/balancer/internal/latency"
 )
 
 // The pick draws a candidate from each group and takes the one with fewer calls in flight; a tie goes to the
 // first group, and with no calls at all by the groups' sizes.
 func TestPickComparesTwoCandidatesByCalls(t *testing.T) {
-	mk := func(calls ...int) []*endpoint {
-		var l []*endpoint
+	mk := func(calls ...int) []*endpoints.Endpoint {
+		var l []*endpoints.Endpoint
 		for i, c := range calls {
-			ep := &endpoint{Endpoint: Endpoint{ID: fmt.Sprint(i, c)}}
+			ep := &endpoints.Endpoint{Entry: Endpoint{ID: fmt.Sprint(i, c)}}
 			for range c {
-				ep.attempts.Begin(0, nil)
+				ep.Attempts.Begin(0, nil)
 			}
 			l = append(l, ep)
 		}
@@ -25,7 +26,7 @@
 	}
 	b := newBalancer(t, nil)
 	const n = 20000
-	shareLeft := func(left, right []*endpoint) float64 {
+	shareLeft := func(left, right []*endpoints.Endpoint) float64 {
 		got := 0
 		for range n {
 			s := b.pick(left, right)
@@ -39,7 +40,7 @@
 	}
 	for _, c := range []struct {
 		name        string
-		left, right []*endpoint
+		left, right []*endpoints.Endpoint
 		want        float64
 	}{
 		{"fewer left", mk(1), mk(2), 1},
@@ -59,7 +60,7 @@
 	if b.pick(nil, nil) != nil {
 		t.Error("picked from nothing")
 	}
-	left, count := mk(0, 0, 0, 0), map[*endpoint]int{}
+	left, count := mk(0, 0, 0, 0), map[*endpoints.Endpoint]int{}
 	for range n {
 		count[b.pick(left, nil)]++
 	}
@@ -76,7 +77,7 @@
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(6)})
 	patient := latency.NewEstimator(time.Hour) // of a class whose attempts make no endpoint suspect
 	for range 2 {
-		b.endpoints["s00"].attempts.Begin(0, &patient)
+		knownEndpoint(t, b, "s00").Attempts.Begin(0, &patient)
 		b.admission.Begin()
 	}
 	got := sendTraffic(b, 300, "get", func(string) AttemptResult { return Success })
@@ -95,7 +96,7 @@
 	b := newBalancer(t, func(s *Settings) { s.Tier, s.Replicas = 1, 1 })
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: list})
 	for range 100 {
-		b.endpoints["s02"].latency.Observe(2)
+		knownEndpoint(t, b, "s02").Latency.Observe(2)
 	}
 	got := map[string]int{}
 	for range 9000 {
@@ -143,7 +144,7 @@
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(8)})
 	s := sends(b.Handle(msec, Request{ID: "a", Class: "get", Deadline: time.Second}))[0]
 	endAttempt(b, 3*msec, "a", s, Success)
-	if got := math.Log(b.endpoints[s.Endpoint].latency.Speed()); got > 0.1 {
+	if got := math.Log(knownEndpoint(t, b, s.Endpoint).Latency.Speed()); got > 0.1 {
 		t.Errorf("the first answer made its server look fast by %.1f in log speed", got)
 	}
 }
@@ -161,7 +162,7 @@
 			id, now := fmt.Sprint(k), time.Duration(k+1)*100*msec
 			for _, s := range sends(b.Handle(now, Request{ID: id, Class: "pay", Deadline: now + time.Second})) {
 				sent++
-				if b.endpoints[s.Endpoint].Zone == "north" {
+				if knownEndpoint(t, b, s.Endpoint).Zone == "north" {
 					hung++
 					continue
 				}
--- a/balancer/reconfigure.go
+++ b/balancer/reconfigure.go
@@ -5,6 +5,7 @@
 import (
 	"slices"
 
+	"basaltdrum/balancer/internal/endpoints"
 	"basaltdrum/balancer/internal/slowstart"
 )
 
@@ -13,7 +14,10 @@
 	b.settings = settings
 	b.classes = newClassTable(settings.Classes, b.classes)
 	b.priorities = b.classes.priorities(&settings)
-	b.ready.setZone(settings.Zone)
+	b.endpoints.Configure(endpoints.Placement{
+		Zone: settings.Zone, ZoneCount: settings.ZoneCount,
+		Replicas: settings.Replicas, Index: settings.ReplicaIndex,
+	})
 	b.slowStart.Configure(slowstart.Settings{
 		Floor: settings.SlowStartFloor, Duration: settings.SlowStartDuration, Replicas: settings.Replicas,
 		OverloadMultiple: settings.OverloadMultiple, OverloadWindow: settings.OverloadWindow,
@@ -28,13 +32,8 @@
 	if settings.Validate() != nil {
 		return
 	}
-	old := b.settings
-	settings.PollDiscovery = old.PollDiscovery // the host subscribes, or not, as long as it runs
+	settings.PollDiscovery = b.settings.PollDiscovery // the host subscribes, or not, as long as it runs
 	b.applySettings(settings)
-	if settings.Replicas != old.Replicas || settings.ReplicaIndex != old.ReplicaIndex ||
-		settings.Zone != old.Zone || settings.ZoneCount != old.ZoneCount {
-		b.subset.size = 0
-	}
 	b.forgetRemovedClasses()
 	for _, req := range slices.Clone(b.queue) {
 		b.enqueue(req)
@@ -45,7 +44,7 @@
 // forgetRemovedClasses drops the endpoints' failure rates of classes that the settings no longer have. An
 // attempt that is still in flight may bring one back.
 func (b *Balancer) forgetRemovedClasses() {
-	for _, ep := range b.endpoints {
-		ep.health.Forget(b.classes.hasRate)
+	for ep := range b.endpoints.Known() {
+		ep.Health.Forget(b.classes.hasRate)
 	}
 }
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"basaltdrum/balancer/internal/endpoints"
 	"basaltdrum/balancer/internal/outlier"
 )
 
@@ -76,7 +77,7 @@
 		return Success
 	})
 	open := sends(b.Handle(b.now, Request{ID: "open", Class: "get", Deadline: b.now + time.Second}))[0]
-	mean, calls, health := b.classes.byName["get"].latency.Mean(), b.endpoints[open.Endpoint].attempts.InFlight(), fmt.Sprint(b.endpoints["s02"].health)
+	mean, calls, health := b.classes.byName["get"].latency.Mean(), knownEndpoint(t, b, open.Endpoint).Attempts.InFlight(), fmt.Sprint(knownEndpoint(t, b, "s02").Health)
 	if calls == 0 || health == fmt.Sprint(outlier.Record{}) {
 		t.Fatalf("%d calls out, health %v: nothing to keep", calls, health)
 	}
@@ -88,10 +89,10 @@
 	if got := b.classes.byName["get"].latency.Mean(); got != mean {
 		t.Errorf("mean latency %v, want %v", got, mean)
 	}
-	if got := b.endpoints[open.Endpoint].attempts.InFlight(); got != calls {
+	if got := knownEndpoint(t, b, open.Endpoint).Attempts.InFlight(); got != calls {
 		t.Errorf("%d calls, want %d", got, calls)
 	}
-	if got := fmt.Sprint(b.endpoints["s02"].health); got != health {
+	if got := fmt.Sprint(knownEndpoint(t, b, "s02").Health); got != health {
 		t.Errorf("health %v, want %v", got, health)
 	}
 	if b.classes.byName["get"].LatencyObjective != set.Classes[0].LatencyObjective || b.classes.byName["new"] == nil {
@@ -100,8 +101,8 @@
 }
 
 // countRates counts the failure rates that an endpoint's record holds.
-func countRates(ep *endpoint) (rates int) {
-	ep.health.Forget(func(*outlier.ClassRate) bool {
+func countRates(ep *endpoints.Endpoint) (rates int) {
+	ep.Health.Forget(func(*outlier.ClassRate) bool {
 		rates++
 		return true
 	})
@@ -128,9 +129,9 @@
 	if len(b.classes.byName) != 4 || len(b.classes.ordered) != 4 {
 		t.Errorf("%d classes, %d in order, want 4", len(b.classes.byName), len(b.classes.ordered))
 	}
-	for id, s := range b.endpoints {
-		if n := countRates(s); n > 4 {
-			t.Errorf("%s: rates of %d classes", id, n)
+	for ep := range b.endpoints.Known() {
+		if n := countRates(ep); n > 4 {
+			t.Errorf("%s: rates of %d classes", ep.ID, n)
 		}
 	}
 }
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -7,6 +7,8 @@
 	"slices"
 	"strings"
 	"time"
+
+	"basaltdrum/balancer/internal/endpoints"
 )
 
 // requestTokenPrefix stands before a request's id in the token of its timer.
@@ -31,7 +33,7 @@
 // attempt is one send of a request.
 type attempt struct {
 	request  *request
-	endpoint *endpoint
+	endpoint *endpoints.Endpoint
 	number   int // from 0
 	sent     time.Duration
 	zone     string // of the endpoint at that time
@@ -97,7 +99,7 @@
 // flight as the tiers below answer in time. Only the first tier limits them: a request rejected further down
 // wastes the work done above it.
 func (b *Balancer) atCapacity(req *request) bool {
-	if b.ready.len() == 0 {
+	if b.endpoints.Ready() == 0 {
 		return true
 	}
 	return b.settings.Tier == 0 && !b.admission.Admits(b.limitShare(req), req.retry)
@@ -133,7 +135,7 @@
 }
 
 // send begins the next attempt of a request.
-func (b *Balancer) send(req *request, ep *endpoint) {
+func (b *Balancer) send(req *request, ep *endpoints.Endpoint) {
 	notAfter := b.dedupDeadline(req)
 	a := &attempt{
 		request: req, endpoint: ep, number: len(req.attempts), sent: b.now, zone: ep.Zone, cell: ep.Cell,
@@ -144,8 +146,8 @@
 	req.attempts = append(req.attempts, a)
 	req.inFlight++
 	b.dequeue(req)
-	b.slowStart.Spend(&ep.slowStart, b.now, req.work)
-	ep.attempts.Begin(b.now, &req.class.latency)
+	b.slowStart.Spend(&ep.SlowStart, b.now, req.work)
+	ep.Attempts.Begin(b.now, &req.class.latency)
 	b.admission.Begin()
 	timeout := max(b.attemptTimeout(req), b.settings.Tick)
 	b.emit(Send{ID: req.id, Endpoint: ep.ID, Timeout: timeout, NotAfter: notAfter})
@@ -224,16 +226,14 @@
 	a.request.inFlight--
 	b.admission.End()
 	// The waits of an unresponsive endpoint say nothing of how loaded the others are.
-	if !e.HeldUp && !b.responses.Suspects(&ep.attempts, b.now) {
+	if !e.HeldUp && !b.responses.Suspects(&ep.Attempts, b.now) {
 		b.adjustLimit(a, e.Result)
 	}
-	ep.attempts.End(a.sent, &a.request.class.latency)
+	ep.Attempts.End(a.sent, &a.request.class.latency)
 	if !e.HeldUp {
 		b.observeAttempt(a, e.Result)
 	}
-	if !ep.listed && ep.attempts.InFlight() == 0 && b.endpoints[ep.ID] == ep {
-		delete(b.endpoints, ep.ID)
-	}
+	b.endpoints.Release(ep)
 }
 
 // answer gives the final answer: a rejection where the rules let it promise that a retry does no harm, else a
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -275,15 +275,24 @@
 				t.Errorf("seed %d: %d requests, %d held and %d calls are left over", seed, len(b.requests),
 					len(b.queue), b.admission.InFlight())
 			}
-			for id, s := range b.endpoints {
-				if !s.listed || s.attempts.InFlight() != 0 {
-					t.Errorf("seed %d: server %s is left over", seed, id)
+			for ep := range b.endpoints.Known() {
+				known := countKnown(b)
+				if b.endpoints.Release(ep); countKnown(b) != known || ep.Attempts.InFlight() != 0 {
+					t.Errorf("seed %d: endpoint %s is left over", seed, ep.ID)
 				}
 			}
 		})
 	}
 }
 
+// countKnown returns how many endpoints are known.
+func countKnown(b *Balancer) (known int) {
+	for range b.endpoints.Known() {
+		known++
+	}
+	return known
+}
+
 func TestSameEventsGiveSameActions(t *testing.T) {
 	a, _ := runRandomly(t, testSettings(), 5, 3000, nil)
 	other, _ := New(testSettings(), 99) // a neighbour in the process changes nothing
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"slices"
 	"testing"
 	"time"
 )
@@ -14,7 +15,8 @@
 	list := servers(40)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: list})
 	b.choose(&request{class: b.classes.byName["get"]})
-	for _, s := range append(append([]*endpoint{}, b.subset.own.left...), b.subset.own.right...) {
+	subset, _ := b.endpoints.Subset()
+	for _, s := range slices.Concat(subset.Left, subset.Right) {
 		for i := range list {
 			if list[i].ID == s.ID {
 				list[i].StartedAt = time.Second
