--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -10,8 +10,19 @@
 import (
 	"math/rand/v2"
 	"time"
+
+	"basaltdrum/balancer/internal/admission"
+	"basaltdrum/balancer/internal/endpoints"
+	"basaltdrum/balancer/internal/outlier"
+	"basaltdrum/balancer/internal/retrybudget"
+	"basaltdrum/balancer/internal/slowstart"
+	"basaltdrum/balancer/internal/subscription"
+	"basaltdrum/balancer/internal/unresponsive"
 )
 
+// subscriptionToken is the token of the timer after which the host is asked to subscribe.
+const subscriptionToken = "list"
+
 // seedStream is the second half of the random generator's seed.
 const seedStream = 0x51a7e
 
@@ -25,24 +36,21 @@
 	shuttingDown bool
 
 	// The endpoint list and the replica's subset of it.
-	subscription subscription
-	endpoints    map[string]*endpoint // by id: listed, or with attempts in flight
-	ready        endpointSet
-	subset       subset
+	subscription subscription.Backoff
+	endpoints    endpoints.List
 
 	// Requests and their attempts.
 	classes  classTable
 	requests map[string]*request // by id: not answered, or with attempts in flight
 	queue    []*request          // those that wait for capacity, in order of arrival
-	inFlight inFlightCount
-	retries  retryBudget
+	retries  retrybudget.Budget
 
 	// Load and health.
-	admission   concurrencyLimit
-	shedding    sheddingRate
-	badResults  badResults
-	lastSuccess time.Duration
-	slowStart   slowStart
+	admission  admission.Limiter
+	priorities admission.Priorities
+	outliers   outlier.Detector
+	responses  unresponsive.Detector
+	slowStart  slowstart.Limiter
 }
 
 // New returns a Balancer that knows no endpoints yet. The error is a *SettingError.
@@ -51,11 +59,11 @@
 		return nil, err
 	}
 	b := &Balancer{
-		rng:        rand.New(rand.NewPCG(seed, seedStream)),
-		endpoints:  map[string]*endpoint{},
-		requests:   map[string]*request{},
-		badResults: badResults{firstBadShare},
-		retries:    newRetryBudget(),
+		rng:       rand.New(rand.NewPCG(seed, seedStream)),
+		endpoints: endpoints.NewList(),
+		requests:  map[string]*request{},
+		outliers:  outlier.NewDetector(),
+		retries:   retrybudget.New(),
 	}
 	b.applySettings(settings)
 	return b, nil
@@ -99,3 +107,41 @@
 	}
 	b.reviewQueued(e.Token)
 }
+
+// updateEndpoints applies an update of the endpoint list. A list from the host's cache may be out of date, so
+// a subscription is still wanted.
+func (b *Balancer) updateEndpoints(e EndpointUpdate) {
+	if e.Complete {
+		b.endpoints.Replace(e.Endpoints)
+	} else {
+		b.endpoints.Change(e.Endpoints)
+	}
+	b.admission.Start(b.endpoints.PerReplica())
+	if e.Cached {
+		b.scheduleSubscribe()
+	} else {
+		b.subscription.Succeed()
+	}
+	b.dispatchQueued()
+}
+
+// scheduleSubscribe plans a Subscribe where endpoint updates come only after one.
+func (b *Balancer) scheduleSubscribe() {
+	if b.settings.PollDiscovery {
+		at := b.subscription.Schedule(b.now, b.settings.PollWithin, b.rng.Float64())
+		b.emit(SetTimer{At: at, Token: subscriptionToken})
+	}
+}
+
+// retrySubscribe plans another Subscribe after one has failed or the subscription has ended.
+func (b *Balancer) retrySubscribe() {
+	b.subscription.Fail()
+	b.scheduleSubscribe()
+}
+
+// subscribeIfDue sends the planned Subscribe.
+func (b *Balancer) subscribeIfDue() {
+	if b.subscription.Due(b.now, b.settings.Tick) {
+		b.emit(Subscribe{})
+	}
+}
--- a/balancer/deadlines.go
+++ b/balancer/deadlines.go
@@ -3,7 +3,11 @@
 
 package balancer
 
-import "time"
+import (
+	"time"
+
+	"basaltdrum/balancer/internal/retrybudget"
+)
 
 // hangingShare is the share of a class's attempts that may fail before attempts get only half of the time
 // that is left.
@@ -16,8 +20,8 @@
 func (b *Balancer) attemptTimeout(req *request) time.Duration {
 	c, left := req.class, b.answerDeadline(req)-b.now
 	retryLikely := c.Effect == Idempotent && len(req.attempts) < b.settings.MaxAttempts &&
-		b.retries.affords(fullCost)
-	if retryLikely && b.settings.Tier > 0 && c.failureShare > hangingShare && left/2 > c.slowLatency() {
+		b.retries.Affords(retrybudget.FullCost)
+	if retryLikely && b.settings.Tier > 0 && c.failures.Share() > hangingShare && left/2 > c.latency.Slow() {
 		return left / 2
 	}
 	return left
@@ -37,10 +41,10 @@
 // at all a late answer is the best there can be, so then almost until the deadline.
 func (b *Balancer) queueDeadline(req *request) time.Duration {
 	last := req.deadline - 2*b.settings.Tick
-	if b.ready.len() == 0 {
+	if b.endpoints.Ready() == 0 {
 		return last
 	}
 	objective := req.class.LatencyObjective
-	slack := max(objective/4, objective-time.Duration(req.class.mean+2*req.class.deviation))
+	slack := max(objective/4, objective-req.class.latency.Usual())
 	return min(last, req.arrived+slack)
 }
--- a/balancer/observe.go
+++ b/balancer/observe.go
@@ -2,39 +2,25 @@
 
 package balancer
 
-import "math"
-
-// latencyWeight is the least weight of a new sample in an endpoint's relative latency.
-const latencyWeight = 0.25
-
-// relativeLatency is how an endpoint's latency stands to the mean of the classes that it was sent.
-type relativeLatency struct {
-	logRatio float64 // mean of the logarithms of the ratios; 0: as the mean
-	samples  int
-}
-
-func (l *relativeLatency) observe(ratio float64) {
-	l.samples++
-	weight := max(latencyWeight, 1/float64(l.samples+1))
-	l.logRatio += weight * (math.Log(ratio) - l.logRatio)
-}
-
-// observeAttempt learns from the end of an attempt: the latency of its class, and the endpoint's health and
-// latency relative to the others.
+// observeAttempt records what the end of an attempt shows: the latency of its class, and the endpoint's
+// health and latency relative to the others.
 func (b *Balancer) observeAttempt(a *attempt, result AttemptResult) {
 	ep, c := a.endpoint, a.request.class
 	latency := max(1, float64(b.now-a.sent)) // a coarse clock may show none, which has no logarithm
-	slow := c.isSlow(latency)
-	b.observeFailureRate(ep, c, result)
+	slow := c.latency.IsSlow(latency)
+	switch result {
+	case Success, ServerError, TimedOut:
+		ep.Health.ObserveRate(b.classes.rates(c), result != Success, b.now, c.latency.Mean())
+	}
 	switch result {
 	case Success:
-		b.retries.earn()
-		b.lastSuccess, ep.lastSuccess = b.now, b.now
-		slow = c.observe(latency) && slow
-		ep.rejections.consecutive = 0
-		b.observeCapacity(ep)
+		b.retries.Earn()
+		b.responses.ObserveSuccess(&ep.Attempts, b.now)
+		slow = c.latency.Observe(latency) && slow
+		ep.Rejections.ObserveSuccess()
+		b.slowStart.ObserveAnswer(&ep.SlowStart, b.now, b.slowStartCounts(), ep.InSubset())
 	case Rejected, ConnectFailed:
-		b.observeRejection(ep, c)
+		ep.Rejections.Observe(b.now, c.latency.Mean(), b.rng.Float64(), ep.Attempts.InFlight())
 		return
 	case ServerError, ConnectionLost, TimedOut:
 	case Cancelled:
@@ -45,12 +31,27 @@
 		return
 	}
 	if slow || result == Success {
-		ep.latency.observe(latency / c.mean)
+		ep.Latency.Observe(latency / c.latency.Mean())
 	}
 	if slow || result != Success {
-		b.observeFailure(ep, c)
+		b.outliers.ObserveFailure(&ep.Health, b.now, c.latency.Mean())
 		return
 	}
-	ep.ejection.success()
-	b.badResults.success()
+	b.outliers.ObserveSuccess(&ep.Health)
+}
+
+// adjustLimit moves the concurrency limit of the first tier by the result of an attempt.
+func (b *Balancer) adjustLimit(a *attempt, result AttemptResult) {
+	if b.settings.Tier > 0 {
+		return
+	}
+	class := &a.request.class.admission
+	switch result {
+	case Success:
+		b.admission.ObserveSuccess(class, float64(b.now-a.sent), b.endpoints.PerReplica())
+	case TimedOut, ConnectFailed:
+		b.admission.ObserveFailure(b.endpoints.PerReplica())
+	case Rejected:
+		b.admission.ObserveRejection(b.now, class, b.endpoints.PerReplica())
+	}
 }
--- a/balancer/reconfigure.go
+++ b/balancer/reconfigure.go
@@ -3,15 +3,25 @@
 package balancer
 
 import (
-	"maps"
 	"slices"
+
+	"basaltdrum/balancer/internal/endpoints"
+	"basaltdrum/balancer/internal/slowstart"
 )
 
 // applySettings puts settings in force.
 func (b *Balancer) applySettings(settings Settings) {
 	b.settings = settings
 	b.classes = newClassTable(settings.Classes, b.classes)
-	b.ready.setZone(settings.Zone)
+	b.priorities = b.classes.priorities(&settings)
+	b.endpoints.Configure(endpoints.Placement{
+		Zone: settings.Zone, ZoneCount: settings.ZoneCount,
+		Replicas: settings.Replicas, Index: settings.ReplicaIndex,
+	})
+	b.slowStart.Configure(slowstart.Settings{
+		Floor: settings.SlowStartFloor, Duration: settings.SlowStartDuration, Replicas: settings.Replicas,
+		OverloadMultiple: settings.OverloadMultiple, OverloadWindow: settings.OverloadWindow,
+	})
 }
 
 // reconfigure replaces the settings by new ones. Requests keep the class that they were accepted with, so
@@ -22,14 +32,8 @@
 	if settings.Validate() != nil {
 		return
 	}
-	old := b.settings
-	settings.PollDiscovery = old.PollDiscovery // the host subscribes, or not, as long as it runs
+	settings.PollDiscovery = b.settings.PollDiscovery // the host subscribes, or not, as long as it runs
 	b.applySettings(settings)
-	b.slowStart.basis.known = false
-	if settings.Replicas != old.Replicas || settings.ReplicaIndex != old.ReplicaIndex ||
-		settings.Zone != old.Zone || settings.ZoneCount != old.ZoneCount {
-		b.subset.size = 0
-	}
 	b.forgetRemovedClasses()
 	for _, req := range slices.Clone(b.queue) {
 		b.enqueue(req)
@@ -40,9 +44,7 @@
 // forgetRemovedClasses drops the endpoints' failure rates of classes that the settings no longer have. An
 // attempt that is still in flight may bring one back.
 func (b *Balancer) forgetRemovedClasses() {
-	for _, ep := range b.endpoints {
-		maps.DeleteFunc(ep.failures, func(stats *classStats, _ failureRate) bool {
-			return !b.classes.has(stats)
-		})
+	for ep := range b.endpoints.Known() {
+		ep.Health.Forget(b.classes.hasRate)
 	}
 }
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -7,6 +7,8 @@
 	"slices"
 	"strings"
 	"time"
+
+	"basaltdrum/balancer/internal/endpoints"
 )
 
 // requestTokenPrefix stands before a request's id in the token of its timer.
@@ -31,7 +33,7 @@
 // attempt is one send of a request.
 type attempt struct {
 	request  *request
-	endpoint *endpoint
+	endpoint *endpoints.Endpoint
 	number   int // from 0
 	sent     time.Duration
 	zone     string // of the endpoint at that time
@@ -50,13 +52,10 @@
 		id: e.ID, class: b.classes.get(e.Class), arrived: b.now, deadline: e.Deadline, retry: e.Retry,
 		work: max(0, float64(e.ExpectedWork)),
 	}
-	if req.work > 0 {
-		b.slowStart.work.observe(req.work)
-	}
 	b.requests[e.ID] = req
-	b.slowStart.arrivals.observe(b.now, b.settings.SlowStartDuration)
+	b.slowStart.ObserveRequest(b.now, req.work)
 	b.inferFirstAttempt(req, e.FirstByte)
-	b.classes.countArrival(req.class)
+	b.priorities.ObserveArrival(&req.class.admission)
 	if b.shuttingDown {
 		b.answer(req)
 		return
@@ -64,6 +63,27 @@
 	b.dispatch(req)
 }
 
+// inferFirstAttempt finds when the client's first attempt began. Most attempts of a class have the same
+// timeout, a share of its deadline. One with another timeout has all that earlier attempts left: less than
+// the share, or more where it is the last. This would hurt the clients in the minority if those of one class
+// used different timeouts. A timeout runs from the first byte (0: now), so that a request that is written
+// slowly does not look unusual.
+func (b *Balancer) inferFirstAttempt(req *request, firstByte time.Duration) {
+	if b.settings.Tier > 0 {
+		return
+	}
+	began := b.now
+	if firstByte > 0 {
+		began = min(b.now, firstByte)
+	}
+	c := req.class
+	if c.timeout.Vote(float64(req.deadline - began)) {
+		return
+	}
+	req.arrived = min(b.now, req.deadline-c.Deadline)
+	req.retry = req.retry || began-req.arrived > c.LatencyObjective/2
+}
+
 // dispatch sends a request, or queues it while no endpoint may take it.
 func (b *Balancer) dispatch(req *request) {
 	if !b.atCapacity(req) {
@@ -75,22 +95,60 @@
 	b.enqueue(req)
 }
 
+// atCapacity says that this request can't be sent now: no endpoint is ready, or as many requests are in
+// flight as the tiers below answer in time. Only the first tier limits them: a request rejected further down
+// wastes the work done above it.
+func (b *Balancer) atCapacity(req *request) bool {
+	if b.endpoints.Ready() == 0 {
+		return true
+	}
+	return b.settings.Tier == 0 && !b.admission.Admits(b.limitShare(req), req.retry)
+}
+
+// limitShare returns the part of the concurrency limit that a request may use.
+func (b *Balancer) limitShare(req *request) float64 {
+	return b.priorities.LimitShare(&req.class.admission, req.retry, b.admission.ShedShare())
+}
+
+func (b *Balancer) priority(req *request) float64 {
+	return b.priorities.Of(&req.class.admission, req.retry)
+}
+
+// dispatchQueued sends requests from the queue while there is capacity, the highest priority first.
+func (b *Balancer) dispatchQueued() {
+	for tries := len(b.queue); tries > 0 && len(b.queue) > 0; tries-- {
+		best := b.queue[0]
+		for _, req := range b.queue[1:] {
+			if b.priority(req) >= b.priority(best) { // equal: the youngest has most time left
+				best = req
+			}
+		}
+		if b.atCapacity(best) {
+			return
+		}
+		ep := b.choose(best)
+		if ep == nil {
+			return
+		}
+		b.send(best, ep)
+	}
+}
+
 // send begins the next attempt of a request.
-func (b *Balancer) send(req *request, ep *endpoint) {
+func (b *Balancer) send(req *request, ep *endpoints.Endpoint) {
 	notAfter := b.dedupDeadline(req)
 	a := &attempt{
 		request: req, endpoint: ep, number: len(req.attempts), sent: b.now, zone: ep.Zone, cell: ep.Cell,
 	}
 	if a.number == 0 {
-		b.shedding.admitted()
+		b.admission.ObserveAdmitted()
 	}
 	req.attempts = append(req.attempts, a)
 	req.inFlight++
 	b.dequeue(req)
-	b.spendTokens(ep, req)
-	ep.inFlight++
-	ep.attempts = append(ep.attempts, a)
-	b.inFlight.begin()
+	b.slowStart.Spend(&ep.SlowStart, b.now, req.work)
+	ep.Attempts.Begin(b.now, &req.class.latency)
+	b.admission.Begin()
 	timeout := max(b.attemptTimeout(req), b.settings.Tick)
 	b.emit(Send{ID: req.id, Endpoint: ep.ID, Timeout: timeout, NotAfter: notAfter})
 }
@@ -149,7 +207,7 @@
 	switch {
 	case e.Answered:
 		if e.Result == Success && !req.answered && b.now <= req.arrived+req.class.LatencyObjective {
-			req.class.served++
+			req.class.traffic.ObserveServed()
 		}
 		b.finish(req)
 	case !req.answered && req.inFlight == 0:
@@ -166,19 +224,16 @@
 	a.neverRan = e.Result == Rejected || e.Result == ConnectFailed || e.Result == NotSent
 	a.notSent = e.Result == NotSent
 	a.request.inFlight--
-	b.inFlight.end()
-	ep.inFlight--
+	b.admission.End()
 	// The waits of an unresponsive endpoint say nothing of how loaded the others are.
-	if !e.HeldUp && !b.isUnresponsive(ep) {
-		b.adjustLimit(a.request, e)
+	if !e.HeldUp && !b.responses.Suspects(&ep.Attempts, b.now) {
+		b.adjustLimit(a, e.Result)
 	}
-	ep.attempts = slices.DeleteFunc(ep.attempts, func(other *attempt) bool { return other == a })
+	ep.Attempts.End(a.sent, &a.request.class.latency)
 	if !e.HeldUp {
 		b.observeAttempt(a, e.Result)
 	}
-	if !ep.listed && ep.inFlight == 0 && b.endpoints[ep.ID] == ep {
-		delete(b.endpoints, ep.ID)
-	}
+	b.endpoints.Release(ep)
 }
 
 // answer gives the final answer: a rejection where the rules let it promise that a retry does no harm, else a
@@ -188,7 +243,7 @@
 		return
 	}
 	if len(req.attempts) == 0 {
-		b.shedding.shed()
+		b.admission.ObserveShed()
 	}
 	if req.harmlessToRetry() {
 		// A client that is told to wait long comes back when its latency objective is mostly used up, and its
