--- a/balancer/internal/endpoints/subset_test.go
+++ b/balancer/internal/endpoints/subset_test.go
@@ -136,5 +136,4 @@
 	// Output:
 	// left: [s02 s04 s00 s03]
 	// right: [s08 s10 s06 s09]
-	// Output:
 }
