--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -12,12 +12,8 @@
 	"time"
 
 	"basaltdrum/balancer/internal/admission"
-	"basaltdrum/balancer/internal/endpoints"
-	"basaltdrum/balancer/internal/outlier"
 	"basaltdrum/balancer/internal/retrybudget"
-	"basaltdrum/balancer/internal/slowstart"
 	"basaltdrum/balancer/internal/subscription"
-	"basaltdrum/balancer/internal/unresponsive"
 )
 
 // subscriptionToken is the token of the timer after which the host is asked to subscribe.
@@ -26,8 +22,9 @@
 // seedStream is the second half of the random generator's seed.
 const seedStream = 0x51a7e
 
-// Balancer decides for one replica. See the package comment for its contract. Each mechanism has a file,
-// which names its source, and keeps its state in a type of its own.
+// Balancer decides for one replica. See the package comment for its contract. It holds the requests and
+// passes what happens to them to the mechanisms, each of which is a package below internal that names its
+// source.
 type Balancer struct {
 	settings     Settings
 	rng          *rand.Rand
@@ -35,22 +32,15 @@
 	actions      []Action // of the event that is being handled
 	shuttingDown bool
 
-	// The endpoint list and the replica's subset of it.
 	subscription subscription.Backoff
-	endpoints    endpoints.List
+	endpoints    endpointSelector
 
-	// Requests and their attempts.
-	classes  classTable
-	requests map[string]*request // by id: not answered, or with attempts in flight
-	queue    []*request          // those that wait for capacity, in order of arrival
-	retries  retrybudget.Budget
-
-	// Load and health.
+	classes    classTable
+	requests   map[string]*request // by id: not answered, or with attempts in flight
+	queue      requestQueue
+	retries    retrybudget.Budget
 	admission  admission.Limiter
 	priorities admission.Priorities
-	outliers   outlier.Detector
-	responses  unresponsive.Detector
-	slowStart  slowstart.Limiter
 }
 
 // New returns a Balancer that knows no endpoints yet. The error is a *SettingError.
@@ -58,11 +48,11 @@
 	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
+	rng := rand.New(rand.NewPCG(seed, seedStream))
 	b := &Balancer{
-		rng:       rand.New(rand.NewPCG(seed, seedStream)),
-		endpoints: endpoints.NewList(),
+		rng:       rng,
+		endpoints: newEndpointSelector(rng),
 		requests:  map[string]*request{},
-		outliers:  outlier.NewDetector(),
 		retries:   retrybudget.New(),
 	}
 	b.applySettings(settings)
@@ -98,7 +88,7 @@
 
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-// handleTimer leads a timer to what asked for it. A host may round a time down, so a timer can come a little
+// handleTimer passes a timer to what asked for it. A host may round a time down, so a timer can come a little
 // early: nothing relies on its being late enough, and a review that finds nothing due asks for another.
 func (b *Balancer) handleTimer(e Timer) {
 	if e.Token == subscriptionToken {
@@ -145,3 +135,27 @@
 		b.emit(Subscribe{})
 	}
 }
+
+// applySettings puts settings in force.
+func (b *Balancer) applySettings(settings Settings) {
+	b.settings = settings
+	b.classes = newClassTable(settings.Classes, b.classes)
+	b.priorities = b.classes.priorities(&settings)
+	b.endpoints.configure(&settings)
+}
+
+// reconfigure replaces the settings by new ones. Requests keep the class that they were accepted with, so
+// what their clients were promised stays; the endpoints' health, slow start and counts do not depend on
+// settings. The requests in the queue are looked at again.
+func (b *Balancer) reconfigure(settings Settings) {
+	if settings.Validate() != nil {
+		return
+	}
+	settings.PollDiscovery = b.settings.PollDiscovery // the host subscribes, or not, as long as it runs
+	b.applySettings(settings)
+	b.endpoints.forgetClasses(b.classes.hasRate)
+	for _, req := range b.queue.all() {
+		b.enqueue(req)
+	}
+	b.dispatchQueued()
+}
--- a/balancer/classes.go
+++ b/balancer/classes.go
@@ -17,6 +17,7 @@
 type class struct {
 	Class
 	*classStats
+	rates     outlier.Classes // that its results count for: its own, and that of all classes together
 	admission admission.Class
 }
 
@@ -28,15 +29,21 @@
 	timeout  clienttimeout.Usual
 }
 
-// newClass returns a class with its settings and its statistics; nil: nothing was observed yet.
-func newClass(c Class, stats *classStats) *class {
-	if stats == nil {
-		stats = &classStats{latency: latency.NewEstimator(c.LatencyObjective)}
+// newClassStats returns the statistics of a class of which nothing was observed yet.
+func newClassStats(c Class) *classStats {
+	return &classStats{latency: latency.NewEstimator(c.LatencyObjective)}
+}
+
+// newClass returns a class with its settings and its statistics, and the failure rate of all classes
+// together.
+func newClass(c Class, stats *classStats, total *outlier.ClassRate) *class {
+	return &class{
+		Class: c, classStats: stats, rates: outlier.Classes{&stats.failures, total},
+		admission: admission.Class{
+			Objective: c.LatencyObjective, PriorityWeight: c.PriorityWeight, LateValue: c.LateValue,
+			Latency: &stats.latency, Traffic: &stats.traffic,
+		},
 	}
-	return &class{c, stats, admission.Class{
-		Objective: c.LatencyObjective, PriorityWeight: c.PriorityWeight, LateValue: c.LateValue,
-		Latency: &stats.latency, Traffic: &stats.traffic,
-	}}
 }
 
 // classTable is the classes of the settings in force.
@@ -47,22 +54,33 @@
 
 // newClassTable returns the classes of new settings. One that was in the old settings keeps its statistics.
 func newClassTable(classes []Class, old classTable) classTable {
+	unknown := unknownClass(classes)
+	stats := old.statsOf(unknown)
 	table := classTable{byName: map[string]*class{}}
-	for _, settings := range append(slices.Clone(classes), unknownClass(classes)) {
-		var stats *classStats
-		if was := old.byName[settings.Name]; was != nil {
-			stats = was.classStats
-			if was.Deadline != settings.Deadline {
-				stats.timeout.Reset() // the usual timeout was a share of the deadline
-			}
-		}
-		c := newClass(settings, stats)
-		table.byName[c.Name] = c
-		table.ordered = append(table.ordered, c)
+	for _, settings := range classes {
+		table.add(newClass(settings, old.statsOf(settings), &stats.failures))
 	}
+	table.add(newClass(unknown, stats, &stats.failures))
 	return table
 }
 
+func (t *classTable) add(c *class) {
+	t.byName[c.Name] = c
+	t.ordered = append(t.ordered, c)
+}
+
+// statsOf returns the statistics that a class keeps under new settings, or new ones.
+func (t *classTable) statsOf(c Class) *classStats {
+	was := t.byName[c.Name]
+	if was == nil {
+		return newClassStats(c)
+	}
+	if was.Deadline != c.Deadline {
+		was.timeout.Reset() // the usual timeout was a share of the deadline
+	}
+	return was.classStats
+}
+
 // unknownClass returns the class of requests whose class is not in the settings: not idempotent, and
 // otherwise like the class with the longest deadline.
 func unknownClass(classes []Class) Class {
@@ -74,14 +92,9 @@
 	}
 }
 
-// unknown returns the unknown class. Its failure rates stand for all classes together.
+// unknown returns the unknown class. Its failure rate is that of all classes together.
 func (t *classTable) unknown() *class { return t.ordered[len(t.ordered)-1] }
 
-// rates returns the failure rates that a result of the class counts for.
-func (t *classTable) rates(c *class) outlier.Classes {
-	return outlier.Classes{&c.failures, &t.unknown().failures}
-}
-
 // get returns the class of this name, or the unknown one.
 func (t *classTable) get(name string) *class {
 	if c := t.byName[name]; c != nil {
--- a/balancer/heldup_test.go
+++ b/balancer/heldup_test.go
@@ -58,7 +58,7 @@
 func observationsOf(b *Balancer) map[string]string {
 	class := b.classes.byName["get"]
 	observations := map[string]string{
-		"health":        fmt.Sprintf("%+v %+v", b.outliers, b.responses),
+		"health":        fmt.Sprintf("%+v %+v", b.endpoints.outliers, b.endpoints.responses),
 		"class latency": fmt.Sprintf("%+v %+v", class.latency, class.failures),
 	}
 	for ep := range b.endpoints.Known() {
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -102,7 +102,11 @@
 			}
 			shedUpTo(b, c.shed)
 			out := 0
-			b.excludeUnhealthy(candidates{groups: b.endpoints.Groups(), excludeOutliers: true}, &request{class: b.classes.byName["get"]})
+			choice := selection{
+				endpointSelector: &b.endpoints, now: b.now, req: &request{class: b.classes.byName["get"]},
+				load: load{shedShare: b.admission.ShedShare()},
+			}
+			choice.excludeUnhealthy(candidates{groups: b.endpoints.Groups(), excludeOutliers: true})
 			for _, s := range allReady(b) {
 				if s.Excluded {
 					out++
@@ -164,9 +168,9 @@
 			b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 			b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 			sendTraffic(b, 40, "get", func(string) AttemptResult { return Success })
-			b.outliers = outlier.NewDetector()
+			b.endpoints.outliers = outlier.NewDetector()
 			for range c.otherBadResults {
-				b.outliers.ObserveFailure(&outlier.Record{}, b.now, float64(msec))
+				b.endpoints.outliers.ObserveFailure(&outlier.Record{}, b.now, float64(msec))
 			}
 			now := b.now
 			s := sends(b.Handle(now, Request{ID: "slow", Class: "get", Deadline: now + time.Second}))[0]
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -29,7 +29,7 @@
 	shareLeft := func(left, right []*endpoints.Endpoint) float64 {
 		got := 0
 		for range n {
-			s := b.pick(left, right)
+			s := b.endpoints.pick(left, right)
 			for _, l := range left {
 				if s == l {
 					got++
@@ -57,12 +57,12 @@
 			}
 		})
 	}
-	if b.pick(nil, nil) != nil {
+	if b.endpoints.pick(nil, nil) != nil {
 		t.Error("picked from nothing")
 	}
 	left, count := mk(0, 0, 0, 0), map[*endpoints.Endpoint]int{}
 	for range n {
-		count[b.pick(left, nil)]++
+		count[b.endpoints.pick(left, nil)]++
 	}
 	for _, s := range left {
 		if got := float64(count[s]) / n; math.Abs(got-0.25) > 0.02 {
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -1,4 +1,4 @@
-// The life cycle of a request: accepted, queued or sent, attempts ended, answered, forgotten.
+// The life cycle of a request: accepted, queued or sent, attempts ended, retried, answered, forgotten.
 
 package balancer
 
@@ -9,52 +9,23 @@
 	"time"
 
 	"basaltdrum/balancer/internal/endpoints"
+	"basaltdrum/balancer/internal/retrybudget"
 )
 
 // requestTokenPrefix stands before a request's id in the token of its timer.
 const requestTokenPrefix = "r:"
 
-// request is an accepted request, kept until it is answered and its attempts have ended.
-type request struct {
-	id        string
-	class     *class
-	arrived   time.Duration // when the client's first attempt arrived, as far as it is known
-	deadline  time.Duration
-	work      float64 // that the client expects, in ns; 0: unknown
-	attempts  []*attempt
-	inFlight  int  // attempts that have not ended
-	retry     bool // the client's, by its mark or its timeout
-	queued    bool
-	answered  bool
-	streaming bool
-	timerAt   time.Duration // when its timer is due
-}
-
-// attempt is one send of a request.
-type attempt struct {
-	request  *request
-	endpoint *endpoints.Endpoint
-	number   int // from 0
-	sent     time.Duration
-	zone     string // of the endpoint at that time
-	cell     int
-	ended    bool
-	neverRan bool // proved never to have run
-	notSent  bool // nor to have reached an endpoint
-}
-
 // accept takes a new request.
 func (b *Balancer) accept(e Request) {
 	if b.requests[e.ID] != nil {
 		return
 	}
-	req := &request{
-		id: e.ID, class: b.classes.get(e.Class), arrived: b.now, deadline: e.Deadline, retry: e.Retry,
-		work: max(0, float64(e.ExpectedWork)),
-	}
+	req := newRequest(b.now, e, b.classes.get(e.Class))
 	b.requests[e.ID] = req
-	b.slowStart.ObserveRequest(b.now, req.work)
-	b.inferFirstAttempt(req, e.FirstByte)
+	b.endpoints.observeRequest(b.now, req.work)
+	if b.settings.Tier == 0 {
+		req.inferFirstAttempt(b.now, e.FirstByte)
+	}
 	b.priorities.ObserveArrival(&req.class.admission)
 	if b.shuttingDown {
 		b.answer(req)
@@ -63,27 +34,6 @@
 	b.dispatch(req)
 }
 
-// inferFirstAttempt finds when the client's first attempt began. Most attempts of a class have the same
-// timeout, a share of its deadline. One with another timeout has all that earlier attempts left: less than
-// the share, or more where it is the last. This would hurt the clients in the minority if those of one class
-// used different timeouts. A timeout runs from the first byte (0: now), so that a request that is written
-// slowly does not look unusual.
-func (b *Balancer) inferFirstAttempt(req *request, firstByte time.Duration) {
-	if b.settings.Tier > 0 {
-		return
-	}
-	began := b.now
-	if firstByte > 0 {
-		began = min(b.now, firstByte)
-	}
-	c := req.class
-	if c.timeout.Vote(float64(req.deadline - began)) {
-		return
-	}
-	req.arrived = min(b.now, req.deadline-c.Deadline)
-	req.retry = req.retry || began-req.arrived > c.LatencyObjective/2
-}
-
 // dispatch sends a request, or queues it while no endpoint may take it.
 func (b *Balancer) dispatch(req *request) {
 	if !b.atCapacity(req) {
@@ -114,15 +64,18 @@
 	return b.priorities.Of(&req.class.admission, req.retry)
 }
 
+// choose picks an endpoint for the next attempt of a request; nil: none is eligible.
+func (b *Balancer) choose(req *request) *endpoints.Endpoint {
+	return b.endpoints.choose(b.now, req, load{
+		inFlight: b.admission.InFlight(), meanInFlight: b.admission.MeanInFlight(),
+		shedShare: b.admission.ShedShare(),
+	})
+}
+
 // dispatchQueued sends requests from the queue while there is capacity, the highest priority first.
 func (b *Balancer) dispatchQueued() {
-	for tries := len(b.queue); tries > 0 && len(b.queue) > 0; tries-- {
-		best := b.queue[0]
-		for _, req := range b.queue[1:] {
-			if b.priority(req) >= b.priority(best) { // equal: the youngest has most time left
-				best = req
-			}
-		}
+	for tries := b.queue.len(); tries > 0 && b.queue.len() > 0; tries-- {
+		best := b.queue.highest(b.priority)
 		if b.atCapacity(best) {
 			return
 		}
@@ -136,49 +89,35 @@
 
 // send begins the next attempt of a request.
 func (b *Balancer) send(req *request, ep *endpoints.Endpoint) {
-	notAfter := b.dedupDeadline(req)
-	a := &attempt{
-		request: req, endpoint: ep, number: len(req.attempts), sent: b.now, zone: ep.Zone, cell: ep.Cell,
-	}
+	notAfter := req.dedupDeadline(b.settings.Tick)
+	a := req.begin(b.now, ep)
 	if a.number == 0 {
 		b.admission.ObserveAdmitted()
 	}
-	req.attempts = append(req.attempts, a)
-	req.inFlight++
-	b.dequeue(req)
-	b.slowStart.Spend(&ep.SlowStart, b.now, req.work)
-	ep.Attempts.Begin(b.now, &req.class.latency)
+	b.queue.remove(req)
+	b.endpoints.begin(b.now, a)
 	b.admission.Begin()
-	timeout := max(b.attemptTimeout(req), b.settings.Tick)
-	b.emit(Send{ID: req.id, Endpoint: ep.ID, Timeout: timeout, NotAfter: notAfter})
+	timeout := req.attemptTimeout(b.now, &b.settings, b.retries.Affords(retrybudget.FullCost))
+	b.emit(Send{ID: req.id, Endpoint: ep.ID, Timeout: max(timeout, b.settings.Tick), NotAfter: notAfter})
 }
 
 // enqueue keeps a request in the queue as long as that makes sense. Its timer makes sure that it is answered.
 func (b *Balancer) enqueue(req *request) {
-	if b.now >= b.queueDeadline(req) {
+	deadline := req.queueDeadline(&b.settings, b.endpoints.Ready())
+	if b.now >= deadline {
 		b.answer(req)
 		return
 	}
-	if !req.queued {
-		req.queued = true
-		b.queue = append(b.queue, req)
-	}
-	b.setTimer(req, min(b.queueDeadline(req), b.nextFillCheck()))
-}
-
-func (b *Balancer) dequeue(req *request) {
-	req.queued = false
-	b.queue = slices.DeleteFunc(b.queue, func(queued *request) bool { return queued == req })
+	b.queue.add(req)
+	b.setTimer(req, min(deadline, b.endpoints.nextCheck(b.now)))
 }
 
 // setTimer asks for a review of a request, unless one is due by then already.
 func (b *Balancer) setTimer(req *request, at time.Duration) {
 	at = max(at, b.now+1)
-	if req.timerAt > b.now && req.timerAt <= at {
-		return
+	if req.needsTimer(b.now, at) {
+		b.emit(SetTimer{At: at, Token: requestTokenPrefix + req.id})
 	}
-	req.timerAt = at
-	b.emit(SetTimer{At: at, Token: requestTokenPrefix + req.id})
 }
 
 // reviewQueued looks again at a request, by the token of its timer, and then at the queue.
@@ -187,22 +126,23 @@
 	if req == nil {
 		return
 	}
-	if b.now+b.settings.Tick >= req.timerAt {
-		req.timerAt = 0
-	}
+	req.endTimer(b.now, b.settings.Tick)
 	if req.queued {
 		b.enqueue(req)
 		b.dispatchQueued()
 	}
 }
 
-// endAttempt takes in the result of an attempt. Where the host itself delayed it, it shows nothing.
+// endAttempt handles the result of an attempt. Where the host itself delayed it, it shows nothing.
 func (b *Balancer) endAttempt(e AttemptEnded) {
 	req := b.requests[e.ID]
-	if req == nil || e.Attempt < 0 || e.Attempt >= len(req.attempts) || req.attempts[e.Attempt].ended {
+	if req == nil {
+		return
+	}
+	a := req.open(e.Attempt)
+	if a == nil {
 		return
 	}
-	a := req.attempts[e.Attempt]
 	b.closeAttempt(a, e)
 	switch {
 	case e.Answered:
@@ -210,7 +150,7 @@
 			req.class.traffic.ObserveServed()
 		}
 		b.finish(req)
-	case !req.answered && req.inFlight == 0:
+	case req.hasFailed():
 		b.retryOrAnswer(req)
 	}
 	b.forget(req)
@@ -219,21 +159,49 @@
 
 // closeAttempt takes an attempt off the counts and lets the mechanisms learn from it.
 func (b *Balancer) closeAttempt(a *attempt, e AttemptEnded) {
-	ep := a.endpoint
-	a.ended = true
-	a.neverRan = e.Result == Rejected || e.Result == ConnectFailed || e.Result == NotSent
-	a.notSent = e.Result == NotSent
-	a.request.inFlight--
+	a.end(e.Result)
 	b.admission.End()
 	// The waits of an unresponsive endpoint say nothing of how loaded the others are.
-	if !e.HeldUp && !b.responses.Suspects(&ep.Attempts, b.now) {
+	if !e.HeldUp && !b.endpoints.suspects(b.now, a.endpoint) {
 		b.adjustLimit(a, e.Result)
 	}
-	ep.Attempts.End(a.sent, &a.request.class.latency)
-	if !e.HeldUp {
-		b.observeAttempt(a, e.Result)
+	if !e.HeldUp && e.Result == Success {
+		b.retries.Earn()
+	}
+	b.endpoints.end(b.now, a, e.Result, e.HeldUp)
+}
+
+// adjustLimit moves the concurrency limit of the first tier by the result of an attempt.
+func (b *Balancer) adjustLimit(a *attempt, result AttemptResult) {
+	if b.settings.Tier > 0 {
+		return
+	}
+	class := &a.request.class.admission
+	switch result {
+	case Success:
+		b.admission.ObserveSuccess(class, float64(b.now-a.sent), b.endpoints.PerReplica())
+	case TimedOut, ConnectFailed:
+		b.admission.ObserveFailure(b.endpoints.PerReplica())
+	case Rejected:
+		b.admission.ObserveRejection(b.now, class, b.endpoints.PerReplica())
+	default: // shows nothing of the load
+	}
+}
+
+// retryOrAnswer decides what follows when a request has no attempt in flight: a retry, if it is allowed, paid
+// for, likely to be answered in time and an endpoint is eligible; else the final answer. Requests are never
+// hedged: a second attempt begins only when the first one has ended.
+func (b *Balancer) retryOrAnswer(req *request) {
+	left := float64(req.answerDeadline(&b.settings) - b.now)
+	cost := req.retryCost()
+	if req.mayRetry(b.now, &b.settings) && b.retries.Affords(cost) && left >= req.class.latency.Mean()/2 {
+		if ep := b.choose(req); ep != nil {
+			b.retries.Spend(cost)
+			b.send(req, ep)
+			return
+		}
 	}
-	b.endpoints.Release(ep)
+	b.answer(req)
 }
 
 // answer gives the final answer: a rejection where the rules let it promise that a retry does no harm, else a
@@ -256,14 +224,7 @@
 	b.finish(req)
 }
 
-// harmlessToRetry says that a retry by the client does no harm, whatever endpoint it comes to.
-func (req *request) harmlessToRetry() bool {
-	effect, scope := req.class.Effect, req.class.Scope
-	harmful := effect == NonIdempotent || effect == IdempotentByKey && scope != ScopeAll
-	return !harmful || !slices.ContainsFunc(req.attempts, func(a *attempt) bool { return !a.neverRan })
-}
-
-// startStream takes in that the answer has begun: the attempt is the client's from here on.
+// startStream records that the answer has begun: the attempt is the client's from here on.
 func (b *Balancer) startStream(e StreamStarted) {
 	if req := b.requests[e.ID]; req != nil {
 		req.streaming = true
@@ -298,7 +259,7 @@
 		return
 	}
 	req.answered = true
-	b.dequeue(req)
+	b.queue.remove(req)
 	for _, a := range req.attempts {
 		if !a.ended && b.settings.AllowCancel {
 			b.emit(Cancel{ID: req.id, Attempt: a.number})
@@ -309,7 +270,7 @@
 
 // forget drops a request once it is answered and its attempts have ended.
 func (b *Balancer) forget(req *request) {
-	if req.answered && req.inFlight == 0 {
+	if req.isOver() {
 		delete(b.requests, req.id)
 	}
 }
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -13,7 +13,7 @@
 // failAttempts makes so many failures of a class known, at an endpoint that is not listed.
 func failAttempts(b *Balancer, name string, failures int) {
 	for range failures {
-		(&outlier.Record{}).ObserveRate(b.classes.rates(b.classes.byName[name]), true, b.now, float64(msec))
+		(&outlier.Record{}).ObserveRate(b.classes.byName[name].rates, true, b.now, float64(msec))
 	}
 }
 
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -271,9 +271,9 @@
 			if len(log) < 1000 {
 				t.Errorf("seed %d: only %d actions", seed, len(log))
 			}
-			if len(b.requests) > 0 || len(b.queue) > 0 || b.admission.InFlight() != 0 {
+			if len(b.requests) > 0 || b.queue.len() > 0 || b.admission.InFlight() != 0 {
 				t.Errorf("seed %d: %d requests, %d held and %d calls are left over", seed, len(b.requests),
-					len(b.queue), b.admission.InFlight())
+					b.queue.len(), b.admission.InFlight())
 			}
 			for ep := range b.endpoints.Known() {
 				known := countKnown(b)
