--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -35,12 +35,11 @@
 	subscription subscription.Backoff
 	endpoints    endpointSelector
 
-	classes    classTable
-	requests   map[string]*request // by id: not answered, or with attempts in flight
-	queue      requestQueue
-	retries    retrybudget.Budget
-	admission  admission.Limiter
-	priorities admission.Priorities
+	classes   classTable
+	requests  map[string]*request // by id: not answered, or with attempts in flight
+	queue     requestQueue
+	retries   retrybudget.Budget
+	admission admission.Limiter
 }
 
 // New returns a Balancer that knows no endpoints yet. The error is a *SettingError.
@@ -140,7 +139,7 @@
 func (b *Balancer) applySettings(settings Settings) {
 	b.settings = settings
 	b.classes = newClassTable(settings.Classes, b.classes)
-	b.priorities = b.classes.priorities(&settings)
+	b.admission.Configure(b.classes.priorities(&settings))
 	b.endpoints.configure(&settings)
 }
 
--- a/balancer/heldup_test.go
+++ b/balancer/heldup_test.go
@@ -17,7 +17,7 @@
 		t.Run(result.String(), func(t *testing.T) {
 			// The limiter counts the same sends after any result, so that all of it must be equal.
 			if got := playHeldUpAttempts(t, result); got != limiter {
-				t.Errorf("the concurrency limit is %+v, after cancelled attempts %+v", got, limiter)
+				t.Errorf("the concurrency limit is %s, after cancelled attempts %s", got, limiter)
 			}
 		})
 	}
@@ -25,7 +25,7 @@
 
 // playHeldUpAttempts ends fifty attempts, held up by the host, in one way, and checks that nothing is learned
 // from them. It returns the concurrency limit.
-func playHeldUpAttempts(t *testing.T, result AttemptResult) admission.Limiter {
+func playHeldUpAttempts(t *testing.T, result AttemptResult) string {
 	t.Helper()
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
@@ -51,7 +51,9 @@
 			t.Errorf("%v: %s is %s, was %s", result, what, after[what], was)
 		}
 	}
-	return b.admission
+	limiter := b.admission
+	limiter.Configure(admission.Priorities{}) // whose classes are others in each run
+	return fmt.Sprintf("%+v", limiter)
 }
 
 // observationsOf prints what was observed of all endpoints, of each and of the class of the traffic.
--- a/balancer/internal/admission/admission.go
+++ b/balancer/internal/admission/admission.go
@@ -38,6 +38,7 @@
 	inFlight     int
 	meanInFlight float64 // averaged over sends
 	shed         float64 // share of requests answered without an attempt, an average
+	priorities   Priorities
 
 	limit          float64       // 0: not set yet
 	initialGrowth  bool          // by whole requests: no endpoint has seemed overloaded yet
@@ -45,6 +46,9 @@
 	nextDecrease   time.Duration // when the limit may next be decreased for a rejection
 }
 
+// Configure puts the classes of new settings in force.
+func (l *Limiter) Configure(priorities Priorities) { l.priorities = priorities }
+
 // Start sets the limit to what is always admitted, when the first endpoints are known.
 func (l *Limiter) Start(endpointsPerReplica float64) {
 	if l.limit == 0 {
@@ -73,17 +77,23 @@
 // Limit returns how many attempts may be in flight at once.
 func (l *Limiter) Limit() float64 { return l.limit }
 
-// Admits says whether one more request may be sent, when it may fill a share of the limit. A client's retry,
-// whose latency objective is mostly used up, must leave half of the limit to first attempts, or retries feed
-// an overload.
-func (l *Limiter) Admits(share float64, retry bool) bool {
+// Admits says whether a request of the class may be sent now, within its share of the limit. A client's
+// retry, whose latency objective is mostly used up, must leave half of the limit to first attempts, or
+// retries feed an overload.
+func (l *Limiter) Admits(class *Class, retry bool) bool {
 	inFlight := float64(l.inFlight)
 	if retry {
 		inFlight *= 2
 	}
-	return inFlight < l.limit*share
+	return inFlight < l.limit*l.priorities.limitShare(class, retry, l.shed)
 }
 
+// ObserveArrival counts a request of the class.
+func (l *Limiter) ObserveArrival(class *Class) { l.priorities.observeArrival(class) }
+
+// Priority returns how much a request of the class counts against the others that wait for capacity.
+func (l *Limiter) Priority(class *Class, retry bool) float64 { return l.priorities.of(class, retry) }
+
 // ObserveAdmitted records that a request got its first attempt.
 func (l *Limiter) ObserveAdmitted() { l.shed -= sheddingWeight * l.shed }
 
--- a/balancer/internal/admission/admission_test.go
+++ b/balancer/internal/admission/admission_test.go
@@ -135,27 +135,32 @@
 	}
 }
 
-// Retries by clients prolong an overload: they get only half of the limit.
-func TestRetriesLeaveRoomForFirstAttempts(t *testing.T) {
+// Retries by clients prolong an overload: they get only half of the limit. While load is shed, a class of a
+// high priority may use more than the limit, and one of a low priority half of it.
+func TestRetriesLeaveHalfOfTheLimit(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		inFlight     int
-		share        float64
+		weight, shed float64 // weight against another class of weight one
 		first, retry bool
 	}{
-		{"idle", 0, 1, true, true},
-		{"half used", 5, 1, true, false},
-		{"nearly used up", 9, 1, true, false},
-		{"used up", 10, 1, false, false},
-		{"used up, but a high priority", 10, 2, true, false},
-		{"half used, and a low priority", 5, 0.5, false, false},
+		{"idle", 0, 1, 0, true, true},
+		{"half used", 5, 1, 0, true, false},
+		{"nearly used up", 9, 1, 0, true, false},
+		{"used up", 10, 1, 0, false, false},
+		{"used up, a high priority, nothing shed", 10, 100, 0, false, false},
+		{"used up, a high priority, much shed", 10, 100, 1, true, false},
+		{"half used, a low priority, nothing shed", 5, 0.01, 0, true, false},
+		{"half used, a low priority, much shed", 5, 0.01, 1, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			limiter := Limiter{limit: 10, inFlight: c.inFlight}
-			if got := limiter.Admits(c.share, false); got != c.first {
+			class := classWith(c.weight, 10, 5)
+			limiter := Limiter{limit: 10, inFlight: c.inFlight, shed: c.shed}
+			limiter.Configure(Priorities{TotalWeight: 1, Classes: []*Class{class, classWith(1, 10, 5)}})
+			if got := limiter.Admits(class, false); got != c.first {
 				t.Errorf("a first attempt is admitted: %v, want %v", got, c.first)
 			}
-			if got := limiter.Admits(c.share, true); got != c.retry {
+			if got := limiter.Admits(class, true); got != c.retry {
 				t.Errorf("a retry is admitted: %v, want %v", got, c.retry)
 			}
 		})
@@ -189,10 +194,12 @@
 
 func Example() {
 	estimator := latency.NewEstimator(400 * time.Millisecond)
-	class := Class{Objective: 400 * time.Millisecond, Latency: &estimator, Traffic: &Traffic{}}
+	class := Class{Objective: 400 * time.Millisecond, PriorityWeight: 1, Latency: &estimator, Traffic: &Traffic{}}
 	var limiter Limiter
+	limiter.Configure(Priorities{TotalWeight: 1, Classes: []*Class{&class}})
+	limiter.ObserveArrival(&class)
 	limiter.Start(1) // one endpoint for each replica
-	for limiter.Admits(1, false) {
+	for limiter.Admits(&class, false) {
 		limiter.Begin()
 	}
 	fmt.Println("in flight:", limiter.InFlight())
--- a/balancer/internal/admission/priority.go
+++ b/balancer/internal/admission/priority.go
@@ -39,8 +39,8 @@
 	Classes          []*Class // all that there are
 }
 
-// ObserveArrival counts a request of a class.
-func (p *Priorities) ObserveArrival(c *Class) {
+// observeArrival counts a request of a class.
+func (p *Priorities) observeArrival(c *Class) {
 	for _, class := range p.Classes {
 		class.Traffic.arrivals *= countDecay
 		class.Traffic.served *= countDecay
@@ -48,24 +48,24 @@
 	c.Traffic.arrivals++
 }
 
-// LimitShare returns the part of the concurrency limit that a request may use, by its priority against the
+// limitShare returns the part of the concurrency limit that a request may use, by its priority against the
 // others': the more load is shed, the more capacity is kept for the highest priority. The queue alone keeps a
 // request too short a time for that, since at a replica of little traffic seldom two wait at once. No class
 // loses more than half of the limit, so that none starves.
-func (p *Priorities) LimitShare(c *Class, retry bool, shed float64) float64 {
+func (p *Priorities) limitShare(c *Class, retry bool, shed float64) float64 {
 	var sum, arrivals float64
 	for _, class := range p.Classes {
-		sum += class.Traffic.arrivals * p.Of(class, false)
+		sum += class.Traffic.arrivals * p.of(class, false)
 		arrivals += class.Traffic.arrivals
 	}
-	share := 1 + shed*(p.Of(c, retry)*arrivals/max(sum, leastSum)-1)
+	share := 1 + shed*(p.of(c, retry)*arrivals/max(sum, leastSum)-1)
 	return min(maxLimitShare, max(minLimitShare, share))
 }
 
-// Of returns what an answer in a class is worth for the time it takes, so that what is worth most is shed
+// of returns what an answer in a class is worth for the time it takes, so that what is worth most is shed
 // least; the class that is served worst counts extra, so that none starves. The latency objective of a
 // client's retry runs from its first attempt and is mostly used up.
-func (p *Priorities) Of(c *Class, retry bool) float64 {
+func (p *Priorities) of(c *Class, retry bool) float64 {
 	var total float64
 	worst := c
 	for _, class := range p.Classes {
--- a/balancer/internal/admission/priority_test.go
+++ b/balancer/internal/admission/priority_test.go
@@ -31,7 +31,7 @@
 		{"all shed, high weight", high, 1, maxLimitShare, maxLimitShare},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := priorities.LimitShare(c.class, false, c.shed); got < c.least || got > c.most {
+			if got := priorities.limitShare(c.class, false, c.shed); got < c.least || got > c.most {
 				t.Errorf("a share of %.2f, want %v to %v", got, c.least, c.most)
 			}
 		})
@@ -59,7 +59,7 @@
 		{"a retry without any worth", usual, usual, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			high, low := priorities.Of(c.higher, false), priorities.Of(c.lower, c.retryOfTheLow)
+			high, low := priorities.of(c.higher, false), priorities.of(c.lower, c.retryOfTheLow)
 			if high <= low {
 				t.Errorf("priority %v, want more than %v", high, low)
 			}
@@ -71,10 +71,10 @@
 func TestArrivalsDecay(t *testing.T) {
 	first, second := classWith(1, 0, 0), classWith(1, 0, 0)
 	priorities := Priorities{Classes: []*Class{first, second}}
-	priorities.ObserveArrival(first)
+	priorities.observeArrival(first)
 	first.Traffic.ObserveServed()
 	for range 1000 {
-		priorities.ObserveArrival(second)
+		priorities.observeArrival(second)
 	}
 	if first.Traffic.arrivals > 0.001 || first.Traffic.served > 0.001 {
 		t.Errorf("%v arrivals and %v answers are left of one", first.Traffic.arrivals, first.Traffic.served)
@@ -82,7 +82,7 @@
 	if got := second.Traffic.arrivals; got < 99 || got > 101 {
 		t.Errorf("%v arrivals in a row count as %.1f, want about 100", 1000, got)
 	}
-	if share := priorities.LimitShare(first, false, 0); share != 1 {
+	if share := priorities.limitShare(first, false, 0); share != 1 {
 		t.Errorf("a share of %v with nothing shed", share)
 	}
 }
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -26,7 +26,7 @@
 	if b.settings.Tier == 0 {
 		req.inferFirstAttempt(b.now, e.FirstByte)
 	}
-	b.priorities.ObserveArrival(&req.class.admission)
+	b.admission.ObserveArrival(&req.class.admission)
 	if b.shuttingDown {
 		b.answer(req)
 		return
@@ -52,16 +52,11 @@
 	if b.endpoints.Ready() == 0 {
 		return true
 	}
-	return b.settings.Tier == 0 && !b.admission.Admits(b.limitShare(req), req.retry)
-}
-
-// limitShare returns the part of the concurrency limit that a request may use.
-func (b *Balancer) limitShare(req *request) float64 {
-	return b.priorities.LimitShare(&req.class.admission, req.retry, b.admission.ShedShare())
+	return b.settings.Tier == 0 && !b.admission.Admits(&req.class.admission, req.retry)
 }
 
 func (b *Balancer) priority(req *request) float64 {
-	return b.priorities.Of(&req.class.admission, req.retry)
+	return b.admission.Priority(&req.class.admission, req.retry)
 }
 
 // choose picks an endpoint for the next attempt of a request; nil: none is eligible.
