--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -24,11 +24,16 @@
 //
 // The exported fields have defaults, and may be changed before Run.
 type Client struct {
-	Hold        time.Duration                        // that the other side may withhold its response while nothing changes
-	Grace       time.Duration                        // for a response beyond the hold, before the poll is abandoned
-	StartupWait time.Duration                        // after which an agent that has not answered is reported as unresponsive
-	Dial        netdial.Func                         // opens connections
-	After       func(time.Duration) <-chan time.Time // time.After; delays the poll after one that failed
+	// Hold is how long the other side may withhold its response while nothing changes.
+	Hold time.Duration
+	// Grace is the time for a response beyond the hold, before the poll is abandoned.
+	Grace time.Duration
+	// StartupWait is the time after which an agent that has not answered is reported as unresponsive.
+	StartupWait time.Duration
+	// Dial opens connections.
+	Dial netdial.Func
+	// After is time.After; it delays the poll after one that failed.
+	After func(time.Duration) <-chan time.Time
 
 	handler         Handler
 	log             *slog.Logger
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -128,7 +128,7 @@
 	started := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, c.Hold+c.Grace)
 	defer cancel()
-	defer context.AfterFunc(address.ctx, cancel)()
+	defer context.AfterFunc(address.ctx, cancel)() //nolint:contextcheck // a poll ends with either context
 	if suspect {
 		checked, from := make(chan bool, 1), address.version
 		go func() {
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -55,9 +55,9 @@
 				t.Errorf("%d polls came within %v, want %v between two at least", polls, took, watchInterval)
 			}
 			for i := range polls {
-				got := testutil.Wait(t, reports, "a change")
-				if got.kind != received || len(got.list.Entries) != 1 || got.list.Entries[0].ID != fmt.Sprint("s", i+1) {
-					t.Fatalf("report %d is %+v, want the change of s%d", i, got, i+1)
+				got, want := testutil.Wait(t, reports, "a change"), fmt.Sprint("s", i+1)
+				if got.kind != received || len(got.list.Entries) != 1 || got.list.Entries[0].ID != want {
+					t.Fatalf("report %d is %+v, want the change of %s", i, got, want)
 				}
 			}
 		})
