--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -109,7 +109,7 @@
 	inRoot(t)
 	page := strings.Join(docLines(t, "docs/OPERATIONS.md"), "\n")
 	messages := 0
-	for _, dir := range []string{"internal/node", "cmd/balancer"} {
+	for _, dir := range []string{"internal/node", "internal/downstream", "cmd/balancer"} {
 		for _, file := range goFiles(t, dir) {
 			if strings.HasSuffix(file, "_test.go") {
 				continue
--- a/internal/node/downstreamconn.go
+++ b/internal/downstream/conn.go
@@ -1,4 +1,4 @@
-package node
+package downstream
 
 import (
 	"bytes"
@@ -14,7 +14,7 @@
 	"basaltdrum/internal/socketpeek"
 )
 
-// downstreamConn is a connection from a client. It sits between net/http and the socket, and adds four
+// Conn is a connection from a client. It sits between net/http and the socket, and adds four
 // things: the framing of the requests (http1.RequestScanner), the watch for the client's departure while a request
 // is open (departure.go), a read timeout for each request, and eviction without the loss of a request.
 //
@@ -24,7 +24,7 @@
 // is left unread and its client may safely send it again. Whether a request has begun is tracked here and
 // not taken from ConnState: behind a response, net/http may read the first byte of a pipelined request before
 // it reports StateIdle.
-type downstreamConn struct {
+type Conn struct {
 	net.Conn
 	mu                sync.Mutex
 	requestBegun      bool      // bytes of a request were read since the last response
@@ -43,7 +43,7 @@
 	readTimeout       time.Duration // for reading the rest of a request that has begun; 0: no limit
 	requestDeadline   time.Time     // when readTimeout expires; zero while no request is being read
 
-	conns        *downstreamConns
+	conns        *Conns
 	connActivity // guarded by conns.mu
 }
 
@@ -59,14 +59,14 @@
 }
 
 // FromContext returns the connection on which a request came, for the request's context.
-func FromContext(ctx context.Context) *downstreamConn {
-	c, _ := ctx.Value(connKey{}).(*downstreamConn)
+func FromContext(ctx context.Context) *Conn {
+	c, _ := ctx.Value(connKey{}).(*Conn)
 	return c
 }
 
 // Read reads for net/http. While a request is open, net/http watches for the client's departure by a read of
 // one byte, which any pipelined byte would end; that read is replaced by watchForDeparture.
-func (c *downstreamConn) Read(p []byte) (int, error) {
+func (c *Conn) Read(p []byte) (int, error) {
 	if len(p) == 1 && c.beginWatch() { // any other read by net/http fills a longer buffer
 		return 0, c.watchForDeparture()
 	}
@@ -81,7 +81,7 @@
 }
 
 // scan follows the framing of bytes that were just read from the kernel.
-func (c *downstreamConn) scan(p []byte) {
+func (c *Conn) scan(p []byte) {
 	at := c.conns.clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,21 +90,21 @@
 
 // TakeHead returns the scanner's head of the request that net/http has just read the head of, or the error
 // in its framing.
-func (c *downstreamConn) TakeHead(r *http.Request) (http1.RequestHead, error) {
+func (c *Conn) TakeHead(r *http.Request) (http1.RequestHead, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requests.TakeHead(r)
 }
 
 // BodyError returns the error in the framing of the body that net/http has just read, or nil.
-func (c *downstreamConn) BodyError() error {
+func (c *Conn) BodyError() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requests.BodyError()
 }
 
 // PipelinedBehindBody reports whether another request was read behind the complete body of the current one.
-func (c *downstreamConn) PipelinedBehindBody() bool {
+func (c *Conn) PipelinedBehindBody() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requests.BehindBody()
@@ -113,7 +113,7 @@
 // limitRequestTime gives the rest of a request that has begun its own read timeout. The timeouts of net/http
 // do not: it waits for a request's first four bytes as long as for an idle connection, and counts the time
 // of a connection's first request from the connection's start.
-func (c *downstreamConn) limitRequestTime() {
+func (c *Conn) limitRequestTime() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.readTimeout <= 0 || !c.requestDeadline.IsZero() || !c.requests.MidRequest() {
@@ -124,7 +124,7 @@
 }
 
 // beginRequest notes that net/http has read a request's head.
-func (c *downstreamConn) beginRequest() {
+func (c *Conn) beginRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.requestOpen, c.requestComplete = true, false
@@ -138,7 +138,7 @@
 }
 
 // noteBytes notes that bytes were read from the client, which revokes an eviction. c.mu is held.
-func (c *downstreamConn) noteBytes() {
+func (c *Conn) noteBytes() {
 	c.requestBegun = true
 	if c.readEnded && !c.readAborted {
 		c.readEnded = false
@@ -146,7 +146,7 @@
 	}
 }
 
-func (c *downstreamConn) hasRequestBytes() bool {
+func (c *Conn) hasRequestBytes() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requestBegun
@@ -156,7 +156,7 @@
 // the bytes are written, because the client may send its next request as soon as it has them; bytes of that
 // request that were read ahead already count as begun. An interim response (net/http writes 100 Continue)
 // leaves the request open.
-func (c *downstreamConn) Write(p []byte) (int, error) {
+func (c *Conn) Write(p []byte) (int, error) {
 	if !bytes.HasPrefix(p, []byte("HTTP/1.1 1")) {
 		c.mu.Lock()
 		c.requestBegun, c.requestOpen, c.requestComplete = len(c.readAhead) > 0, false, false
@@ -167,7 +167,7 @@
 
 // SendInterimResponse probes a client that has sent a FIN: if it has closed its socket, its kernel responds
 // with a reset; if it has only shut down its sending side, it skips the response and waits on.
-func (c *downstreamConn) SendInterimResponse(timeout time.Duration) {
+func (c *Conn) SendInterimResponse(timeout time.Duration) {
 	c.SetWriteDeadline(time.Now().Add(timeout))
 	if _, err := io.WriteString(c, "HTTP/1.1 102 Processing\r\n\r\n"); err != nil {
 		c.noteDeparture(Disconnected)
@@ -176,7 +176,7 @@
 
 // SetReadDeadline sets the deadline that net/http wants. The zero time, which net/http and the frontend set
 // once a request has been read, also ends that request's own read timeout.
-func (c *downstreamConn) SetReadDeadline(t time.Time) error {
+func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if t.IsZero() {
@@ -188,7 +188,7 @@
 // setReadDeadline sets the read deadline, unless the connection is being evicted. While a request is being
 // read, its own deadline replaces the wanted one, so that a request which begins shortly before the idle
 // timeout has as much time as any other. c.mu is held.
-func (c *downstreamConn) setReadDeadline(t time.Time) error {
+func (c *Conn) setReadDeadline(t time.Time) error {
 	if !c.requestDeadline.IsZero() {
 		t = c.requestDeadline
 	}
@@ -202,7 +202,7 @@
 // CloseWrite is what net/http looks for to close a connection with unread request bytes in two steps: it
 // sends a FIN, and closes some time later. A close at once would reset the connection, and the reset could
 // discard the response before the client has read it.
-func (c *downstreamConn) CloseWrite() error {
+func (c *Conn) CloseWrite() error {
 	c.conns.startLingering(c)
 	if half, ok := c.Conn.(*net.TCPConn); ok {
 		return half.CloseWrite()
@@ -213,7 +213,7 @@
 // evictIfQuiet ends the wait for a request, unless one has begun, including one that has arrived and not been
 // read: closing over unread bytes resets the connection, and a client retries such a request only once. It
 // reports whether the connection is being evicted.
-func (c *downstreamConn) evictIfQuiet() bool {
+func (c *Conn) evictIfQuiet() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.requestBegun && !socketpeek.HasUnreadOrClosed(c.Conn) {
@@ -226,7 +226,7 @@
 // abortRead ends the wait for the rest of a request, and reports whether it did. It does not if the request
 // is complete, when a deadline in the past would end the departure watch instead, or if bytes have arrived
 // that nobody has read, which may be the rest.
-func (c *downstreamConn) abortRead() bool {
+func (c *Conn) abortRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.requestComplete || socketpeek.HasUnreadOrClosed(c.Conn) {
--- a/internal/node/descriptorbudget.go
+++ b/internal/downstream/conns.go
@@ -1,4 +1,4 @@
-package node
+package downstream
 
 import (
 	"cmp"
@@ -39,10 +39,10 @@
 	}
 }
 
-// downstreamConns is the set of connections from clients, kept within its share of the process's file
+// Conns is the set of connections from clients, kept within its share of the process's file
 // descriptors. When there are too many, connections without an open request are evicted, those that are the
 // least useful first. A request is rejected only when open requests alone exceed the share.
-type downstreamConns struct {
+type Conns struct {
 	clock         monotime.Clock
 	upstreamCount func() int // how many upstream connections there are
 
@@ -51,7 +51,7 @@
 
 	mu       sync.Mutex
 	limits   Limits
-	conns    map[*downstreamConn]struct{}
+	conns    map[*Conn]struct{}
 	evicting int // connections that are being evicted and not closed yet
 	active   int // connections with an open request
 	counts   Counts
@@ -64,7 +64,7 @@
 type connActivity struct {
 	phase   Phase
 	since   time.Duration
-	evicted bool // being evicted, and counted in downstreamConns.evicting
+	evicted bool // being evicted, and counted in Conns.evicting
 }
 
 // Phase is the phase of a connection's life cycle, from the first request to the close.
@@ -96,16 +96,16 @@
 	return fmt.Sprintf("Phase(%d)", int(p))
 }
 
-// newDownstreamConns returns an empty set. upstreamCount tells how many upstream connections there are; it is called
+// NewConns returns an empty set. upstreamCount tells how many upstream connections there are; it is called
 // while the set's lock is held.
-func newDownstreamConns(clock monotime.Clock, limits Limits, upstreamCount func() int) *downstreamConns {
-	s := &downstreamConns{clock: clock, upstreamCount: upstreamCount, conns: map[*downstreamConn]struct{}{}}
+func NewConns(clock monotime.Clock, limits Limits, upstreamCount func() int) *Conns {
+	s := &Conns{clock: clock, upstreamCount: upstreamCount, conns: map[*Conn]struct{}{}}
 	s.Configure(limits)
 	return s
 }
 
 // Configure puts limits into force, and evicts the connections that exceed them.
-func (s *downstreamConns) Configure(limits Limits) {
+func (s *Conns) Configure(limits Limits) {
 	s.readAheadLimit.Store(limits.ReadAhead)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,8 +115,8 @@
 
 // ConnStateChanged is the ConnState hook of the http.Server. Each change is an occasion to evict, as it may
 // have added a connection or made one evictable.
-func (s *downstreamConns) ConnStateChanged(nc net.Conn, state http.ConnState) {
-	c := nc.(*downstreamConn)
+func (s *Conns) ConnStateChanged(nc net.Conn, state http.ConnState) {
+	c := nc.(*Conn)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch state {
@@ -141,14 +141,14 @@
 }
 
 // countFailedAccept counts a failed accept.
-func (s *downstreamConns) countFailedAccept() {
+func (s *Conns) countFailedAccept() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.AcceptFailed++
 }
 
 // setPhase notes what a connection does from now on, which ends an eviction that was begun. s.mu is held.
-func (s *downstreamConns) setPhase(c *downstreamConn, p Phase) {
+func (s *Conns) setPhase(c *Conn, p Phase) {
 	if c.evicted {
 		s.evicting--
 	}
@@ -162,7 +162,7 @@
 }
 
 // startLingering notes that net/http has written its last response and waits for the client to receive it.
-func (s *downstreamConns) startLingering(c *downstreamConn) {
+func (s *Conns) startLingering(c *Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, known := s.conns[c]; known {
@@ -174,7 +174,7 @@
 // module. It may not if open requests hold more than half of the capacity. An excess of connections is no
 // reason to reject: silent clients must not cost a well-behaved one its response. If this connection was
 // being evicted, another is evicted in its place.
-func (s *downstreamConns) AdmitRequest(c *downstreamConn) bool {
+func (s *Conns) AdmitRequest(c *Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.setPhase(c, PhaseActive)
@@ -188,22 +188,23 @@
 
 // limit is how many downstream connections there may be now: what upstream connections leave of the
 // capacity. s.mu is held.
-func (s *downstreamConns) limit() int {
+func (s *Conns) limit() int {
 	descriptors := s.limits.Descriptors
 	return max(descriptors/2, descriptors-max(s.limits.UpstreamReserve, s.upstreamCount()))
 }
 
 // excess is how many connections there are beyond the limit, not counting those being evicted. s.mu is held.
-func (s *downstreamConns) excess() int { return len(s.conns) - s.evicting - s.limit() }
+func (s *Conns) excess() int { return len(s.conns) - s.evicting - s.limit() }
 
-func (s *downstreamConns) OverLimit() bool {
+// OverLimit reports whether there are more connections than the limit permits, not counting those being evicted.
+func (s *Conns) OverLimit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.excess() > 0
 }
 
 // UpstreamAllowance is how many descriptors downstream connections leave for upstream ones.
-func (s *downstreamConns) UpstreamAllowance() int {
+func (s *Conns) UpstreamAllowance() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.limits.Descriptors + s.limits.RejectReserve - len(s.conns)
@@ -212,7 +213,7 @@
 // atHardLimit reports whether one more connection would take a descriptor that is reserved for others. Such a
 // connection is closed without reaching net/http and so without a call of ConnStateChanged, which is why
 // others are evicted here, for the next one.
-func (s *downstreamConns) atHardLimit() bool {
+func (s *Conns) atHardLimit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	usable := s.limits.Descriptors + s.limits.RejectReserve
@@ -228,18 +229,18 @@
 // the one that has been in its phase for longest. Connections within their grace period are exempt, because a
 // client retries a request that crosses a close only once. (While there are too many, each response closes
 // its connection as well, which no request can cross.) s.mu is held.
-func (s *downstreamConns) evictExcess() {
+func (s *Conns) evictExcess() {
 	if s.excess() <= 0 {
 		return
 	}
 	now := s.clock.Now()
-	var evictable []*downstreamConn
+	var evictable []*Conn
 	for c := range s.conns {
 		if !c.evicted && s.evictionRank(c, now) > 0 {
 			evictable = append(evictable, c)
 		}
 	}
-	slices.SortFunc(evictable, func(a, b *downstreamConn) int {
+	slices.SortFunc(evictable, func(a, b *Conn) int {
 		return cmp.Or(cmp.Compare(s.evictionRank(a, now), s.evictionRank(b, now)), cmp.Compare(a.since, b.since))
 	})
 	for _, c := range evictable {
@@ -250,7 +251,7 @@
 }
 
 // evictionRank is the order of eviction: 1 is evicted first, and 0 not at all. s.mu is held.
-func (s *downstreamConns) evictionRank(c *downstreamConn, now time.Duration) int {
+func (s *Conns) evictionRank(c *Conn, now time.Duration) int {
 	age := now - c.since
 	if s.excess() > s.limits.RejectReserve/2 {
 		age *= pressureDivisor
@@ -271,7 +272,7 @@
 
 // evict begins to evict a connection, unless a request has begun or arrived on it meanwhile, and counts it as
 // being evicted. s.mu is held.
-func (s *downstreamConns) evict(c *downstreamConn) {
+func (s *Conns) evict(c *Conn) {
 	if c.evicted {
 		return
 	}
@@ -293,7 +294,7 @@
 
 // EvictQuiet evicts idle connections and those on which nothing has arrived for a while; a client that has
 // just connected has its request on the way. It returns how many connections of all kinds are left.
-func (s *downstreamConns) EvictQuiet() int {
+func (s *Conns) EvictQuiet() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
@@ -307,7 +308,7 @@
 }
 
 // Count is how many connections there are.
-func (s *downstreamConns) Count() int {
+func (s *Conns) Count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
@@ -323,7 +324,7 @@
 }
 
 // Status returns what each connection is doing.
-func (s *downstreamConns) Status() []ConnStatus {
+func (s *Conns) Status() []ConnStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var all []ConnStatus
@@ -334,7 +335,7 @@
 }
 
 // status returns what the connection is doing. s.mu is held.
-func (c *downstreamConn) status() ConnStatus {
+func (c *Conn) status() ConnStatus {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return ConnStatus{
@@ -344,10 +345,10 @@
 }
 
 // ReadAheadReserved is how many bytes are reserved for the read-ahead buffers of all connections.
-func (s *downstreamConns) ReadAheadReserved() int64 { return s.readAheadReserved.Load() }
+func (s *Conns) ReadAheadReserved() int64 { return s.readAheadReserved.Load() }
 
 // TakeCounts returns what happened to connections since the last call, and how many there are.
-func (s *downstreamConns) TakeCounts() (counts Counts, conns int) {
+func (s *Conns) TakeCounts() (counts Counts, conns int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	counts, s.counts = s.counts, Counts{}
--- a/internal/node/departure.go
+++ b/internal/downstream/departure.go
@@ -1,4 +1,4 @@
-package node
+package downstream
 
 import (
 	"errors"
@@ -44,7 +44,7 @@
 // the client's departure. net/http begins that watch only once the body has been read to its end, so the
 // request is complete. No wait for another request is left to be interrupted, and so an earlier eviction or
 // abort of this connection is void.
-func (c *downstreamConn) beginWatch() bool {
+func (c *Conn) beginWatch() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.requestOpen {
@@ -57,7 +57,7 @@
 // watchForDeparture reads whatever the client pipelines behind an open request, since a FIN or RST can only
 // be seen once the bytes before it are read. It returns at the read deadline, on a reset, or when the
 // read-ahead buffer is full. After a FIN it goes on to wait for a reset.
-func (c *downstreamConn) watchForDeparture() error {
+func (c *Conn) watchForDeparture() error {
 	defer close(c.watchEnded)
 	defer c.markCaughtUp()
 	for {
@@ -86,7 +86,7 @@
 
 // awaitUnread waits until the kernel has received something from the client: bytes, a FIN or an RST. Before
 // it waits, it notes that everything received so far has been read.
-func (c *downstreamConn) awaitUnread() error {
+func (c *Conn) awaitUnread() error {
 	raw := socketpeek.RawConn(c.Conn)
 	if raw == nil {
 		return nil
@@ -102,7 +102,7 @@
 
 // awaitReset waits, after the client's FIN, for a reset or the read deadline. It asks for the socket's error,
 // because a read would not wait but return the end of the stream at once.
-func (c *downstreamConn) awaitReset() error {
+func (c *Conn) awaitReset() error {
 	raw := socketpeek.RawConn(c.Conn)
 	if raw == nil {
 		return io.EOF
@@ -124,7 +124,7 @@
 }
 
 // markCaughtUp notes that the watch has read everything that had arrived, or as much as can be buffered.
-func (c *downstreamConn) markCaughtUp() {
+func (c *Conn) markCaughtUp() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !isClosed(c.caughtUp) {
@@ -134,7 +134,7 @@
 
 // AwaitCaughtUp waits until the watch has read everything that had arrived, and returns the departure known
 // then.
-func (c *downstreamConn) AwaitCaughtUp() Departure {
+func (c *Conn) AwaitCaughtUp() Departure {
 	c.mu.Lock()
 	caughtUp := c.caughtUp
 	c.mu.Unlock()
@@ -144,7 +144,7 @@
 
 // EndWatch ends the watch of an open request, which must have begun (see AwaitCaughtUp); bytes that arrive
 // from now on stay unread. It reports whether another request, or a part of one, was read behind this one.
-func (c *downstreamConn) EndWatch() (another bool) {
+func (c *Conn) EndWatch() (another bool) {
 	c.Conn.SetReadDeadline(pastDeadline)
 	<-c.watchEnded
 	return c.PipelinedBehindBody()
@@ -153,7 +153,7 @@
 // noteRead notes what the result of a read says about the client. Of the timeouts only
 // os.ErrDeadlineExceeded is the node's own deadline: ETIMEDOUT, for which Timeout() is true as well, means
 // that the connection has failed.
-func (c *downstreamConn) noteRead(n int, err error) {
+func (c *Conn) noteRead(n int, err error) {
 	switch {
 	case n > 0:
 		c.mu.Lock()
@@ -167,10 +167,10 @@
 }
 
 // DepartureChanged returns a channel that receives a value when more is known of the client's departure.
-func (c *downstreamConn) DepartureChanged() <-chan struct{} { return c.departureChanged }
+func (c *Conn) DepartureChanged() <-chan struct{} { return c.departureChanged }
 
 // noteDeparture records an observation. If it exceeds what was known, the handler of the open request is notified.
-func (c *downstreamConn) noteDeparture(observed Departure) {
+func (c *Conn) noteDeparture(observed Departure) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if observed <= c.departed {
@@ -184,7 +184,7 @@
 }
 
 // Departure returns what is known of the client's departure since its request is open.
-func (c *downstreamConn) Departure() Departure {
+func (c *Conn) Departure() Departure {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.departed
--- a/internal/node/downstreamlistener.go
+++ b/internal/downstream/listener.go
@@ -1,4 +1,4 @@
-package node
+package downstream
 
 import (
 	"errors"
@@ -22,16 +22,16 @@
 	acceptLogInterval = 5 * time.Second
 )
 
-// downstreamListener accepts downstream connections and wraps them as downstreamConns. Accept returns an
+// Listener accepts downstream connections and wraps them as Conns. Accept returns an
 // error only once the listener is closed. Every other error of accept(2) (EMFILE, ENOBUFS, ECONNABORTED) is
 // retried with exponential backoff here, because http.Server.Serve would return on most of them and so end
 // the process for a temporary shortage.
-type downstreamListener struct {
+type Listener struct {
 	net.Listener
-	conns *downstreamConns
+	conns *Conns
 	log   *slog.Logger
 
-	readTimeout time.Duration // handed to each connection; see downstreamConn.readTimeout
+	readTimeout time.Duration // handed to each connection; see Conn.readTimeout
 
 	drainOnce, closeOnce sync.Once
 	draining, closed     chan struct{}
@@ -42,12 +42,12 @@
 	unlogged   int           // failures since then
 }
 
-// newDownstreamListener accepts connections from ln for the given set. readTimeout is the time for reading the rest of
+// NewListener accepts connections from ln for the given set. readTimeout is the time for reading the rest of
 // a request that has begun; 0: no limit.
-func newDownstreamListener(
-	ln net.Listener, conns *downstreamConns, readTimeout time.Duration, log *slog.Logger,
-) *downstreamListener {
-	return &downstreamListener{
+func NewListener(
+	ln net.Listener, conns *Conns, readTimeout time.Duration, log *slog.Logger,
+) *Listener {
+	return &Listener{
 		Listener: ln, conns: conns, readTimeout: readTimeout, log: log,
 		draining: make(chan struct{}), closed: make(chan struct{}),
 	}
@@ -58,7 +58,7 @@
 
 // DrainQueue has Accept take what is in the accept queue and then close the listener. Closing it at once
 // would make the kernel reset the queued connections, on which complete requests may already have arrived.
-func (l *downstreamListener) DrainQueue() {
+func (l *Listener) DrainQueue() {
 	l.drainOnce.Do(func() { close(l.draining) })
 	if d, ok := l.Listener.(deadlineSetter); !ok || d.SetDeadline(pastDeadline) != nil {
 		_ = l.Close() // nothing more can be done for a listener that can't be closed
@@ -66,14 +66,14 @@
 }
 
 // Close ends Accept at once, also during a backoff.
-func (l *downstreamListener) Close() error {
+func (l *Listener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
 
 // Accept returns the next connection, or net.ErrClosed. A connection that would exceed the hard limit on
 // descriptors is closed unread, so that the process never runs out of them.
-func (l *downstreamListener) Accept() (net.Conn, error) {
+func (l *Listener) Accept() (net.Conn, error) {
 	for !isClosed(l.closed) {
 		draining := isClosed(l.draining)
 		if draining {
@@ -87,7 +87,7 @@
 			conn.Close()
 		case err == nil:
 			l.backoff = 0
-			return &downstreamConn{Conn: conn, conns: l.conns, readTimeout: l.readTimeout}, nil
+			return &Conn{Conn: conn, conns: l.conns, readTimeout: l.readTimeout}, nil
 		case errors.Is(err, net.ErrClosed):
 			return nil, net.ErrClosed
 		case errors.Is(err, os.ErrDeadlineExceeded) && draining:
@@ -102,7 +102,7 @@
 
 // backOff counts and logs a failed accept, and waits before the next one. The beginning of draining
 // interrupts the wait, because time to accept what is queued is short then.
-func (l *downstreamListener) backOff(err error, draining bool) {
+func (l *Listener) backOff(err error, draining bool) {
 	l.conns.countFailedAccept()
 	limit, interrupt := maxAcceptBackoff, l.draining
 	if draining {
@@ -122,3 +122,13 @@
 	case <-l.closed:
 	}
 }
+
+// isClosed reports, without waiting, whether a channel that is only ever closed has been closed.
+func isClosed(c <-chan struct{}) bool {
+	select {
+	case <-c:
+		return true
+	default:
+		return false
+	}
+}
--- a/internal/node/readahead.go
+++ b/internal/downstream/readahead.go
@@ -1,4 +1,4 @@
-package node
+package downstream
 
 import "basaltdrum/internal/http1"
 
@@ -10,13 +10,13 @@
 	// readAheadStep is the smallest read-ahead buffer, in bytes; it doubles as it fills.
 	readAheadStep = 4 << 10
 
-	// ReadAheadPerConn bounds the read-ahead buffer of one connection, in bytes: the longest request allowed.
-	ReadAheadPerConn = http1.MaxHeaderBytes + http1.MaxBodyBytes
+	// readAheadPerConn bounds the read-ahead buffer of one connection, in bytes: the longest request allowed.
+	readAheadPerConn = http1.MaxHeaderBytes + http1.MaxBodyBytes
 )
 
 // reserveReadAhead reserves n bytes of the read-ahead memory of all connections, or releases them if n is
 // negative. It reports false, and reserves nothing, if the limit would be exceeded.
-func (s *downstreamConns) reserveReadAhead(n int) bool {
+func (s *Conns) reserveReadAhead(n int) bool {
 	if s.readAheadReserved.Add(int64(n)) > s.readAheadLimit.Load() && n > 0 {
 		s.readAheadReserved.Add(int64(-n))
 		return false
@@ -26,11 +26,11 @@
 
 // readAheadBuffer returns the unused part of the read-ahead buffer, which it grows when it is full. It
 // returns nil at the limit of this connection or of all connections.
-func (c *downstreamConn) readAheadBuffer() []byte {
+func (c *Conn) readAheadBuffer() []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if used := len(c.readAhead); used == cap(c.readAhead) {
-		size := min(max(readAheadStep, 2*used), ReadAheadPerConn)
+		size := min(max(readAheadStep, 2*used), readAheadPerConn)
 		if used >= size || !c.conns.reserveReadAhead(size-c.readAheadReserved) {
 			return nil
 		}
@@ -41,7 +41,7 @@
 }
 
 // appendReadAhead adds the n bytes that were read into the unused part of the buffer.
-func (c *downstreamConn) appendReadAhead(n int) {
+func (c *Conn) appendReadAhead(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.readAhead = c.readAhead[:len(c.readAhead)+n]; len(c.readAhead) == 0 {
@@ -50,7 +50,7 @@
 }
 
 // takeReadAhead moves buffered bytes into p and returns how many.
-func (c *downstreamConn) takeReadAhead(p []byte) int {
+func (c *Conn) takeReadAhead(p []byte) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := copy(p, c.readAhead)
@@ -61,7 +61,7 @@
 }
 
 // releaseReadAhead drops the buffer and its reservation. c.mu is held.
-func (c *downstreamConn) releaseReadAhead() {
+func (c *Conn) releaseReadAhead() {
 	c.conns.reserveReadAhead(-c.readAheadReserved)
 	c.readAhead, c.readAheadReserved = nil, 0
 }
--- a/internal/node/departure_test.go
+++ b/internal/node/departure_test.go
@@ -111,7 +111,7 @@
 // begins for its request or for what it pipelined, wherever the request is at that moment.
 func TestNothingBeginsForAClientThatPipelinedAndLeft(t *testing.T) {
 	for _, where := range []string{"held", "dial", "retry", "busy loop", "in flight"} {
-		for _, ahead := range []int{0, 100, 3000, 8192, 20000, 60000, 2 * ReadAheadPerConn} {
+		for _, ahead := range []int{0, 100, 3000, 8192, 20000, 60000, 2 * readAheadPerConn} {
 			for _, how := range []string{"close", "reset", "break"} {
 				for _, mayCancel := range []bool{true, false} {
 					t.Run(fmt.Sprint(where, " ", ahead, " ", how, " mayCancel=", mayCancel), func(t *testing.T) {
@@ -157,11 +157,11 @@
 	c := dial(t, d.node)
 	d.begin(t, c)
 	text := testutil.PipelinedText(d.ahead)
-	if d.ahead > ReadAheadPerConn && d.where != "busy loop" {
+	if d.ahead > readAheadPerConn && d.where != "busy loop" {
 		text = strings.Repeat("x", d.ahead) // they are answered while the client is connected: no requests, then
 	}
 	io.WriteString(c, text)
-	if d.ahead <= ReadAheadPerConn {
+	if d.ahead <= readAheadPerConn {
 		testutil.Until(t, "the bytes to be read", func() bool { return readAheadBytes(d.node) == d.ahead })
 	}
 	d.depart(t, c)
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -8,9 +8,10 @@
 // timers, the endpoint list and the figures of the traffic line. Other goroutines reach it only by posting events
 // (events.go). It never waits for I/O, and it answers a request by a send on that request's buffered channel.
 //
+// Package downstream owns the clients' connections, with their part of the descriptors.
+//
 // The following state is shared, and guarded by a mutex or atomic where it stands:
 //
-//   - downstreamConns: the clients' connections and their part of the descriptors;
 //   - upstreamPool: the connections to endpoints, and the list as far as the pool needs it;
 //   - discovery: the address that is watched;
 //   - request: whether its client has departed and whether an attempt has begun;
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -128,30 +128,6 @@
 	}
 }
 
-// A client whose connection was accepted a moment ago has its request on the way: the connection is not evicted
-// unread.
-func TestNewConnectionIsReadWhileDraining(t *testing.T) {
-	n, err := New(testConfig(testutil.CompleteList()), testutil.DiscardLog())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer n.listener.Close()
-	one, other := net.Pipe()
-	defer other.Close()
-	defer one.Close()
-	s := n.frontend.conns
-	c := &downstreamConn{Conn: one, conns: s}
-	s.limits.GracePeriods.New = testutil.Limit
-	s.ConnStateChanged(c, http.StateNew)
-	if s.EvictQuiet() != 1 || c.evicted {
-		t.Error("evicted at once")
-	}
-	s.limits.GracePeriods.New = 0
-	if s.EvictQuiet(); !c.evicted {
-		t.Error("never evicted")
-	}
-}
-
 // A draining node is not ready, still accepts and serves for a while, then closes idle connections, and answers
 // what is in flight before it ends.
 func TestGracefulShutdownAnswersAllAcceptedRequests(t *testing.T) {
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/downstream"
 	"basaltdrum/internal/endpointlist"
 )
 
@@ -17,7 +18,7 @@
 // clientDeparted reports that the client of a waiting request has closed its connection, or may have.
 type clientDeparted struct {
 	request    *request
-	how        Departure
+	how        downstream.Departure
 	at         time.Duration // clock time when it was seen
 	retryAfter time.Duration // for the answer, should the request be rejected
 }
--- a/internal/node/faultyconns_test.go
+++ b/internal/node/faultyconns_test.go
@@ -5,6 +5,7 @@
 	"os"
 	"sync/atomic"
 	"syscall"
+	"time"
 )
 
 // breakableConns are downstream connections that a test breaks while the node waits on them.
@@ -40,7 +41,7 @@
 	if c.cause != os.ErrDeadlineExceeded {
 		close(c.broken)
 	}
-	c.TCPConn.SetReadDeadline(pastDeadline)
+	c.TCPConn.SetReadDeadline(time.Now().Add(-time.Hour))
 }
 
 func (c *breakableConn) Read(p []byte) (n int, err error) {
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -8,6 +8,7 @@
 	"sync/atomic"
 	"time"
 
+	"basaltdrum/internal/downstream"
 	"basaltdrum/internal/http1"
 	"basaltdrum/internal/monotime"
 )
@@ -30,10 +31,10 @@
 	closing  atomic.Bool // each response closes its connection
 	server   *http.Server
 
-	conns *downstreamConns
+	conns *downstream.Conns
 }
 
-func newFrontend(c monotime.Clock, conns *downstreamConns, rules *atomic.Pointer[requestRules], post func(event), ready func() bool,
+func newFrontend(c monotime.Clock, conns *downstream.Conns, rules *atomic.Pointer[requestRules], post func(event), ready func() bool,
 	log *slog.Logger,
 ) *frontend {
 	f := &frontend{clock: c, post: post, ready: ready, conns: conns, rules: rules}
@@ -44,7 +45,7 @@
 		MaxHeaderBytes:               http1.MaxHeaderBytes,
 		DisableGeneralOptionsHandler: true,
 		ConnState:                    conns.ConnStateChanged,
-		ConnContext:                  NewContext,
+		ConnContext:                  downstream.NewContext,
 		ErrorLog:                     slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
 	return f
@@ -71,7 +72,7 @@
 	// A response to a request that has not been read to its end closes the connection. Otherwise net/http would
 	// wait for the rest of the body.
 	w.Header().Set("Connection", "close")
-	conn := FromContext(r.Context())
+	conn := downstream.FromContext(r.Context())
 	head, err := conn.TakeHead(r)
 	if err != nil {
 		writeInvalid(w, err)
@@ -90,7 +91,7 @@
 	w.Header().Del("Connection")
 	// If the client has left, or its departure could not be seen, no attempt may begin: its pipelined requests
 	// are rejected one after another. A client that has only shut down its sending side may read the responses.
-	if conn.AwaitCaughtUp() != Present || !f.conns.AdmitRequest(conn) {
+	if conn.AwaitCaughtUp() != downstream.Present || !f.conns.AdmitRequest(conn) {
 		f.writeResponse(w, conn, response{kind: responseRejected, retryAfter: f.rules.Load().retryAfter})
 		return
 	}
@@ -106,8 +107,8 @@
 // awaitResponse waits for the response to a request, or until its client has disconnected and nobody reads
 // one. The request is marked as departed before the loop is notified, because an attempt's connection to a
 // server may be established at that very moment, and the attempt must not begin any more.
-func (f *frontend) awaitResponse(conn *downstreamConn, c *request, interims bool) (a response, reads bool) {
-	for notified := Present; ; {
+func (f *frontend) awaitResponse(conn *downstream.Conn, c *request, interims bool) (a response, reads bool) {
+	for notified := downstream.Present; ; {
 		select {
 		case a := <-c.response:
 			return a, true
@@ -121,9 +122,9 @@
 		begun := c.markDeparted()
 		f.post(clientDeparted{request: c, how: how, at: f.clock.Now(), retryAfter: f.rules.Load().retryAfter})
 		switch {
-		case how == Disconnected:
+		case how == downstream.Disconnected:
 			return response{}, false
-		case how == HalfClosed && begun && interims:
+		case how == downstream.HalfClosed && begun && interims:
 			conn.SendInterimResponse(writeTimeout)
 		}
 	}
@@ -131,7 +132,7 @@
 
 // readRequest reads a complete request and checks what the node and the servers rely on; nothing has been
 // forwarded of a request that is invalid. The client's deadline counts from the request's first byte.
-func (f *frontend) readRequest(r *http.Request, conn *downstreamConn, head http1.RequestHead) (*request, error) {
+func (f *frontend) readRequest(r *http.Request, conn *downstream.Conn, head http1.RequestHead) (*request, error) {
 	c := &request{
 		method: r.Method, target: r.RequestURI, id: r.Header.Get("X-Request-Id"),
 		key: r.Header.Get("Idempotency-Key"), contentType: r.Header.Get("Content-Type"),
@@ -149,7 +150,7 @@
 }
 
 // readBody reads the body, which has a length or comes in chunks. Trailers are dropped.
-func (c *request) readBody(r *http.Request, conn *downstreamConn) error {
+func (c *request) readBody(r *http.Request, conn *downstream.Conn) error {
 	if r.ContentLength == 0 {
 		return nil
 	}
--- a/internal/node/halfclose_test.go
+++ b/internal/node/halfclose_test.go
@@ -8,6 +8,7 @@
 	"strings"
 	"testing"
 
+	"basaltdrum/internal/downstream"
 	"basaltdrum/internal/testutil"
 )
 
@@ -113,7 +114,7 @@
 	t.Helper()
 	testutil.Until(t, "the close to be seen", func() bool {
 		conns := n.frontend.conns.Status()
-		return len(conns) == 1 && conns[0].Departure == HalfClosed
+		return len(conns) == 1 && conns[0].Departure == downstream.HalfClosed
 	})
 }
 
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"slices"
@@ -14,10 +13,15 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/downstream"
 	"basaltdrum/internal/endpointlist"
+	"basaltdrum/internal/http1"
 	"basaltdrum/internal/testutil"
 )
 
+// readAheadPerConn is how many bytes a client may pipeline behind an open request.
+const readAheadPerConn = http1.MaxHeaderBytes + http1.MaxBodyBytes
+
 // testConfig is a deployment with a class of each effect and long limits.
 func testConfig(known string) Config {
 	class := func(name string, e balancer.Effect) balancer.Class {
@@ -101,11 +105,6 @@
 	testutil.Until(t, "the new settings", func() bool { return n.loop.rules.Load().revision == revision })
 }
 
-func readsAll(r io.Reader, p []byte) bool {
-	_, err := io.ReadFull(r, p)
-	return err == nil
-}
-
 // watchStalls adds up, until the test ends, how late timers of the test's process are, where that is more than
 // usual. Time that the machine takes from the process is no fault of the node.
 func watchStalls(t *testing.T, usual time.Duration) (sum func() time.Duration) {
@@ -142,24 +141,6 @@
 	return parsedList(t, fmt.Sprintf(`{"rev":9,"all":%v,"targets":[%s]}`, complete, strings.Join(entries, ",")))
 }
 
-// testLimits are limits on downstream connections, with a number of descriptors beside ten for rejections.
-func testLimits(descriptors int) Limits {
-	return Limits{
-		Descriptors: descriptors, UpstreamReserve: descriptors / 4, RejectReserve: 10, ReadAhead: 1 << 20,
-		GracePeriods: DefaultGracePeriods(),
-	}
-}
-
-// downstreamPair returns a downstream connection as the node's listener hands it to net/http, and its client's
-// end.
-func downstreamPair(t *testing.T, conns *downstreamConns, readTimeout time.Duration) (ours *downstreamConn, theirs net.Conn) {
-	t.Helper()
-	theirs, accepted := testutil.ConnPairBy(t, func(ln net.Listener) net.Listener {
-		return newDownstreamListener(ln, conns, readTimeout, testutil.DiscardLog())
-	})
-	return accepted.(*downstreamConn), theirs
-}
-
 // readAheadBytes is how many bytes are buffered of clients whose requests have no response yet.
 func readAheadBytes(n *Node) (sum int) {
 	for _, conn := range n.frontend.conns.Status() {
@@ -172,7 +153,7 @@
 func untilIdle(t *testing.T, n *Node) {
 	t.Helper()
 	testutil.Until(t, "a connection to be idle", func() bool {
-		return n.frontend.connsByPhase()[PhaseIdle] > 0
+		return n.frontend.connsByPhase()[downstream.PhaseIdle] > 0
 	})
 }
 
@@ -180,7 +161,7 @@
 func untilActive(t *testing.T, n *Node, many int) {
 	t.Helper()
 	testutil.Until(t, "the requests to be with the module", func() bool {
-		return n.frontend.connsByPhase()[PhaseActive] == many
+		return n.frontend.connsByPhase()[downstream.PhaseActive] == many
 	})
 }
 
--- a/internal/node/listener_test.go
+++ b/internal/node/listener_test.go
@@ -1,35 +1,18 @@
 package node
 
 import (
-	"bytes"
 	"errors"
 	"fmt"
-	"log/slog"
 	"net"
 	"net/http"
-	"os"
 	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
 
-	"basaltdrum/internal/monotime"
 	"basaltdrum/internal/testutil"
 )
 
-// failingListener fails accepts as the system would, for as long as fail returns an error.
-type failingListener struct {
-	*net.TCPListener
-	fail func() error
-}
-
-func (l failingListener) Accept() (net.Conn, error) {
-	if err := l.fail(); err != nil {
-		return nil, &net.OpError{Op: "accept", Net: "tcp", Addr: l.Addr(), Err: os.NewSyscallError("accept4", err)}
-	}
-	return l.TCPListener.Accept()
-}
-
 // acceptErrors are errors that accept may return though its listener is sound, and an unknown one.
 var acceptErrors = []error{
 	syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.ENETUNREACH, syscall.EHOSTUNREACH,
@@ -45,7 +28,7 @@
 			s := testutil.NewServer(t, testutil.Echo)
 			n, stop := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) {
 				n.drainSchedule, n.drainLimit = drainSchedule{closeConns: time.Millisecond, answerAll: testutil.Limit}, 2*testutil.Limit
-				n.listener = failingListener{n.listener.(*net.TCPListener), testutil.FailTimes(cause, 3)}
+				n.listener = testutil.FailingListener{TCPListener: n.listener.(*net.TCPListener), Fail: testutil.FailTimes(cause, 3)}
 			})
 			c := dial(t, n)
 			c.Get("r")
@@ -68,7 +51,7 @@
 			fail := testutil.FailTimes(cause, 3)
 			n, stop := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) {
 				n.drainSchedule, n.drainLimit = drainSchedule{closeConns: time.Millisecond, answerAll: testutil.Limit}, 2*testutil.Limit
-				n.listener = failingListener{n.listener.(*net.TCPListener), func() error {
+				n.listener = testutil.FailingListener{TCPListener: n.listener.(*net.TCPListener), Fail: func() error {
 					if !n.frontend.draining.Load() {
 						return nil
 					}
@@ -117,7 +100,7 @@
 			failed := make(chan struct{}, 1)
 			n, stop := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) {
 				n.drainSchedule, n.drainLimit = drainSchedule{closeConns: time.Millisecond, answerAll: 100 * time.Millisecond}, 2*testutil.Limit
-				n.listener = failingListener{n.listener.(*net.TCPListener), func() error {
+				n.listener = testutil.FailingListener{TCPListener: n.listener.(*net.TCPListener), Fail: func() error {
 					if !failing.Load() {
 						return nil
 					}
@@ -145,38 +128,3 @@
 		})
 	}
 }
-
-// Failed accepts are counted for the traffic line, and logged at a bounded rate.
-func TestFailedAcceptsAreCountedAndLoggedAtABoundedRate(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	s := newDownstreamConns(monotime.New(), testLimits(10), func() int { return 0 })
-	var log bytes.Buffer
-	l := newDownstreamListener(failingListener{ln.(*net.TCPListener), testutil.FailTimes(syscall.ENOBUFS, 6)}, s, 0,
-		slog.New(slog.NewTextHandler(&log, nil)))
-	defer l.Close()
-	theirs, err := net.Dial("tcp", ln.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer theirs.Close()
-	begin := time.Now()
-	c, err := l.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	c.Close()
-	most := 1 + int(time.Since(begin)/acceptLogInterval)
-	if lines := bytes.Count(log.Bytes(), []byte("\n")); lines < 1 || lines > most {
-		t.Errorf("%d lines, want 1 to %d:\n%s", lines, most, log.String())
-	}
-	if counts, _ := s.TakeCounts(); counts.AcceptFailed != 6 {
-		t.Errorf("%d failures counted, want 6", counts.AcceptFailed)
-	}
-	l.Close()
-	if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("after the close: %v", err)
-	}
-}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/downstream"
 	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/monotime"
 )
@@ -137,7 +138,7 @@
 func (l *loop) answerAll() {
 	l.decide(l.clock.Now(), balancer.Shutdown{})
 	for _, state := range l.pending {
-		if state.departed != Present && !state.answered {
+		if state.departed != downstream.Present && !state.answered {
 			l.respondToDeparted(state)
 		}
 	}
@@ -163,7 +164,7 @@
 		ID: a.request.id, Attempt: a.number, Endpoint: a.instance.UID, Result: outcome.result,
 		Latency: outcome.endedAt - a.sentAt, Answered: state.answered, HeldUp: a.heldUp,
 	})
-	if state.departed != Present {
+	if state.departed != downstream.Present {
 		l.respondUnlessBegun(state)
 	}
 	l.forget(state)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/downstream"
 	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/monotime"
 )
@@ -61,7 +62,7 @@
 		loop: l, upstream: newUpstreamPool(cfg, clock, (cfg.Sockets-reservedDescriptors)/2), listsPushed: !set.PollDiscovery, log: log,
 		cfg: cfg, revision: 1, drainSchedule: drainScheduleOf(cfg), drainLimit: drainLimit(cfg),
 	}
-	conns := newDownstreamConns(clock, downstreamLimits(cfg), n.upstream.connections)
+	conns := downstream.NewConns(clock, downstreamLimits(cfg), n.upstream.connections)
 	n.upstream.descriptorAllowance = conns.UpstreamAllowance
 	n.frontend = newFrontend(clock, conns, &l.rules, l.post, l.ready.Load, log)
 	l.connectionStats = n.connectionStats
@@ -75,11 +76,11 @@
 }
 
 // downstreamLimits are the limits on downstream connections that follow from a configuration.
-func downstreamLimits(cfg Config) Limits {
+func downstreamLimits(cfg Config) downstream.Limits {
 	descriptors := cfg.Sockets - reservedDescriptors
-	return Limits{
+	return downstream.Limits{
 		Descriptors: descriptors, UpstreamReserve: descriptors / 4, RejectReserve: reservedDescriptors / 2,
-		ReadAhead: int64(cfg.MemoryMB) << 20 / readAheadMemoryShare, GracePeriods: DefaultGracePeriods(),
+		ReadAhead: int64(cfg.MemoryMB) << 20 / readAheadMemoryShare, GracePeriods: downstream.DefaultGracePeriods(),
 	}
 }
 
@@ -130,7 +131,7 @@
 	defer stop()
 	var serveErr error
 	served := make(chan struct{})
-	ln := newDownstreamListener(n.listener, n.frontend.conns, n.frontend.server.ReadTimeout, n.log)
+	ln := downstream.NewListener(n.listener, n.frontend.conns, n.frontend.server.ReadTimeout, n.log)
 	go func() {
 		defer close(served)
 		serveErr = n.frontend.server.Serve(ln)
--- a/internal/node/readahead_test.go
+++ b/internal/node/readahead_test.go
@@ -41,10 +41,10 @@
 // rejected unless an attempt may have run, and so is in turn what it pipelined, until it can be watched again.
 func TestClientBeyondTheReadAheadLimitIsAnsweredAtOnce(t *testing.T) {
 	for _, c := range []readAheadCase{
-		{"held, beyond its own bound", false, 16 * ReadAheadPerConn, 503},
-		{"in flight, beyond its own bound", true, 16 * ReadAheadPerConn, 502},
-		{"held, beyond the bound of all", false, 3 * readAheadStep, 503},
-		{"in flight, beyond the bound of all", true, 3 * readAheadStep, 502},
+		{"held, beyond its own bound", false, 16 * readAheadPerConn, 503},
+		{"in flight, beyond its own bound", true, 16 * readAheadPerConn, 502},
+		{"held, beyond the bound of all", false, 12 << 10, 503},
+		{"in flight, beyond the bound of all", true, 12 << 10, 502},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -79,7 +79,7 @@
 	} else {
 		untilActive(t, n, 1)
 	}
-	const more = 2 * ReadAheadPerConn / 80
+	const more = 2 * readAheadPerConn / 80
 	go func() {
 		for i := range more {
 			many.Get(fmt.Sprint("next-", i))
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/downstream"
 )
 
 // request is a client's request. The front end's goroutine makes it and waits for its response; the loop and
@@ -97,9 +98,9 @@
 	attempts   []*attempt // all that were started, by their number
 	inFlight   int        // attempts that have not ended
 	answered   bool
-	departed   Departure     // anything but present: the module was notified that the client is gone
-	retryAfter time.Duration // for the answer, should the request be rejected after its client has departed
-	mayHaveRun bool          // an attempt that has ended may have been executed by its endpoint
+	departed   downstream.Departure // anything but present: the module was notified that the client is gone
+	retryAfter time.Duration        // for the answer, should the request be rejected after its client has departed
+	mayHaveRun bool                 // an attempt that has ended may have been executed by its endpoint
 }
 
 // handleDeparture stops retries for a client that has closed its connection, or may have; the module is notified
@@ -111,13 +112,13 @@
 	if state == nil || state.request != e.request || state.answered {
 		return
 	}
-	first := state.departed == Present
+	first := state.departed == downstream.Present
 	state.departed, state.retryAfter = e.how, e.retryAfter
 	if first {
 		l.traffic.Departed++
 		l.decide(e.at, balancer.ClientGone{ID: e.request.id})
 	}
-	if e.how == Disconnected {
+	if e.how == downstream.Disconnected {
 		state.answered = true // no client is left to read an answer
 		l.cancelOutliving(state)
 		l.forget(state)
@@ -133,7 +134,7 @@
 		return
 	}
 	for _, a := range state.attempts {
-		if state.departed == HalfClosed && !a.ended && a.hasBegun() {
+		if state.departed == downstream.HalfClosed && !a.ended && a.hasBegun() {
 			return
 		}
 	}
@@ -157,7 +158,7 @@
 // cancel cancels an attempt, unless its client may still read what the attempt brings: then it goes on until the
 // request is answered.
 func (l *loop) cancel(state *requestState, a *attempt) {
-	a.outlivesHalfClose = state.departed == HalfClosed && a.hasBegun()
+	a.outlivesHalfClose = state.departed == downstream.HalfClosed && a.hasBegun()
 	if !a.outlivesHalfClose {
 		a.cancel()
 	}
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -5,12 +5,14 @@
 	"net/http"
 	"strconv"
 	"time"
+
+	"basaltdrum/internal/downstream"
 )
 
 // writeResponse writes the final response of a request. It closes the connection with the response while
 // there are too many connections or the node shuts down, but not if a pipelined request was read on it, which
 // would then get no response.
-func (f *frontend) writeResponse(w http.ResponseWriter, conn *downstreamConn, a response) {
+func (f *frontend) writeResponse(w http.ResponseWriter, conn *downstream.Conn, a response) {
 	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	h := w.Header()
 	if (f.conns.OverLimit() || f.closing.Load()) && !conn.EndWatch() {
@@ -47,7 +49,7 @@
 
 // writeInvalidRequest answers a request that is invalid and closes its connection, unless its body is sound and
 // pipelined requests were read behind it, which would then get no response.
-func writeInvalidRequest(w http.ResponseWriter, conn *downstreamConn, err error) {
+func writeInvalidRequest(w http.ResponseWriter, conn *downstream.Conn, err error) {
 	var invalid *requestError
 	sound := errors.As(err, &invalid) && !invalid.ofBody
 	if sound && conn.PipelinedBehindBody() {
--- a/internal/node/responsedeadline_test.go
+++ b/internal/node/responsedeadline_test.go
@@ -12,6 +12,7 @@
 	"testing"
 	"time"
 
+	"basaltdrum/internal/downstream"
 	"basaltdrum/internal/testutil"
 )
 
@@ -129,8 +130,8 @@
 			return true
 		default:
 		}
-		return slices.ContainsFunc(n.frontend.conns.Status(), func(conn ConnStatus) bool {
-			return conn.RemoteAddr.String() == c.LocalAddr().String() && conn.Phase == PhaseActive
+		return slices.ContainsFunc(n.frontend.conns.Status(), func(conn downstream.ConnStatus) bool {
+			return conn.RemoteAddr.String() == c.LocalAddr().String() && conn.Phase == downstream.PhaseActive
 		})
 	})
 }
--- a/internal/testutil/faults.go
+++ b/internal/testutil/faults.go
@@ -22,3 +22,17 @@
 func DialError(call string, err error) error {
 	return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError(call, err)}
 }
+
+// FailingListener fails accepts as the system would, for as long as Fail returns an error.
+type FailingListener struct {
+	*net.TCPListener
+	Fail func() error
+}
+
+// Accept fails, or accepts the next connection.
+func (l FailingListener) Accept() (net.Conn, error) {
+	if err := l.Fail(); err != nil {
+		return nil, &net.OpError{Op: "accept", Net: "tcp", Addr: l.Addr(), Err: os.NewSyscallError("accept4", err)}
+	}
+	return l.TCPListener.Accept()
+}
