--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -11,7 +11,6 @@
 	"time"
 
 	"basaltdrum/internal/http1"
-	"basaltdrum/internal/socketpeek"
 )
 
 // Conn is a connection from a client. It sits between net/http and the socket, and adds four
@@ -209,30 +208,3 @@
 	}
 	return errors.ErrUnsupported
 }
-
-// evictIfQuiet ends the wait for a request, unless one has begun, including one that has arrived and not been
-// read: closing over unread bytes resets the connection, and a client retries such a request only once. It
-// reports whether the connection is being evicted.
-func (c *Conn) evictIfQuiet() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if !c.requestBegun && !socketpeek.HasUnreadOrClosed(c.Conn) {
-		c.readEnded = true
-		c.Conn.SetReadDeadline(pastDeadline)
-	}
-	return c.readEnded
-}
-
-// abortRead ends the wait for the rest of a request, and reports whether it did. It does not if the request
-// is complete, when a deadline in the past would end the departure watch instead, or if bytes have arrived
-// that nobody has read, which may be the rest.
-func (c *Conn) abortRead() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.requestComplete || socketpeek.HasUnreadOrClosed(c.Conn) {
-		return false
-	}
-	c.readEnded, c.readAborted = true, true
-	c.Conn.SetReadDeadline(pastDeadline)
-	return true
-}
