--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -25,6 +25,53 @@
 	}
 }
 
+// evictionRank is the order in which connections are evicted: the least useful first.
+type evictionRank int
+
+const (
+	notEvictable       evictionRank = iota // a request is open
+	rankLingering                          // the last response is written
+	rankPartialRequest                     // a part of a request has come, and the rest has not
+	rankNew                                // nothing has come yet
+	rankIdle                               // all that came is answered
+)
+
+// evictionRank is the rank of a connection, whatever its age. conns.mu is held.
+func (c *Conn) evictionRank() evictionRank {
+	switch {
+	case c.phase == PhaseLingering:
+		return rankLingering
+	case c.phase == PhaseActive:
+		return notEvictable
+	case c.phase == PhaseReading || c.hasRequestBytes():
+		return rankPartialRequest
+	case c.phase == PhaseNew:
+		return rankNew
+	default:
+		return rankIdle
+	}
+}
+
+// of returns how long a connection of a rank is exempt from eviction.
+func (g GracePeriods) of(rank evictionRank) time.Duration {
+	switch rank {
+	case rankLingering:
+		return g.Lingering
+	case rankPartialRequest:
+		return g.PartialRequest
+	case rankNew:
+		return g.New
+	default:
+		return g.Idle
+	}
+}
+
+// evictable is a connection whose grace period is over.
+type evictable struct {
+	conn *Conn
+	rank evictionRank
+}
+
 // evictExcess evicts connections without an open request while there are too many: by rank, and among equals
 // the one that has been in its phase for longest. Connections within their grace period are exempt, because a
 // client retries a request that crosses a close only once. (While there are too many, each response closes
@@ -33,41 +80,33 @@
 	if s.excess() <= 0 {
 		return
 	}
-	now := s.clock.Now()
-	var evictable []*Conn
-	for c := range s.conns {
-		if !c.evicted && s.evictionRank(c, now) > 0 {
-			evictable = append(evictable, c)
-		}
-	}
-	slices.SortFunc(evictable, func(a, b *Conn) int {
-		return cmp.Or(cmp.Compare(s.evictionRank(a, now), s.evictionRank(b, now)), cmp.Compare(a.since, b.since))
-	})
-	for _, c := range evictable {
-		if s.evict(c); s.excess() <= 0 {
+	for _, candidate := range s.evictableConns() {
+		if s.evict(candidate.conn); s.excess() <= 0 {
 			return
 		}
 	}
 }
 
-// evictionRank is the order of eviction: 1 is evicted first, and 0 not at all. s.mu is held.
-func (s *Conns) evictionRank(c *Conn, now time.Duration) int {
-	age := now - c.since
+// evictableConns returns the connections that may be evicted, in the order of eviction. s.mu is held.
+func (s *Conns) evictableConns() []evictable {
+	now, pressure := s.clock.Now(), time.Duration(1)
 	if s.excess() > s.limits.RejectReserve/2 {
-		age *= pressureDivisor
+		pressure = pressureDivisor
 	}
-	partial := c.phase == PhaseReading || c.phase != PhaseActive && c.hasRequestBytes()
-	switch {
-	case c.phase == PhaseLingering && age >= s.limits.GracePeriods.Lingering:
-		return 1
-	case partial && age >= s.limits.GracePeriods.PartialRequest:
-		return 2
-	case c.phase == PhaseNew && !partial && age >= s.limits.GracePeriods.New:
-		return 3
-	case c.phase == PhaseIdle && !partial && age >= s.limits.GracePeriods.Idle:
-		return 4
+	var found []evictable
+	for c := range s.conns {
+		if c.evicted {
+			continue
+		}
+		rank := c.evictionRank()
+		if rank != notEvictable && (now-c.since)*pressure >= s.limits.GracePeriods.of(rank) {
+			found = append(found, evictable{c, rank})
+		}
 	}
-	return 0
+	slices.SortFunc(found, func(a, b evictable) int {
+		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.conn.since, b.conn.since))
+	})
+	return found
 }
 
 // evict begins to evict a connection, unless a request has begun or arrived on it meanwhile, and counts it as
--- a/internal/downstream/eviction_test.go
+++ b/internal/downstream/eviction_test.go
@@ -127,3 +127,36 @@
 		t.Error("never evicted")
 	}
 }
+
+// What is least useful is evicted first, and an open request never; each kind has its own grace period.
+func TestEvictionRankAndGracePeriod(t *testing.T) {
+	const begun, nothing = true, false
+	grace := GracePeriods{Lingering: 1, PartialRequest: 2, New: 3, Idle: 4}
+	for _, row := range []struct {
+		name         string
+		phase        Phase
+		requestBegun bool
+		rank         evictionRank
+		grace        time.Duration
+	}{
+		{"last response written", PhaseLingering, nothing, rankLingering, 1},
+		{"last response written, more has come", PhaseLingering, begun, rankLingering, 1},
+		{"head read", PhaseReading, begun, rankPartialRequest, 2},
+		{"connected, first bytes read", PhaseNew, begun, rankPartialRequest, 2},
+		{"answered, first bytes of the next request read", PhaseIdle, begun, rankPartialRequest, 2},
+		{"connected", PhaseNew, nothing, rankNew, 3},
+		{"answered", PhaseIdle, nothing, rankIdle, 4},
+		{"waits for its response", PhaseActive, begun, notEvictable, 0},
+	} {
+		t.Run(row.name, func(t *testing.T) {
+			c := &Conn{requestBegun: row.requestBegun, connActivity: connActivity{phase: row.phase}}
+			rank := c.evictionRank()
+			if rank != row.rank {
+				t.Fatalf("rank %d, want %d", rank, row.rank)
+			}
+			if got := grace.of(rank); rank != notEvictable && got != row.grace {
+				t.Errorf("a grace period of %d, want %d", got, row.grace)
+			}
+		})
+	}
+}
