--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -33,7 +33,7 @@
 		for len(l.open) > 0 && l.sentAt[0]+latency <= l.now {
 			first := l.open[0]
 			l.open, l.sentAt = l.open[1:], l.sentAt[1:]
-			l.record(endAttempt(l.b, l.now, first.ID, first, Success))
+			l.record(succeed(l.b, l.now, first.ID, first))
 		}
 	}
 }
@@ -142,7 +142,7 @@
 	b.Handle(msec, Request{ID: "new", Class: "get", Deadline: time.Second})
 	b.Handle(2*msec, Request{ID: "repeat", Class: "get", Deadline: time.Second, Retry: true})
 	b.classes.byName["get"].admission.LateValue = 0.5
-	next := sends(endAttempt(b, 10*msec, "a", first[0], Success))
+	next := sends(succeed(b, 10*msec, "a", first[0]))
 	if len(next) == 0 || next[0].ID != "new" {
 		t.Errorf("after an answer %v was sent", next)
 	}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,5 +1,6 @@
-// Package balancer decides where a load balancer sends each request, when it retries and when it gives up.
-// It does no I/O: the host feeds events to a Balancer and carries out the actions that it returns.
+// Package balancer decides where a load balancer sends each request, when it retries and when it answers
+// without one. It does no I/O: the host feeds events to a Balancer and carries out the actions that it
+// returns.
 //
 // A Balancer belongs to one goroutine. Its only clock is the time given to Handle, which must never go back,
 // and its only randomness is the seed given to New, so the same events always give the same actions.
--- a/balancer/endpoints_bench_test.go
+++ b/balancer/endpoints_bench_test.go
@@ -39,10 +39,10 @@
 
 // replaceServer notifies the node that a server was removed and that another has joined: two changes of one
 // entry.
-func replaceServer(b *balancer.Balancer, now time.Duration, old, new balancer.Endpoint) {
-	old.State = balancer.Removed
-	b.Handle(now, balancer.EndpointUpdate{Endpoints: []balancer.Endpoint{old}})
-	b.Handle(now, balancer.EndpointUpdate{Endpoints: []balancer.Endpoint{new}})
+func replaceServer(b *balancer.Balancer, now time.Duration, left, joined balancer.Endpoint) {
+	left.State = balancer.Removed
+	b.Handle(now, balancer.EndpointUpdate{Endpoints: []balancer.Endpoint{left}})
+	b.Handle(now, balancer.EndpointUpdate{Endpoints: []balancer.Endpoint{joined}})
 }
 
 // serveRequest plays a request, and its response a tenth of a second later.
--- a/balancer/endpointselector.go
+++ b/balancer/endpointselector.go
@@ -84,13 +84,9 @@
 func (s *endpointSelector) observe(now time.Duration, a *attempt, result AttemptResult) {
 	ep, c := a.endpoint, a.request.class
 	latency := max(1, float64(now-a.sent)) // a coarse clock may show none, which has no logarithm
+	s.observeRate(now, a, result)
 	slow := c.latency.IsSlow(latency)
 	switch result {
-	case Success, ServerError, TimedOut:
-		ep.Health.ObserveRate(c.rates, result != Success, now, c.latency.Mean())
-	default: // shows nothing of the success rate
-	}
-	switch result {
 	case Success:
 		slow = c.latency.Observe(latency) && slow
 		s.observeSuccess(now, ep)
@@ -115,6 +111,16 @@
 	s.outliers.ObserveSuccess(&ep.Health)
 }
 
+// observeRate records a result that shows the success rate of the endpoint and of the class.
+func (s *endpointSelector) observeRate(now time.Duration, a *attempt, result AttemptResult) {
+	c := a.request.class
+	switch result {
+	case Success, ServerError, TimedOut:
+		a.endpoint.Health.ObserveRate(c.rates, result != Success, now, c.latency.Mean())
+	default: // shows nothing of it
+	}
+}
+
 // observeSuccess records what any good answer shows.
 func (s *endpointSelector) observeSuccess(now time.Duration, ep *endpoints.Endpoint) {
 	s.responses.ObserveSuccess(&ep.Attempts, now)
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -61,9 +61,9 @@
 	return l
 }
 
-// endAttempt ends the only attempt of a request.
-func endAttempt(b *Balancer, now time.Duration, id string, s Send, e AttemptResult) []Action {
-	return b.Handle(now, AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: e, Answered: e == Success})
+// succeed ends the only attempt of a request with its answer.
+func succeed(b *Balancer, now time.Duration, id string, s Send) []Action {
+	return b.Handle(now, AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: Success, Answered: true})
 }
 
 // sendTraffic sends n requests one after another; fate decides how attempts at a server end. It returns how
@@ -76,7 +76,7 @@
 			if i >= n/2 {
 				got[s.Endpoint]++
 			}
-			for k := 0; k < 5; k++ {
+			for k := range 5 {
 				e := fate(s.Endpoint)
 				now += 10 * msec
 				again := sends(b.Handle(now, AttemptEnded{ID: id, Attempt: k, Endpoint: s.Endpoint, Result: e, Answered: e == Success}))
--- a/balancer/internal/endpoints/subset_test.go
+++ b/balancer/internal/endpoints/subset_test.go
@@ -11,8 +11,8 @@
 	entries := testEntries(7)
 	complete, changed := NewList(), NewList()
 	complete.Replace(entries)
-	for i := len(entries) - 1; i >= 0; i-- {
-		changed.Change(entries[i : i+1])
+	for _, entry := range slices.Backward(entries) {
+		changed.Change([]Entry{entry})
 	}
 	if got, want := endpointIDs(changed.ready.all), endpointIDs(complete.ready.all); !slices.Equal(got, want) {
 		t.Errorf("by changes %v, by a complete list %v", got, want)
--- a/balancer/internal/slowstart/slowstart.go
+++ b/balancer/internal/slowstart/slowstart.go
@@ -98,8 +98,8 @@
 
 // AdmitsWork says whether a request may be sent to an endpoint that has a share of its capacity. Where the
 // work is hinted, the endpoint's share is made of the lighter requests: a heavy one takes such an endpoint
-// many times as long and is late, so that the most expensive answers are lost, while a light one has time to
-// spare. Without hints (0) a random draw thins the requests to the share.
+// many times as long and is late, so that the most expensive answers are lost, while a light one is
+// answered in time. Without hints (0) a random draw thins the requests to the share.
 func (l *Limiter) AdmitsWork(share, work float64, rng *rand.Rand) bool {
 	if work > 0 {
 		return work <= lightWorkRatio*share*l.work.mean
--- a/balancer/outagesim_test.go
+++ b/balancer/outagesim_test.go
@@ -11,7 +11,7 @@
 )
 
 // outage is a fleet of first-tier nodes in simulated time. Some of its servers become slow, a part of them is
-// replaced by cold ones, and then most nodes are killed together and come back without state, while the
+// replaced by warming ones, and then most nodes are killed together and come back without state, while the
 // servers still work on what was sent before.
 type outage struct {
 	nodes, servers int
@@ -61,7 +61,7 @@
 // The course of an outage.
 const (
 	faultFrom   = 8 * time.Second  // some servers are slow, and so are the tiers below
-	replaceAt   = 10500 * msec     // some servers are replaced by cold ones
+	replaceAt   = 10500 * msec     // some servers are replaced by warming ones
 	killAt      = 12 * time.Second // most nodes are killed
 	backAt      = 13500 * msec     // and are back
 	faultTo     = 15 * time.Second // servers and the tiers below are as before
@@ -246,7 +246,7 @@
 func (r *outageRun) planCompletion(s *outageServer) {
 	s.version++
 	version := s.version
-	if at, any := s.model.NextCompletion(); any {
+	if at, found := s.model.NextCompletion(); found {
 		r.in(at-r.now, func() {
 			if s.version == version {
 				r.finish(s)
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -50,7 +50,7 @@
 			if s.Endpoint == "s03" {
 				stuck++
 			} else {
-				endAttempt(b, now+10*msec, id, s, Success)
+				succeed(b, now+10*msec, id, s)
 			}
 		}
 	}
@@ -174,7 +174,7 @@
 			}
 			now := b.now
 			s := sends(b.Handle(now, Request{ID: "slow", Class: "get", Deadline: now + time.Second}))[0]
-			endAttempt(b, now+400*msec, "slow", s, Success)
+			succeed(b, now+400*msec, "slow", s)
 			if out := knownEndpoint(t, b, s.Endpoint).Health.IsEjected(b.now); out != c.want {
 				t.Errorf("with %d other bad results: ejected %v, want %v", c.otherBadResults, out, c.want)
 			}
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -10,49 +10,51 @@
 	"basaltdrum/balancer/internal/latency"
 )
 
-// The pick draws a candidate from each group and takes the one with fewer calls in flight; a tie goes to the
-// first group, and with no calls at all by the groups' sizes.
-func TestPickComparesTwoCandidatesByCalls(t *testing.T) {
-	mk := func(calls ...int) []*endpoints.Endpoint {
-		var l []*endpoints.Endpoint
-		for i, c := range calls {
-			ep := &endpoints.Endpoint{Entry: Endpoint{ID: fmt.Sprint(i, c)}}
-			for range c {
-				ep.Attempts.Begin(0, nil)
-			}
-			l = append(l, ep)
+// endpointsWith returns a group of endpoints with so many attempts in flight each.
+func endpointsWith(inFlight ...int) (group []*endpoints.Endpoint) {
+	for i, attempts := range inFlight {
+		ep := &endpoints.Endpoint{Entry: Endpoint{ID: fmt.Sprint(i)}}
+		for range attempts {
+			ep.Attempts.Begin(0, nil)
 		}
-		return l
+		group = append(group, ep)
 	}
+	return group
+}
+
+// pickShares picks often from two groups, and returns the share of each endpoint.
+func pickShares(b *Balancer, left, right []*endpoints.Endpoint) map[*endpoints.Endpoint]float64 {
+	const picks = 20000
+	shares := map[*endpoints.Endpoint]float64{}
+	for range picks {
+		shares[b.endpoints.pick(left, right)] += 1.0 / picks
+	}
+	return shares
+}
+
+// The pick draws a candidate from each group and takes the one with fewer attempts in flight; a tie goes to
+// the first group, and with no attempt at all by the groups' sizes.
+func TestPickComparesTwoCandidatesByAttempts(t *testing.T) {
 	b := newBalancer(t, nil)
-	const n = 20000
-	shareLeft := func(left, right []*endpoints.Endpoint) float64 {
-		got := 0
-		for range n {
-			s := b.endpoints.pick(left, right)
-			for _, l := range left {
-				if s == l {
-					got++
-				}
-			}
-		}
-		return float64(got) / n
-	}
 	for _, c := range []struct {
 		name        string
 		left, right []*endpoints.Endpoint
-		want        float64
+		want        float64 // share of the left group
 	}{
-		{"fewer left", mk(1), mk(2), 1},
-		{"fewer right", mk(2), mk(1), 0},
-		{"zero beats one", mk(1), mk(0), 0},
-		{"nonzero tie goes left", mk(3), mk(3), 1},
-		{"zero tie by shares", mk(0, 0, 0), mk(0), 0.75},
-		{"left empty", nil, mk(1), 0},
-		{"right empty", mk(5), nil, 1},
+		{"fewer left", endpointsWith(1), endpointsWith(2), 1},
+		{"fewer right", endpointsWith(2), endpointsWith(1), 0},
+		{"zero beats one", endpointsWith(1), endpointsWith(0), 0},
+		{"nonzero tie goes left", endpointsWith(3), endpointsWith(3), 1},
+		{"zero tie by shares", endpointsWith(0, 0, 0), endpointsWith(0), 0.75},
+		{"left empty", nil, endpointsWith(1), 0},
+		{"right empty", endpointsWith(5), nil, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := shareLeft(c.left, c.right); math.Abs(got-c.want) > 0.02 {
+			got, shares := 0.0, pickShares(b, c.left, c.right)
+			for _, ep := range c.left {
+				got += shares[ep]
+			}
+			if math.Abs(got-c.want) > 0.02 {
 				t.Errorf("%s: left share %.3f, want %.2f", c.name, got, c.want)
 			}
 		})
@@ -60,13 +62,15 @@
 	if b.endpoints.pick(nil, nil) != nil {
 		t.Error("picked from nothing")
 	}
-	left, count := mk(0, 0, 0, 0), map[*endpoints.Endpoint]int{}
-	for range n {
-		count[b.endpoints.pick(left, nil)]++
-	}
-	for _, s := range left {
-		if got := float64(count[s]) / n; math.Abs(got-0.25) > 0.02 {
-			t.Errorf("uniform draw gave a server %.3f", got)
+}
+
+// Endpoints that nothing distinguishes are picked equally often.
+func TestPickIsUniformAmongEqualEndpoints(t *testing.T) {
+	left := endpointsWith(0, 0, 0, 0)
+	shares := pickShares(newBalancer(t, nil), left, nil)
+	for _, ep := range left {
+		if math.Abs(shares[ep]-0.25) > 0.02 {
+			t.Errorf("uniform draw gave endpoint %s %.3f", ep.ID, shares[ep])
 		}
 	}
 }
@@ -134,7 +138,7 @@
 		if len(got) != 1 {
 			t.Fatalf("request %d: sent %v", i, got)
 		}
-		endAttempt(b, msec, id, got[0], Success)
+		succeed(b, msec, id, got[0])
 	}
 }
 
@@ -143,7 +147,7 @@
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(8)})
 	s := sends(b.Handle(msec, Request{ID: "a", Class: "get", Deadline: time.Second}))[0]
-	endAttempt(b, 3*msec, "a", s, Success)
+	succeed(b, 3*msec, "a", s)
 	if got := math.Log(knownEndpoint(t, b, s.Endpoint).Latency.Speed()); got > 0.1 {
 		t.Errorf("the first answer made its server look fast by %.1f in log speed", got)
 	}
@@ -166,7 +170,7 @@
 					hung++
 					continue
 				}
-				endAttempt(b, now+20*msec, id, s, Success)
+				succeed(b, now+20*msec, id, s)
 			}
 		}
 	}
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -209,7 +209,7 @@
 		b.admission.ObserveShed()
 	}
 	if req.harmlessToRetry() {
-		// A client that is told to wait long comes back when its latency objective is mostly used up, and its
+		// A client that waits long comes back when its latency objective is mostly used up, and its
 		// late answer takes capacity from one in time; the concurrency limit, not the clients' absence, holds
 		// the load off.
 		b.emit(Reject{ID: req.id, RetryAfter: min(b.settings.MaxRetryAfter, b.settings.Tick)})
@@ -226,7 +226,7 @@
 	}
 }
 
-// abandon ends a request whose client is gone.
+// abandon ends a request whose client has left.
 func (b *Balancer) abandon(e ClientGone) {
 	if req := b.requests[e.ID]; req != nil {
 		b.finish(req)
--- a/balancer/rulechecker_test.go
+++ b/balancer/rulechecker_test.go
@@ -28,35 +28,15 @@
 	c.broken = append(c.broken, fmt.Sprintf(format, args...))
 }
 
+// event follows an event that is given to the Balancer.
 func (c *ruleChecker) event(now time.Duration, e Event) {
 	switch e := e.(type) {
 	case EndpointUpdate:
-		if e.Complete {
-			for id := range c.state {
-				c.state[id] = Removed
-			}
-		}
-		for _, s := range e.Endpoints {
-			c.state[s.ID], c.cells[s.ID], c.zones[s.ID] = s.State, s.Cell, s.Zone
-		}
+		c.updateEndpoints(e)
 	case Request:
-		if c.reqs[e.ID] == nil {
-			cl := Class{Effect: NonIdempotent}
-			for _, k := range c.set.Classes {
-				if k.Name == e.Class {
-					cl = k
-				}
-			}
-			c.reqs[e.ID] = &trackedRequest{class: cl, deadline: e.Deadline}
-		}
+		c.accept(e)
 	case AttemptEnded:
-		if r := c.reqs[e.ID]; r != nil && e.Attempt >= 0 && e.Attempt < len(r.attempts) {
-			t := r.attempts[e.Attempt]
-			if !t.ended {
-				t.ended, t.result = true, e.Result
-				r.ended = r.ended || e.Answered
-			}
-		}
+		c.endAttempt(e)
 	case ClientGone:
 		if r := c.reqs[e.ID]; r != nil {
 			r.ended = true
@@ -66,6 +46,43 @@
 			c.set = e.Settings
 		}
 	}
+	c.checkDeadlines(now)
+}
+
+func (c *ruleChecker) updateEndpoints(e EndpointUpdate) {
+	if e.Complete {
+		for id := range c.state {
+			c.state[id] = Removed
+		}
+	}
+	for _, s := range e.Endpoints {
+		c.state[s.ID], c.cells[s.ID], c.zones[s.ID] = s.State, s.Cell, s.Zone
+	}
+}
+
+func (c *ruleChecker) accept(e Request) {
+	if c.reqs[e.ID] != nil {
+		return
+	}
+	class := Class{Effect: NonIdempotent}
+	for _, known := range c.set.Classes {
+		if known.Name == e.Class {
+			class = known
+		}
+	}
+	c.reqs[e.ID] = &trackedRequest{class: class, deadline: e.Deadline}
+}
+
+func (c *ruleChecker) endAttempt(e AttemptEnded) {
+	r := c.reqs[e.ID]
+	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
+		return
+	}
+	r.attempts[e.Attempt].ended, r.attempts[e.Attempt].result = true, e.Result
+	r.ended = r.ended || e.Answered
+}
+
+func (c *ruleChecker) checkDeadlines(now time.Duration) {
 	for id, r := range c.reqs {
 		if !r.ended && now > r.deadline+c.slack {
 			c.fault("rule 1: %s has no answer %v after its deadline", id, now-r.deadline)
@@ -74,33 +91,45 @@
 	}
 }
 
+// actions checks the actions of the Balancer.
 func (c *ruleChecker) actions(now time.Duration, acts []Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case Send:
 			c.send(now, a)
 		case Reject:
-			if r := c.final(a.ID); r != nil {
-				for _, t := range r.attempts {
-					loose := r.class.Effect == Idempotent || r.class.Effect == IdempotentByKey && r.class.Scope == ScopeAll
-					if t.mayHaveRun() && !loose {
-						c.fault("rule 2: %s refused though it may have run", a.ID)
-					}
-				}
-			}
+			c.reject(a)
 		case Fail:
 			c.final(a.ID)
 		case Cancel:
-			if r := c.reqs[a.ID]; r == nil || a.Attempt < 0 || a.Attempt >= len(r.attempts) {
-				c.fault("cancel of an attempt never made")
-			}
-			if !c.set.AllowCancel {
-				c.fault("cancel is not allowed")
-			}
+			c.cancel(a)
 		}
 	}
 }
 
+// reject checks that a retry does no harm.
+func (c *ruleChecker) reject(a Reject) {
+	r := c.final(a.ID)
+	if r == nil {
+		return
+	}
+	harmless := r.class.Effect == Idempotent || r.class.Effect == IdempotentByKey && r.class.Scope == ScopeAll
+	for _, t := range r.attempts {
+		if t.mayHaveRun() && !harmless {
+			c.fault("rule 2: %s refused though it may have run", a.ID)
+		}
+	}
+}
+
+func (c *ruleChecker) cancel(a Cancel) {
+	if r := c.reqs[a.ID]; r == nil || a.Attempt < 0 || a.Attempt >= len(r.attempts) {
+		c.fault("cancel of an attempt never made")
+	}
+	if !c.set.AllowCancel {
+		c.fault("cancel is not allowed")
+	}
+}
+
 func (c *ruleChecker) final(id string) *trackedRequest {
 	r := c.reqs[id]
 	if r == nil || r.ended {
@@ -119,7 +148,7 @@
 	}
 	state, known := c.state[a.Endpoint]
 	if !known || state != Ready {
-		c.fault("rule 3: sent to %s, which drains, is gone or unknown", a.Endpoint)
+		c.fault("rule 3: sent to %s, which drains, is removed or unknown", a.Endpoint)
 	}
 	if len(r.attempts) >= c.set.MaxAttempts {
 		c.fault("more than %d attempts", c.set.MaxAttempts)
@@ -128,25 +157,41 @@
 		if !t.ended {
 			c.fault("second copy of %s", a.ID)
 		}
-		if !t.mayHaveRun() {
-			continue
-		}
-		switch r.class.Effect {
-		case NonIdempotent:
-			c.fault("rule 2: unsafe %s sent again", a.ID)
-		case IdempotentByKey:
-			if now > t.at+r.class.DedupWindow {
-				c.fault("rule 2: %s sent again outside its window", a.ID)
-			}
-			if r.class.Scope != ScopeAll && c.zones[t.server] != c.zones[a.Endpoint] ||
-				r.class.Scope == ScopeCell && c.cells[t.server] != c.cells[a.Endpoint] {
-				c.fault("rule 2: %s sent again outside its scope", a.ID)
-			}
+		if t.mayHaveRun() {
+			c.repeat(now, a, r, t)
 		}
 	}
 	r.attempts = append(r.attempts, &trackedAttempt{server: a.Endpoint, at: now})
 }
 
+// repeat checks that a request may be sent again after an attempt that may have run.
+func (c *ruleChecker) repeat(now time.Duration, a Send, r *trackedRequest, t *trackedAttempt) {
+	switch r.class.Effect {
+	case Idempotent: // may run any number of times
+	case NonIdempotent:
+		c.fault("rule 2: unsafe %s sent again", a.ID)
+	case IdempotentByKey:
+		if now > t.at+r.class.DedupWindow {
+			c.fault("rule 2: %s sent again outside its window", a.ID)
+		}
+		if !c.inScope(r.class.Scope, t.server, a.Endpoint) {
+			c.fault("rule 2: %s sent again outside its scope", a.ID)
+		}
+	}
+}
+
+// inScope says that two servers discard each other's repeats.
+func (c *ruleChecker) inScope(scope Scope, server, other string) bool {
+	switch scope {
+	case ScopeCell:
+		return c.zones[server] == c.zones[other] && c.cells[server] == c.cells[other]
+	case ScopeZone:
+		return c.zones[server] == c.zones[other]
+	default:
+		return true
+	}
+}
+
 type trackedRequest struct {
 	class    Class
 	deadline time.Duration
--- a/balancer/simulation_test.go
+++ b/balancer/simulation_test.go
@@ -37,12 +37,13 @@
 // simEvents is a heap of planned steps.
 type simEvents []simEvent
 
-func (q simEvents) Len() int { return len(q) }
-func (q simEvents) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].n < q[j].n
+func (q *simEvents) Len() int { return len(*q) }
+func (q *simEvents) Less(i, j int) bool {
+	first, second := (*q)[i], (*q)[j]
+	return first.at < second.at || first.at == second.at && first.n < second.n
 }
-func (q simEvents) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *simEvents) Push(x any)   { *q = append(*q, x.(simEvent)) }
+func (q *simEvents) Swap(i, j int) { (*q)[i], (*q)[j] = (*q)[j], (*q)[i] }
+func (q *simEvents) Push(x any)    { *q = append(*q, x.(simEvent)) }
 func (q *simEvents) Pop() any {
 	old := *q
 	e := old[len(old)-1]
--- a/balancer/size_test.go
+++ b/balancer/size_test.go
@@ -33,7 +33,7 @@
 		t.Fatal("the deploy file names no policy files")
 	}
 	var files []string
-	for _, f := range strings.Split(string(line[1]), ",") {
+	for f := range strings.SplitSeq(string(line[1]), ",") {
 		files = append(files, strings.Trim(f, ` "`))
 	}
 	return files
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// After an outage a node's whole subset may come back cold. That must not suspend slow start while the rest
-// of the list is warm: many such nodes would overload the cold servers.
-func TestColdSubsetKeepsSlowStartInForce(t *testing.T) {
+// After an outage a node's whole subset may come back warming. That must not suspend slow start while the
+// rest of the list is warm: many such nodes would overload the warming servers.
+func TestWarmingSubsetKeepsSlowStartInForce(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier, s.Replicas = 1, 50 })
 	list := servers(40)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: list})
@@ -24,18 +24,18 @@
 		}
 	}
 	b.Handle(time.Second, EndpointUpdate{Complete: true, Endpoints: list})
-	cold := 0
+	warming := 0
 	for range 1000 {
 		if s := b.choose(&request{class: b.classes.byName["get"]}); s.StartedAt > 0 {
-			cold++
+			warming++
 		}
 	}
-	if got := float64(cold) / 1000; got > 0.05 { // thinned to a fifth, and a few of forty
-		t.Errorf("%.2f of the calls went to the cold subset", got)
+	if got := float64(warming) / 1000; got > 0.05 { // thinned to a fifth, and a few of forty
+		t.Errorf("%.2f of the calls went to the warming subset", got)
 	}
 }
 
-// A cold server takes much longer for a heavy request than a warm one; a light request has time to spare.
+// A warming server takes much longer for a heavy request than a warm one; a light request has time to spare.
 func TestWarmingServerGetsNoHeavyRequests(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	list := servers(4)
@@ -46,40 +46,41 @@
 		effort := []time.Duration{10 * msec, 100 * msec}[i%2]
 		id, now := fmt.Sprint(i), b.now+10*time.Microsecond
 		s := sends(b.Handle(now, Request{ID: id, Class: "pay", Deadline: now + time.Second, ExpectedWork: effort}))[0]
-		if endAttempt(b, now, id, s, Success); s.Endpoint == "s01" && i >= 20 {
+		if succeed(b, now, id, s); s.Endpoint == "s01" && i >= 20 {
 			got[effort]++
 		}
 	}
 	if got[100*msec] > 0 || got[10*msec] < 20 {
-		t.Errorf("the cold server got %d heavy and %d light requests", got[100*msec], got[10*msec])
+		t.Errorf("the warming server got %d heavy and %d light requests", got[100*msec], got[10*msec])
 	}
 }
 
 const overloadMultiple, overloadWindow = 3.0, 2 * time.Second // the limit of testSettings' deployment
 
-const coldCapacity, coldMean = 50.0, 20 * msec // of a warm server: a second's work of 50 requests of mean work
+const serverCapacity, meanWork = 50.0, 20 * msec // of a warm server: a second's work of 50 requests of mean work
 
-// coldResult tells what a server got that was cold at first: how many requests, the most work that came in
-// any overloadWindow, as a part of its limit, and its share of all work from second 3 to 6.
-type coldResult struct {
+// warmingServerResult tells what a server got that was warming at first: how many requests, the most work
+// that came in any overloadWindow, as a part of its limit, and its share of all work from second 3 to 6.
+type warmingServerResult struct {
 	requests     int
 	worst, early float64
 }
 
-// playColdServer has replicas send at three quarters of the capacity of 6 servers, one of which, s02, starts
-// at second 1. work draws a request's work, in parts of the mean; send returns the server that gets it.
-func playColdServer(set Settings, replicas int, seed uint64, work func(*rand.Rand) float64,
+// playWarmingServer has replicas send at three quarters of the capacity of 6 servers, one of which, s02,
+// starts at second 1. work draws a request's work, in parts of the mean; send returns the server that gets
+// it.
+func playWarmingServer(set Settings, replicas int, seed uint64, work func(*rand.Rand) float64,
 	send func(replica int, now time.Duration, id string, work float64) string,
-) (res coldResult) {
+) (res warmingServerResult) {
 	rng := rand.New(rand.NewPCG(seed, seed))
 	type taken struct {
 		at   time.Duration
 		work float64
 	}
-	var cold []taken
+	var warming []taken
 	early, all := 0.0, 0.0
-	for i := range int(0.75 * 6 * coldCapacity * 12) {
-		now := time.Second + time.Duration(float64(i)/(0.75*6*coldCapacity)*float64(time.Second))
+	for i := range int(0.75 * 6 * serverCapacity * 12) {
+		now := time.Second + time.Duration(float64(i)/(0.75*6*serverCapacity)*float64(time.Second))
 		part := work(rng)
 		server := send(rng.IntN(replicas), now, fmt.Sprint(i), part)
 		inEarly := now > 3*time.Second && now < 6*time.Second // warmth 0.36 to 0.6, a fair share 0.06 to 0.1
@@ -89,28 +90,28 @@
 		if server != "s02" {
 			continue
 		}
-		cold = append(cold, taken{now, part})
+		warming = append(warming, taken{now, part})
 		if inEarly {
 			early += part
 		}
 	}
-	for i := range cold {
+	for i := range warming {
 		sum := 0.0
-		for _, c := range cold[i:] {
-			if c.at < cold[i].at+overloadWindow {
+		for _, c := range warming[i:] {
+			if c.at < warming[i].at+overloadWindow {
 				sum += c.work
 			}
 		}
-		grown := float64(cold[i].at-time.Second) / float64(set.SlowStartDuration)
-		limit := overloadMultiple * coldCapacity * min(1, set.SlowStartFloor+(1-set.SlowStartFloor)*grown) * overloadWindow.Seconds()
+		grown := float64(warming[i].at-time.Second) / float64(set.SlowStartDuration)
+		limit := overloadMultiple * serverCapacity * min(1, set.SlowStartFloor+(1-set.SlowStartFloor)*grown) * overloadWindow.Seconds()
 		res.worst = max(res.worst, sum/limit)
 	}
-	res.requests, res.early = len(cold), early/all
+	res.requests, res.early = len(warming), early/all
 	return res
 }
 
-// coldFleet returns replicas whose list names six servers, of which s02 starts at second 1.
-func coldFleet(t *testing.T, set Settings, replicas int) (fleet []*Balancer) {
+// warmingReplicas returns replicas whose list names six servers, of which s02 starts at second 1.
+func warmingReplicas(t *testing.T, set Settings, replicas int) (fleet []*Balancer) {
 	t.Helper()
 	list := servers(6)
 	list[2].StartedAt = time.Second
@@ -135,22 +136,22 @@
 	for _, replicas := range []int{12, 200} {
 		t.Run(fmt.Sprint(replicas, " replicas"), func(t *testing.T) {
 			set.Tier, set.Replicas = 1, replicas
-			fleet := coldFleet(t, set, replicas)
-			res := playColdServer(set, replicas, 3, sameWork, func(replica int, now time.Duration, id string, _ float64) string {
+			fleet := warmingReplicas(t, set, replicas)
+			res := playWarmingServer(set, replicas, 3, sameWork, func(replica int, now time.Duration, id string, _ float64) string {
 				b := fleet[replica]
 				s := sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second}))[0]
-				b.Handle(now+coldMean, AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: Success, Answered: true})
+				b.Handle(now+meanWork, AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: Success, Answered: true})
 				return s.Endpoint
 			})
 			if res.requests < 20 || res.worst > 1 {
-				t.Errorf("%d replicas: %d requests to the cold server, %.2f of its limit", replicas, res.requests, res.worst)
+				t.Errorf("%d replicas: %d requests to the warming server, %.2f of its limit", replicas, res.requests, res.worst)
 			}
 		})
 	}
 	// The check can fail: a policy that sends everything to the fresh server breaks the limit.
-	res := playColdServer(set, 12, 3, sameWork, func(int, time.Duration, string, float64) string { return "s02" })
+	res := playWarmingServer(set, 12, 3, sameWork, func(int, time.Duration, string, float64) string { return "s02" })
 	if res.worst <= 1 {
-		t.Errorf("all requests to the cold server are %.2f of its limit", res.worst)
+		t.Errorf("all requests to the warming server are %.2f of its limit", res.worst)
 	}
 }
 
@@ -162,10 +163,10 @@
 	for _, replicas := range []int{12, 100} {
 		t.Run(fmt.Sprint(replicas, " replicas"), func(t *testing.T) {
 			set.Tier, set.Replicas = 1, replicas
-			fleet := coldFleet(t, set, replicas)
+			fleet := warmingReplicas(t, set, replicas)
 			work := func(rng *rand.Rand) float64 { return max(0.01, rng.ExpFloat64()) }
-			res := playColdServer(set, replicas, 9, work, func(replica int, now time.Duration, id string, work float64) string {
-				b, took := fleet[replica], time.Duration(work*float64(coldMean))
+			res := playWarmingServer(set, replicas, 9, work, func(replica int, now time.Duration, id string, work float64) string {
+				b, took := fleet[replica], time.Duration(work*float64(meanWork))
 				s := sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second, ExpectedWork: took}))[0]
 				b.Handle(now+took, AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: Success, Answered: true})
 				return s.Endpoint
--- a/balancer/slowstartsim_test.go
+++ b/balancer/slowstartsim_test.go
@@ -13,25 +13,25 @@
 // grows from SlowStartFloor to 1 over SlowStartDuration, as slowly as the settings allow. Some replicas get
 // several times the mean of the requests, whose work is 0.5 to 1.5 times the mean.
 type warmingFleet struct {
-	replicas, servers, cold int
-	cores, capacity         int           // of a server: calls in work, and calls that it holds at most
-	work                    time.Duration // of a call on average
-	load                    float64       // of the capacity of the servers, all of them warm
-	set                     Settings
-	hints                   bool // requests carry their expected work
-	fresh                   bool // the replicas start with the cold servers, and have seen nothing before
-	failing                 int  // warm servers that fail all from the replacement on
-	seed                    uint64
+	replicas, servers, warming int
+	cores, capacity            int           // of a server: calls in work, and calls that it holds at most
+	work                       time.Duration // of a call on average
+	load                       float64       // of the capacity of the servers, all of them warm
+	set                        Settings
+	hints                      bool // requests carry their expected work
+	fresh                      bool // the replicas start with the warming servers, and have seen nothing before
+	failing                    int  // warm servers that fail all from the replacement on
+	seed                       uint64
 }
 
 // replacedAt is when servers of a warmingFleet are replaced.
 const replacedAt = 8 * time.Second
 
-// warmingResult tells what became of a warmingFleet. Worst is the most work that came to a cold server in a
-// window, as a part of its limit. Share is the part of the work that went to cold servers in the first half
-// of the warm-up, as a part of their share of the capacity then.
+// warmingResult tells what became of a warmingFleet. Worst is the most work that came to a warming server in
+// a window, as a part of its limit. Share is the part of the work that went to warming servers in the first
+// half of the warm-up, as a part of their share of the capacity then.
 type warmingResult struct {
-	overloaded    int // cold servers that got more than they may
+	overloaded    int // warming servers that got more than they may
 	worst, share  float64
 	served, asked int // from the replacement on
 }
@@ -40,9 +40,9 @@
 	Endpoint
 	busy     int
 	queue    []func()
-	received []receivedWork // while cold
+	received []receivedWork // while warming
 	down     bool
-	replaced bool // by a cold one
+	replaced bool // by a warming one
 }
 
 type receivedWork struct {
@@ -79,17 +79,17 @@
 type warmingRun struct {
 	warmingFleet
 	simulation
-	t             testing.TB
-	rng           *rand.Rand
-	place         func() int // the number of the server of each call in the modules' stead; nil: the modules decide
-	balancers     []*Balancer
-	weights       []float64 // of the balancers' traffic
-	weightSum     float64
-	backends      map[string]*warmingServer
-	requests      map[string]*warmingRequest
-	end           time.Duration // of the arrivals
-	coldWork, due float64       // what cold servers got, and their part of the capacity, in the first half of the warm-up
-	result        warmingResult
+	t                testing.TB
+	rng              *rand.Rand
+	place            func() int // the number of the server of each call in the modules' stead; nil: the modules decide
+	balancers        []*Balancer
+	weights          []float64 // of the balancers' traffic
+	weightSum        float64
+	backends         map[string]*warmingServer
+	requests         map[string]*warmingRequest
+	end              time.Duration // of the arrivals
+	warmingWork, due float64       // what warming servers got, and their part of the capacity, in the first half of the warm-up
+	result           warmingResult
 }
 
 type warmingRequest struct {
@@ -121,7 +121,7 @@
 		r.in(replacedAt-r.now, func() { r.deliverList(true) })
 	}
 	r.runUntil(r.end + r.set.Classes[0].Deadline)
-	r.result.share = r.coldWork / max(1e-9, r.due)
+	r.result.share = r.warmingWork / max(1e-9, r.due)
 	return r.result
 }
 
@@ -157,11 +157,11 @@
 func (r *warmingRun) list(replaced bool) (list []Endpoint) {
 	for i := range r.servers {
 		s := Endpoint{ID: fmt.Sprintf("s%03d", i), Zone: "z", Capacity: 1}
-		if replaced && i < r.cold {
+		if replaced && i < r.warming {
 			s.ID, s.StartedAt = fmt.Sprintf("t%03d", i), replacedAt // sorted apart from the old ones
 		}
 		if r.backends[s.ID] == nil {
-			r.backends[s.ID] = &warmingServer{Endpoint: s, replaced: s.StartedAt == 0 && i < r.cold}
+			r.backends[s.ID] = &warmingServer{Endpoint: s, replaced: s.StartedAt == 0 && i < r.warming}
 		}
 		list = append(list, s)
 	}
@@ -249,28 +249,28 @@
 	}
 }
 
-// countShare notes what goes to cold servers, and their part of the capacity, in the first half of the
+// countShare notes what goes to warming servers, and their part of the capacity, in the first half of the
 // warm-up.
 func (r *warmingRun) countShare(s *warmingServer, work float64) {
 	if r.now < replacedAt || r.now >= replacedAt+r.set.SlowStartDuration/2 {
 		return
 	}
-	warm, cold := 0.0, 0.0
+	warm, warming := 0.0, 0.0
 	for _, o := range r.backends {
 		w := warmthAt(r.set, o.StartedAt, r.now)
 		if o.StartedAt > 0 {
-			cold += w
+			warming += w
 		} else if !o.replaced {
 			warm += w
 		}
 	}
-	r.due += work * cold / max(1e-9, cold+warm)
+	r.due += work * warming / max(1e-9, warming+warm)
 	if s.StartedAt > 0 {
-		r.coldWork += work
+		r.warmingWork += work
 	}
 }
 
-// countReceived notes what a server gets while it is cold, and has it go down when that is too much.
+// countReceived notes what a server gets while it is warming, and has it go down when that is too much.
 func (r *warmingRun) countReceived(s *warmingServer, work float64) {
 	if s.StartedAt == 0 || r.now >= s.StartedAt+r.set.SlowStartDuration || s.down {
 		return
