--- a/balancer/endpoints_bench_test.go
+++ b/balancer/endpoints_bench_test.go
@@ -19,8 +19,9 @@
 			Name: "read", Effect: balancer.Idempotent, LatencyObjective: time.Second,
 			Deadline: 2 * time.Second, PriorityWeight: 1,
 		}},
-		Replicas: max(20, n/20), ReplicaIndex: 7, Tier: 1, Zone: "z1", ZoneCount: 3, MaxAttempts: 3, AllowCancel: true,
-		Tick: time.Millisecond, SlowStartFloor: 0.12, SlowStartDuration: 24 * time.Second, OverloadMultiple: 2, OverloadWindow: time.Second,
+		Replicas: max(20, n/20), ReplicaIndex: 7, Tier: 1, Zone: "z1", ZoneCount: 3, MaxAttempts: 3,
+		AllowCancel: true, Tick: time.Millisecond, SlowStartFloor: 0.12, SlowStartDuration: 24 * time.Second,
+		OverloadMultiple: 2, OverloadWindow: time.Second,
 	}, 1)
 	if err != nil {
 		bench.Fatal(err)
@@ -34,7 +35,10 @@
 }
 
 func benchmarkServer(kind string, i int, boot time.Duration) balancer.Endpoint {
-	return balancer.Endpoint{ID: fmt.Sprintf("%04d-%s", i, kind), Zone: fmt.Sprint("z", i%3), Capacity: 1, StartedAt: boot}
+	return balancer.Endpoint{
+		ID: fmt.Sprintf("%04d-%s", i, kind), Zone: fmt.Sprint("z", i%3), Capacity: 1,
+		StartedAt: boot,
+	}
 }
 
 // replaceServer notifies the node that a server was removed and that another has joined: two changes of one
@@ -90,7 +94,9 @@
 			}
 			bench.ReportAllocs()
 			for i := 0; bench.Loop(); i++ {
-				b.Handle(time.Duration(i+1)*time.Millisecond, balancer.EndpointUpdate{Complete: true, Endpoints: list})
+				b.Handle(time.Duration(i+1)*time.Millisecond, balancer.EndpointUpdate{
+					Complete: true, Endpoints: list,
+				})
 			}
 		})
 	}
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -15,12 +15,18 @@
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
-			{Name: "get", Effect: Idempotent, Scope: ScopeAll, LatencyObjective: 500 * msec, Deadline: 1500 * msec, PriorityWeight: 1},
 			{
-				Name: "post", Effect: IdempotentByKey, Scope: ScopeCell, DedupWindow: 900 * msec, LatencyObjective: 500 * msec,
-				Deadline: 1500 * msec, PriorityWeight: 2,
+				Name: "get", Effect: Idempotent, Scope: ScopeAll, LatencyObjective: 500 * msec,
+				Deadline: 1500 * msec, PriorityWeight: 1,
+			},
+			{
+				Name: "post", Effect: IdempotentByKey, Scope: ScopeCell, DedupWindow: 900 * msec,
+				LatencyObjective: 500 * msec, Deadline: 1500 * msec, PriorityWeight: 2,
+			},
+			{
+				Name: "pay", Effect: NonIdempotent, LatencyObjective: 500 * msec, Deadline: 1500 * msec,
+				PriorityWeight: 3,
 			},
-			{Name: "pay", Effect: NonIdempotent, LatencyObjective: 500 * msec, Deadline: 1500 * msec, PriorityWeight: 3},
 		},
 		Replicas: 2, Tier: 0, TotalWeight: 0.6, WorstClassWeight: 0.3,
 		MaxAttempts: 5, AllowCancel: true, Tick: 2 * msec,
@@ -79,7 +85,9 @@
 			for k := range 5 {
 				e := fate(s.Endpoint)
 				now += 10 * msec
-				again := sends(b.Handle(now, AttemptEnded{ID: id, Attempt: k, Endpoint: s.Endpoint, Result: e, Answered: e == Success}))
+				again := sends(b.Handle(now, AttemptEnded{
+					ID: id, Attempt: k, Endpoint: s.Endpoint, Result: e, Answered: e == Success,
+				}))
 				if len(again) == 0 {
 					break
 				}
--- a/balancer/internal/endpoints/endpoints_test.go
+++ b/balancer/internal/endpoints/endpoints_test.go
@@ -248,7 +248,9 @@
 		}
 		return
 	}
-	latest := slices.MaxFunc(ready, func(entry, other Entry) int { return cmp.Compare(entry.StartedAt, other.StartedAt) })
+	latest := slices.MaxFunc(ready, func(entry, other Entry) int {
+		return cmp.Compare(entry.StartedAt, other.StartedAt)
+	})
 	if youngest.StartedAt != latest.StartedAt {
 		r.fail("start of the youngest", youngest.StartedAt, latest.StartedAt)
 	}
--- a/balancer/internal/endpoints/subset_test.go
+++ b/balancer/internal/endpoints/subset_test.go
@@ -80,12 +80,14 @@
 				count.add(groups)
 				for _, ep := range slices.Concat(groups.Left, groups.Right) {
 					if ep.Zone != placement.Zone {
-						t.Fatalf("replica %d in %s has %s of %s in a subset of %d", i, placement.Zone, ep.ID, ep.Zone, size)
+						t.Fatalf("replica %d in %s has %s of %s in a subset of %d", i, placement.Zone,
+							ep.ID, ep.Zone, size)
 					}
 				}
 				list.ResizeSubset(100)
 				if groups, _ := list.Subset(); len(groups.Left)+len(groups.Right) != 40 {
-					t.Fatalf("a replica's largest subset has %d and %d endpoints", len(groups.Left), len(groups.Right))
+					t.Fatalf("a replica's largest subset has %d and %d endpoints", len(groups.Left),
+						len(groups.Right))
 				}
 			}
 			if least, most := count.bounds(entries); least < 4 || most-least > 4 {
--- a/balancer/internal/slowstart/overload_test.go
+++ b/balancer/internal/slowstart/overload_test.go
@@ -27,7 +27,8 @@
 	limiter := newLimiter()
 	memory := limiter.capacityMemory()
 	limiter.warm = capacityEstimate{answers: n * memory, seconds: memory, at: startedAt} // n a second at a warm one
-	record := NewRecord(startedAt)                                                       // half of its capacity, of which the settings allow twice as much
+	// It has half of its capacity, of which the settings allow twice as much.
+	record := NewRecord(startedAt)
 	limiter.UpdateCounts(startedAt, countsOf(limiter, startedAt, record, NewRecord(0)))
 	limiter.HasTokens(&record, startedAt, true, newRand())
 	return record.bucket.rate * limiter.settings.OverloadWindow.Seconds()
--- a/balancer/internal/subscription/subscription_test.go
+++ b/balancer/internal/subscription/subscription_test.go
@@ -27,8 +27,10 @@
 			}
 			for _, jitter := range []float64{0, 0.25, 1} {
 				want := time.Minute + time.Duration(jitter*float64(c.longest)) + 1
-				if got := backoff.Schedule(time.Minute, pollWithin, jitter); got != want || backoff.subscribeAt != want {
-					t.Errorf("with a jitter of %v: at %v, planned %v, want %v", jitter, got, backoff.subscribeAt, want)
+				got := backoff.Schedule(time.Minute, pollWithin, jitter)
+				if got != want || backoff.subscribeAt != want {
+					t.Errorf("with a jitter of %v: at %v, planned %v, want %v", jitter, got,
+						backoff.subscribeAt, want)
 				}
 			}
 		})
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -77,7 +77,9 @@
 		return Success
 	})
 	open := sends(b.Handle(b.now, Request{ID: "open", Class: "get", Deadline: b.now + time.Second}))[0]
-	mean, calls, health := b.classes.byName["get"].latency.Mean(), knownEndpoint(t, b, open.Endpoint).Attempts.InFlight(), fmt.Sprint(knownEndpoint(t, b, "s02").Health)
+	mean := b.classes.byName["get"].latency.Mean()
+	calls := knownEndpoint(t, b, open.Endpoint).Attempts.InFlight()
+	health := fmt.Sprint(knownEndpoint(t, b, "s02").Health)
 	if calls == 0 || health == fmt.Sprint(outlier.Record{}) {
 		t.Fatalf("%d calls out, health %v: nothing to keep", calls, health)
 	}
@@ -117,7 +119,10 @@
 	now := time.Duration(0)
 	for i := range 500 {
 		set := testSettings()
-		set.Classes = []Class{{Name: fmt.Sprint("c", i), Effect: Idempotent, LatencyObjective: time.Second, Deadline: 2 * time.Second}}
+		set.Classes = []Class{{
+			Name: fmt.Sprint("c", i), Effect: Idempotent, LatencyObjective: time.Second,
+			Deadline: 2 * time.Second,
+		}}
 		b.Handle(now, Reconfigure{set})
 		now += msec
 		s := sends(b.Handle(now, Request{ID: "r", Class: fmt.Sprint("c", i), Deadline: now + time.Second}))[0]
--- a/balancer/recovery_test.go
+++ b/balancer/recovery_test.go
@@ -20,15 +20,21 @@
 		set: Settings{
 			Classes: []Class{
 				{
-					Name: "search", Effect: Idempotent, Scope: ScopeAll, LatencyObjective: 850 * msec, Deadline: 2180 * msec, PriorityWeight: 1,
+					Name: "search", Effect: Idempotent, Scope: ScopeAll, LatencyObjective: 850 * msec,
+					Deadline: 2180 * msec, PriorityWeight: 1, LateValue: 0.5,
+				},
+				{
+					Name: "order", LatencyObjective: 1760 * msec, Deadline: 4420 * msec, PriorityWeight: 3,
+					LateValue: 0.2,
+				},
+				{
+					Name: "intake", LatencyObjective: 2430 * msec, Deadline: 6060 * msec, PriorityWeight: 2,
 					LateValue: 0.5,
 				},
-				{Name: "order", LatencyObjective: 1760 * msec, Deadline: 4420 * msec, PriorityWeight: 3, LateValue: 0.2},
-				{Name: "intake", LatencyObjective: 2430 * msec, Deadline: 6060 * msec, PriorityWeight: 2, LateValue: 0.5},
 			},
 			TotalWeight: 0.6, WorstClassWeight: 0.2, MaxAttempts: 5, AllowCancel: true, Tick: msec,
-			PollWithin: 10 * time.Second, SlowStartFloor: 0.32, SlowStartDuration: 9 * time.Second, OverloadMultiple: 3,
-			OverloadWindow: time.Second,
+			PollWithin: 10 * time.Second, SlowStartFloor: 0.32, SlowStartDuration: 9 * time.Second,
+			OverloadMultiple: 3, OverloadWindow: time.Second,
 		},
 	}
 }
@@ -38,12 +44,15 @@
 func galleryOutage() outage {
 	o := shopsOutage()
 	o.nodes, o.servers, o.work, o.elsewhere = 48, 60, 150*msec, 2
-	o.model = servermodel.Settings{Cores: 3, Speed: 1.1, ConcurrencyLimit: 50, QueueLimit: 60, SlowStartFloor: 0.2, SlowStartCalls: 300}
+	o.model = servermodel.Settings{
+		Cores: 3, Speed: 1.1, ConcurrencyLimit: 50, QueueLimit: 60,
+		SlowStartFloor: 0.2, SlowStartCalls: 300,
+	}
 	o.set.MaxAttempts = 6
 	o.set.Classes = []Class{
 		{
-			Name: "favourite", Effect: IdempotentByKey, Scope: ScopeZone, DedupWindow: 5 * time.Second, LatencyObjective: 1200 * msec,
-			Deadline: 3 * time.Second, PriorityWeight: 10,
+			Name: "favourite", Effect: IdempotentByKey, Scope: ScopeZone, DedupWindow: 5 * time.Second,
+			LatencyObjective: 1200 * msec, Deadline: 3 * time.Second, PriorityWeight: 10,
 		},
 		{Name: "print", LatencyObjective: 2500 * msec, Deadline: 6 * time.Second, PriorityWeight: 30},
 	}
--- a/balancer/rulechecker_test.go
+++ b/balancer/rulechecker_test.go
@@ -219,25 +219,30 @@
 
 // TestRuleCheckerDetectsViolations gives the checker a trace that violates each rule.
 func TestRuleCheckerDetectsViolations(t *testing.T) {
-	list := EndpointUpdate{Complete: true, Endpoints: []Endpoint{{ID: "a", Cell: 0}, {ID: "b", Cell: 1}, {ID: "c", State: Draining}}}
+	list := EndpointUpdate{Complete: true, Endpoints: []Endpoint{
+		{ID: "a", Cell: 0},
+		{ID: "b", Cell: 1},
+		{ID: "c", State: Draining},
+	}}
 	req := func(class string) Request { return Request{ID: "r", Class: class, Deadline: 1000 * msec} }
 	timedOut := AttemptEnded{ID: "r", Attempt: 0, Result: TimedOut}
+	sendToA, sendToB := Send{ID: "r", Endpoint: "a"}, Send{ID: "r", Endpoint: "b"}
 	for _, tc := range []struct {
 		want  string
 		steps []any
 	}{
 		{"rule 1: r has no answer", []any{list, req("get"), 2 * time.Second, Timer{}}},
 		{"rule 1: final answer", []any{list, req("get"), Reject{ID: "r"}, Fail{ID: "r"}}},
-		{"rule 1: sent r, which is over", []any{list, req("get"), Fail{ID: "r"}, Send{ID: "r", Endpoint: "a"}}},
-		{"rule 2: unsafe", []any{list, req("pay"), Send{ID: "r", Endpoint: "a"}, timedOut, Send{ID: "r", Endpoint: "a"}}},
-		{"rule 2: r refused", []any{list, req("pay"), Send{ID: "r", Endpoint: "a"}, timedOut, Reject{ID: "r"}}},
+		{"rule 1: sent r, which is over", []any{list, req("get"), Fail{ID: "r"}, sendToA}},
+		{"rule 2: unsafe", []any{list, req("pay"), sendToA, timedOut, sendToA}},
+		{"rule 2: r refused", []any{list, req("pay"), sendToA, timedOut, Reject{ID: "r"}}},
 		{"outside its window", []any{
 			list, req("post"),
-			Send{ID: "r", Endpoint: "a"},
+			sendToA,
 			950 * msec, timedOut,
-			Send{ID: "r", Endpoint: "a"},
+			sendToA,
 		}},
-		{"outside its scope", []any{list, req("post"), Send{ID: "r", Endpoint: "a"}, timedOut, Send{ID: "r", Endpoint: "b"}}},
+		{"outside its scope", []any{list, req("post"), sendToA, timedOut, sendToB}},
 		{"rule 3", []any{list, req("get"), Send{ID: "r", Endpoint: "c"}}},
 		{"never made", []any{list, req("get"), Cancel{ID: "r", Attempt: 0}}},
 	} {
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -325,7 +325,9 @@
 			case 1, 2:
 				b.Handle(now, Request{ID: id, Class: set.Classes[x%3].Name, Deadline: now + time.Duration(x)*msec})
 			case 3:
-				b.Handle(now, AttemptEnded{ID: id, Attempt: int(x%4) - 1, Result: AttemptResult(x % 9), Answered: x%2 == 0})
+				b.Handle(now, AttemptEnded{
+					ID: id, Attempt: int(x%4) - 1, Result: AttemptResult(x % 9), Answered: x%2 == 0,
+				})
 			case 4:
 				b.Handle(now, Timer{Token: "r:" + id})
 			case 5:
--- a/balancer/size_test.go
+++ b/balancer/size_test.go
@@ -106,7 +106,8 @@
 		case *ast.FuncDecl:
 			first, last := files.Position(declaration.Pos()).Line, files.Position(declaration.End()).Line
 			if lines := last - first + 1; lines > maxFunctionLines {
-				t.Errorf("%s: %s has %d lines, at most %d are allowed", file, declaration.Name.Name, lines, maxFunctionLines)
+				t.Errorf("%s: %s has %d lines, at most %d are allowed", file, declaration.Name.Name, lines,
+					maxFunctionLines)
 			}
 		case *ast.GenDecl:
 			described = described || declaration.Tok == token.TYPE && declaration.Doc != nil
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -103,7 +103,8 @@
 			}
 		}
 		grown := float64(warming[i].at-time.Second) / float64(set.SlowStartDuration)
-		limit := overloadMultiple * serverCapacity * min(1, set.SlowStartFloor+(1-set.SlowStartFloor)*grown) * overloadWindow.Seconds()
+		share := min(1, set.SlowStartFloor+(1-set.SlowStartFloor)*grown)
+		limit := overloadMultiple * serverCapacity * share * overloadWindow.Seconds()
 		res.worst = max(res.worst, sum/limit)
 	}
 	res.requests, res.early = len(warming), early/all
@@ -137,14 +138,16 @@
 		t.Run(fmt.Sprint(replicas, " replicas"), func(t *testing.T) {
 			set.Tier, set.Replicas = 1, replicas
 			fleet := warmingReplicas(t, set, replicas)
-			res := playWarmingServer(set, replicas, 3, sameWork, func(replica int, now time.Duration, id string, _ float64) string {
+			send := func(replica int, now time.Duration, id string, _ float64) string {
 				b := fleet[replica]
 				s := sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second}))[0]
 				b.Handle(now+meanWork, AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: Success, Answered: true})
 				return s.Endpoint
-			})
+			}
+			res := playWarmingServer(set, replicas, 3, sameWork, send)
 			if res.requests < 20 || res.worst > 1 {
-				t.Errorf("%d replicas: %d requests to the warming server, %.2f of its limit", replicas, res.requests, res.worst)
+				t.Errorf("%d replicas: %d requests to the warming server, %.2f of its limit", replicas,
+					res.requests, res.worst)
 			}
 		})
 	}
@@ -165,12 +168,15 @@
 			set.Tier, set.Replicas = 1, replicas
 			fleet := warmingReplicas(t, set, replicas)
 			work := func(rng *rand.Rand) float64 { return max(0.01, rng.ExpFloat64()) }
-			res := playWarmingServer(set, replicas, 9, work, func(replica int, now time.Duration, id string, work float64) string {
+			send := func(replica int, now time.Duration, id string, work float64) string {
 				b, took := fleet[replica], time.Duration(work*float64(meanWork))
-				s := sends(b.Handle(now, Request{ID: id, Class: "get", Deadline: now + time.Second, ExpectedWork: took}))[0]
+				s := sends(b.Handle(now, Request{
+					ID: id, Class: "get", Deadline: now + time.Second, ExpectedWork: took,
+				}))[0]
 				b.Handle(now+took, AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: Success, Answered: true})
 				return s.Endpoint
-			})
+			}
+			res := playWarmingServer(set, replicas, 9, work, send)
 			if res.worst > 1 || res.early < 0.1 {
 				t.Errorf("%d replicas: %.2f of the limit, %.3f of the work", replicas, res.worst, res.early)
 			}
--- a/balancer/slowstartsim_test.go
+++ b/balancer/slowstartsim_test.go
@@ -79,16 +79,18 @@
 type warmingRun struct {
 	warmingFleet
 	simulation
-	t                testing.TB
-	rng              *rand.Rand
-	place            func() int // the number of the server of each call in the modules' stead; nil: the modules decide
-	balancers        []*Balancer
-	weights          []float64 // of the balancers' traffic
-	weightSum        float64
-	backends         map[string]*warmingServer
-	requests         map[string]*warmingRequest
-	end              time.Duration // of the arrivals
-	warmingWork, due float64       // what warming servers got, and their part of the capacity, in the first half of the warm-up
+	t   testing.TB
+	rng *rand.Rand
+	// The number of the server of each call in the modules' stead; nil: the modules decide
+	place     func() int
+	balancers []*Balancer
+	weights   []float64 // of the balancers' traffic
+	weightSum float64
+	backends  map[string]*warmingServer
+	requests  map[string]*warmingRequest
+	end       time.Duration // of the arrivals
+	// What warming servers got, and their part of the capacity, in the first half of the warm-up
+	warmingWork, due float64
 	result           warmingResult
 }
 
--- a/balancer/subsetting_test.go
+++ b/balancer/subsetting_test.go
@@ -16,7 +16,9 @@
 	}
 	pooled := map[string]int{}
 	for i := range many {
-		b := newBalancer(t, func(s *Settings) { s.Replicas, s.ReplicaIndex, s.Zone, s.ZoneCount, s.Tier = many, i, "z", 1, 1 })
+		b := newBalancer(t, func(s *Settings) {
+			s.Replicas, s.ReplicaIndex, s.Zone, s.ZoneCount, s.Tier = many, i, "z", 1, 1
+		})
 		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: list})
 		acts := b.Handle(0, Request{ID: "r", Class: "get", Deadline: time.Second})
 		if len(sends(acts)) != 1 {
--- a/balancer/trace_test.go
+++ b/balancer/trace_test.go
@@ -32,7 +32,8 @@
 var traceScenarios = []traceScenario{
 	{name: "first tier", servers: 8, hash: "61e0c06d0708e46c6c6d7ca0"},
 	{
-		name: "first tier, hints, sizes, late answers worth something", servers: 30, sized: true, hinted: true, outages: true,
+		name: "first tier, hints, sizes, late answers worth something", servers: 30, sized: true,
+		hinted: true, outages: true,
 		change: func(s *balancer.Settings) {
 			for i := range s.Classes {
 				s.Classes[i].LateValue = 0.3
@@ -41,7 +42,8 @@
 	},
 	{
 		name: "second tier, zones, warming without a limit", servers: 24, warming: true,
-		change: func(s *balancer.Settings) { s.Tier, s.ZoneCount, s.Replicas, s.ReplicaIndex = 1, 3, 7, 3 }, hash: "d79a856a023425a0c0b0236a",
+		change: func(s *balancer.Settings) { s.Tier, s.ZoneCount, s.Replicas, s.ReplicaIndex = 1, 3, 7, 3 },
+		hash:   "d79a856a023425a0c0b0236a",
 	},
 	{
 		name: "second tier, warming with a limit", servers: 24, warming: true, hinted: true, outages: true,
@@ -52,11 +54,17 @@
 	},
 	{
 		name: "first tier, warming with a wide limit, a small service", servers: 4, warming: true, outages: true,
-		change: func(s *balancer.Settings) { s.OverloadMultiple, s.OverloadWindow = 4, 500*time.Millisecond }, hash: "92412dbbbdd018a8865a3e9c",
+		change: func(s *balancer.Settings) {
+			s.OverloadMultiple, s.OverloadWindow = 4, 500*time.Millisecond
+		},
+		hash: "92412dbbbdd018a8865a3e9c",
 	},
 	{
 		name: "polled list, no cancelling, one attempt", servers: 12, outages: true,
-		change: func(s *balancer.Settings) { s.PollDiscovery, s.AllowCancel, s.MaxAttempts = true, false, 1 }, hash: "473e625af96c6b422214e1c4",
+		change: func(s *balancer.Settings) {
+			s.PollDiscovery, s.AllowCancel, s.MaxAttempts = true, false, 1
+		},
+		hash: "473e625af96c6b422214e1c4",
 	},
 	{
 		name: "new settings", servers: 16, warming: true, outages: true, reconfigs: true,
@@ -78,7 +86,8 @@
 	class := func(name string, effect balancer.Effect, scope balancer.Scope) balancer.Class {
 		return balancer.Class{
 			Name: name, Effect: effect, Scope: scope, DedupWindow: 900 * time.Millisecond,
-			LatencyObjective: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, PriorityWeight: float64(1 + len(name)),
+			LatencyObjective: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond,
+			PriorityWeight: float64(1 + len(name)),
 		}
 	}
 	return balancer.Settings{
@@ -89,7 +98,8 @@
 			class("keyed", balancer.IdempotentByKey, balancer.ScopeAll),
 			class("unsafe", balancer.NonIdempotent, balancer.ScopeCell),
 		},
-		Replicas: 4, ReplicaIndex: 1, Zone: "z1", ZoneCount: 1, TotalWeight: 0.6, WorstClassWeight: 0.3, MaxAttempts: 4, AllowCancel: true,
+		Replicas: 4, ReplicaIndex: 1, Zone: "z1", ZoneCount: 1, TotalWeight: 0.6, WorstClassWeight: 0.3,
+		MaxAttempts: 4, AllowCancel: true,
 		PollWithin: 10 * time.Second, Tick: 5 * time.Millisecond, MaxRetryAfter: 2 * time.Second,
 		SlowStartFloor: 0.15, SlowStartDuration: 8 * time.Second,
 	}
@@ -158,7 +168,9 @@
 		rng: rand.New(rand.NewPCG(5, uint64(scenario.servers))), sent: map[string]int{}, ended: map[string]bool{},
 	}
 	for i := range scenario.servers {
-		endpoint := balancer.Endpoint{ID: fmt.Sprintf("s%04d", i*7919%10000), Zone: fmt.Sprintf("z%d", i%3), Cell: i % 5}
+		endpoint := balancer.Endpoint{
+			ID: fmt.Sprintf("s%04d", i*7919%10000), Zone: fmt.Sprintf("z%d", i%3), Cell: i % 5,
+		}
 		if scenario.sized {
 			endpoint.Capacity = 0.5 + d.rng.Float64()
 		}
@@ -221,7 +233,9 @@
 
 // send draws how an attempt ends. One endpoint in eight is slow, one in nine fails often.
 func (d *traceDriver) send(a balancer.Send) {
-	attempt := traceAttempt{id: a.ID, number: d.sent[a.ID], server: a.Endpoint, sentAt: d.now, ending: balancer.Success}
+	attempt := traceAttempt{
+		id: a.ID, number: d.sent[a.ID], server: a.Endpoint, sentAt: d.now, ending: balancer.Success,
+	}
 	d.sent[a.ID]++
 	number := int(a.Endpoint[len(a.Endpoint)-1] + a.Endpoint[len(a.Endpoint)-2]*3)
 	mean := 60 * time.Millisecond
@@ -235,7 +249,9 @@
 	}
 	switch {
 	case d.now < d.down:
-		attempt.ending = []balancer.AttemptResult{balancer.ConnectFailed, balancer.TimedOut, balancer.Rejected}[d.rng.IntN(3)]
+		attempt.ending = []balancer.AttemptResult{
+			balancer.ConnectFailed, balancer.TimedOut, balancer.Rejected,
+		}[d.rng.IntN(3)]
 	case d.rng.IntN(fails) == 0:
 		attempt.ending = balancer.AttemptResult(1 + d.rng.IntN(int(balancer.NotSent)))
 	}
