--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -9,6 +9,8 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/endpointlist"
+	"basaltdrum/internal/monotime"
 )
 
 // Answer says how a call that was made on a Hollow node ended.
@@ -57,7 +59,7 @@
 // postedList remembers the version of a list that was posted. The loop passes on the entries alone, so the list is
 // recognised by the address of its first entry.
 type postedList struct {
-	first   *listEntry
+	first   *endpointlist.Entry
 	version int64
 }
 
@@ -70,12 +72,12 @@
 		return nil, fmt.Errorf("hollow node: %w", err)
 	}
 	h := &Hollow{listsPushed: !set.PollDiscovery, serve: serve, onList: onList, ended: make(chan struct{})}
-	h.loop = newLoop(module, newClock(), log)
+	h.loop = newLoop(module, monotime.New(), log)
 	h.loop.rules.Store(newRequestRules(1, set))
 	h.loop.start, h.loop.updateEndpoints, h.loop.listsPushed = h.start, h.listApplied, h.listsPushed
 	h.discovery = newDiscovery(cfg, noListVersion, h.post, log)
 	h.loop.subscribe = h.discovery.subscribe
-	h.loop.cachedList = endpointList{complete: true}
+	h.loop.cachedList = endpointlist.List{Complete: true}
 	if !h.listsPushed {
 		h.loop.useCachedList() // the module subscribes for a newer list
 	}
@@ -107,7 +109,7 @@
 	h.calls++
 	id := strconv.FormatInt(h.calls, 10)
 	h.mu.Unlock()
-	now := h.loop.clock.now()
+	now := h.loop.clock.Now()
 	r := &request{
 		id: id, class: class, receivedAt: now, deadline: now + deadline, revision: 1,
 		response: make(chan response, 1),
@@ -136,9 +138,9 @@
 
 // post queues an event for the loop, unless the loop has ended.
 func (h *Hollow) post(e event) {
-	if received, ok := e.(listReceived); ok && len(received.list.entries) > 0 {
+	if received, ok := e.(listReceived); ok && len(received.list.Entries) > 0 {
 		h.mu.Lock()
-		h.lists = append(h.lists, postedList{&received.list.entries[0], received.list.version})
+		h.lists = append(h.lists, postedList{&received.list.Entries[0], received.list.Version})
 		h.mu.Unlock()
 	}
 	select {
@@ -149,7 +151,7 @@
 
 // listApplied reports the version of a list that the loop applies. Lists that were posted before it and changed
 // nothing are dropped.
-func (h *Hollow) listApplied(entries []listEntry, _ bool) {
+func (h *Hollow) listApplied(entries []endpointlist.Entry, _ bool) {
 	if len(entries) == 0 {
 		return
 	}
@@ -159,7 +161,7 @@
 }
 
 // takePosted removes a list from those that were posted, together with the older ones, and returns its version.
-func (h *Hollow) takePosted(first *listEntry) (version int64, found bool) {
+func (h *Hollow) takePosted(first *endpointlist.Entry) (version int64, found bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for len(h.lists) > 0 {
@@ -174,8 +176,8 @@
 
 // start runs an attempt in memory: it ends after the time drawn for it, at its deadline, or when it is cancelled.
 func (h *Hollow) start(a *attempt) {
-	delay, result := h.serve(a.instance.uid)
-	if left := h.loop.clock.until(a.deadline); delay > left {
+	delay, result := h.serve(a.instance.UID)
+	if left := h.loop.clock.Until(a.deadline); delay > left {
 		delay, result = left, balancer.TimedOut
 	}
 	go func() {
@@ -188,6 +190,6 @@
 		case <-h.ended:
 		}
 		a.cancel()
-		h.post(attemptEnded{a, attemptOutcome{result: result, endedAt: h.loop.clock.now()}})
+		h.post(attemptEnded{a, attemptOutcome{result: result, endedAt: h.loop.clock.Now()}})
 	}()
 }
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -7,6 +7,8 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/endpointlist"
+	"basaltdrum/internal/monotime"
 )
 
 // eventQueueLength is how many events may wait for the loop before post blocks.
@@ -17,12 +19,12 @@
 // not marked otherwise. It never blocks on I/O: answers go to buffered channels, and each attempt runs in a
 // goroutine of its own.
 type loop struct {
-	clock           clock
+	clock           monotime.Clock
 	balancer        *balancer.Balancer
 	events          chan event
 	start           func(*attempt) // starts an attempt; must not block
 	subscribe       func()         // starts a poll of discovery; must not block
-	updateEndpoints func(entries []listEntry, complete bool)
+	updateEndpoints func(entries []endpointlist.Entry, complete bool)
 	listsPushed     bool         // discovery pushes lists; otherwise they are polled
 	connectionStats func() []any // further attributes for the traffic line
 	log             *slog.Logger
@@ -37,17 +39,17 @@
 	timers  timerHeap
 	traffic trafficCounts
 
-	endpoints    map[string]listEntry // the endpoint list by uid
-	readyServers int                  // how many of endpoints are ready
+	endpoints    map[string]endpointlist.Entry // the endpoint list by uid
+	readyServers int                           // how many of endpoints are ready
 	bootClock    *bootClock
-	cachedList   endpointList // as the node last had it; dropped once listKnown
-	listKnown    bool         // a list has been applied: discovery's, or the cached one in its place
+	cachedList   endpointlist.List // as the node last had it; dropped once listKnown
+	listKnown    bool              // a list has been applied: discovery's, or the cached one in its place
 }
 
-func newLoop(b *balancer.Balancer, c clock, log *slog.Logger) *loop {
+func newLoop(b *balancer.Balancer, c monotime.Clock, log *slog.Logger) *loop {
 	return &loop{
 		clock: c, balancer: b, connectionStats: func() []any { return nil }, events: make(chan event, eventQueueLength), log: log,
-		pending: map[string]*requestState{}, endpoints: map[string]listEntry{}, bootClock: newBootClock(c),
+		pending: map[string]*requestState{}, endpoints: map[string]endpointlist.Entry{}, bootClock: newBootClock(c),
 	}
 }
 
@@ -64,7 +66,7 @@
 	for {
 		l.fireTimers()
 		if len(l.timers) > 0 {
-			timer.Reset(max(0, l.clock.until(l.timers[0].at)))
+			timer.Reset(max(0, l.clock.Until(l.timers[0].at)))
 		}
 		select {
 		case e := <-l.events:
@@ -88,20 +90,20 @@
 	case attemptEnded:
 		l.endAttempt(e.attempt, e.result)
 	case settingsChanged:
-		l.decide(l.clock.now(), balancer.Reconfigure{Settings: e.settings})
+		l.decide(l.clock.Now(), balancer.Reconfigure{Settings: e.settings})
 		l.rules.Store(e.rules)
-		e.inForce(l.clock.now())
+		e.inForce(l.clock.Now())
 	case shutdownDeadline:
 		l.answerAll()
 	case listReceived:
-		if !e.list.complete {
+		if !e.list.Complete {
 			l.useCachedList() // it holds what these changes are changes to
 		}
 		l.applyList(e.list, false)
 	case listConfirmed:
 		l.bootClock.confirm()
 	case subscriptionFailed:
-		l.decide(l.clock.now(), balancer.SubscriptionFailed{})
+		l.decide(l.clock.Now(), balancer.SubscriptionFailed{})
 	case discoveryUnresponsive:
 		l.useCachedList()
 	}
@@ -133,7 +135,7 @@
 // answerAll answers every request that is not answered, at the end of draining. To the module, the requests of
 // departed clients are answered already, so it returns no action for them.
 func (l *loop) answerAll() {
-	l.decide(l.clock.now(), balancer.Shutdown{})
+	l.decide(l.clock.Now(), balancer.Shutdown{})
 	for _, state := range l.pending {
 		if state.departed != present && !state.answered {
 			l.respondToDeparted(state)
@@ -158,7 +160,7 @@
 		l.respond(state, response{kind: responseServed, body: outcome.body, contentType: outcome.contentType})
 	}
 	l.decide(outcome.endedAt, balancer.AttemptEnded{
-		ID: a.request.id, Attempt: a.number, Endpoint: a.instance.uid, Result: outcome.result,
+		ID: a.request.id, Attempt: a.number, Endpoint: a.instance.UID, Result: outcome.result,
 		Latency: outcome.endedAt - a.sentAt, Answered: state.answered, HeldUp: a.heldUp,
 	})
 	if state.departed != present {
@@ -197,7 +199,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &attempt{
 		ctx: ctx, cancel: cancel, request: state.request, number: len(state.attempts),
-		instance: l.endpoints[s.Endpoint].instance(), sentAt: l.now, notAfter: s.NotAfter,
+		instance: l.endpoints[s.Endpoint].Instance(), sentAt: l.now, notAfter: s.NotAfter,
 		deadline: min(l.now+s.Timeout, state.request.deadline),
 	}
 	state.attempts = append(state.attempts, a)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -11,6 +11,8 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/endpointlist"
+	"basaltdrum/internal/monotime"
 )
 
 // reservedDescriptors is how many descriptors are kept for the listener, discovery, the log and the Go runtime, and
@@ -48,7 +50,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("node: %w", err)
 	}
-	clock := newClock()
+	clock := monotime.New()
 	l := newLoop(module, clock, log)
 	l.rules.Store(newRequestRules(1, set))
 	descriptors := cfg.Sockets - reservedDescriptors
@@ -72,11 +74,11 @@
 // startDiscovery sets up discovery and hands the cached list to the loop. Where lists are polled the loop applies
 // it at once, and the module subscribes for a newer one.
 func (n *Node) startDiscovery(cfg Config) {
-	cached, err := parseList(cfg.Known)
-	version := cached.version
+	cached, err := endpointlist.Parse(cfg.Known)
+	version := cached.Version
 	if err != nil {
 		n.log.Warn("cached endpoint list is not usable", "error", err)
-		cached, version = endpointList{complete: true}, noListVersion
+		cached, version = endpointlist.List{Complete: true}, noListVersion
 	}
 	n.cfg.Known = nil // it is long, and only counts at the start
 	n.discovery = newDiscovery(cfg, version, n.loop.post, n.log)
--- a/internal/node/upstreamconn.go
+++ b/internal/node/upstreamconn.go
@@ -7,6 +7,10 @@
 	"fmt"
 	"net"
 	"time"
+
+	"basaltdrum/internal/endpointlist"
+	"basaltdrum/internal/http1"
+	"basaltdrum/internal/socketpeek"
 )
 
 // errUnsolicited reports that an endpoint has sent bytes or has closed the connection while no request was
@@ -18,8 +22,8 @@
 // ones at once.
 type upstreamConn struct {
 	net.Conn
-	instance   endpointInstance
-	limited    *limitedReader
+	instance   endpointlist.Instance
+	limited    *http1.LimitedReader
 	reader     *bufio.Reader      // reads from limited; empty between responses
 	waiter     chan upstreamReply // receives one reply for the attempt in progress; nil if none is. Guarded by pool.mu
 	idleSince  time.Duration      // clock time
@@ -57,8 +61,8 @@
 }
 
 // startReader makes a new connection known to the pool with its first attempt registered, and starts its reader.
-func (p *upstreamPool) startReader(nc net.Conn, to endpointInstance, waiter chan upstreamReply) *upstreamConn {
-	limited := &limitedReader{Reader: nc}
+func (p *upstreamPool) startReader(nc net.Conn, to endpointlist.Instance, waiter chan upstreamReply) *upstreamConn {
+	limited := &http1.LimitedReader{Reader: nc}
 	c := &upstreamConn{
 		Conn:     nc,
 		instance: to,
@@ -80,7 +84,7 @@
 // awaits it. It reports whether the connection remains open. Until a request is being written, it leaves what
 // arrives in the kernel's buffer, where beginWrite detects it.
 func (p *upstreamPool) readNext(c *upstreamConn) bool {
-	awaitReadable(c.Conn)
+	socketpeek.AwaitReadable(c.Conn)
 	p.mu.Lock()
 	stage, expected := c.stage, c.waiter != nil && c.stage != stageIdle
 	p.mu.Unlock()
