--- a/balancer/internal/endpoints/endpoints.go
+++ b/balancer/internal/endpoints/endpoints.go
@@ -62,14 +62,6 @@
 // InSubset says that this replica has the endpoint in its subset.
 func (ep *Endpoint) InSubset() bool { return ep.listed && ep.inSubset }
 
-// Placement is this replica's place among those that share the endpoint list.
-type Placement struct {
-	Zone      string
-	ZoneCount int
-	Replicas  int
-	Index     int // this replica's number among them, from 0
-}
-
 // List is the endpoint list with the groups and the subset.
 type List struct {
 	placement Placement
@@ -95,7 +87,7 @@
 
 // PerReplica returns how many ready endpoints there are for each replica.
 func (l *List) PerReplica() float64 {
-	return float64(l.ready.len()) / float64(max(1, l.placement.Replicas))
+	return l.placement.perReplica(l.ready.len())
 }
 
 // Groups returns all ready endpoints.
@@ -104,6 +96,12 @@
 // Subset returns the endpoints that this replica sends to first, and how many it was made for.
 func (l *List) Subset() (groups Groups, size int) { return l.subset.own, l.subset.size }
 
+// ResizeSubset makes the subset anew where its size no longer fits, and says whether it did. meanInFlight is
+// how many attempts this replica has in flight on average.
+func (l *List) ResizeSubset(meanInFlight float64) bool {
+	return l.subset.resize(&l.ready, &l.placement, meanInFlight)
+}
+
 // Youngest returns the ready endpoint that was started last; nil: there is none.
 func (l *List) Youngest() *Endpoint { return l.ready.youngest() }
 
--- a/balancer/internal/endpoints/readyset.go
+++ b/balancer/internal/endpoints/readyset.go
@@ -20,6 +20,8 @@
 // zoneSplit is a list of endpoints in two parts: those of this replica's own zone, and the others.
 type zoneSplit struct{ own, others []*Endpoint }
 
+func (z *zoneSplit) len() int { return len(z.own) + len(z.others) }
+
 func (s *readySet) len() int { return len(s.all) }
 
 // list returns that part of the split that an endpoint of the zone belongs to.
--- a/balancer/internal/endpoints/subset.go
+++ b/balancer/internal/endpoints/subset.go
@@ -12,6 +12,19 @@
 	shrinkRatio            = 3    // size to what is needed from which a subset is made smaller
 )
 
+// Placement is this replica's place among those that share the endpoint list.
+type Placement struct {
+	Zone      string
+	ZoneCount int
+	Replicas  int
+	Index     int // this replica's number among them, from 0
+}
+
+// perReplica returns how many endpoints there are for each replica.
+func (p *Placement) perReplica(endpoints int) float64 {
+	return float64(endpoints) / float64(max(1, p.Replicas))
+}
+
 // Groups is the left and the right group of the pick, or a part of each.
 type Groups struct{ Left, Right []*Endpoint }
 
@@ -37,7 +50,7 @@
 	return size > 0 && needed <= size && needed > size/shrinkRatio
 }
 
-// ResizeSubset makes the subset anew where its size no longer fits, and says whether it did. From each group
+// resize makes the subset anew where its size no longer fits, and says whether it did. From each group
 // it takes a run of the order that all replicas share, from this replica's position on, so that all subsets
 // together cover the groups evenly. With the whole list, one replica of many meets each endpoint too seldom
 // to find the slow and the unresponsive ones, and connections grow with replicas times endpoints. A replica
@@ -47,25 +60,25 @@
 // Endpoints of the replica's own zone come first. When a zone is lost, discovery reports it seconds later,
 // and until then each replica would have to learn of each of its endpoints by requests that hang, at every
 // tier that a request passes. This hurts where a zone's replicas need more than its endpoints can carry.
-func (l *List) ResizeSubset(meanInFlight float64) bool {
-	shared := minReplicasPerEndpoint * l.PerReplica()
+func (s *subset) resize(ready *readySet, placement *Placement, meanInFlight float64) bool {
+	shared := minReplicasPerEndpoint * placement.perReplica(ready.len())
 	needed := max(minSubset, subsetPerInFlight*meanInFlight, shared)
-	if l.subset.fits(needed) {
+	if s.fits(needed) {
 		return false
 	}
-	l.subset.size = int(math.Ceil(min(subsetHeadroom*needed, float64(l.ready.len()))))
-	left, right := l.ready.split(len(l.subset.all.Left))
-	l.subset.own = Groups{l.subsetPart(left), l.subsetPart(right)}
-	l.ready.markSubset(l.subset.own)
+	s.size = int(math.Ceil(min(subsetHeadroom*needed, float64(ready.len()))))
+	left, right := ready.split(len(s.all.Left))
+	s.own = Groups{s.part(left, ready.len(), placement), s.part(right, ready.len(), placement)}
+	ready.markSubset(s.own)
 	return true
 }
 
-// subsetPart returns a group's part of the subset, the endpoints of the replica's own zone first.
-func (l *List) subsetPart(group zoneSplit) []*Endpoint {
-	all := len(group.own) + len(group.others)
-	size := math.Ceil(float64(l.subset.size) * float64(all) / float64(max(l.ready.len(), 1)))
+// part returns a group's part of the subset, the endpoints of the replica's own zone first.
+func (s *subset) part(group zoneSplit, ready int, placement *Placement) []*Endpoint {
+	all := group.len()
+	size := math.Ceil(float64(s.size) * float64(all) / float64(max(ready, 1)))
 	part := make([]*Endpoint, 0, min(int(size), all))
-	return l.placement.appendFrom(l.placement.appendFrom(part, group.own), group.others)
+	return placement.appendFrom(placement.appendFrom(part, group.own), group.others)
 }
 
 // appendFrom appends endpoints from the replica's position on, around the end, as long as part has capacity.
--- a/balancer/internal/outlier/outlier.go
+++ b/balancer/internal/outlier/outlier.go
@@ -6,6 +6,7 @@
 package outlier
 
 import (
+	"maps"
 	"math"
 	"time"
 )
@@ -72,6 +73,25 @@
 	return other.consecutiveFailures - r.consecutiveFailures
 }
 
+// ObserveRate records that an attempt at the endpoint failed or did not, for the success rates.
+func (r *Record) ObserveRate(classes Classes, failed bool, now time.Duration, meanLatency float64) {
+	if r.failures == nil {
+		r.failures = failureRates{}
+	}
+	r.failures.observe(classes, failed, now, meanLatency)
+}
+
+// Eligibility returns the probability with which the endpoint may be sent a request of the class now, by its
+// success rate.
+func (r *Record) Eligibility(classes Classes, now time.Duration, meanLatency float64) float64 {
+	return r.failures.eligibility(classes, now, meanLatency)
+}
+
+// Forget discards the failure rates of the classes that are not known any more.
+func (r *Record) Forget(known func(*ClassRate) bool) {
+	maps.DeleteFunc(r.failures, func(class *ClassRate, _ failureRate) bool { return !known(class) })
+}
+
 func (r *Record) success() {
 	r.consecutiveFailures = 0
 	if r.consecutiveSuccesses++; r.consecutiveSuccesses >= recoverySuccesses && r.level > 0 {
--- a/balancer/internal/outlier/successrate.go
+++ b/balancer/internal/outlier/successrate.go
@@ -1,7 +1,6 @@
 package outlier
 
 import (
-	"maps"
 	"math"
 	"time"
 )
@@ -39,42 +38,34 @@
 // failureRates are an endpoint's failure rates, for each class that was sent to it and for all together.
 type failureRates map[*ClassRate]failureRate
 
-// ObserveRate records that an attempt at the endpoint failed or did not.
-func (r *Record) ObserveRate(classes Classes, failed bool, now time.Duration, meanLatency float64) {
-	if r.failures == nil {
-		r.failures = failureRates{}
-	}
+// observe records that an attempt at the endpoint failed or did not.
+func (f failureRates) observe(classes Classes, failed bool, now time.Duration, meanLatency float64) {
 	result := 0.0
 	if failed {
 		result = 1
 	}
 	for _, class := range classes {
-		share := r.failures[class].after(now, meanLatency)
-		r.failures[class] = failureRate{share + failureWeight*(result-share), now}
+		share := f[class].after(now, meanLatency)
+		f[class] = failureRate{share + failureWeight*(result-share), now}
 		class.share += classRateWeight * (result - class.share)
 	}
 }
 
-// Eligibility returns the probability with which the endpoint may be sent a request of the class now, by its
+// eligibility returns the probability with which the endpoint may be sent a request of the class now, by its
 // success rate against that of all endpoints. One that fails at once, in part or in one class only, has few
 // requests in flight and wins the pick, and its successes end each run of failures; one that lets most
 // attempts time out keeps its part of the concurrency limit. Where all fail alike none is an outlier, so this
 // exclusion needs no cap. It hurts where a few failures by chance are all that is known.
-func (r *Record) Eligibility(classes Classes, now time.Duration, meanLatency float64) float64 {
-	if len(r.failures) == 0 { // no result is known, as for most endpoints of a long list
+func (f failureRates) eligibility(classes Classes, now time.Duration, meanLatency float64) float64 {
+	if len(f) == 0 { // no result is known, as for most endpoints of a long list
 		return 1
 	}
 	ratio := 1.0
 	for _, class := range classes {
-		ratio = min(ratio, (1-r.failures[class].after(now, meanLatency))/(1-class.share))
+		ratio = min(ratio, (1-f[class].after(now, meanLatency))/(1-class.share))
 	}
 	if ratio < failureMargin {
 		return math.Pow(ratio/failureMargin, failurePower)
 	}
 	return 1
 }
-
-// Forget discards the failure rates of the classes that are not known any more.
-func (r *Record) Forget(known func(*ClassRate) bool) {
-	maps.DeleteFunc(r.failures, func(class *ClassRate, _ failureRate) bool { return !known(class) })
-}
--- a/balancer/internal/slowstart/capacity.go
+++ b/balancer/internal/slowstart/capacity.go
@@ -40,23 +40,3 @@
 		c.answers += 1 / capacity
 	}
 }
-
-// ObserveAnswer records a good answer of an endpoint; inSubset says that this replica has it in its subset.
-func (l *Limiter) ObserveAnswer(r *Record, now time.Duration, counts Counts, inSubset bool) {
-	l.observeCapacity(now, counts, inSubset, l.IsWarm(r, now))
-}
-
-// observeCapacity records the time and, where answered says so, a good answer of a warm endpoint or of
-// another. The answers of warm endpoints say most, as the others answer no more than they are sent. Where the
-// subset has no warm one, the estimate of warm ones stays, and that of the others counts if it is higher.
-func (l *Limiter) observeCapacity(now time.Duration, counts Counts, answered, warm bool) {
-	over := l.capacityMemory()
-	l.warm.observe(now, over, counts.warm, answered && warm)
-	l.warmingUp.observe(now, over, counts.warmingUp, answered && !warm)
-}
-
-// capacityMemory returns how many seconds the estimate goes back: half of the time of a slow start is long
-// enough for a replica of little traffic, and short enough to follow the load.
-func (l *Limiter) capacityMemory() float64 {
-	return (l.settings.Duration/2 + l.settings.OverloadWindow).Seconds()
-}
--- a/balancer/internal/slowstart/slowstart.go
+++ b/balancer/internal/slowstart/slowstart.go
@@ -13,13 +13,18 @@
 	"time"
 )
 
-// averageWeight is the least weight of a new sample in averages (about 16 samples).
-const averageWeight = 0.06
-
 // lightWorkRatio is how many times its share of the mean expected work a request may be expected to take, to
 // be sent to an endpoint that warms up.
 const lightWorkRatio = 6.0
 
+// Constants of the token buckets.
+const (
+	outsideSubsetRate = 0.1  // requests in a window from all replicas without the endpoint in their subsets
+	unusedIntervals   = 2.0  // mean intervals between requests, beside a part of a window, that tokens last
+	windowParts       = 4    // that part of a window; the queue looks for new tokens twice in it
+	leastInterval     = 1e-9 // seconds between requests, at least
+)
+
 // Settings of slow start.
 type Settings struct {
 	Floor    float64       // share of its capacity that an endpoint has at its start, at least
@@ -42,6 +47,15 @@
 	work      workEstimate
 }
 
+// fillBasis is what the rates of all token buckets are computed from at one time.
+type fillBasis struct {
+	round       int // counts the times that it was brought up to date
+	at          time.Duration
+	known       bool
+	perEndpoint float64 // good answers a second to this replica that a warm endpoint is capable of
+	replicas    float64 // that have an endpoint in their subsets
+}
+
 // Record is what is known of one endpoint.
 type Record struct {
 	startedAt time.Duration // 0: long ago
@@ -116,23 +130,88 @@
 	return math.MaxInt64
 }
 
-// arrivalInterval is the time between requests: an exponentially weighted average.
-type arrivalInterval struct{ mean, last time.Duration }
+// ObserveAnswer records a good answer of an endpoint; inSubset says that this replica has it in its subset.
+func (l *Limiter) ObserveAnswer(r *Record, now time.Duration, counts Counts, inSubset bool) {
+	l.observeCapacity(now, counts, inSubset, l.IsWarm(r, now))
+}
 
-// observe records that a request arrived. An interval counts as longest at most.
-func (a *arrivalInterval) observe(now, longest time.Duration) {
-	interval := min(now-a.last, longest)
-	a.mean += time.Duration(averageWeight * float64(interval-a.mean))
-	a.last = now
+// observeCapacity records the time and, where answered says so, a good answer of a warm endpoint or of
+// another. The answers of warm endpoints say most, as the others answer no more than they are sent. Where the
+// subset has no warm one, the estimate of warm ones stays, and that of the others counts if it is higher.
+func (l *Limiter) observeCapacity(now time.Duration, counts Counts, answered, warm bool) {
+	over := l.capacityMemory()
+	l.warm.observe(now, over, counts.warm, answered && warm)
+	l.warmingUp.observe(now, over, counts.warmingUp, answered && !warm)
 }
 
-// workEstimate is the mean of the work that clients expect of their requests, in ns.
-type workEstimate struct {
-	mean  float64
-	hints float64 // how many requests had one
+// capacityMemory returns how many seconds the estimate goes back: half of the time of a slow start is long
+// enough for a replica of little traffic, and short enough to follow the load.
+func (l *Limiter) capacityMemory() float64 {
+	return (l.settings.Duration/2 + l.settings.OverloadWindow).Seconds()
+}
+
+// hasOverloadLimit says that the settings tell what overloads an endpoint in slow start.
+func (l *Limiter) hasOverloadLimit() bool {
+	return l.settings.OverloadMultiple > 0 && l.settings.OverloadWindow > 0
+}
+
+// ObserveSubsetChange records that this replica sends to other endpoints than before.
+func (l *Limiter) ObserveSubsetChange() { l.basis.known = false }
+
+// NeedsCounts says that UpdateCounts is due before HasTokens.
+func (l *Limiter) NeedsCounts(now time.Duration) bool {
+	return l.hasOverloadLimit() && !(l.basis.known && l.basis.at == now)
 }
 
-func (w *workEstimate) observe(work float64) {
-	w.hints++
-	w.mean += max(averageWeight, 1/w.hints) * (work - w.mean)
+// UpdateCounts brings the limits up to now. The replicas that have an endpoint in their subsets are taken to
+// have subsets as large as this one's. A replica that has seen no warm endpoint assumes that those of its
+// subset, once warm, answer all that it sends.
+func (l *Limiter) UpdateCounts(now time.Duration, counts Counts) {
+	l.observeCapacity(now, counts, false, false)
+	window := l.settings.OverloadWindow.Seconds()
+	interval := max(l.arrivals.mean.Seconds(), leastInterval)
+	sent := 1 / interval / float64(max(1, counts.SubsetSize)) * (1 - l.warm.seconds/l.capacityMemory())
+	ready := float64(max(1, counts.Ready))
+	l.basis = fillBasis{
+		round: l.basis.round + 1, at: now, known: true,
+		perEndpoint: max(l.warm.rate(window), l.warmingUp.rate(window), sent),
+		replicas:    max(1, float64(l.settings.Replicas)*float64(counts.SubsetSize)/ready),
+	}
+}
+
+// HasTokens says that an endpoint in slow start may be sent a request now, as far as all replicas together
+// must not overload it. inSubset says that this replica has it in its subset.
+func (l *Limiter) HasTokens(r *Record, now time.Duration, inSubset bool, rng *rand.Rand) bool {
+	if !l.hasOverloadLimit() {
+		return true
+	}
+	r.bucket.updateRate(l.basis.round, func() float64 { return l.fillRate(r, now, inSubset) })
+	interval := l.arrivals.mean.Seconds()
+	lasts := l.settings.OverloadWindow.Seconds()/windowParts + unusedIntervals*interval
+	return r.bucket.hasTokens(now, lasts, rng)
+}
+
+// Spend takes a request from the token bucket of an endpoint in slow start. work is in nanoseconds, as its
+// client expects it; 0: unknown.
+func (l *Limiter) Spend(r *Record, now time.Duration, work float64) {
+	switch {
+	case !l.hasOverloadLimit() || l.IsWarm(r, now):
+	case work > 0:
+		r.bucket.spend(work / l.work.mean)
+	default:
+		r.bucket.spend(1)
+	}
+}
+
+// fillRate returns this replica's part of what all may send the endpoint, in requests of mean work a second.
+func (l *Limiter) fillRate(r *Record, now time.Duration, inSubset bool) float64 {
+	window := l.settings.OverloadWindow.Seconds()
+	replicas, most := float64(max(1, l.settings.Replicas)), outsideSubsetRate
+	if inSubset {
+		replicas = l.basis.replicas
+		share := l.CapacityShare(r, now)
+		allowed := l.settings.OverloadMultiple * share * l.basis.perEndpoint * replicas * window
+		most = max(most, safeMean(overloadLimit(allowed)))
+	}
+	return most / replicas / window
 }
