--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -7,13 +7,6 @@
 	"time"
 )
 
-// holdAttempts has so many attempts in flight, besides those that a test sends.
-func holdAttempts(b *Balancer, attempts int) {
-	for range attempts {
-		b.admission.Begin()
-	}
-}
-
 // requestLoad sends requests at a steady rate and answers their attempts after a fixed time.
 type requestLoad struct {
 	b        *Balancer
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"basaltdrum/balancer/internal/endpoints"
+	"basaltdrum/balancer/internal/outlier"
 )
 
 const msec = time.Millisecond
@@ -137,3 +138,61 @@
 	groups := b.endpoints.Groups()
 	return slices.Concat(groups.Left, groups.Right)
 }
+
+// holdAttempts has so many attempts in flight, besides those that a test sends.
+func holdAttempts(b *Balancer, attempts int) {
+	for range attempts {
+		b.admission.Begin()
+	}
+}
+
+// shedUpTo sheds requests until a share of them is shed, within two hundredths and not over it.
+func shedUpTo(b *Balancer, share float64) {
+	for b.admission.ShedShare() < share {
+		b.admission.ObserveShed()
+	}
+	b.admission.ObserveAdmitted()
+}
+
+// eject ejects an endpoint for so long, whatever the others do.
+func eject(ep *endpoints.Endpoint, now, length time.Duration) {
+	detector := outlier.NewDetector()
+	const baseEjection = 12 // mean latencies that a first ejection lasts
+	detector.ObserveFailure(&ep.Health, now, float64(length)/baseEjection)
+}
+
+// failAttempts makes so many failures of a class known, at an endpoint that is not listed.
+func failAttempts(b *Balancer, name string, failures int) {
+	for range failures {
+		(&outlier.Record{}).ObserveRate(b.classes.byName[name].rates, true, b.now, float64(msec))
+	}
+}
+
+// countKnown returns how many endpoints are known.
+func countKnown(b *Balancer) (known int) {
+	for range b.endpoints.Known() {
+		known++
+	}
+	return known
+}
+
+// countRates counts the failure rates that an endpoint's record holds.
+func countRates(ep *endpoints.Endpoint) (rates int) {
+	ep.Health.Forget(func(*outlier.ClassRate) bool {
+		rates++
+		return true
+	})
+	return rates
+}
+
+// endpointsWith returns a group of endpoints with so many attempts in flight each.
+func endpointsWith(inFlight ...int) (group []*endpoints.Endpoint) {
+	for i, attempts := range inFlight {
+		ep := &endpoints.Endpoint{Entry: Endpoint{ID: fmt.Sprint(i)}}
+		for range attempts {
+			ep.Attempts.Begin(0, nil)
+		}
+		group = append(group, ep)
+	}
+	return group
+}
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -5,7 +5,6 @@
 	"testing"
 	"time"
 
-	"basaltdrum/balancer/internal/endpoints"
 	"basaltdrum/balancer/internal/outlier"
 )
 
@@ -59,13 +58,6 @@
 	}
 }
 
-// eject ejects an endpoint for so long, whatever the others do.
-func eject(ep *endpoints.Endpoint, now, length time.Duration) {
-	detector := outlier.NewDetector()
-	const baseEjection = 12 // mean latencies that a first ejection lasts
-	detector.ObserveFailure(&ep.Health, now, float64(length)/baseEjection)
-}
-
 // After an ejection the first trial must not be a request that cannot be retried.
 func TestServerOnTrialGetsNoNonIdempotentRequest(t *testing.T) {
 	b := newBalancer(t, nil)
@@ -80,14 +72,6 @@
 	}
 }
 
-// shedUpTo sheds requests until a share of them is shed, within two hundredths and not over it.
-func shedUpTo(b *Balancer, share float64) {
-	for b.admission.ShedShare() < share {
-		b.admission.ObserveShed()
-	}
-	b.admission.ObserveAdmitted()
-}
-
 // In overload every server is needed: the more is shed, the fewer may be ejected.
 func TestLoadSheddingEjectsFewerServers(t *testing.T) {
 	for _, c := range []struct {
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -10,18 +10,6 @@
 	"basaltdrum/balancer/internal/latency"
 )
 
-// endpointsWith returns a group of endpoints with so many attempts in flight each.
-func endpointsWith(inFlight ...int) (group []*endpoints.Endpoint) {
-	for i, attempts := range inFlight {
-		ep := &endpoints.Endpoint{Entry: Endpoint{ID: fmt.Sprint(i)}}
-		for range attempts {
-			ep.Attempts.Begin(0, nil)
-		}
-		group = append(group, ep)
-	}
-	return group
-}
-
 // pickShares picks often from two groups, and returns the share of each endpoint.
 func pickShares(b *Balancer, left, right []*endpoints.Endpoint) map[*endpoints.Endpoint]float64 {
 	const picks = 20000
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -6,7 +6,6 @@
 	"testing"
 	"time"
 
-	"basaltdrum/balancer/internal/endpoints"
 	"basaltdrum/balancer/internal/outlier"
 )
 
@@ -102,15 +101,6 @@
 	}
 }
 
-// countRates counts the failure rates that an endpoint's record holds.
-func countRates(ep *endpoints.Endpoint) (rates int) {
-	ep.Health.Forget(func(*outlier.ClassRate) bool {
-		rates++
-		return true
-	})
-	return rates
-}
-
 // However often settings come, and though classes come and go while calls are in flight, no state
 // accumulates.
 func TestReconfigureLeaksNoState(t *testing.T) {
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -3,20 +3,11 @@
 import (
 	"testing"
 	"time"
-
-	"basaltdrum/balancer/internal/outlier"
 )
 
 // newBudget is how many retries a new budget pays for.
 const newBudget = 5.0
 
-// failAttempts makes so many failures of a class known, at an endpoint that is not listed.
-func failAttempts(b *Balancer, name string, failures int) {
-	for range failures {
-		(&outlier.Record{}).ObserveRate(b.classes.byName[name].rates, true, b.now, float64(msec))
-	}
-}
-
 // An attempt is cut short only where attempts go unanswered, where it may be retried, and where a retry has
 // time and budget.
 func TestAttemptTimeoutIsCutOnlyWhereARetryMayFollow(t *testing.T) {
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -285,14 +285,6 @@
 	}
 }
 
-// countKnown returns how many endpoints are known.
-func countKnown(b *Balancer) (known int) {
-	for range b.endpoints.Known() {
-		known++
-	}
-	return known
-}
-
 func TestSameEventsGiveSameActions(t *testing.T) {
 	a, _ := runRandomly(t, testSettings(), 5, 3000, nil)
 	other, _ := New(testSettings(), 99) // a neighbour in the process changes nothing
