--- a/balancer/internal/endpoints/endpoints.go
+++ b/balancer/internal/endpoints/endpoints.go
@@ -51,11 +51,6 @@
 	Excluded   bool // for its health, from the pick for the request at hand
 }
 
-// newEndpoint returns the endpoint of an entry, of which nothing is known but the attempts in flight to it.
-func newEndpoint(entry Entry, attempts unresponsive.Record) Endpoint {
-	return Endpoint{Attempts: attempts, SlowStart: slowstart.NewRecord(entry.StartedAt)}
-}
-
 // isReady says that the endpoint is listed and may be sent requests.
 func (ep *Endpoint) isReady() bool { return ep.listed && ep.State == Ready }
 
@@ -160,11 +155,12 @@
 func (l *List) update(entry Entry) *Endpoint {
 	ep := l.byID[entry.ID]
 	if ep == nil {
-		ep = &Endpoint{}
-		*ep = newEndpoint(entry, unresponsive.Record{})
+		ep = &Endpoint{SlowStart: slowstart.NewRecord(entry.StartedAt)}
 		l.byID[entry.ID] = ep
 	} else if ep.StartedAt != entry.StartedAt {
-		*ep = newEndpoint(entry, ep.Attempts.AfterRestart())
+		*ep = Endpoint{
+			Attempts: ep.Attempts.AfterRestart(), SlowStart: slowstart.NewRecord(entry.StartedAt),
+		}
 	}
 	ep.Entry = entry
 	ep.listed = entry.State != Removed
