--- /dev/null
+++ b/internal/http1/scanner_test.go
@@ -0,0 +1,173 @@
+package http1
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"net/http"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+)
+
+// scanned is the result of a scanner fed some bytes in pieces of a size (0: all at once).
+func scanned(text string, size int) *RequestScanner {
+	s := &RequestScanner{}
+	if size == 0 {
+		size = max(1, len(text))
+	}
+	for part := range slices.Chunk([]byte(text), size) {
+		s.Feed(part, 0)
+	}
+	return s
+}
+
+// readByHTTP reads requests as the server of net/http does, until one is invalid; an error in a body leaves its
+// head in the list.
+func readByHTTP(text string) (requests []*http.Request) {
+	br := bufio.NewReader(strings.NewReader(text))
+	for {
+		if len(requests) > 0 && requests[len(requests)-1].Method == http.MethodPost {
+			blank, _ := br.Peek(maxBlankBytes)
+			br.Discard(len(blank) - len(strings.TrimLeft(string(blank), "\r\n")))
+		}
+		r, err := http.ReadRequest(br)
+		if err != nil {
+			return requests
+		}
+		requests = append(requests, r)
+		if _, err := io.Copy(io.Discard, r.Body); err != nil {
+			return requests
+		}
+	}
+}
+
+// checkScanner compares the scanner's results for the same bytes in pieces of several sizes, and with what
+// net/http reads where both go on.
+func checkScanner(t *testing.T, text string) {
+	t.Helper()
+	want := scanned(text, 0)
+	for _, size := range []int{1, 2, 3, 7, 64} {
+		got := scanned(text, size)
+		if !slices.Equal(got.heads, want.heads) || !errors.Is(got.err, want.err) || got.errInBody != want.errInBody ||
+			got.state != want.state {
+			t.Fatalf("in pieces of %d: %+v, at once: %+v", size, got, want)
+		}
+	}
+	for _, r := range readByHTTP(text) {
+		if len(want.heads) == 0 {
+			break
+		}
+		if _, err := want.TakeHead(r); err != nil {
+			t.Fatalf("net/http reads %s %s with length %d elsewhere: %v", r.Method, r.RequestURI, r.ContentLength, err)
+		}
+	}
+}
+
+// chunkedPost is the head of a POST whose body comes in chunks.
+const chunkedPost = "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
+
+// scannerTexts are streams of requests, and how many of them the scanner accepts.
+var scannerTexts = []struct {
+	name  string
+	text  string
+	heads int
+	err   error
+}{
+	{"nothing", "", 0, nil},
+	{"one request", "GET /a HTTP/1.1\r\nHost: h\r\n\r\n", 1, nil},
+	{"lines that end by LF", "GET /a HTTP/1.1\nHost: h\n\nGET /b HTTP/1.0\r\n\r\n", 2, nil},
+	{"folded fields", "GET /a HTTP/1.1\r\nX: a\r\n b\r\n\t\r\nY:\r\n\r\nGET /b HTTP/1.1\r\n\r\n", 2, nil},
+	{
+		"bodies with a length, and a partial request",
+		"POST /a HTTP/1.1\r\ncontent-LENGTH: \t3 \r\n\r\nabcPOST /b HTTP/1.1\r\nContent-Length: 0\r\n\r\nG", 2, nil,
+	},
+	{
+		"the same length twice, and a blank line behind the POST",
+		"POST /a HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\na\r\n\r\nGET /b HTTP/1.1\r\n\r\n", 2, nil,
+	},
+	{
+		"too many line ends behind a POST",
+		"POST /a HTTP/1.1\r\nContent-Length: 1\r\n\r\na\r\n\r\n\r\nGET /b HTTP/1.1\r\n\r\n", 1, errRequestLine,
+	},
+	{"a blank line behind a GET", "GET /a HTTP/1.1\r\n\r\n\r\nGET /b HTTP/1.1\r\n\r\n", 1, errRequestLine},
+	{
+		"chunks with an extension and trailers",
+		"POST /a HTTP/1.1\r\nTransfer-Encoding: CHUNKED\r\n\r\n3;x\r\n\r\n0\r\n0\r\nA: b\r\n\r\n\r\n\r\n" +
+			"GET /b HTTP/1.1\r\n\r\n", 2, nil,
+	},
+	{
+		"no chunk, and a partial body behind",
+		chunkedPost + "0\r\n\r\nPOST /b HTTP/1.1\r\nContent-Length: 2\r\n\r\na", 2, nil,
+	},
+	{"a blank behind a chunk's size", chunkedPost + "2 \r\nok\r\n0\r\n\r\n", 1, errChunkSize},
+	{"a chunk longer than its size", chunkedPost + "2\r\nok0\r\n\r\n", 1, errChunkEnd},
+	{"a trailer that ends by LF", chunkedPost + "0\r\nA: b\n\nGET /b HTTP/1.1\r\n\r\n", 1, errTrailer},
+	{
+		"a coding and a length",
+		"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n0\r\n\r\n", 0, errLengthAndCoding,
+	},
+	{
+		"a coding on HTTP/1.0",
+		"POST /a HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 0, errCodingInHTTP10,
+	},
+	{"an unknown coding", "POST /a HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n", 0, errCoding},
+	{"a folded length", "POST /a HTTP/1.1\r\nContent-Length:\r\n 1\r\n\r\na", 0, errContentLength},
+	{"a length folded behind", "POST /a HTTP/1.1\r\nContent-Length: 1\r\n \r\n\r\na", 0, errFoldedFraming},
+	{"a fold behind the request line", "POST /a HTTP/1.1\r\n Content-Length: 1\r\n\r\na", 0, errFieldLine},
+	{
+		"a length in a long line",
+		"POST /a HTTP/1.1\r\nContent-Length: 1" + strings.Repeat(" ", maxBufferedField) + "\r\n\r\na",
+		0, errContentLength,
+	},
+	{"a long field name", "GET /a HTTP/1.1\r\n" + strings.Repeat("N", maxBufferedField) + ": v\r\n\r\n", 1, nil},
+	{"a long target", "GET /" + strings.Repeat("a", maxRequestLine) + " HTTP/1.1\r\n\r\n", 0, errRequestLine},
+	{"another version", "GET /a HTTP/2.0\r\n\r\n", 0, errRequestLine},
+	{
+		"too many pipelined requests",
+		strings.Repeat("GET /a HTTP/1.1\r\n\r\n", maxPipelinedHeads+1), maxPipelinedHeads, errTooManyPipelined,
+	},
+}
+
+func TestScannerFollowsRequestsInAnyFragments(t *testing.T) {
+	for _, c := range scannerTexts {
+		t.Run(c.name, func(t *testing.T) {
+			t.Parallel()
+			s := scanned(c.text, 0)
+			if len(s.heads) != c.heads || !errors.Is(s.err, c.err) {
+				t.Errorf("%d heads and %v, want %d and %v", len(s.heads), s.err, c.heads, c.err)
+			}
+			checkScanner(t, c.text)
+		})
+	}
+}
+
+func FuzzScannerAgreesWithHTTP(f *testing.F) {
+	for _, c := range scannerTexts {
+		f.Add(c.text)
+	}
+	f.Fuzz(checkScanner)
+}
+
+// Each request's time starts with its own first byte: not with line ends before it, and not with the end of the
+// request before it.
+func TestScannerNotesTheFirstByteOfEachRequest(t *testing.T) {
+	s := &RequestScanner{}
+	for i, part := range []string{
+		"P", "OST /a HTTP/1.1\r\nContent-Le", "ngth: 1\r\n\r", "\n", "a", "\r\n",
+		"GET /b HTTP/1.1\r\n\r\nG", "ET /c HTTP/1.1\r\n\r\n",
+	} {
+		s.Feed([]byte(part), time.Duration(i+1))
+	}
+	var got []time.Duration
+	for _, h := range s.heads {
+		got = append(got, h.FirstByte)
+	}
+	if want := []time.Duration{1, 7, 7}; !slices.Equal(got, want) || s.err != nil {
+		t.Errorf("first bytes at %v, %v; want %v", got, s.err, want)
+	}
+	if s.line != nil || s.MidRequest() {
+		t.Errorf("an idle connection holds %d bytes", cap(s.line))
+	}
+}
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"time"
 
+	"basaltdrum/internal/downstream"
 	"basaltdrum/internal/monotime"
 )
 
@@ -25,14 +26,14 @@
 //
 // http.Server.Shutdown does not do: it waits for seconds on connections that never sent a request, past
 // SIGKILL, and closes an idle connection on which a request has just been read.
-func (f *frontend) drain(ctx context.Context, ln *downstreamListener, served <-chan struct{}, schedule drainSchedule) error {
+func (f *frontend) drain(ctx context.Context, ln *downstream.Listener, served <-chan struct{}, schedule drainSchedule) error {
 	begin := f.clock.Now()
 	passed := func(at time.Duration) bool { return f.clock.Now()-begin >= at }
 	f.draining.Store(true)
 	monotime.Sleep(ctx, schedule.stopAccepting)
-	ln.drainQueue()
+	ln.DrainQueue()
 	defer func() { _ = ln.Close() }() // the process ends, and its listener with it
-	for ctx.Err() == nil && !passed(schedule.closeConns) && (!isClosed(served) || f.conns.count() > 0) {
+	for ctx.Err() == nil && !passed(schedule.closeConns) && (!isClosed(served) || f.conns.Count() > 0) {
 		monotime.Sleep(ctx, drainPollInterval)
 	}
 	f.closing.Store(true)
@@ -41,15 +42,15 @@
 
 // awaitDrained evicts quiet connections until none is left and the server accepts no more. Once the time to
 // answer all has come, it has the loop answer every open request.
-func (f *frontend) awaitDrained(ctx context.Context, ln *downstreamListener, served <-chan struct{}, answerAll func() bool) error {
+func (f *frontend) awaitDrained(ctx context.Context, ln *downstream.Listener, served <-chan struct{}, answerAll func() bool) error {
 	for notified := false; ; monotime.Sleep(ctx, drainPollInterval) {
 		accepting := !isClosed(served) // read first, so that the count below has whatever was accepted
-		left := f.conns.evictQuiet()
+		left := f.conns.EvictQuiet()
 		switch {
 		case !accepting && left == 0:
 			return nil
 		case ctx.Err() != nil:
-			return fmt.Errorf("connections are left open: %d, by phase %v: %w", left, f.conns.phaseCounts(), ctx.Err())
+			return fmt.Errorf("connections are left open: %d, by phase %v: %w", left, f.connsByPhase(), ctx.Err())
 		case !notified && answerAll():
 			_ = ln.Close() // it is still open only if every accept fails, and needs no answer
 			f.post(shutdownDeadline{})
@@ -57,3 +58,22 @@
 		}
 	}
 }
+
+// connsByPhase is how many connections are in each phase.
+func (f *frontend) connsByPhase() map[downstream.Phase]int {
+	counts := map[downstream.Phase]int{}
+	for _, conn := range f.conns.Status() {
+		counts[conn.Phase]++
+	}
+	return counts
+}
+
+// isClosed reports, without waiting, whether a channel that is only ever closed has been closed.
+func isClosed(c <-chan struct{}) bool {
+	select {
+	case <-c:
+		return true
+	default:
+		return false
+	}
+}
