--- a/balancer/requestrules_test.go
+++ b/balancer/requestrules_test.go
@@ -39,8 +39,8 @@
 		{"by key, in the window", requestAfter(IdempotentByKey, ScopeCell, TimedOut), 50 * msec, true, false},
 		{"by key, everywhere", requestAfter(IdempotentByKey, ScopeAll, TimedOut), 50 * msec, true, true},
 		{"by key, at the end of the window", requestAfter(IdempotentByKey, ScopeAll, TimedOut), 96 * msec, false, true},
-		{"by key, after the window, never ran", requestAfter(IdempotentByKey, ScopeCell, Rejected), 200 * msec, true, true},
-		{"no attempt is left", requestAfter(Idempotent, ScopeAll, TimedOut, TimedOut, TimedOut), 50 * msec, false, true},
+		{"by key, later, never ran", requestAfter(IdempotentByKey, ScopeCell, Rejected), 200 * msec, true, true},
+		{"none is left", requestAfter(Idempotent, ScopeAll, TimedOut, TimedOut, TimedOut), 50 * msec, false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := c.req.mayRetry(c.now, &settings); got != c.retry {
