--- a/internal/node/attempt.go
+++ b/internal/node/attempt.go
@@ -19,49 +19,49 @@
 	errConnUnusable = errors.New("the connection is unusable")
 )
 
-// attempt is one attempt to have a request served by one endpoint: the first one, or a retry.
-type attempt struct {
-	ctx               context.Context // ends when the attempt is cancelled
-	cancel            context.CancelFunc
-	request           *request
-	number            int // of the attempt within its request, from 0
-	instance          endpointlist.Instance
-	sentAt, deadline  time.Duration // clock times
-	notAfter          time.Duration // clock time after which endpoints no longer discard a repeat; 0: no limit
-	begun             bool          // a byte of it may have been written. Guarded by request.mu
-	ended             bool          // its result has been passed on; used by the loop alone
-	heldUp            bool          // a local fault delayed its connection; read once it has ended
-	outlivesHalfClose bool          // a cancellation waits until the client is known to have disconnected
+// Attempt is one attempt to have a request served by one endpoint: the first one, or a retry. Its maker sets the
+// exported fields, which do not change once Pool.Do has it.
+type Attempt struct {
+	Request  *Request
+	Instance endpointlist.Instance // of the endpoint
+	Deadline time.Duration         // clock time at which the attempt is given up
+	NotAfter time.Duration         // clock time after which endpoints no longer discard a repeat; 0: no limit
+
+	begun  bool // a byte of it may have been written. Guarded by Request.mu
+	heldUp bool // a local fault delayed its connection. Used by the goroutine of Pool.Do alone
 }
 
-// attemptOutcome is how an attempt ended.
-type attemptOutcome struct {
-	result      balancer.AttemptResult
-	endedAt     time.Duration // clock time; of a response, when its last byte was read
-	body        []byte
-	contentType string
+// Outcome is how an attempt ended.
+type Outcome struct {
+	Result      balancer.AttemptResult
+	EndedAt     time.Duration // clock time; of a response, when its last byte was read
+	Body        []byte        // of a successful response
+	ContentType string        // of a successful response; empty: the endpoint sent none
+	HeldUp      bool          // a fault of this machine delayed or prevented the connection
 }
 
-// do carries out an attempt and returns its outcome. By then its connection is closed, or idle again.
-func (p *upstreamPool) do(a *attempt) attemptOutcome {
-	ctx, cancel := context.WithTimeout(a.ctx, p.clock.Until(a.deadline))
-	defer cancel()
+// Do carries out an attempt and returns its outcome. By then its connection is closed, or idle again. The end of ctx
+// cancels the attempt.
+func (p *Pool) Do(ctx context.Context, a *Attempt) Outcome {
 	outcome := p.roundTrip(ctx, a)
-	if outcome.endedAt == 0 {
-		outcome.endedAt = p.clock.Now()
+	outcome.HeldUp = a.heldUp
+	if outcome.EndedAt == 0 {
+		outcome.EndedAt = p.clock.Now()
 	}
 	return outcome
 }
 
-// roundTrip connects, writes the request and awaits its response. ctx ends at the attempt's deadline, too.
-func (p *upstreamPool) roundTrip(ctx context.Context, a *attempt) attemptOutcome {
-	encoded, err := encodeRequest(a)
+// roundTrip connects, writes the request and awaits its response, until the attempt's deadline or the end of callerCtx.
+func (p *Pool) roundTrip(callerCtx context.Context, a *Attempt) Outcome {
+	ctx, cancel := context.WithTimeout(callerCtx, p.clock.Until(a.Deadline))
+	defer cancel()
+	encoded, err := encodeRequest(a.Request)
 	if err != nil || p.remainingTime(a) == 0 {
-		return attemptOutcome{result: balancer.NotSent}
+		return Outcome{Result: balancer.NotSent}
 	}
 	c, waiter, err := p.acquire(ctx, a)
 	if err != nil {
-		return attemptOutcome{result: a.resultNotBegun(err)}
+		return Outcome{Result: resultNotBegun(callerCtx, err)}
 	}
 	// At the deadline or at a cancellation the connection is closed, which ends the wait for the reply.
 	stop := context.AfterFunc(ctx, func() { p.abandon(c, waiter) })
@@ -69,7 +69,7 @@
 	// The remaining time is filled in last, so that no wait for a connection or a lock makes it too long.
 	if !writeDeadlineValue(encoded.deadlineValue, p.remainingTime(a)) {
 		p.abandon(c, waiter)
-		return attemptOutcome{result: balancer.NotSent}
+		return Outcome{Result: balancer.NotSent}
 	}
 	written, writeErr := c.Write(encoded.text)
 	if writeErr != nil {
@@ -81,16 +81,16 @@
 	// The system reports a reset only once, to the write or to the read. So after a failed write, what the
 	// reader took for an orderly close may have been a reset.
 	if reply.err == nil && (writeErr == nil || !reply.endedByClose) {
-		return reply.attemptOutcome
+		return reply.Outcome
 	}
-	return attemptOutcome{result: a.resultWithoutResponse(ctx, written == len(encoded.text))}
+	return Outcome{Result: resultWithoutResponse(callerCtx, ctx, written == len(encoded.text))}
 }
 
 // acquire returns a connection on which the first byte of the attempt's request may be written next, and the
 // channel that receives the reply. An idle connection that turns out to be closed is replaced by another one.
-func (p *upstreamPool) acquire(ctx context.Context, a *attempt) (*upstreamConn, chan upstreamReply, error) {
+func (p *Pool) acquire(ctx context.Context, a *Attempt) (*conn, chan exchangeResult, error) {
 	for {
-		waiter := make(chan upstreamReply, 1)
+		waiter := make(chan exchangeResult, 1)
 		c, fresh, err := p.connect(ctx, a, waiter)
 		if err != nil {
 			return nil, nil, err
@@ -109,11 +109,11 @@
 
 // resultNotBegun returns the result of an attempt that failed to acquire a connection. Local faults are no
 // evidence against the endpoint.
-func (a *attempt) resultNotBegun(err error) balancer.AttemptResult {
+func resultNotBegun(callerCtx context.Context, err error) balancer.AttemptResult {
 	switch {
 	case errors.Is(err, errNoDescriptor), netdial.IsLocalError(err):
 		return balancer.NotSent
-	case errors.Is(a.ctx.Err(), context.Canceled):
+	case errors.Is(callerCtx.Err(), context.Canceled):
 		return balancer.Cancelled
 	case errors.Is(err, errAttemptObsolete):
 		return balancer.NotSent
@@ -121,10 +121,11 @@
 	return balancer.ConnectFailed
 }
 
-// resultWithoutResponse returns the result of an attempt that was begun and has no usable response.
-func (a *attempt) resultWithoutResponse(ctx context.Context, written bool) balancer.AttemptResult {
+// resultWithoutResponse returns the result of an attempt that was begun and has no usable response. ctx is callerCtx,
+// ended by the attempt's deadline as well.
+func resultWithoutResponse(callerCtx, ctx context.Context, written bool) balancer.AttemptResult {
 	switch {
-	case errors.Is(a.ctx.Err(), context.Canceled):
+	case errors.Is(callerCtx.Err(), context.Canceled):
 		return balancer.Cancelled
 	case !written:
 		// An endpoint starts on a request at its last byte, which it never received: a retry is harmless.
@@ -137,12 +138,12 @@
 
 // connect takes a reusable idle connection, or opens a new one, which fresh reports. A local fault is retried
 // with backoff for as long as the attempt may begin.
-func (p *upstreamPool) connect(
-	ctx context.Context, a *attempt, waiter chan upstreamReply,
-) (c *upstreamConn, fresh bool, err error) {
+func (p *Pool) connect(
+	ctx context.Context, a *Attempt, waiter chan exchangeResult,
+) (c *conn, fresh bool, err error) {
 	mayWait := func(wait time.Duration) bool { return p.mayBeginIn(a, wait) }
 	heldUp, err := netdial.WithBackoff(ctx, mayWait, func() error {
-		c, fresh, err = p.connectOnce(ctx, a.instance, waiter)
+		c, fresh, err = p.connectOnce(ctx, a.Instance, waiter)
 		return err
 	})
 	a.heldUp = a.heldUp || heldUp
@@ -150,14 +151,14 @@
 }
 
 // connectOnce is connect with at most one dial.
-func (p *upstreamPool) connectOnce(
-	ctx context.Context, to endpointlist.Instance, waiter chan upstreamReply,
-) (c *upstreamConn, fresh bool, err error) {
+func (p *Pool) connectOnce(
+	ctx context.Context, to endpointlist.Instance, waiter chan exchangeResult,
+) (c *conn, fresh bool, err error) {
 	c, err = p.takeIdle(to, waiter)
 	if c != nil || err != nil {
 		return c, false, err
 	}
-	nc, err := p.dial(ctx, "tcp", to.Address)
+	nc, err := p.Dial(ctx, "tcp", to.Address)
 	if err != nil {
 		p.mu.Lock()
 		p.open--
@@ -168,11 +169,11 @@
 }
 
 // mayBeginIn reports whether an attempt has time left after a wait, and its endpoint is still ready.
-func (p *upstreamPool) mayBeginIn(a *attempt, wait time.Duration) bool {
+func (p *Pool) mayBeginIn(a *Attempt, wait time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	begin := p.clock.Now() + wait
-	return begin < a.deadline && (a.notAfter == 0 || begin < a.notAfter) && p.isReady(a.instance)
+	return begin < a.Deadline && (a.NotAfter == 0 || begin < a.NotAfter) && p.isReady(a.Instance)
 }
 
 // writePermission is whether the first byte of a request may be written.
@@ -203,21 +204,21 @@
 // once endpoints no longer discard repeats. The connection itself is kept for other attempts then. But if the
 // endpoint has closed the connection or has sent bytes, which cannot be a response to this request, the connection
 // is closed, and the attempt may use another one.
-func (p *upstreamPool) beginWrite(
-	ctx context.Context, c *upstreamConn, waiter chan upstreamReply, a *attempt,
+func (p *Pool) beginWrite(
+	ctx context.Context, c *conn, waiter chan exchangeResult, a *Attempt,
 ) writePermission {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.waiter != waiter {
 		return useAnotherConn
 	}
-	overdue := a.notAfter > 0 && p.clock.Now() >= a.notAfter || p.remainingTime(a) == 0
+	overdue := a.NotAfter > 0 && p.clock.Now() >= a.NotAfter || p.remainingTime(a) == 0
 	switch {
 	case socketpeek.HasUnreadOrClosed(c.Conn):
 		c.waiter = nil
 		p.closeConn(c)
 		return useAnotherConn
-	case ctx.Err() != nil || overdue || !p.isReady(c.instance) || !a.request.beginAttempt(a):
+	case ctx.Err() != nil || overdue || !p.isReady(c.instance) || !a.Request.beginAttempt(a):
 		c.waiter, c.idleSince = nil, p.clock.Now()
 		p.putIdle(c)
 		if ctx.Err() != nil {
--- a/internal/node/attempt_test.go
+++ b/internal/node/attempt_test.go
@@ -14,6 +14,7 @@
 
 	"basaltdrum/balancer"
 	"basaltdrum/internal/endpointlist"
+	"basaltdrum/internal/http1"
 	"basaltdrum/internal/socketpeek"
 	"basaltdrum/internal/testutil"
 )
@@ -73,8 +74,8 @@
 
 func TestRefusedConnectionIsConnectFailed(t *testing.T) {
 	b := testPool(10)
-	if r := doAttempt(t, b, testAttempt(t, b, testutil.ClosedPort(t))); r.result != balancer.ConnectFailed || b.connections() != 0 {
-		t.Errorf("ending %d, %d open", r.result, b.connections())
+	if r := doAttempt(t, b, testAttempt(t, b, testutil.ClosedPort(t))); r.Result != balancer.ConnectFailed || b.Connections() != 0 {
+		t.Errorf("ending %d, %d open", r.Result, b.Connections())
 	}
 }
 
@@ -98,9 +99,9 @@
 func TestDialTimeoutIsConnectFailed(t *testing.T) {
 	addr := unreachableAddress(t)
 	b := testPool(10)
-	b.dial = (&net.Dialer{Timeout: 50 * time.Millisecond}).DialContext
-	if r := doAttempt(t, b, testAttempt(t, b, addr)); r.result != balancer.ConnectFailed || b.connections() != 0 {
-		t.Errorf("ending %d, %d open", r.result, b.connections())
+	b.Dial = (&net.Dialer{Timeout: 50 * time.Millisecond}).DialContext
+	if r := doAttempt(t, b, testAttempt(t, b, addr)); r.Result != balancer.ConnectFailed || b.Connections() != 0 {
+		t.Errorf("ending %d, %d open", r.Result, b.Connections())
 	}
 }
 
@@ -123,8 +124,8 @@
 	}
 	b := testPool(10)
 	b.adopt(halfConn{nc}, testInstance(b, s.Address()))
-	if r := doAttempt(t, b, testAttempt(t, b, s.Address())); r.result != balancer.ConnectFailed || b.connections() != 0 {
-		t.Errorf("ending %d, %d open", r.result, b.connections())
+	if r := doAttempt(t, b, testAttempt(t, b, s.Address())); r.Result != balancer.ConnectFailed || b.Connections() != 0 {
+		t.Errorf("ending %d, %d open", r.Result, b.Connections())
 	}
 	if s.Received() != 0 {
 		t.Error("the server got the request")
@@ -144,15 +145,15 @@
 			b := testPool(10)
 			h := testInstance(b, s.Address())
 			b.open = 1
-			b.idle[h] = []*upstreamConn{{Conn: nc, instance: h}} // with no reader
+			b.idle[h] = []*conn{{Conn: nc, instance: h}} // with no reader
 			if say == "" {
 				other.Close()
 			} else {
 				io.WriteString(other, say)
 			}
 			testutil.Until(t, "it to arrive", func() bool { return socketpeek.HasUnreadOrClosed(nc) })
-			if r := doAttempt(t, b, testAttempt(t, b, s.Address())); r.result != balancer.Success || string(r.body) != "for id" || b.connections() != 1 {
-				t.Errorf("ending %d, body %q, %d open", r.result, r.body, b.connections())
+			if r := doAttempt(t, b, testAttempt(t, b, s.Address())); r.Result != balancer.Success || string(r.Body) != "for id" || b.Connections() != 1 {
+				t.Errorf("ending %d, body %q, %d open", r.Result, r.Body, b.Connections())
 			}
 		})
 	}
@@ -165,12 +166,12 @@
 	other.Close()
 	testutil.Until(t, "the close to arrive", func() bool { return socketpeek.HasUnreadOrClosed(nc) })
 	b := testPool(10)
-	waiter := make(chan upstreamReply, 1)
+	waiter := make(chan exchangeResult, 1)
 	b.open = 1
 	a := testAttempt(t, b, "127.0.0.1:1")
-	c := b.startReader(nc, a.instance, waiter)
-	if b.beginWrite(a.ctx, c, waiter, a) != useAnotherConn || b.connections() != 0 {
-		t.Errorf("a request is written to a closed connection, or it is still counted: %d open", b.connections())
+	c := b.startReader(nc, a.Instance, waiter)
+	if b.beginWrite(a.ctx, c, waiter, &a.Attempt) != useAnotherConn || b.Connections() != 0 {
+		t.Errorf("a request is written to a closed connection, or it is still counted: %d open", b.Connections())
 	}
 }
 
@@ -187,12 +188,12 @@
 			b := testPool(10)
 			a := testAttempt(t, b, s.Address())
 			if want == balancer.TimedOut {
-				a.deadline = a.sentAt + 100*time.Millisecond
+				a.Deadline = b.clock.Now() + 100*time.Millisecond
 			} else {
 				go func() { <-got; a.cancel() }()
 			}
-			if r := doAttempt(t, b, a); r.result != want || b.connections() != 0 {
-				t.Errorf("ending %d, %d open; want %d", r.result, b.connections(), want)
+			if r := doAttempt(t, b, a); r.Result != want || b.Connections() != 0 {
+				t.Errorf("ending %d, %d open; want %d", r.Result, b.Connections(), want)
 			}
 			testutil.Wait(t, gone, "the close")
 		})
@@ -222,50 +223,50 @@
 
 // What makes an attempt obsolete while its connection is being established is noticed before its first byte.
 func TestObsoleteAttemptIsNotBegunAfterTheDial(t *testing.T) {
-	now := func(b *upstreamPool, h endpointlist.Instance, change func(*endpointlist.Entry)) {
+	now := func(b *Pool, h endpointlist.Instance, change func(*endpointlist.Entry)) {
 		e := endpointlist.Entry{Endpoint: balancer.Endpoint{ID: h.UID, State: balancer.Ready}, Address: h.Address, BootMS: h.BootMS}
 		change(&e)
-		b.updateEndpoints([]endpointlist.Entry{e}, false)
+		b.UpdateEndpoints([]endpointlist.Entry{e}, false)
 	}
 	for _, c := range []struct {
 		name string
-		do   func(*upstreamPool, *attempt)
+		do   func(*Pool, *testedAttempt)
 		want balancer.AttemptResult
 	}{
-		{"drains", func(b *upstreamPool, a *attempt) {
-			now(b, a.instance, func(e *endpointlist.Entry) { e.State = balancer.Draining })
+		{"drains", func(b *Pool, a *testedAttempt) {
+			now(b, a.Instance, func(e *endpointlist.Entry) { e.State = balancer.Draining })
 		}, balancer.NotSent},
-		{"gone", func(b *upstreamPool, a *attempt) {
-			now(b, a.instance, func(e *endpointlist.Entry) { e.State = balancer.Removed })
+		{"gone", func(b *Pool, a *testedAttempt) {
+			now(b, a.Instance, func(e *endpointlist.Entry) { e.State = balancer.Removed })
 		}, balancer.NotSent},
-		{"left out of a whole list", func(b *upstreamPool, a *attempt) { b.updateEndpoints(nil, true) }, balancer.NotSent},
-		{"started anew", func(b *upstreamPool, a *attempt) { now(b, a.instance, func(e *endpointlist.Entry) { e.BootMS = 1 }) }, balancer.NotSent},
-		{"moved", func(b *upstreamPool, a *attempt) {
-			now(b, a.instance, func(e *endpointlist.Entry) { e.Address = "127.0.0.1:2" })
+		{"left out of a whole list", func(b *Pool, a *testedAttempt) { b.UpdateEndpoints(nil, true) }, balancer.NotSent},
+		{"started anew", func(b *Pool, a *testedAttempt) { now(b, a.Instance, func(e *endpointlist.Entry) { e.BootMS = 1 }) }, balancer.NotSent},
+		{"moved", func(b *Pool, a *testedAttempt) {
+			now(b, a.Instance, func(e *endpointlist.Entry) { e.Address = "127.0.0.1:2" })
 		}, balancer.NotSent},
-		{"its client departed", func(b *upstreamPool, a *attempt) { a.request.markDeparted() }, balancer.NotSent},
-		{"called off", func(b *upstreamPool, a *attempt) { a.cancel() }, balancer.Cancelled},
-		{"repeats are discarded no longer", func(b *upstreamPool, a *attempt) { a.notAfter = b.clock.Now() }, balancer.NotSent},
-		{"its time is over", func(b *upstreamPool, a *attempt) { a.deadline = b.clock.Now() }, balancer.NotSent},
+		{"its client departed", func(b *Pool, a *testedAttempt) { a.Request.MarkDeparted() }, balancer.NotSent},
+		{"called off", func(b *Pool, a *testedAttempt) { a.cancel() }, balancer.Cancelled},
+		{"repeats are discarded no longer", func(b *Pool, a *testedAttempt) { a.NotAfter = b.clock.Now() }, balancer.NotSent},
+		{"its time is over", func(b *Pool, a *testedAttempt) { a.Deadline = b.clock.Now() }, balancer.NotSent},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			addr, came := newSink(t)
 			b := testPool(10)
 			held := holdDials(b)
 			a := testAttempt(t, b, addr)
-			end := make(chan attemptOutcome, 1)
-			go func() { end <- b.do(a) }()
+			end := make(chan Outcome, 1)
+			go func() { end <- a.do() }()
 			testutil.Wait(t, held.dialed, "the connection")
 			c.do(b, a)
 			close(held.release)
-			if r := testutil.Wait(t, end, "the attempt's end"); r.result != c.want {
-				t.Errorf("ending %d, want %d", r.result, c.want)
+			if r := testutil.Wait(t, end, "the attempt's end"); r.Result != c.want {
+				t.Errorf("ending %d, want %d", r.Result, c.want)
 			}
-			b.updateEndpoints(nil, true) // closes what was kept
+			b.UpdateEndpoints(nil, true) // closes what was kept
 			if text := testutil.Wait(t, came, "the close"); text != "" {
 				t.Errorf("the server got %q", text)
 			}
-			if n := b.connections(); n != 0 {
+			if n := b.Connections(); n != 0 {
 				t.Errorf("%d connections are open", n)
 			}
 		})
@@ -279,7 +280,7 @@
 
 // However few bytes a read or write moves, requests and responses arrive complete and unchanged.
 func TestShortReadsAndWritesLoseNothing(t *testing.T) {
-	long := strings.Repeat("\x00\r\n0\r\n", maxBody/8)
+	long := strings.Repeat("\x00\r\n0\r\n", http1.MaxBodyBytes/8)
 	for name, head := range map[string]string{
 		"length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(long)), "close": "HTTP/1.1 200 OK\r\n\r\n",
 	} {
@@ -289,7 +290,7 @@
 				return name == "length"
 			})
 			b := testPool(10)
-			b.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+			b.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 				nc, err := (&net.Dialer{}).DialContext(ctx, network, address)
 				if err != nil {
 					return nil, err
@@ -297,9 +298,9 @@
 				return drippingConn{nc.(*net.TCPConn)}, nc.(*net.TCPConn).SetWriteBuffer(1)
 			}
 			a := testAttempt(t, b, s.Address())
-			a.request.body = []byte(long)
-			if r := doAttempt(t, b, a); r.result != balancer.Success || string(r.body) != long {
-				t.Errorf("ending %d, a body of %d bytes, want %d", r.result, len(r.body), len(long))
+			a.Request.Body = []byte(long)
+			if r := doAttempt(t, b, a); r.Result != balancer.Success || string(r.Body) != long {
+				t.Errorf("ending %d, a body of %d bytes, want %d", r.Result, len(r.Body), len(long))
 			}
 		})
 	}
--- a/internal/node/boottime_test.go
+++ b/internal/node/boottime_test.go
@@ -268,11 +268,11 @@
 	for len(d.ends) > 0 && d.ends[0].at <= now {
 		end := d.ends[0]
 		d.ends = d.ends[1:]
-		d.loop.handleEvent(attemptEnded{end.attempt, attemptOutcome{result: balancer.Success, endedAt: now}})
+		d.loop.handleEvent(attemptEnded{end.attempt, Outcome{Result: balancer.Success, EndedAt: now}})
 	}
 	d.loop.fireTimers()
 	d.loop.handleEvent(requestReceived{&request{
-		id: fmt.Sprint(now), class: "view", receivedAt: now, deadline: now + time.Second, revision: 1,
+		Request: Request{ID: fmt.Sprint(now)}, class: "view", receivedAt: now, deadline: now + time.Second, revision: 1,
 		response: make(chan response, 1),
 	}})
 	d.m.pass(5 * time.Millisecond)
--- a/internal/node/chunked_test.go
+++ b/internal/node/chunked_test.go
@@ -9,6 +9,7 @@
 	"strings"
 	"testing"
 
+	"basaltdrum/internal/http1"
 	"basaltdrum/internal/testutil"
 )
 
@@ -33,7 +34,7 @@
 func TestChunkedBodiesAreForwardedWithALength(t *testing.T) {
 	s := framingServer(t)
 	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), nil)
-	full := strings.Repeat("b", maxBody)
+	full := strings.Repeat("b", http1.MaxBodyBytes)
 	for _, c := range []struct{ name, chunks, body string }{
 		{"one chunk", "2\r\nok\r\n0\r\n\r\n", "ok"},
 		{"several chunks", "1\r\no\r\n0001\r\nk\r\nA\r\n0123456789\r\na\r\n0123456789\r\n000\r\n\r\n", "ok01234567890123456789"},
@@ -46,8 +47,8 @@
 		},
 		{"the longest body", "10000\r\n" + full + "\r\n0\r\n\r\n", full},
 		{
-			"the longest body in small chunks", strings.Repeat("10\r\n0123456789abcdef\r\n", maxBody/16) + "0\r\n\r\n",
-			strings.Repeat("0123456789abcdef", maxBody/16),
+			"the longest body in small chunks", strings.Repeat("10\r\n0123456789abcdef\r\n", http1.MaxBodyBytes/16) + "0\r\n\r\n",
+			strings.Repeat("0123456789abcdef", http1.MaxBodyBytes/16),
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -126,7 +127,7 @@
 		{"trailers that end by LF", chunks + "2\r\nok\r\n0\r\nA: b\r\n\n" + hidden, 400},
 		{"a trailer without a colon", chunks + "2\r\nok\r\n0\r\nA\r\n\r\n", 400},
 		{"trailers too long", chunks + "2\r\nok\r\n0\r\n" + strings.Repeat("A: b\r\n", 1000) + "\r\n", 400},
-		{"one byte too many", chunks + "10001\r\n" + strings.Repeat("b", maxBody+1), 413},
+		{"one byte too many", chunks + "10001\r\n" + strings.Repeat("b", http1.MaxBodyBytes+1), 413},
 		{"too many chunks", chunks + strings.Repeat("100\r\n"+strings.Repeat("b", 256)+"\r\n", 260), 413},
 		{"GET with a body in chunks", "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: bad\r\nX-Deadline: 60\r\n" +
 			"Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", 400},
--- a/internal/node/deadlineheader_test.go
+++ b/internal/node/deadlineheader_test.go
@@ -129,7 +129,7 @@
 		s, deadlines := newDeadlineServer(t)
 		looks := newGate(2) // of the connection's reader, and for what came before the request
 		n, _ := startNode(t, fullValueConfig(s), func(n *Node) {
-			n.upstream.dial = func(_ context.Context, network, address string) (net.Conn, error) {
+			n.upstream.Dial = func(_ context.Context, network, address string) (net.Conn, error) {
 				nc, err := net.Dial(network, address)
 				if err != nil {
 					return nil, err
@@ -186,8 +186,8 @@
 	b := testPool(1)
 	for _, left := range []time.Duration{-time.Second, 0, minRemainingTime / 2} {
 		a := testAttempt(t, b, "127.0.0.1:1")
-		a.deadline = b.clock.Now() + left
-		if wait := b.remainingTime(a); wait != 0 || writeDeadlineValue(nil, wait) {
+		a.Deadline = b.clock.Now() + left
+		if wait := b.remainingTime(&a.Attempt); wait != 0 || writeDeadlineValue(nil, wait) {
 			t.Errorf("with %v left, %v is forwarded", left, wait)
 		}
 	}
--- a/internal/node/departure_test.go
+++ b/internal/node/departure_test.go
@@ -222,10 +222,10 @@
 	case "retry": // the first connection comes up at once, the second is held
 		first := make(chan struct{}, 1)
 		first <- struct{}{}
-		through := n.upstream.dial
+		through := n.upstream.Dial
 		d.dials = holdDials(n.upstream)
-		held := n.upstream.dial
-		n.upstream.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+		held := n.upstream.Dial
+		n.upstream.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			select {
 			case <-first:
 				return through(ctx, network, address)
@@ -290,13 +290,8 @@
 	other.Get("other")
 	other.Expect(t, 200, "for other")
 	testutil.Until(t, "all attempts' end", func() bool {
-		n.upstream.mu.Lock()
-		defer n.upstream.mu.Unlock()
-		kept := 0
-		for _, idle := range n.upstream.idle {
-			kept += len(idle)
-		}
-		return kept == n.upstream.open
+		pool := n.upstream.Stats()
+		return pool.Idle == pool.Open
 	})
 	got := map[string]int{}
 	for _, id := range s.Requests() {
@@ -315,7 +310,7 @@
 	s := testutil.NewServer(t, testutil.Echo)
 	through := make(chan struct{})
 	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) {
-		n.upstream.dial = func(_ context.Context, network, address string) (net.Conn, error) {
+		n.upstream.Dial = func(_ context.Context, network, address string) (net.Conn, error) {
 			nc, err := net.Dial(network, address)
 			<-through
 			return nc, err
--- a/internal/node/dial_test.go
+++ b/internal/node/dial_test.go
@@ -42,12 +42,12 @@
 			t.Parallel()
 			s := testutil.NewServer(t, testutil.Echo)
 			f := &failingDial{err: testutil.DialError("connect", errno), times: 3}
-			n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) { n.upstream.dial = f.dial })
+			n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) { n.upstream.Dial = f.dial })
 			c := dial(t, n)
 			c.Send("POST", "/note/k", "r", "x", "60")
 			c.Expect(t, 200, "for r")
-			if s.Received() != 1 || f.dials.Load() != 4 || n.upstream.connections() != 1 {
-				t.Errorf("%d requests at the server after %d dials, %d connections open", s.Received(), f.dials.Load(), n.upstream.connections())
+			if s.Received() != 1 || f.dials.Load() != 4 || n.upstream.Connections() != 1 {
+				t.Errorf("%d requests at the server after %d dials, %d connections open", s.Received(), f.dials.Load(), n.upstream.Connections())
 			}
 		})
 	}
@@ -61,23 +61,23 @@
 		name   string
 		err    error
 		times  int32
-		during func(*upstreamPool, *attempt) // after the first failure
+		during func(*Pool, *testedAttempt) // after the first failure
 		want   balancer.AttemptResult
 		heldUp bool
 	}{
 		{"served", nil, 0, nil, balancer.Success, false},
 		{"local for a moment", local, 2, nil, balancer.Success, true},
-		{"local for long", local, 1e6, func(b *upstreamPool, a *attempt) { a.deadline = b.clock.Now() + 150*time.Millisecond }, balancer.NotSent, true},
-		{"local until it must not begin", local, 1e6, func(b *upstreamPool, a *attempt) { a.notAfter = b.clock.Now() + 150*time.Millisecond }, balancer.NotSent, true},
-		{"local until its server is gone", local, 1e6, func(b *upstreamPool, a *attempt) { b.updateEndpoints(nil, true) }, balancer.NotSent, true},
-		{"local until it is called off", local, 1e6, func(b *upstreamPool, a *attempt) { a.cancel() }, balancer.NotSent, true},
-		{"local until a connection is idle", local, 1e6, func(b *upstreamPool, a *attempt) {
-			nc, err := net.Dial("tcp", a.instance.Address)
+		{"local for long", local, 1e6, func(b *Pool, a *testedAttempt) { a.Deadline = b.clock.Now() + 150*time.Millisecond }, balancer.NotSent, true},
+		{"local until it must not begin", local, 1e6, func(b *Pool, a *testedAttempt) { a.NotAfter = b.clock.Now() + 150*time.Millisecond }, balancer.NotSent, true},
+		{"local until its server is gone", local, 1e6, func(b *Pool, a *testedAttempt) { b.UpdateEndpoints(nil, true) }, balancer.NotSent, true},
+		{"local until it is called off", local, 1e6, func(b *Pool, a *testedAttempt) { a.cancel() }, balancer.NotSent, true},
+		{"local until a connection is idle", local, 1e6, func(b *Pool, a *testedAttempt) {
+			nc, err := net.Dial("tcp", a.Instance.Address)
 			if err != nil {
 				t.Error(err)
 				return
 			}
-			b.adopt(nc, a.instance)
+			b.adopt(nc, a.Instance)
 		}, balancer.Success, true},
 		{"refused", refused, 1e6, nil, balancer.ConnectFailed, false},
 		{"no way to the host", testutil.DialError("connect", syscall.EHOSTUNREACH), 1e6, nil, balancer.ConnectFailed, false},
@@ -90,7 +90,7 @@
 			b := testPool(10)
 			a := testAttempt(t, b, s.Address())
 			f := &failingDial{err: c.err, times: c.times}
-			b.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+			b.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 				nc, err := f.dial(ctx, network, address)
 				if c.during != nil && f.dials.Load() == 1 {
 					c.during(b, a)
@@ -98,15 +98,15 @@
 				return nc, err
 			}
 			r := doAttempt(t, b, a)
-			if r.result != c.want || a.heldUp != c.heldUp {
-				t.Errorf("ending %d, held up %v; want %d, %v", r.result, a.heldUp, c.want, c.heldUp)
+			if r.Result != c.want || r.HeldUp != c.heldUp {
+				t.Errorf("ending %d, held up %v; want %d, %v", r.Result, r.HeldUp, c.want, c.heldUp)
 			}
 			served := 0
 			if c.want == balancer.Success {
 				served = 1
 			}
-			if b.connections() != served || s.Received() != served {
-				t.Errorf("%d connections are open, the server got %d requests", b.connections(), s.Received())
+			if b.Connections() != served || s.Received() != served {
+				t.Errorf("%d connections are open, the server got %d requests", b.Connections(), s.Received())
 			}
 			// 5, 10, 20 and 40 ms, and 40 ms each from then on: a wait may be longer, but never shorter.
 			if got := f.dials.Load(); got > 7 || c.want == balancer.ConnectFailed && got != 1 {
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -162,11 +162,7 @@
 			if took := time.Since(begun); took < (calls-1)*watchInterval {
 				t.Errorf("%d calls came within %v, want %v between two at least", calls, took, watchInterval)
 			}
-			testutil.Until(t, "the last change to be known", func() bool {
-				n.upstream.mu.Lock()
-				defer n.upstream.mu.Unlock()
-				return len(n.upstream.endpoints) == calls
-			})
+			testutil.Until(t, "the last change to be known", func() bool { return n.upstream.Stats().Endpoints == calls })
 		})
 	}
 }
--- a/internal/node/discoveryfaults_test.go
+++ b/internal/node/discoveryfaults_test.go
@@ -181,7 +181,9 @@
 		cfg.Discovery = first.Addr().String()
 	}
 	refused := make(chan struct{}, 1000)
+	var lists listRecorder
 	n, _ := startNode(t, cfg, func(n *Node) {
+		lists.record(n)
 		n.discovery.after = func(d time.Duration) <-chan time.Time { // follows a call that failed at once
 			refused <- struct{}{}
 			return time.After(d)
@@ -219,7 +221,7 @@
 			testutil.Wait(t, ag.failed, "a call that fails")
 		}
 	}
-	untilListed(t, n, "s2")
+	lists.untilListed(t, "s2")
 	seen := old.Received()
 	for range 5 {
 		ask()
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -11,9 +11,9 @@
 // The following state is shared, and guarded by a mutex or atomic where it stands:
 //
 //   - downstreamConns: the clients' connections and their part of the descriptors;
-//   - upstreamPool: the connections to endpoints, and the list as far as the pool needs it;
+//   - Pool: the connections to endpoints, and the list as far as the pool needs it;
 //   - discovery: the address that is watched;
-//   - request: whether its client has departed and whether an attempt has begun;
+//   - Request: whether its client has departed and whether an attempt has begun;
 //   - loop.rules and loop.ready: set by the loop, read by the front end;
 //   - Node: what Reload changes.
 //
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -25,7 +25,7 @@
 // attemptEnded carries the outcome of an attempt. It is posted once for each attempt that was started.
 type attemptEnded struct {
 	attempt *attempt
-	result  attemptOutcome
+	result  Outcome
 }
 
 // listReceived carries an endpoint list, or the changes to it, from discovery.
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -8,6 +8,7 @@
 	"sync/atomic"
 	"time"
 
+	"basaltdrum/internal/http1"
 	"basaltdrum/internal/monotime"
 )
 
@@ -118,7 +119,7 @@
 			continue
 		}
 		notified = how
-		begun := c.markDeparted()
+		begun := c.MarkDeparted()
 		f.post(clientDeparted{request: c, how: how, at: f.clock.Now(), retryAfter: f.rules.Load().retryAfter})
 		switch {
 		case how == disconnected:
@@ -133,8 +134,10 @@
 // forwarded of a request that is invalid. The client's deadline counts from the request's first byte.
 func (f *frontend) readRequest(r *http.Request, conn *downstreamConn, head requestHead) (*request, error) {
 	c := &request{
-		method: r.Method, target: r.RequestURI, id: r.Header.Get("X-Request-Id"),
-		key: r.Header.Get("Idempotency-Key"), contentType: r.Header.Get("Content-Type"),
+		Request: Request{
+			ID: r.Header.Get("X-Request-Id"), Method: r.Method, Target: r.RequestURI,
+			IdempotencyKey: r.Header.Get("Idempotency-Key"), ContentType: r.Header.Get("Content-Type"),
+		},
 		firstByte: head.firstByte, response: make(chan response, 1),
 	}
 	if err := f.validateHead(c, r); err != nil {
@@ -154,16 +157,16 @@
 		return nil
 	}
 	var err error
-	c.body, err = io.ReadAll(io.LimitReader(r.Body, maxBody+1))
+	c.Body, err = io.ReadAll(io.LimitReader(r.Body, http1.MaxBodyBytes+1))
 	framing := conn.bodyError()
 	switch {
-	case len(c.body) > maxBody:
+	case len(c.Body) > http1.MaxBodyBytes:
 		return errBodyTooLong
 	case framing != nil:
 		return framing
 	case err != nil:
 		return errBodyIncomplete
-	case len(c.body) > 0 && c.method == http.MethodGet:
+	case len(c.Body) > 0 && c.Method == http.MethodGet:
 		return errBodyOfGet
 	}
 	return nil
--- a/internal/node/frontend_test.go
+++ b/internal/node/frontend_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"basaltdrum/internal/http1"
 	"basaltdrum/internal/testutil"
 )
 
@@ -36,9 +37,9 @@
 		got <- seen{r, body}
 		return testutil.ReplyOK(c, answerBody)
 	})
-	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) { n.upstream.reuseDelay = 0 })
+	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) { n.upstream.ReuseDelay = 0 })
 	c := dial(t, n)
-	long := strings.Repeat("b\r\n\x00", maxBody/4)
+	long := strings.Repeat("b\r\n\x00", http1.MaxBodyBytes/4)
 	for i, target := range []string{"/keyed/a%2fB?q=%20%41&&x", `/keyed/"odd"|{};,`, "/keyed/", "/keyed//x/../y?"} {
 		id := fmt.Sprint("id-", i)
 		fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: h\r\nx-request-id: %s\r\nIdempotency-Key: K+/=%d\r\n"+
--- a/internal/node/goroutines_test.go
+++ b/internal/node/goroutines_test.go
@@ -12,7 +12,7 @@
 // startedByRun and itsWork find the goroutines that Run has started and that are still at work, in a dump of stacks.
 var (
 	startedByRun = "created by basaltdrum/internal/node.(*Node).startBackground"
-	itsWork      = regexp.MustCompile(`\.\(\*(loop|discovery|upstreamPool)\)\.(run|runPushed|runPolled|closeExpired)\(`)
+	itsWork      = regexp.MustCompile(`\.\(\*(loop|discovery|Pool)\)\.(run|runPushed|runPolled|CloseExpired)\(`)
 )
 
 // backgroundGoroutines returns the goroutines that Run has started, of all nodes that run, by their numbers.
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -195,9 +195,9 @@
 // that whatever happened meanwhile is noticed at the first byte only.
 type heldDials struct{ dialed, release chan struct{} }
 
-func holdDials(b *upstreamPool) heldDials {
+func holdDials(b *Pool) heldDials {
 	h := heldDials{make(chan struct{}, 10), make(chan struct{})}
-	b.dial = func(_ context.Context, network, address string) (net.Conn, error) {
+	b.Dial = func(_ context.Context, network, address string) (net.Conn, error) {
 		nc, err := net.Dial(network, address)
 		h.dialed <- struct{}{}
 		<-h.release
@@ -206,13 +206,39 @@
 	return h
 }
 
-// untilListed waits until the node has an endpoint in its list.
-func untilListed(t *testing.T, n *Node, uid string) {
+// listRecorder records the entries of the lists that a node's loop applies. Once it has one, the upstream pool has it.
+type listRecorder struct {
+	mu      sync.Mutex
+	entries map[string]endpointlist.Entry // by uid; endpoints that are removed stay, with that state
+}
+
+// record is a change for startNode: it has the recorder see the lists from the start of the node on.
+func (r *listRecorder) record(n *Node) {
+	r.entries = map[string]endpointlist.Entry{}
+	update := n.loop.updateEndpoints
+	n.loop.updateEndpoints = func(entries []endpointlist.Entry, complete bool) {
+		update(entries, complete)
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		for _, entry := range entries {
+			r.entries[entry.ID] = entry
+		}
+	}
+}
+
+// until waits until an endpoint's entry was applied in a form that a test waits for.
+func (r *listRecorder) until(t *testing.T, uid string, wanted func(endpointlist.Entry) bool) {
 	t.Helper()
-	testutil.Until(t, "the endpoint to be known", func() bool {
-		n.upstream.mu.Lock()
-		defer n.upstream.mu.Unlock()
-		_, listed := n.upstream.endpoints[uid]
-		return listed
+	testutil.Until(t, "the entry of "+uid+" to be applied", func() bool {
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		entry, listed := r.entries[uid]
+		return listed && wanted(entry)
 	})
 }
+
+// untilListed waits until an endpoint was in a list.
+func (r *listRecorder) untilListed(t *testing.T, uid string) {
+	t.Helper()
+	r.until(t, uid, func(endpointlist.Entry) bool { return true })
+}
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -111,7 +111,7 @@
 	h.mu.Unlock()
 	now := h.loop.clock.Now()
 	r := &request{
-		id: id, class: class, receivedAt: now, deadline: now + deadline, revision: 1,
+		Request: Request{ID: id}, class: class, receivedAt: now, deadline: now + deadline, revision: 1,
 		response: make(chan response, 1),
 	}
 	h.post(requestReceived{r})
@@ -176,8 +176,8 @@
 
 // start runs an attempt in memory: it ends after the time drawn for it, at its deadline, or when it is cancelled.
 func (h *Hollow) start(a *attempt) {
-	delay, result := h.serve(a.instance.UID)
-	if left := h.loop.clock.Until(a.deadline); delay > left {
+	delay, result := h.serve(a.Instance.UID)
+	if left := h.loop.clock.Until(a.Deadline); delay > left {
 		delay, result = left, balancer.TimedOut
 	}
 	go func() {
@@ -190,6 +190,6 @@
 		case <-h.ended:
 		}
 		a.cancel()
-		h.post(attemptEnded{a, attemptOutcome{result: result, endedAt: h.loop.clock.Now()}})
+		h.post(attemptEnded{a, Outcome{Result: result, EndedAt: h.loop.clock.Now()}})
 	}()
 }
--- a/internal/node/lists_test.go
+++ b/internal/node/lists_test.go
@@ -108,7 +108,7 @@
 			all := parsedList(b, testutil.LongList(servers, "", false))
 			l.setStartTimes(all.Entries)
 			l.applyEntries(all)
-			back.updateEndpoints(all.Entries, true)
+			back.UpdateEndpoints(all.Entries, true)
 			var changes [2]endpointlist.List
 			for i, state := range []balancer.EndpointState{balancer.Draining, balancer.Ready} {
 				changed := all.Entries[servers/2]
@@ -123,7 +123,7 @@
 					b.Fatal("no change")
 				}
 				l.applyEntries(news)
-				back.updateEndpoints(news.Entries, false)
+				back.UpdateEndpoints(news.Entries, false)
 			}
 		})
 	}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -113,7 +113,7 @@
 // came to it.
 func (l *loop) handleRequest(r *request) {
 	l.noteLag(r.receivedAt)
-	if l.pending[r.id] != nil {
+	if l.pending[r.ID] != nil {
 		// The module ignores a request with an id that is pending, so nothing else would answer this one.
 		r.response <- response{kind: responseDuplicateID}
 		return
@@ -126,9 +126,9 @@
 		}
 	}
 	l.traffic.Requests++
-	l.pending[r.id] = &requestState{request: r}
+	l.pending[r.ID] = &requestState{request: r}
 	l.decide(r.receivedAt, balancer.Request{
-		ID: r.id, Class: r.class, FirstByte: r.firstByte, Deadline: r.deadline, ExpectedWork: r.expectedWork,
+		ID: r.ID, Class: r.class, FirstByte: r.firstByte, Deadline: r.deadline, ExpectedWork: r.expectedWork,
 	})
 }
 
@@ -144,24 +144,24 @@
 }
 
 // endAttempt passes the outcome of an attempt to the module. The first success answers the request.
-func (l *loop) endAttempt(a *attempt, outcome attemptOutcome) {
-	l.noteLag(outcome.endedAt)
-	state := l.pending[a.request.id]
-	l.traffic.Results[outcome.result]++
+func (l *loop) endAttempt(a *attempt, outcome Outcome) {
+	l.noteLag(outcome.EndedAt)
+	state := l.pending[a.request.ID]
+	l.traffic.Results[outcome.Result]++
 	state.inFlight--
 	a.ended = true
-	switch outcome.result {
+	switch outcome.Result {
 	case balancer.ConnectFailed, balancer.Rejected, balancer.NotSent:
 	default:
-		state.mayHaveRun = state.mayHaveRun || a.hasBegun()
+		state.mayHaveRun = state.mayHaveRun || a.HasBegun()
 	}
-	if outcome.result == balancer.Success && !state.answered {
+	if outcome.Result == balancer.Success && !state.answered {
 		l.traffic.Served++
-		l.respond(state, response{kind: responseServed, body: outcome.body, contentType: outcome.contentType})
+		l.respond(state, response{kind: responseServed, body: outcome.Body, contentType: outcome.ContentType})
 	}
-	l.decide(outcome.endedAt, balancer.AttemptEnded{
-		ID: a.request.id, Attempt: a.number, Endpoint: a.instance.UID, Result: outcome.result,
-		Latency: outcome.endedAt - a.sentAt, Answered: state.answered, HeldUp: a.heldUp,
+	l.decide(outcome.EndedAt, balancer.AttemptEnded{
+		ID: a.request.ID, Attempt: a.number, Endpoint: a.Instance.UID, Result: outcome.Result,
+		Latency: outcome.EndedAt - a.sentAt, Answered: state.answered, HeldUp: outcome.HeldUp,
 	})
 	if state.departed != present {
 		l.respondUnlessBegun(state)
@@ -198,9 +198,11 @@
 	state := l.pending[s.ID]
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &attempt{
-		ctx: ctx, cancel: cancel, request: state.request, number: len(state.attempts),
-		instance: l.endpoints[s.Endpoint].Instance(), sentAt: l.now, notAfter: s.NotAfter,
-		deadline: min(l.now+s.Timeout, state.request.deadline),
+		Attempt: Attempt{
+			Request: &state.request.Request, Instance: l.endpoints[s.Endpoint].Instance(),
+			Deadline: min(l.now+s.Timeout, state.request.deadline), NotAfter: s.NotAfter,
+		},
+		ctx: ctx, cancel: cancel, request: state.request, number: len(state.attempts), sentAt: l.now,
 	}
 	state.attempts = append(state.attempts, a)
 	state.inFlight++
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -99,12 +99,10 @@
 		round(50 + i)
 	}
 	testutil.Until(t, "all that has gone to be forgotten", func() bool {
-		b, f := n.upstream, n.frontend.conns
-		b.mu.Lock()
-		defer b.mu.Unlock()
+		pool, f := n.upstream.Stats(), n.frontend.conns
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		return len(f.conns) == 0 && len(b.endpoints) == 1 && len(b.idle) <= 1 && b.open <= 1 &&
+		return len(f.conns) == 0 && pool.Endpoints == 1 && pool.IdleInstances <= 1 && pool.Open <= 1 &&
 			runtime.NumGoroutine() <= before+5
 	})
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -24,7 +24,7 @@
 type Node struct {
 	loop        *loop
 	frontend    *frontend
-	upstream    *upstreamPool
+	upstream    *Pool
 	discovery   *discovery
 	listener    net.Listener
 	listsPushed bool
@@ -55,15 +55,15 @@
 	l.rules.Store(newRequestRules(1, set))
 	descriptors := cfg.Sockets - reservedDescriptors
 	n := &Node{
-		loop: l, upstream: newUpstreamPool(cfg, clock, descriptors/2), listsPushed: !set.PollDiscovery, log: log,
+		loop: l, upstream: NewPool(clock, descriptors/2, upstreamTimeouts(cfg)), listsPushed: !set.PollDiscovery, log: log,
 		cfg: cfg, revision: 1, drainSchedule: drainScheduleOf(cfg), drainLimit: drainLimit(cfg),
 	}
-	conns := newDownstreamConns(clock, descriptors, reservedDescriptors/2, int64(cfg.MemoryMB)<<20, n.upstream.connections)
-	n.upstream.descriptorAllowance = conns.upstreamAllowance
+	conns := newDownstreamConns(clock, descriptors, reservedDescriptors/2, int64(cfg.MemoryMB)<<20, n.upstream.Connections)
+	n.upstream.Allowance = conns.upstreamAllowance
 	n.frontend = newFrontend(clock, conns, &l.rules, l.post, l.ready.Load, log)
 	l.connectionStats = n.connectionStats
 	l.start = n.startAttempt
-	l.updateEndpoints, l.listsPushed = n.upstream.updateEndpoints, n.listsPushed
+	l.updateEndpoints, l.listsPushed = n.upstream.UpdateEndpoints, n.listsPushed
 	n.startDiscovery(cfg)
 	if n.listener, err = net.Listen("tcp", cfg.Listen); err != nil {
 		return nil, fmt.Errorf("node: %w", err)
@@ -92,7 +92,7 @@
 // startAttempt runs an attempt in a goroutine of its own, which posts the outcome.
 func (n *Node) startAttempt(a *attempt) {
 	go func() {
-		outcome := n.upstream.do(a)
+		outcome := n.upstream.Do(a.ctx, &a.Attempt)
 		a.cancel()
 		n.loop.post(attemptEnded{a, outcome})
 	}()
@@ -104,7 +104,7 @@
 	return []any{
 		slog.Group("downstream", "open", open, "accepted", counts.Accepted, "accept_failed", counts.AcceptFailed,
 			"evicted", counts.Evicted, "over_capacity", counts.Rejected, "closed_unread", counts.ClosedUnread),
-		slog.Group("upstream", "open", n.upstream.connections()),
+		slog.Group("upstream", "open", n.upstream.Stats().Open),
 	}
 }
 
@@ -155,7 +155,7 @@
 		}()
 	}
 	start(&loop, loopCtx, n.loop.run)
-	start(&feeders, feederCtx, n.upstream.closeExpired)
+	start(&feeders, feederCtx, n.upstream.CloseExpired)
 	if n.listsPushed {
 		start(&feeders, feederCtx, n.discovery.runPushed)
 	} else {
--- a/internal/node/outlier_test.go
+++ b/internal/node/outlier_test.go
@@ -154,12 +154,13 @@
 			ag := testutil.NewRegistryAgent(t)
 			cfg := testConfig(testutil.CompleteList(list...))
 			cfg.Discovery = ag.Addr().String()
-			n, _ := startNode(t, cfg, nil)
+			var lists listRecorder
+			n, _ := startNode(t, cfg, lists.record)
 			for _, bad := range [][]string{{"s3", "s4"}, {"s5", "s6"}} {
 				if bad[0] == "s5" {
 					list[2], list[3] = f.serve(t, "s5"), f.serve(t, "s6")
 					ag.Set(false, testutil.CompleteList(list...))
-					untilListed(t, n, "s6")
+					lists.untilListed(t, "s6")
 				}
 				load(t, n, 20, 20) // to meet them
 				share := f.count()
--- a/internal/node/readahead.go
+++ b/internal/node/readahead.go
@@ -1,5 +1,7 @@
 package node
 
+import "basaltdrum/internal/http1"
+
 // Read-ahead: while a request is open, the departure watch reads whatever the client pipelines behind it, so
 // that a close or reset behind those bytes is seen. They are buffered here and served to net/http once the
 // request is answered.
@@ -9,7 +11,7 @@
 	readAheadStep = 4 << 10
 
 	// readAheadPerConn bounds the read-ahead buffer of one connection, in bytes: the longest request allowed.
-	readAheadPerConn = maxHeaderBytes + maxBody
+	readAheadPerConn = maxHeaderBytes + http1.MaxBodyBytes
 
 	// readAheadMemoryShare is the divisor that gives the part of the node's memory limit which the read-ahead
 	// buffers of all connections together may use.
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -17,6 +17,11 @@
 	return set
 }
 
+// upstreamTimeouts returns the part of a configuration that the upstream pool is told.
+func upstreamTimeouts(cfg Config) Timeouts {
+	return Timeouts{Connect: cfg.ConnectTimeout, Idle: cfg.ConnIdle}
+}
+
 // Reload puts a configuration into force in a running node: all that the module, the checks on requests, the
 // upstream connections and discovery go by. Requests that were received before keep their deadlines, and what was
 // learned about endpoints is kept. A change that needs a restart is logged and left out. Reload returns before the
@@ -32,7 +37,7 @@
 	log.Info("configuration reloaded", "discovery", cfg.Discovery)
 	since := n.loop.clock.Now()
 	n.cfg, n.drainSchedule, n.drainLimit = cfg, drainScheduleOf(cfg), drainLimit(cfg)
-	n.upstream.configure(cfg)
+	n.upstream.SetTimeouts(upstreamTimeouts(cfg))
 	n.discovery.setAddress(cfg.Discovery)
 	if sameSettings {
 		return
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -182,10 +182,8 @@
 	if kept.Listen != cfg.Listen || kept.Sockets != cfg.Sockets || kept.MemoryMB != cfg.MemoryMB || kept.Settings.PollDiscovery {
 		t.Errorf("got %+v", kept)
 	}
-	n.upstream.mu.Lock()
-	defer n.upstream.mu.Unlock()
-	if n.upstream.idleTimeout >= time.Second || n.upstream.dialTimeout != 3*time.Second {
-		t.Errorf("connections stay for %v, and are made in %v", n.upstream.idleTimeout, n.upstream.dialTimeout)
+	if got := n.upstream.Timeouts(); got.Idle != time.Second || got.Connect != 3*time.Second {
+		t.Errorf("connections stay for %v, and are made in %v", got.Idle, got.Connect)
 	}
 }
 
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -1,56 +1,37 @@
 package node
 
 import (
+	"context"
 	"fmt"
-	"sync"
 	"time"
 
 	"basaltdrum/balancer"
 )
 
 // request is a client's request. The front end's goroutine makes it and waits for its response; the loop and
-// the goroutines of its attempts read it. Only the fields behind mu change once it is posted.
+// the goroutines of its attempts read it. Its own fields do not change once it is posted.
 type request struct {
-	id, class, method, target, key string
-	contentType                    string
-	body                           []byte
-	firstByte                      time.Duration // clock time when its first byte was read; 0: receivedAt
-	receivedAt                     time.Duration // clock time when it was complete
-	deadline                       time.Duration // clock time until which the client waits
-	expectedWork                   time.Duration // the client's hint; 0: none
-	revision                       int           // of the rules that it was checked against
-	response                       chan response // with a buffer of one, so that the loop never blocks on it
-
-	mu       sync.Mutex
-	departed bool // its client has closed its connection, or may have: no further attempt begins
-	begun    bool // the first byte of an attempt may have been written
+	Request                    // what is forwarded, and whether an attempt may begin
+	class        string        // by its target
+	firstByte    time.Duration // clock time when its first byte was read; 0: receivedAt
+	receivedAt   time.Duration // clock time when it was complete
+	deadline     time.Duration // clock time until which the client waits
+	expectedWork time.Duration // the client's hint; 0: none
+	revision     int           // of the rules that it was checked against
+	response     chan response // with a buffer of one, so that the loop never blocks on it
 }
 
-// beginAttempt records that the first byte of an attempt is written next. It returns false if the client has
-// departed; nothing may be written then.
-func (r *request) beginAttempt(a *attempt) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.departed {
-		return false
-	}
-	a.begun, r.begun = true, true
-	return true
-}
-
-// markDeparted keeps further attempts from beginning, and reports whether one has begun.
-func (r *request) markDeparted() (begun bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.departed = true
-	return r.begun
-}
-
-// hasBegun reports whether a byte of the attempt may have been written.
-func (a *attempt) hasBegun() bool {
-	a.request.mu.Lock()
-	defer a.request.mu.Unlock()
-	return a.begun
+// attempt is the loop's record of an attempt. The fields beside Attempt belong to the goroutine of the loop; ctx
+// does not change, and ends when the attempt is cancelled.
+type attempt struct {
+	Attempt
+	ctx               context.Context
+	cancel            context.CancelFunc
+	request           *request
+	number            int           // of the attempt within its request, from 0
+	sentAt            time.Duration // clock time
+	ended             bool          // its result has been passed on
+	outlivesHalfClose bool          // a cancellation waits until the client is known to have disconnected
 }
 
 // response is the one final answer to a request.
@@ -107,7 +88,7 @@
 // attempt that has begun, so such an attempt goes on until the client is known to be gone.
 func (l *loop) handleDeparture(e clientDeparted) {
 	l.noteLag(e.at)
-	state := l.pending[e.request.id]
+	state := l.pending[e.request.ID]
 	if state == nil || state.request != e.request || state.answered {
 		return
 	}
@@ -115,7 +96,7 @@
 	state.departed, state.retryAfter = e.how, e.retryAfter
 	if first {
 		l.traffic.Departed++
-		l.decide(e.at, balancer.ClientGone{ID: e.request.id})
+		l.decide(e.at, balancer.ClientGone{ID: e.request.ID})
 	}
 	if e.how == disconnected {
 		state.answered = true // no client is left to read an answer
@@ -133,7 +114,7 @@
 		return
 	}
 	for _, a := range state.attempts {
-		if state.departed == halfClosed && !a.ended && a.hasBegun() {
+		if state.departed == halfClosed && !a.ended && a.HasBegun() {
 			return
 		}
 	}
@@ -145,19 +126,19 @@
 func (l *loop) respondToDeparted(state *requestState) {
 	executed := state.mayHaveRun
 	for _, a := range state.attempts {
-		executed = executed || !a.ended && a.hasBegun()
+		executed = executed || !a.ended && a.HasBegun()
 	}
 	if executed {
-		l.finish(state.request.id, response{kind: responseFailed})
+		l.finish(state.request.ID, response{kind: responseFailed})
 	} else {
-		l.finish(state.request.id, response{kind: responseRejected, retryAfter: state.retryAfter})
+		l.finish(state.request.ID, response{kind: responseRejected, retryAfter: state.retryAfter})
 	}
 }
 
 // cancel cancels an attempt, unless its client may still read what the attempt brings: then it goes on until the
 // request is answered.
 func (l *loop) cancel(state *requestState, a *attempt) {
-	a.outlivesHalfClose = state.departed == halfClosed && a.hasBegun()
+	a.outlivesHalfClose = state.departed == halfClosed && a.HasBegun()
 	if !a.outlivesHalfClose {
 		a.cancel()
 	}
@@ -197,6 +178,6 @@
 // forget drops a request that is answered and has no attempt in flight; the module does so by the same rule.
 func (l *loop) forget(state *requestState) {
 	if state.answered && state.inFlight == 0 {
-		delete(l.pending, state.request.id)
+		delete(l.pending, state.request.ID)
 	}
 }
--- a/internal/node/requestvalidation.go
+++ b/internal/node/requestvalidation.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/http1"
 )
 
 const (
@@ -72,9 +73,9 @@
 	switch {
 	case !known:
 		return errUnknownClass
-	case (class.Effect == balancer.Idempotent) != (c.method == http.MethodGet):
+	case (class.Effect == balancer.Idempotent) != (c.Method == http.MethodGet):
 		return errMethodOfClass
-	case (c.key != "") != (class.Effect == balancer.IdempotentByKey):
+	case (c.IdempotencyKey != "") != (class.Effect == balancer.IdempotentByKey):
 		return errKeyOfClass
 	}
 	c.revision = r.revision
@@ -85,22 +86,22 @@
 // unknown class: a server would answer such a request with an error, and the decision module would take that
 // as a sign of the server's ill health.
 func (f *frontend) validateHead(c *request, r *http.Request) error {
-	path, _, _ := strings.Cut(c.target, "?")
+	path, _, _ := strings.Cut(c.Target, "?")
 	c.class, _, _ = strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	keys := len(r.Header["Idempotency-Key"])
 	switch {
-	case c.method != http.MethodGet && c.method != http.MethodPost:
+	case c.Method != http.MethodGet && c.Method != http.MethodPost:
 		return errMethodNotServed
 	case !strings.HasPrefix(path, "/"):
 		return errUnknownClass
-	case keys > 1 || keys == 1 && c.key == "":
+	case keys > 1 || keys == 1 && c.IdempotencyKey == "":
 		return errMalformedKey
 	}
 	rules := f.rules.Load()
 	if err := rules.validate(c); err != nil {
 		return err
 	}
-	if c.id == "" || len(c.id) > maxRequestIDBytes || len(r.Header["X-Request-Id"]) > 1 {
+	if c.ID == "" || len(c.ID) > maxRequestIDBytes || len(r.Header["X-Request-Id"]) > 1 {
 		return errRequestID
 	}
 	wait, err := parseDeadline(r.Header["X-Deadline"])
@@ -109,9 +110,9 @@
 		return err
 	case wait > maxDeadlineFactor*rules.classes[c.class].Deadline:
 		return errDeadlineOfClass
-	case r.ContentLength > maxBody:
+	case r.ContentLength > http1.MaxBodyBytes:
 		return errBodyTooLong
-	case r.ContentLength > 0 && c.method == http.MethodGet:
+	case r.ContentLength > 0 && c.Method == http.MethodGet:
 		return errBodyOfGet
 	}
 	c.deadline, c.expectedWork = wait, parseWorkHint(r.Header.Get("X-Cost-Hint"))
--- a/internal/node/response_test.go
+++ b/internal/node/response_test.go
@@ -13,6 +13,7 @@
 	"unsafe"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/http1"
 	"basaltdrum/internal/socketpeek"
 	"basaltdrum/internal/testutil"
 )
@@ -42,7 +43,7 @@
 		{"cut head", "200 OK\r\nContent-Le", balancer.ConnectionLost, false},
 		{"cut body", "200 OK\r\nContent-Length: 9\r\n\r\nok", balancer.ConnectionLost, false},
 		{"cut chunks", "200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", balancer.ConnectionLost, false},
-		{"too long", fmt.Sprintf("200 OK\r\nContent-Length: %d\r\n\r\n%s", maxBody+1, strings.Repeat("x", maxBody+1)), balancer.ConnectionLost, false},
+		{"too long", fmt.Sprintf("200 OK\r\nContent-Length: %d\r\n\r\n%s", http1.MaxBodyBytes+1, strings.Repeat("x", http1.MaxBodyBytes+1)), balancer.ConnectionLost, false},
 		{"said to be too long", "200 OK\r\nContent-Length: 3000000000\r\n\r\nand so on", balancer.ConnectionLost, false},
 		{"an error said to be too long", "500 Internal Server Error\r\nContent-Length: 3000000000\r\n\r\nand so on", balancer.ServerError, false},
 		{"a head too long", "200 OK\r\n" + strings.Repeat("X-Pad: pppp\r\n", maxResponseOverhead/10), balancer.ConnectionLost, false},
@@ -74,8 +75,8 @@
 			b := testPool(10)
 			h := testInstance(b, s.Address())
 			r := doAttempt(t, b, testAttempt(t, b, s.Address()))
-			if r.result != c.want || c.want == balancer.Success && string(r.body) != "ok" {
-				t.Errorf("ending %d, body %q; want %d", r.result, r.body, c.want)
+			if r.Result != c.want || c.want == balancer.Success && string(r.Body) != "ok" {
+				t.Errorf("ending %d, body %q; want %d", r.Result, r.Body, c.want)
 			}
 			b.mu.Lock()
 			defer b.mu.Unlock()
@@ -90,7 +91,7 @@
 // node's own close and a body that is too long do not. Its connection is never reused.
 func TestResponsesWithoutALength(t *testing.T) {
 	const plain, old = "HTTP/1.1 200 OK\r\n\r\nok", "HTTP/1.0 200 OK\r\n\r\nok"
-	longest := strings.Repeat("x", maxBody)
+	longest := strings.Repeat("x", http1.MaxBodyBytes)
 	head := "HTTP/1.1 200 OK\r\nX-Pad: " + strings.Repeat("p", maxResponseOverhead-28) + "\r\n\r\n"
 	if len(head) != maxResponseOverhead {
 		t.Fatalf("the longest head has %d bytes, want %d", len(head), maxResponseOverhead)
@@ -120,7 +121,7 @@
 		{"reset", plain, "reset", balancer.ConnectionLost, ""},
 		{"reset, HTTP/1.0", old, "reset", balancer.ConnectionLost, ""},
 		{"reset, no body", "HTTP/1.1 200 OK\r\n\r\n", "reset", balancer.ConnectionLost, ""},
-		{"without end", strings.Repeat(plain, maxBody/len("ok")), "open", balancer.ConnectionLost, ""},
+		{"without end", strings.Repeat(plain, http1.MaxBodyBytes/len("ok")), "open", balancer.ConnectionLost, ""},
 		{"open until the time is over", plain, "time-out", balancer.TimedOut, ""},
 		{"open until it is called off", plain, "cancel", balancer.Cancelled, ""},
 	} {
@@ -142,14 +143,14 @@
 			a := testAttempt(t, b, s.Address())
 			switch c.end {
 			case "time-out":
-				a.deadline = a.sentAt + 200*time.Millisecond
+				a.Deadline = b.clock.Now() + 200*time.Millisecond
 			case "cancel":
 				go func() { <-answered; a.cancel() }()
 			}
-			if r := doAttempt(t, b, a); r.result != c.want || string(r.body) != c.body {
-				t.Errorf("ending %d, a body of %d bytes; want %d, %d", r.result, len(r.body), c.want, len(c.body))
+			if r := doAttempt(t, b, a); r.Result != c.want || string(r.Body) != c.body {
+				t.Errorf("ending %d, a body of %d bytes; want %d, %d", r.Result, len(r.Body), c.want, len(c.body))
 			}
-			if n := b.connections(); n != 0 || len(b.idle) != 0 {
+			if n := b.Connections(); n != 0 || len(b.idle) != 0 {
 				t.Errorf("%d connections are open, %d hosts have idle ones", n, len(b.idle))
 			}
 		})
@@ -244,9 +245,9 @@
 		io.WriteString(server, "HTTP/1.1 200 OK\r\n\r\nhal")
 	}()
 	b := testPool(10)
-	c.ended = func() { testutil.Until(t, "the reader's end", func() bool { return b.connections() == 0 }) }
+	c.ended = func() { testutil.Until(t, "the reader's end", func() bool { return b.Connections() == 0 }) }
 	b.adopt(c, testInstance(b, nc.RemoteAddr().String()))
-	if r := doAttempt(t, b, testAttempt(t, b, nc.RemoteAddr().String())); r.result != balancer.ConnectFailed || b.connections() != 0 {
-		t.Errorf("ending %d, body %q, %d open; want %d", r.result, r.body, b.connections(), balancer.ConnectFailed)
+	if r := doAttempt(t, b, testAttempt(t, b, nc.RemoteAddr().String())); r.Result != balancer.ConnectFailed || b.Connections() != 0 {
+		t.Errorf("ending %d, body %q, %d open; want %d", r.Result, r.Body, b.Connections(), balancer.ConnectFailed)
 	}
 }
--- a/internal/node/responsedeadline_test.go
+++ b/internal/node/responsedeadline_test.go
@@ -182,7 +182,7 @@
 	n, _ := startNode(t, cfg, func(n *Node) {
 		n.discovery.startupWait = first
 		if c.dial != nil {
-			n.upstream.dial = func(context.Context, string, string) (net.Conn, error) { return nil, c.dial }
+			n.upstream.Dial = func(context.Context, string, string) (net.Conn, error) { return nil, c.dial }
 		}
 	})
 	return n
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -122,8 +122,8 @@
 	var reads recordingConns
 	n, stop := startNode(t, cfg, func(n *Node) {
 		reads = recordReads(n)
-		through := n.upstream.dial
-		n.upstream.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+		through := n.upstream.Dial
+		n.upstream.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			if address == mute {
 				<-ctx.Done()
 				return nil, ctx.Err()
--- a/internal/node/upstreamconn.go
+++ b/internal/node/upstreamconn.go
@@ -17,19 +17,19 @@
 // being written or awaited a response.
 var errUnsolicited = errors.New("the endpoint sent bytes or closed with no request outstanding")
 
-// upstreamConn is a persistent connection to an endpoint. It carries one request at a time, without pipelining.
+// conn is a persistent connection to an endpoint. It carries one request at a time, without pipelining.
 // A goroutine reads it for as long as it is open, so that a connection that the endpoint closes leaves the idle
 // ones at once.
-type upstreamConn struct {
+type conn struct {
 	net.Conn
 	instance   endpointlist.Instance
 	limited    *http1.LimitedReader
-	reader     *bufio.Reader      // reads from limited; empty between responses
-	waiter     chan upstreamReply // receives one reply for the attempt in progress; nil if none is. Guarded by pool.mu
-	idleSince  time.Duration      // clock time
-	reusableAt time.Duration      // clock time from which it may carry another request
-	stage      exchangeStage      // guarded by pool.mu
-	closed     bool               // guarded by pool.mu
+	reader     *bufio.Reader       // reads from limited; empty between responses
+	waiter     chan exchangeResult // receives one reply for the attempt in progress; nil if none is. Guarded by Pool.mu
+	idleSince  time.Duration       // clock time
+	reusableAt time.Duration       // clock time from which it may carry another request
+	stage      exchangeStage       // guarded by Pool.mu
+	closed     bool                // guarded by Pool.mu
 }
 
 // exchangeStage is how far the request on a connection has been written.
@@ -53,17 +53,17 @@
 	return fmt.Sprintf("exchangeStage(%d)", int(s))
 }
 
-// upstreamReply is the result of reading from a connection: a complete response, or the reason why there is none.
-type upstreamReply struct {
-	attemptOutcome
+// exchangeResult is the result of reading from a connection: a complete response, or the reason why there is none.
+type exchangeResult struct {
+	Outcome
 	endedByClose bool // only the end of the connection marked the end of the response
 	err          error
 }
 
 // startReader makes a new connection known to the pool with its first attempt registered, and starts its reader.
-func (p *upstreamPool) startReader(nc net.Conn, to endpointlist.Instance, waiter chan upstreamReply) *upstreamConn {
+func (p *Pool) startReader(nc net.Conn, to endpointlist.Instance, waiter chan exchangeResult) *conn {
 	limited := &http1.LimitedReader{Reader: nc}
-	c := &upstreamConn{
+	c := &conn{
 		Conn:     nc,
 		instance: to,
 		limited:  limited,
@@ -75,7 +75,7 @@
 }
 
 // readLoop reads a connection until it is closed.
-func (p *upstreamPool) readLoop(c *upstreamConn) {
+func (p *Pool) readLoop(c *conn) {
 	for p.readNext(c) {
 	}
 }
@@ -83,16 +83,16 @@
 // readNext waits until bytes arrive or the connection ends, reads one response and passes it to the attempt that
 // awaits it. It reports whether the connection remains open. Until a request is being written, it leaves what
 // arrives in the kernel's buffer, where beginWrite detects it.
-func (p *upstreamPool) readNext(c *upstreamConn) bool {
+func (p *Pool) readNext(c *conn) bool {
 	socketpeek.AwaitReadable(c.Conn)
 	p.mu.Lock()
 	stage, expected := c.stage, c.waiter != nil && c.stage != stageIdle
 	p.mu.Unlock()
-	reply, reusable := upstreamReply{err: fmt.Errorf("%w (request %v)", errUnsolicited, stage)}, false
+	reply, reusable := exchangeResult{err: fmt.Errorf("%w (request %v)", errUnsolicited, stage)}, false
 	if expected {
 		reply, reusable = p.readResponse(c)
 	}
-	waiter, reusable := p.endExchange(c, reply.endedAt, reusable)
+	waiter, reusable := p.endExchange(c, reply.EndedAt, reusable)
 	if waiter != nil {
 		waiter <- reply
 	}
@@ -101,7 +101,7 @@
 
 // endExchange ends the exchange on a connection once its response is read, and returns the waiting attempt, or nil
 // if it has been abandoned meanwhile. It closes the connection unless that is reusable.
-func (p *upstreamPool) endExchange(c *upstreamConn, endedAt time.Duration, reusable bool) (chan upstreamReply, bool) {
+func (p *Pool) endExchange(c *conn, endedAt time.Duration, reusable bool) (chan exchangeResult, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	waiter := c.waiter
@@ -110,7 +110,7 @@
 		p.closeConn(c)
 		return waiter, false
 	}
-	c.idleSince, c.reusableAt = endedAt, endedAt+p.reuseDelay
+	c.idleSince, c.reusableAt = endedAt, endedAt+p.reuseDelay()
 	// A response that arrives early must not admit another request before this one is written.
 	if c.stage == stageWritten {
 		p.putIdle(c)
@@ -120,7 +120,7 @@
 
 // noteWritten records that a request is completely written, and makes the connection idle if its response has
 // been read already.
-func (p *upstreamPool) noteWritten(c *upstreamConn) {
+func (p *Pool) noteWritten(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c.stage = stageWritten
@@ -131,12 +131,12 @@
 
 // abandon closes a connection whose attempt has ended without a response. Once the reply has arrived it does
 // nothing, as the connection may carry another attempt by then.
-func (p *upstreamPool) abandon(c *upstreamConn, waiter chan upstreamReply) {
+func (p *Pool) abandon(c *conn, waiter chan exchangeResult) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.waiter == waiter {
 		c.waiter = nil
 		p.closeConn(c)
-		waiter <- upstreamReply{err: context.Canceled}
+		waiter <- exchangeResult{err: context.Canceled}
 	}
 }
--- a/internal/node/upstreampool.go
+++ b/internal/node/upstreampool.go
@@ -14,13 +14,13 @@
 	"basaltdrum/internal/netdial"
 )
 
-// reuseDelay is how long a connection stays unused after a response before it may carry another request. A
+// DefaultReuseDelay is how long a connection stays unused after a response before it may carry another request. A
 // duplicate of the response may arrive some milliseconds late, and nothing in it distinguishes it from the
 // response to the next request: that request's client would receive the body of another. A duplicate that
 // arrives during the delay closes the connection instead. The delay equals the slack of the protocol's limits;
 // a duplicate that arrives even later cannot be distinguished from a response. The cost is additional connections to an
 // endpoint: as many as requests of this node end there during the delay.
-const reuseDelay = 50 * time.Millisecond
+const DefaultReuseDelay = 50 * time.Millisecond
 
 // Fractions of the configured idle timeout of connections.
 const (
@@ -35,68 +35,108 @@
 // errNoDescriptor reports that the node has no file descriptor left for a connection. No endpoint is at fault.
 var errNoDescriptor = errors.New("no file descriptor left for an upstream connection")
 
-// upstreamPool is a pool of persistent HTTP/1.1 connections to the endpoints, and carries out attempts over
+// Timeouts are what a pool is told of an endpoint's connections.
+type Timeouts struct {
+	Connect time.Duration // for a connection to come up
+	Idle    time.Duration // after which an endpoint closes an idle connection
+}
+
+// Pool is a pool of persistent HTTP/1.1 connections to the endpoints, and carries out attempts over
 // them. Among the idle connections to an endpoint it prefers the one used last (LIFO), so that surplus
 // connections expire. http.Transport does not fit: it retries some requests by itself, and it does not report
 // whether the last byte of a request was written.
-type upstreamPool struct {
-	clock               monotime.Clock
-	dial                netdial.Func
-	maxConns            int        // limit of connections that are open or being opened
-	descriptorAllowance func() int // the limit that downstream connections leave at the moment
-
-	mu          sync.Mutex // guards what follows
-	dialTimeout time.Duration
-	idleTimeout time.Duration
-	reuseDelay  time.Duration
-	idle        map[endpointlist.Instance][]*upstreamConn // in the order in which they became idle
-	open        int                                       // connections that are open or being opened
-	connsMade   int                                       // connections opened since the start, for the log
-	endpoints   map[string]endpointlist.Entry             // the listed endpoints by uid
-}
-
-func newUpstreamPool(cfg Config, c monotime.Clock, maxConns int) *upstreamPool {
-	p := &upstreamPool{
-		clock:               c,
-		maxConns:            maxConns,
-		descriptorAllowance: func() int { return maxConns },
-		idle:                map[endpointlist.Instance][]*upstreamConn{},
-		endpoints:           map[string]endpointlist.Entry{},
-	}
-	p.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
-		p.mu.Lock()
-		dialer := net.Dialer{Timeout: p.dialTimeout, KeepAlive: -1}
-		p.mu.Unlock()
+//
+// The exported fields may be changed before the first attempt, and not later.
+type Pool struct {
+	Dial       netdial.Func  // opens connections; NewPool sets a dialer with the connect timeout
+	Allowance  func() int    // the limit that others leave at the moment; it may call Connections
+	ReuseDelay time.Duration // see DefaultReuseDelay; at most a part of the idle timeout is used
+
+	clock    monotime.Clock
+	maxConns int // limit of connections that are open or being opened
+
+	mu        sync.Mutex // guards what follows
+	timeouts  Timeouts
+	idle      map[endpointlist.Instance][]*conn // in the order in which they became idle
+	open      int                               // connections that are open or being opened
+	endpoints map[string]endpointlist.Entry     // the listed endpoints by uid
+}
+
+// NewPool returns a pool without connections and endpoints, which opens no more than maxConns connections.
+func NewPool(clock monotime.Clock, maxConns int, timeouts Timeouts) *Pool {
+	p := &Pool{
+		Allowance:  func() int { return maxConns },
+		ReuseDelay: DefaultReuseDelay,
+		clock:      clock,
+		maxConns:   maxConns,
+		timeouts:   timeouts,
+		idle:       map[endpointlist.Instance][]*conn{},
+		endpoints:  map[string]endpointlist.Entry{},
+	}
+	p.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+		dialer := net.Dialer{Timeout: p.Timeouts().Connect, KeepAlive: -1}
 		return dialer.DialContext(ctx, network, address)
 	}
-	p.configure(cfg)
 	return p
 }
 
-// configure applies the timeouts of a configuration. Dials in progress keep the timeout that they began with.
-func (p *upstreamPool) configure(cfg Config) {
+// SetTimeouts changes the timeouts. Dials in progress keep the timeout that they began with.
+func (p *Pool) SetTimeouts(timeouts Timeouts) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dialTimeout = cfg.ConnectTimeout
-	p.reuseDelay = min(reuseDelay, cfg.ConnIdle/reuseDelayDivisor)
-	// The node closes a connection shortly before the endpoint does. Otherwise a request could cross the
-	// endpoint's close on the way and end in a reset.
-	p.idleTimeout = cfg.ConnIdle - cfg.ConnIdle/idleMarginDivisor
+	p.timeouts = timeouts
 }
 
-// connections returns the number of connections that are open or being opened.
-func (p *upstreamPool) connections() int {
+// Timeouts returns the timeouts in force.
+func (p *Pool) Timeouts() Timeouts {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.timeouts
+}
+
+// idleTimeout returns how long a connection may be idle. The node closes it shortly before the endpoint does.
+// Otherwise a request could cross the endpoint's close on the way and end in a reset. The caller holds mu.
+func (p *Pool) idleTimeout() time.Duration {
+	return p.timeouts.Idle - p.timeouts.Idle/idleMarginDivisor
+}
+
+// reuseDelay returns how long a connection stays unused after a response. The caller holds mu.
+func (p *Pool) reuseDelay() time.Duration {
+	return min(p.ReuseDelay, p.timeouts.Idle/reuseDelayDivisor)
+}
+
+// Connections returns the number of connections that are open or being opened.
+func (p *Pool) Connections() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
 }
 
+// Stats are the numbers of what a pool holds.
+type Stats struct {
+	Open          int // connections that are open or being opened
+	Idle          int // of these, the connections that carry no request
+	IdleInstances int // instances of endpoints that idle connections are kept for
+	Endpoints     int // that are listed, in whatever state
+}
+
+// Stats returns the present numbers.
+func (p *Pool) Stats() Stats {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	stats := Stats{Open: p.open, IdleInstances: len(p.idle), Endpoints: len(p.endpoints)}
+	for _, idle := range p.idle {
+		stats.Idle += len(idle)
+	}
+	return stats
+}
+
 // takeIdle returns the reusable idle connection to an instance that was used last, and registers waiter for its
 // next response. It returns nil once a descriptor is reserved for a new connection; at the limit, the connection
 // that has been idle for longest is closed for it.
-func (p *upstreamPool) takeIdle(to endpointlist.Instance, waiter chan upstreamReply) (*upstreamConn, error) {
+func (p *Pool) takeIdle(to endpointlist.Instance, waiter chan exchangeResult) (*conn, error) {
 	// The allowance is read before locking: the downstream side counts upstream connections while it holds its lock.
-	limit := min(p.maxConns, p.descriptorAllowance())
+	limit := min(p.maxConns, p.Allowance())
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	idle, now := p.idle[to], p.clock.Now()
@@ -115,13 +155,12 @@
 		p.closeConn(oldest)
 	}
 	p.open++
-	p.connsMade++
 	return nil, nil
 }
 
 // longestIdle returns the connection that has been idle for longest, or nil if none is idle. The caller holds mu.
-func (p *upstreamPool) longestIdle() *upstreamConn {
-	var oldest *upstreamConn
+func (p *Pool) longestIdle() *conn {
+	var oldest *conn
 	for _, idle := range p.idle {
 		if len(idle) > 0 && (oldest == nil || idle[0].idleSince < oldest.idleSince) {
 			oldest = idle[0]
@@ -132,7 +171,7 @@
 
 // putIdle keeps a connection for further attempts if the instance that it leads to is still ready, and closes it
 // otherwise. The caller holds mu.
-func (p *upstreamPool) putIdle(c *upstreamConn) {
+func (p *Pool) putIdle(c *conn) {
 	if !p.isReady(c.instance) {
 		p.closeConn(c)
 		return
@@ -141,7 +180,7 @@
 }
 
 // closeConn closes a connection and removes it from the pool. The caller holds mu.
-func (p *upstreamPool) closeConn(c *upstreamConn) {
+func (p *Pool) closeConn(c *conn) {
 	if c.closed {
 		return
 	}
@@ -158,22 +197,22 @@
 }
 
 // closeIdle closes the idle connections to an instance. The caller holds mu.
-func (p *upstreamPool) closeIdle(to endpointlist.Instance) {
+func (p *Pool) closeIdle(to endpointlist.Instance) {
 	for idle := p.idle[to]; len(idle) > 0; idle = p.idle[to] {
 		p.closeConn(idle[len(idle)-1])
 	}
 }
 
 // isReady reports whether the list has an endpoint as ready, in the same instance. The caller holds mu.
-func (p *upstreamPool) isReady(to endpointlist.Instance) bool {
+func (p *Pool) isReady(to endpointlist.Instance) bool {
 	entry, listed := p.endpoints[to.UID]
 	return listed && entry.State == balancer.Ready && entry.Instance() == to
 }
 
-// updateEndpoints applies an update of the endpoint list, and closes idle connections to endpoints that were
+// UpdateEndpoints applies an update of the endpoint list, and closes idle connections to endpoints that were
 // removed, that drain or that have restarted. Of an incremental update only the named entries are visited, as
 // updates of a long list are frequent.
-func (p *upstreamPool) updateEndpoints(entries []endpointlist.Entry, complete bool) {
+func (p *Pool) UpdateEndpoints(entries []endpointlist.Entry, complete bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, entry := range entries {
@@ -185,7 +224,7 @@
 }
 
 // applyEntry applies one entry of an endpoint list. The caller holds mu.
-func (p *upstreamPool) applyEntry(entry endpointlist.Entry) {
+func (p *Pool) applyEntry(entry endpointlist.Entry) {
 	previous, known := p.endpoints[entry.ID]
 	if known && (entry.State != balancer.Ready || entry.Instance() != previous.Instance()) {
 		p.closeIdle(previous.Instance())
@@ -198,7 +237,7 @@
 }
 
 // removeUnlisted removes the endpoints that a complete list does not name. The caller holds mu.
-func (p *upstreamPool) removeUnlisted(entries []endpointlist.Entry) {
+func (p *Pool) removeUnlisted(entries []endpointlist.Entry) {
 	listed := make(map[string]bool, len(entries))
 	for _, entry := range entries {
 		listed[entry.ID] = true
@@ -211,15 +250,15 @@
 	}
 }
 
-// closeExpired closes connections whose idle timeout has passed, until ctx ends.
-func (p *upstreamPool) closeExpired(ctx context.Context) {
+// CloseExpired closes connections whose idle timeout has passed, until ctx ends.
+func (p *Pool) CloseExpired(ctx context.Context) {
 	for {
 		if monotime.Sleep(ctx, p.sweepInterval()); ctx.Err() != nil {
 			return
 		}
 		p.mu.Lock()
 		for instance, idle := range p.idle {
-			for len(idle) > 0 && p.clock.Now()-idle[0].idleSince >= p.idleTimeout {
+			for len(idle) > 0 && p.clock.Now()-idle[0].idleSince >= p.idleTimeout() {
 				p.closeConn(idle[0])
 				idle = p.idle[instance]
 			}
@@ -229,8 +268,8 @@
 }
 
 // sweepInterval returns the time between two checks of the idle connections for expiry.
-func (p *upstreamPool) sweepInterval() time.Duration {
+func (p *Pool) sweepInterval() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return max(p.idleTimeout/sweepIntervalDivisor, minSweepInterval)
+	return max(p.idleTimeout()/sweepIntervalDivisor, minSweepInterval)
 }
--- a/internal/node/upstreampool_test.go
+++ b/internal/node/upstreampool_test.go
@@ -15,17 +15,20 @@
 	"basaltdrum/internal/testutil"
 )
 
+// testTimeouts are those of a test that does not wait for them.
+var testTimeouts = Timeouts{Connect: testutil.Limit, Idle: time.Minute}
+
 // testPool is an upstream pool that reuses connections without a delay.
-func testPool(most int) *upstreamPool {
-	b := newUpstreamPool(testConfig(""), monotime.New(), most)
-	b.reuseDelay = 0
+func testPool(most int) *Pool {
+	b := NewPool(monotime.New(), most, testTimeouts)
+	b.ReuseDelay = 0
 	return b
 }
 
 // testInstance puts a server that is named by its address into the pool's list.
-func testInstance(b *upstreamPool, endpoint string) endpointlist.Instance {
+func testInstance(b *Pool, endpoint string) endpointlist.Instance {
 	t := endpointlist.Entry{Endpoint: balancer.Endpoint{ID: endpoint, State: balancer.Ready}, Address: endpoint}
-	b.updateEndpoints([]endpointlist.Entry{t}, false)
+	b.UpdateEndpoints([]endpointlist.Entry{t}, false)
 	return t.Instance()
 }
 
@@ -34,27 +37,40 @@
 	return endpointlist.Instance{UID: s.Address(), Address: s.Address()}
 }
 
+// testedAttempt is an attempt that a test may cancel.
+type testedAttempt struct {
+	Attempt
+	pool   *Pool
+	ctx    context.Context
+	cancel context.CancelFunc
+}
+
 // testAttempt is an attempt at an address with plenty of time.
-func testAttempt(t *testing.T, b *upstreamPool, endpoint string) *attempt {
+func testAttempt(t *testing.T, b *Pool, endpoint string) *testedAttempt {
 	ctx, cancel := context.WithCancel(t.Context())
-	now := b.clock.Now()
-	return &attempt{
-		ctx: ctx, cancel: cancel, instance: testInstance(b, endpoint), sentAt: now, deadline: now + testutil.Limit,
-		request: &request{id: "id", method: "POST", target: "/note/k", body: []byte("body")},
+	t.Cleanup(cancel)
+	return &testedAttempt{
+		Attempt: Attempt{
+			Request:  &Request{ID: "id", Method: "POST", Target: "/note/k", Body: []byte("body")},
+			Instance: testInstance(b, endpoint), Deadline: b.clock.Now() + testutil.Limit,
+		},
+		pool: b, ctx: ctx, cancel: cancel,
 	}
 }
 
+func (a *testedAttempt) do() Outcome { return a.pool.Do(a.ctx, &a.Attempt) }
+
 // doAttempt makes an attempt that must end within the limit.
-func doAttempt(t *testing.T, b *upstreamPool, a *attempt) attemptOutcome {
+func doAttempt(t *testing.T, b *Pool, a *testedAttempt) Outcome {
 	t.Helper()
-	end := make(chan attemptOutcome, 1)
-	go func() { end <- b.do(a) }()
+	end := make(chan Outcome, 1)
+	go func() { end <- a.do() }()
 	return testutil.Wait(t, end, "the attempt's end")
 }
 
 // adopt puts a connection among the idle ones.
-func (b *upstreamPool) adopt(nc net.Conn, to endpointlist.Instance) {
-	waiter := make(chan upstreamReply, 1)
+func (b *Pool) adopt(nc net.Conn, to endpointlist.Instance) {
+	waiter := make(chan exchangeResult, 1)
 	b.open++
 	c := b.startReader(nc, to, waiter)
 	b.mu.Lock()
@@ -72,39 +88,39 @@
 		return testutil.Echo(c, r, body)
 	})
 	b := testPool(1)
-	if r := doAttempt(t, b, testAttempt(t, b, one.Address())); r.result != balancer.Success {
-		t.Fatalf("ending %d", r.result)
+	if r := doAttempt(t, b, testAttempt(t, b, one.Address())); r.Result != balancer.Success {
+		t.Fatalf("ending %d", r.Result)
 	}
-	end := make(chan attemptOutcome, 1)
-	go func() { end <- b.do(testAttempt(t, b, two.Address())) }()
+	end := make(chan Outcome, 1)
+	go func() { end <- testAttempt(t, b, two.Address()).do() }()
 	testutil.Wait(t, got, "the attempt that took the idle one's place")
-	if r := doAttempt(t, b, testAttempt(t, b, one.Address())); r.result != balancer.NotSent {
-		t.Errorf("with no descriptor left: ending %d, want NotSent", r.result)
+	if r := doAttempt(t, b, testAttempt(t, b, one.Address())); r.Result != balancer.NotSent {
+		t.Errorf("with no descriptor left: ending %d, want NotSent", r.Result)
 	}
 	close(hold)
-	if r := testutil.Wait(t, end, "the attempt"); r.result != balancer.Success {
-		t.Errorf("ending %d", r.result)
+	if r := testutil.Wait(t, end, "the attempt"); r.Result != balancer.Success {
+		t.Errorf("ending %d", r.Result)
 	}
-	if one.Received() != 1 || b.connections() != 1 {
-		t.Errorf("%d requests at the first server, %d connections open", one.Received(), b.connections())
+	if one.Received() != 1 || b.Connections() != 1 {
+		t.Errorf("%d requests at the first server, %d connections open", one.Received(), b.Connections())
 	}
 }
 
 func TestIdleConnectionsCloseBeforeTheServersDo(t *testing.T) {
 	s := testutil.NewServer(t, testutil.Echo)
 	b := testPool(10)
-	b.idleTimeout = 20 * time.Millisecond
+	b.SetTimeouts(Timeouts{Connect: testutil.Limit, Idle: 20 * time.Millisecond})
 	doAttempt(t, b, testAttempt(t, b, s.Address()))
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go b.closeExpired(ctx)
+	go b.CloseExpired(ctx)
 	testutil.Until(t, "the close", func() bool {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		return b.open == 0 && len(b.idle) == 0
 	})
-	if full := testPool(1); full.idleTimeout >= testConfig("").ConnIdle {
-		t.Errorf("kept for %v", full.idleTimeout)
+	if full := testPool(1); full.idleTimeout() >= testTimeouts.Idle {
+		t.Errorf("kept for %v", full.idleTimeout())
 	}
 }
 
@@ -116,32 +132,33 @@
 		conns <- c
 		return testutil.Echo(c, r, body)
 	})
-	b := newUpstreamPool(testConfig(""), monotime.New(), 10)
-	if b.reuseDelay <= 0 || b.reuseDelay >= b.idleTimeout {
-		t.Fatalf("connections rest for %v and stay for %v", b.reuseDelay, b.idleTimeout)
+	b := NewPool(monotime.New(), 10, testTimeouts)
+	if b.reuseDelay() <= 0 || b.reuseDelay() >= b.idleTimeout() {
+		t.Fatalf("connections rest for %v and stay for %v", b.reuseDelay(), b.idleTimeout())
 	}
-	b.reuseDelay = 100 * testutil.Limit
-	send := func(id string) attemptOutcome {
+	b.SetTimeouts(Timeouts{Connect: testutil.Limit, Idle: 1000 * testutil.Limit})
+	b.ReuseDelay = 100 * testutil.Limit
+	send := func(id string) Outcome {
 		a := testAttempt(t, b, s.Address())
-		a.request.id = id
+		a.Request.ID = id
 		return doAttempt(t, b, a)
 	}
-	if r := send("one"); string(r.body) != "for one" {
-		t.Fatalf("got %q", r.body)
+	if r := send("one"); string(r.Body) != "for one" {
+		t.Fatalf("got %q", r.Body)
 	}
 	first := testutil.Wait(t, conns, "the first connection")
-	if r := send("two"); string(r.body) != "for two" || s.Accepted() != 2 {
-		t.Errorf("got %q on %d connections", r.body, s.Accepted())
+	if r := send("two"); string(r.Body) != "for two" || s.Accepted() != 2 {
+		t.Errorf("got %q on %d connections", r.Body, s.Accepted())
 	}
 	testutil.ReplyOK(first, "for one")
-	testutil.Until(t, "the close", func() bool { return b.connections() == 1 })
+	testutil.Until(t, "the close", func() bool { return b.Connections() == 1 })
 	b.mu.Lock()
 	for _, c := range b.idle[instanceOf(s)] {
 		c.reusableAt = 0
 	}
 	b.mu.Unlock()
-	if r := send("three"); string(r.body) != "for three" || s.Accepted() != 2 {
-		t.Errorf("got %q on %d connections", r.body, s.Accepted())
+	if r := send("three"); string(r.Body) != "for three" || s.Accepted() != 2 {
+		t.Errorf("got %q on %d connections", r.Body, s.Accepted())
 	}
 }
 
@@ -169,7 +186,8 @@
 // whatever is still to come on them belongs to the old instance.
 func TestConnectionsBelongToOneInstanceOfAServer(t *testing.T) {
 	s, got, release := testutil.NewHoldingServer(t, "held")
-	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), nil)
+	var lists listRecorder
+	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), lists.record)
 	held, c := dial(t, n), dial(t, n)
 	held.Get("held")
 	testutil.Wait(t, got, "the attempt")
@@ -183,10 +201,7 @@
 		want := l.Entries[0] // copied before the loop, which sets its start time, owns the list
 		n.loop.post(listReceived{l})
 		before := s.Accepted()
-		testutil.Until(t, "the list to be taken", func() bool {
-			n.upstream.mu.Lock()
-			defer n.upstream.mu.Unlock()
-			got := n.upstream.endpoints["s2"]
+		lists.until(t, "s2", func(got endpointlist.Entry) bool {
 			got.StartedAt = 0 // set by the loop
 			return got == want
 		})
@@ -222,15 +237,9 @@
 		ag.Set(false, `{"rev":%d,"all":false,"targets":[`+testutil.ListEntry("s1", a.Address(), state)+`]}`)
 		for version := ag.Version(); !strings.Contains(testutil.Wait(t, ag.Calls, "the next watch"), fmt.Sprint("from=", version)); {
 		}
-		testutil.Until(t, "the idle connections to be closed", func() bool {
-			n.upstream.mu.Lock()
-			defer n.upstream.mu.Unlock()
-			for h, idle := range n.upstream.idle {
-				if h.Address == a.Address() && len(idle) > 0 {
-					return false
-				}
-			}
-			return true
+		testutil.Until(t, "the connections to the server to be closed, and no others", func() bool {
+			pool := n.upstream.Stats()
+			return pool.Idle == b.Accepted() && pool.Open == pool.Idle
 		})
 		before := a.Received()
 		for range 30 {
@@ -248,13 +257,13 @@
 	b := testPool(10)
 	held := holdDials(b)
 	a := testAttempt(t, b, s.Address())
-	end := make(chan attemptOutcome, 1)
-	go func() { end <- b.do(a) }()
+	end := make(chan Outcome, 1)
+	go func() { end <- a.do() }()
 	testutil.Wait(t, held.dialed, "the connection")
-	a.request.markDeparted()
+	a.Request.MarkDeparted()
 	close(held.release)
 	testutil.Wait(t, end, "the attempt's end")
-	if r := doAttempt(t, b, testAttempt(t, b, s.Address())); r.result != balancer.Success || s.Accepted() != 1 || s.Received() != 1 {
-		t.Errorf("ending %d, %d connections, %d requests", r.result, s.Accepted(), s.Received())
+	if r := doAttempt(t, b, testAttempt(t, b, s.Address())); r.Result != balancer.Success || s.Accepted() != 1 || s.Received() != 1 {
+		t.Errorf("ending %d, %d connections, %d requests", r.Result, s.Accepted(), s.Received())
 	}
 }
--- a/internal/node/upstreamrequest.go
+++ b/internal/node/upstreamrequest.go
@@ -8,6 +8,7 @@
 	"net/url"
 	"strconv"
 	"strings"
+	"sync"
 	"time"
 )
 
@@ -24,38 +25,81 @@
 	transitAllowance   = 5 * time.Millisecond // subtracted for the ways from the client and to the endpoint
 )
 
+// Request is a client's request as it is forwarded, and the one decision whether an attempt may begin for it: a client
+// that has departed and the first byte of an attempt are ordered by its lock. Its maker sets the exported fields,
+// which do not change once the first attempt has it.
+type Request struct {
+	ID             string // X-Request-Id
+	Method         string
+	Target         string // the request target, as the client wrote it
+	IdempotencyKey string // empty: none
+	ContentType    string // empty: none
+	Body           []byte
+
+	mu       sync.Mutex // guards what follows, and Attempt.begun
+	departed bool       // its client has closed its connection, or may have: no further attempt begins
+	begun    bool       // the first byte of an attempt may have been written
+}
+
+// MarkDeparted keeps further attempts from beginning, as the client has closed its connection or may have. It reports
+// whether one has begun.
+func (r *Request) MarkDeparted() (begun bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.departed = true
+	return r.begun
+}
+
+// beginAttempt records that the first byte of an attempt is written next. It returns false if the client has
+// departed; nothing may be written then.
+func (r *Request) beginAttempt(a *Attempt) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.departed {
+		return false
+	}
+	a.begun, r.begun = true, true
+	return true
+}
+
+// HasBegun reports whether a byte of the attempt may have been written.
+func (a *Attempt) HasBegun() bool {
+	a.Request.mu.Lock()
+	defer a.Request.mu.Unlock()
+	return a.begun
+}
+
 // encodedRequest is a request in its HTTP/1.1 form, ready to be written to an endpoint.
 type encodedRequest struct {
 	text          []byte
 	deadlineValue []byte // the part of text that holds the value of X-Deadline, which is filled in last
 }
 
-// encodeRequest encodes the request of an attempt. Method, target, body, request id and idempotency key pass
-// through unchanged.
-func encodeRequest(a *attempt) (encodedRequest, error) {
+// encodeRequest encodes a request. Method, target, body, request id and idempotency key pass through unchanged.
+func encodeRequest(r *Request) (encodedRequest, error) {
 	header := http.Header{
 		"User-Agent":   {""}, // suppresses the default
-		"X-Request-Id": {a.request.id},
+		"X-Request-Id": {r.ID},
 		"X-Deadline":   {strings.Repeat("0", deadlineValueWidth)},
 	}
-	if a.request.key != "" {
-		header["Idempotency-Key"] = []string{a.request.key}
+	if r.IdempotencyKey != "" {
+		header["Idempotency-Key"] = []string{r.IdempotencyKey}
 	}
-	if a.request.contentType != "" {
-		header["Content-Type"] = []string{a.request.contentType}
+	if r.ContentType != "" {
+		header["Content-Type"] = []string{r.ContentType}
 	}
 	httpRequest := http.Request{
-		Method: a.request.method, URL: &url.URL{Opaque: a.request.target}, Host: upstreamHost,
-		Header: header, ContentLength: int64(len(a.request.body)),
+		Method: r.Method, URL: &url.URL{Opaque: r.Target}, Host: upstreamHost,
+		Header: header, ContentLength: int64(len(r.Body)),
 	}
-	if len(a.request.body) > 0 {
-		httpRequest.Body = io.NopCloser(bytes.NewReader(a.request.body))
+	if len(r.Body) > 0 {
+		httpRequest.Body = io.NopCloser(bytes.NewReader(r.Body))
 	}
 	// The request goes out in a single write, whose result shows whether its last byte was written.
 	var buf bytes.Buffer
-	buf.Grow(headSizeHint + len(a.request.body))
+	buf.Grow(headSizeHint + len(r.Body))
 	if err := httpRequest.Write(&buf); err != nil {
-		return encodedRequest{}, fmt.Errorf("encode request %s: %w", a.request.id, err)
+		return encodedRequest{}, fmt.Errorf("encode request %s: %w", r.ID, err)
 	}
 	text := buf.Bytes()
 	const field = "\r\nX-Deadline: " // cannot be part of an earlier value, as no value contains a line end
@@ -66,8 +110,8 @@
 // remainingTime returns the time that an endpoint has for an attempt, or 0 if the time is over. That is the time
 // until the deadline by the node's clock, less an allowance for the time in transit, as the clock shows neither
 // when the client sent the request nor when the endpoint will read it. Of a short time the greater part remains.
-func (p *upstreamPool) remainingTime(a *attempt) time.Duration {
-	left := p.clock.Until(a.deadline)
+func (p *Pool) remainingTime(a *Attempt) time.Duration {
+	left := p.clock.Until(a.Deadline)
 	left -= min(transitAllowance, left/4)
 	if left < minRemainingTime {
 		return 0
--- a/internal/node/upstreamresponse.go
+++ b/internal/node/upstreamresponse.go
@@ -12,13 +12,9 @@
 	"basaltdrum/internal/http1"
 )
 
-const (
-	// maxBody is the longest body of a request or a response, in bytes.
-	maxBody = 64 << 10
-	// maxResponseOverhead limits everything in a response besides its body, in bytes: the head, the interim
-	// responses before it and the framing of chunks.
-	maxResponseOverhead = 16 << 10
-)
+// maxResponseOverhead limits everything in a response besides its body, in bytes: the head, the interim responses
+// before it and the framing of chunks.
+const maxResponseOverhead = 16 << 10
 
 var (
 	// errIncompleteResponse reports a response that is not complete, or that cannot be known to be.
@@ -33,7 +29,7 @@
 const (
 	framedByLength bodyFraming = iota // a Content-Length, or the last chunk
 	framedByClose                     // the end of the connection: a FIN; a reset does not count
-	framingTooLong                    // a Content-Length beyond maxBody
+	framingTooLong                    // a Content-Length beyond http1.MaxBodyBytes
 )
 
 func (f bodyFraming) String() string {
@@ -50,7 +46,7 @@
 
 func framingOf(resp *http.Response) bodyFraming {
 	switch {
-	case resp.ContentLength > maxBody:
+	case resp.ContentLength > http1.MaxBodyBytes:
 		return framingTooLong
 	case resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0:
 		return framedByLength
@@ -64,15 +60,15 @@
 // without a length ends with the connection; the body is read to that end for a 200 alone, as it makes no other
 // response conclusive. Bytes that follow a response do not invalidate it, but the connection is not reusable then,
 // as they could not be distinguished from the next response.
-func (p *upstreamPool) readResponse(c *upstreamConn) (reply upstreamReply, reusable bool) {
+func (p *Pool) readResponse(c *conn) (reply exchangeResult, reusable bool) {
 	c.limited.Remaining = maxResponseOverhead
 	resp, err := readHead(c.reader)
 	if err != nil {
-		return upstreamReply{err: fmt.Errorf("read response head: %w", err)}, false
+		return exchangeResult{err: fmt.Errorf("read response head: %w", err)}, false
 	}
 	ok, framing := resp.StatusCode == http.StatusOK, framingOf(resp)
 	if ok && framing == framingTooLong {
-		return upstreamReply{err: fmt.Errorf("%w: its body has a %v", errIncompleteResponse, framing)}, false
+		return exchangeResult{err: fmt.Errorf("%w: its body has a %v", errIncompleteResponse, framing)}, false
 	}
 	var body []byte
 	if framing == framedByLength || ok {
@@ -80,17 +76,17 @@
 	}
 	if ok && err != nil {
 		err = fmt.Errorf("%w: read its body, which ends by %v: %w", errIncompleteResponse, framing, err)
-		return upstreamReply{err: err}, false
+		return exchangeResult{err: err}, false
 	}
 	complete := framing == framedByLength && err == nil
-	reply.endedAt, reply.endedByClose = p.clock.Now(), framing == framedByClose
+	reply.EndedAt, reply.endedByClose = p.clock.Now(), framing == framedByClose
 	switch {
 	case ok:
-		reply.result, reply.body, reply.contentType = balancer.Success, body, resp.Header.Get("Content-Type")
+		reply.Result, reply.Body, reply.ContentType = balancer.Success, body, resp.Header.Get("Content-Type")
 	case complete && provesNotRun(resp):
-		reply.result = balancer.Rejected
+		reply.Result = balancer.Rejected
 	default:
-		reply.result = balancer.ServerError
+		reply.Result = balancer.ServerError
 	}
 	return reply, complete && !resp.Close && c.reader.Buffered() == 0
 }
@@ -133,11 +129,11 @@
 	}
 }
 
-// readBody reads a body to its end, and fails if it has more than maxBody bytes.
+// readBody reads a body to its end, and fails if it has more than http1.MaxBodyBytes bytes.
 func readBody(limited *http1.LimitedReader, resp *http.Response) ([]byte, error) {
-	limited.Remaining += maxBody + 1
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBody+1))
-	if err == nil && len(body) > maxBody {
+	limited.Remaining += http1.MaxBodyBytes + 1
+	body, err := io.ReadAll(io.LimitReader(resp.Body, http1.MaxBodyBytes+1))
+	if err == nil && len(body) > http1.MaxBodyBytes {
 		err = http1.ErrTooLong
 	}
 	return body, err
