--- a/internal/node/boottime_test.go
+++ b/internal/node/boottime_test.go
@@ -10,6 +10,7 @@
 	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/monotime"
 	"basaltdrum/internal/testutil"
+	"basaltdrum/internal/upstream"
 )
 
 // machineClocks are the clocks of a machine: time passes on both, and the wall clock can be stepped.
@@ -268,11 +269,11 @@
 	for len(d.ends) > 0 && d.ends[0].at <= now {
 		end := d.ends[0]
 		d.ends = d.ends[1:]
-		d.loop.handleEvent(attemptEnded{end.attempt, Outcome{Result: balancer.Success, EndedAt: now}})
+		d.loop.handleEvent(attemptEnded{end.attempt, upstream.Outcome{Result: balancer.Success, EndedAt: now}})
 	}
 	d.loop.fireTimers()
 	d.loop.handleEvent(requestReceived{&request{
-		Request: Request{ID: fmt.Sprint(now)}, class: "view", receivedAt: now, deadline: now + time.Second, revision: 1,
+		Request: upstream.Request{ID: fmt.Sprint(now)}, class: "view", receivedAt: now, deadline: now + time.Second, revision: 1,
 		response: make(chan response, 1),
 	}})
 	d.m.pass(5 * time.Millisecond)
--- a/internal/node/brokenconn_test.go
+++ b/internal/node/brokenconn_test.go
@@ -42,7 +42,7 @@
 		calledOff <- struct{}{}
 		return false
 	})
-	var dials heldDials
+	var dials testutil.HeldDials
 	conns := breakableConns{cause: cause, accepted: make(chan *breakableConn, 2)}
 	cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service")))
 	for i := range cfg.Settings.Classes { // no attempt times out before the test gives up
@@ -51,13 +51,13 @@
 	n, _ := startNode(t, cfg, func(n *Node) {
 		conns.TCPListener = n.listener.(*net.TCPListener)
 		n.listener = conns
-		if dials = holdDials(n.upstream); where == "in flight" {
-			close(dials.release)
+		if dials = holdDials(n); where == "in flight" {
+			close(dials.Release)
 		}
 	})
 	c := dial(t, n)
 	c.Send("POST", "/note/k", "leaving", "x", "120")
-	testutil.Wait(t, dials.dialed, "the connection")
+	testutil.Wait(t, dials.Dialed, "the connection")
 	if where == "in flight" {
 		testutil.Wait(t, got, "the attempt")
 	}
@@ -65,14 +65,14 @@
 	conn.breakNow()
 	if stays {
 		testutil.Wait(t, conn.watchEnded, "the end of the watch")
-		close(dials.release)
+		close(dials.Release)
 		c.Expect(t, 200, "for leaving")
 		return
 	}
 	seen := map[string]int{"other": 1}
 	if where == "dial" {
 		testutil.Until(t, "the node to notice", func() bool { return n.frontend.conns.count() == 0 })
-		close(dials.release)
+		close(dials.Release)
 	} else {
 		testutil.Wait(t, calledOff, "the end of the attempt")
 		seen["leaving"] = 1 // begun before its connection broke
--- a/internal/node/deadlineheader_test.go
+++ b/internal/node/deadlineheader_test.go
@@ -7,7 +7,6 @@
 	"net"
 	"net/http"
 	"strconv"
-	"strings"
 	"testing"
 	"time"
 
@@ -115,13 +114,13 @@
 	t.Run("late connection", func(t *testing.T) {
 		t.Parallel()
 		s, deadlines := newDeadlineServer(t)
-		var dials heldDials
+		var dials testutil.HeldDials
 		n, _ := startNode(t, fullValueConfig(s),
-			func(n *Node) { dials = holdDials(n.upstream) })
+			func(n *Node) { dials = holdDials(n) })
 		dial(t, n).Get("r")
-		testutil.Wait(t, dials.dialed, "the connection")
+		testutil.Wait(t, dials.Dialed, "the connection")
 		over := holdUp()
-		close(dials.release)
+		close(dials.Release)
 		checkForwardedDeadline(t, testutil.Wait(t, deadlines, "the request"), over)
 	})
 	t.Run("held up just before the write", func(t *testing.T) {
@@ -167,28 +166,3 @@
 		checkForwardedDeadline(t, testutil.Wait(t, deadlines, "the retry"), over)
 	})
 }
-
-// A forwarded deadline is never rounded up, and one that has passed is not forwarded.
-func TestForwardedDeadlineIsNotRoundedUp(t *testing.T) {
-	for _, wait := range []time.Duration{
-		time.Millisecond, 1999 * time.Microsecond, 480 * time.Millisecond,
-		999999 * time.Microsecond, time.Second, 9999999999, 99999999999, 12345678901, maxDeadline,
-	} {
-		value := []byte(strings.Repeat("0", deadlineValueWidth))
-		if !writeDeadlineValue(value, wait) {
-			t.Errorf("%v is not forwarded", wait)
-		}
-		seconds, err := strconv.ParseFloat(string(value), 64)
-		if short := wait.Seconds() - seconds; err != nil || short < 0 || short > 0.0010001 {
-			t.Errorf("%v is forwarded as %q", wait, value)
-		}
-	}
-	b := testPool(1)
-	for _, left := range []time.Duration{-time.Second, 0, minRemainingTime / 2} {
-		a := testAttempt(t, b, "127.0.0.1:1")
-		a.Deadline = b.clock.Now() + left
-		if wait := b.remainingTime(&a.Attempt); wait != 0 || writeDeadlineValue(nil, wait) {
-			t.Errorf("with %v left, %v is forwarded", left, wait)
-		}
-	}
-}
--- a/internal/node/departure_test.go
+++ b/internal/node/departure_test.go
@@ -73,10 +73,10 @@
 	}
 	cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), state)))
 	cfg.Settings.AllowCancel = mayCancel
-	var dials heldDials
+	var dials testutil.HeldDials
 	n, _ := startNode(t, cfg, func(n *Node) {
-		if dials = holdDials(n.upstream); held {
-			close(dials.release)
+		if dials = holdDials(n); held {
+			close(dials.Release)
 		}
 	})
 	c := dial(t, n)
@@ -88,7 +88,7 @@
 	if held {
 		untilActive(t, n, 1)
 	} else {
-		testutil.Wait(t, dials.dialed, "the connection")
+		testutil.Wait(t, dials.Dialed, "the connection")
 	}
 	if stray != "" {
 		io.WriteString(c, stray)
@@ -102,7 +102,7 @@
 	if held {
 		n.loop.post(listReceived{listOf(t, true, testutil.ListEntry("s1", s.Address(), "in_service"))})
 	} else {
-		close(dials.release)
+		close(dials.Release)
 	}
 	checkNothingForwarded(t, n, s, map[string]int{"other": 1})
 }
@@ -132,7 +132,7 @@
 
 	server  *testutil.Server
 	node    *Node
-	dials   heldDials
+	dials   testutil.HeldDials
 	conns   breakableConns
 	got     chan struct{} // an attempt has arrived at the server, which answers it once answer is closed
 	answer  chan struct{}
@@ -209,7 +209,7 @@
 	n.listener = d.conns
 	switch d.where {
 	case "dial":
-		d.dials = holdDials(n.upstream)
+		d.dials = holdDials(n)
 	case "busy loop": // it stops at the first list that is pushed
 		update := n.loop.updateEndpoints
 		n.loop.updateEndpoints = func(entries []endpointlist.Entry, complete bool) {
@@ -223,7 +223,7 @@
 		first := make(chan struct{}, 1)
 		first <- struct{}{}
 		through := n.upstream.Dial
-		d.dials = holdDials(n.upstream)
+		d.dials = holdDials(n)
 		held := n.upstream.Dial
 		n.upstream.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			select {
@@ -250,7 +250,7 @@
 	case "held":
 		untilActive(t, d.node, 1)
 	case "dial", "retry":
-		testutil.Wait(t, d.dials.dialed, "the connection")
+		testutil.Wait(t, d.dials.Dialed, "the connection")
 	case "in flight":
 		testutil.Wait(t, d.got, "the attempt")
 	case "busy loop":
@@ -276,7 +276,7 @@
 	case "held":
 		d.node.loop.post(listReceived{listOf(t, true, d.entries("in_service")...)})
 	case "dial", "retry":
-		close(d.dials.release)
+		close(d.dials.Release)
 	case "in flight":
 		close(d.answer) // it fails, and is not retried
 	}
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -8,12 +8,10 @@
 // timers, the endpoint list and the figures of the traffic line. Other goroutines reach it only by posting events
 // (events.go). It never waits for I/O, and it answers a request by a send on that request's buffered channel.
 //
-// The following state is shared, and guarded by a mutex or atomic where it stands:
+// The following state is shared, and guarded by a mutex or atomic where it stands, beside that of package upstream:
 //
 //   - downstreamConns: the clients' connections and their part of the descriptors;
-//   - Pool: the connections to endpoints, and the list as far as the pool needs it;
 //   - discovery: the address that is watched;
-//   - Request: whether its client has departed and whether an attempt has begun;
 //   - loop.rules and loop.ready: set by the loop, read by the front end;
 //   - Node: what Reload changes.
 //
@@ -38,8 +36,7 @@
 //
 //   - One goroutine for each attempt ends with the attempt: by an answer, an error, its cancellation or its
 //     deadline. An attempt whose client has departed may still be in flight when all requests are answered.
-//   - One reader for each connection to an endpoint ends when that connection is closed, by either side. Idle
-//     connections stay open until the process exits.
+//   - The readers of connections to endpoints; see package upstream.
 //
 // A Hollow node has the loop, discovery and its attempts, and for each pending request a goroutine that waits for
 // the answer. Hollow.Run waits for the loop and for discovery.
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -5,6 +5,7 @@
 
 	"basaltdrum/balancer"
 	"basaltdrum/internal/endpointlist"
+	"basaltdrum/internal/upstream"
 )
 
 // event is a message to the loop from another goroutine: one of the types of this file. String names it for
@@ -25,7 +26,7 @@
 // attemptEnded carries the outcome of an attempt. It is posted once for each attempt that was started.
 type attemptEnded struct {
 	attempt *attempt
-	result  Outcome
+	result  upstream.Outcome
 }
 
 // listReceived carries an endpoint list, or the changes to it, from discovery.
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -10,6 +10,7 @@
 
 	"basaltdrum/internal/http1"
 	"basaltdrum/internal/monotime"
+	"basaltdrum/internal/upstream"
 )
 
 // Limits on the time that a client may take, and on a request's head.
@@ -134,7 +135,7 @@
 // forwarded of a request that is invalid. The client's deadline counts from the request's first byte.
 func (f *frontend) readRequest(r *http.Request, conn *downstreamConn, head requestHead) (*request, error) {
 	c := &request{
-		Request: Request{
+		Request: upstream.Request{
 			ID: r.Header.Get("X-Request-Id"), Method: r.Method, Target: r.RequestURI,
 			IdempotencyKey: r.Header.Get("Idempotency-Key"), ContentType: r.Header.Get("Content-Type"),
 		},
--- a/internal/node/halfclose_test.go
+++ b/internal/node/halfclose_test.go
@@ -60,10 +60,10 @@
 	}
 	cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), state)))
 	cfg.Settings.AllowCancel = mayCancel
-	var dials heldDials
+	var dials testutil.HeldDials
 	n, _ := startNode(t, cfg, func(n *Node) {
 		if c.where == "dial" {
-			dials = holdDials(n.upstream)
+			dials = holdDials(n)
 		}
 	})
 	half := dial(t, n)
@@ -72,7 +72,7 @@
 	case "held":
 		untilActive(t, n, 1)
 	case "dial":
-		testutil.Wait(t, dials.dialed, "the connection")
+		testutil.Wait(t, dials.Dialed, "the connection")
 	default:
 		testutil.Wait(t, got, "the attempt")
 	}
@@ -85,7 +85,7 @@
 	testutil.ExpectClosed(t, half.Reader, "the connection after the last response")
 	switch c.where {
 	case "dial":
-		close(dials.release)
+		close(dials.Release)
 	case "shutdown deadline": // nothing is forwarded any more
 		close(answer)
 		return
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -191,19 +191,11 @@
 	})
 }
 
-// heldDials holds each connection back once it is established, until it is released. It ignores its context, so
-// that whatever happened meanwhile is noticed at the first byte only.
-type heldDials struct{ dialed, release chan struct{} }
-
-func holdDials(b *Pool) heldDials {
-	h := heldDials{make(chan struct{}, 10), make(chan struct{})}
-	b.Dial = func(_ context.Context, network, address string) (net.Conn, error) {
-		nc, err := net.Dial(network, address)
-		h.dialed <- struct{}{}
-		<-h.release
-		return nc, err
-	}
-	return h
+// holdDials has a node's connections to endpoints held back once they are established.
+func holdDials(n *Node) testutil.HeldDials {
+	dials := testutil.NewHeldDials()
+	n.upstream.Dial = dials.Dial
+	return dials
 }
 
 // listRecorder records the entries of the lists that a node's loop applies. Once it has one, the upstream pool has it.
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -11,6 +11,7 @@
 	"basaltdrum/balancer"
 	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/monotime"
+	"basaltdrum/internal/upstream"
 )
 
 // Answer says how a call that was made on a Hollow node ended.
@@ -111,7 +112,7 @@
 	h.mu.Unlock()
 	now := h.loop.clock.Now()
 	r := &request{
-		Request: Request{ID: id}, class: class, receivedAt: now, deadline: now + deadline, revision: 1,
+		Request: upstream.Request{ID: id}, class: class, receivedAt: now, deadline: now + deadline, revision: 1,
 		response: make(chan response, 1),
 	}
 	h.post(requestReceived{r})
@@ -190,6 +191,6 @@
 		case <-h.ended:
 		}
 		a.cancel()
-		h.post(attemptEnded{a, Outcome{Result: result, EndedAt: h.loop.clock.Now()}})
+		h.post(attemptEnded{a, upstream.Outcome{Result: result, EndedAt: h.loop.clock.Now()}})
 	}()
 }
--- a/internal/node/lists_test.go
+++ b/internal/node/lists_test.go
@@ -8,10 +8,12 @@
 	"runtime"
 	"strings"
 	"testing"
+	"time"
 
 	"basaltdrum/balancer"
 	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/testutil"
+	"basaltdrum/internal/upstream"
 )
 
 // Lists of the largest fleet are accepted, indented or not; beyond the limit they are rejected.
@@ -104,11 +106,12 @@
 func BenchmarkListChange(b *testing.B) {
 	for _, servers := range []int{100, 1600, 3200} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			l, back := bootLoop(b, newMachineClocks(), true), testPool(10)
+			l := bootLoop(b, newMachineClocks(), true)
+			pool := upstream.NewPool(l.clock, 10, upstream.Timeouts{Connect: testutil.Limit, Idle: time.Minute})
 			all := parsedList(b, testutil.LongList(servers, "", false))
 			l.setStartTimes(all.Entries)
 			l.applyEntries(all)
-			back.UpdateEndpoints(all.Entries, true)
+			pool.UpdateEndpoints(all.Entries, true)
 			var changes [2]endpointlist.List
 			for i, state := range []balancer.EndpointState{balancer.Draining, balancer.Ready} {
 				changed := all.Entries[servers/2]
@@ -123,7 +126,7 @@
 					b.Fatal("no change")
 				}
 				l.applyEntries(news)
-				back.UpdateEndpoints(news.Entries, false)
+				pool.UpdateEndpoints(news.Entries, false)
 			}
 		})
 	}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -9,6 +9,7 @@
 	"basaltdrum/balancer"
 	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/monotime"
+	"basaltdrum/internal/upstream"
 )
 
 // eventQueueLength is how many events may wait for the loop before post blocks.
@@ -144,7 +145,7 @@
 }
 
 // endAttempt passes the outcome of an attempt to the module. The first success answers the request.
-func (l *loop) endAttempt(a *attempt, outcome Outcome) {
+func (l *loop) endAttempt(a *attempt, outcome upstream.Outcome) {
 	l.noteLag(outcome.EndedAt)
 	state := l.pending[a.request.ID]
 	l.traffic.Results[outcome.Result]++
@@ -198,7 +199,7 @@
 	state := l.pending[s.ID]
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &attempt{
-		Attempt: Attempt{
+		Attempt: upstream.Attempt{
 			Request: &state.request.Request, Instance: l.endpoints[s.Endpoint].Instance(),
 			Deadline: min(l.now+s.Timeout, state.request.deadline), NotAfter: s.NotAfter,
 		},
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -13,6 +13,7 @@
 	"basaltdrum/balancer"
 	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/monotime"
+	"basaltdrum/internal/upstream"
 )
 
 // reservedDescriptors is how many descriptors are kept for the listener, discovery, the log and the Go runtime, and
@@ -24,7 +25,7 @@
 type Node struct {
 	loop        *loop
 	frontend    *frontend
-	upstream    *Pool
+	upstream    *upstream.Pool
 	discovery   *discovery
 	listener    net.Listener
 	listsPushed bool
@@ -55,7 +56,7 @@
 	l.rules.Store(newRequestRules(1, set))
 	descriptors := cfg.Sockets - reservedDescriptors
 	n := &Node{
-		loop: l, upstream: NewPool(clock, descriptors/2, upstreamTimeouts(cfg)), listsPushed: !set.PollDiscovery, log: log,
+		loop: l, upstream: upstream.NewPool(clock, descriptors/2, upstreamTimeouts(cfg)), listsPushed: !set.PollDiscovery, log: log,
 		cfg: cfg, revision: 1, drainSchedule: drainScheduleOf(cfg), drainLimit: drainLimit(cfg),
 	}
 	conns := newDownstreamConns(clock, descriptors, reservedDescriptors/2, int64(cfg.MemoryMB)<<20, n.upstream.Connections)
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/upstream"
 )
 
 // moduleSettings returns the settings in the form that the module gets. It paces its polls of discovery by parts
@@ -18,8 +19,8 @@
 }
 
 // upstreamTimeouts returns the part of a configuration that the upstream pool is told.
-func upstreamTimeouts(cfg Config) Timeouts {
-	return Timeouts{Connect: cfg.ConnectTimeout, Idle: cfg.ConnIdle}
+func upstreamTimeouts(cfg Config) upstream.Timeouts {
+	return upstream.Timeouts{Connect: cfg.ConnectTimeout, Idle: cfg.ConnIdle}
 }
 
 // Reload puts a configuration into force in a running node: all that the module, the checks on requests, the
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -6,25 +6,26 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/upstream"
 )
 
 // request is a client's request. The front end's goroutine makes it and waits for its response; the loop and
 // the goroutines of its attempts read it. Its own fields do not change once it is posted.
 type request struct {
-	Request                    // what is forwarded, and whether an attempt may begin
-	class        string        // by its target
-	firstByte    time.Duration // clock time when its first byte was read; 0: receivedAt
-	receivedAt   time.Duration // clock time when it was complete
-	deadline     time.Duration // clock time until which the client waits
-	expectedWork time.Duration // the client's hint; 0: none
-	revision     int           // of the rules that it was checked against
-	response     chan response // with a buffer of one, so that the loop never blocks on it
+	upstream.Request               // what is forwarded, and whether an attempt may begin
+	class            string        // by its target
+	firstByte        time.Duration // clock time when its first byte was read; 0: receivedAt
+	receivedAt       time.Duration // clock time when it was complete
+	deadline         time.Duration // clock time until which the client waits
+	expectedWork     time.Duration // the client's hint; 0: none
+	revision         int           // of the rules that it was checked against
+	response         chan response // with a buffer of one, so that the loop never blocks on it
 }
 
 // attempt is the loop's record of an attempt. The fields beside Attempt belong to the goroutine of the loop; ctx
 // does not change, and ends when the attempt is cancelled.
 type attempt struct {
-	Attempt
+	upstream.Attempt
 	ctx               context.Context
 	cancel            context.CancelFunc
 	request           *request
--- a/internal/node/responsedeadline_test.go
+++ b/internal/node/responsedeadline_test.go
@@ -56,7 +56,7 @@
 	for _, some := range []func(*testing.T) []string{silentServer, resettingServer, endlessServer} {
 		all = append(all, some(t)...)
 	}
-	return append(all, testutil.ClosedPort(t), unreachableAddress(t))
+	return append(all, testutil.ClosedPort(t), testutil.UnreachableAddress(t))
 }
 
 // Faults of servers, of discovery or of other clients leave no request without its final response: whatever its
@@ -66,7 +66,7 @@
 	for _, c := range []faultCase{
 		{name: "servers gone", servers: func(t *testing.T) []string { return []string{testutil.ClosedPort(t), testutil.ClosedPort(t)} }},
 		{name: "servers hung", servers: silentServer},
-		{name: "servers that never accept", servers: func(t *testing.T) []string { return []string{unreachableAddress(t)} }},
+		{name: "servers that never accept", servers: func(t *testing.T) []string { return []string{testutil.UnreachableAddress(t)} }},
 		{name: "servers that reset", servers: resettingServer},
 		{name: "answers without end", servers: endlessServer},
 		{name: "an empty list", servers: none},
--- a/internal/testutil/sockets.go
+++ b/internal/testutil/sockets.go
@@ -7,6 +7,7 @@
 	"net"
 	"syscall"
 	"testing"
+	"time"
 )
 
 // ClosedPort is an address that refuses connections for as long as the test runs: its socket is bound, so that no
@@ -35,6 +36,22 @@
 	return fd, fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
 }
 
+// UnreachableAddress returns an address at which no connection is ever established, as of a machine that is gone.
+func UnreachableAddress(t *testing.T) string {
+	t.Helper()
+	fd, addr := BoundSocket(t)
+	if err := syscall.Listen(fd, 0); err != nil {
+		t.Fatal(err)
+	}
+	for { // until the queue of those that nobody accepts is full
+		c, err := net.DialTimeout("tcp", addr, 300*time.Millisecond)
+		if err != nil {
+			return addr
+		}
+		t.Cleanup(func() { c.Close() })
+	}
+}
+
 // ConnPair returns the two ends of a connection over loopback.
 func ConnPair(t *testing.T) (dialed, accepted net.Conn) {
 	t.Helper()
--- a/internal/node/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -1,4 +1,4 @@
-package node
+package upstream
 
 import (
 	"context"
@@ -19,59 +19,6 @@
 	"basaltdrum/internal/testutil"
 )
 
-// A reused connection that breaks under a request may have carried it. Neither the node nor a library below it may
-// send the request again, whatever its method or headers.
-func TestNonIdempotentRequestIsNotRetriedAfterAReset(t *testing.T) {
-	s := testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
-		if strings.HasPrefix(r.Header.Get("X-Request-Id"), "break") {
-			c.(*net.TCPConn).SetLinger(0)
-			return false
-		}
-		return testutil.ReplyOK(c, "")
-	})
-	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), nil)
-	c := dial(t, n)
-	for i := range 2 {
-		c.Send("POST", "/note/k", fmt.Sprint("first-", i), "x", "60")
-		c.Expect(t, 200, "")
-		id := fmt.Sprint("break-", i)
-		c.Send("POST", "/note/k", id, "x", "60")
-		c.Expect(t, http.StatusBadGateway, "")
-		if s.Received() != 2*(i+1) {
-			t.Fatalf("%d requests reached the server, want %d", s.Received(), 2*(i+1))
-		}
-	}
-}
-
-// An attempt at a server that never answers ends by its timeout. A non-idempotent request may have run and fails;
-// an idempotent one is rejected with Retry-After.
-func TestUnresponsiveServerTimesOut(t *testing.T) {
-	closedAt := make(chan struct{}, 2)
-	s := testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
-		c.Read(make([]byte, 1)) // says nothing until the node closes
-		closedAt <- struct{}{}
-		return false
-	})
-	cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service")))
-	for i := range cfg.Settings.Classes {
-		cfg.Settings.Classes[i].LatencyObjective = 300 * time.Millisecond
-	}
-	n, _ := startNode(t, cfg, nil)
-	c := dial(t, n)
-	c.Send("POST", "/note/k", "unsafe", "x", "20")
-	c.Expect(t, http.StatusBadGateway, "") // it may have run: no refusal
-	testutil.Wait(t, closedAt, "the close")
-	c.Get("safe")
-	r, _ := c.Response(t)
-	if r.StatusCode != 503 || r.Header.Get("Retry-After") == "" {
-		t.Errorf("got %d, Retry-After %q", r.StatusCode, r.Header.Get("Retry-After"))
-	}
-	testutil.Wait(t, closedAt, "the close")
-	if s.Received() != 2 {
-		t.Errorf("%d requests were sent, want 2", s.Received())
-	}
-}
-
 func TestRefusedConnectionIsConnectFailed(t *testing.T) {
 	b := testPool(10)
 	if r := doAttempt(t, b, testAttempt(t, b, testutil.ClosedPort(t))); r.Result != balancer.ConnectFailed || b.Connections() != 0 {
@@ -79,25 +26,9 @@
 	}
 }
 
-// unreachableAddress returns an address at which no connection is ever established, as of a machine that is gone.
-func unreachableAddress(t *testing.T) string {
-	t.Helper()
-	fd, addr := testutil.BoundSocket(t)
-	if err := syscall.Listen(fd, 0); err != nil {
-		t.Fatal(err)
-	}
-	for { // until the queue of those that nobody accepts is full
-		c, err := net.DialTimeout("tcp", addr, 300*time.Millisecond)
-		if err != nil {
-			return addr
-		}
-		t.Cleanup(func() { c.Close() })
-	}
-}
-
 // A machine that is gone never completes a connection: the dial times out.
 func TestDialTimeoutIsConnectFailed(t *testing.T) {
-	addr := unreachableAddress(t)
+	addr := testutil.UnreachableAddress(t)
 	b := testPool(10)
 	b.Dial = (&net.Dialer{Timeout: 50 * time.Millisecond}).DialContext
 	if r := doAttempt(t, b, testAttempt(t, b, addr)); r.Result != balancer.ConnectFailed || b.Connections() != 0 {
@@ -252,13 +183,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			addr, came := newSink(t)
 			b := testPool(10)
-			held := holdDials(b)
+			held := testutil.NewHeldDials()
+			b.Dial = held.Dial
 			a := testAttempt(t, b, addr)
 			end := make(chan Outcome, 1)
 			go func() { end <- a.do() }()
-			testutil.Wait(t, held.dialed, "the connection")
+			testutil.Wait(t, held.Dialed, "the connection")
 			c.do(b, a)
-			close(held.release)
+			close(held.Release)
 			if r := testutil.Wait(t, end, "the attempt's end"); r.Result != c.want {
 				t.Errorf("ending %d, want %d", r.Result, c.want)
 			}
--- a/internal/node/upstreampool.go
+++ b/internal/upstream/pool.go
@@ -1,4 +1,4 @@
-package node
+package upstream
 
 import (
 	"context"
--- a/internal/node/upstreampool_test.go
+++ b/internal/upstream/pool_test.go
@@ -1,11 +1,9 @@
-package node
+package upstream
 
 import (
 	"context"
-	"fmt"
 	"net"
 	"net/http"
-	"strings"
 	"testing"
 	"time"
 
@@ -162,106 +160,18 @@
 	}
 }
 
-func TestConnectionClosedWhileIdleIsNotUsed(t *testing.T) {
-	closing := make(chan struct{}, 100)
-	s := testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
-		testutil.ReplyOK(c, "ok") // keeps alive, as far as the node can tell
-		c.Close()
-		closing <- struct{}{}
-		return false
-	})
-	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), nil)
-	c := dial(t, n)
-	for i := range 50 {
-		c.Send("POST", "/note/k", fmt.Sprint("n", i), "x", "60")
-		c.Expect(t, 200, "ok")
-		testutil.Wait(t, closing, "the close")
-	}
-	if s.Received() != 50 || s.Accepted() != 50 {
-		t.Errorf("%d requests on %d connections, want 50 on 50", s.Received(), s.Accepted())
-	}
-}
-
-// A new server at the address of one that was removed does not inherit its connections, nor does a restarted one:
-// whatever is still to come on them belongs to the old instance.
-func TestConnectionsBelongToOneInstanceOfAServer(t *testing.T) {
-	s, got, release := testutil.NewHoldingServer(t, "held")
-	var lists listRecorder
-	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), lists.record)
-	held, c := dial(t, n), dial(t, n)
-	held.Get("held")
-	testutil.Wait(t, got, "the attempt")
-	c.Get("one")
-	c.Expect(t, 200, "for one")
-	for i, next := range []string{
-		testutil.ListEntry("s2", s.Address(), "in_service"),
-		strings.Replace(testutil.ListEntry("s2", s.Address(), "in_service"), `"boot_ms":0`, `"boot_ms":5`, 1),
-	} {
-		l := listOf(t, true, next)
-		want := l.Entries[0] // copied before the loop, which sets its start time, owns the list
-		n.loop.post(listReceived{l})
-		before := s.Accepted()
-		lists.until(t, "s2", func(got endpointlist.Entry) bool {
-			got.StartedAt = 0 // set by the loop
-			return got == want
-		})
-		if i == 0 { // a connection that was busy when the server went
-			release()
-			held.Expect(t, 200, "for held")
-		}
-		c.Get(fmt.Sprint("next-", i))
-		c.Expect(t, 200, fmt.Sprint("for next-", i))
-		if s.Accepted() != before+1 {
-			t.Errorf("life %d: %d connections after %d, want one more", i, s.Accepted(), before)
-		}
-	}
-}
-
-func TestDrainingServerGetsNoNewRequests(t *testing.T) {
-	a, b := testutil.NewServer(t, testutil.Echo), testutil.NewServer(t, testutil.Echo)
-	ag := testutil.NewRegistryAgent(t)
-	cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", a.Address(), "in_service"), testutil.ListEntry("s2", b.Address(), "in_service")))
-	cfg.Discovery = ag.Addr().String()
-	n, _ := startNode(t, cfg, nil)
-	c := dial(t, n)
-	i := 0
-	ask := func() {
-		i++
-		c.Get(fmt.Sprint("r", i))
-		c.Expect(t, 200, fmt.Sprint("for r", i))
-	}
-	for a.Received() == 0 || b.Received() == 0 {
-		ask()
-	}
-	for _, state := range []string{"terminating", "terminated"} {
-		ag.Set(false, `{"rev":%d,"all":false,"targets":[`+testutil.ListEntry("s1", a.Address(), state)+`]}`)
-		for version := ag.Version(); !strings.Contains(testutil.Wait(t, ag.Calls, "the next watch"), fmt.Sprint("from=", version)); {
-		}
-		testutil.Until(t, "the connections to the server to be closed, and no others", func() bool {
-			pool := n.upstream.Stats()
-			return pool.Idle == b.Accepted() && pool.Open == pool.Idle
-		})
-		before := a.Received()
-		for range 30 {
-			ask()
-		}
-		if a.Received() != before {
-			t.Errorf("%s: %d requests reached the server", state, a.Received()-before)
-		}
-	}
-}
-
 // A connection that was established too late for its attempt serves the next one.
 func TestLateConnectionIsPooled(t *testing.T) {
 	s := testutil.NewServer(t, testutil.Echo)
 	b := testPool(10)
-	held := holdDials(b)
+	held := testutil.NewHeldDials()
+	b.Dial = held.Dial
 	a := testAttempt(t, b, s.Address())
 	end := make(chan Outcome, 1)
 	go func() { end <- a.do() }()
-	testutil.Wait(t, held.dialed, "the connection")
+	testutil.Wait(t, held.Dialed, "the connection")
 	a.Request.MarkDeparted()
-	close(held.release)
+	close(held.Release)
 	testutil.Wait(t, end, "the attempt's end")
 	if r := doAttempt(t, b, testAttempt(t, b, s.Address())); r.Result != balancer.Success || s.Accepted() != 1 || s.Received() != 1 {
 		t.Errorf("ending %d, %d connections, %d requests", r.Result, s.Accepted(), s.Received())
--- a/internal/node/upstreamrequest.go
+++ b/internal/upstream/request.go
@@ -1,4 +1,4 @@
-package node
+package upstream
 
 import (
 	"bytes"
@@ -20,7 +20,7 @@
 
 // The value of X-Deadline in a request to an endpoint: the time that the node will wait, in seconds.
 const (
-	deadlineValueWidth = len("3600.000")      // bytes; enough for maxDeadline with milliseconds
+	deadlineValueWidth = len("3600.000")      // bytes; enough for an hour, the longest, with milliseconds
 	minRemainingTime   = time.Millisecond     // an attempt with less time left is not begun
 	transitAllowance   = 5 * time.Millisecond // subtracted for the ways from the client and to the endpoint
 )
--- a/internal/node/response_test.go
+++ b/internal/upstream/response_test.go
@@ -1,4 +1,4 @@
-package node
+package upstream
 
 import (
 	"fmt"
@@ -157,32 +157,6 @@
 	}
 }
 
-// The client gets the body unchanged, and an error where the end was a reset.
-func TestResponseWithoutALengthIsForwarded(t *testing.T) {
-	s := testutil.NewServer(t, func(conn net.Conn, r *http.Request, body string) bool {
-		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Type: a/b\r\n\r\nfor %s\r\n\x00", r.Header.Get("X-Request-Id"))
-		if r.Header.Get("X-Request-Id") == "reset" {
-			conn.(*net.TCPConn).SetLinger(0)
-		}
-		return false
-	})
-	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), nil)
-	c := dial(t, n)
-	for i := range 3 {
-		id := fmt.Sprint("n", i)
-		c.Send("POST", "/note/k", id, "x", "60")
-		r, body := c.Response(t)
-		if want := "for " + id + "\r\n\x00"; r.StatusCode != 200 || body != want || r.Header.Get("Content-Type") != "a/b" {
-			t.Errorf("got %d %q, %v; want 200 %q", r.StatusCode, body, r.Header, want)
-		}
-	}
-	c.Send("POST", "/note/k", "reset", "x", "60")
-	c.Expect(t, http.StatusBadGateway, "")
-	if s.Received() != 4 || s.Accepted() != 4 {
-		t.Errorf("%d requests on %d connections, want 4 on 4", s.Received(), s.Accepted())
-	}
-}
-
 // lateWriteConn writes the last byte of a request after the connection was reset under it, reads no more before
 // that, and returns from the write only once the reader has ended.
 type lateWriteConn struct {
