--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -16,12 +16,12 @@
 	"testing"
 )
 
-// TestMain runs the tests in the root of the repository.
-func TestMain(m *testing.M) {
-	if err := os.Chdir(".."); err != nil {
-		panic(err)
-	}
-	os.Exit(m.Run())
+// inRoot runs a test in the root of the repository. It has to be called in the test and not in TestMain: go test notes
+// which files a test reads, to tell whether its cached result still holds, and it follows a change of the directory
+// only while tests run.
+func inRoot(t *testing.T) {
+	t.Helper()
+	t.Chdir("..")
 }
 
 var backticked = regexp.MustCompile("`([^`]+)`")
@@ -29,6 +29,7 @@
 // TestArchitectureNamesWhatIsThere holds the tables of steps to the code: each function stands in one of the
 // files that its row names.
 func TestArchitectureNamesWhatIsThere(t *testing.T) {
+	inRoot(t)
 	steps := 0
 	for _, line := range docLines(t, "docs/ARCHITECTURE.md") {
 		cells := strings.Split(line, "|")
@@ -54,11 +55,14 @@
 // TestDocsNameFilesThatExist checks every Go file that the pages for engineers name, from the root or by its
 // bare name.
 func TestDocsNameFilesThatExist(t *testing.T) {
+	inRoot(t)
 	known := map[string]bool{}
 	for _, file := range goFiles(t, ".") {
 		known[file], known[path.Base(file)] = true, true
 	}
-	for _, page := range []string{"README.md", "CONTRIBUTING.md", "docs/ARCHITECTURE.md", "docs/OPERATIONS.md"} {
+	for _, page := range []string{
+		"README.md", "CONTRIBUTING.md", "docs/ARCHITECTURE.md", "docs/OPERATIONS.md", configurationPage,
+	} {
 		for _, line := range docLines(t, page) {
 			for _, name := range quoted(line) {
 				if strings.HasSuffix(name, ".go") && !strings.Contains(name, "*") && !known[name] {
@@ -69,8 +73,40 @@
 	}
 }
 
+// TestDocsLinkToFilesThatExist follows the links of the pages to files of the repository.
+func TestDocsLinkToFilesThatExist(t *testing.T) {
+	inRoot(t)
+	link := regexp.MustCompile(`\]\(([^)#]+)(#[^)]*)?\)`)
+	links := 0
+	for _, page := range allPages(t) {
+		for _, match := range link.FindAllStringSubmatch(strings.Join(docLines(t, page), "\n"), -1) {
+			if strings.Contains(match[1], "://") {
+				continue
+			}
+			links++
+			if _, err := os.Stat(path.Join(path.Dir(page), match[1])); err != nil {
+				t.Errorf("%s links to %s: %v", page, match[1], err)
+			}
+		}
+	}
+	if links < 10 {
+		t.Errorf("found %d links, want at least 10", links)
+	}
+}
+
+// allPages lists the pages of the root and of docs.
+func allPages(t *testing.T) []string {
+	t.Helper()
+	pages, err := filepath.Glob("docs/*.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	return append(pages, "README.md", "CONTRIBUTING.md")
+}
+
 // TestOperationsExplainsEveryLogLine holds the on-call page to the log: each message of the node is on it.
 func TestOperationsExplainsEveryLogLine(t *testing.T) {
+	inRoot(t)
 	page := strings.Join(docLines(t, "docs/OPERATIONS.md"), "\n")
 	messages := 0
 	for _, dir := range []string{"internal/node", "cmd/balancer"} {
@@ -93,6 +129,7 @@
 
 // TestDocsNameTestsThatExist checks every test that the pages name: what they claim to be shown is shown by it.
 func TestDocsNameTestsThatExist(t *testing.T) {
+	inRoot(t)
 	known := map[string]bool{}
 	for _, file := range goFiles(t, ".") {
 		if !strings.HasSuffix(file, "_test.go") {
@@ -102,12 +139,8 @@
 			known[name] = true
 		}
 	}
-	pages, err := filepath.Glob("docs/*.md")
-	if err != nil {
-		t.Fatal(err)
-	}
 	named := regexp.MustCompile(`^(Test|Fuzz|Benchmark)[A-Z]\w*$`)
-	for _, page := range append(pages, "README.md", "CONTRIBUTING.md") {
+	for _, page := range allPages(t) {
 		for _, line := range docLines(t, page) {
 			for _, name := range quoted(line) {
 				if named.MatchString(name) && !known[name] {
