--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -9,7 +9,6 @@
 	"basaltdrum/balancer"
 	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/netdial"
-	"basaltdrum/internal/socketpeek"
 )
 
 var (
@@ -31,6 +30,13 @@
 	heldUp bool // a local fault delayed its connection. Used by the goroutine of Pool.Do alone
 }
 
+// HasBegun reports whether a byte of the attempt may have been written.
+func (a *Attempt) HasBegun() bool {
+	a.Request.mu.Lock()
+	defer a.Request.mu.Unlock()
+	return a.begun
+}
+
 // Outcome is how an attempt ended.
 type Outcome struct {
 	Result      balancer.AttemptResult
@@ -135,97 +141,3 @@
 	}
 	return balancer.ConnectionLost
 }
-
-// connect takes a reusable idle connection, or opens a new one, which fresh reports. A local fault is retried
-// with backoff for as long as the attempt may begin.
-func (p *Pool) connect(
-	ctx context.Context, a *Attempt, waiter chan exchangeResult,
-) (c *conn, fresh bool, err error) {
-	mayWait := func(wait time.Duration) bool { return p.mayBeginIn(a, wait) }
-	heldUp, err := netdial.WithBackoff(ctx, mayWait, func() error {
-		c, fresh, err = p.connectOnce(ctx, a.Instance, waiter)
-		return err
-	})
-	a.heldUp = a.heldUp || heldUp
-	return c, fresh, err
-}
-
-// connectOnce is connect with at most one dial.
-func (p *Pool) connectOnce(
-	ctx context.Context, to endpointlist.Instance, waiter chan exchangeResult,
-) (c *conn, fresh bool, err error) {
-	c, err = p.takeIdle(to, waiter)
-	if c != nil || err != nil {
-		return c, false, err
-	}
-	nc, err := p.Dial(ctx, "tcp", to.Address)
-	if err != nil {
-		p.mu.Lock()
-		p.open--
-		p.mu.Unlock()
-		return nil, true, fmt.Errorf("connect to %s: %w", to.UID, err)
-	}
-	return p.startReader(nc, to, waiter), true, nil
-}
-
-// mayBeginIn reports whether an attempt has time left after a wait, and its endpoint is still ready.
-func (p *Pool) mayBeginIn(a *Attempt, wait time.Duration) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	begin := p.clock.Now() + wait
-	return begin < a.Deadline && (a.NotAfter == 0 || begin < a.NotAfter) && p.isReady(a.Instance)
-}
-
-// writePermission is whether the first byte of a request may be written.
-type writePermission int
-
-const (
-	mayWrite        writePermission = iota
-	useAnotherConn                  // not on this connection, or not now: the attempt's context has ended
-	attemptObsolete                 // not at all: the attempt became pointless or harmful while it waited
-)
-
-func (w writePermission) String() string {
-	switch w {
-	case mayWrite:
-		return "may write"
-	case useAnotherConn:
-		return "use another connection"
-	case attemptObsolete:
-		return "attempt obsolete"
-	}
-	return fmt.Sprintf("writePermission(%d)", int(w))
-}
-
-// beginWrite decides whether the first byte of a request is written next, and notes the attempt as begun if so.
-//
-// The list, the client and the clock may have changed while the connection was opened, so they are checked here:
-// no attempt is begun at an endpoint that drains, was removed or has restarted, for a client that has departed, or
-// once endpoints no longer discard repeats. The connection itself is kept for other attempts then. But if the
-// endpoint has closed the connection or has sent bytes, which cannot be a response to this request, the connection
-// is closed, and the attempt may use another one.
-func (p *Pool) beginWrite(
-	ctx context.Context, c *conn, waiter chan exchangeResult, a *Attempt,
-) writePermission {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if c.waiter != waiter {
-		return useAnotherConn
-	}
-	overdue := a.NotAfter > 0 && p.clock.Now() >= a.NotAfter || p.remainingTime(a) == 0
-	switch {
-	case socketpeek.HasUnreadOrClosed(c.Conn):
-		c.waiter = nil
-		p.closeConn(c)
-		return useAnotherConn
-	case ctx.Err() != nil || overdue || !p.isReady(c.instance) || !a.Request.beginAttempt(a):
-		c.waiter, c.idleSince = nil, p.clock.Now()
-		p.putIdle(c)
-		if ctx.Err() != nil {
-			return useAnotherConn
-		}
-		return attemptObsolete
-	}
-	c.stage = stageWriting
-	return mayWrite
-}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -2,13 +2,10 @@
 
 import (
 	"context"
-	"errors"
 	"net"
-	"slices"
 	"sync"
 	"time"
 
-	"basaltdrum/balancer"
 	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/monotime"
 	"basaltdrum/internal/netdial"
@@ -22,19 +19,6 @@
 // endpoint: as many as requests of this node end there during the delay.
 const DefaultReuseDelay = 50 * time.Millisecond
 
-// Fractions of the configured idle timeout of connections.
-const (
-	reuseDelayDivisor    = 4  // the reuse delay is at most this part of the idle timeout
-	idleMarginDivisor    = 10 // the node closes an idle connection earlier than the endpoint by this part
-	sweepIntervalDivisor = 20 // idle connections are checked for expiry at this part of the idle timeout
-)
-
-// minSweepInterval is the shortest time between two checks of the idle connections for expiry.
-const minSweepInterval = time.Millisecond
-
-// errNoDescriptor reports that the node has no file descriptor left for a connection. No endpoint is at fault.
-var errNoDescriptor = errors.New("no file descriptor left for an upstream connection")
-
 // Timeouts are what a pool is told of an endpoint's connections.
 type Timeouts struct {
 	Connect time.Duration // for a connection to come up
@@ -94,17 +78,6 @@
 	return p.timeouts
 }
 
-// idleTimeout returns how long a connection may be idle. The node closes it shortly before the endpoint does.
-// Otherwise a request could cross the endpoint's close on the way and end in a reset. The caller holds mu.
-func (p *Pool) idleTimeout() time.Duration {
-	return p.timeouts.Idle - p.timeouts.Idle/idleMarginDivisor
-}
-
-// reuseDelay returns how long a connection stays unused after a response. The caller holds mu.
-func (p *Pool) reuseDelay() time.Duration {
-	return min(p.ReuseDelay, p.timeouts.Idle/reuseDelayDivisor)
-}
-
 // Connections returns the number of connections that are open or being opened.
 func (p *Pool) Connections() int {
 	p.mu.Lock()
@@ -130,146 +103,3 @@
 	}
 	return stats
 }
-
-// takeIdle returns the reusable idle connection to an instance that was used last, and registers waiter for its
-// next response. It returns nil once a descriptor is reserved for a new connection; at the limit, the connection
-// that has been idle for longest is closed for it.
-func (p *Pool) takeIdle(to endpointlist.Instance, waiter chan exchangeResult) (*conn, error) {
-	// The allowance is read before locking: the downstream side counts upstream connections while it holds its lock.
-	limit := min(p.maxConns, p.Allowance())
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	idle, now := p.idle[to], p.clock.Now()
-	for i := len(idle) - 1; i >= 0; i-- {
-		if c := idle[i]; now >= c.reusableAt {
-			p.idle[to] = slices.Delete(idle, i, i+1)
-			c.waiter, c.stage = waiter, stageIdle
-			return c, nil
-		}
-	}
-	if p.open >= limit {
-		oldest := p.longestIdle()
-		if oldest == nil {
-			return nil, errNoDescriptor
-		}
-		p.closeConn(oldest)
-	}
-	p.open++
-	return nil, nil
-}
-
-// longestIdle returns the connection that has been idle for longest, or nil if none is idle. The caller holds mu.
-func (p *Pool) longestIdle() *conn {
-	var oldest *conn
-	for _, idle := range p.idle {
-		if len(idle) > 0 && (oldest == nil || idle[0].idleSince < oldest.idleSince) {
-			oldest = idle[0]
-		}
-	}
-	return oldest
-}
-
-// putIdle keeps a connection for further attempts if the instance that it leads to is still ready, and closes it
-// otherwise. The caller holds mu.
-func (p *Pool) putIdle(c *conn) {
-	if !p.isReady(c.instance) {
-		p.closeConn(c)
-		return
-	}
-	p.idle[c.instance] = append(p.idle[c.instance], c)
-}
-
-// closeConn closes a connection and removes it from the pool. The caller holds mu.
-func (p *Pool) closeConn(c *conn) {
-	if c.closed {
-		return
-	}
-	c.closed = true
-	p.open--
-	c.Close()
-	idle := p.idle[c.instance]
-	if i := slices.Index(idle, c); i >= 0 {
-		p.idle[c.instance] = slices.Delete(idle, i, i+1)
-	}
-	if len(p.idle[c.instance]) == 0 {
-		delete(p.idle, c.instance)
-	}
-}
-
-// closeIdle closes the idle connections to an instance. The caller holds mu.
-func (p *Pool) closeIdle(to endpointlist.Instance) {
-	for idle := p.idle[to]; len(idle) > 0; idle = p.idle[to] {
-		p.closeConn(idle[len(idle)-1])
-	}
-}
-
-// isReady reports whether the list has an endpoint as ready, in the same instance. The caller holds mu.
-func (p *Pool) isReady(to endpointlist.Instance) bool {
-	entry, listed := p.endpoints[to.UID]
-	return listed && entry.State == balancer.Ready && entry.Instance() == to
-}
-
-// UpdateEndpoints applies an update of the endpoint list, and closes idle connections to endpoints that were
-// removed, that drain or that have restarted. Of an incremental update only the named entries are visited, as
-// updates of a long list are frequent.
-func (p *Pool) UpdateEndpoints(entries []endpointlist.Entry, complete bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, entry := range entries {
-		p.applyEntry(entry)
-	}
-	if complete {
-		p.removeUnlisted(entries)
-	}
-}
-
-// applyEntry applies one entry of an endpoint list. The caller holds mu.
-func (p *Pool) applyEntry(entry endpointlist.Entry) {
-	previous, known := p.endpoints[entry.ID]
-	if known && (entry.State != balancer.Ready || entry.Instance() != previous.Instance()) {
-		p.closeIdle(previous.Instance())
-	}
-	if entry.State == balancer.Removed {
-		delete(p.endpoints, entry.ID)
-	} else {
-		p.endpoints[entry.ID] = entry
-	}
-}
-
-// removeUnlisted removes the endpoints that a complete list does not name. The caller holds mu.
-func (p *Pool) removeUnlisted(entries []endpointlist.Entry) {
-	listed := make(map[string]bool, len(entries))
-	for _, entry := range entries {
-		listed[entry.ID] = true
-	}
-	for id, entry := range p.endpoints {
-		if !listed[id] {
-			p.closeIdle(entry.Instance())
-			delete(p.endpoints, id)
-		}
-	}
-}
-
-// CloseExpired closes connections whose idle timeout has passed, until ctx ends.
-func (p *Pool) CloseExpired(ctx context.Context) {
-	for {
-		if monotime.Sleep(ctx, p.sweepInterval()); ctx.Err() != nil {
-			return
-		}
-		p.mu.Lock()
-		for instance, idle := range p.idle {
-			for len(idle) > 0 && p.clock.Now()-idle[0].idleSince >= p.idleTimeout() {
-				p.closeConn(idle[0])
-				idle = p.idle[instance]
-			}
-		}
-		p.mu.Unlock()
-	}
-}
-
-// sweepInterval returns the time between two checks of the idle connections for expiry.
-func (p *Pool) sweepInterval() time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return max(p.idleTimeout()/sweepIntervalDivisor, minSweepInterval)
-}
