--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -66,29 +66,30 @@
 	if err != nil {
 		return exchangeResult{err: fmt.Errorf("read response head: %w", err)}, false
 	}
-	ok, framing := resp.StatusCode == http.StatusOK, framingOf(resp)
-	if ok && framing == framingTooLong {
-		return exchangeResult{err: fmt.Errorf("%w: its body has a %v", errIncompleteResponse, framing)}, false
-	}
-	var body []byte
-	if framing == framedByLength || ok {
-		body, err = readBody(c.limited, resp)
-	}
-	if ok && err != nil {
+	framing := framingOf(resp)
+	body, err := readBody(c.limited, resp, framing)
+	if err != nil && resp.StatusCode == http.StatusOK {
 		err = fmt.Errorf("%w: read its body, which ends by %v: %w", errIncompleteResponse, framing, err)
 		return exchangeResult{err: err}, false
 	}
 	complete := framing == framedByLength && err == nil
 	reply.EndedAt, reply.endedByClose = p.clock.Now(), framing == framedByClose
+	reply.Result = resultOf(resp, complete)
+	if reply.Result == balancer.Success {
+		reply.Body, reply.ContentType = body, resp.Header.Get("Content-Type")
+	}
+	return reply, complete && !resp.Close && c.reader.Buffered() == 0
+}
+
+// resultOf returns the result that a response stands for. A 200 has been read to its end.
+func resultOf(resp *http.Response, complete bool) balancer.AttemptResult {
 	switch {
-	case ok:
-		reply.Result, reply.Body, reply.ContentType = balancer.Success, body, resp.Header.Get("Content-Type")
+	case resp.StatusCode == http.StatusOK:
+		return balancer.Success
 	case complete && provesNotRun(resp):
-		reply.Result = balancer.Rejected
-	default:
-		reply.Result = balancer.ServerError
+		return balancer.Rejected
 	}
-	return reply, complete && !resp.Close && c.reader.Buffered() == 0
+	return balancer.ServerError
 }
 
 // provesNotRun reports whether a response, if it is complete, proves that the request never ran.
@@ -98,24 +99,13 @@
 }
 
 // readHead reads the head of the final response, past interim (1xx) responses.
-//
-// http.ReadResponse ignores and removes a Transfer-Encoding in a response older than HTTP/1.1, and would then
-// return the framing of the chunks as the body. Such a response is faulty (RFC 9112, section 6.1). To make the
-// field visible, the head is parsed as if it were of HTTP/1.1.
 func readHead(reader *bufio.Reader) (*http.Response, error) {
-	const http11 = "HTTP/1.1"
 	for old := false; ; {
-		version, err := reader.Peek(len(http11))
+		head, isOld, err := asHTTP11(reader)
 		if err != nil {
 			return nil, err
 		}
-		if major, minor, ok := http.ParseHTTPVersion(string(version)); ok && (major < 1 || major == 1 && minor < 1) {
-			old = true
-			if _, err := reader.Discard(len(version)); err != nil {
-				return nil, err
-			}
-			reader = bufio.NewReader(io.MultiReader(strings.NewReader(http11), reader))
-		}
+		reader, old = head, old || isOld
 		resp, err := http.ReadResponse(reader, nil)
 		switch {
 		case err != nil:
@@ -129,8 +119,36 @@
 	}
 }
 
-// readBody reads a body to its end, and fails if it has more than http1.MaxBodyBytes bytes.
-func readBody(limited *http1.LimitedReader, resp *http.Response) ([]byte, error) {
+// asHTTP11 returns a reader of a head whose version is HTTP/1.1, and reports whether it was an older one.
+//
+// http.ReadResponse ignores and removes a Transfer-Encoding in a response older than HTTP/1.1, and would then
+// return the framing of the chunks as the body. Such a response is faulty (RFC 9112, section 6.1). To make the
+// field visible, the head is parsed as if it were of HTTP/1.1.
+func asHTTP11(reader *bufio.Reader) (head *bufio.Reader, old bool, err error) {
+	const http11 = "HTTP/1.1"
+	version, err := reader.Peek(len(http11))
+	if err != nil {
+		return nil, false, err
+	}
+	major, minor, ok := http.ParseHTTPVersion(string(version))
+	if !ok || major > 1 || major == 1 && minor >= 1 {
+		return reader, false, nil
+	}
+	if _, err := reader.Discard(len(version)); err != nil {
+		return nil, true, err
+	}
+	return bufio.NewReader(io.MultiReader(strings.NewReader(http11), reader)), true, nil
+}
+
+// readBody reads a body to its end, and fails if it has more than http1.MaxBodyBytes. It leaves a body alone that is
+// declared longer, and one that ends with the connection unless the status is 200.
+func readBody(limited *http1.LimitedReader, resp *http.Response, framing bodyFraming) ([]byte, error) {
+	switch {
+	case framing == framingTooLong:
+		return nil, http1.ErrTooLong
+	case framing == framedByClose && resp.StatusCode != http.StatusOK:
+		return nil, nil
+	}
 	limited.Remaining += http1.MaxBodyBytes + 1
 	body, err := io.ReadAll(io.LimitReader(resp.Body, http1.MaxBodyBytes+1))
 	if err == nil && len(body) > http1.MaxBodyBytes {
