--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -60,7 +60,7 @@
 	err          error
 }
 
-// startReader makes a new connection known to the pool with its first attempt registered, and starts its reader.
+// startReader returns a new connection with its first attempt registered, if it has one, and starts its reader.
 func (p *Pool) startReader(nc net.Conn, to endpointlist.Instance, waiter chan exchangeResult) *conn {
 	limited := &http1.LimitedReader{Reader: nc}
 	c := &conn{
--- a/internal/upstream/connect.go
+++ b/internal/upstream/connect.go
@@ -33,14 +33,19 @@
 	}
 	nc, err := p.Dial(ctx, "tcp", to.Address)
 	if err != nil {
-		p.mu.Lock()
-		p.open--
-		p.mu.Unlock()
+		p.releaseDescriptor()
 		return nil, true, fmt.Errorf("connect to %s: %w", to.UID, err)
 	}
 	return p.startReader(nc, to, waiter), true, nil
 }
 
+// releaseDescriptor gives back the descriptor that takeIdle has reserved for a connection that could not be opened.
+func (p *Pool) releaseDescriptor() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.open--
+}
+
 // mayBeginIn reports whether an attempt has time left after a wait, and its endpoint is still ready.
 func (p *Pool) mayBeginIn(a *Attempt, wait time.Duration) bool {
 	p.mu.Lock()
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -43,8 +43,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	idle, now := p.idle[to], p.clock.Now()
-	for i := len(idle) - 1; i >= 0; i-- {
-		if c := idle[i]; now >= c.reusableAt {
+	for i, c := range slices.Backward(idle) {
+		if now >= c.reusableAt {
 			p.idle[to] = slices.Delete(idle, i, i+1)
 			c.waiter, c.stage = waiter, stageIdle
 			return c, nil
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -13,112 +13,70 @@
 	"basaltdrum/internal/testutil"
 )
 
-// testTimeouts are those of a test that does not wait for them.
-var testTimeouts = Timeouts{Connect: testutil.Limit, Idle: time.Minute}
-
-// testPool is an upstream pool that reuses connections without a delay.
-func testPool(most int) *Pool {
-	b := NewPool(monotime.New(), most, testTimeouts)
-	b.ReuseDelay = 0
-	return b
-}
-
-// testInstance puts a server that is named by its address into the pool's list.
-func testInstance(b *Pool, endpoint string) endpointlist.Instance {
-	t := endpointlist.Entry{Endpoint: balancer.Endpoint{ID: endpoint, State: balancer.Ready}, Address: endpoint}
-	b.UpdateEndpoints([]endpointlist.Entry{t}, false)
-	return t.Instance()
-}
-
-// instanceOf is a server as testInstance names it.
-func instanceOf(s *testutil.Server) endpointlist.Instance {
-	return endpointlist.Instance{UID: s.Address(), Address: s.Address()}
-}
-
-// testedAttempt is an attempt that a test may cancel.
-type testedAttempt struct {
-	Attempt
-	pool   *Pool
-	ctx    context.Context
-	cancel context.CancelFunc
-}
-
-// testAttempt is an attempt at an address with plenty of time.
-func testAttempt(t *testing.T, b *Pool, endpoint string) *testedAttempt {
-	ctx, cancel := context.WithCancel(t.Context())
-	t.Cleanup(cancel)
-	return &testedAttempt{
-		Attempt: Attempt{
-			Request:  &Request{ID: "id", Method: "POST", Target: "/note/k", Body: []byte("body")},
-			Instance: testInstance(b, endpoint), Deadline: b.clock.Now() + testutil.Limit,
-		},
-		pool: b, ctx: ctx, cancel: cancel,
+// A pool at its limit closes idle connections for new ones; that it has none to close is no fault of the endpoint.
+func TestConnectionsBeyondTheLimit(t *testing.T) {
+	idleServer := testutil.NewServer(t, testutil.Echo)
+	busyServer, received, release := testutil.NewHoldingServer(t, "id")
+	pool := newTestPool(1)
+	checkOutcome(t, pool, newTestAttempt(t, pool, idleServer.Address()).do(t), balancer.Success, 1)
+	busy := newTestAttempt(t, pool, busyServer.Address()).start()
+	testutil.Wait(t, received, "the attempt whose connection replaces the idle one")
+	checkOutcome(t, pool, newTestAttempt(t, pool, idleServer.Address()).do(t), balancer.NotSent, 1)
+	release()
+	checkOutcome(t, pool, testutil.Wait(t, busy, "the outcome"), balancer.Success, 1)
+	if n := idleServer.Received(); n != 1 {
+		t.Errorf("%d requests at the first server, want 1", n)
 	}
 }
 
-func (a *testedAttempt) do() Outcome { return a.pool.Do(a.ctx, &a.Attempt) }
-
-// doAttempt makes an attempt that must end within the limit.
-func doAttempt(t *testing.T, b *Pool, a *testedAttempt) Outcome {
-	t.Helper()
-	end := make(chan Outcome, 1)
-	go func() { end <- a.do() }()
-	return testutil.Wait(t, end, "the attempt's end")
-}
-
-// adopt puts a connection among the idle ones.
-func (b *Pool) adopt(nc net.Conn, to endpointlist.Instance) {
-	waiter := make(chan exchangeResult, 1)
-	b.open++
-	c := b.startReader(nc, to, waiter)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	c.waiter = nil
-	b.idle[to] = append(b.idle[to], c)
-}
-
-// A node short of descriptors closes idle connections first; its own lack of them is no fault of the server.
-func TestUpstreamConnectionsBeyondTheBudget(t *testing.T) {
-	hold, got := make(chan struct{}), make(chan struct{}, 1)
-	one, two := testutil.NewServer(t, testutil.Echo), testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
-		got <- struct{}{}
-		<-hold
-		return testutil.Echo(c, r, body)
-	})
-	b := testPool(1)
-	if r := doAttempt(t, b, testAttempt(t, b, one.Address())); r.Result != balancer.Success {
-		t.Fatalf("ending %d", r.Result)
-	}
-	end := make(chan Outcome, 1)
-	go func() { end <- testAttempt(t, b, two.Address()).do() }()
-	testutil.Wait(t, got, "the attempt that took the idle one's place")
-	if r := doAttempt(t, b, testAttempt(t, b, one.Address())); r.Result != balancer.NotSent {
-		t.Errorf("with no descriptor left: ending %d, want NotSent", r.Result)
-	}
-	close(hold)
-	if r := testutil.Wait(t, end, "the attempt"); r.Result != balancer.Success {
-		t.Errorf("ending %d", r.Result)
-	}
-	if one.Received() != 1 || b.Connections() != 1 {
-		t.Errorf("%d requests at the first server, %d connections open", one.Received(), b.Connections())
-	}
+// The allowance of others limits a pool as its own limit does.
+func TestConnectionsBeyondTheAllowance(t *testing.T) {
+	server := testutil.NewServer(t, testutil.Echo)
+	pool := newTestPool(10)
+	allowance := 0
+	pool.Allowance = func() int { return allowance - pool.Connections() } // it may call the pool
+	checkOutcome(t, pool, newTestAttempt(t, pool, server.Address()).do(t), balancer.NotSent, 0)
+	allowance = 1
+	checkOutcome(t, pool, newTestAttempt(t, pool, server.Address()).do(t), balancer.Success, 1)
 }
 
 func TestIdleConnectionsCloseBeforeTheServersDo(t *testing.T) {
-	s := testutil.NewServer(t, testutil.Echo)
-	b := testPool(10)
-	b.SetTimeouts(Timeouts{Connect: testutil.Limit, Idle: 20 * time.Millisecond})
-	doAttempt(t, b, testAttempt(t, b, s.Address()))
+	server := testutil.NewServer(t, testutil.Echo)
+	pool := newTestPool(10)
+	pool.SetTimeouts(Timeouts{Connect: testutil.Limit, Idle: 20 * time.Millisecond})
+	newTestAttempt(t, pool, server.Address()).do(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go b.CloseExpired(ctx)
+	go pool.CloseExpired(ctx)
 	testutil.Until(t, "the close", func() bool {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		return b.open == 0 && len(b.idle) == 0
+		stats := pool.Stats()
+		return stats.Open == 0 && stats.IdleInstances == 0
 	})
-	if full := testPool(1); full.idleTimeout() >= testTimeouts.Idle {
-		t.Errorf("kept for %v", full.idleTimeout())
+	if timeout := newTestPool(1).idleTimeout(); timeout >= testTimeouts.Idle {
+		t.Errorf("connections are kept for %v", timeout)
+	}
+}
+
+func TestStatsCountWhatThePoolHolds(t *testing.T) {
+	server, received, release := testutil.NewHoldingServer(t, "held")
+	pool := newTestPool(10)
+	pool.UpdateEndpoints([]endpointlist.Entry{readyEntry("127.0.0.1:1")}, true)
+	newTestAttempt(t, pool, server.Address()).do(t)
+	if got, want := pool.Stats(), (Stats{Open: 1, Idle: 1, IdleInstances: 1, Endpoints: 2}); got != want {
+		t.Errorf("after an attempt: %+v, want %+v", got, want)
+	}
+	held := newTestAttempt(t, pool, server.Address())
+	held.Request.ID = "held"
+	outcome := held.start()
+	testutil.Wait(t, received, "the request")
+	if got := pool.Stats(); got.Open != 1 || got.Idle != 0 {
+		t.Errorf("during an attempt: %+v", got)
+	}
+	release()
+	testutil.Wait(t, outcome, "the outcome")
+	pool.UpdateEndpoints(nil, true)
+	if got := pool.Stats(); got != (Stats{}) {
+		t.Errorf("without endpoints: %+v", got)
 	}
 }
 
@@ -126,54 +84,56 @@
 // that request goes on another connection, and the one on which the copy comes is closed.
 func TestLateSecondResponseIsDiscarded(t *testing.T) {
 	conns := make(chan net.Conn, 10)
-	s := testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+	server := testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		conns <- c
 		return testutil.Echo(c, r, body)
 	})
-	b := NewPool(monotime.New(), 10, testTimeouts)
-	if b.reuseDelay() <= 0 || b.reuseDelay() >= b.idleTimeout() {
-		t.Fatalf("connections rest for %v and stay for %v", b.reuseDelay(), b.idleTimeout())
+	pool := NewPool(monotime.New(), 10, testTimeouts)
+	if delay := pool.reuseDelay(); delay <= 0 || delay >= pool.idleTimeout() {
+		t.Fatalf("connections stay unused for %v and are kept for %v", delay, pool.idleTimeout())
 	}
-	b.SetTimeouts(Timeouts{Connect: testutil.Limit, Idle: 1000 * testutil.Limit})
-	b.ReuseDelay = 100 * testutil.Limit
-	send := func(id string) Outcome {
-		a := testAttempt(t, b, s.Address())
+	pool.SetTimeouts(Timeouts{Connect: testutil.Limit, Idle: 1000 * testutil.Limit})
+	pool.ReuseDelay = 100 * testutil.Limit
+	expect := func(id string, connections int) {
+		t.Helper()
+		a := newTestAttempt(t, pool, server.Address())
 		a.Request.ID = id
-		return doAttempt(t, b, a)
-	}
-	if r := send("one"); string(r.Body) != "for one" {
-		t.Fatalf("got %q", r.Body)
+		if outcome := a.do(t); string(outcome.Body) != "for "+id || server.Accepted() != connections {
+			t.Errorf("got %q, and %d connections, want %d", outcome.Body, server.Accepted(), connections)
+		}
 	}
+	expect("one", 1)
 	first := testutil.Wait(t, conns, "the first connection")
-	if r := send("two"); string(r.Body) != "for two" || s.Accepted() != 2 {
-		t.Errorf("got %q on %d connections", r.Body, s.Accepted())
-	}
+	expect("two", 2)
 	testutil.ReplyOK(first, "for one")
-	testutil.Until(t, "the close", func() bool { return b.Connections() == 1 })
-	b.mu.Lock()
-	for _, c := range b.idle[instanceOf(s)] {
+	testutil.Until(t, "the close", func() bool { return pool.Connections() == 1 })
+	pool.endReuseDelay(readyEntry(server.Address()).Instance())
+	expect("three", 2)
+}
+
+// endReuseDelay has the idle connections to an instance reusable at once.
+func (p *Pool) endReuseDelay(to endpointlist.Instance) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, c := range p.idle[to] {
 		c.reusableAt = 0
 	}
-	b.mu.Unlock()
-	if r := send("three"); string(r.Body) != "for three" || s.Accepted() != 2 {
-		t.Errorf("got %q on %d connections", r.Body, s.Accepted())
-	}
 }
 
 // A connection that was established too late for its attempt serves the next one.
 func TestLateConnectionIsPooled(t *testing.T) {
-	s := testutil.NewServer(t, testutil.Echo)
-	b := testPool(10)
-	held := testutil.NewHeldDials()
-	b.Dial = held.Dial
-	a := testAttempt(t, b, s.Address())
-	end := make(chan Outcome, 1)
-	go func() { end <- a.do() }()
-	testutil.Wait(t, held.Dialed, "the connection")
-	a.Request.MarkDeparted()
-	close(held.Release)
-	testutil.Wait(t, end, "the attempt's end")
-	if r := doAttempt(t, b, testAttempt(t, b, s.Address())); r.Result != balancer.Success || s.Accepted() != 1 || s.Received() != 1 {
-		t.Errorf("ending %d, %d connections, %d requests", r.Result, s.Accepted(), s.Received())
+	server := testutil.NewServer(t, testutil.Echo)
+	pool := newTestPool(10)
+	dials := testutil.NewHeldDials()
+	pool.Dial = dials.Dial
+	late := newTestAttempt(t, pool, server.Address())
+	outcome := late.start()
+	testutil.Wait(t, dials.Dialed, "the connection")
+	late.Request.MarkDeparted()
+	close(dials.Release)
+	testutil.Wait(t, outcome, "the outcome")
+	checkOutcome(t, pool, newTestAttempt(t, pool, server.Address()).do(t), balancer.Success, 1)
+	if server.Accepted() != 1 || server.Received() != 1 {
+		t.Errorf("%d connections, %d requests at the server; want one each", server.Accepted(), server.Received())
 	}
 }
