--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -5,6 +5,9 @@
 	"slices"
 	"testing"
 	"time"
+
+	"basaltdrum/balancer/internal/endpoints"
+	"basaltdrum/balancer/internal/outlier"
 )
 
 // A request that was accepted keeps what its client was promised by the settings of its time; later requests
@@ -74,30 +77,40 @@
 		return Success
 	})
 	open := sends(b.Handle(b.now, Request{ID: "open", Class: "get", Deadline: b.now + time.Second}))[0]
-	mean, calls, until := b.classes.byName["get"].mean, b.endpoints[open.Endpoint].inFlight, b.endpoints["s02"].ejection.until
-	if calls == 0 || until == 0 {
-		t.Fatalf("%d calls out, ejected until %v: nothing to keep", calls, until)
+	mean, calls, health := b.classes.byName["get"].latency.Mean(), knownEndpoint(t, b, open.Endpoint).Attempts.InFlight(), fmt.Sprint(knownEndpoint(t, b, "s02").Health)
+	if calls == 0 || health == fmt.Sprint(outlier.Record{}) {
+		t.Fatalf("%d calls out, health %v: nothing to keep", calls, health)
 	}
 	set := testSettings()
 	set.Classes = slices.Clone(set.Classes)
 	set.Classes[0].LatencyObjective *= 2
 	set.Classes = append(set.Classes, Class{Name: "new", LatencyObjective: time.Second, Deadline: 2 * time.Second})
 	b.Handle(b.now, Reconfigure{set})
-	if got := b.classes.byName["get"].mean; got != mean {
+	if got := b.classes.byName["get"].latency.Mean(); got != mean {
 		t.Errorf("mean latency %v, want %v", got, mean)
 	}
-	if got := b.endpoints[open.Endpoint].inFlight; got != calls {
+	if got := knownEndpoint(t, b, open.Endpoint).Attempts.InFlight(); got != calls {
 		t.Errorf("%d calls, want %d", got, calls)
 	}
-	if got := b.endpoints["s02"].ejection.until; got != until {
-		t.Errorf("ejected until %v, want %v", got, until)
+	if got := fmt.Sprint(knownEndpoint(t, b, "s02").Health); got != health {
+		t.Errorf("health %v, want %v", got, health)
 	}
 	if b.classes.byName["get"].LatencyObjective != set.Classes[0].LatencyObjective || b.classes.byName["new"] == nil {
 		t.Error("the new settings are not in force")
 	}
 }
 
-// However often settings come, and though classes come and go while calls are in flight, no state accumulates.
+// countRates counts the failure rates that an endpoint's record holds.
+func countRates(ep *endpoints.Endpoint) (rates int) {
+	ep.Health.Forget(func(*outlier.ClassRate) bool {
+		rates++
+		return true
+	})
+	return rates
+}
+
+// However often settings come, and though classes come and go while calls are in flight, no state
+// accumulates.
 func TestReconfigureLeaksNoState(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(3)})
@@ -116,9 +129,9 @@
 	if len(b.classes.byName) != 4 || len(b.classes.ordered) != 4 {
 		t.Errorf("%d classes, %d in order, want 4", len(b.classes.byName), len(b.classes.ordered))
 	}
-	for id, s := range b.endpoints {
-		if len(s.failures) > 4 {
-			t.Errorf("%s: shares of %d classes", id, len(s.failures))
+	for ep := range b.endpoints.Known() {
+		if n := countRates(ep); n > 4 {
+			t.Errorf("%s: rates of %d classes", ep.ID, n)
 		}
 	}
 }
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/downstream"
 	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/monotime"
 	"basaltdrum/internal/upstream"
@@ -138,7 +139,7 @@
 func (l *loop) answerAll() {
 	l.decide(l.clock.Now(), balancer.Shutdown{})
 	for _, state := range l.pending {
-		if state.departed != present && !state.answered {
+		if state.departed != downstream.Present && !state.answered {
 			l.respondToDeparted(state)
 		}
 	}
@@ -164,7 +165,7 @@
 		ID: a.request.ID, Attempt: a.number, Endpoint: a.Instance.UID, Result: outcome.Result,
 		Latency: outcome.EndedAt - a.sentAt, Answered: state.answered, HeldUp: outcome.HeldUp,
 	})
-	if state.departed != present {
+	if state.departed != downstream.Present {
 		l.respondUnlessBegun(state)
 	}
 	l.forget(state)
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -99,10 +99,9 @@
 		round(50 + i)
 	}
 	testutil.Until(t, "all that has gone to be forgotten", func() bool {
-		pool, f := n.upstream.Stats(), n.frontend.conns
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		return len(f.conns) == 0 && pool.Endpoints == 1 && pool.IdleInstances <= 1 && pool.Open <= 1 &&
+		pool := n.upstream.Stats()
+		return n.frontend.conns.Count() == 0 &&
+			pool.Endpoints == 1 && pool.IdleInstances <= 1 && pool.Open <= 1 &&
 			runtime.NumGoroutine() <= before+5
 	})
 }
--- a/internal/node/requestvalidation.go
+++ b/internal/node/requestvalidation.go
@@ -32,7 +32,7 @@
 
 func (e *requestError) Error() string { return e.reason }
 
-// Errors of requests whose framing is sound (see framingError) and which are invalid nevertheless.
+// Errors of requests whose framing is sound (see http1.FramingError) and which are invalid nevertheless.
 var (
 	errMethodNotServed   = &requestError{status: http.StatusMethodNotAllowed, reason: "only GET and POST are served"}
 	errMethodOfClass     = &requestError{status: http.StatusMethodNotAllowed, reason: "the class is not asked for by this method"}
--- a/internal/testutil/faults.go
+++ b/internal/testutil/faults.go
@@ -58,3 +58,17 @@
 	<-h.Release
 	return c, err
 }
+
+// FailingListener fails accepts as the system would, for as long as Fail returns an error.
+type FailingListener struct {
+	*net.TCPListener
+	Fail func() error
+}
+
+// Accept fails, or accepts the next connection.
+func (l FailingListener) Accept() (net.Conn, error) {
+	if err := l.Fail(); err != nil {
+		return nil, &net.OpError{Op: "accept", Net: "tcp", Addr: l.Addr(), Err: os.NewSyscallError("accept4", err)}
+	}
+	return l.TCPListener.Accept()
+}
