--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -11,6 +11,7 @@
 	"basaltdrum/internal/downstream"
 	"basaltdrum/internal/http1"
 	"basaltdrum/internal/monotime"
+	"basaltdrum/internal/upstream"
 )
 
 // Limits on the time that a client may take.
@@ -119,7 +120,7 @@
 			continue
 		}
 		notified = how
-		begun := c.markDeparted()
+		begun := c.MarkDeparted()
 		f.post(clientDeparted{request: c, how: how, at: f.clock.Now(), retryAfter: f.rules.Load().retryAfter})
 		switch {
 		case how == downstream.Disconnected:
@@ -134,8 +135,10 @@
 // forwarded of a request that is invalid. The client's deadline counts from the request's first byte.
 func (f *frontend) readRequest(r *http.Request, conn *downstream.Conn, head http1.RequestHead) (*request, error) {
 	c := &request{
-		method: r.Method, target: r.RequestURI, id: r.Header.Get("X-Request-Id"),
-		key: r.Header.Get("Idempotency-Key"), contentType: r.Header.Get("Content-Type"),
+		Request: upstream.Request{
+			ID: r.Header.Get("X-Request-Id"), Method: r.Method, Target: r.RequestURI,
+			IdempotencyKey: r.Header.Get("Idempotency-Key"), ContentType: r.Header.Get("Content-Type"),
+		},
 		firstByte: head.FirstByte, response: make(chan response, 1),
 	}
 	if err := f.validateHead(c, r); err != nil {
@@ -155,16 +158,16 @@
 		return nil
 	}
 	var err error
-	c.body, err = io.ReadAll(io.LimitReader(r.Body, http1.MaxBodyBytes+1))
+	c.Body, err = io.ReadAll(io.LimitReader(r.Body, http1.MaxBodyBytes+1))
 	framing := conn.BodyError()
 	switch {
-	case len(c.body) > http1.MaxBodyBytes:
+	case len(c.Body) > http1.MaxBodyBytes:
 		return errBodyTooLong
 	case framing != nil:
 		return framing
 	case err != nil:
 		return errBodyIncomplete
-	case len(c.body) > 0 && c.method == http.MethodGet:
+	case len(c.Body) > 0 && c.Method == http.MethodGet:
 		return errBodyOfGet
 	}
 	return nil
--- a/internal/node/frontend_test.go
+++ b/internal/node/frontend_test.go
@@ -37,7 +37,7 @@
 		got <- seen{r, body}
 		return testutil.ReplyOK(c, answerBody)
 	})
-	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) { n.upstream.reuseDelay = 0 })
+	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) { n.upstream.ReuseDelay = 0 })
 	c := dial(t, n)
 	long := strings.Repeat("b\r\n\x00", http1.MaxBodyBytes/4)
 	for i, target := range []string{"/keyed/a%2fB?q=%20%41&&x", `/keyed/"odd"|{};,`, "/keyed/", "/keyed//x/../y?"} {
