--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"basaltdrum/balancer/internal/endpoints"
+	"basaltdrum/balancer/internal/outlier"
 )
 
 const msec = time.Millisecond
@@ -15,12 +16,18 @@
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
-			{Name: "get", Effect: Idempotent, Scope: ScopeAll, LatencyObjective: 500 * msec, Deadline: 1500 * msec, PriorityWeight: 1},
 			{
-				Name: "post", Effect: IdempotentByKey, Scope: ScopeCell, DedupWindow: 900 * msec, LatencyObjective: 500 * msec,
-				Deadline: 1500 * msec, PriorityWeight: 2,
+				Name: "get", Effect: Idempotent, Scope: ScopeAll, LatencyObjective: 500 * msec,
+				Deadline: 1500 * msec, PriorityWeight: 1,
+			},
+			{
+				Name: "post", Effect: IdempotentByKey, Scope: ScopeCell, DedupWindow: 900 * msec,
+				LatencyObjective: 500 * msec, Deadline: 1500 * msec, PriorityWeight: 2,
+			},
+			{
+				Name: "pay", Effect: NonIdempotent, LatencyObjective: 500 * msec, Deadline: 1500 * msec,
+				PriorityWeight: 3,
 			},
-			{Name: "pay", Effect: NonIdempotent, LatencyObjective: 500 * msec, Deadline: 1500 * msec, PriorityWeight: 3},
 		},
 		Replicas: 2, Tier: 0, TotalWeight: 0.6, WorstClassWeight: 0.3,
 		MaxAttempts: 5, AllowCancel: true, Tick: 2 * msec,
@@ -61,9 +68,9 @@
 	return l
 }
 
-// endAttempt ends the only attempt of a request.
-func endAttempt(b *Balancer, now time.Duration, id string, s Send, e AttemptResult) []Action {
-	return b.Handle(now, AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: e, Answered: e == Success})
+// succeed ends the only attempt of a request with its answer.
+func succeed(b *Balancer, now time.Duration, id string, s Send) []Action {
+	return b.Handle(now, AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: Success, Answered: true})
 }
 
 // sendTraffic sends n requests one after another; fate decides how attempts at a server end. It returns how
@@ -76,10 +83,12 @@
 			if i >= n/2 {
 				got[s.Endpoint]++
 			}
-			for k := 0; k < 5; k++ {
+			for k := range 5 {
 				e := fate(s.Endpoint)
 				now += 10 * msec
-				again := sends(b.Handle(now, AttemptEnded{ID: id, Attempt: k, Endpoint: s.Endpoint, Result: e, Answered: e == Success}))
+				again := sends(b.Handle(now, AttemptEnded{
+					ID: id, Attempt: k, Endpoint: s.Endpoint, Result: e, Answered: e == Success,
+				}))
 				if len(again) == 0 {
 					break
 				}
@@ -129,3 +138,61 @@
 	groups := b.endpoints.Groups()
 	return slices.Concat(groups.Left, groups.Right)
 }
+
+// holdAttempts has so many attempts in flight, besides those that a test sends.
+func holdAttempts(b *Balancer, attempts int) {
+	for range attempts {
+		b.admission.Begin()
+	}
+}
+
+// shedUpTo sheds requests until a share of them is shed, within two hundredths and not over it.
+func shedUpTo(b *Balancer, share float64) {
+	for b.admission.ShedShare() < share {
+		b.admission.ObserveShed()
+	}
+	b.admission.ObserveAdmitted()
+}
+
+// eject ejects an endpoint for so long, whatever the others do.
+func eject(ep *endpoints.Endpoint, now, length time.Duration) {
+	detector := outlier.NewDetector()
+	const baseEjection = 12 // mean latencies that a first ejection lasts
+	detector.ObserveFailure(&ep.Health, now, float64(length)/baseEjection)
+}
+
+// failAttempts makes so many failures of a class known, at an endpoint that is not listed.
+func failAttempts(b *Balancer, name string, failures int) {
+	for range failures {
+		(&outlier.Record{}).ObserveRate(b.classes.byName[name].rates, true, b.now, float64(msec))
+	}
+}
+
+// countKnown returns how many endpoints are known.
+func countKnown(b *Balancer) (known int) {
+	for range b.endpoints.Known() {
+		known++
+	}
+	return known
+}
+
+// countRates counts the failure rates that an endpoint's record holds.
+func countRates(ep *endpoints.Endpoint) (rates int) {
+	ep.Health.Forget(func(*outlier.ClassRate) bool {
+		rates++
+		return true
+	})
+	return rates
+}
+
+// endpointsWith returns a group of endpoints with so many attempts in flight each.
+func endpointsWith(inFlight ...int) (group []*endpoints.Endpoint) {
+	for i, attempts := range inFlight {
+		ep := &endpoints.Endpoint{Entry: Endpoint{ID: fmt.Sprint(i)}}
+		for range attempts {
+			ep.Attempts.Begin(0, nil)
+		}
+		group = append(group, ep)
+	}
+	return group
+}
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -285,14 +285,6 @@
 	}
 }
 
-// countKnown returns how many endpoints are known.
-func countKnown(b *Balancer) (known int) {
-	for range b.endpoints.Known() {
-		known++
-	}
-	return known
-}
-
 func TestSameEventsGiveSameActions(t *testing.T) {
 	a, _ := runRandomly(t, testSettings(), 5, 3000, nil)
 	other, _ := New(testSettings(), 99) // a neighbour in the process changes nothing
@@ -325,7 +317,9 @@
 			case 1, 2:
 				b.Handle(now, Request{ID: id, Class: set.Classes[x%3].Name, Deadline: now + time.Duration(x)*msec})
 			case 3:
-				b.Handle(now, AttemptEnded{ID: id, Attempt: int(x%4) - 1, Result: AttemptResult(x % 9), Answered: x%2 == 0})
+				b.Handle(now, AttemptEnded{
+					ID: id, Attempt: int(x%4) - 1, Result: AttemptResult(x % 9), Answered: x%2 == 0,
+				})
 			case 4:
 				b.Handle(now, Timer{Token: "r:" + id})
 			case 5:
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -15,6 +15,7 @@
 	"basaltdrum/internal/downstream"
 	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/monotime"
+	"basaltdrum/internal/upstream"
 )
 
 // reservedDescriptors is how many descriptors are kept for the listener, discovery, the log and the Go runtime, and
@@ -30,7 +31,7 @@
 type Node struct {
 	loop        *loop
 	frontend    *frontend
-	upstream    *upstreamPool
+	upstream    *upstream.Pool
 	discovery   *discovery.Client
 	listener    net.Listener
 	listsPushed bool
@@ -60,15 +61,15 @@
 	l := newLoop(module, clock, log)
 	l.rules.Store(newRequestRules(1, set))
 	n := &Node{
-		loop: l, upstream: newUpstreamPool(cfg, clock, (cfg.Sockets-reservedDescriptors)/2), listsPushed: !set.PollDiscovery, log: log,
+		loop: l, upstream: upstream.NewPool(clock, (cfg.Sockets-reservedDescriptors)/2, upstreamTimeouts(cfg)), listsPushed: !set.PollDiscovery, log: log,
 		cfg: cfg, revision: 1, drainSchedule: drainScheduleOf(cfg), drainLimit: drainLimit(cfg),
 	}
-	conns := downstream.NewConns(clock, downstreamLimits(cfg), n.upstream.connections)
-	n.upstream.descriptorAllowance = conns.UpstreamAllowance
+	conns := downstream.NewConns(clock, downstreamLimits(cfg), n.upstream.Connections)
+	n.upstream.Allowance = conns.UpstreamAllowance
 	n.frontend = newFrontend(clock, conns, &l.rules, l.post, l.ready.Load, log)
 	l.connectionStats = n.connectionStats
 	l.start = n.startAttempt
-	l.updateEndpoints, l.listsPushed = n.upstream.updateEndpoints, n.listsPushed
+	l.updateEndpoints, l.listsPushed = n.upstream.UpdateEndpoints, n.listsPushed
 	n.startDiscovery(cfg)
 	if n.listener, err = net.Listen("tcp", cfg.Listen); err != nil {
 		return nil, fmt.Errorf("node: %w", err)
@@ -109,7 +110,7 @@
 // startAttempt runs an attempt in a goroutine of its own, which posts the outcome.
 func (n *Node) startAttempt(a *attempt) {
 	go func() {
-		outcome := n.upstream.do(a)
+		outcome := n.upstream.Do(a.ctx, &a.Attempt)
 		a.cancel()
 		n.loop.post(attemptEnded{a, outcome})
 	}()
@@ -121,7 +122,7 @@
 	return []any{
 		slog.Group("downstream", "open", open, "accepted", counts.Accepted, "accept_failed", counts.AcceptFailed,
 			"evicted", counts.Evicted, "over_capacity", counts.Rejected, "closed_unread", counts.ClosedUnread),
-		slog.Group("upstream", "open", n.upstream.connections()),
+		slog.Group("upstream", "open", n.upstream.Stats().Open),
 	}
 }
 
@@ -171,7 +172,7 @@
 		}()
 	}
 	start(&loop, loopCtx, n.loop.run)
-	start(&feeders, feederCtx, n.upstream.closeExpired)
+	start(&feeders, feederCtx, n.upstream.CloseExpired)
 	start(&feeders, feederCtx, n.discovery.Run)
 	return func() {
 		stopFeeders()
--- /dev/null
+++ b/internal/upstream/pool_test.go
@@ -0,0 +1,139 @@
+package upstream
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"basaltdrum/balancer"
+	"basaltdrum/internal/endpointlist"
+	"basaltdrum/internal/monotime"
+	"basaltdrum/internal/testutil"
+)
+
+// A pool at its limit closes idle connections for new ones; that it has none to close is no fault of the endpoint.
+func TestConnectionsBeyondTheLimit(t *testing.T) {
+	idleServer := testutil.NewServer(t, testutil.Echo)
+	busyServer, received, release := testutil.NewHoldingServer(t, "id")
+	pool := newTestPool(1)
+	checkOutcome(t, pool, newTestAttempt(t, pool, idleServer.Address()).do(t), balancer.Success, 1)
+	busy := newTestAttempt(t, pool, busyServer.Address()).start()
+	testutil.Wait(t, received, "the attempt whose connection replaces the idle one")
+	checkOutcome(t, pool, newTestAttempt(t, pool, idleServer.Address()).do(t), balancer.NotSent, 1)
+	release()
+	checkOutcome(t, pool, testutil.Wait(t, busy, "the outcome"), balancer.Success, 1)
+	if n := idleServer.Received(); n != 1 {
+		t.Errorf("%d requests at the first server, want 1", n)
+	}
+}
+
+// The allowance of others limits a pool as its own limit does.
+func TestConnectionsBeyondTheAllowance(t *testing.T) {
+	server := testutil.NewServer(t, testutil.Echo)
+	pool := newTestPool(10)
+	allowance := 0
+	pool.Allowance = func() int { return allowance - pool.Connections() } // it may call the pool
+	checkOutcome(t, pool, newTestAttempt(t, pool, server.Address()).do(t), balancer.NotSent, 0)
+	allowance = 1
+	checkOutcome(t, pool, newTestAttempt(t, pool, server.Address()).do(t), balancer.Success, 1)
+}
+
+func TestIdleConnectionsCloseBeforeTheServersDo(t *testing.T) {
+	server := testutil.NewServer(t, testutil.Echo)
+	pool := newTestPool(10)
+	pool.SetTimeouts(Timeouts{Connect: testutil.Limit, Idle: 20 * time.Millisecond})
+	newTestAttempt(t, pool, server.Address()).do(t)
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	go pool.CloseExpired(ctx)
+	testutil.Until(t, "the close", func() bool {
+		stats := pool.Stats()
+		return stats.Open == 0 && stats.IdleInstances == 0
+	})
+	if timeout := newTestPool(1).idleTimeout(); timeout >= testTimeouts.Idle {
+		t.Errorf("connections are kept for %v", timeout)
+	}
+}
+
+func TestStatsCountWhatThePoolHolds(t *testing.T) {
+	server, received, release := testutil.NewHoldingServer(t, "held")
+	pool := newTestPool(10)
+	pool.UpdateEndpoints([]endpointlist.Entry{readyEntry("127.0.0.1:1")}, true)
+	newTestAttempt(t, pool, server.Address()).do(t)
+	if got, want := pool.Stats(), (Stats{Open: 1, Idle: 1, IdleInstances: 1, Endpoints: 2}); got != want {
+		t.Errorf("after an attempt: %+v, want %+v", got, want)
+	}
+	held := newTestAttempt(t, pool, server.Address())
+	held.Request.ID = "held"
+	outcome := held.start()
+	testutil.Wait(t, received, "the request")
+	if got := pool.Stats(); got.Open != 1 || got.Idle != 0 {
+		t.Errorf("during an attempt: %+v", got)
+	}
+	release()
+	testutil.Wait(t, outcome, "the outcome")
+	pool.UpdateEndpoints(nil, true)
+	if got := pool.Stats(); got != (Stats{}) {
+		t.Errorf("without endpoints: %+v", got)
+	}
+}
+
+// A second copy of a response is no response to the next request, however late during the reuse delay it comes:
+// that request goes on another connection, and the one on which the copy comes is closed.
+func TestLateSecondResponseIsDiscarded(t *testing.T) {
+	conns := make(chan net.Conn, 10)
+	server := testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
+		conns <- c
+		return testutil.Echo(c, r, body)
+	})
+	pool := NewPool(monotime.New(), 10, testTimeouts)
+	if delay := pool.reuseDelay(); delay <= 0 || delay >= pool.idleTimeout() {
+		t.Fatalf("connections stay unused for %v and are kept for %v", delay, pool.idleTimeout())
+	}
+	pool.SetTimeouts(Timeouts{Connect: testutil.Limit, Idle: 1000 * testutil.Limit})
+	pool.ReuseDelay = 100 * testutil.Limit
+	expect := func(id string, connections int) {
+		t.Helper()
+		a := newTestAttempt(t, pool, server.Address())
+		a.Request.ID = id
+		if outcome := a.do(t); string(outcome.Body) != "for "+id || server.Accepted() != connections {
+			t.Errorf("got %q, and %d connections, want %d", outcome.Body, server.Accepted(), connections)
+		}
+	}
+	expect("one", 1)
+	first := testutil.Wait(t, conns, "the first connection")
+	expect("two", 2)
+	testutil.ReplyOK(first, "for one")
+	testutil.Until(t, "the close", func() bool { return pool.Connections() == 1 })
+	pool.endReuseDelay(readyEntry(server.Address()).Instance())
+	expect("three", 2)
+}
+
+// endReuseDelay has the idle connections to an instance reusable at once.
+func (p *Pool) endReuseDelay(to endpointlist.Instance) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, c := range p.idle[to] {
+		c.reusableAt = 0
+	}
+}
+
+// A connection that was established too late for its attempt serves the next one.
+func TestLateConnectionIsPooled(t *testing.T) {
+	server := testutil.NewServer(t, testutil.Echo)
+	pool := newTestPool(10)
+	dials := testutil.NewHeldDials()
+	pool.Dial = dials.Dial
+	late := newTestAttempt(t, pool, server.Address())
+	outcome := late.start()
+	testutil.Wait(t, dials.Dialed, "the connection")
+	late.Request.MarkDeparted()
+	close(dials.Release)
+	testutil.Wait(t, outcome, "the outcome")
+	checkOutcome(t, pool, newTestAttempt(t, pool, server.Address()).do(t), balancer.Success, 1)
+	if server.Accepted() != 1 || server.Received() != 1 {
+		t.Errorf("%d connections, %d requests at the server; want one each", server.Accepted(), server.Received())
+	}
+}
