--- /dev/null
+++ b/internal/downstream/departure_test.go
@@ -0,0 +1,102 @@
+package downstream
+
+import (
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+
+	"basaltdrum/internal/testutil"
+)
+
+// The watch finds out that a client departs, whatever it has pipelined before, unless that is more than is buffered.
+// After the end of the stream, an interim response tells a client that still reads from one that has closed.
+func TestWatchFindsDepartures(t *testing.T) {
+	nothing := func(*net.TCPConn) {}
+	closed := func(client *net.TCPConn) { client.Close() }
+	halfClosed := func(client *net.TCPConn) { client.CloseWrite() }
+	reset := func(client *net.TCPConn) {
+		client.SetLinger(0)
+		client.Close()
+	}
+	for _, row := range []struct {
+		name      string
+		pipelined int // bytes
+		depart    func(client *net.TCPConn)
+		want      Departure
+	}{
+		{"half-close", 0, halfClosed, HalfClosed},
+		{"half-close behind pipelined bytes", 3 * readAheadStep, halfClosed, HalfClosed},
+		{"close", 0, closed, Disconnected},
+		{"close behind pipelined bytes", 3 * readAheadStep, closed, Disconnected},
+		{"reset", 0, reset, Disconnected},
+		{"reset behind pipelined bytes", 3 * readAheadStep, reset, Disconnected},
+		{"more than may be buffered", 2 * readAheadPerConn, nothing, Unobservable},
+	} {
+		t.Run(row.name, func(t *testing.T) {
+			t.Parallel()
+			conns := newTestConns(testLimits(10), 0)
+			conn, client := connPair(t, conns, 0)
+			watchEnded := watch(conns, conn)
+			if conn.AwaitCaughtUp() != Present {
+				t.Fatal("departed before the client did anything")
+			}
+			io.WriteString(client, strings.Repeat("x", row.pipelined))
+			if row.pipelined <= readAheadPerConn {
+				buffered := func() bool { return conn.status().ReadAhead == row.pipelined }
+				testutil.Until(t, "the bytes to be read", buffered)
+			}
+			row.depart(client.(*net.TCPConn))
+			testutil.Wait(t, conn.DepartureChanged(), "the departure")
+			if conn.Departure() == HalfClosed {
+				conn.SendInterimResponse(testutil.Limit)
+			}
+			testutil.Until(t, row.want.String(), func() bool { return conn.Departure() == row.want })
+			conn.EndWatch()
+			testutil.Wait(t, watchEnded, "the end of the watch")
+			if conn.Departure() != row.want {
+				t.Errorf("%v after the watch, want %v", conn.Departure(), row.want)
+			}
+			conns.ConnStateChanged(conn, http.StateClosed)
+			if reserved := conns.ReadAheadReserved(); reserved != 0 {
+				t.Errorf("%d bytes are reserved for a connection that is closed", reserved)
+			}
+		})
+	}
+}
+
+// A watch that is ended reports nothing about its client, and what was pipelined is read as the next request.
+func TestEndedWatchKeepsPipelinedBytes(t *testing.T) {
+	conns := newTestConns(testLimits(10), 0)
+	conn, client := connPair(t, conns, 0)
+	watchEnded := watch(conns, conn)
+	next := testutil.RequestText("next")
+	io.WriteString(client, next)
+	testutil.Until(t, "the bytes to be read", func() bool { return conn.status().ReadAhead == len(next) })
+	if !conn.EndWatch() {
+		t.Error("the pipelined request was not read")
+	}
+	testutil.Wait(t, watchEnded, "the end of the watch")
+	if conn.Departure() != Present {
+		t.Errorf("departed: %v", conn.Departure())
+	}
+	conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
+	if text := make([]byte, len(next)); !readsAll(conn, text) || string(text) != next {
+		t.Errorf("read %q", text)
+	}
+}
+
+// watch opens a request on a connection and watches for its client's departure, as net/http does. The channel
+// receives a value when the watch has ended.
+func watch(conns *Conns, conn *Conn) <-chan struct{} {
+	conns.ConnStateChanged(conn, http.StateNew)
+	conns.ConnStateChanged(conn, http.StateActive)
+	conns.AdmitRequest(conn)
+	ended := make(chan struct{}, 1)
+	go func() {
+		conn.Read(make([]byte, 1))
+		ended <- struct{}{}
+	}()
+	return ended
+}
--- a/internal/downstream/eviction_test.go
+++ b/internal/downstream/eviction_test.go
@@ -9,75 +9,76 @@
 	"testing"
 	"time"
 
-	"basaltdrum/internal/monotime"
 	"basaltdrum/internal/socketpeek"
 	"basaltdrum/internal/testutil"
 )
 
+// sendByte has one end of a connection write a byte and the other one read it.
+func sendByte(t *testing.T, from, to net.Conn) {
+	t.Helper()
+	to.SetReadDeadline(time.Now().Add(testutil.Limit))
+	if _, err := from.Write([]byte("x")); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := to.Read(make([]byte, 1)); err != nil {
+		t.Fatal(err)
+	}
+}
+
 // A connection is evicted only while it waits for a request: not once a request has been read that net/http has
 // not reported yet, nor once the first byte of the next request was read early, after a response.
 func TestEvictionSparesARequestBegun(t *testing.T) {
-	f := NewConns(monotime.New(), testLimits(2), func() int { return 1 })
-	say := func(from, to net.Conn) {
-		t.Helper()
-		to.SetReadDeadline(time.Now().Add(testutil.Limit))
-		if _, err := from.Write([]byte("x")); err != nil {
-			t.Fatal(err)
-		}
-		if _, err := to.Read(make([]byte, 1)); err != nil {
-			t.Fatal(err)
-		}
-	}
-	a, peer := downstreamPair(t, f, 0)
-	b, _ := downstreamPair(t, f, 0)
-	say(peer, a) // a request
-	f.ConnStateChanged(a, http.StateNew)
-	f.ConnStateChanged(a, http.StateActive)
-	say(a, peer) // its answer
-	say(peer, a) // the next request's first byte
-	f.ConnStateChanged(a, http.StateIdle)
-	f.ConnStateChanged(b, http.StateNew) // one too many
-	if a.evicted || !f.OverLimit() {
+	conns := newTestConns(testLimits(2), 1)
+	conn, client := connPair(t, conns, 0)
+	other, _ := connPair(t, conns, 0)
+	sendByte(t, client, conn) // a request
+	conns.ConnStateChanged(conn, http.StateNew)
+	conns.ConnStateChanged(conn, http.StateActive)
+	sendByte(t, conn, client) // its response
+	sendByte(t, client, conn) // the next request's first byte
+	conns.ConnStateChanged(conn, http.StateIdle)
+	conns.ConnStateChanged(other, http.StateNew) // one too many
+	if conn.evicted || !conns.OverLimit() {
 		t.Fatal("a connection with a request on it was evicted")
 	}
-	say(peer, a)
-	say(a, peer)
-	f.limits.GracePeriods.Idle = testutil.Limit
-	f.ConnStateChanged(a, http.StateIdle)
-	if a.evicted || !f.OverLimit() {
+	sendByte(t, client, conn)
+	sendByte(t, conn, client)
+	conns.limits.GracePeriods.Idle = testutil.Limit
+	conns.ConnStateChanged(conn, http.StateIdle)
+	if conn.evicted || !conns.OverLimit() {
 		t.Fatal("a connection idle for a moment only was evicted")
 	}
-	f.limits.GracePeriods.Idle = 0
-	f.ConnStateChanged(b, http.StateActive)
-	if !a.evicted || f.OverLimit() {
+	conns.limits.GracePeriods.Idle = 0
+	conns.ConnStateChanged(other, http.StateActive)
+	if !conn.evicted || conns.OverLimit() {
 		t.Fatal("the idle connection was not evicted")
 	}
-	a.SetReadDeadline(time.Time{}) // net/http does, after it has said that it is idle
-	if _, err := a.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the wait goes on: %v", err)
+	conn.SetReadDeadline(time.Time{}) // net/http does so after it has reported that the connection is idle
+	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("the wait for a request ended by %v", err)
 	}
-	f.ConnStateChanged(a, http.StateClosed)
-	if f.evicting != 0 || len(f.conns) != 1 {
-		t.Errorf("%d leaving of %d", f.evicting, len(f.conns))
+	conns.ConnStateChanged(conn, http.StateClosed)
+	if conns.evicting != 0 || len(conns.conns) != 1 {
+		t.Errorf("%d of %d connections are being evicted, want none of 1", conns.evicting, len(conns.conns))
 	}
 }
 
 // A request that is unread in the kernel counts as begun: a close would reset the connection.
 func TestEvictionSparesUnreadBytes(t *testing.T) {
-	f := NewConns(monotime.New(), testLimits(2), func() int { return 1 })
-	c, theirs := downstreamPair(t, f, 0)
-	f.ConnStateChanged(c, http.StateNew)
-	f.ConnStateChanged(c, http.StateIdle)
-	io.WriteString(theirs, "GET")
-	testutil.Until(t, "the bytes to arrive", func() bool { return socketpeek.HasUnreadOrClosed(c.Conn) })
-	if f.EvictQuiet(); c.evicted {
+	conns := newTestConns(testLimits(2), 1)
+	conn, client := connPair(t, conns, 0)
+	conns.ConnStateChanged(conn, http.StateNew)
+	conns.ConnStateChanged(conn, http.StateIdle)
+	io.WriteString(client, "GET")
+	testutil.Until(t, "the bytes to arrive", func() bool { return socketpeek.HasUnreadOrClosed(conn.Conn) })
+	if conns.EvictQuiet(); conn.evicted {
 		t.Error("evicted with a request on it")
 	}
-	if text := make([]byte, 3); !readsAll(c, text) || string(text) != "GET" {
+	if text := make([]byte, 3); !readsAll(conn, text) || string(text) != "GET" {
 		t.Errorf("read %q", text)
 	}
-	c.Write([]byte("answer"))
-	if f.EvictQuiet(); !c.evicted {
+	conn.Write([]byte("response"))
+	if conns.EvictQuiet(); !conn.evicted {
 		t.Error("not evicted once it is answered")
 	}
 }
@@ -85,26 +86,27 @@
 // The rest of a request that is unread in the kernel protects the connection, though the first part arrived so
 // long ago that the read would be aborted.
 func TestReadAbortSparesUnreadBytes(t *testing.T) {
-	f := NewConns(monotime.New(), testLimits(2), func() int { return 2 })
-	f.limits.GracePeriods.PartialRequest = 0
-	c, theirs := downstreamPair(t, f, 0)
-	io.WriteString(theirs, "GET")
-	if text := make([]byte, 3); !readsAll(c, text) {
+	limits := testLimits(2)
+	limits.GracePeriods.PartialRequest = 0
+	conns := newTestConns(limits, 2)
+	conn, client := connPair(t, conns, 0)
+	io.WriteString(client, "GET")
+	if text := make([]byte, 3); !readsAll(conn, text) {
 		t.Fatal("the first part is not read")
 	}
-	io.WriteString(theirs, " /v")
-	testutil.Until(t, "the rest to arrive", func() bool { return socketpeek.HasUnreadOrClosed(c.Conn) })
-	f.ConnStateChanged(c, http.StateNew) // one too many
-	other, _ := net.Pipe()
-	f.ConnStateChanged(&Conn{Conn: other, conns: f}, http.StateNew)
-	if c.evicted {
+	io.WriteString(client, " /v")
+	testutil.Until(t, "the rest to arrive", func() bool { return socketpeek.HasUnreadOrClosed(conn.Conn) })
+	conns.ConnStateChanged(conn, http.StateNew) // one too many
+	silent, _ := net.Pipe()
+	conns.ConnStateChanged(&Conn{Conn: silent, conns: conns}, http.StateNew)
+	if conn.evicted {
 		t.Error("aborted with the rest of a request unread")
 	}
-	if text := make([]byte, 3); !readsAll(c, text) || string(text) != " /v" {
+	if text := make([]byte, 3); !readsAll(conn, text) || string(text) != " /v" {
 		t.Errorf("read %q", text)
 	}
-	f.ConnStateChanged(&Conn{Conn: other, conns: f}, http.StateNew)
-	if !c.evicted {
+	conns.ConnStateChanged(&Conn{Conn: silent, conns: conns}, http.StateNew)
+	if !conn.evicted {
 		t.Error("not aborted once all is read")
 	}
 }
@@ -112,18 +114,18 @@
 // A client whose connection was accepted a moment ago has its request on the way: the connection is not evicted
 // unread.
 func TestNewConnectionIsReadWhileDraining(t *testing.T) {
-	one, other := net.Pipe()
-	defer other.Close()
-	defer one.Close()
-	s := NewConns(monotime.New(), testLimits(10), func() int { return 0 })
-	c := &Conn{Conn: one, conns: s}
-	s.limits.GracePeriods.New = testutil.Limit
-	s.ConnStateChanged(c, http.StateNew)
-	if s.EvictQuiet() != 1 || c.evicted {
+	ours, theirs := net.Pipe()
+	defer theirs.Close()
+	defer ours.Close()
+	conns := newTestConns(testLimits(10), 0)
+	conn := &Conn{Conn: ours, conns: conns}
+	conns.limits.GracePeriods.New = testutil.Limit
+	conns.ConnStateChanged(conn, http.StateNew)
+	if conns.EvictQuiet() != 1 || conn.evicted {
 		t.Error("evicted at once")
 	}
-	s.limits.GracePeriods.New = 0
-	if s.EvictQuiet(); !c.evicted {
+	conns.limits.GracePeriods.New = 0
+	if conns.EvictQuiet(); !conn.evicted {
 		t.Error("never evicted")
 	}
 }
--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -6,10 +6,11 @@
 	"testing"
 	"time"
 
+	"basaltdrum/internal/monotime"
 	"basaltdrum/internal/testutil"
 )
 
-// testLimits are limits on downstream connections, with a number of descriptors beside ten for rejections.
+// testLimits are limits with a number of descriptors, and ten more for rejections.
 func testLimits(descriptors int) Limits {
 	return Limits{
 		Descriptors: descriptors, UpstreamReserve: descriptors / 4, RejectReserve: 10, ReadAhead: 1 << 20,
@@ -17,9 +18,13 @@
 	}
 }
 
-// downstreamPair returns a downstream connection as the node's listener hands it to net/http, and its client's
-// end.
-func downstreamPair(t *testing.T, conns *Conns, readTimeout time.Duration) (ours *Conn, theirs net.Conn) {
+// newTestConns returns an empty set with these limits, beside a number of upstream connections.
+func newTestConns(limits Limits, upstream int) *Conns {
+	return NewConns(monotime.New(), limits, func() int { return upstream })
+}
+
+// connPair returns a connection as the listener hands it to net/http, and its client's end.
+func connPair(t *testing.T, conns *Conns, readTimeout time.Duration) (ours *Conn, theirs net.Conn) {
 	t.Helper()
 	theirs, accepted := testutil.ConnPairBy(t, func(ln net.Listener) net.Listener {
 		return NewListener(ln, conns, readTimeout, testutil.DiscardLog())
@@ -27,6 +32,7 @@
 	return accepted.(*Conn), theirs
 }
 
+// readsAll reports whether p could be filled.
 func readsAll(r io.Reader, p []byte) bool {
 	_, err := io.ReadFull(r, p)
 	return err == nil
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -9,7 +9,6 @@
 	"testing"
 	"time"
 
-	"basaltdrum/internal/monotime"
 	"basaltdrum/internal/testutil"
 )
 
@@ -19,31 +18,33 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := NewConns(monotime.New(), testLimits(10), func() int { return 0 })
+	const failures = 6
+	fail := testutil.FailTimes(syscall.ENOBUFS, failures)
+	failing := testutil.FailingListener{TCPListener: ln.(*net.TCPListener), Fail: fail}
+	conns := newTestConns(testLimits(10), 0)
 	var log bytes.Buffer
-	l := NewListener(testutil.FailingListener{TCPListener: ln.(*net.TCPListener), Fail: testutil.FailTimes(syscall.ENOBUFS, 6)}, s, 0,
-		slog.New(slog.NewTextHandler(&log, nil)))
-	defer l.Close()
-	theirs, err := net.Dial("tcp", ln.Addr().String())
+	listener := NewListener(failing, conns, 0, slog.New(slog.NewTextHandler(&log, nil)))
+	defer listener.Close()
+	client, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer theirs.Close()
+	defer client.Close()
 	begin := time.Now()
-	c, err := l.Accept()
+	conn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Close()
+	conn.Close()
 	most := 1 + int(time.Since(begin)/acceptLogInterval)
 	if lines := bytes.Count(log.Bytes(), []byte("\n")); lines < 1 || lines > most {
 		t.Errorf("%d lines, want 1 to %d:\n%s", lines, most, log.String())
 	}
-	if counts, _ := s.TakeCounts(); counts.AcceptFailed != 6 {
-		t.Errorf("%d failures counted, want 6", counts.AcceptFailed)
+	if counts, _ := conns.TakeCounts(); counts.AcceptFailed != failures {
+		t.Errorf("%d failures counted, want %d", counts.AcceptFailed, failures)
 	}
-	l.Close()
-	if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
+	listener.Close()
+	if _, err := listener.Accept(); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("after the close: %v", err)
 	}
 }
