--- a/internal/node/requestvalidation.go
+++ b/internal/node/requestvalidation.go
@@ -30,23 +30,31 @@
 	ofBody bool // the body is in error: the connection is closed, whatever was read behind it
 }
 
+func headError(status int, reason string) *requestError {
+	return &requestError{status: status, reason: reason}
+}
+
+func bodyError(status int, reason string) *requestError {
+	return &requestError{status: status, reason: reason, ofBody: true}
+}
+
 func (e *requestError) Error() string { return e.reason }
 
 // Errors of requests whose framing is sound (see http1.FramingError) and which are invalid nevertheless.
 var (
-	errMethodNotServed   = &requestError{status: http.StatusMethodNotAllowed, reason: "only GET and POST are served"}
-	errMethodOfClass     = &requestError{status: http.StatusMethodNotAllowed, reason: "the class is not asked for by this method"}
-	errUnknownClass      = &requestError{status: http.StatusNotFound, reason: "the path names no class"}
-	errMalformedKey      = &requestError{status: http.StatusBadRequest, reason: "Idempotency-Key is empty or comes twice"}
-	errKeyOfClass        = &requestError{status: http.StatusBadRequest, reason: "Idempotency-Key does not fit the class"}
-	errRequestID         = &requestError{status: http.StatusBadRequest, reason: "X-Request-Id is missing, too long, or comes twice"}
-	errDeadlineMissing   = &requestError{status: http.StatusBadRequest, reason: "X-Deadline is missing or comes twice"}
-	errDeadlineMalformed = &requestError{status: http.StatusBadRequest, reason: "X-Deadline is no plain number"}
-	errDeadlineRange     = &requestError{status: http.StatusBadRequest, reason: "X-Deadline is no number or out of range"}
-	errDeadlineOfClass   = &requestError{status: http.StatusBadRequest, reason: "X-Deadline is far beyond the class's"}
-	errBodyTooLong       = &requestError{status: http.StatusRequestEntityTooLarge, reason: "the body is too long", ofBody: true}
-	errBodyIncomplete    = &requestError{status: http.StatusBadRequest, reason: "the body is not complete", ofBody: true}
-	errBodyOfGet         = &requestError{status: http.StatusBadRequest, reason: "GET has no body", ofBody: true}
+	errMethodNotServed   = headError(http.StatusMethodNotAllowed, "only GET and POST are served")
+	errMethodOfClass     = headError(http.StatusMethodNotAllowed, "the class is not asked for by this method")
+	errUnknownClass      = headError(http.StatusNotFound, "the path names no class")
+	errMalformedKey      = headError(http.StatusBadRequest, "Idempotency-Key is empty or comes twice")
+	errKeyOfClass        = headError(http.StatusBadRequest, "Idempotency-Key does not fit the class")
+	errRequestID         = headError(http.StatusBadRequest, "X-Request-Id is missing, too long, or comes twice")
+	errDeadlineMissing   = headError(http.StatusBadRequest, "X-Deadline is missing or comes twice")
+	errDeadlineMalformed = headError(http.StatusBadRequest, "X-Deadline is no plain number")
+	errDeadlineRange     = headError(http.StatusBadRequest, "X-Deadline is no number or out of range")
+	errDeadlineOfClass   = headError(http.StatusBadRequest, "X-Deadline is far beyond the class's")
+	errBodyTooLong       = bodyError(http.StatusRequestEntityTooLarge, "the body is too long")
+	errBodyIncomplete    = bodyError(http.StatusBadRequest, "the body is not complete")
+	errBodyOfGet         = bodyError(http.StatusBadRequest, "GET has no body")
 )
 
 // requestRules are the part of one revision of the settings that requests are checked against.
@@ -86,16 +94,8 @@
 // unknown class: a server would answer such a request with an error, and the decision module would take that
 // as a sign of the server's ill health.
 func (f *frontend) validateHead(c *request, r *http.Request) error {
-	path, _, _ := strings.Cut(c.target, "?")
-	c.class, _, _ = strings.Cut(strings.TrimPrefix(path, "/"), "/")
-	keys := len(r.Header["Idempotency-Key"])
-	switch {
-	case c.method != http.MethodGet && c.method != http.MethodPost:
-		return errMethodNotServed
-	case !strings.HasPrefix(path, "/"):
-		return errUnknownClass
-	case keys > 1 || keys == 1 && c.key == "":
-		return errMalformedKey
+	if err := c.readClass(r); err != nil {
+		return err
 	}
 	rules := f.rules.Load()
 	if err := rules.validate(c); err != nil {
@@ -119,6 +119,22 @@
 	return nil
 }
 
+// readClass sets a request's class, which is the first part of its path, and checks the form of what depends on it.
+func (c *request) readClass(r *http.Request) error {
+	path, _, _ := strings.Cut(c.target, "?")
+	c.class, _, _ = strings.Cut(strings.TrimPrefix(path, "/"), "/")
+	keys := len(r.Header["Idempotency-Key"])
+	switch {
+	case c.method != http.MethodGet && c.method != http.MethodPost:
+		return errMethodNotServed
+	case !strings.HasPrefix(path, "/"):
+		return errUnknownClass
+	case keys > 1 || keys == 1 && c.key == "":
+		return errMalformedKey
+	}
+	return nil
+}
+
 // parseDeadline parses X-Deadline: seconds in decimal digits with an optional fraction. The other forms that
 // strconv takes (signs, exponents, hexadecimals, underscores) are rejected.
 func parseDeadline(values []string) (time.Duration, error) {
