--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -7,13 +7,6 @@
 	"time"
 )
 
-// holdAttempts has so many attempts in flight, besides those that a test sends.
-func holdAttempts(b *Balancer, attempts int) {
-	for range attempts {
-		b.admission.Begin()
-	}
-}
-
 // requestLoad sends requests at a steady rate and answers their attempts after a fixed time.
 type requestLoad struct {
 	b        *Balancer
@@ -33,7 +26,7 @@
 		for len(l.open) > 0 && l.sentAt[0]+latency <= l.now {
 			first := l.open[0]
 			l.open, l.sentAt = l.open[1:], l.sentAt[1:]
-			l.record(endAttempt(l.b, l.now, first.ID, first, Success))
+			l.record(succeed(l.b, l.now, first.ID, first))
 		}
 	}
 }
@@ -142,7 +135,7 @@
 	b.Handle(msec, Request{ID: "new", Class: "get", Deadline: time.Second})
 	b.Handle(2*msec, Request{ID: "repeat", Class: "get", Deadline: time.Second, Retry: true})
 	b.classes.byName["get"].admission.LateValue = 0.5
-	next := sends(endAttempt(b, 10*msec, "a", first[0], Success))
+	next := sends(succeed(b, 10*msec, "a", first[0]))
 	if len(next) == 0 || next[0].ID != "new" {
 		t.Errorf("after an answer %v was sent", next)
 	}
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -99,13 +99,9 @@
 		round(50 + i)
 	}
 	testutil.Until(t, "all that has gone to be forgotten", func() bool {
-		if n.frontend.conns.Count() > 0 {
-			return false
-		}
-		b := n.upstream
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		return len(b.endpoints) == 1 && len(b.idle) <= 1 && b.open <= 1 &&
+		pool := n.upstream.Stats()
+		return n.frontend.conns.Count() == 0 &&
+			pool.Endpoints == 1 && pool.IdleInstances <= 1 && pool.Open <= 1 &&
 			runtime.NumGoroutine() <= before+5
 	})
 }
--- a/internal/node/responsedeadline_test.go
+++ b/internal/node/responsedeadline_test.go
@@ -58,7 +58,7 @@
 	for _, some := range []func(*testing.T) []string{silentServer, resettingServer, endlessServer} {
 		all = append(all, some(t)...)
 	}
-	return append(all, testutil.ClosedPort(t), unreachableAddress(t))
+	return append(all, testutil.ClosedPort(t), testutil.UnreachableAddress(t))
 }
 
 // Faults of servers, of discovery or of other clients leave no request without its final response: whatever its
@@ -128,7 +128,7 @@
 	return []string{testutil.ClosedPort(t), testutil.ClosedPort(t)}
 }
 
-func unreachableServer(t *testing.T) []string { return []string{unreachableAddress(t)} }
+func unreachableServer(t *testing.T) []string { return []string{testutil.UnreachableAddress(t)} }
 
 // untilRead waits until the node has read a client's request, or has answered it.
 func untilRead(t *testing.T, n *Node, c *testutil.Client, answered <-chan struct{}) {
@@ -190,7 +190,7 @@
 	n, _ := startNode(t, cfg, func(n *Node) {
 		n.discovery.StartupWait = first
 		if c.dial != nil {
-			n.upstream.dial = func(context.Context, string, string) (net.Conn, error) { return nil, c.dial }
+			n.upstream.Dial = func(context.Context, string, string) (net.Conn, error) { return nil, c.dial }
 		}
 	})
 	return n
