--- a/internal/node/brokenconn_test.go
+++ b/internal/node/brokenconn_test.go
@@ -15,6 +15,7 @@
 // A client whose connection breaks, by whatever error, has departed: nothing begins for it any more, and its
 // attempt is cancelled. Only the node's own read deadline says nothing about the client.
 func TestBrokenConnectionIsADeparture(t *testing.T) {
+	t.Parallel()
 	for _, cause := range []error{
 		syscall.ETIMEDOUT, syscall.ECONNRESET, syscall.EHOSTUNREACH, syscall.ENETUNREACH,
 		syscall.EPIPE, os.ErrDeadlineExceeded,
--- a/internal/node/chunked_test.go
+++ b/internal/node/chunked_test.go
@@ -33,6 +33,7 @@
 // A chunked body is forwarded with its length, without chunk extensions and trailers, and what the client sends
 // after it is the next request.
 func TestChunkedBodiesAreForwardedWithALength(t *testing.T) {
+	t.Parallel()
 	s := framingServer(t)
 	n, _ := startNode(t, configFor(s), nil)
 	full := strings.Repeat("b", http1.MaxBodyBytes)
@@ -161,6 +162,7 @@
 // Any error in the framing of a request is answered with an error and ends the connection: nothing of the request
 // is forwarded, nor anything in its body or after it.
 func TestFramingErrorsEndTheConnection(t *testing.T) {
+	t.Parallel()
 	s := framingServer(t)
 	n, _ := startNode(t, configFor(s), nil)
 	for _, c := range framingErrors {
--- a/internal/node/deadlineheader_test.go
+++ b/internal/node/deadlineheader_test.go
@@ -59,6 +59,7 @@
 
 // The client's time runs from the first byte of its request, wherever the rest is delayed.
 func TestForwardedDeadlineRunsFromTheFirstByte(t *testing.T) {
+	t.Parallel()
 	const post = "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: r\r\nX-Deadline: 60\r\n"
 	for _, pieces := range [][2]string{
 		{"G", testutil.RequestText("r")[1:]},
@@ -87,6 +88,7 @@
 
 // The time of a pipelined request runs from its own first byte, while the request before it is still being served.
 func TestForwardedDeadlineOfAPipelinedRequest(t *testing.T) {
+	t.Parallel()
 	hold, deadlines := make(chan struct{}), make(chan string, 10)
 	s := testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		deadlines <- r.Header.Get("X-Deadline")
@@ -109,6 +111,7 @@
 
 // The forwarded deadline is the time left when the request is written, however late that is.
 func TestForwardedDeadlineIsTheTimeLeftAtTheWrite(t *testing.T) {
+	t.Parallel()
 	t.Run("late connection", func(t *testing.T) {
 		t.Parallel()
 		s, deadlines := newDeadlineServer(t)
--- a/internal/node/departure_test.go
+++ b/internal/node/departure_test.go
@@ -18,6 +18,7 @@
 )
 
 func TestClientDepartureCancelsTheAttempt(t *testing.T) {
+	t.Parallel()
 	got, gone := make(chan struct{}), make(chan struct{})
 	var first sync.Once
 	s := testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
@@ -48,6 +49,7 @@
 // while its connection is being established, whether or not attempts may be cancelled, and even if the client sent
 // more bytes before it left.
 func TestNothingIsForwardedForAClientThatLeftWhileQueued(t *testing.T) {
+	t.Parallel()
 	for _, held := range []bool{true, false} {
 		for _, method := range []string{"GET", "POST"} {
 			for _, reset := range []bool{true, false} {
@@ -111,6 +113,7 @@
 // However much a client pipelines, once it has closed or reset its connection, or that has broken, no attempt
 // begins for its request or for what it pipelined, wherever the request is at that moment.
 func TestNothingBeginsForAClientThatPipelinedAndLeft(t *testing.T) {
+	t.Parallel()
 	for _, where := range []string{"held", "dial", "retry", "busy loop", "in flight"} {
 		for _, ahead := range []int{0, 100, 3000, 8192, 20000, 60000, 2 * readAheadPerConn} {
 			for _, how := range []string{"close", "reset", "break"} {
@@ -210,6 +213,9 @@
 func (d *pipelinedDeparture) change(n *Node) {
 	n.drainSchedule = drainSchedule{closeConns: time.Millisecond, answerAll: testutil.Limit}
 	n.drainLimit = 2 * testutil.Limit // as short as it can be
+	// A machine that stalls the process for the usual time for reading a request, 2.5 s, would have the node close a
+	// connection whose request it has not read.
+	n.frontend.server.ReadTimeout = 2 * testutil.Limit
 	d.conns.TCPListener = n.listener.(*net.TCPListener)
 	n.listener = d.conns
 	switch d.where {
@@ -312,6 +318,7 @@
 
 // Fifty departures at the same time are all noticed.
 func TestNothingBeginsForABurstOfDepartures(t *testing.T) {
+	t.Parallel()
 	s := testutil.NewServer(t, testutil.Echo)
 	through := make(chan struct{})
 	n, _ := startNode(t, configFor(s), func(n *Node) {
@@ -345,6 +352,7 @@
 // A request whose client has closed before it is read does not reach the module before the close is noticed,
 // however late the departure watch looks at the connection.
 func TestNothingBeginsBeforeTheDepartureWatchHasCaughtUp(t *testing.T) {
+	t.Parallel()
 	s := testutil.NewServer(t, testutil.Echo)
 	reads, looks := newGate(2), newGate(2)
 	n, _ := startNode(t, configFor(s), func(n *Node) {
--- a/internal/node/descriptorbudget_test.go
+++ b/internal/node/descriptorbudget_test.go
@@ -16,6 +16,7 @@
 )
 
 func TestDownstreamConnectionsBeyondTheBudget(t *testing.T) {
+	t.Parallel()
 	s, got, release := testutil.NewHoldingServer(t, "held")
 	const most = 4
 	n, _ := startNode(t, configFor(s), func(n *Node) {
@@ -50,6 +51,7 @@
 // What reaches a server has been read by the node, so its client must get a response, however often idle
 // connections are evicted meanwhile.
 func TestNoRequestIsLostWhileIdleConnectionsAreEvicted(t *testing.T) {
+	t.Parallel()
 	s := testutil.NewServer(t, testutil.Echo)
 	n, _ := startNode(t, configFor(s), func(n *Node) {
 		limits := downstreamLimits(n.cfg)
@@ -109,6 +111,7 @@
 // Hundreds of connections that send nothing, a partial head or a partial body take no capacity that a well-behaved
 // client needs: they are evicted first, before they would time out, and that client is served.
 func TestClientIsServedBesideHundredsOfSilentConnections(t *testing.T) {
+	t.Parallel()
 	s := testutil.NewServer(t, testutil.Echo)
 	cfg := configFor(s)
 	cfg.Sockets = 256
@@ -148,6 +151,7 @@
 // been read, or while it waits in its handler: a silent connection is evicted in its place, and its client's
 // departure is still noticed. The read of a partial request is aborted instead.
 func TestCompleteRequestIsServedDuringEviction(t *testing.T) {
+	t.Parallel()
 	for _, moment := range []string{"head read", "watched"} {
 		for _, method := range []string{"GET", "POST"} {
 			for _, id := range []string{"served", "leaving"} {
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -14,6 +14,7 @@
 // However short the deadlines are, a draining node accepts for as long as new connections come, serves, sends its
 // last responses and ends, in this order and before it would be killed.
 func TestDrainScheduleFitsTheDeadlines(t *testing.T) {
+	t.Parallel()
 	for _, deadline := range []time.Duration{20, 50, 100, 150, 200, 300, 500, 900, 1500, 3000, 6000, 60000} {
 		for _, part := range []time.Duration{100, 10, 2, 1} {
 			cfg := testConfig("")
@@ -56,6 +57,7 @@
 
 // Requests that wait complete in the listener's queue when accepting stops are accepted and served.
 func TestQueuedConnectionsAreAcceptedBeforeTheListenerCloses(t *testing.T) {
+	t.Parallel()
 	s := testutil.NewServer(t, testutil.Echo)
 	gate, shut := make(chan struct{}), make(chan struct{}, 1)
 	n, stop := startNode(t, configFor(s), func(n *Node) {
@@ -88,6 +90,7 @@
 // At the shutdown deadline each request gets the response that its class and the state of its attempts allow, and
 // so does one that comes after it; Retry-After is sent only where clients accept it.
 func TestShutdownDeadlineAnswersByClass(t *testing.T) {
+	t.Parallel()
 	for _, advice := range []time.Duration{0, time.Second} {
 		t.Run(fmt.Sprint("Retry-After up to ", advice), func(t *testing.T) {
 			got := make(chan struct{}, 10)
@@ -141,6 +144,7 @@
 // A draining node is not ready, still accepts and serves for a while, then closes idle connections, and answers
 // what is in flight before it ends.
 func TestGracefulShutdownAnswersAllAcceptedRequests(t *testing.T) {
+	t.Parallel()
 	s, got, release := testutil.NewHoldingServer(t, "held")
 	n, stop := startNode(t, configFor(s), func(n *Node) {
 		n.drainSchedule = drainSchedule{
@@ -186,6 +190,7 @@
 
 // What no server answers before the node would be killed gets a final response all the same.
 func TestGracefulShutdownAnswersWhatIsInFlight(t *testing.T) {
+	t.Parallel()
 	got := make(chan struct{}, 1)
 	s := testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		got <- struct{}{}
--- a/internal/node/halfclose_test.go
+++ b/internal/node/halfclose_test.go
@@ -53,6 +53,7 @@
 // A client that only stops sending still reads: it gets the response of the attempt that has begun, be it the only
 // one and a failure, or a rejection at once if none has begun, and so does what it pipelined.
 func TestHalfClosedClientGetsItsResponse(t *testing.T) {
+	t.Parallel()
 	for _, c := range halfCloseCases {
 		for _, mayCancel := range []bool{true, false} {
 			t.Run(fmt.Sprint(c.name, " ", mayCancel), func(t *testing.T) {
--- a/internal/node/invalidpipelined_test.go
+++ b/internal/node/invalidpipelined_test.go
@@ -11,6 +11,7 @@
 // A request that is invalid does not cost those that were read behind it their responses; it closes the
 // connection only if it is the last, or if its body is in error.
 func TestRequestsPipelinedBehindAnInvalidOneAreAnswered(t *testing.T) {
+	t.Parallel()
 	const (
 		body    = "Host: h\r\nX-Request-Id: bad\r\nX-Deadline: 60\r\nContent-Length: 3\r\n\r\nabc"
 		chunked = "Host: h\r\nX-Request-Id: bad\r\nX-Deadline: 60\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/internal/node/listener_test.go
+++ b/internal/node/listener_test.go
@@ -22,6 +22,7 @@
 
 // A failed accept is retried: the node keeps serving.
 func TestFailedAcceptDoesNotEndTheNode(t *testing.T) {
+	t.Parallel()
 	for _, cause := range acceptErrors {
 		t.Run(cause.Error(), func(t *testing.T) {
 			t.Parallel()
@@ -45,6 +46,7 @@
 // Failed accepts while the node drains neither abort a request in flight nor lose one that waits in the listener's
 // queue.
 func TestFailedAcceptWhileDrainingLosesNoRequest(t *testing.T) {
+	t.Parallel()
 	for _, cause := range acceptErrors {
 		t.Run(cause.Error(), func(t *testing.T) {
 			t.Parallel()
@@ -90,6 +92,7 @@
 // Where every accept fails, the node still shuts down in order, whether or not it is backing off before the next
 // accept.
 func TestNodeDrainsWhileEveryAcceptFails(t *testing.T) {
+	t.Parallel()
 	for _, inService := range []bool{true, false} {
 		t.Run(fmt.Sprint("in service=", inService), func(t *testing.T) {
 			t.Parallel()
--- a/internal/node/readahead_test.go
+++ b/internal/node/readahead_test.go
@@ -11,6 +11,7 @@
 
 // What a client sends before its response has come is its next request, in order and complete.
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
+	t.Parallel()
 	s, got, release := testutil.NewHoldingServer(t, "")
 	n, _ := startNode(t, configFor(s), nil)
 	c := dial(t, n)
@@ -40,6 +41,7 @@
 // A client that pipelines more than may be buffered cannot be watched. Its request is answered at once, as
 // rejected unless an attempt may have run, and so is in turn what it pipelined, until it can be watched again.
 func TestClientBeyondTheReadAheadLimitIsAnsweredAtOnce(t *testing.T) {
+	t.Parallel()
 	for _, c := range []readAheadCase{
 		{"held, beyond its own bound", false, 16 * readAheadPerConn, 503},
 		{"in flight, beyond its own bound", true, 16 * readAheadPerConn, 502},
--- a/internal/node/responsedeadline_test.go
+++ b/internal/node/responsedeadline_test.go
@@ -64,6 +64,7 @@
 // Faults of servers, of discovery or of other clients leave no request without its final response: whatever its
 // status, it is there half a second after the request's deadline at the latest.
 func TestFaultsLeaveNoRequestWithoutAResponse(t *testing.T) {
+	t.Parallel()
 	none := func(*testing.T) []string { return nil }
 	for _, c := range []faultCase{
 		{name: "servers that refuse", servers: refusingServers},
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -80,6 +80,7 @@
 // that the protocol announces, and has ended by then: though clients send on their connections for as long as
 // these stay open, and though servers never answer, fail at once, or never accept.
 func TestEveryRequestIsAnsweredBeforeTheKill(t *testing.T) {
+	t.Parallel()
 	for _, deadlines := range [][]time.Duration{
 		{200 * time.Millisecond},
 		{450 * time.Millisecond},
@@ -225,6 +226,7 @@
 // Requests that were read behind another one are answered, though the connection is to be closed with the response
 // to the first: because the node drains, or for lack of descriptors. The last response closes it.
 func TestPipelinedRequestsAreAnsweredBeforeTheClose(t *testing.T) {
+	t.Parallel()
 	for _, why := range []string{"the node ends", "too many connections"} {
 		for _, pieces := range []int{1, 2} {
 			t.Run(fmt.Sprint(why, " pieces=", pieces), func(t *testing.T) {
