--- a/internal/node/chunked_test.go
+++ b/internal/node/chunked_test.go
@@ -61,7 +61,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			want := framed("POST", int64(len(c.body)), c.body, nil, nil)
 			one := dial(t, n)
-			go io.WriteString(one, chunkedHead("whole-"+c.name)+c.chunks+testutil.RequestText("behind-"+c.name))
+			go io.WriteString(one, chunkedHead("complete-"+c.name)+c.chunks+testutil.RequestText("behind-"+c.name))
 			one.Expect(t, 200, want)
 			one.Expect(t, 200, framed("GET", 0, "", nil, nil))
 			expect := dial(t, n)
--- a/internal/node/downstreamconn_test.go
+++ b/internal/node/clienttimeouts_test.go
@@ -32,7 +32,7 @@
 }
 
 // A client that stops in the middle of a request and stays connected gets an error or a close within the time for
-// reading a request, even if it has sent too little to be told from an idle one.
+// reading a request, even if it has sent too little to be distinguished from an idle one.
 func TestPartialRequestsTimeOut(t *testing.T) {
 	s := testutil.NewServer(t, testutil.Echo)
 	n, _ := startNode(t, configFor(s), func(n *Node) {
--- a/internal/node/deadlineheader_test.go
+++ b/internal/node/deadlineheader_test.go
@@ -39,12 +39,12 @@
 }
 
 // checkForwardedDeadline checks the X-Deadline of a request whose client waits 60 s, of which some have passed.
-func checkForwardedDeadline(t *testing.T, value string, over time.Duration) {
+func checkForwardedDeadline(t *testing.T, value string, elapsed time.Duration) {
 	t.Helper()
 	seconds, err := strconv.ParseFloat(value, 64)
-	most := (time.Minute - over).Seconds()
+	most := (time.Minute - elapsed).Seconds()
 	if err != nil || seconds > most || seconds < most-testutil.Limit.Seconds()+1 {
-		t.Errorf("the server got %q, %v after the client began; at most %.3f was left", value, over, most)
+		t.Errorf("the server got %q, %v after the client began; at most %.3f was left", value, elapsed, most)
 	}
 }
 
@@ -78,9 +78,9 @@
 				conns := n.frontend.conns.Status()
 				return len(conns) == 1 && conns[0].RequestBegun
 			})
-			over := holdUp()
+			elapsed := holdUp()
 			io.WriteString(c, pieces[1])
-			checkForwardedDeadline(t, testutil.Wait(t, deadlines, "the request"), over)
+			checkForwardedDeadline(t, testutil.Wait(t, deadlines, "the request"), elapsed)
 			c.Expect(t, 200, "for r")
 		})
 	}
@@ -102,9 +102,9 @@
 	c.Get("behind")
 	behind := len(testutil.RequestText("behind"))
 	testutil.Until(t, "the one behind to be read", func() bool { return readAheadBytes(n) == behind })
-	over := holdUp()
+	elapsed := holdUp()
 	close(hold)
-	checkForwardedDeadline(t, testutil.Wait(t, deadlines, "the pipelined request"), over)
+	checkForwardedDeadline(t, testutil.Wait(t, deadlines, "the pipelined request"), elapsed)
 	c.Expect(t, 200, "for first")
 	c.Expect(t, 200, "for behind")
 }
@@ -120,9 +120,9 @@
 			func(n *Node) { dials = holdDials(n) })
 		dial(t, n).Get("r")
 		testutil.Wait(t, dials.Dialed, "the connection")
-		over := holdUp()
+		elapsed := holdUp()
 		close(dials.Release)
-		checkForwardedDeadline(t, testutil.Wait(t, deadlines, "the request"), over)
+		checkForwardedDeadline(t, testutil.Wait(t, deadlines, "the request"), elapsed)
 	})
 	t.Run("held up just before the write", func(t *testing.T) {
 		t.Parallel()
@@ -141,9 +141,9 @@
 		for range 2 {
 			testutil.Wait(t, looks.arrived, "a look")
 		}
-		over := holdUp()
+		elapsed := holdUp()
 		close(looks.release)
-		checkForwardedDeadline(t, testutil.Wait(t, deadlines, "the request"), over)
+		checkForwardedDeadline(t, testutil.Wait(t, deadlines, "the request"), elapsed)
 	})
 	t.Run("retry", forwardedDeadlineOfARetry)
 }
@@ -165,7 +165,7 @@
 	n, _ := startNode(t, fullValueConfig(one, two), nil)
 	dial(t, n).Get("r")
 	testutil.Wait(t, turn.arrived, "the first attempt")
-	over := holdUp()
+	elapsed := holdUp()
 	close(turn.release)
-	checkForwardedDeadline(t, testutil.Wait(t, deadlines, "the retry"), over)
+	checkForwardedDeadline(t, testutil.Wait(t, deadlines, "the retry"), elapsed)
 }
--- a/internal/node/departure_test.go
+++ b/internal/node/departure_test.go
@@ -19,14 +19,14 @@
 
 func TestClientDepartureCancelsTheAttempt(t *testing.T) {
 	t.Parallel()
-	got, gone := make(chan struct{}), make(chan struct{})
+	got, ended := make(chan struct{}), make(chan struct{})
 	var first sync.Once
 	s := testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		answers := true
 		first.Do(func() {
 			close(got)
 			c.Read(make([]byte, 1)) // returns when the node closes
-			close(gone)
+			close(ended)
 			answers = false
 		})
 		return answers && testutil.Echo(c, r, body)
@@ -36,7 +36,7 @@
 	c.Send("POST", "/note/k", "leaving", "x", "60")
 	testutil.Wait(t, got, "the attempt")
 	c.Close()
-	testutil.Wait(t, gone, "the end of the attempt")
+	testutil.Wait(t, ended, "the end of the attempt")
 	again := dial(t, n)
 	testutil.Until(t, "the id to be free again", func() bool {
 		again.Send("POST", "/note/k", "leaving", "x", "60")
--- a/internal/node/descriptorbudget_test.go
+++ b/internal/node/descriptors_test.go
@@ -36,9 +36,9 @@
 		held = append(held, c)
 	}
 	testutil.ExpectClosed(t, idle.Reader, "the idle connection when there are too many")
-	over := dial(t, n) // read and refused, never left unread
-	over.Get("over")
-	r, _ := over.Response(t)
+	excess := dial(t, n) // read and rejected, never left unread
+	excess.Get("over")
+	r, _ := excess.Response(t)
 	if r.StatusCode != 503 || r.Header.Get("Retry-After") == "" || !r.Close {
 		t.Errorf("got %d, Retry-After %q, close %v", r.StatusCode, r.Header.Get("Retry-After"), r.Close)
 	}
@@ -219,11 +219,11 @@
 		}
 		f.conns.Configure(limits)
 		limits.GracePeriods = downstream.GracePeriods{Lingering: testutil.Limit, Idle: testutil.Limit}
-		makeRoom := func() { f.conns.Configure(limits) }
+		tightenLimits := func() { f.conns.Configure(limits) }
 		if moment == "head read" {
 			f.server.ConnState = func(c net.Conn, state http.ConnState) {
 				if f.conns.ConnStateChanged(c, state); state == http.StateActive {
-					makeRoom()
+					tightenLimits()
 				}
 			}
 			return
@@ -234,7 +234,7 @@
 				r.Body = io.NopCloser(bytes.NewReader(body))
 			}
 			downstream.FromContext(r.Context()).AwaitCaughtUp()
-			makeRoom()
+			tightenLimits()
 			f.ServeHTTP(w, r)
 		})
 	})
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -119,9 +119,9 @@
 func watchStalls(t *testing.T, usual time.Duration) (sum func() time.Duration) {
 	const step = 5 * time.Millisecond
 	var total atomic.Int64
-	over := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(done)
 		for t.Context().Err() == nil {
 			begin := time.Now()
 			time.Sleep(step)
@@ -130,7 +130,7 @@
 			}
 		}
 	}()
-	t.Cleanup(func() { <-over })
+	t.Cleanup(func() { <-done })
 	return func() time.Duration { return time.Duration(total.Load()) }
 }
 
