--- a/internal/node/dial_test.go
+++ b/internal/node/dial_test.go
@@ -1,12 +1,14 @@
 package node
 
 import (
+	"net/http"
 	"syscall"
 	"testing"
 
 	"basaltdrum/internal/testutil"
 )
 
+// localErrnos are the errors of a dial that are faults of this machine.
 var localErrnos = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 	syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN, syscall.ENETUNREACH, syscall.ENETDOWN,
@@ -16,17 +18,19 @@
 // A connection that cannot be opened for a moment, by a fault of this machine, is dialled again, and its request
 // is served by its server, which receives it once.
 func TestTransientLocalDialErrorIsRetried(t *testing.T) {
+	t.Parallel()
 	for _, errno := range localErrnos {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
-			s := testutil.NewServer(t, testutil.Echo)
-			f := &testutil.FailingDial{Err: testutil.DialError("connect", errno), Times: 3}
-			n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) { n.upstream.Dial = f.Dial })
-			c := dial(t, n)
-			c.Send("POST", "/note/k", "r", "x", "60")
-			c.Expect(t, 200, "for r")
-			if s.Received() != 1 || f.Dials.Load() != 4 || n.upstream.Connections() != 1 {
-				t.Errorf("%d requests at the server after %d dials, %d connections open", s.Received(), f.Dials.Load(), n.upstream.Connections())
+			server := testutil.NewServer(t, testutil.Echo)
+			failing := &testutil.FailingDial{Err: testutil.DialError("connect", errno), Times: 3}
+			n, _ := startNode(t, configWithServers(server), func(n *Node) { n.upstream.Dial = failing.Dial })
+			client := dial(t, n)
+			client.Send("POST", "/note/k", "r", "x", "60")
+			client.Expect(t, http.StatusOK, "for r")
+			received, dials, open := server.Received(), failing.Dials.Load(), n.upstream.Connections()
+			if received != 1 || dials != 4 || open != 1 {
+				t.Errorf("%d requests at the server after %d dials, %d connections open", received, dials, open)
 			}
 		})
 	}
