--- a/internal/node/departure_test.go
+++ b/internal/node/departure_test.go
@@ -18,6 +18,7 @@
 )
 
 func TestClientDepartureCancelsTheAttempt(t *testing.T) {
+	t.Parallel()
 	got, gone := make(chan struct{}), make(chan struct{})
 	var first sync.Once
 	s := testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
@@ -30,7 +31,7 @@
 		})
 		return answers && testutil.Echo(c, r, body)
 	})
-	n, _ := startNode(t, withLongObjectives(testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service")))), nil)
+	n, _ := startNode(t, withLongObjectives(configFor(s)), nil)
 	c := dial(t, n)
 	c.Send("POST", "/note/k", "leaving", "x", "60")
 	testutil.Wait(t, got, "the attempt")
@@ -48,16 +49,18 @@
 // while its connection is being established, whether or not attempts may be cancelled, and even if the client sent
 // more bytes before it left.
 func TestNothingIsForwardedForAClientThatLeftWhileQueued(t *testing.T) {
+	t.Parallel()
 	for _, held := range []bool{true, false} {
 		for _, method := range []string{"GET", "POST"} {
 			for _, reset := range []bool{true, false} {
-				for _, stray := range []string{"", "G", "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: next\r\nX-Deadline: 60\r\n\r\n"} {
+				for _, stray := range []string{"", "G", testutil.RequestText("next")} {
 					for _, mayCancel := range []bool{true, false} {
-						t.Run(fmt.Sprintf("held=%v %s reset=%v stray=%d mayCancel=%v", held, method, reset, len(stray), mayCancel),
-							func(t *testing.T) {
-								t.Parallel()
-								departWhileQueued(t, held, method, reset, stray, mayCancel)
-							})
+						name := fmt.Sprintf("held=%v %s reset=%v stray=%d mayCancel=%v",
+							held, method, reset, len(stray), mayCancel)
+						t.Run(name, func(t *testing.T) {
+							t.Parallel()
+							departWhileQueued(t, held, method, reset, stray, mayCancel)
+						})
 					}
 				}
 			}
@@ -110,6 +113,7 @@
 // However much a client pipelines, once it has closed or reset its connection, or that has broken, no attempt
 // begins for its request or for what it pipelined, wherever the request is at that moment.
 func TestNothingBeginsForAClientThatPipelinedAndLeft(t *testing.T) {
+	t.Parallel()
 	for _, where := range []string{"held", "dial", "retry", "busy loop", "in flight"} {
 		for _, ahead := range []int{0, 100, 3000, 8192, 20000, 60000, 2 * readAheadPerConn} {
 			for _, how := range []string{"close", "reset", "break"} {
@@ -199,12 +203,19 @@
 }
 
 func (d *pipelinedDeparture) entries(state string) []string {
-	return []string{testutil.ListEntry("s1", d.server.Address(), state), testutil.ListEntry("s2", d.server.Address(), state)}
+	return []string{
+		testutil.ListEntry("s1", d.server.Address(), state),
+		testutil.ListEntry("s2", d.server.Address(), state),
+	}
 }
 
 // change has the node stop where the client is to depart.
 func (d *pipelinedDeparture) change(n *Node) {
-	n.drainSchedule, n.drainLimit = drainSchedule{closeConns: time.Millisecond, answerAll: testutil.Limit}, 2*testutil.Limit // as short as it can be
+	n.drainSchedule = drainSchedule{closeConns: time.Millisecond, answerAll: testutil.Limit}
+	n.drainLimit = 2 * testutil.Limit // as short as it can be
+	// A machine that stalls the process for the usual time for reading a request, 2.5 s, would have the node close a
+	// connection whose request it has not read.
+	n.frontend.server.ReadTimeout = 2 * testutil.Limit
 	d.conns.TCPListener = n.listener.(*net.TCPListener)
 	n.listener = d.conns
 	switch d.where {
@@ -307,9 +318,10 @@
 
 // Fifty departures at the same time are all noticed.
 func TestNothingBeginsForABurstOfDepartures(t *testing.T) {
+	t.Parallel()
 	s := testutil.NewServer(t, testutil.Echo)
 	through := make(chan struct{})
-	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) {
+	n, _ := startNode(t, configFor(s), func(n *Node) {
 		n.upstream.Dial = func(_ context.Context, network, address string) (net.Conn, error) {
 			nc, err := net.Dial(network, address)
 			<-through
@@ -340,9 +352,10 @@
 // A request whose client has closed before it is read does not reach the module before the close is noticed,
 // however late the departure watch looks at the connection.
 func TestNothingBeginsBeforeTheDepartureWatchHasCaughtUp(t *testing.T) {
+	t.Parallel()
 	s := testutil.NewServer(t, testutil.Echo)
 	reads, looks := newGate(2), newGate(2)
-	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) {
+	n, _ := startNode(t, configFor(s), func(n *Node) {
 		n.listener = gatedConns{n.listener.(*net.TCPListener), reads, looks}
 	})
 	c, other := dial(t, n), dial(t, n)
