--- a/internal/node/boottime.go
+++ b/internal/endpointlist/boottime.go
@@ -1,11 +1,10 @@
-package node
+package endpointlist
 
 import (
 	"math"
 	"slices"
 	"time"
 
-	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/monotime"
 )
 
@@ -36,7 +35,7 @@
 // by that delay). An entry that the previous list does not have is not bounded so: the endpoint may have run
 // already, and may have been registered late or left out while it was unreachable.
 //
-// It belongs to the goroutine of the loop.
+// It belongs to the goroutine of its Table.
 type bootClock struct {
 	clock     monotime.Clock
 	offsets   []time.Duration // clock time minus Unix time, in the order in which they were last seen
@@ -69,7 +68,7 @@
 
 // startTime returns the clock time of the start that an entry announces; 0: long ago. previous is the entry with the
 // same uid in the node's list, if listed: while boot_ms remains the same, so does the result.
-func (b *bootClock) startTime(bootMS float64, previous endpointlist.Entry, listed bool) time.Duration {
+func (b *bootClock) startTime(bootMS float64, previous Entry, listed bool) time.Duration {
 	switch {
 	case listed && previous.BootMS == bootMS:
 		return previous.StartedAt
--- a/internal/endpointlist/parser.go
+++ b/internal/endpointlist/parser.go
@@ -1,6 +1,6 @@
-// Package endpointlist has the endpoint list as discovery sends it, and its parser. It does no I/O of its own and
-// starts no goroutine; its values are not changed once they are handed on, but for the start times that the event
-// loop fills in.
+// Package endpointlist has the endpoint list: as discovery sends it (List), with a parser, and as the node holds it
+// (Table), with the times at which endpoints started by the node's clock. It does no I/O of its own and starts no
+// goroutine. A List is not changed once it is handed on, but for the start times that Table.SetStartTimes fills in.
 package endpointlist
 
 import (
@@ -24,7 +24,7 @@
 
 // Entry is an entry of a list: the endpoint as the policy knows it, with its address and its start.
 type Entry struct {
-	balancer.Endpoint // its StartedAt is set by the loop
+	balancer.Endpoint // its StartedAt is set by Table.SetStartTimes
 	Address           string
 	BootMS            float64 // as listed: Unix time in milliseconds; 0: long ago
 }
--- /dev/null
+++ b/internal/endpointlist/table.go
@@ -0,0 +1,84 @@
+package endpointlist
+
+import (
+	"time"
+
+	"basaltdrum/balancer"
+	"basaltdrum/internal/monotime"
+)
+
+// Table is the endpoint list as a node holds it: the newest entry of each endpoint, how many endpoints are ready, and
+// when each of them started by the node's clock. It belongs to one goroutine.
+type Table struct {
+	entries map[string]Entry // by endpoint id
+	ready   int              // how many of entries are ready
+	clock   *bootClock
+}
+
+// NewTable returns an empty table.
+func NewTable(c monotime.Clock) *Table {
+	return &Table{entries: map[string]Entry{}, clock: newBootClock(c)}
+}
+
+// SetStartTimes sets the clock time of each entry's start, as it is when the list arrives. An entry that the table
+// holds already keeps the time that was worked out when its boot_ms was first seen.
+func (t *Table) SetStartTimes(entries []Entry) {
+	t.clock.observe()
+	for i := range entries {
+		entry := &entries[i]
+		held, isHeld := t.entries[entry.ID]
+		entry.StartedAt = t.clock.startTime(entry.BootMS, held, isHeld)
+	}
+}
+
+// Confirm records that the table is known to be current now.
+func (t *Table) Confirm() { t.clock.confirm() }
+
+// Apply applies a list, or changes to one, and returns its entries in the module's form.
+func (t *Table) Apply(update List) []balancer.Endpoint {
+	if update.Complete {
+		clear(t.entries)
+		t.ready = 0
+	}
+	endpoints := make([]balancer.Endpoint, len(update.Entries))
+	for i, entry := range update.Entries {
+		endpoints[i] = entry.Endpoint
+		t.applyEntry(entry)
+	}
+	return endpoints
+}
+
+// applyEntry replaces an endpoint's entry and keeps the count of ready endpoints.
+func (t *Table) applyEntry(entry Entry) {
+	if old, listed := t.entries[entry.ID]; listed && old.State == balancer.Ready {
+		t.ready--
+	}
+	if entry.State == balancer.Removed {
+		delete(t.entries, entry.ID)
+		return
+	}
+	t.entries[entry.ID] = entry
+	if entry.State == balancer.Ready {
+		t.ready++
+	}
+}
+
+// IsUnchanged reports whether applying a list would change nothing.
+func (t *Table) IsUnchanged(update List) bool {
+	for _, entry := range update.Entries {
+		held, isHeld := t.entries[entry.ID]
+		if isHeld && held != entry || !isHeld && entry.State != balancer.Removed {
+			return false
+		}
+	}
+	return !update.Complete || len(update.Entries) == len(t.entries)
+}
+
+// HasReady reports whether a listed endpoint is ready.
+func (t *Table) HasReady() bool { return t.ready > 0 }
+
+// Instance returns the listed process of an endpoint.
+func (t *Table) Instance(id string) Instance { return t.entries[id].Instance() }
+
+// StartedAt returns the clock time at which a listed endpoint started; 0: long ago.
+func (t *Table) StartedAt(id string) time.Duration { return t.entries[id].StartedAt }
--- a/internal/node/lists_test.go
+++ b/internal/node/lists_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"strings"
 	"testing"
 
 	"basaltdrum/balancer"
@@ -13,11 +14,11 @@
 func BenchmarkListChange(b *testing.B) {
 	for _, servers := range []int{100, 1600, 3200} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			l, back := bootLoop(b, newMachineClocks(), true), testPool(10)
+			l, pool := newSimulatedLoop(b, true), testPool(10)
 			all := parsedList(b, testutil.LongList(servers, "", false))
-			l.setStartTimes(all.Entries)
-			l.applyEntries(all)
-			back.updateEndpoints(all.Entries, true)
+			l.endpoints.SetStartTimes(all.Entries)
+			l.endpoints.Apply(all)
+			pool.updateEndpoints(all.Entries, true)
 			var changes [2]endpointlist.List
 			for i, state := range []balancer.EndpointState{balancer.Draining, balancer.Ready} {
 				changed := all.Entries[servers/2]
@@ -26,13 +27,13 @@
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				news := changes[i%2]
-				l.setStartTimes(news.Entries)
-				if l.isUnchanged(news) {
+				change := changes[i%2]
+				l.endpoints.SetStartTimes(change.Entries)
+				if l.endpoints.IsUnchanged(change) {
 					b.Fatal("no change")
 				}
-				l.applyEntries(news)
-				back.updateEndpoints(news.Entries, false)
+				l.endpoints.Apply(change)
+				pool.updateEndpoints(change.Entries, false)
 			}
 		})
 	}
@@ -40,29 +41,37 @@
 
 // A malformed list is discarded completely, and the complete list is requested.
 func TestMalformedListIsDiscarded(t *testing.T) {
-	for _, bad := range []string{
-		"", "{", "[]", `{"rev":2,"targets":[]}`, `{"all":true,"targets":[]}`,
-		`{"rev":2,"all":true,"targets":[` + testutil.ListEntry("s1", "127.0.0.1:1", "in_service") + `,` + testutil.ListEntry("s2", "name:80", "in_service") + `]}`,
-		`{"rev":2,"all":true,"targets":[` + testutil.ListEntry("s1", "127.0.0.1:1", "asleep") + `]}`,
-		`{"rev":2,"all":true,"targets":[` + testutil.ListEntry("", "127.0.0.1:1", "in_service") + `]}`,
-		`{"rev":2,"all":true,"targets":[` + testutil.ListEntry("s1", "127.0.0.1:1", "in_service") + `,` + testutil.ListEntry("s1", "127.0.0.1:2", "in_service") + `]}`,
-		`{"rev":2,"all":true,"targets":[{"uid":"s1","endpoint":"127.0.0.1:1","state":"in_service","boot_ms":-1}]}`,
+	s1, bad := testutil.ListEntry("s1", "127.0.0.1:1", "in_service"), func(entries ...string) string {
+		return strings.Replace(testutil.CompleteList(entries...), "%d", "2", 1)
+	}
+	for name, text := range map[string]string{
+		"nothing":            "",
+		"cut":                "{",
+		"no object":          "[]",
+		"no all":             `{"rev":2,"targets":[]}`,
+		"no rev":             `{"all":true,"targets":[]}`,
+		"a name for address": bad(s1, testutil.ListEntry("s2", "name:80", "in_service")),
+		"an unknown state":   bad(testutil.ListEntry("s1", "127.0.0.1:1", "asleep")),
+		"no uid":             bad(testutil.ListEntry("", "127.0.0.1:1", "in_service")),
+		"a uid twice":        bad(s1, testutil.ListEntry("s1", "127.0.0.1:2", "in_service")),
+		"a negative start":   bad(`{"uid":"s1","endpoint":"127.0.0.1:1","state":"in_service","boot_ms":-1}`),
 	} {
-		if l, err := endpointlist.Parse([]byte(bad)); err == nil || l.Entries != nil {
-			t.Errorf("%q: %v, %v", bad, l, err)
+		if l, err := endpointlist.Parse([]byte(text)); err == nil || l.Entries != nil {
+			t.Errorf("%s: %v, %v", name, l, err)
 		}
 	}
 	s := testutil.NewServer(t, testutil.Echo)
-	ag := testutil.NewRegistryAgent(t)
-	cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service")))
-	cfg.Discovery = ag.Addr().String()
-	ag.Set(false, testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service")))
+	agent := testutil.NewRegistryAgent(t)
+	list := testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))
+	cfg := testConfig(list)
+	cfg.Discovery = agent.Addr().String()
+	agent.Set(false, list)
 	n, _ := startNode(t, cfg, nil)
-	for testutil.Wait(t, ag.Calls, "the watch for changes") == "" {
+	for testutil.Wait(t, agent.Calls, "the watch for changes") == "" {
 	}
-	ag.Set(false, `{"rev":%d,"all":true,"targets":[`+testutil.ListEntry("s1", s.Address(), "terminated")+`,{"uid":""}]}`)
-	if q := testutil.Wait(t, ag.Calls, "the call after the bad list"); q != "" {
-		t.Errorf("called with %q, want the complete list", q)
+	agent.Set(false, testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "terminated"), `{"uid":""}`))
+	if query := testutil.Wait(t, agent.Calls, "the call after the bad list"); query != "" {
+		t.Errorf("called with %q, want the complete list", query)
 	}
 	c := dial(t, n)
 	c.Get("r")
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -39,17 +39,16 @@
 	timers  timerHeap
 	traffic trafficCounts
 
-	endpoints    map[string]endpointlist.Entry // the endpoint list by uid
-	readyServers int                           // how many of endpoints are ready
-	bootClock    *bootClock
-	cachedList   endpointlist.List // as the node last had it; dropped once listKnown
-	listKnown    bool              // a list has been applied: discovery's, or the cached one in its place
+	endpoints  *endpointlist.Table
+	cachedList endpointlist.List // as the node last had it; dropped once listKnown
+	listKnown  bool              // a list has been applied: discovery's, or the cached one in its place
 }
 
 func newLoop(b *balancer.Balancer, c monotime.Clock, log *slog.Logger) *loop {
 	return &loop{
-		clock: c, balancer: b, connectionStats: func() []any { return nil }, events: make(chan event, eventQueueLength), log: log,
-		pending: map[string]*requestState{}, endpoints: map[string]endpointlist.Entry{}, bootClock: newBootClock(c),
+		clock: c, balancer: b, connectionStats: func() []any { return nil },
+		events: make(chan event, eventQueueLength), log: log,
+		pending: map[string]*requestState{}, endpoints: endpointlist.NewTable(c),
 	}
 }
 
@@ -101,7 +100,7 @@
 		}
 		l.applyList(e.list, false)
 	case listConfirmed:
-		l.bootClock.confirm()
+		l.endpoints.Confirm()
 	case subscriptionFailed:
 		l.decide(l.clock.Now(), balancer.SubscriptionFailed{})
 	case discoveryUnresponsive:
@@ -109,6 +108,34 @@
 	}
 }
 
+// useCachedList starts with the list that the node last had, unless a newer one has been applied. The agent's
+// list is binding from the first moment of the process. So until that list has come, or discovery counts as
+// unresponsive, no request is sent by the cached list, and the module queues what clients send.
+func (l *loop) useCachedList() {
+	if !l.listKnown {
+		l.applyList(l.cachedList, true)
+	}
+}
+
+// applyList applies a list, or changes to it, and passes it to the upstream pool and to the module. Where
+// lists are pushed, one that changes nothing, as it comes after discovery has moved to another address, is not
+// passed on: the module treats every list as a change and selects its subset anew, which would move requests
+// and open connections without need.
+func (l *loop) applyList(update endpointlist.List, cached bool) {
+	l.listKnown, l.cachedList = true, endpointlist.List{}
+	l.endpoints.SetStartTimes(update.Entries)
+	if !cached {
+		defer l.endpoints.Confirm()
+	}
+	if !cached && l.listsPushed && l.endpoints.IsUnchanged(update) {
+		return
+	}
+	e := balancer.EndpointUpdate{Complete: update.Complete, Cached: cached, Endpoints: l.endpoints.Apply(update)}
+	l.updateEndpoints(update.Entries, update.Complete)
+	l.decide(l.clock.Now(), e)
+	l.ready.Store(l.endpoints.HasReady())
+}
+
 // handleRequest passes a request to the module, as of the time when it was received rather than when the loop
 // came to it.
 func (l *loop) handleRequest(r *request) {
@@ -199,7 +226,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &attempt{
 		ctx: ctx, cancel: cancel, request: state.request, number: len(state.attempts),
-		instance: l.endpoints[s.Endpoint].Instance(), sentAt: l.now, notAfter: s.NotAfter,
+		instance: l.endpoints.Instance(s.Endpoint), sentAt: l.now, notAfter: s.NotAfter,
 		deadline: min(l.now+s.Timeout, state.request.deadline),
 	}
 	state.attempts = append(state.attempts, a)
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -2,12 +2,13 @@
 
 import (
 	"fmt"
+	"maps"
 	"math/rand/v2"
 	"net/http"
 	"runtime"
+	"slices"
 	"testing"
 
-	"basaltdrum/balancer"
 	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/testutil"
 )
@@ -16,49 +17,51 @@
 // and open connections for nothing.
 func TestUnchangedCompleteListChangesNothing(t *testing.T) {
 	s := testutil.NewServer(t, testutil.Echo)
-	n, err := New(testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), testutil.DiscardLog())
+	cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service")))
+	n, err := New(cfg, testutil.DiscardLog())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer n.listener.Close()
 	n.loop.handleEvent(discoveryUnresponsive{})
-	told := 0
-	n.loop.updateEndpoints = func([]endpointlist.Entry, bool) { told++ }
-	for i, c := range []struct {
+	updates := 0
+	n.loop.updateEndpoints = func([]endpointlist.Entry, bool) { updates++ }
+	for _, row := range []struct {
+		name    string
 		entries []string
-		want    int
+		want    int // lists that were passed on so far
 	}{
-		{[]string{testutil.ListEntry("s1", s.Address(), "in_service")}, 0},
-		{[]string{testutil.ListEntry("s1", s.Address(), "terminating")}, 1},
-		{[]string{testutil.ListEntry("s1", "127.0.0.1:1", "in_service")}, 2},
-		{nil, 3},
+		{"the same", []string{testutil.ListEntry("s1", s.Address(), "in_service")}, 0},
+		{"another state", []string{testutil.ListEntry("s1", s.Address(), "terminating")}, 1},
+		{"another address", []string{testutil.ListEntry("s1", "127.0.0.1:1", "in_service")}, 2},
+		{"empty", nil, 3},
 	} {
-		if n.loop.handleEvent(listReceived{listOf(t, true, c.entries...)}); told != c.want {
-			t.Errorf("list %d: passed on %d times, want %d", i, told, c.want)
+		if n.loop.handleEvent(listReceived{listOf(t, true, row.entries...)}); updates != row.want {
+			t.Errorf("%s: passed on %d times, want %d", row.name, updates, row.want)
 		}
 	}
 }
 
 // A node is ready while a server is listed that it may forward to, whatever lists led to that.
 func TestReadinessFollowsTheLists(t *testing.T) {
-	rng := rand.New(rand.NewPCG(1, 2))
-	l := bootLoop(t, newMachineClocks(), true)
+	draws := rand.New(rand.NewPCG(1, 2))
+	l, states := newSimulatedLoop(t, true), map[string]string{}
 	for i := range 500 {
-		full := rng.IntN(10) == 0
+		complete := draws.IntN(10) == 0
+		if complete {
+			clear(states)
+		}
 		var entries []string
 		for s := range 3 {
-			state := []string{"in_service", "terminating", "terminated", ""}[rng.IntN(4)]
-			if state != "" && !(full && state == "terminated") {
-				entries = append(entries, testutil.ListEntry(fmt.Sprint("s", s), "127.0.0.1:1", state))
+			uid, state := fmt.Sprint("s", s), []string{"in_service", "terminating", "terminated", ""}[draws.IntN(4)]
+			if state != "" && !(complete && state == "terminated") {
+				entries, states[uid] = append(entries, testutil.ListEntry(uid, "127.0.0.1:1", state)), state
 			}
 		}
-		l.handleEvent(listReceived{listOf(t, full, entries...)})
-		want := false
-		for _, held := range l.endpoints {
-			want = want || held.State == balancer.Ready
-		}
+		l.receive(complete, entries...)
+		want := slices.Contains(slices.Collect(maps.Values(states)), "in_service")
 		if got := l.ready.Load(); got != want {
-			t.Fatalf("list %d: ready: %v, want %v with %v", i, got, want, l.endpoints)
+			t.Fatalf("list %d: ready: %v, want %v with %v", i, got, want, states)
 		}
 	}
 }
