--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -25,19 +25,17 @@
 	start           func(*attempt) // starts an attempt; must not block
 	subscribe       func()         // starts a poll of discovery; must not block
 	updateEndpoints func(entries []endpointlist.Entry, complete bool)
-	listsPushed     bool         // discovery pushes lists; otherwise they are polled
-	connectionStats func() []any // further attributes for the traffic line
-	log             *slog.Logger
+	listsPushed     bool // discovery pushes lists; otherwise they are polled
 
 	// rules are those of the settings that the module has. Other goroutines read them; once the loop runs, it
 	// alone sets them.
 	rules atomic.Pointer[requestRules]
 	ready atomic.Bool // whether a listed endpoint is ready; read by the front end
 
-	now     time.Duration // clock time of the latest event that the module was given; it never goes back
-	pending map[string]*requestState
-	timers  timerHeap
-	traffic trafficCounts
+	now     time.Duration              // clock time of the latest event that the module was given; it never goes back
+	pending map[string]*pendingRequest // by the request's id
+	timers  timerQueue
+	traffic trafficLog
 
 	endpoints  *endpointlist.Table
 	cachedList endpointlist.List // as the node last had it; dropped once listKnown
@@ -46,9 +44,9 @@
 
 func newLoop(b *balancer.Balancer, c monotime.Clock, log *slog.Logger) *loop {
 	return &loop{
-		clock: c, balancer: b, connectionStats: func() []any { return nil },
-		events: make(chan event, eventQueueLength), log: log,
-		pending: map[string]*requestState{}, endpoints: endpointlist.NewTable(c),
+		clock: c, balancer: b, events: make(chan event, eventQueueLength),
+		pending: map[string]*pendingRequest{}, endpoints: endpointlist.NewTable(c),
+		traffic: trafficLog{log: log, connectionStats: func() []any { return nil }},
 	}
 }
 
@@ -57,20 +55,20 @@
 
 // run handles events and timers until ctx ends.
 func (l *loop) run(ctx context.Context) {
-	timer := time.NewTimer(time.Hour)
-	defer timer.Stop()
+	wakeUp := time.NewTimer(time.Hour)
+	defer wakeUp.Stop()
 	trafficTicker := time.NewTicker(statsInterval)
 	defer trafficTicker.Stop()
 	defer l.logTraffic()
 	for {
 		l.fireTimers()
-		if len(l.timers) > 0 {
-			timer.Reset(max(0, l.clock.Until(l.timers[0].at)))
+		if at, ok := l.timers.next(); ok {
+			wakeUp.Reset(max(0, l.clock.Until(at)))
 		}
 		select {
 		case e := <-l.events:
 			l.handleEvent(e)
-		case <-timer.C:
+		case <-wakeUp.C:
 		case <-trafficTicker.C:
 			l.logTraffic()
 		case <-ctx.Done():
@@ -79,6 +77,25 @@
 	}
 }
 
+// fireTimers passes the timers that are due to the module. It reads the clock anew before each, since the
+// events before it take time too.
+func (l *loop) fireTimers() {
+	for {
+		now := l.clock.Now()
+		token, due := l.timers.takeDue(now)
+		if !due {
+			return
+		}
+		l.decide(now, balancer.Timer{Token: token})
+	}
+}
+
+// logTraffic writes the traffic line.
+func (l *loop) logTraffic() { l.traffic.write(len(l.pending)) }
+
+// noteLag measures how long after it happened an event is handled.
+func (l *loop) noteLag(at time.Duration) { l.traffic.noteLag(-l.clock.Until(at)) }
+
 // handleEvent handles one event.
 func (l *loop) handleEvent(e event) {
 	switch e := e.(type) {
@@ -153,19 +170,48 @@
 		}
 	}
 	l.traffic.Requests++
-	l.pending[r.id] = &requestState{request: r}
+	l.pending[r.id] = &pendingRequest{request: r}
 	l.decide(r.receivedAt, balancer.Request{
 		ID: r.id, Class: r.class, FirstByte: r.firstByte, Deadline: r.deadline, ExpectedWork: r.expectedWork,
 	})
 }
 
+// handleDeparture stops retries for a client that has closed its connection, or may have; the module is notified
+// once that the client is gone. A client that has only closed its sending side may still read the answer of an
+// attempt that has begun, so such an attempt goes on until the client is known to be gone.
+func (l *loop) handleDeparture(e clientDeparted) {
+	l.noteLag(e.at)
+	p := l.pending[e.request.id]
+	if p == nil || p.request != e.request || p.answered {
+		return
+	}
+	if first := p.depart(e.how, e.retryAfter); first {
+		l.traffic.Departed++
+		l.decide(e.at, balancer.ClientGone{ID: e.request.id})
+	}
+	if e.how == disconnected {
+		p.abandon()
+		l.forget(p)
+		return
+	}
+	l.answerDeparted(p)
+}
+
+// answerDeparted answers the request of a departed client, unless an attempt may still bring an answer that the
+// client reads.
+func (l *loop) answerDeparted(p *pendingRequest) {
+	if !p.answered && !p.canBeServed() {
+		l.finish(p, p.departedResponse())
+	}
+}
+
 // answerAll answers every request that is not answered, at the end of draining. To the module, the requests of
 // departed clients are answered already, so it returns no action for them.
 func (l *loop) answerAll() {
 	l.decide(l.clock.Now(), balancer.Shutdown{})
-	for _, state := range l.pending {
-		if state.departed != present && !state.answered {
-			l.respondToDeparted(state)
+	for _, p := range l.pending {
+		if p.hasDeparted() {
+			l.finish(p, p.departedResponse())
 		}
 	}
 }
@@ -173,27 +219,21 @@
 // endAttempt passes the outcome of an attempt to the module. The first success answers the request.
 func (l *loop) endAttempt(a *attempt, outcome attemptOutcome) {
 	l.noteLag(outcome.endedAt)
-	state := l.pending[a.request.id]
 	l.traffic.Results[outcome.result]++
-	state.inFlight--
-	a.ended = true
-	switch outcome.result {
-	case balancer.ConnectFailed, balancer.Rejected, balancer.NotSent:
-	default:
-		state.mayHaveRun = state.mayHaveRun || a.hasBegun()
-	}
-	if outcome.result == balancer.Success && !state.answered {
+	p := l.pending[a.request.id]
+	p.endAttempt(a, outcome.result)
+	if outcome.result == balancer.Success && !p.answered {
 		l.traffic.Served++
-		l.respond(state, response{kind: responseServed, body: outcome.body, contentType: outcome.contentType})
+		p.answer(response{kind: responseServed, body: outcome.body, contentType: outcome.contentType})
 	}
 	l.decide(outcome.endedAt, balancer.AttemptEnded{
 		ID: a.request.id, Attempt: a.number, Endpoint: a.instance.UID, Result: outcome.result,
-		Latency: outcome.endedAt - a.sentAt, Answered: state.answered, HeldUp: a.heldUp,
+		Latency: outcome.endedAt - a.sentAt, Answered: p.answered, HeldUp: a.heldUp,
 	})
-	if state.departed != present {
-		l.respondUnlessBegun(state)
+	if p.hasDeparted() {
+		l.answerDeparted(p)
 	}
-	l.forget(state)
+	l.forget(p)
 }
 
 // decide gives the module an event and carries out the actions that it returns. The module's time must not go
@@ -205,15 +245,15 @@
 		case balancer.Send:
 			l.send(action)
 		case balancer.Cancel:
-			if state := l.pending[action.ID]; state != nil && action.Attempt < len(state.attempts) {
-				l.cancel(state, state.attempts[action.Attempt])
+			if p := l.pending[action.ID]; p != nil {
+				p.cancelAttempt(action.Attempt)
 			}
 		case balancer.Reject:
-			l.finish(action.ID, response{kind: responseRejected, retryAfter: action.RetryAfter})
+			l.finish(l.pending[action.ID], response{kind: responseRejected, retryAfter: action.RetryAfter})
 		case balancer.Fail:
-			l.finish(action.ID, response{kind: responseFailed})
+			l.finish(l.pending[action.ID], response{kind: responseFailed})
 		case balancer.SetTimer:
-			l.setTimer(action.At, action.Token)
+			l.timers.set(action.At, action.Token)
 		case balancer.Subscribe:
 			l.subscribe()
 		}
@@ -222,15 +262,31 @@
 
 // send starts the attempt that the module has decided on.
 func (l *loop) send(s balancer.Send) {
-	state := l.pending[s.ID]
+	p := l.pending[s.ID]
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &attempt{
-		ctx: ctx, cancel: cancel, request: state.request, number: len(state.attempts),
+		ctx: ctx, cancel: cancel, request: p.request, number: len(p.attempts),
 		instance: l.endpoints.Instance(s.Endpoint), sentAt: l.now, notAfter: s.NotAfter,
-		deadline: min(l.now+s.Timeout, state.request.deadline),
+		deadline: min(l.now+s.Timeout, p.request.deadline),
 	}
-	state.attempts = append(state.attempts, a)
-	state.inFlight++
+	p.addAttempt(a)
 	l.traffic.Sends++
 	l.start(a)
 }
+
+// finish answers a request, unless it is answered or unknown, without an endpoint's answer.
+func (l *loop) finish(p *pendingRequest, final response) {
+	if p == nil || p.answered {
+		return
+	}
+	l.traffic.noteUnserved(final.kind)
+	p.answer(final)
+	l.forget(p)
+}
+
+// forget drops a request that is over.
+func (l *loop) forget(p *pendingRequest) {
+	if p.isOver() {
+		delete(l.pending, p.request.id)
+	}
+}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -62,7 +62,7 @@
 	conns := newDownstreamConns(clock, descriptors, reservedDescriptors/2, int64(cfg.MemoryMB)<<20, n.upstream.connections)
 	n.upstream.descriptorAllowance = conns.upstreamAllowance
 	n.frontend = newFrontend(clock, conns, &l.rules, l.post, l.ready.Load, log)
-	l.connectionStats = n.connectionStats
+	l.traffic.connectionStats = n.connectionStats
 	l.start = n.startAttempt
 	l.updateEndpoints, l.listsPushed = n.upstream.updateEndpoints, n.listsPushed
 	n.startDiscovery(cfg)
--- a/internal/node/polling_test.go
+++ b/internal/node/polling_test.go
@@ -31,7 +31,7 @@
 			for range 6 { // the wait doubles with each failure
 				before := n.loop.clock.Now()
 				n.loop.handleEvent(subscriptionFailed{})
-				for _, timer := range n.loop.timers {
+				for _, timer := range n.loop.timers.pending {
 					if delay := timer.at - before; delay > discovery.NotifiedWithin/4 {
 						t.Fatalf("polled within %v, seed %d: polls after %v", pollWithin, seed, delay)
 					}
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -3,30 +3,52 @@
 import (
 	"container/heap"
 	"time"
-
-	"basaltdrum/balancer"
 )
 
-// timerEntry is a timer that the module has set.
-type timerEntry struct {
+// timer is a timer that the module has set.
+type timer struct {
 	at    time.Duration // clock time when it fires
 	token string        // the module's name for it
 }
 
-// timerHeap holds the timers that have not fired as a binary heap (container/heap), the earliest first.
-type timerHeap []timerEntry
+// timerQueue holds the timers that have not fired. It belongs to the goroutine of the loop.
+type timerQueue struct{ pending timerHeap }
+
+// set adds a timer that fires at a clock time.
+func (q *timerQueue) set(at time.Duration, token string) {
+	heap.Push(&q.pending, timer{at: at, token: token})
+}
+
+// next returns the clock time when the earliest timer fires, if there is one.
+func (q *timerQueue) next() (at time.Duration, ok bool) {
+	if len(q.pending) == 0 {
+		return 0, false
+	}
+	return q.pending[0].at, true
+}
+
+// takeDue removes the earliest timer if it is due, and returns its token.
+func (q *timerQueue) takeDue(now time.Duration) (token string, ok bool) {
+	if at, any := q.next(); !any || at > now {
+		return "", false
+	}
+	return heap.Pop(&q.pending).(timer).token, true
+}
+
+// timerHeap is a binary heap of timers (container/heap), the earliest first.
+type timerHeap []timer
 
 // Len is part of heap.Interface.
-func (h timerHeap) Len() int { return len(h) }
+func (h *timerHeap) Len() int { return len(*h) }
 
 // Less is part of heap.Interface.
-func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h *timerHeap) Less(i, j int) bool { return (*h)[i].at < (*h)[j].at }
 
 // Swap is part of heap.Interface.
-func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *timerHeap) Swap(i, j int) { (*h)[i], (*h)[j] = (*h)[j], (*h)[i] }
 
-// Push is part of heap.Interface; it takes a timerEntry.
-func (h *timerHeap) Push(x any) { *h = append(*h, x.(timerEntry)) }
+// Push is part of heap.Interface; it takes a timer.
+func (h *timerHeap) Push(x any) { *h = append(*h, x.(timer)) }
 
 // Pop is part of heap.Interface.
 func (h *timerHeap) Pop() any {
@@ -35,21 +57,3 @@
 	*h = old[:len(old)-1]
 	return last
 }
-
-// setTimer has the module get a Timer event at a clock time.
-func (l *loop) setTimer(at time.Duration, token string) {
-	heap.Push(&l.timers, timerEntry{at: at, token: token})
-}
-
-// fireTimers passes the timers that are due to the module. It reads the clock anew before each, since the
-// events before it take time too.
-func (l *loop) fireTimers() {
-	for len(l.timers) > 0 {
-		now := l.clock.Now()
-		if l.timers[0].at > now {
-			return
-		}
-		fired := heap.Pop(&l.timers).(timerEntry)
-		l.decide(now, balancer.Timer{Token: fired.token})
-	}
-}
--- a/internal/node/trafficlog.go
+++ b/internal/node/trafficlog.go
@@ -34,20 +34,33 @@
 	c.Events++
 }
 
-// noteLag measures how long after it happened an event is handled.
-func (l *loop) noteLag(at time.Duration) { l.traffic.noteLag(-l.clock.Until(at)) }
+// noteUnserved counts a request that was answered without an endpoint's answer.
+func (c *trafficCounts) noteUnserved(kind responseKind) {
+	if kind == responseRejected {
+		c.Rejected++
+	} else {
+		c.Failed++
+	}
+}
+
+// trafficLog counts what the loop does and writes it to the log. It belongs to the goroutine of the loop.
+type trafficLog struct {
+	trafficCounts
+	log             *slog.Logger
+	connectionStats func() []any // further attributes for the line
+}
 
-// logTraffic logs what happened since the last traffic line, if anything did.
-func (l *loop) logTraffic() {
-	counts := l.traffic
-	l.traffic = trafficCounts{}
+// write logs what happened since the last traffic line, if anything did.
+func (t *trafficLog) write(pending int) {
+	counts := t.trafficCounts
+	t.trafficCounts = trafficCounts{}
 	if counts.Events == 0 {
 		return
 	}
 	results := counts.Results
-	l.log.With(l.connectionStats()...).Info("traffic",
+	t.log.With(t.connectionStats()...).Info("traffic",
 		slog.Group("requests", "received", counts.Requests, "served", counts.Served, "rejected", counts.Rejected,
-			"failed", counts.Failed, "departed", counts.Departed, "pending", len(l.pending)),
+			"failed", counts.Failed, "departed", counts.Departed, "pending", pending),
 		slog.Group("attempts", "started", counts.Sends, "success", results[balancer.Success],
 			"server_error", results[balancer.ServerError], "rejected", results[balancer.Rejected],
 			"timed_out", results[balancer.TimedOut], "connect_failed", results[balancer.ConnectFailed],
