--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -10,13 +10,21 @@
 import (
 	"math/rand/v2"
 	"time"
+
+	"basaltdrum/balancer/internal/admission"
+	"basaltdrum/balancer/internal/retrybudget"
+	"basaltdrum/balancer/internal/subscription"
 )
 
+// subscriptionToken is the token of the timer after which the host is asked to subscribe.
+const subscriptionToken = "list"
+
 // seedStream is the second half of the random generator's seed.
 const seedStream = 0x51a7e
 
-// Balancer decides for one replica. See the package comment for its contract. Each mechanism has a file,
-// which names its source, and keeps its state in a type of its own.
+// Balancer decides for one replica. See the package comment for its contract. It holds the requests and
+// passes what happens to them to the mechanisms, each of which is a package below internal that names its
+// source.
 type Balancer struct {
 	settings     Settings
 	rng          *rand.Rand
@@ -24,25 +32,14 @@
 	actions      []Action // of the event that is being handled
 	shuttingDown bool
 
-	// The endpoint list and the replica's subset of it.
-	subscription subscription
-	endpoints    map[string]*endpoint // by id: listed, or with attempts in flight
-	ready        endpointSet
-	subset       subset
-
-	// Requests and their attempts.
-	classes  classTable
-	requests map[string]*request // by id: not answered, or with attempts in flight
-	queue    []*request          // those that wait for capacity, in order of arrival
-	inFlight inFlightCount
-	retries  retryBudget
-
-	// Load and health.
-	admission   concurrencyLimit
-	shedding    sheddingRate
-	badResults  badResults
-	lastSuccess time.Duration
-	slowStart   slowStart
+	subscription subscription.Backoff
+	endpoints    endpointSelector
+
+	classes   classTable
+	requests  map[string]*request // by id: not answered, or with attempts in flight
+	queue     requestQueue
+	retries   retrybudget.Budget
+	admission admission.Limiter
 }
 
 // New returns a Balancer that knows no endpoints yet. The error is a *SettingError.
@@ -50,12 +47,12 @@
 	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
+	rng := rand.New(rand.NewPCG(seed, seedStream))
 	b := &Balancer{
-		rng:        rand.New(rand.NewPCG(seed, seedStream)),
-		endpoints:  map[string]*endpoint{},
-		requests:   map[string]*request{},
-		badResults: badResults{firstBadShare},
-		retries:    newRetryBudget(),
+		rng:       rng,
+		endpoints: newEndpointSelector(rng),
+		requests:  map[string]*request{},
+		retries:   retrybudget.New(),
 	}
 	b.applySettings(settings)
 	return b, nil
@@ -90,7 +87,7 @@
 
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-// handleTimer leads a timer to what asked for it. A host may round a time down, so a timer can come a little
+// handleTimer passes a timer to what asked for it. A host may round a time down, so a timer can come a little
 // early: nothing relies on its being late enough, and a review that finds nothing due asks for another.
 func (b *Balancer) handleTimer(e Timer) {
 	if e.Token == subscriptionToken {
@@ -99,3 +96,65 @@
 	}
 	b.reviewQueued(e.Token)
 }
+
+// updateEndpoints applies an update of the endpoint list. A list from the host's cache may be out of date, so
+// a subscription is still wanted.
+func (b *Balancer) updateEndpoints(e EndpointUpdate) {
+	if e.Complete {
+		b.endpoints.Replace(e.Endpoints)
+	} else {
+		b.endpoints.Change(e.Endpoints)
+	}
+	b.admission.Start(b.endpoints.PerReplica())
+	if e.Cached {
+		b.scheduleSubscribe()
+	} else {
+		b.subscription.Succeed()
+	}
+	b.dispatchQueued()
+}
+
+// scheduleSubscribe plans a Subscribe where endpoint updates come only after one.
+func (b *Balancer) scheduleSubscribe() {
+	if b.settings.PollDiscovery {
+		at := b.subscription.Schedule(b.now, b.settings.PollWithin, b.rng.Float64())
+		b.emit(SetTimer{At: at, Token: subscriptionToken})
+	}
+}
+
+// retrySubscribe plans another Subscribe after one has failed or the subscription has ended.
+func (b *Balancer) retrySubscribe() {
+	b.subscription.Fail()
+	b.scheduleSubscribe()
+}
+
+// subscribeIfDue sends the planned Subscribe.
+func (b *Balancer) subscribeIfDue() {
+	if b.subscription.Due(b.now, b.settings.Tick) {
+		b.emit(Subscribe{})
+	}
+}
+
+// applySettings puts settings in force.
+func (b *Balancer) applySettings(settings Settings) {
+	b.settings = settings
+	b.classes = newClassTable(settings.Classes, b.classes)
+	b.admission.Configure(b.classes.priorities(&settings))
+	b.endpoints.configure(&settings)
+}
+
+// reconfigure replaces the settings by new ones. Requests keep the class that they were accepted with, so
+// what their clients were promised stays; the endpoints' health, slow start and counts do not depend on
+// settings. The requests in the queue are looked at again.
+func (b *Balancer) reconfigure(settings Settings) {
+	if settings.Validate() != nil {
+		return
+	}
+	settings.PollDiscovery = b.settings.PollDiscovery // the host subscribes, or not, as long as it runs
+	b.applySettings(settings)
+	b.endpoints.forgetClasses(b.classes.hasRate)
+	for _, req := range b.queue.all() {
+		b.enqueue(req)
+	}
+	b.dispatchQueued()
+}
--- a/balancer/heldup_test.go
+++ b/balancer/heldup_test.go
@@ -2,52 +2,74 @@
 
 import (
 	"fmt"
-	"maps"
 	"testing"
 	"time"
+
+	"basaltdrum/balancer/internal/admission"
+	"basaltdrum/balancer/internal/endpoints"
 )
 
 // An attempt that the host itself held up says nothing about its server, nor about the load of all of them,
 // however it ended and however long that took.
 func TestHeldUpAttemptsAreNotCounted(t *testing.T) {
-	for _, e := range []AttemptResult{Success, ServerError, Rejected, TimedOut, ConnectFailed, ConnectionLost, Cancelled, NotSent} {
-		t.Run(fmt.Sprint("result ", int(e)), func(t *testing.T) {
-			b := newBalancer(t, nil)
-			b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
-			sendTraffic(b, 200, "get", func(string) AttemptResult { return Success })
-			now, before := b.now, *b // what follows reads its figures only
-			known, failing := map[string]endpoint{}, *b.classes.byName["get"].classStats
-			for id, s := range b.endpoints {
-				known[id] = withoutSends(*s)
-			}
-			for i := range 50 {
-				id := fmt.Sprint("held-", i)
-				sent := sends(b.Handle(now, Request{ID: id, Class: "pay", Deadline: now + time.Second}))
-				if len(sent) != 1 {
-					t.Fatalf("ending %d: %d sends", e, len(sent))
-				}
-				now += 400 * msec
-				b.Handle(now, AttemptEnded{ID: id, Endpoint: sent[0].Endpoint, Result: e, Latency: 400 * msec, Answered: true, HeldUp: true})
-			}
-			if b.badResults.share != before.badResults.share || b.admission.limit != before.admission.limit || b.admission.meanOverTarget != before.admission.meanOverTarget || b.lastSuccess != before.lastSuccess {
-				t.Errorf("ending %d: errors %v, window %v, crowding %v; had %v, %v, %v", e,
-					b.badResults.share, b.admission.limit, b.admission.meanOverTarget, before.badResults.share, before.admission.limit, before.admission.meanOverTarget)
-			}
-			if now := *b.classes.byName["get"].classStats; now.mean != failing.mean || now.failureShare != failing.failureShare {
-				t.Errorf("ending %d: mean %v, failing %v; had %v, %v", e, now.mean, now.failureShare, failing.mean, failing.failureShare)
-			}
-			for id, s := range b.endpoints {
-				if is := withoutSends(*s); fmt.Sprint(is) != fmt.Sprint(known[id]) {
-					t.Errorf("ending %d: %s is %+v, was %+v", e, id, is, known[id])
-				}
+	limiter := playHeldUpAttempts(t, Cancelled)
+	for result := range attemptResults {
+		t.Run(result.String(), func(t *testing.T) {
+			// The limiter counts the same sends after any result, so that all of it must be equal.
+			if got := playHeldUpAttempts(t, result); got != limiter {
+				t.Errorf("the concurrency limit is %s, after cancelled attempts %s", got, limiter)
 			}
 		})
 	}
 }
 
-// withoutSends is a server without what a send alone changes.
-func withoutSends(s endpoint) endpoint {
-	s.inFlight, s.attempts, s.excluded, s.inSubset, s.tokens = 0, nil, false, false, tokenBucket{}
-	s.failures = maps.Clone(s.failures)
-	return s
+// playHeldUpAttempts ends fifty attempts, held up by the host, in one way, and checks that nothing is learned
+// from them. It returns the concurrency limit.
+func playHeldUpAttempts(t *testing.T, result AttemptResult) string {
+	t.Helper()
+	b := newBalancer(t, nil)
+	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
+	sendTraffic(b, 200, "get", func(string) AttemptResult { return Success })
+	now, limit, before := b.now, b.admission.Limit(), observationsOf(b)
+	for i := range 50 {
+		id := fmt.Sprint("held-", i)
+		sent := sends(b.Handle(now, Request{ID: id, Class: "pay", Deadline: now + time.Second}))
+		if len(sent) != 1 {
+			t.Fatalf("%v: %d sends", result, len(sent))
+		}
+		now += 400 * msec
+		b.Handle(now, AttemptEnded{
+			ID: id, Endpoint: sent[0].Endpoint, Result: result, Latency: 400 * msec, Answered: true, HeldUp: true,
+		})
+	}
+	if b.admission.Limit() != limit {
+		t.Errorf("%v: the concurrency limit went from %v to %v", result, limit, b.admission.Limit())
+	}
+	after := observationsOf(b)
+	for what, was := range before {
+		if after[what] != was {
+			t.Errorf("%v: %s is %s, was %s", result, what, after[what], was)
+		}
+	}
+	limiter := b.admission
+	limiter.Configure(admission.Priorities{}) // whose classes are others in each run
+	return fmt.Sprintf("%+v", limiter)
+}
+
+// observationsOf prints what was observed of all endpoints, of each and of the class of the traffic.
+func observationsOf(b *Balancer) map[string]string {
+	class := b.classes.byName["get"]
+	observations := map[string]string{
+		"health":        fmt.Sprintf("%+v %+v", b.endpoints.outliers, b.endpoints.responses),
+		"class latency": fmt.Sprintf("%+v %+v", class.latency, class.failures),
+	}
+	for ep := range b.endpoints.Known() {
+		observations[ep.ID] = withoutSends(*ep)
+	}
+	return observations
+}
+
+// withoutSends prints an endpoint without what a send alone changes.
+func withoutSends(ep endpoints.Endpoint) string {
+	return fmt.Sprintf("%+v %+v %+v %+v %+v", ep.Entry, ep.Attempts, ep.Latency, ep.Health, ep.Rejections)
 }
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -5,24 +5,31 @@
 	"math"
 	"testing"
 	"time"
+
+	"basaltdrum/balancer/internal/endpoints"
+	"basaltdrum/balancer/internal/latency"
 )
 
-// The pick draws a candidate from each group and takes the one with fewer calls in flight; a tie goes to the first
-// group, and with no calls at all by the groups' sizes.
+// The pick draws a candidate from each group and takes the one with fewer calls in flight; a tie goes to the
+// first group, and with no calls at all by the groups' sizes.
 func TestPickComparesTwoCandidatesByCalls(t *testing.T) {
-	mk := func(calls ...int) []*endpoint {
-		var l []*endpoint
+	mk := func(calls ...int) []*endpoints.Endpoint {
+		var l []*endpoints.Endpoint
 		for i, c := range calls {
-			l = append(l, &endpoint{Endpoint: Endpoint{ID: fmt.Sprint(i, c)}, inFlight: c})
+			ep := &endpoints.Endpoint{Entry: Endpoint{ID: fmt.Sprint(i, c)}}
+			for range c {
+				ep.Attempts.Begin(0, nil)
+			}
+			l = append(l, ep)
 		}
 		return l
 	}
 	b := newBalancer(t, nil)
 	const n = 20000
-	shareLeft := func(left, right []*endpoint) float64 {
+	shareLeft := func(left, right []*endpoints.Endpoint) float64 {
 		got := 0
 		for range n {
-			s := b.pick(left, right)
+			s := b.endpoints.pick(left, right)
 			for _, l := range left {
 				if s == l {
 					got++
@@ -33,7 +40,7 @@
 	}
 	for _, c := range []struct {
 		name        string
-		left, right []*endpoint
+		left, right []*endpoints.Endpoint
 		want        float64
 	}{
 		{"fewer left", mk(1), mk(2), 1},
@@ -50,12 +57,12 @@
 			}
 		})
 	}
-	if b.pick(nil, nil) != nil {
+	if b.endpoints.pick(nil, nil) != nil {
 		t.Error("picked from nothing")
 	}
-	left, count := mk(0, 0, 0, 0), map[*endpoint]int{}
+	left, count := mk(0, 0, 0, 0), map[*endpoints.Endpoint]int{}
 	for range n {
-		count[b.pick(left, nil)]++
+		count[b.endpoints.pick(left, nil)]++
 	}
 	for _, s := range left {
 		if got := float64(count[s]) / n; math.Abs(got-0.25) > 0.02 {
@@ -68,7 +75,11 @@
 func TestLoadedServerIsAvoidedWhileOthersAreIdle(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(6)})
-	b.endpoints["s00"].inFlight, b.inFlight.now = 2, 2
+	patient := latency.NewEstimator(time.Hour) // of a class whose attempts make no endpoint suspect
+	for range 2 {
+		knownEndpoint(t, b, "s00").Attempts.Begin(0, &patient)
+		b.admission.Begin()
+	}
 	got := sendTraffic(b, 300, "get", func(string) AttemptResult { return Success })
 	if got["s00"] != 0 || len(got) != 5 {
 		t.Errorf("draws: %v", got)
@@ -84,7 +95,9 @@
 	list[0].Capacity = 2
 	b := newBalancer(t, func(s *Settings) { s.Tier, s.Replicas = 1, 1 })
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: list})
-	b.endpoints["s02"].latency.logRatio = math.Log(2)
+	for range 100 {
+		knownEndpoint(t, b, "s02").Latency.Observe(2)
+	}
 	got := map[string]int{}
 	for range 9000 {
 		got[b.choose(&request{class: b.classes.byName["get"]}).ID]++
@@ -131,14 +144,14 @@
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(8)})
 	s := sends(b.Handle(msec, Request{ID: "a", Class: "get", Deadline: time.Second}))[0]
 	endAttempt(b, 3*msec, "a", s, Success)
-	if got := b.endpoints[s.Endpoint].latency.logRatio; got < -0.1 {
-		t.Errorf("the first answer made its server look %.1f in log latency", got)
+	if got := math.Log(knownEndpoint(t, b, s.Endpoint).Latency.Speed()); got > 0.1 {
+		t.Errorf("the first answer made its server look fast by %.1f in log speed", got)
 	}
 }
 
-// The servers of a lost zone are listed for seconds more. Replicas that call their own zone lose nothing by it;
-// with subsets of both zones, each replica of each tier would have to discover each lost server by a call that is
-// never answered.
+// The servers of a lost zone are listed for seconds more. Replicas that call their own zone lose nothing by
+// it; with subsets of both zones, each replica of each tier would have to discover each lost server by a call
+// that is never answered.
 func TestReplicasServeWhileAnotherZoneIsUnresponsive(t *testing.T) {
 	const replicas, rounds = 16, 40
 	hung, sent := 0, 0
@@ -149,7 +162,7 @@
 			id, now := fmt.Sprint(k), time.Duration(k+1)*100*msec
 			for _, s := range sends(b.Handle(now, Request{ID: id, Class: "pay", Deadline: now + time.Second})) {
 				sent++
-				if b.endpoints[s.Endpoint].Zone == "north" {
+				if knownEndpoint(t, b, s.Endpoint).Zone == "north" {
 					hung++
 					continue
 				}
--- a/internal/node/departure.go
+++ b/internal/downstream/departure.go
@@ -1,4 +1,4 @@
-package node
+package downstream
 
 import (
 	"errors"
@@ -10,30 +10,31 @@
 	"basaltdrum/internal/socketpeek"
 )
 
-// departure is what the node knows about a client's leaving while its request is open. It only ever
+// Departure is what the node knows about a client's leaving while its request is open. It only ever
 // increases during a request: of two observations, the greater holds.
-type departure int
+type Departure int
 
+// The values of Departure, from the least to the greatest.
 const (
-	present      departure = iota // nothing was seen of a departure
-	unobservable                  // the read-ahead buffer is full, so that a close behind it could not be seen
-	halfClosed                    // a FIN was received; the client may still read the response
-	disconnected                  // the connection was reset or has failed
+	Present      Departure = iota // nothing was seen of a departure
+	Unobservable                  // the read-ahead buffer is full, so that a close behind it could not be seen
+	HalfClosed                    // a FIN was received; the client may still read the response
+	Disconnected                  // the connection was reset or has failed
 )
 
 // String returns the departure's name for logs and test failures.
-func (d departure) String() string {
+func (d Departure) String() string {
 	switch d {
-	case present:
+	case Present:
 		return "present"
-	case unobservable:
+	case Unobservable:
 		return "unobservable"
-	case halfClosed:
+	case HalfClosed:
 		return "half-closed"
-	case disconnected:
+	case Disconnected:
 		return "disconnected"
 	}
-	return fmt.Sprintf("departure(%d)", int(d))
+	return fmt.Sprintf("Departure(%d)", int(d))
 }
 
 // errReadAheadFull ends the departure watch when the client has pipelined more than may be buffered.
@@ -43,7 +44,7 @@
 // the client's departure. net/http begins that watch only once the body has been read to its end, so the
 // request is complete. No wait for another request is left to be interrupted, and so an earlier eviction or
 // abort of this connection is void.
-func (c *downstreamConn) beginWatch() bool {
+func (c *Conn) beginWatch() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.requestOpen {
@@ -56,7 +57,7 @@
 // watchForDeparture reads whatever the client pipelines behind an open request, since a FIN or RST can only
 // be seen once the bytes before it are read. It returns at the read deadline, on a reset, or when the
 // read-ahead buffer is full. After a FIN it goes on to wait for a reset.
-func (c *downstreamConn) watchForDeparture() error {
+func (c *Conn) watchForDeparture() error {
 	defer close(c.watchEnded)
 	defer c.markCaughtUp()
 	for {
@@ -66,7 +67,7 @@
 		}
 		buffer := c.readAheadBuffer()
 		if buffer == nil {
-			c.noteDeparture(unobservable)
+			c.noteDeparture(Unobservable)
 			return errReadAheadFull
 		}
 		n, err := c.Conn.Read(buffer)
@@ -85,7 +86,7 @@
 
 // awaitUnread waits until the kernel has received something from the client: bytes, a FIN or an RST. Before
 // it waits, it notes that everything received so far has been read.
-func (c *downstreamConn) awaitUnread() error {
+func (c *Conn) awaitUnread() error {
 	raw := socketpeek.RawConn(c.Conn)
 	if raw == nil {
 		return nil
@@ -101,7 +102,7 @@
 
 // awaitReset waits, after the client's FIN, for a reset or the read deadline. It asks for the socket's error,
 // because a read would not wait but return the end of the stream at once.
-func (c *downstreamConn) awaitReset() error {
+func (c *Conn) awaitReset() error {
 	raw := socketpeek.RawConn(c.Conn)
 	if raw == nil {
 		return io.EOF
@@ -116,14 +117,14 @@
 		return err != nil
 	})
 	if err == nil {
-		c.noteDeparture(disconnected)
+		c.noteDeparture(Disconnected)
 		err = socketErr
 	}
 	return err
 }
 
 // markCaughtUp notes that the watch has read everything that had arrived, or as much as can be buffered.
-func (c *downstreamConn) markCaughtUp() {
+func (c *Conn) markCaughtUp() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !isClosed(c.caughtUp) {
@@ -131,42 +132,45 @@
 	}
 }
 
-// awaitCaughtUp waits until the watch has read everything that had arrived, and returns the departure known
+// AwaitCaughtUp waits until the watch has read everything that had arrived, and returns the departure known
 // then.
-func (c *downstreamConn) awaitCaughtUp() departure {
+func (c *Conn) AwaitCaughtUp() Departure {
 	c.mu.Lock()
 	caughtUp := c.caughtUp
 	c.mu.Unlock()
 	<-caughtUp
-	return c.departure()
+	return c.Departure()
 }
 
-// endWatch ends the watch of an open request, which must have begun (see awaitCaughtUp); bytes that arrive
+// EndWatch ends the watch of an open request, which must have begun (see AwaitCaughtUp); bytes that arrive
 // from now on stay unread. It reports whether another request, or a part of one, was read behind this one.
-func (c *downstreamConn) endWatch() (another bool) {
+func (c *Conn) EndWatch() (another bool) {
 	c.Conn.SetReadDeadline(pastDeadline)
 	<-c.watchEnded
-	return c.pipelinedBehindBody()
+	return c.PipelinedBehindBody()
 }
 
 // noteRead notes what the result of a read says about the client. Of the timeouts only
 // os.ErrDeadlineExceeded is the node's own deadline: ETIMEDOUT, for which Timeout() is true as well, means
 // that the connection has failed.
-func (c *downstreamConn) noteRead(n int, err error) {
+func (c *Conn) noteRead(n int, err error) {
 	switch {
 	case n > 0:
 		c.mu.Lock()
 		c.noteBytes()
 		c.mu.Unlock()
 	case errors.Is(err, io.EOF):
-		c.noteDeparture(halfClosed)
+		c.noteDeparture(HalfClosed)
 	case err != nil && !errors.Is(err, os.ErrDeadlineExceeded):
-		c.noteDeparture(disconnected)
+		c.noteDeparture(Disconnected)
 	}
 }
 
+// DepartureChanged returns a channel that receives a value when more is known of the client's departure.
+func (c *Conn) DepartureChanged() <-chan struct{} { return c.departureChanged }
+
 // noteDeparture records an observation. If it exceeds what was known, the handler of the open request is notified.
-func (c *downstreamConn) noteDeparture(observed departure) {
+func (c *Conn) noteDeparture(observed Departure) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if observed <= c.departed {
@@ -179,7 +183,8 @@
 	}
 }
 
-func (c *downstreamConn) departure() departure {
+// Departure returns what is known of the client's departure since its request is open.
+func (c *Conn) Departure() Departure {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.departed
--- a/internal/node/departure_test.go
+++ b/internal/node/departure_test.go
@@ -98,7 +98,7 @@
 		c.Conn.(*net.TCPConn).SetLinger(0)
 	}
 	c.Close()
-	testutil.Until(t, "the node to notice", func() bool { return n.frontend.conns.count() == 0 })
+	testutil.Until(t, "the node to notice", func() bool { return n.frontend.conns.Count() == 0 })
 	if held {
 		n.loop.post(listReceived{listOf(t, true, testutil.ListEntry("s1", s.Address(), "in_service"))})
 	} else {
@@ -169,7 +169,7 @@
 		testutil.Until(t, "the departure to be queued", func() bool { return len(d.node.loop.events) >= 2 })
 		close(d.resume)
 	}
-	testutil.Until(t, "the node to notice", func() bool { return d.node.frontend.conns.count() == 0 })
+	testutil.Until(t, "the node to notice", func() bool { return d.node.frontend.conns.Count() == 0 })
 	d.proceed(t)
 	seen := map[string]int{"other": 1}
 	if d.where == "retry" || d.where == "in flight" {
@@ -305,7 +305,7 @@
 	if !maps.Equal(got, want) {
 		t.Errorf("the server got %v, want %v", got, want)
 	}
-	if kept := n.frontend.conns.readAheadReserved.Load(); kept != 0 {
+	if kept := n.frontend.conns.ReadAheadReserved(); kept != 0 {
 		t.Errorf("%d bytes are buffered of clients that have departed", kept)
 	}
 }
@@ -337,7 +337,7 @@
 		}
 		c.Close()
 	}
-	testutil.Until(t, "the node to notice", func() bool { return n.frontend.conns.count() == 0 })
+	testutil.Until(t, "the node to notice", func() bool { return n.frontend.conns.Count() == 0 })
 	close(through)
 	checkNothingForwarded(t, n, s, map[string]int{"other": 1})
 }
@@ -371,7 +371,7 @@
 	}
 	close(looks.release)
 	other.Expect(t, 200, "for other")
-	testutil.Until(t, "the node to notice", func() bool { return n.frontend.conns.count() == 2 })
+	testutil.Until(t, "the node to notice", func() bool { return n.frontend.conns.Count() == 2 })
 	if s.Received() != 21 {
 		t.Errorf("%d requests began, want 21", s.Received())
 	}
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -8,15 +8,16 @@
 	"sync/atomic"
 	"time"
 
+	"basaltdrum/internal/downstream"
+	"basaltdrum/internal/http1"
 	"basaltdrum/internal/monotime"
 )
 
-// Limits on the time that a client may take, and on a request's head.
+// Limits on the time that a client may take.
 const (
-	readTimeout    = 2500 * time.Millisecond // for reading a request, from its first bytes or the connection's start
-	idleTimeout    = 4 * time.Second         // after which an idle connection is closed
-	writeTimeout   = 5 * time.Second         // for writing a response
-	maxHeaderBytes = 16 << 10                // bytes of a request's head; net/http allows some more
+	readTimeout  = 2500 * time.Millisecond // for reading a request, from its first bytes or the connection's start
+	idleTimeout  = 4 * time.Second         // after which an idle connection is closed
+	writeTimeout = 5 * time.Second         // for writing a response
 )
 
 // frontend is the HTTP server for clients. It reads and checks requests, passes them to the loop, and writes
@@ -30,10 +31,10 @@
 	closing  atomic.Bool // each response closes its connection
 	server   *http.Server
 
-	conns *downstreamConns
+	conns *downstream.Conns
 }
 
-func newFrontend(c monotime.Clock, conns *downstreamConns, rules *atomic.Pointer[requestRules], post func(event), ready func() bool,
+func newFrontend(c monotime.Clock, conns *downstream.Conns, rules *atomic.Pointer[requestRules], post func(event), ready func() bool,
 	log *slog.Logger,
 ) *frontend {
 	f := &frontend{clock: c, post: post, ready: ready, conns: conns, rules: rules}
@@ -41,10 +42,10 @@
 		Handler:                      f,
 		ReadTimeout:                  readTimeout,
 		IdleTimeout:                  idleTimeout,
-		MaxHeaderBytes:               maxHeaderBytes,
+		MaxHeaderBytes:               http1.MaxHeaderBytes,
 		DisableGeneralOptionsHandler: true,
-		ConnState:                    conns.connStateChanged,
-		ConnContext:                  withConn,
+		ConnState:                    conns.ConnStateChanged,
+		ConnContext:                  downstream.NewContext,
 		ErrorLog:                     slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
 	return f
@@ -71,8 +72,8 @@
 	// A response to a request that has not been read to its end closes the connection. Otherwise net/http would
 	// wait for the rest of the body.
 	w.Header().Set("Connection", "close")
-	conn := connOf(r.Context())
-	head, err := conn.takeHead(r)
+	conn := downstream.FromContext(r.Context())
+	head, err := conn.TakeHead(r)
 	if err != nil {
 		writeInvalid(w, err)
 		return
@@ -90,7 +91,7 @@
 	w.Header().Del("Connection")
 	// If the client has left, or its departure could not be seen, no attempt may begin: its pipelined requests
 	// are rejected one after another. A client that has only shut down its sending side may read the responses.
-	if conn.awaitCaughtUp() != present || !f.conns.admitRequest(conn) {
+	if conn.AwaitCaughtUp() != downstream.Present || !f.conns.AdmitRequest(conn) {
 		f.writeResponse(w, conn, response{kind: responseRejected, retryAfter: f.rules.Load().retryAfter})
 		return
 	}
@@ -106,14 +107,14 @@
 // awaitResponse waits for the response to a request, or until its client has disconnected and nobody reads
 // one. The request is marked as departed before the loop is notified, because an attempt's connection to a
 // server may be established at that very moment, and the attempt must not begin any more.
-func (f *frontend) awaitResponse(conn *downstreamConn, c *request, interims bool) (a response, reads bool) {
-	for notified := present; ; {
+func (f *frontend) awaitResponse(conn *downstream.Conn, c *request, interims bool) (a response, reads bool) {
+	for notified := downstream.Present; ; {
 		select {
 		case a := <-c.response:
 			return a, true
-		case <-conn.departureChanged:
+		case <-conn.DepartureChanged():
 		}
-		how := conn.departure()
+		how := conn.Departure()
 		if how <= notified {
 			continue
 		}
@@ -121,21 +122,21 @@
 		begun := c.markDeparted()
 		f.post(clientDeparted{request: c, how: how, at: f.clock.Now(), retryAfter: f.rules.Load().retryAfter})
 		switch {
-		case how == disconnected:
+		case how == downstream.Disconnected:
 			return response{}, false
-		case how == halfClosed && begun && interims:
-			conn.sendInterimResponse()
+		case how == downstream.HalfClosed && begun && interims:
+			conn.SendInterimResponse(writeTimeout)
 		}
 	}
 }
 
 // readRequest reads a complete request and checks what the node and the servers rely on; nothing has been
 // forwarded of a request that is invalid. The client's deadline counts from the request's first byte.
-func (f *frontend) readRequest(r *http.Request, conn *downstreamConn, head requestHead) (*request, error) {
+func (f *frontend) readRequest(r *http.Request, conn *downstream.Conn, head http1.RequestHead) (*request, error) {
 	c := &request{
 		method: r.Method, target: r.RequestURI, id: r.Header.Get("X-Request-Id"),
 		key: r.Header.Get("Idempotency-Key"), contentType: r.Header.Get("Content-Type"),
-		firstByte: head.firstByte, response: make(chan response, 1),
+		firstByte: head.FirstByte, response: make(chan response, 1),
 	}
 	if err := f.validateHead(c, r); err != nil {
 		return nil, err
@@ -149,15 +150,15 @@
 }
 
 // readBody reads the body, which has a length or comes in chunks. Trailers are dropped.
-func (c *request) readBody(r *http.Request, conn *downstreamConn) error {
+func (c *request) readBody(r *http.Request, conn *downstream.Conn) error {
 	if r.ContentLength == 0 {
 		return nil
 	}
 	var err error
-	c.body, err = io.ReadAll(io.LimitReader(r.Body, maxBody+1))
-	framing := conn.bodyError()
+	c.body, err = io.ReadAll(io.LimitReader(r.Body, http1.MaxBodyBytes+1))
+	framing := conn.BodyError()
 	switch {
-	case len(c.body) > maxBody:
+	case len(c.body) > http1.MaxBodyBytes:
 		return errBodyTooLong
 	case framing != nil:
 		return framing
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/downstream"
 	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/monotime"
 )
@@ -189,7 +190,7 @@
 		l.traffic.Departed++
 		l.decide(e.at, balancer.ClientGone{ID: e.request.id})
 	}
-	if e.how == disconnected {
+	if e.how == downstream.Disconnected {
 		p.abandon()
 		l.forget(p)
 		return
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -12,6 +12,7 @@
 
 	"basaltdrum/balancer"
 	"basaltdrum/internal/discovery"
+	"basaltdrum/internal/downstream"
 	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/monotime"
 )
@@ -20,6 +21,10 @@
 // for clients whose requests are only read to be rejected.
 const reservedDescriptors = 48
 
+// readAheadMemoryShare is the divisor that gives the part of the node's memory limit which the read-ahead buffers of
+// all downstream connections together may use.
+const readAheadMemoryShare = 16
+
 // Node is one load balancer on sockets. New makes one, Run serves until its context ends, and Reload puts another
 // configuration into force meanwhile.
 type Node struct {
@@ -54,13 +59,12 @@
 	clock := monotime.New()
 	l := newLoop(module, clock, log)
 	l.rules.Store(newRequestRules(1, set))
-	descriptors := cfg.Sockets - reservedDescriptors
 	n := &Node{
-		loop: l, upstream: newUpstreamPool(cfg, clock, descriptors/2), listsPushed: !set.PollDiscovery, log: log,
+		loop: l, upstream: newUpstreamPool(cfg, clock, (cfg.Sockets-reservedDescriptors)/2), listsPushed: !set.PollDiscovery, log: log,
 		cfg: cfg, revision: 1, drainSchedule: drainScheduleOf(cfg), drainLimit: drainLimit(cfg),
 	}
-	conns := newDownstreamConns(clock, descriptors, reservedDescriptors/2, int64(cfg.MemoryMB)<<20, n.upstream.connections)
-	n.upstream.descriptorAllowance = conns.upstreamAllowance
+	conns := downstream.NewConns(clock, downstreamLimits(cfg), n.upstream.connections)
+	n.upstream.descriptorAllowance = conns.UpstreamAllowance
 	n.frontend = newFrontend(clock, conns, &l.rules, l.post, l.ready.Load, log)
 	l.traffic.connectionStats = n.connectionStats
 	l.start = n.startAttempt
@@ -72,6 +76,15 @@
 	return n, nil
 }
 
+// downstreamLimits are the limits on downstream connections that follow from a configuration.
+func downstreamLimits(cfg Config) downstream.Limits {
+	descriptors := cfg.Sockets - reservedDescriptors
+	return downstream.Limits{
+		Descriptors: descriptors, UpstreamReserve: descriptors / 4, RejectReserve: reservedDescriptors / 2,
+		ReadAhead: int64(cfg.MemoryMB) << 20 / readAheadMemoryShare, GracePeriods: downstream.DefaultGracePeriods(),
+	}
+}
+
 // startDiscovery sets up discovery and hands the cached list to the loop. Where lists are polled the loop applies
 // it at once, and the module subscribes for a newer one.
 func (n *Node) startDiscovery(cfg Config) {
@@ -104,7 +117,7 @@
 
 // connectionStats returns the attributes of the traffic line that tell of connections, and resets their counts.
 func (n *Node) connectionStats() []any {
-	counts, open := n.frontend.conns.takeCounts()
+	counts, open := n.frontend.conns.TakeCounts()
 	return []any{
 		slog.Group("downstream", "open", open, "accepted", counts.Accepted, "accept_failed", counts.AcceptFailed,
 			"evicted", counts.Evicted, "over_capacity", counts.Rejected, "closed_unread", counts.ClosedUnread),
@@ -122,8 +135,7 @@
 	defer stop()
 	var serveErr error
 	served := make(chan struct{})
-	ln := newDownstreamListener(n.listener, n.frontend.conns, n.log)
-	ln.readTimeout = n.frontend.server.ReadTimeout
+	ln := downstream.NewListener(n.listener, n.frontend.conns, n.frontend.server.ReadTimeout, n.log)
 	go func() {
 		defer close(served)
 		serveErr = n.frontend.server.Serve(ln)
--- a/internal/node/pendingrequest.go
+++ b/internal/node/pendingrequest.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/downstream"
 )
 
 // pendingRequest is a request that is not answered, or has attempts in flight. It follows what its attempts and its
@@ -14,9 +15,9 @@
 	attempts   []*attempt // all that were started, by their number
 	inFlight   int        // attempts that have not ended
 	answered   bool
-	departed   departure     // anything but present: the module was notified that the client is gone
-	retryAfter time.Duration // for the answer, should the request be rejected after its client has departed
-	mayHaveRun bool          // an attempt that has ended may have been executed by its endpoint
+	departed   downstream.Departure // anything but Present: the module was notified that the client is gone
+	retryAfter time.Duration        // for the answer, should the request be rejected after its client has departed
+	mayHaveRun bool                 // an attempt that has ended may have been executed by its endpoint
 }
 
 // addAttempt records that an attempt is started.
@@ -43,7 +44,7 @@
 		return
 	}
 	a := p.attempts[number]
-	a.outlivesHalfClose = p.departed == halfClosed && a.hasBegun()
+	a.outlivesHalfClose = p.departed == downstream.HalfClosed && a.hasBegun()
 	if !a.outlivesHalfClose {
 		a.cancel()
 	}
@@ -72,18 +73,18 @@
 }
 
 // depart records that the client has departed, and reports whether this is the first time.
-func (p *pendingRequest) depart(how departure, retryAfter time.Duration) (first bool) {
-	first = p.departed == present
+func (p *pendingRequest) depart(how downstream.Departure, retryAfter time.Duration) (first bool) {
+	first = p.departed == downstream.Present
 	p.departed, p.retryAfter = how, retryAfter
 	return first
 }
 
 // hasDeparted reports whether the client has departed.
-func (p *pendingRequest) hasDeparted() bool { return p.departed != present }
+func (p *pendingRequest) hasDeparted() bool { return p.departed != downstream.Present }
 
 // canBeServed reports whether an attempt that has begun may still bring an answer that a departed client reads.
 func (p *pendingRequest) canBeServed() bool {
-	return p.departed == halfClosed && p.hasBegunAttempt()
+	return p.departed == downstream.HalfClosed && p.hasBegunAttempt()
 }
 
 // hasBegunAttempt reports whether a byte of an attempt that is in flight may have been written.
--- a/internal/node/readahead_test.go
+++ b/internal/node/readahead_test.go
@@ -43,8 +43,8 @@
 	for _, c := range []readAheadCase{
 		{"held, beyond its own bound", false, 16 * readAheadPerConn, 503},
 		{"in flight, beyond its own bound", true, 16 * readAheadPerConn, 502},
-		{"held, beyond the bound of all", false, 3 * readAheadStep, 503},
-		{"in flight, beyond the bound of all", true, 3 * readAheadStep, 502},
+		{"held, beyond the bound of all", false, 12 << 10, 503},
+		{"in flight, beyond the bound of all", true, 12 << 10, 502},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -68,7 +68,9 @@
 		state = "in_service"
 	}
 	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), state))), func(n *Node) {
-		n.frontend.conns.readAheadLimit = c.all
+		limits := downstreamLimits(n.cfg)
+		limits.ReadAhead = c.all
+		n.frontend.conns.Configure(limits)
 	})
 	many := dial(t, n)
 	many.Get("r")
@@ -96,7 +98,7 @@
 	}
 	many.Get("last")
 	many.Expect(t, 200, "for last")
-	if kept := n.frontend.conns.readAheadReserved.Load(); kept != 0 {
+	if kept := n.frontend.conns.ReadAheadReserved(); kept != 0 {
 		t.Errorf("%d bytes are kept with nothing sent ahead", kept)
 	}
 }
--- a/internal/node/responsedeadline_test.go
+++ b/internal/node/responsedeadline_test.go
@@ -7,10 +7,12 @@
 	"io"
 	"net"
 	"net/http"
+	"slices"
 	"syscall"
 	"testing"
 	"time"
 
+	"basaltdrum/internal/downstream"
 	"basaltdrum/internal/testutil"
 )
 
@@ -128,14 +130,9 @@
 			return true
 		default:
 		}
-		n.frontend.conns.mu.Lock()
-		defer n.frontend.conns.mu.Unlock()
-		for conn := range n.frontend.conns.conns {
-			if conn.RemoteAddr().String() == c.LocalAddr().String() {
-				return conn.phase == phaseActive
-			}
-		}
-		return false
+		return slices.ContainsFunc(n.frontend.conns.Status(), func(conn downstream.ConnStatus) bool {
+			return conn.RemoteAddr.String() == c.LocalAddr().String() && conn.Phase == downstream.PhaseActive
+		})
 	})
 }
 
