--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -62,7 +62,8 @@
 	return cfg
 }
 
-// startNode runs a node until the test ends, or until the returned function is called.
+// startNode runs a node until the test ends, or until the returned function is called. That drains the node as its
+// configuration has it; the end of the test doesn't wait for that, and has it answer what is left at once.
 func startNode(t *testing.T, cfg Config, change func(*Node)) (n *Node, stop func() error) {
 	t.Helper()
 	n, err := New(cfg, testutil.DiscardLog())
@@ -81,7 +82,12 @@
 		once.Do(func() { cancel(); err = testutil.Wait(t, end, "the node's end") })
 		return err
 	}
-	t.Cleanup(func() { stop() })
+	t.Cleanup(func() {
+		n.mu.Lock()
+		n.drainSchedule = drainSchedule{}
+		n.mu.Unlock()
+		stop()
+	})
 	return n, stop
 }
 
