--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -14,69 +14,89 @@
 	"settings":{"lanes":[{"name":"view","effect":"read_like","target-ms":500,"deadline-ms":900}],
 	"limits":{"conn-idle-ms":60000.0,"connect-timeout-ms":250.0,"max-attempts":4},"zone":"chavara","tick-ms":5}}`
 
+// goodConfigWith is goodConfig with a part replaced, which must be there.
+func goodConfigWith(t *testing.T, part, by string) []byte {
+	t.Helper()
+	text := strings.Replace(goodConfig, part, by, 1)
+	if text == goodConfig {
+		t.Fatalf("%s is not in the configuration, or replaced by itself", part)
+	}
+	return []byte(text)
+}
+
 func TestConfig(t *testing.T) {
 	c, err := ParseConfig([]byte(goodConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n3" || c.Zone != "chavara" || c.Seed != 0xfc1f30d27a5be964 || c.Sockets != 1024 || c.MemoryMB != 192 ||
-		c.ConnIdle != time.Minute || c.ConnectTimeout != 250*time.Millisecond || c.Settings.MaxAttempts != 4 {
+	if c.Name != "n3" || c.Zone != "chavara" || c.Seed != 0xfc1f30d27a5be964 || c.Sockets != 1024 ||
+		c.MemoryMB != 192 || c.ConnIdle != time.Minute || c.ConnectTimeout != 250*time.Millisecond ||
+		c.Settings.MaxAttempts != 4 {
 		t.Errorf("got %+v", c)
 	}
 }
 
 // Deployments differ in what their settings contain, and a count may be written with decimals.
 func TestOtherDeploymentsConfigsAreTaken(t *testing.T) {
-	for _, c := range [][2]string{
-		{`"sockets":1024`, `"sockets":1024.0`},
-		{`"max-attempts":4`, `"max-attempts":4.0,"second-copies":true,"cancelling":false,"retry-after":false`},
-		{`"tick-ms":5`, `"tick-ms":5,"balancers":3.0,"me":2.0,"tier":1.0,"tiers":["a","b"],"localities":[],"tenants":null`},
-		{`"zone":"chavara",`, `"zone":null,"registry-mode":"on_request","telemetry":{"via":"silent"},"family-info":{},`},
-		{`"effect":"read_like"`, `"effect":"idempotency_key","key-scope":"cell","window-ms":100,"aim-stretch":2`},
-		{`"effect":"read_like"`, `"effect":"something new","key-scope":"something new"`},
-		{`"known":{"rev":41,"all":true,"targets":[]}`, `"known":null`},
-		{`"settings":{`, `"something":{},"settings":{`},
+	for _, row := range []struct{ name, part, by string }{
+		{"a count with decimals", `"sockets":1024`, `"sockets":1024.0`},
+		{
+			"switches", `"max-attempts":4`,
+			`"max-attempts":4.0,"second-copies":true,"cancelling":false,"retry-after":false`,
+		},
+		{
+			"a position in the fleet", `"tick-ms":5`,
+			`"tick-ms":5,"balancers":3.0,"me":2.0,"tier":1.0,"tiers":["a","b"],"localities":[],"tenants":null`,
+		},
+		{
+			"a polled registry", `"zone":"chavara",`,
+			`"zone":null,"registry-mode":"on_request","telemetry":{"via":"silent"},"family-info":{},`,
+		},
+		{
+			"an idempotency key", `"effect":"read_like"`,
+			`"effect":"idempotency_key","key-scope":"cell","window-ms":100,"aim-stretch":2`,
+		},
+		{"unknown words", `"effect":"read_like"`, `"effect":"something new","key-scope":"something new"`},
+		{"no cached list", `"known":{"rev":41,"all":true,"targets":[]}`, `"known":null`},
+		{"an unknown key", `"settings":{`, `"something":{},"settings":{`},
 	} {
-		t.Run(c[1], func(t *testing.T) {
-			text := strings.Replace(goodConfig, c[0], c[1], 1)
-			cfg, err := ParseConfig([]byte(text))
-			if text == goodConfig || err != nil {
-				t.Errorf("%s: %v", c[1], err)
-				return
+		t.Run(row.name, func(t *testing.T) {
+			cfg, err := ParseConfig(goodConfigWith(t, row.part, row.by))
+			if err != nil {
+				t.Fatal(err)
 			}
 			cfg.Listen = "127.0.0.1:0"
-			if n, err := New(cfg, testutil.DiscardLog()); err != nil {
-				t.Errorf("%s: %v", c[1], err)
-			} else {
-				n.listener.Close()
+			n, err := New(cfg, testutil.DiscardLog())
+			if err != nil {
+				t.Fatal(err)
 			}
+			n.listener.Close()
 		})
 	}
 }
 
 func TestBadConfigNamesTheField(t *testing.T) {
-	for _, c := range [][3]string{
-		{`"listen":"127.0.0.1:7070"`, `"listen":"nowhere"`, "listen"},
-		{`"discovery":"127.0.0.1:8500"`, `"discovery":""`, "discovery"},
-		{`"seed":"fc1f30d27a5be964"`, `"seed":"xyz"`, "seed"},
-		{`"memory_mb":192`, `"memory_mb":0`, "memory_mb"},
-		{`"sockets":1024`, `"sockets":5`, "sockets"},
-		{`"settings":{`, `"other":{`, "settings"},
-		{`"conn-idle-ms":60000.0`, `"conn-idle-ms":0`, "conn-idle-ms"},
-		{`"connect-timeout-ms":250.0,`, ``, "connect-timeout-ms"},
-		{`"max-attempts":4`, `"max-attempts":4.5`, "MaxAttempts"},
-		{`"max-attempts":4`, `"max-attempts":1e300`, "MaxAttempts"},
-		{`"sockets":1024`, `"sockets":1e300`, "sockets"},
-		{`"tick-ms":5`, `"tick-ms":5,"balancers":-1`, "Replicas"},
-		{`"target-ms":500`, `"target-ms":-1`, "LatencyObjective"},
-		{`"name":"n3"`, `"name":3`, "name"},
-		{`{"name":"n3"`, `"name":"n3"`, "config"},
+	for _, row := range []struct{ name, part, by, field string }{
+		{"no address to listen at", `"listen":"127.0.0.1:7070"`, `"listen":"nowhere"`, "listen"},
+		{"no address of discovery", `"discovery":"127.0.0.1:8500"`, `"discovery":""`, "discovery"},
+		{"a seed that is no number", `"seed":"fc1f30d27a5be964"`, `"seed":"xyz"`, "seed"},
+		{"no memory", `"memory_mb":192`, `"memory_mb":0`, "memory_mb"},
+		{"too few sockets", `"sockets":1024`, `"sockets":5`, "sockets"},
+		{"no settings", `"settings":{`, `"other":{`, "settings"},
+		{"no idle time", `"conn-idle-ms":60000.0`, `"conn-idle-ms":0`, "conn-idle-ms"},
+		{"a timeout that is missing", `"connect-timeout-ms":250.0,`, ``, "connect-timeout-ms"},
+		{"a count that is no integer", `"max-attempts":4`, `"max-attempts":4.5`, "MaxAttempts"},
+		{"a count that is too large", `"max-attempts":4`, `"max-attempts":1e300`, "MaxAttempts"},
+		{"too many sockets", `"sockets":1024`, `"sockets":1e300`, "sockets"},
+		{"a negative count", `"tick-ms":5`, `"tick-ms":5,"balancers":-1`, "Replicas"},
+		{"a negative time", `"target-ms":500`, `"target-ms":-1`, "LatencyObjective"},
+		{"a number for a name", `"name":"n3"`, `"name":3`, "name"},
+		{"no object", `{"name":"n3"`, `"name":"n3"`, "config"},
 	} {
-		t.Run(c[1], func(t *testing.T) {
-			text := strings.Replace(goodConfig, c[0], c[1], 1)
-			if _, err := ParseConfig([]byte(text)); text == goodConfig || err == nil || !strings.Contains(err.Error(), c[2]) ||
-				strings.Contains(err.Error(), "\n") {
-				t.Errorf("%s: %v", c[1], err)
+		t.Run(row.name, func(t *testing.T) {
+			_, err := ParseConfig(goodConfigWith(t, row.part, row.by))
+			if err == nil || !strings.Contains(err.Error(), row.field) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("got %v, want an error in %s", err, row.field)
 			}
 		})
 	}
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -1,33 +1,47 @@
 package node
 
 import (
-	"bufio"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
 	"strings"
+	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
 	"basaltdrum/internal/testutil"
 )
 
+// inService is the entry of a server that is ready.
+func inService(uid string, s *testutil.Server) string {
+	return testutil.ListEntry(uid, s.Address(), "in_service")
+}
+
+// terminating is the entry of a server that is draining.
+func terminating(uid string, s *testutil.Server) string {
+	return testutil.ListEntry(uid, s.Address(), "terminating")
+}
+
 // What the agent has when discovery returns counts as notified at once. The call that was in flight when discovery
 // became unresponsive is never answered, however long it may still wait.
 func TestWatchEventAtTheAgentsReturnNeedsNoTimeout(t *testing.T) {
-	old, s := testutil.NewServer(t, testutil.Echo), testutil.NewServer(t, testutil.Echo)
-	ag := testutil.NewRegistryAgent(t)
-	ag.Set(true, "")
-	cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", old.Address(), "in_service")))
-	cfg.Discovery = ag.Addr().String()
-	n, _ := startNode(t, cfg, func(n *Node) { n.discovery.Hold, n.discovery.StartupWait = 100*testutil.Limit, 100*testutil.Limit })
-	testutil.Wait(t, ag.Calls, "the call that is lost")
-	testutil.Wait(t, ag.Calls, "a call beside it")
+	t.Parallel()
+	draining, joined := testutil.NewServer(t, testutil.Echo), testutil.NewServer(t, testutil.Echo)
+	agent := testutil.NewRegistryAgent(t)
+	agent.Set(true, "")
+	cfg := testConfig(testutil.CompleteList(inService("s1", draining)))
+	cfg.Discovery = agent.Addr().String()
+	n, _ := startNode(t, cfg, func(n *Node) {
+		n.discovery.Hold, n.discovery.StartupWait = 100*testutil.Limit, 100*testutil.Limit
+	})
+	testutil.Wait(t, agent.Calls, "the call that is lost")
+	testutil.Wait(t, agent.Calls, "a call beside it")
 	early := dial(t, n) // from a client that makes no readiness check
 	early.Get("early")
 	untilActive(t, n, 1)
-	ag.Set(false, `{"rev":%d,"all":true,"targets":[`+testutil.ListEntry("s1", old.Address(), "terminating")+","+testutil.ListEntry("s2", s.Address(), "in_service")+`]}`)
+	agent.Set(false, testutil.CompleteList(terminating("s1", draining), inService("s2", joined)))
 	early.Expect(t, 200, "for early")
 	testutil.Until(t, "readiness", func() bool { return isReady(t, n) })
 	c := dial(t, n)
@@ -35,8 +49,8 @@
 		c.Get(fmt.Sprint("r", i))
 		c.Expect(t, 200, "")
 	}
-	if old.Received() != 0 {
-		t.Errorf("%d requests came to the server that drains", old.Received())
+	if draining.Received() != 0 {
+		t.Errorf("%d requests came to the server that drains", draining.Received())
 	}
 }
 
@@ -44,22 +58,24 @@
 // moment: the node is ready once it has received the complete list, or has waited long enough for an unresponsive
 // agent.
 func TestNewProcessIsReadyOnceItHasTheList(t *testing.T) {
+	t.Parallel()
 	s := testutil.NewServer(t, testutil.Echo)
-	ag := testutil.NewRegistryAgent(t)
-	ag.Set(true, "")
-	cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service")))
-	cfg.Discovery = ag.Addr().String()
+	list := testutil.CompleteList(inService("s1", s))
+	agent := testutil.NewRegistryAgent(t)
+	agent.Set(true, "")
+	cfg := testConfig(list)
+	cfg.Discovery = agent.Addr().String()
 	n, _ := startNode(t, cfg, func(n *Node) { n.discovery.StartupWait = 100 * testutil.Limit })
-	if q := testutil.Wait(t, ag.Calls, "the first call"); q != "" {
-		t.Errorf("called with %q, want the complete list", q)
+	if query := testutil.Wait(t, agent.Calls, "the first call"); query != "" {
+		t.Errorf("called with %q, want the complete list", query)
 	}
 	if isReady(t, n) {
 		t.Error("ready with a list that may be old")
 	}
-	ag.Set(false, testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))) // nothing new in it
+	agent.Set(false, list) // the same as the cached one
 	testutil.Until(t, "readiness", func() bool { return isReady(t, n) })
 
-	ag.Set(true, "")
+	agent.Set(true, "")
 	n, _ = startNode(t, cfg, func(n *Node) { n.discovery.StartupWait = time.Millisecond })
 	testutil.Until(t, "readiness beside a silent agent", func() bool { return isReady(t, n) })
 	c := dial(t, n)
@@ -67,56 +83,53 @@
 	c.Expect(t, 200, "for r")
 }
 
+// truncatingAgent is an agent whose first connection ends, or falls silent, within the response to a call. On the
+// others it answers calls for the complete list, and leaves watches unanswered.
+type truncatingAgent struct {
+	response string
+	stop     int  // bytes of the response on the first connection
+	reset    bool // the first connection is reset then; otherwise it falls silent
+}
+
+// serve serves connections until the test ends, and returns the agent's address.
+func (a truncatingAgent) serve(t *testing.T) (address string) {
+	t.Helper()
+	var connections atomic.Int32
+	var isFirst sync.Map // by connection
+	agent := testutil.NewServer(t, func(c net.Conn, r *http.Request, _ string) bool {
+		first, _ := isFirst.LoadOrStore(c, connections.Add(1) == 1)
+		switch {
+		case first.(bool):
+			io.WriteString(c, a.response[:a.stop])
+			if a.reset {
+				c.(*net.TCPConn).SetLinger(0)
+				return false
+			}
+		case r.URL.RawQuery == "":
+			io.WriteString(c, a.response)
+		}
+		return true
+	})
+	return agent.Address()
+}
+
 // A watch whose response stops at any byte is reopened, and the complete list is known then.
 func TestWatchIsReopenedAfterATruncatedResponse(t *testing.T) {
+	t.Parallel()
 	s := testutil.NewServer(t, testutil.Echo)
-	news := `{"rev":9,"all":true,"targets":[` + testutil.ListEntry("s2", s.Address(), "in_service") + `]}`
-	answer := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(news), news)
-	head := strings.Index(answer, "{")
-	for _, stop := range []int{0, 5, head - 2, head, head + 1, len(answer) - 1} {
+	list := strings.Replace(testutil.CompleteList(inService("s2", s)), "%d", "9", 1)
+	response := httpOK(list)
+	head := strings.Index(response, "{")
+	for _, stop := range []int{0, 5, head - 2, head, head + 1, len(response) - 1} {
 		for _, reset := range []bool{false, true} {
-			t.Run(fmt.Sprint(stop, reset), func(t *testing.T) {
+			t.Run(fmt.Sprintf("after %d bytes,reset=%v", stop, reset), func(t *testing.T) {
 				t.Parallel()
-				ln, err := net.Listen("tcp", "127.0.0.1:0")
-				if err != nil {
-					t.Fatal(err)
-				}
-				defer ln.Close()
-				go func() {
-					for first := true; ; first = false {
-						c, err := ln.Accept()
-						if err != nil {
-							return
-						}
-						stops := first
-						go func() {
-							defer c.Close()
-							for br := bufio.NewReader(c); ; {
-								r, err := http.ReadRequest(br)
-								if err != nil {
-									return
-								}
-								switch {
-								case stops:
-									io.WriteString(c, answer[:stop])
-									if reset {
-										c.(*net.TCPConn).SetLinger(0)
-										return
-									}
-								case r.URL.RawQuery == "":
-									io.WriteString(c, answer)
-								}
-							}
-						}()
-					}
-				}()
 				cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", testutil.ClosedPort(t), "in_service")))
-				cfg.Discovery = ln.Addr().String()
-				n, stop := startNode(t, cfg, func(n *Node) {
+				cfg.Discovery = truncatingAgent{response, stop, reset}.serve(t)
+				n, _ := startNode(t, cfg, func(n *Node) {
 					n.discovery.Hold, n.discovery.Grace = 200*time.Millisecond, 200*time.Millisecond
 					n.discovery.StartupWait = 100 * testutil.Limit
 				})
-				defer stop()
 				testutil.Until(t, "readiness", func() bool { return isReady(t, n) })
 				c := dial(t, n)
 				c.Get("r")
@@ -128,23 +141,24 @@
 
 // An agent that was unresponsive may never answer the call that was in flight then: it must be called again.
 func TestUnresponsiveDiscoveryIsCalledAgain(t *testing.T) {
+	t.Parallel()
 	s := testutil.NewServer(t, testutil.Echo)
-	ag := testutil.NewRegistryAgent(t)
-	ag.Set(true, "")
+	agent := testutil.NewRegistryAgent(t)
+	agent.Set(true, "")
 	cfg := testConfig(testutil.CompleteList())
-	cfg.Discovery = ag.Addr().String()
+	cfg.Discovery = agent.Addr().String()
 	n, _ := startNode(t, cfg, func(n *Node) {
 		n.discovery.Hold, n.discovery.Grace = 20*time.Millisecond, 20*time.Millisecond
 	})
 	for range 3 {
-		if q := testutil.Wait(t, ag.Calls, "a watch"); q != "" {
-			t.Fatalf("called with %q, want the complete list", q)
+		if query := testutil.Wait(t, agent.Calls, "a watch"); query != "" {
+			t.Fatalf("called with %q, want the complete list", query)
 		}
 	}
 	c := dial(t, n)
 	fmt.Fprint(c, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
 	c.Expect(t, 503, "")
-	ag.Set(false, testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service")))
+	agent.Set(false, testutil.CompleteList(inService("s1", s)))
 	testutil.Until(t, "readiness", func() bool {
 		fmt.Fprint(c, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
 		r, _ := c.Response(t)
@@ -157,37 +171,40 @@
 // The watch moves to a new address at once, though a call to the old address is waiting, and versions start anew
 // there.
 func TestReloadMovesTheWatch(t *testing.T) {
-	a, b := testutil.NewServer(t, testutil.Echo), testutil.NewServer(t, testutil.Echo)
-	old, next := testutil.NewRegistryAgent(t), testutil.NewRegistryAgent(t)
-	old.SetVersion(1000)
-	old.Set(false, testutil.CompleteList(testutil.ListEntry("s1", a.Address(), "in_service")))
-	next.Set(false, testutil.CompleteList(testutil.ListEntry("s2", b.Address(), "in_service")))
-	cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", a.Address(), "in_service")))
-	cfg.Discovery = old.Addr().String()
+	t.Parallel()
+	removed, joined := testutil.NewServer(t, testutil.Echo), testutil.NewServer(t, testutil.Echo)
+	before, after := testutil.NewRegistryAgent(t), testutil.NewRegistryAgent(t)
+	before.SetVersion(1000)
+	before.Set(false, testutil.CompleteList(inService("s1", removed)))
+	after.Set(false, testutil.CompleteList(inService("s2", joined)))
+	cfg := testConfig(testutil.CompleteList(inService("s1", removed)))
+	cfg.Discovery = before.Addr().String()
 	n, _ := startNode(t, cfg, func(n *Node) { n.discovery.Hold = testutil.Limit })
-	for !strings.Contains(testutil.Wait(t, old.Calls, "the watch"), "from=1001&") {
+	for !strings.Contains(testutil.Wait(t, before.Calls, "the watch"), "from=1001&") {
 	}
 	c := dial(t, n)
 	c.Get("before")
 	c.Expect(t, 200, "for before")
 	n.Reload(cfg) // the same address: nothing moves
-	cfg.Discovery = next.Addr().String()
+	cfg.Discovery = after.Addr().String()
 	n.Reload(cfg)
-	if q := testutil.Wait(t, next.Calls, "the complete list"); q != "" {
-		t.Errorf("called the new address with %q, want the complete list", q)
+	if query := testutil.Wait(t, after.Calls, "the complete list"); query != "" {
+		t.Errorf("called the new address with %q, want the complete list", query)
 	}
-	if q := testutil.Wait(t, next.Calls, "the watch"); !strings.HasPrefix(q, fmt.Sprintf("from=%d&", next.Version())) {
-		t.Errorf("called with %q", q)
+	query, want := testutil.Wait(t, after.Calls, "the watch"), fmt.Sprintf("from=%d&", after.Version())
+	if !strings.HasPrefix(query, want) {
+		t.Errorf("called with %q, want %q", query, want)
 	}
-	if len(old.Calls) > 0 {
-		t.Errorf("the old address was called with %q after the move", <-old.Calls)
+	if len(before.Calls) > 0 {
+		t.Errorf("the old address was called with %q after the move", <-before.Calls)
 	}
-	before := a.Received()
-	for i := range 20 { // on the connection of before
+	received := removed.Received()
+	for i := range 20 { // on the connection of the request before
 		c.Get(fmt.Sprint("after-", i))
 		c.Expect(t, 200, fmt.Sprint("for after-", i))
 	}
-	if a.Received() != before || b.Received() != 20 {
-		t.Errorf("%d requests came to the server that has gone, %d of 20 to the new one", a.Received()-before, b.Received())
+	if removed.Received() != received || joined.Received() != 20 {
+		t.Errorf("%d requests came to the server that was removed, %d of 20 to the one that joined",
+			removed.Received()-received, joined.Received())
 	}
 }
--- a/internal/node/discoveryfaults_test.go
+++ b/internal/node/discoveryfaults_test.go
@@ -14,21 +14,37 @@
 	"basaltdrum/internal/testutil"
 )
 
+// callFault is a way in which a call to discovery fails.
+type callFault string
+
+const (
+	callRefused         callFault = "refused"
+	callSilent          callFault = "silent"
+	callReset           callFault = "reset"
+	callStatus500       callFault = "status 500"
+	callTruncatedSilent callFault = "truncated, then silent"
+	callTruncatedClosed callFault = "truncated, then closed"
+	callMalformed       callFault = "malformed"
+	callDrips           callFault = "drips" // a byte at a time, never to its end
+)
+
+var callFaults = []callFault{
+	callRefused, callSilent, callReset, callStatus500,
+	callTruncatedSilent, callTruncatedClosed, callMalformed, callDrips,
+}
+
 // faultyAgent stands in for discovery: some calls fail in one way, and it answers the others.
 type faultyAgent struct {
 	net.Listener
-	mu     sync.Mutex
-	fault  string
-	left   int // calls that fail yet
-	list   string
-	rev    int
-	conns  []net.Conn
-	failed chan struct{} // gets one for each call that fails
+	mu       sync.Mutex
+	fault    callFault
+	failures int // calls that fail yet
+	list     string
+	version  int
+	conns    []net.Conn
+	failed   chan struct{} // gets one for each call that fails
 }
 
-// faults are the ways in which a call fails, other than by a refused connection.
-var faults = []string{"silent", "reset", "status 500", "half, then silent", "half, then closed", "spoilt", "drips"}
-
 // faultyAgents numbers the agents: each has an address of its own, so that no one takes its port while it is
 // closed.
 var faultyAgents atomic.Int32
@@ -40,12 +56,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &faultyAgent{Listener: ln, rev: 10, failed: make(chan struct{}, 1000)}
-	t.Cleanup(func() { a.Close(); a.dropAll() })
+	a := &faultyAgent{Listener: ln, version: 10, failed: make(chan struct{}, 1000)}
+	t.Cleanup(func() { a.Close(); a.closeConns() })
 	go a.serve(ln)
 	return a
 }
 
+// listenAgain has an agent listen at the address that it had until it was closed.
+func (a *faultyAgent) listenAgain(t *testing.T) {
+	t.Helper()
+	ln, err := net.Listen("tcp", a.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ln.Close() })
+	go a.serve(ln)
+}
+
+// serve accepts connections until the listener is closed.
 func (a *faultyAgent) serve(ln net.Listener) {
 	for {
 		c, err := ln.Accept()
@@ -55,20 +83,23 @@
 		a.mu.Lock()
 		a.conns = append(a.conns, c)
 		a.mu.Unlock()
-		go func() {
-			defer c.Close()
-			for br := bufio.NewReader(c); ; {
-				r, err := http.ReadRequest(br)
-				if err != nil || !a.answer(c, r) {
-					return
-				}
-			}
-		}()
+		go a.serveConn(c)
 	}
 }
 
-// dropAll closes all connections.
-func (a *faultyAgent) dropAll() {
+// serveConn answers the calls of a connection until it ends or one fails.
+func (a *faultyAgent) serveConn(c net.Conn) {
+	defer c.Close()
+	for reader := bufio.NewReader(c); ; {
+		r, err := http.ReadRequest(reader)
+		if err != nil || !a.answer(c, r) {
+			return
+		}
+	}
+}
+
+// closeConns closes all connections.
+func (a *faultyAgent) closeConns() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, c := range a.conns {
@@ -77,56 +108,61 @@
 }
 
 // set sets the list, and the number of calls that fail before it is returned.
-func (a *faultyAgent) set(fault string, calls int, list string) {
+func (a *faultyAgent) set(fault callFault, calls int, list string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.fault, a.left, a.list, a.rev = fault, calls, list, a.rev+1
+	a.fault, a.failures, a.list = fault, calls, list
+	a.version++
 }
 
 // answer answers a call, or has it fail; it returns whether the connection stays open.
 func (a *faultyAgent) answer(c net.Conn, r *http.Request) bool {
 	a.mu.Lock()
-	fails, fault := a.left > 0, a.fault
+	fails, fault, version := a.failures > 0, a.fault, fmt.Sprint(a.version)
 	if fails {
-		a.left--
-	}
-	text := fmt.Sprintf(a.list, a.rev)
-	if !fails && r.URL.Query().Get("from") == fmt.Sprint(a.rev) {
-		a.mu.Unlock()
-		time.Sleep(time.Millisecond) // a hold that ends without changes
-		_, err := io.WriteString(c, httpOK(fmt.Sprintf(`{"rev":%s,"all":false,"targets":[]}`, r.URL.Query().Get("from"))))
-		return err == nil
+		a.failures--
 	}
+	text := fmt.Sprintf(a.list, a.version)
 	a.mu.Unlock()
-	if !fails {
-		_, err := io.WriteString(c, httpOK(text))
-		return err == nil
+	if fails {
+		a.failed <- struct{}{}
+		return fault.play(c, text)
+	}
+	if r.URL.Query().Get("from") == version {
+		time.Sleep(time.Millisecond) // the hold, which ends without changes
+		text = fmt.Sprintf(`{"rev":%s,"all":false,"targets":[]}`, version)
 	}
-	a.failed <- struct{}{}
-	whole := httpOK(text)
-	switch fault {
-	case "reset":
+	_, err := io.WriteString(c, httpOK(text))
+	return err == nil
+}
+
+// play has a call fail whose response would have been a list; it returns whether the connection stays open.
+func (f callFault) play(c net.Conn, list string) bool {
+	const missing = 9 // bytes of a truncated response
+	response := httpOK(list)
+	switch f {
+	case callReset:
 		c.(*net.TCPConn).SetLinger(0)
-	case "status 500":
+	case callStatus500:
 		_, err := io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
-	case "half, then silent":
-		io.WriteString(c, whole[:len(whole)-9])
+	case callTruncatedSilent:
+		io.WriteString(c, response[:len(response)-missing])
 		io.Copy(io.Discard, c)
-	case "half, then closed":
-		io.WriteString(c, whole[:len(whole)-9])
-	case "spoilt":
-		_, err := io.WriteString(c, httpOK(text[:len(text)-2]))
+	case callTruncatedClosed:
+		io.WriteString(c, response[:len(response)-missing])
+	case callMalformed:
+		_, err := io.WriteString(c, httpOK(list[:len(list)-2]))
 		return err == nil
-	case "drips": // a byte at a time, never to its end
-		for i := 0; i < len(whole)-1; i++ {
-			if _, err := io.WriteString(c, whole[i:i+1]); err != nil {
+	case callDrips:
+		for i := range len(response) - 1 {
+			if _, err := io.WriteString(c, response[i:i+1]); err != nil {
 				return false
 			}
-			time.Sleep(10 * time.Millisecond)
+			time.Sleep(10 * time.Millisecond) // the response's pace is the fault
 		}
 		io.Copy(io.Discard, c)
-	case "silent":
+	default: // callSilent
 		io.Copy(io.Discard, c)
 	}
 	return false
@@ -136,16 +172,35 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
+// faultMoment is when calls to discovery begin to fail.
+type faultMoment string
+
+const (
+	atTheStart    faultMoment = "at the start" // of the node
+	whileWatching faultMoment = "while watching"
+	afterAMove    faultMoment = "after a move" // of the watch to another address
+)
+
+// failedCalls is a row of TestChangeIsKnownAfterFailedCalls: calls to discovery fail while its list changes.
+type failedCalls struct {
+	polled bool
+	fault  callFault
+	moment faultMoment
+	times  int
+}
+
 // However calls to discovery fail, whenever and how often, the change that discovery has then is known after the
 // next call: requests are forwarded to the server that joined, and not to the one that is draining.
 func TestChangeIsKnownAfterFailedCalls(t *testing.T) {
-	for _, asked := range []bool{false, true} {
-		for _, fault := range append([]string{"refused"}, faults...) {
-			for _, when := range []string{"start", "middle", "move"} {
+	t.Parallel()
+	for _, polled := range []bool{false, true} {
+		for _, fault := range callFaults {
+			for _, moment := range []faultMoment{atTheStart, whileWatching, afterAMove} {
 				for _, times := range []int{1, 3} {
-					t.Run(fmt.Sprint("asked=", asked, " ", fault, " ", when, " ", times), func(t *testing.T) {
+					row := failedCalls{polled, fault, moment, times}
+					t.Run(fmt.Sprintf("polled=%v,%s,%s,%d times", polled, fault, moment, times), func(t *testing.T) {
 						t.Parallel()
-						changeAfterFailures(t, asked, fault, when, times)
+						row.run(t)
 					})
 				}
 			}
@@ -153,78 +208,104 @@
 	}
 }
 
-func changeAfterFailures(t *testing.T, asked bool, fault, when string, times int) {
-	old, joined := testutil.NewServer(t, testutil.Echo), testutil.NewServer(t, testutil.Echo)
-	before := testutil.CompleteList(testutil.ListEntry("s1", old.Address(), "in_service"))
-	after := testutil.CompleteList(testutil.ListEntry("s1", old.Address(), "terminating"), testutil.ListEntry("s2", joined.Address(), "in_service"))
-	ag, first := newFaultyAgent(t), newFaultyAgent(t)
-	addr := ag.Addr().String()
-	if fault == "refused" && when != "middle" {
-		ag.Close()
+// failedCallsTest is a node whose calls to discovery fail for a while.
+type failedCallsTest struct {
+	failedCalls
+	node          *Node
+	agent         *faultyAgent  // whose calls fail
+	before, after string        // its lists before and after the change
+	waits         chan struct{} // gets one for each call that failed at once
+}
+
+// run runs a row.
+func (row failedCalls) run(t *testing.T) {
+	draining, joined := testutil.NewServer(t, testutil.Echo), testutil.NewServer(t, testutil.Echo)
+	f := &failedCallsTest{
+		failedCalls: row,
+		agent:       newFaultyAgent(t),
+		before:      testutil.CompleteList(inService("s1", draining)),
+		after:       testutil.CompleteList(terminating("s1", draining), inService("s2", joined)),
+		waits:       make(chan struct{}, 1000),
 	}
-	cfg := testConfig(before)
-	cfg.Settings.PollDiscovery, cfg.Settings.PollWithin = asked, 400*time.Millisecond
-	cfg.Discovery = addr
-	begin := func() { // the calls fail from now on
-		if fault != "refused" {
-			ag.set(fault, times, after)
-		}
+	f.start(t)
+	c := dial(t, f.node)
+	if f.moment != atTheStart {
+		testutil.Until(t, "the first list", f.node.loop.ready.Load)
+		c.Get("before")
+		c.Expect(t, 200, "")
+	}
+	f.beginFaults()
+	f.awaitFaults(t)
+	untilListed(t, f.node, "s2")
+	received := draining.Received()
+	for i := range 5 {
+		c.Get(fmt.Sprint("after-", i))
+		c.Expect(t, 200, "")
+	}
+	if draining.Received() != received || joined.Received() != 5 {
+		t.Errorf("%d requests came to the server that drains, %d of 5 to the one that joined",
+			draining.Received()-received, joined.Received())
+	}
+}
+
+// start starts the node, with calls that fail from the first one on if the row says so.
+func (f *failedCallsTest) start(t *testing.T) {
+	cfg := testConfig(f.before)
+	cfg.Settings.PollDiscovery, cfg.Settings.PollWithin = f.polled, 400*time.Millisecond
+	cfg.Discovery = f.agent.Addr().String()
+	switch f.moment {
+	case atTheStart:
+		f.fail()
+	case whileWatching:
+		f.agent.set("", 0, f.before)
+	case afterAMove:
+		f.fail()
+		other := newFaultyAgent(t)
+		other.set("", 0, f.before)
+		cfg.Discovery = other.Addr().String()
 	}
-	first.set("", 0, before)
-	switch when {
-	case "start":
-		begin()
-	case "middle":
-		ag.set("", 0, before)
-	case "move":
-		begin()
-		cfg.Discovery = first.Addr().String()
-	}
-	refused := make(chan struct{}, 1000)
-	n, _ := startNode(t, cfg, func(n *Node) {
-		n.discovery.After = func(d time.Duration) <-chan time.Time { // follows a call that failed at once
-			refused <- struct{}{}
+	f.node, _ = startNode(t, cfg, func(n *Node) {
+		n.discovery.After = func(d time.Duration) <-chan time.Time {
+			f.waits <- struct{}{}
 			return time.After(d)
 		}
-		n.discovery.Hold, n.discovery.Grace, n.discovery.StartupWait = 100*time.Millisecond, 100*time.Millisecond, testutil.Limit
+		n.discovery.Hold, n.discovery.Grace = 100*time.Millisecond, 100*time.Millisecond
+		n.discovery.StartupWait = testutil.Limit
 	})
-	c, sent := dial(t, n), 0
-	ask := func() { sent++; c.Get(fmt.Sprint("r", sent)); c.Expect(t, 200, "") }
-	if when != "start" {
-		testutil.Until(t, "the first list", n.loop.ready.Load)
-		ask()
-	}
-	switch {
-	case when == "middle" && fault == "refused":
-		ag.Close()
-		ag.dropAll()
-	case when == "middle":
-		begin()
-	case when == "move":
-		n.discovery.SetAddress(addr)
-	}
-	if fault == "refused" {
-		for range times {
-			testutil.Wait(t, refused, "a call that is refused")
-		}
-		ln, err := net.Listen("tcp", addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { ln.Close() })
-		ag.set("", 0, after)
-		go ag.serve(ln)
+}
+
+// fail has calls to the agent fail from now on, beside a list that has changed.
+func (f *failedCallsTest) fail() {
+	if f.fault == callRefused {
+		f.agent.Close()
+		f.agent.closeConns()
 	} else {
-		for range times {
-			testutil.Wait(t, ag.failed, "a call that fails")
-		}
+		f.agent.set(f.fault, f.times, f.after)
 	}
-	untilListed(t, n, "s2")
-	seen := old.Received()
-	for range 5 {
-		ask()
+}
+
+// beginFaults has the node's calls fail, if they don't since its start.
+func (f *failedCallsTest) beginFaults() {
+	switch f.moment {
+	case atTheStart:
+	case whileWatching:
+		f.fail()
+	case afterAMove:
+		f.node.discovery.SetAddress(f.agent.Addr().String())
+	}
+}
+
+// awaitFaults waits until as many calls have failed as the row says. An agent that refused them is back then.
+func (f *failedCallsTest) awaitFaults(t *testing.T) {
+	if f.fault != callRefused {
+		for range f.times {
+			testutil.Wait(t, f.agent.failed, "a call that fails")
+		}
+		return
 	}
-	if old.Received() != seen || joined.Received() != 5 {
-		t.Errorf("%d requests came to the server that drains, %d of 5 to the one that joined", old.Received()-seen, joined.Received())
+	for range f.times {
+		testutil.Wait(t, f.waits, "a call that is refused")
 	}
+	f.agent.set("", 0, f.after)
+	f.agent.listenAgain(t)
 }
--- a/internal/node/goroutines_test.go
+++ b/internal/node/goroutines_test.go
@@ -26,7 +26,7 @@
 		stacks = make([]byte, 2*len(stacks))
 	}
 	found := map[string]bool{}
-	for _, stack := range strings.Split(string(stacks), "\n\n") {
+	for stack := range strings.SplitSeq(string(stacks), "\n\n") {
 		if strings.Contains(stack, startedByRun) && itsWork.MatchString(stack) {
 			number, _, _ := strings.Cut(strings.TrimPrefix(stack, "goroutine "), " ")
 			found[number] = true
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -131,7 +131,7 @@
 // Run serves until ctx ends, and then drains: until all requests that were received are answered, or the drain
 // limit has passed. It returns once the goroutines that it started have ended; the package comment says which.
 func (n *Node) Run(ctx context.Context) error {
-	stop := n.startBackground()
+	stop := n.startBackground(context.WithoutCancel(ctx))
 	defer stop()
 	var serveErr error
 	served := make(chan struct{})
@@ -149,7 +149,7 @@
 	n.mu.Lock()
 	limit, schedule := n.drainLimit, n.drainSchedule
 	n.mu.Unlock()
-	drainCtx, cancel := context.WithTimeout(context.Background(), limit)
+	drainCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), limit)
 	defer cancel()
 	if err := n.frontend.drain(drainCtx, ln, served, schedule); err != nil {
 		return fmt.Errorf("node: drain: %w", err)
@@ -159,9 +159,9 @@
 
 // startBackground starts the loop, and discovery and the sweep of idle connections, which post to it. The function
 // that it returns ends them and waits for them, the loop last: post must not block for want of a reader.
-func (n *Node) startBackground() (stop func()) {
-	loopCtx, stopLoop := context.WithCancel(context.Background())
-	feederCtx, stopFeeders := context.WithCancel(context.Background())
+func (n *Node) startBackground(ctx context.Context) (stop func()) {
+	loopCtx, stopLoop := context.WithCancel(ctx)
+	feederCtx, stopFeeders := context.WithCancel(ctx)
 	var loop, feeders sync.WaitGroup
 	start := func(group *sync.WaitGroup, ctx context.Context, run func(context.Context)) {
 		group.Add(1)
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -11,7 +11,8 @@
 )
 
 // moduleSettings returns the settings in the form that the module gets. It paces its polls of discovery by parts
-// of PollWithin; a change counts as notified after discovery.NotifiedWithin, so no poll may be put off longer than that.
+// of PollWithin; a change counts as notified after discovery.NotifiedWithin, so no poll may be put off longer than
+// that.
 func moduleSettings(cfg Config) balancer.Settings {
 	set := cfg.Settings
 	set.PollWithin = min(set.PollWithin, discovery.NotifiedWithin)
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -12,7 +12,7 @@
 	"basaltdrum/internal/testutil"
 )
 
-// scriptedServer holds each request until it is told whether to answer or to reset.
+// scriptedServer holds each request until the test says whether to answer or to reset.
 type scriptedServer struct {
 	*testutil.Server
 	arrived chan string
@@ -32,87 +32,121 @@
 	return s
 }
 
+// changeClass is a change of one class of the configuration.
+func changeClass(index int, change func(c *balancer.Class)) func([]balancer.Class) []balancer.Class {
+	return func(classes []balancer.Class) []balancer.Class {
+		change(&classes[index])
+		return classes
+	}
+}
+
+// Indices of the classes of testConfig.
+const (
+	viewClass = iota // idempotent
+	noteClass        // not idempotent
+)
+
+// reloadRow is a reload while a request is in flight whose attempt is reset after it.
+type reloadRow struct {
+	name    string
+	change  func([]balancer.Class) []balancer.Class
+	method  string // of the request before, to the class view or note
+	retried bool   // it is sent again after the reset, and served
+	status  int    // of the same request after the reload
+	served  int    // 1 if that one gets to a server
+}
+
 // New settings are in force for the requests that come after them, and earlier requests keep theirs: an attempt
 // that is reset is retried only where the class that its client knew permits it.
 func TestReloadLeavesRequestsInFlightTheirSettings(t *testing.T) {
-	view := func(change func(c *balancer.Class)) func([]balancer.Class) []balancer.Class {
-		return func(l []balancer.Class) []balancer.Class { change(&l[0]); return l }
-	}
-	for name, row := range map[string]struct {
-		change  func([]balancer.Class) []balancer.Class
-		method  string // of the request before, to the class view or note
-		again   bool   // it is sent again after a reset, and served
-		status  int    // of the same request after
-		servers int    // that it gets to, then
-	}{
-		"a class goes": {func(l []balancer.Class) []balancer.Class { return l[1:] }, "GET", true, 404, 0},
-		"a class becomes unsafe": {
-			view(func(c *balancer.Class) { c.Effect = balancer.NonIdempotent }),
-			"GET", true, 405, 0,
+	t.Parallel()
+	effect := func(class int, effect balancer.Effect) func([]balancer.Class) []balancer.Class {
+		return changeClass(class, func(c *balancer.Class) { c.Effect = effect })
+	}
+	for _, row := range []reloadRow{
+		{"a class is removed", func(l []balancer.Class) []balancer.Class { return l[1:] }, "GET", true, 404, 0},
+		{"a class becomes non-idempotent", effect(viewClass, balancer.NonIdempotent), "GET", true, 405, 0},
+		{"a class becomes idempotent by key", effect(viewClass, balancer.IdempotentByKey), "GET", true, 405, 0},
+		{"a non-idempotent class becomes idempotent", effect(noteClass, balancer.Idempotent), "POST", false, 405, 0},
+		{
+			"a deadline shrinks",
+			changeClass(viewClass, func(c *balancer.Class) { c.Deadline = 20 * time.Second }),
+			"GET", true, 400, 0,
 		},
-		"a class becomes keyed": {view(func(c *balancer.Class) { c.Effect = balancer.IdempotentByKey }), "GET", true, 405, 0},
-		"an unsafe class becomes safe": {
-			func(l []balancer.Class) []balancer.Class { l[1].Effect = balancer.Idempotent; return l },
-			"POST", false, 405, 0,
+		{
+			"an objective changes",
+			changeClass(viewClass, func(c *balancer.Class) { c.LatencyObjective = time.Second }),
+			"GET", true, 200, 1,
 		},
-		"a deadline shrinks": {view(func(c *balancer.Class) { c.Deadline = 20 * time.Second }), "GET", true, 400, 0},
-		"an aim changes":     {view(func(c *balancer.Class) { c.LatencyObjective = time.Second }), "GET", true, 200, 1},
 	} {
-		t.Run(name, func(t *testing.T) {
+		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
-			one, two := newScriptedServer(t), newScriptedServer(t)
-			cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", one.Address(), "in_service"), testutil.ListEntry("s2", two.Address(), "in_service")))
-			n, _ := startNode(t, cfg, nil)
-			next := func(id string) scriptedServer {
-				select {
-				case got := <-one.arrived:
-					if got != id {
-						t.Errorf("got %q, want %q", got, id)
-					}
-					return one
-				case <-two.arrived:
-					return two
-				case <-time.After(testutil.Limit):
-					t.Fatalf("%s comes to no server", id)
-				}
-				return one
-			}
-			target, body := "/view/k", ""
-			if row.method == "POST" {
-				target, body = "/note/k", "body"
-			}
-			c := dial(t, n)
-			c.Send(row.method, target, "before", body, "60")
-			first := next("before")
-			reload(t, n, with(cfg, row.change))
-			first.succeed <- false
-			if row.again {
-				next("before").succeed <- true
-				c.Expect(t, 200, "for before")
-			} else {
-				c.Expect(t, 502, "")
-			}
-			c = dial(t, n)
-			c.Send(row.method, target, "after", body, "60")
-			if row.servers > 0 {
-				next("after").succeed <- true
-			}
-			c.Expect(t, row.status, "")
-			if got := one.Received() + two.Received(); got != row.servers+1+map[bool]int{true: 1}[row.again] {
-				t.Errorf("the servers got %d requests", got)
-			}
+			row.run(t)
 		})
 	}
 }
 
+// run sends a request before the reload and one after it.
+func (row reloadRow) run(t *testing.T) {
+	one, two := newScriptedServer(t), newScriptedServer(t)
+	cfg := testConfig(testutil.CompleteList(inService("s1", one.Server), inService("s2", two.Server)))
+	n, _ := startNode(t, cfg, nil)
+	target, body := "/view/k", ""
+	if row.method == "POST" {
+		target, body = "/note/k", "body"
+	}
+	c := dial(t, n)
+	c.Send(row.method, target, "before", body, "60")
+	first := awaitArrival(t, "before", one, two)
+	reload(t, n, with(cfg, row.change))
+	first.succeed <- false
+	attempts := 1
+	if row.retried {
+		attempts++
+		awaitArrival(t, "before", one, two).succeed <- true
+		c.Expect(t, 200, "for before")
+	} else {
+		c.Expect(t, 502, "")
+	}
+	c = dial(t, n)
+	c.Send(row.method, target, "after", body, "60")
+	if row.served > 0 {
+		awaitArrival(t, "after", one, two).succeed <- true
+	}
+	c.Expect(t, row.status, "")
+	if got := one.Received() + two.Received(); got != attempts+row.served {
+		t.Errorf("the servers got %d requests, want %d", got, attempts+row.served)
+	}
+}
+
+// awaitArrival waits for a request to come to one of two servers, and returns that server.
+func awaitArrival(t *testing.T, id string, one, two scriptedServer) (server scriptedServer) {
+	t.Helper()
+	var got string
+	select {
+	case got = <-one.arrived:
+		server = one
+	case got = <-two.arrived:
+		server = two
+	case <-time.After(testutil.Limit):
+		t.Fatalf("%s comes to no server", id)
+	}
+	if got != id {
+		t.Errorf("got %q, want %q", got, id)
+	}
+	return server
+}
+
 // A class that is added is served at once, and one that is removed is answered as unknown, on a connection that
 // stays open.
 func TestReloadAddsAndRemovesClasses(t *testing.T) {
 	s := testutil.NewServer(t, testutil.Echo)
-	cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service")))
+	cfg := testConfig(testutil.CompleteList(inService("s1", s)))
 	n, _ := startNode(t, cfg, nil)
 	more := with(cfg, func(l []balancer.Class) []balancer.Class {
-		return append(l, balancer.Class{Name: "extra", Effect: balancer.Idempotent, LatencyObjective: testutil.Limit, Deadline: 2 * testutil.Limit})
+		return append(l, balancer.Class{
+			Name: "extra", Effect: balancer.Idempotent, LatencyObjective: testutil.Limit, Deadline: 2 * testutil.Limit,
+		})
 	})
 	for range 3 {
 		c := dial(t, n)
@@ -130,24 +164,28 @@
 // module: then it is validated again. Otherwise a class that the module no longer knows would be forwarded as a
 // non-idempotent one, and one that is idempotent by key by now would be retried without its key.
 func TestRequestsValidatedBeforeAReloadAreValidatedAgain(t *testing.T) {
-	for name, row := range map[string]struct {
+	effect := func(effect balancer.Effect) func([]balancer.Class) []balancer.Class {
+		return changeClass(noteClass, func(c *balancer.Class) { c.Effect = effect })
+	}
+	for _, row := range []struct {
+		name   string
 		change func([]balancer.Class) []balancer.Class
 		status int
 	}{
-		"gone":   {func(l []balancer.Class) []balancer.Class { return l[:1] }, 404},
-		"keyed":  {func(l []balancer.Class) []balancer.Class { l[1].Effect = balancer.IdempotentByKey; return l }, 400},
-		"safe":   {func(l []balancer.Class) []balancer.Class { l[1].Effect = balancer.Idempotent; return l }, 405},
-		"longer": {func(l []balancer.Class) []balancer.Class { l[1].Deadline *= 2; return l }, 200},
+		{"removed", func(l []balancer.Class) []balancer.Class { return l[:1] }, 404},
+		{"idempotent by key", effect(balancer.IdempotentByKey), 400},
+		{"idempotent", effect(balancer.Idempotent), 405},
+		{"a longer deadline", changeClass(noteClass, func(c *balancer.Class) { c.Deadline *= 2 }), 200},
 	} {
-		t.Run(name, func(t *testing.T) {
+		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
 			s := testutil.NewServer(t, testutil.Echo)
-			cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service")))
+			cfg := testConfig(testutil.CompleteList(inService("s1", s)))
 			n, _ := startNode(t, cfg, nil)
 			testutil.Until(t, "readiness", func() bool { return isReady(t, n) })
 			held, release := make(chan struct{}), make(chan struct{})
-			free := sync.OnceFunc(func() { close(release) })
-			defer free()
+			resume := sync.OnceFunc(func() { close(release) })
+			defer resume()
 			n.loop.post(settingsChanged{
 				settings: moduleSettings(cfg), rules: newRequestRules(1, cfg.Settings),
 				inForce: func(time.Duration) { close(held); <-release },
@@ -156,10 +194,16 @@
 			n.Reload(with(cfg, row.change))
 			c := dial(t, n)
 			c.Send("POST", "/note/k", "crossing", "body", "60")
-			testutil.Until(t, "the request to be on its way to the module", func() bool { return len(n.loop.events) == 2 })
-			free()
+			testutil.Until(t, "the request to be on its way to the module", func() bool {
+				return len(n.loop.events) == 2
+			})
+			resume()
 			c.Expect(t, row.status, "")
-			if want := map[bool]int{true: 1}[row.status == 200]; s.Received() != want {
+			want := 0
+			if row.status == http.StatusOK {
+				want = 1
+			}
+			if s.Received() != want {
 				t.Errorf("the server got %d requests, want %d", s.Received(), want)
 			}
 		})
@@ -179,7 +223,8 @@
 	n.mu.Lock()
 	kept := n.cfg
 	n.mu.Unlock()
-	if kept.Listen != cfg.Listen || kept.Sockets != cfg.Sockets || kept.MemoryMB != cfg.MemoryMB || kept.Settings.PollDiscovery {
+	if kept.Listen != cfg.Listen || kept.Sockets != cfg.Sockets || kept.MemoryMB != cfg.MemoryMB ||
+		kept.Settings.PollDiscovery {
 		t.Errorf("got %+v", kept)
 	}
 	n.upstream.mu.Lock()
@@ -189,6 +234,7 @@
 	}
 }
 
+// The names that a reload logs are those of what differs.
 func TestChangesNamesWhatDiffers(t *testing.T) {
 	cfg := testConfig(testutil.CompleteList())
 	other := with(cfg, func(l []balancer.Class) []balancer.Class {
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -29,7 +29,7 @@
 
 // takeDue removes the earliest timer if it is due, and returns its token.
 func (q *timerQueue) takeDue(now time.Duration) (token string, ok bool) {
-	if at, any := q.next(); !any || at > now {
+	if at, ok := q.next(); !ok || at > now {
 		return "", false
 	}
 	return heap.Pop(&q.pending).(timer).token, true
