--- a/internal/node/departure_test.go
+++ b/internal/node/departure_test.go
@@ -73,10 +73,10 @@
 	}
 	cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), state)))
 	cfg.Settings.AllowCancel = mayCancel
-	var dials heldDials
+	var dials testutil.HeldDials
 	n, _ := startNode(t, cfg, func(n *Node) {
-		if dials = holdDials(n.upstream); held {
-			close(dials.release)
+		if dials = holdDials(n); held {
+			close(dials.Release)
 		}
 	})
 	c := dial(t, n)
@@ -88,7 +88,7 @@
 	if held {
 		untilActive(t, n, 1)
 	} else {
-		testutil.Wait(t, dials.dialed, "the connection")
+		testutil.Wait(t, dials.Dialed, "the connection")
 	}
 	if stray != "" {
 		io.WriteString(c, stray)
@@ -102,7 +102,7 @@
 	if held {
 		n.loop.post(listReceived{listOf(t, true, testutil.ListEntry("s1", s.Address(), "in_service"))})
 	} else {
-		close(dials.release)
+		close(dials.Release)
 	}
 	checkNothingForwarded(t, n, s, map[string]int{"other": 1})
 }
@@ -132,7 +132,7 @@
 
 	server  *testutil.Server
 	node    *Node
-	dials   heldDials
+	dials   testutil.HeldDials
 	conns   breakableConns
 	got     chan struct{} // an attempt has arrived at the server, which answers it once answer is closed
 	answer  chan struct{}
@@ -209,7 +209,7 @@
 	n.listener = d.conns
 	switch d.where {
 	case "dial":
-		d.dials = holdDials(n.upstream)
+		d.dials = holdDials(n)
 	case "busy loop": // it stops at the first list that is pushed
 		update := n.loop.updateEndpoints
 		n.loop.updateEndpoints = func(entries []endpointlist.Entry, complete bool) {
@@ -222,10 +222,10 @@
 	case "retry": // the first connection comes up at once, the second is held
 		first := make(chan struct{}, 1)
 		first <- struct{}{}
-		through := n.upstream.dial
-		d.dials = holdDials(n.upstream)
-		held := n.upstream.dial
-		n.upstream.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+		through := n.upstream.Dial
+		d.dials = holdDials(n)
+		held := n.upstream.Dial
+		n.upstream.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 			select {
 			case <-first:
 				return through(ctx, network, address)
@@ -250,7 +250,7 @@
 	case "held":
 		untilActive(t, d.node, 1)
 	case "dial", "retry":
-		testutil.Wait(t, d.dials.dialed, "the connection")
+		testutil.Wait(t, d.dials.Dialed, "the connection")
 	case "in flight":
 		testutil.Wait(t, d.got, "the attempt")
 	case "busy loop":
@@ -276,7 +276,7 @@
 	case "held":
 		d.node.loop.post(listReceived{listOf(t, true, d.entries("in_service")...)})
 	case "dial", "retry":
-		close(d.dials.release)
+		close(d.dials.Release)
 	case "in flight":
 		close(d.answer) // it fails, and is not retried
 	}
@@ -290,13 +290,8 @@
 	other.Get("other")
 	other.Expect(t, 200, "for other")
 	testutil.Until(t, "all attempts' end", func() bool {
-		n.upstream.mu.Lock()
-		defer n.upstream.mu.Unlock()
-		kept := 0
-		for _, idle := range n.upstream.idle {
-			kept += len(idle)
-		}
-		return kept == n.upstream.open
+		pool := n.upstream.Stats()
+		return pool.Idle == pool.Open
 	})
 	got := map[string]int{}
 	for _, id := range s.Requests() {
@@ -315,7 +310,7 @@
 	s := testutil.NewServer(t, testutil.Echo)
 	through := make(chan struct{})
 	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) {
-		n.upstream.dial = func(_ context.Context, network, address string) (net.Conn, error) {
+		n.upstream.Dial = func(_ context.Context, network, address string) (net.Conn, error) {
 			nc, err := net.Dial(network, address)
 			<-through
 			return nc, err
--- a/internal/node/discoveryfaults_test.go
+++ b/internal/node/discoveryfaults_test.go
@@ -212,8 +212,9 @@
 type failedCallsTest struct {
 	failedCalls
 	node          *Node
-	agent         *faultyAgent  // whose calls fail
-	before, after string        // its lists before and after the change
+	agent         *faultyAgent // whose calls fail
+	before, after string       // its lists before and after the change
+	lists         listRecorder
 	waits         chan struct{} // gets one for each call that failed at once
 }
 
@@ -236,7 +237,7 @@
 	}
 	f.beginFaults()
 	f.awaitFaults(t)
-	untilListed(t, f.node, "s2")
+	f.lists.untilListed(t, "s2")
 	received := draining.Received()
 	for i := range 5 {
 		c.Get(fmt.Sprint("after-", i))
@@ -265,6 +266,7 @@
 		cfg.Discovery = other.Addr().String()
 	}
 	f.node, _ = startNode(t, cfg, func(n *Node) {
+		f.lists.record(n)
 		n.discovery.After = func(d time.Duration) <-chan time.Time {
 			f.waits <- struct{}{}
 			return time.After(d)
--- a/internal/node/lists_test.go
+++ b/internal/node/lists_test.go
@@ -4,21 +4,24 @@
 	"fmt"
 	"strings"
 	"testing"
+	"time"
 
 	"basaltdrum/balancer"
 	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/testutil"
+	"basaltdrum/internal/upstream"
 )
 
 // BenchmarkListChange measures the node's own part of a change of one entry.
 func BenchmarkListChange(b *testing.B) {
 	for _, servers := range []int{100, 1600, 3200} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			l, pool := newSimulatedLoop(b, true), testPool(10)
+			l := newSimulatedLoop(b, true)
+			pool := upstream.NewPool(l.clock, 10, upstream.Timeouts{Connect: testutil.Limit, Idle: time.Minute})
 			all := parsedList(b, testutil.LongList(servers, "", false))
 			l.endpoints.SetStartTimes(all.Entries)
 			l.endpoints.Apply(all)
-			pool.updateEndpoints(all.Entries, true)
+			pool.UpdateEndpoints(all.Entries, true)
 			var changes [2]endpointlist.List
 			for i, state := range []balancer.EndpointState{balancer.Draining, balancer.Ready} {
 				changed := all.Entries[servers/2]
@@ -33,7 +36,7 @@
 					b.Fatal("no change")
 				}
 				l.endpoints.Apply(change)
-				pool.updateEndpoints(change.Entries, false)
+				pool.UpdateEndpoints(change.Entries, false)
 			}
 		})
 	}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -10,6 +10,7 @@
 	"basaltdrum/internal/downstream"
 	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/monotime"
+	"basaltdrum/internal/upstream"
 )
 
 // eventQueueLength is how many events may wait for the loop before post blocks.
@@ -158,7 +159,7 @@
 // came to it.
 func (l *loop) handleRequest(r *request) {
 	l.noteLag(r.receivedAt)
-	if l.pending[r.id] != nil {
+	if l.pending[r.ID] != nil {
 		// The module ignores a request with an id that is pending, so nothing else would answer this one.
 		r.response <- response{kind: responseDuplicateID}
 		return
@@ -171,9 +172,9 @@
 		}
 	}
 	l.traffic.Requests++
-	l.pending[r.id] = &pendingRequest{request: r}
+	l.pending[r.ID] = &pendingRequest{request: r}
 	l.decide(r.receivedAt, balancer.Request{
-		ID: r.id, Class: r.class, FirstByte: r.firstByte, Deadline: r.deadline, ExpectedWork: r.expectedWork,
+		ID: r.ID, Class: r.class, FirstByte: r.firstByte, Deadline: r.deadline, ExpectedWork: r.expectedWork,
 	})
 }
 
@@ -182,13 +183,13 @@
 // attempt that has begun, so such an attempt goes on until the client is known to be gone.
 func (l *loop) handleDeparture(e clientDeparted) {
 	l.noteLag(e.at)
-	p := l.pending[e.request.id]
+	p := l.pending[e.request.ID]
 	if p == nil || p.request != e.request || p.answered {
 		return
 	}
 	if first := p.depart(e.how, e.retryAfter); first {
 		l.traffic.Departed++
-		l.decide(e.at, balancer.ClientGone{ID: e.request.id})
+		l.decide(e.at, balancer.ClientGone{ID: e.request.ID})
 	}
 	if e.how == downstream.Disconnected {
 		p.abandon()
@@ -218,18 +219,18 @@
 }
 
 // endAttempt passes the outcome of an attempt to the module. The first success answers the request.
-func (l *loop) endAttempt(a *attempt, outcome attemptOutcome) {
-	l.noteLag(outcome.endedAt)
-	l.traffic.Results[outcome.result]++
-	p := l.pending[a.request.id]
-	p.endAttempt(a, outcome.result)
-	if outcome.result == balancer.Success && !p.answered {
+func (l *loop) endAttempt(a *attempt, outcome upstream.Outcome) {
+	l.noteLag(outcome.EndedAt)
+	l.traffic.Results[outcome.Result]++
+	p := l.pending[a.request.ID]
+	p.endAttempt(a, outcome.Result)
+	if outcome.Result == balancer.Success && !p.answered {
 		l.traffic.Served++
-		p.answer(response{kind: responseServed, body: outcome.body, contentType: outcome.contentType})
+		p.answer(response{kind: responseServed, body: outcome.Body, contentType: outcome.ContentType})
 	}
-	l.decide(outcome.endedAt, balancer.AttemptEnded{
-		ID: a.request.id, Attempt: a.number, Endpoint: a.instance.UID, Result: outcome.result,
-		Latency: outcome.endedAt - a.sentAt, Answered: p.answered, HeldUp: a.heldUp,
+	l.decide(outcome.EndedAt, balancer.AttemptEnded{
+		ID: a.request.ID, Attempt: a.number, Endpoint: a.Instance.UID, Result: outcome.Result,
+		Latency: outcome.EndedAt - a.sentAt, Answered: p.answered, HeldUp: outcome.HeldUp,
 	})
 	if p.hasDeparted() {
 		l.answerDeparted(p)
@@ -266,9 +267,11 @@
 	p := l.pending[s.ID]
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &attempt{
-		ctx: ctx, cancel: cancel, request: p.request, number: len(p.attempts),
-		instance: l.endpoints.Instance(s.Endpoint), sentAt: l.now, notAfter: s.NotAfter,
-		deadline: min(l.now+s.Timeout, p.request.deadline),
+		Attempt: upstream.Attempt{
+			Request: &p.request.Request, Instance: l.endpoints.Instance(s.Endpoint),
+			Deadline: min(l.now+s.Timeout, p.request.deadline), NotAfter: s.NotAfter,
+		},
+		ctx: ctx, cancel: cancel, request: p.request, number: len(p.attempts), sentAt: l.now,
 	}
 	p.addAttempt(a)
 	l.traffic.Sends++
@@ -288,6 +291,6 @@
 // forget drops a request that is over.
 func (l *loop) forget(p *pendingRequest) {
 	if p.isOver() {
-		delete(l.pending, p.request.id)
+		delete(l.pending, p.request.ID)
 	}
 }
--- a/internal/node/pendingrequest.go
+++ b/internal/node/pendingrequest.go
@@ -33,7 +33,7 @@
 	switch result {
 	case balancer.ConnectFailed, balancer.Rejected, balancer.NotSent:
 	default:
-		p.mayHaveRun = p.mayHaveRun || a.hasBegun()
+		p.mayHaveRun = p.mayHaveRun || a.HasBegun()
 	}
 }
 
@@ -44,7 +44,7 @@
 		return
 	}
 	a := p.attempts[number]
-	a.outlivesHalfClose = p.departed == downstream.HalfClosed && a.hasBegun()
+	a.outlivesHalfClose = p.departed == downstream.HalfClosed && a.HasBegun()
 	if !a.outlivesHalfClose {
 		a.cancel()
 	}
@@ -90,7 +90,7 @@
 // hasBegunAttempt reports whether a byte of an attempt that is in flight may have been written.
 func (p *pendingRequest) hasBegunAttempt() bool {
 	for _, a := range p.attempts {
-		if !a.ended && a.hasBegun() {
+		if !a.ended && a.HasBegun() {
 			return true
 		}
 	}
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -1,54 +1,37 @@
 package node
 
 import (
+	"context"
 	"fmt"
-	"sync"
 	"time"
+
+	"basaltdrum/internal/upstream"
 )
 
 // request is a client's request. The front end's goroutine makes it and waits for its response; the loop and
-// the goroutines of its attempts read it. Only the fields behind mu change once it is posted.
+// the goroutines of its attempts read it. Its own fields do not change once it is posted.
 type request struct {
-	id, class, method, target, key string
-	contentType                    string
-	body                           []byte
-	firstByte                      time.Duration // clock time when its first byte was read; 0: receivedAt
-	receivedAt                     time.Duration // clock time when it was complete
-	deadline                       time.Duration // clock time until which the client waits
-	expectedWork                   time.Duration // the client's hint; 0: none
-	revision                       int           // of the rules that it was checked against
-	response                       chan response // with a buffer of one, so that the loop never blocks on it
-
-	mu       sync.Mutex
-	departed bool // its client has closed its connection, or may have: no further attempt begins
-	begun    bool // the first byte of an attempt may have been written
-}
-
-// beginAttempt records that the first byte of an attempt is written next. It returns false if the client has
-// departed; nothing may be written then.
-func (r *request) beginAttempt(a *attempt) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.departed {
-		return false
-	}
-	a.begun, r.begun = true, true
-	return true
-}
-
-// markDeparted keeps further attempts from beginning, and reports whether one has begun.
-func (r *request) markDeparted() (begun bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.departed = true
-	return r.begun
+	upstream.Request               // what is forwarded, and whether an attempt may begin
+	class            string        // by its target
+	firstByte        time.Duration // clock time when its first byte was read; 0: receivedAt
+	receivedAt       time.Duration // clock time when it was complete
+	deadline         time.Duration // clock time until which the client waits
+	expectedWork     time.Duration // the client's hint; 0: none
+	revision         int           // of the rules that it was checked against
+	response         chan response // with a buffer of one, so that the loop never blocks on it
 }
 
-// hasBegun reports whether a byte of the attempt may have been written.
-func (a *attempt) hasBegun() bool {
-	a.request.mu.Lock()
-	defer a.request.mu.Unlock()
-	return a.begun
+// attempt is the loop's record of an attempt. The fields beside Attempt belong to the goroutine of the loop; ctx
+// does not change, and ends when the attempt is cancelled.
+type attempt struct {
+	upstream.Attempt
+	ctx               context.Context
+	cancel            context.CancelFunc
+	request           *request
+	number            int           // of the attempt within its request, from 0
+	sentAt            time.Duration // clock time
+	ended             bool          // its result has been passed on
+	outlivesHalfClose bool          // a cancellation waits until the client is known to have disconnected
 }
 
 // response is the one final answer to a request.
--- a/internal/node/starttimes_test.go
+++ b/internal/node/starttimes_test.go
@@ -8,6 +8,7 @@
 
 	"basaltdrum/balancer"
 	"basaltdrum/internal/testutil"
+	"basaltdrum/internal/upstream"
 )
 
 // clockSteps are steps of the wall clock, some of them there and back.
@@ -233,12 +234,12 @@
 	for len(d.ends) > 0 && d.ends[0].at <= now {
 		end := d.ends[0]
 		d.ends = d.ends[1:]
-		d.handleEvent(attemptEnded{end.attempt, attemptOutcome{result: balancer.Success, endedAt: now}})
+		d.handleEvent(attemptEnded{end.attempt, upstream.Outcome{Result: balancer.Success, EndedAt: now}})
 	}
 	d.fireTimers()
 	d.handleEvent(requestReceived{&request{
-		id: fmt.Sprint(now), class: "view", receivedAt: now, deadline: now + time.Second, revision: 1,
-		response: make(chan response, 1),
+		Request: upstream.Request{ID: fmt.Sprint(now)}, class: "view",
+		receivedAt: now, deadline: now + time.Second, revision: 1, response: make(chan response, 1),
 	}})
 	d.machine.Pass(5 * time.Millisecond)
 }
--- a/internal/node/upstreamrequest.go
+++ b/internal/upstream/encode.go
@@ -1,4 +1,4 @@
-package node
+package upstream
 
 import (
 	"bytes"
@@ -19,7 +19,7 @@
 
 // The value of X-Deadline in a request to an endpoint: the time that the node will wait, in seconds.
 const (
-	deadlineValueWidth = len("3600.000")      // bytes; enough for maxDeadline with milliseconds
+	deadlineValueWidth = len("3600.000")      // bytes; enough for an hour, the longest, with milliseconds
 	minRemainingTime   = time.Millisecond     // an attempt with less time left is not begun
 	transitAllowance   = 5 * time.Millisecond // subtracted for the ways from the client and to the endpoint
 )
@@ -30,32 +30,31 @@
 	deadlineValue []byte // the part of text that holds the value of X-Deadline, which is filled in last
 }
 
-// encodeRequest encodes the request of an attempt. Method, target, body, request id and idempotency key pass
-// through unchanged.
-func encodeRequest(a *attempt) (encodedRequest, error) {
+// encodeRequest encodes a request. Method, target, body, request id and idempotency key pass through unchanged.
+func encodeRequest(r *Request) (encodedRequest, error) {
 	header := http.Header{
 		"User-Agent":   {""}, // suppresses the default
-		"X-Request-Id": {a.request.id},
+		"X-Request-Id": {r.ID},
 		"X-Deadline":   {strings.Repeat("0", deadlineValueWidth)},
 	}
-	if a.request.key != "" {
-		header["Idempotency-Key"] = []string{a.request.key}
+	if r.IdempotencyKey != "" {
+		header["Idempotency-Key"] = []string{r.IdempotencyKey}
 	}
-	if a.request.contentType != "" {
-		header["Content-Type"] = []string{a.request.contentType}
+	if r.ContentType != "" {
+		header["Content-Type"] = []string{r.ContentType}
 	}
 	httpRequest := http.Request{
-		Method: a.request.method, URL: &url.URL{Opaque: a.request.target}, Host: upstreamHost,
-		Header: header, ContentLength: int64(len(a.request.body)),
+		Method: r.Method, URL: &url.URL{Opaque: r.Target}, Host: upstreamHost,
+		Header: header, ContentLength: int64(len(r.Body)),
 	}
-	if len(a.request.body) > 0 {
-		httpRequest.Body = io.NopCloser(bytes.NewReader(a.request.body))
+	if len(r.Body) > 0 {
+		httpRequest.Body = io.NopCloser(bytes.NewReader(r.Body))
 	}
 	// The request goes out in a single write, whose result shows whether its last byte was written.
 	var buf bytes.Buffer
-	buf.Grow(headSizeHint + len(a.request.body))
+	buf.Grow(headSizeHint + len(r.Body))
 	if err := httpRequest.Write(&buf); err != nil {
-		return encodedRequest{}, fmt.Errorf("encode request %s: %w", a.request.id, err)
+		return encodedRequest{}, fmt.Errorf("encode request %s: %w", r.ID, err)
 	}
 	text := buf.Bytes()
 	const field = "\r\nX-Deadline: " // cannot be part of an earlier value, as no value contains a line end
@@ -66,8 +65,8 @@
 // remainingTime returns the time that an endpoint has for an attempt, or 0 if the time is over. That is the time
 // until the deadline by the node's clock, less an allowance for the time in transit, as the clock shows neither
 // when the client sent the request nor when the endpoint will read it. Of a short time the greater part remains.
-func (p *upstreamPool) remainingTime(a *attempt) time.Duration {
-	left := p.clock.Until(a.deadline)
+func (p *Pool) remainingTime(a *Attempt) time.Duration {
+	left := p.clock.Until(a.Deadline)
 	left -= min(transitAllowance, left/4)
 	if left < minRemainingTime {
 		return 0
