--- a/internal/fleet/hollownode.go
+++ b/internal/fleet/hollownode.go
@@ -4,8 +4,6 @@
 	"context"
 	"log/slog"
 	"math/rand/v2"
-	"sort"
-	"sync"
 	"sync/atomic"
 	"time"
 
@@ -13,21 +11,9 @@
 	"basaltdrum/internal/node"
 )
 
-// hollow is a hollow node, with the versions of its list that it has applied.
-type hollow struct {
-	*node.Hollow
-	mu      sync.Mutex
-	applied []appliedVersion // the oldest first
-}
-
-// appliedVersion is a version of a list, and when the node has applied it.
-type appliedVersion struct {
-	rev int64
-	at  time.Time
-}
-
-// newHollow sets up a hollow node. Its attempts all succeed, after times that are drawn with the mean given.
-func newHollow(spec NodeSpec, mean time.Duration, draws *rand.Rand, log *slog.Logger) (*hollow, error) {
+// newSpecifiedHollow sets up a hollow node by its specification. Its attempts all succeed, after times that are drawn
+// with the mean given.
+func newSpecifiedHollow(spec NodeSpec, mean time.Duration, draws *rand.Rand, log *slog.Logger) (*hollow, error) {
 	text, err := spec.Configuration()
 	if err != nil {
 		return nil, err
@@ -36,30 +22,10 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &hollow{}
 	serve := func(string) (time.Duration, balancer.AttemptResult) { // called by the loop's goroutine alone, as draws needs
 		return time.Duration(draws.ExpFloat64() * float64(mean)), balancer.Success
 	}
-	h.Hollow, err = node.NewHollow(cfg, log, serve, h.noteApplied)
-	return h, err
-}
-
-// noteApplied notes that the node applies a version.
-func (h *hollow) noteApplied(rev int64, at time.Time) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.applied = append(h.applied, appliedVersion{rev, at})
-}
-
-// appliedAt returns when the node has applied a version or a newer one, if it has.
-func (h *hollow) appliedAt(rev int64) (time.Time, bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	i := sort.Search(len(h.applied), func(i int) bool { return h.applied[i].rev >= rev })
-	if i == len(h.applied) {
-		return time.Time{}, false
-	}
-	return h.applied[i].at, true
+	return newHollow(cfg, serve, log)
 }
 
 // warnings is a log handler that counts warnings and errors, and writes nothing.
--- a/internal/fleet/hollows.go
+++ b/internal/fleet/hollows.go
@@ -115,12 +115,12 @@
 			Name: fmt.Sprintf("h%d", i), Index: i / spec.Services, Replicas: replicas, Tier: 1,
 			Listen: "127.0.0.1:0", Discovery: address, PollDiscovery: spec.PollDiscovery, Seed: spec.Seed + uint64(i),
 		}
-		one, err := newHollow(nodeSpec, spec.Service, rand.New(rand.NewPCG(spec.Seed, uint64(i))), log)
+		one, err := newSpecifiedHollow(nodeSpec, spec.Service, rand.New(rand.NewPCG(spec.Seed, uint64(i))), log)
 		if err != nil {
 			return err
 		}
 		h.nodes = append(h.nodes, one)
-		go one.Run(context.Background())
+		go one.run(context.Background())
 	}
 	return nil
 }
@@ -128,7 +128,7 @@
 // readyNodes returns how many nodes are ready.
 func (h *Hollows) readyNodes() (ready int) {
 	for _, n := range h.nodes {
-		if n.Ready() {
+		if n.ready() {
 			ready++
 		}
 	}
@@ -165,12 +165,12 @@
 	t := &h.tallies[h.phase.Load()]
 	t.offered.Add(1)
 	h.lateness.add(time.Since(drawn))
-	n.Call(callClass, time.Duration(callDeadline*float64(time.Second)), func(a node.Answer) {
-		switch a {
-		case node.Served:
+	n.call(callClass, time.Duration(callDeadline*float64(time.Second)), func(kind node.ResponseKind) {
+		switch kind {
+		case node.ResponseServed:
 			h.latency.add(time.Since(drawn))
 			t.served.Add(1)
-		case node.Rejected:
+		case node.ResponseRejected:
 			t.rejected.Add(1)
 		default:
 			t.failed.Add(1)
--- a/internal/node/departure_test.go
+++ b/internal/node/departure_test.go
@@ -211,8 +211,8 @@
 	case "dial":
 		d.dials = holdDials(n)
 	case "busy loop": // it stops at the first list that is pushed
-		update := n.loop.updateEndpoints
-		n.loop.updateEndpoints = func(entries []endpointlist.Entry, complete bool) {
+		update := n.loop.hooks.UpdateEndpoints
+		n.loop.hooks.UpdateEndpoints = func(entries []endpointlist.Entry, complete bool) {
 			if !complete {
 				close(d.stopped)
 				<-d.resume
--- a/internal/node/discoveryhandler.go
+++ b/internal/node/discoveryhandler.go
@@ -2,17 +2,19 @@
 
 import "basaltdrum/internal/endpointlist"
 
-// discoveryHandler posts what discovery reports as events to the loop. It implements discovery.Handler.
-type discoveryHandler struct{ post func(event) }
+// DiscoveryHandler posts what discovery reports as events to the loop. It implements discovery.Handler.
+type DiscoveryHandler struct {
+	Post func(Event) // queues an event for the loop
+}
 
 // ListReceived posts a list, or changes to it.
-func (h discoveryHandler) ListReceived(list endpointlist.List) { h.post(listReceived{list: list}) }
+func (h DiscoveryHandler) ListReceived(list endpointlist.List) { h.Post(listReceived{list: list}) }
 
 // ListConfirmed posts that nothing has changed.
-func (h discoveryHandler) ListConfirmed() { h.post(listConfirmed{}) }
+func (h DiscoveryHandler) ListConfirmed() { h.Post(listConfirmed{}) }
 
 // SubscriptionFailed posts that a poll has failed.
-func (h discoveryHandler) SubscriptionFailed() { h.post(subscriptionFailed{}) }
+func (h DiscoveryHandler) SubscriptionFailed() { h.Post(subscriptionFailed{}) }
 
 // Unresponsive posts that the agent has not answered.
-func (h discoveryHandler) Unresponsive() { h.post(discoveryUnresponsive{}) }
+func (h DiscoveryHandler) Unresponsive() { h.Post(discoveryUnresponsive{}) }
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -13,7 +13,7 @@
 //
 // The following state is shared, and guarded by a mutex or atomic where it stands:
 //
-//   - loop.rules and loop.ready: set by the loop, read by the front end;
+//   - Loop.rules and Loop.ready: set by the loop, read by the front end;
 //   - Node: what Reload changes.
 //
 // # Goroutines
@@ -39,6 +39,6 @@
 //     deadline. An attempt whose client has departed may still be in flight when all requests are answered.
 //   - The readers of connections to endpoints; see package upstream.
 //
-// A Hollow node has the loop, discovery and its attempts, and for each pending request a goroutine that waits for
-// the answer. Hollow.Run waits for the loop and for discovery.
+// Loop, with the names that it takes and returns, is exported for the scale run (package fleet), which runs it without
+// sockets to clients and endpoints.
 package node
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -9,13 +9,23 @@
 	"basaltdrum/internal/upstream"
 )
 
-// event is a message to the loop from another goroutine: one of the types of this file. String names it for
-// logs and for messages of tests.
-type event interface{ String() string }
+// Event is a message to the loop from another goroutine: one of the types of this file. String names it for logs and
+// for messages of tests.
+type Event interface{ String() string }
 
 // requestReceived carries a complete request that the front end has checked.
 type requestReceived struct{ request *request }
 
+// NewCall returns the event of a request that came on no connection, and the channel that receives its one response.
+// now and deadline are clock times, of the call and until which its maker waits.
+func NewCall(id, class string, now, deadline time.Duration) (Event, <-chan Response) {
+	r := &request{
+		Request: upstream.Request{ID: id}, class: class, receivedAt: now, deadline: deadline,
+		revision: firstRevision, response: make(chan Response, 1),
+	}
+	return requestReceived{r}, r.response
+}
+
 // clientDeparted reports that the client of a waiting request has closed its connection, or may have.
 type clientDeparted struct {
 	request    *request
@@ -26,7 +36,7 @@
 
 // attemptEnded carries the outcome of an attempt. It is posted once for each attempt that was started.
 type attemptEnded struct {
-	attempt *attempt
+	attempt *Attempt
 	result  upstream.Outcome
 }
 
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -25,7 +25,7 @@
 // exactly one final response for each.
 type frontend struct {
 	clock    monotime.Clock
-	post     func(event)
+	post     func(Event)
 	ready    func() bool
 	rules    *atomic.Pointer[requestRules]
 	draining atomic.Bool // the health check says that the node is not ready
@@ -35,7 +35,7 @@
 	conns *downstream.Conns
 }
 
-func newFrontend(c monotime.Clock, conns *downstream.Conns, rules *atomic.Pointer[requestRules], post func(event), ready func() bool,
+func newFrontend(c monotime.Clock, conns *downstream.Conns, rules *atomic.Pointer[requestRules], post func(Event), ready func() bool,
 	log *slog.Logger,
 ) *frontend {
 	f := &frontend{clock: c, post: post, ready: ready, conns: conns, rules: rules}
@@ -93,14 +93,14 @@
 	// If the client has left, or its departure could not be seen, no attempt may begin: its pipelined requests
 	// are rejected one after another. A client that has only shut down its sending side may read the responses.
 	if conn.AwaitCaughtUp() != downstream.Present || !f.conns.AdmitRequest(conn) {
-		f.writeResponse(w, conn, response{kind: responseRejected, retryAfter: f.rules.Load().retryAfter})
+		f.writeResponse(w, conn, Response{Kind: ResponseRejected, retryAfter: f.rules.Load().retryAfter})
 		return
 	}
 	f.post(requestReceived{c})
 	a, reads := f.awaitResponse(conn, c, r.ProtoAtLeast(1, 1))
 	if !reads {
 		w.Header().Set("Connection", "close")
-		a.kind = responseFailed // if nothing were written, net/http would send a 200
+		a.Kind = ResponseFailed // if nothing were written, net/http would send a 200
 	}
 	f.writeResponse(w, conn, a)
 }
@@ -108,7 +108,7 @@
 // awaitResponse waits for the response to a request, or until its client has disconnected and nobody reads
 // one. The request is marked as departed before the loop is notified, because an attempt's connection to a
 // server may be established at that very moment, and the attempt must not begin any more.
-func (f *frontend) awaitResponse(conn *downstream.Conn, c *request, interims bool) (a response, reads bool) {
+func (f *frontend) awaitResponse(conn *downstream.Conn, c *request, interims bool) (a Response, reads bool) {
 	for notified := downstream.Present; ; {
 		select {
 		case a := <-c.response:
@@ -124,7 +124,7 @@
 		f.post(clientDeparted{request: c, how: how, at: f.clock.Now(), retryAfter: f.rules.Load().retryAfter})
 		switch {
 		case how == downstream.Disconnected:
-			return response{}, false
+			return Response{}, false
 		case how == downstream.HalfClosed && begun && interims:
 			conn.SendInterimResponse(writeTimeout)
 		}
@@ -139,7 +139,7 @@
 			ID: r.Header.Get("X-Request-Id"), Method: r.Method, Target: r.RequestURI,
 			IdempotencyKey: r.Header.Get("Idempotency-Key"), ContentType: r.Header.Get("Content-Type"),
 		},
-		firstByte: head.FirstByte, response: make(chan response, 1),
+		firstByte: head.FirstByte, response: make(chan Response, 1),
 	}
 	if err := f.validateHead(c, r); err != nil {
 		return nil, err
--- a/internal/node/goroutines_test.go
+++ b/internal/node/goroutines_test.go
@@ -12,7 +12,7 @@
 // startedByRun and itsWork find the goroutines that Run has started and that are still at work, in a dump of stacks.
 var (
 	startedByRun = "created by basaltdrum/internal/node.(*Node).startBackground"
-	itsWork      = regexp.MustCompile(`\.\(\*(loop|Client|Pool)\)\.(run|Run|CloseExpired)\(`)
+	itsWork      = regexp.MustCompile(`\.\(\*(Loop|Client|Pool)\)\.(Run|CloseExpired)\(`)
 )
 
 // backgroundGoroutines returns the goroutines that Run has started, of all nodes that run, by their numbers.
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -186,8 +186,8 @@
 // record is a change for startNode: it has the recorder see the lists from the start of the node on.
 func (r *listRecorder) record(n *Node) {
 	r.entries = map[string]endpointlist.Entry{}
-	update := n.loop.updateEndpoints
-	n.loop.updateEndpoints = func(entries []endpointlist.Entry, complete bool) {
+	update := n.loop.hooks.UpdateEndpoints
+	n.loop.hooks.UpdateEndpoints = func(entries []endpointlist.Entry, complete bool) {
 		update(entries, complete)
 		r.mu.Lock()
 		defer r.mu.Unlock()
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -16,18 +16,16 @@
 // eventQueueLength is how many events may wait for the loop before post blocks.
 const eventQueueLength = 1024
 
-// loop is the node's event loop: a single goroutine that feeds events to the decision module and carries out the
+// Loop is the node's event loop: a single goroutine that feeds events to the decision module and carries out the
 // actions that the module returns (the reactor pattern). It alone touches the Balancer and all fields that are
 // not marked otherwise. It never blocks on I/O: answers go to buffered channels, and each attempt runs in a
 // goroutine of its own.
-type loop struct {
-	clock           monotime.Clock
-	balancer        *balancer.Balancer
-	events          chan event
-	start           func(*attempt) // starts an attempt; must not block
-	subscribe       func()         // starts a poll of discovery; must not block
-	updateEndpoints func(entries []endpointlist.Entry, complete bool)
-	listsPushed     bool // discovery pushes lists; otherwise they are polled
+type Loop struct {
+	clock       monotime.Clock
+	balancer    *balancer.Balancer
+	events      chan Event
+	hooks       LoopHooks
+	listsPushed bool // discovery pushes lists; otherwise they are polled
 
 	// rules are those of the settings that the module has. Other goroutines read them; once the loop runs, it
 	// alone sets them.
@@ -44,19 +42,62 @@
 	listKnown  bool              // a list has been applied: discovery's, or the cached one in its place
 }
 
-func newLoop(b *balancer.Balancer, c monotime.Clock, log *slog.Logger) *loop {
-	return &loop{
-		clock: c, balancer: b, events: make(chan event, eventQueueLength),
+// LoopHooks are the functions by which a Loop carries out what the module decides. The loop's goroutine calls them, and
+// they must not block.
+type LoopHooks struct {
+	// StartAttempt starts an attempt. Its outcome is due as an event; see Attempt.Ended.
+	StartAttempt func(*Attempt)
+	// UpdateEndpoints is called with the entries of a list that changes something, before the module has them.
+	UpdateEndpoints func(entries []endpointlist.Entry, complete bool)
+	// Subscribe starts a poll of discovery, where lists are polled.
+	Subscribe func()
+}
+
+// NewLoop returns the loop of a node with a configuration. It needs hooks and a list to begin with before it runs.
+func NewLoop(cfg Config, clock monotime.Clock, log *slog.Logger) (*Loop, error) {
+	set := moduleSettings(cfg)
+	module, err := balancer.New(set, cfg.Seed)
+	if err != nil {
+		return nil, err
+	}
+	l := newLoop(module, clock, log)
+	l.rules.Store(newRequestRules(firstRevision, set))
+	l.listsPushed = !set.PollDiscovery
+	return l, nil
+}
+
+func newLoop(b *balancer.Balancer, c monotime.Clock, log *slog.Logger) *Loop {
+	return &Loop{
+		clock: c, balancer: b, events: make(chan Event, eventQueueLength),
 		pending: map[string]*pendingRequest{}, endpoints: endpointlist.NewTable(c),
 		traffic: trafficLog{log: log, connectionStats: func() []any { return nil }},
 	}
 }
 
+// SetHooks sets the functions that the loop calls. It is called before Run.
+func (l *Loop) SetHooks(hooks LoopHooks) { l.hooks = hooks }
+
+// SetCachedList has the loop begin with the list that the node last had. Where lists are polled it is in use at once,
+// and the module subscribes for a newer one. It is called before Run, after SetHooks.
+func (l *Loop) SetCachedList(cached endpointlist.List) {
+	l.cachedList = cached
+	if !l.listsPushed {
+		l.useCachedList()
+	}
+}
+
+// Queue returns the queue of the loop's events. Sending to it blocks while it is full, and for good once Run has
+// returned.
+func (l *Loop) Queue() chan<- Event { return l.events }
+
+// Ready reports whether a listed endpoint is ready.
+func (l *Loop) Ready() bool { return l.ready.Load() }
+
 // post queues an event for the loop. It blocks while the queue is full.
-func (l *loop) post(e event) { l.events <- e }
+func (l *Loop) post(e Event) { l.events <- e }
 
-// run handles events and timers until ctx ends.
-func (l *loop) run(ctx context.Context) {
+// Run handles events and timers until ctx ends.
+func (l *Loop) Run(ctx context.Context) {
 	wakeUp := time.NewTimer(time.Hour)
 	defer wakeUp.Stop()
 	trafficTicker := time.NewTicker(statsInterval)
@@ -81,7 +122,7 @@
 
 // fireTimers passes the timers that are due to the module. It reads the clock anew before each, since the
 // events before it take time too.
-func (l *loop) fireTimers() {
+func (l *Loop) fireTimers() {
 	for {
 		now := l.clock.Now()
 		token, due := l.timers.takeDue(now)
@@ -93,13 +134,13 @@
 }
 
 // logTraffic writes the traffic line.
-func (l *loop) logTraffic() { l.traffic.write(len(l.pending)) }
+func (l *Loop) logTraffic() { l.traffic.write(len(l.pending)) }
 
 // noteLag measures how long after it happened an event is handled.
-func (l *loop) noteLag(at time.Duration) { l.traffic.noteLag(-l.clock.Until(at)) }
+func (l *Loop) noteLag(at time.Duration) { l.traffic.noteLag(-l.clock.Until(at)) }
 
 // handleEvent handles one event.
-func (l *loop) handleEvent(e event) {
+func (l *Loop) handleEvent(e Event) {
 	switch e := e.(type) {
 	case requestReceived:
 		l.handleRequest(e.request)
@@ -130,7 +171,7 @@
 // useCachedList starts with the list that the node last had, unless a newer one has been applied. The agent's
 // list is binding from the first moment of the process. So until that list has come, or discovery counts as
 // unresponsive, no request is sent by the cached list, and the module queues what clients send.
-func (l *loop) useCachedList() {
+func (l *Loop) useCachedList() {
 	if !l.listKnown {
 		l.applyList(l.cachedList, true)
 	}
@@ -140,7 +181,7 @@
 // lists are pushed, one that changes nothing, as it comes after discovery has moved to another address, is not
 // passed on: the module treats every list as a change and selects its subset anew, which would move requests
 // and open connections without need.
-func (l *loop) applyList(update endpointlist.List, cached bool) {
+func (l *Loop) applyList(update endpointlist.List, cached bool) {
 	l.listKnown, l.cachedList = true, endpointlist.List{}
 	l.endpoints.SetStartTimes(update.Entries)
 	if !cached {
@@ -150,24 +191,24 @@
 		return
 	}
 	e := balancer.EndpointUpdate{Complete: update.Complete, Cached: cached, Endpoints: l.endpoints.Apply(update)}
-	l.updateEndpoints(update.Entries, update.Complete)
+	l.hooks.UpdateEndpoints(update.Entries, update.Complete)
 	l.decide(l.clock.Now(), e)
 	l.ready.Store(l.endpoints.HasReady())
 }
 
 // handleRequest passes a request to the module, as of the time when it was received rather than when the loop
 // came to it.
-func (l *loop) handleRequest(r *request) {
+func (l *Loop) handleRequest(r *request) {
 	l.noteLag(r.receivedAt)
 	if l.pending[r.ID] != nil {
 		// The module ignores a request with an id that is pending, so nothing else would answer this one.
-		r.response <- response{kind: responseDuplicateID}
+		r.response <- Response{Kind: ResponseDuplicateID}
 		return
 	}
 	// The front end checked the request by the rules of that moment; the module only knows the present ones.
 	if rules := l.rules.Load(); r.revision != rules.revision {
 		if invalid := rules.validate(r); invalid != nil {
-			r.response <- response{kind: responseInvalid, reason: invalid}
+			r.response <- Response{Kind: ResponseInvalid, reason: invalid}
 			return
 		}
 	}
@@ -181,7 +222,7 @@
 // handleDeparture stops retries for a client that has closed its connection, or may have; the module is notified
 // once that the client is gone. A client that has only closed its sending side may still read the answer of an
 // attempt that has begun, so such an attempt goes on until the client is known to be gone.
-func (l *loop) handleDeparture(e clientDeparted) {
+func (l *Loop) handleDeparture(e clientDeparted) {
 	l.noteLag(e.at)
 	p := l.pending[e.request.ID]
 	if p == nil || p.request != e.request || p.answered {
@@ -201,7 +242,7 @@
 
 // answerDeparted answers the request of a departed client, unless an attempt may still bring an answer that the
 // client reads.
-func (l *loop) answerDeparted(p *pendingRequest) {
+func (l *Loop) answerDeparted(p *pendingRequest) {
 	if !p.answered && !p.canBeServed() {
 		l.finish(p, p.departedResponse())
 	}
@@ -209,7 +250,7 @@
 
 // answerAll answers every request that is not answered, at the end of draining. To the module, the requests of
 // departed clients are answered already, so it returns no action for them.
-func (l *loop) answerAll() {
+func (l *Loop) answerAll() {
 	l.decide(l.clock.Now(), balancer.Shutdown{})
 	for _, p := range l.pending {
 		if p.hasDeparted() {
@@ -219,14 +260,14 @@
 }
 
 // endAttempt passes the outcome of an attempt to the module. The first success answers the request.
-func (l *loop) endAttempt(a *attempt, outcome upstream.Outcome) {
+func (l *Loop) endAttempt(a *Attempt, outcome upstream.Outcome) {
 	l.noteLag(outcome.EndedAt)
 	l.traffic.Results[outcome.Result]++
 	p := l.pending[a.request.ID]
 	p.endAttempt(a, outcome.Result)
 	if outcome.Result == balancer.Success && !p.answered {
 		l.traffic.Served++
-		p.answer(response{kind: responseServed, body: outcome.Body, contentType: outcome.ContentType})
+		p.answer(Response{Kind: ResponseServed, body: outcome.Body, contentType: outcome.ContentType})
 	}
 	l.decide(outcome.EndedAt, balancer.AttemptEnded{
 		ID: a.request.ID, Attempt: a.number, Endpoint: a.Instance.UID, Result: outcome.Result,
@@ -240,7 +281,7 @@
 
 // decide gives the module an event and carries out the actions that it returns. The module's time must not go
 // back, so an event that happened before the last one counts as simultaneous with it.
-func (l *loop) decide(at time.Duration, e balancer.Event) {
+func (l *Loop) decide(at time.Duration, e balancer.Event) {
 	l.now = max(l.now, at)
 	for _, action := range l.balancer.Handle(l.now, e) {
 		switch action := action.(type) {
@@ -251,22 +292,22 @@
 				p.cancelAttempt(action.Attempt)
 			}
 		case balancer.Reject:
-			l.finish(l.pending[action.ID], response{kind: responseRejected, retryAfter: action.RetryAfter})
+			l.finish(l.pending[action.ID], Response{Kind: ResponseRejected, retryAfter: action.RetryAfter})
 		case balancer.Fail:
-			l.finish(l.pending[action.ID], response{kind: responseFailed})
+			l.finish(l.pending[action.ID], Response{Kind: ResponseFailed})
 		case balancer.SetTimer:
 			l.timers.set(action.At, action.Token)
 		case balancer.Subscribe:
-			l.subscribe()
+			l.hooks.Subscribe()
 		}
 	}
 }
 
 // send starts the attempt that the module has decided on.
-func (l *loop) send(s balancer.Send) {
+func (l *Loop) send(s balancer.Send) {
 	p := l.pending[s.ID]
 	ctx, cancel := context.WithCancel(context.Background())
-	a := &attempt{
+	a := &Attempt{
 		Attempt: upstream.Attempt{
 			Request: &p.request.Request, Instance: l.endpoints.Instance(s.Endpoint),
 			Deadline: min(l.now+s.Timeout, p.request.deadline), NotAfter: s.NotAfter,
@@ -275,21 +316,21 @@
 	}
 	p.addAttempt(a)
 	l.traffic.Sends++
-	l.start(a)
+	l.hooks.StartAttempt(a)
 }
 
 // finish answers a request, unless it is answered or unknown, without an endpoint's answer.
-func (l *loop) finish(p *pendingRequest, final response) {
+func (l *Loop) finish(p *pendingRequest, final Response) {
 	if p == nil || p.answered {
 		return
 	}
-	l.traffic.noteUnserved(final.kind)
+	l.traffic.noteUnserved(final.Kind)
 	p.answer(final)
 	l.forget(p)
 }
 
 // forget drops a request that is over.
-func (l *loop) forget(p *pendingRequest) {
+func (l *Loop) forget(p *pendingRequest) {
 	if p.isOver() {
 		delete(l.pending, p.request.ID)
 	}
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -25,7 +25,7 @@
 	defer n.listener.Close()
 	n.loop.handleEvent(discoveryUnresponsive{})
 	updates := 0
-	n.loop.updateEndpoints = func([]endpointlist.Entry, bool) { updates++ }
+	n.loop.hooks.UpdateEndpoints = func([]endpointlist.Entry, bool) { updates++ }
 	for _, row := range []struct {
 		name    string
 		entries []string
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -10,7 +10,6 @@
 	"sync"
 	"time"
 
-	"basaltdrum/balancer"
 	"basaltdrum/internal/discovery"
 	"basaltdrum/internal/downstream"
 	"basaltdrum/internal/endpointlist"
@@ -29,13 +28,12 @@
 // Node is one load balancer on sockets. New makes one, Run serves until its context ends, and Reload puts another
 // configuration into force meanwhile.
 type Node struct {
-	loop        *loop
-	frontend    *frontend
-	upstream    *upstream.Pool
-	discovery   *discovery.Client
-	listener    net.Listener
-	listsPushed bool
-	log         *slog.Logger
+	loop      *Loop
+	frontend  *frontend
+	upstream  *upstream.Pool
+	discovery *discovery.Client
+	listener  net.Listener
+	log       *slog.Logger
 
 	mu            sync.Mutex // guards what Reload changes
 	cfg           Config
@@ -44,6 +42,9 @@
 	drainLimit    time.Duration
 }
 
+// firstRevision is the revision of the configuration that a node starts with.
+const firstRevision = 1
+
 // LimitResources keeps the process within one core and within its memory.
 func LimitResources(cfg Config) {
 	runtime.GOMAXPROCS(1)
@@ -52,25 +53,25 @@
 
 // New sets up a node and begins to listen. Nothing is served before Run.
 func New(cfg Config, log *slog.Logger) (*Node, error) {
-	set := moduleSettings(cfg)
-	module, err := balancer.New(set, cfg.Seed)
+	clock := monotime.New()
+	l, err := NewLoop(cfg, clock, log)
 	if err != nil {
 		return nil, fmt.Errorf("node: %w", err)
 	}
-	clock := monotime.New()
-	l := newLoop(module, clock, log)
-	l.rules.Store(newRequestRules(1, set))
 	n := &Node{
-		loop: l, upstream: upstream.NewPool(clock, (cfg.Sockets-reservedDescriptors)/2, upstreamTimeouts(cfg)), listsPushed: !set.PollDiscovery, log: log,
-		cfg: cfg, revision: 1, drainSchedule: drainScheduleOf(cfg), drainLimit: drainLimit(cfg),
+		loop: l, log: log,
+		upstream: upstream.NewPool(clock, (cfg.Sockets-reservedDescriptors)/2, upstreamTimeouts(cfg)),
+		cfg:      cfg, revision: firstRevision, drainSchedule: drainScheduleOf(cfg), drainLimit: drainLimit(cfg),
 	}
 	conns := downstream.NewConns(clock, downstreamLimits(cfg), n.upstream.Connections)
 	n.upstream.Allowance = conns.UpstreamAllowance
-	n.frontend = newFrontend(clock, conns, &l.rules, l.post, l.ready.Load, log)
+	n.frontend = newFrontend(clock, conns, &l.rules, l.post, l.Ready, log)
 	l.traffic.connectionStats = n.connectionStats
-	l.start = n.startAttempt
-	l.updateEndpoints, l.listsPushed = n.upstream.UpdateEndpoints, n.listsPushed
-	n.startDiscovery(cfg)
+	cached := n.setUpDiscovery(cfg)
+	l.SetHooks(LoopHooks{
+		StartAttempt: n.startAttempt, UpdateEndpoints: n.upstream.UpdateEndpoints, Subscribe: n.discovery.Subscribe,
+	})
+	l.SetCachedList(cached)
 	if n.listener, err = net.Listen("tcp", cfg.Listen); err != nil {
 		return nil, fmt.Errorf("node: %w", err)
 	}
@@ -86,9 +87,8 @@
 	}
 }
 
-// startDiscovery sets up discovery and hands the cached list to the loop. Where lists are polled the loop applies
-// it at once, and the module subscribes for a newer one.
-func (n *Node) startDiscovery(cfg Config) {
+// setUpDiscovery makes the client of discovery, and returns the cached list.
+func (n *Node) setUpDiscovery(cfg Config) (cached endpointlist.List) {
 	cached, err := endpointlist.Parse(cfg.Known)
 	version := cached.Version
 	if err != nil {
@@ -98,21 +98,15 @@
 	n.cfg.Known = nil // it is long, and only counts at the start
 	n.discovery = discovery.New(
 		discovery.Config{Address: cfg.Discovery, Polled: cfg.Settings.PollDiscovery, Version: version},
-		discoveryHandler{n.loop.post}, n.log,
+		DiscoveryHandler{n.loop.post}, n.log,
 	)
-	n.loop.subscribe = n.discovery.Subscribe
-	n.loop.cachedList = cached
-	if !n.listsPushed {
-		n.loop.useCachedList()
-	}
+	return cached
 }
 
 // startAttempt runs an attempt in a goroutine of its own, which posts the outcome.
-func (n *Node) startAttempt(a *attempt) {
+func (n *Node) startAttempt(a *Attempt) {
 	go func() {
-		outcome := n.upstream.Do(a.ctx, &a.Attempt)
-		a.cancel()
-		n.loop.post(attemptEnded{a, outcome})
+		n.loop.post(a.Ended(n.upstream.Do(a.ctx, &a.Attempt)))
 	}()
 }
 
@@ -171,7 +165,7 @@
 			run(ctx)
 		}()
 	}
-	start(&loop, loopCtx, n.loop.run)
+	start(&loop, loopCtx, n.loop.Run)
 	start(&feeders, feederCtx, n.upstream.CloseExpired)
 	start(&feeders, feederCtx, n.discovery.Run)
 	return func() {
--- a/internal/node/pendingrequest.go
+++ b/internal/node/pendingrequest.go
@@ -12,7 +12,7 @@
 // request is answered, which happens once. It belongs to the goroutine of the loop.
 type pendingRequest struct {
 	request    *request
-	attempts   []*attempt // all that were started, by their number
+	attempts   []*Attempt // all that were started, by their number
 	inFlight   int        // attempts that have not ended
 	answered   bool
 	departed   downstream.Departure // anything but Present: the module was notified that the client is gone
@@ -21,13 +21,13 @@
 }
 
 // addAttempt records that an attempt is started.
-func (p *pendingRequest) addAttempt(a *attempt) {
+func (p *pendingRequest) addAttempt(a *Attempt) {
 	p.attempts = append(p.attempts, a)
 	p.inFlight++
 }
 
 // endAttempt records that an attempt has ended.
-func (p *pendingRequest) endAttempt(a *attempt, result balancer.AttemptResult) {
+func (p *pendingRequest) endAttempt(a *Attempt, result balancer.AttemptResult) {
 	p.inFlight--
 	a.ended = true
 	switch result {
@@ -51,7 +51,7 @@
 }
 
 // answer hands the final response to the goroutine that waits for it.
-func (p *pendingRequest) answer(final response) {
+func (p *pendingRequest) answer(final Response) {
 	p.answered = true
 	p.request.response <- final
 	p.cancelOutlivingAttempts()
@@ -99,11 +99,11 @@
 
 // departedResponse returns the final response to a departed client, which the module leaves out for a client that is
 // gone: a rejection, unless an attempt may have been executed.
-func (p *pendingRequest) departedResponse() response {
+func (p *pendingRequest) departedResponse() Response {
 	if p.mayHaveRun || p.hasBegunAttempt() {
-		return response{kind: responseFailed}
+		return Response{Kind: ResponseFailed}
 	}
-	return response{kind: responseRejected, retryAfter: p.retryAfter}
+	return Response{Kind: ResponseRejected, retryAfter: p.retryAfter}
 }
 
 // isOver reports whether the request is answered and has no attempt in flight. The module forgets a request by the
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -18,12 +18,12 @@
 	deadline         time.Duration // clock time until which the client waits
 	expectedWork     time.Duration // the client's hint; 0: none
 	revision         int           // of the rules that it was checked against
-	response         chan response // with a buffer of one, so that the loop never blocks on it
+	response         chan Response // with a buffer of one, so that the loop never blocks on it
 }
 
-// attempt is the loop's record of an attempt. The fields beside Attempt belong to the goroutine of the loop; ctx
-// does not change, and ends when the attempt is cancelled.
-type attempt struct {
+// Attempt is the loop's record of an attempt. The fields beside upstream.Attempt belong to the goroutine of the loop;
+// ctx does not change, and ends when the attempt is cancelled.
+type Attempt struct {
 	upstream.Attempt
 	ctx               context.Context
 	cancel            context.CancelFunc
@@ -34,38 +34,48 @@
 	outlivesHalfClose bool          // a cancellation waits until the client is known to have disconnected
 }
 
-// response is the one final answer to a request.
-type response struct {
-	kind        responseKind
+// Done returns a channel that is closed when the attempt is cancelled.
+func (a *Attempt) Done() <-chan struct{} { return a.ctx.Done() }
+
+// Ended returns the event that reports the attempt's outcome. It is due once for each attempt that was started.
+func (a *Attempt) Ended(outcome upstream.Outcome) Event {
+	a.cancel()
+	return attemptEnded{a, outcome}
+}
+
+// Response is the one final answer to a request.
+type Response struct {
+	Kind        ResponseKind
 	body        []byte        // if served
 	contentType string        // if served; empty: the endpoint sent none
 	retryAfter  time.Duration // if rejected; 0: none
 	reason      *requestError // if invalid
 }
 
-// responseKind decides the status of a response.
-type responseKind int
+// ResponseKind says how a request ended, which decides the status of its response.
+type ResponseKind int
 
+// The kinds of responses.
 const (
-	responseServed      responseKind = iota // by an endpoint
-	responseRejected                        // not forwarded: the client may retry elsewhere
-	responseFailed                          // forwarded, and no answer came back
-	responseDuplicateID                     // a request with this id is pending
-	responseInvalid                         // new settings came into force between its check and the module
+	ResponseServed      ResponseKind = iota // by an endpoint
+	ResponseRejected                        // not forwarded: the client may retry elsewhere
+	ResponseFailed                          // forwarded, and no answer came back
+	ResponseDuplicateID                     // a request with this id is pending
+	ResponseInvalid                         // new settings came into force between its check and the module
 )
 
 // String names the kind for logs.
-func (k responseKind) String() string {
+func (k ResponseKind) String() string {
 	switch k {
-	case responseServed:
+	case ResponseServed:
 		return "served"
-	case responseRejected:
+	case ResponseRejected:
 		return "rejected"
-	case responseFailed:
+	case ResponseFailed:
 		return "failed"
-	case responseDuplicateID:
+	case ResponseDuplicateID:
 		return "duplicate id"
-	case responseInvalid:
+	case ResponseInvalid:
 		return "invalid"
 	}
 	return fmt.Sprintf("responseKind(%d)", int(k))
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -12,31 +12,31 @@
 // writeResponse writes the final response of a request. It closes the connection with the response while
 // there are too many connections or the node shuts down, but not if a pipelined request was read on it, which
 // would then get no response.
-func (f *frontend) writeResponse(w http.ResponseWriter, conn *downstream.Conn, a response) {
+func (f *frontend) writeResponse(w http.ResponseWriter, conn *downstream.Conn, a Response) {
 	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	h := w.Header()
 	if (f.conns.OverLimit() || f.closing.Load()) && !conn.EndWatch() {
 		h.Set("Connection", "close")
 	}
-	switch a.kind {
-	case responseServed:
+	switch a.Kind {
+	case ResponseServed:
 		writeServed(w, a)
-	case responseRejected:
+	case ResponseRejected:
 		if a.retryAfter > 0 {
 			h.Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', -1, 64))
 		}
 		http.Error(w, "refused", http.StatusServiceUnavailable)
-	case responseFailed:
+	case ResponseFailed:
 		http.Error(w, "failed", http.StatusBadGateway)
-	case responseInvalid:
+	case ResponseInvalid:
 		writeInvalid(w, a.reason)
-	case responseDuplicateID:
+	case ResponseDuplicateID:
 		http.Error(w, "X-Request-Id is in use", http.StatusConflict)
 	}
 }
 
 // writeServed forwards the response of a server.
-func writeServed(w http.ResponseWriter, a response) {
+func writeServed(w http.ResponseWriter, a Response) {
 	h := w.Header()
 	if a.contentType == "" {
 		h["Content-Type"] = nil // keeps net/http from guessing one
--- a/internal/node/simulatedloop_test.go
+++ b/internal/node/simulatedloop_test.go
@@ -12,7 +12,7 @@
 
 // simulatedLoop is an event loop on simulated clocks, which a test feeds with events one by one.
 type simulatedLoop struct {
-	*loop
+	*Loop
 	t       testing.TB
 	machine *testutil.MachineClocks
 }
@@ -30,8 +30,9 @@
 	machine := testutil.NewMachineClocks()
 	l := newLoop(module, monotime.Simulated(machine.Elapsed, machine.Unix), testutil.DiscardLog())
 	l.rules.Store(newRequestRules(1, cfg.Settings))
-	l.updateEndpoints, l.subscribe, l.listsPushed = func([]endpointlist.Entry, bool) {}, func() {}, listsPushed
-	return &simulatedLoop{loop: l, t: t, machine: machine}
+	l.listsPushed = listsPushed
+	l.SetHooks(LoopHooks{UpdateEndpoints: func([]endpointlist.Entry, bool) {}, Subscribe: func() {}})
+	return &simulatedLoop{Loop: l, t: t, machine: machine}
 }
 
 // processStart returns the clock time at which the process started.
--- a/internal/node/starttimes_test.go
+++ b/internal/node/starttimes_test.go
@@ -197,7 +197,7 @@
 // timedEnd is when an attempt ends.
 type timedEnd struct {
 	at      time.Duration
-	attempt *attempt
+	attempt *Attempt
 }
 
 // loopTraffic drives an event loop by the clocks of its machine: a request every 5 ms, each served after 4 ms.
@@ -209,7 +209,7 @@
 
 func newLoopTraffic(l *simulatedLoop) *loopTraffic {
 	d := &loopTraffic{simulatedLoop: l}
-	l.start = func(a *attempt) {
+	l.hooks.StartAttempt = func(a *Attempt) {
 		d.ends = append(d.ends, timedEnd{l.clock.Now() + 4*time.Millisecond, a})
 		d.sent++
 	}
@@ -239,7 +239,7 @@
 	d.fireTimers()
 	d.handleEvent(requestReceived{&request{
 		Request: upstream.Request{ID: fmt.Sprint(now)}, class: "view",
-		receivedAt: now, deadline: now + time.Second, revision: 1, response: make(chan response, 1),
+		receivedAt: now, deadline: now + time.Second, revision: 1, response: make(chan Response, 1),
 	}})
 	d.machine.Pass(5 * time.Millisecond)
 }
--- a/internal/node/trafficlog.go
+++ b/internal/node/trafficlog.go
@@ -35,8 +35,8 @@
 }
 
 // noteUnserved counts a request that was answered without an endpoint's answer.
-func (c *trafficCounts) noteUnserved(kind responseKind) {
-	if kind == responseRejected {
+func (c *trafficCounts) noteUnserved(kind ResponseKind) {
+	if kind == ResponseRejected {
 		c.Rejected++
 	} else {
 		c.Failed++
