--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -66,7 +66,8 @@
 	return cfg
 }
 
-// startNode runs a node until the test ends, or until the returned function is called.
+// startNode runs a node until the test ends, or until the returned function is called. That drains the node as its
+// configuration has it; the end of the test doesn't wait for that, and has it answer what is left at once.
 func startNode(t *testing.T, cfg Config, change func(*Node)) (n *Node, stop func() error) {
 	t.Helper()
 	n, err := New(cfg, testutil.DiscardLog())
@@ -190,8 +191,8 @@
 // record is a change for startNode: it has the recorder see the lists from the start of the node on.
 func (r *listRecorder) record(n *Node) {
 	r.entries = map[string]endpointlist.Entry{}
-	update := n.loop.updateEndpoints
-	n.loop.updateEndpoints = func(entries []endpointlist.Entry, complete bool) {
+	update := n.loop.hooks.UpdateEndpoints
+	n.loop.hooks.UpdateEndpoints = func(entries []endpointlist.Entry, complete bool) {
 		update(entries, complete)
 		r.mu.Lock()
 		defer r.mu.Unlock()
