--- a/internal/node/brokenconn_test.go
+++ b/internal/node/brokenconn_test.go
@@ -46,7 +46,7 @@
 	})
 	var dials testutil.HeldDials
 	conns := breakableConns{cause: cause, accepted: make(chan *breakableConn, 2)}
-	cfg := configFor(s)
+	cfg := configWithServers(s)
 	for i := range cfg.Settings.Classes { // no attempt times out before the test gives up
 		cfg.Settings.Classes[i].LatencyObjective, cfg.Settings.Classes[i].Deadline = 4*testutil.Limit, 4*testutil.Limit
 	}
--- a/internal/node/chunked_test.go
+++ b/internal/node/chunked_test.go
@@ -35,7 +35,7 @@
 func TestChunkedBodiesAreForwardedWithALength(t *testing.T) {
 	t.Parallel()
 	s := framingServer(t)
-	n, _ := startNode(t, configFor(s), nil)
+	n, _ := startNode(t, configWithServers(s), nil)
 	full := strings.Repeat("b", http1.MaxBodyBytes)
 	for _, c := range []struct{ name, chunks, body string }{
 		{"one chunk", "2\r\nok\r\n0\r\n\r\n", "ok"},
@@ -164,7 +164,7 @@
 func TestFramingErrorsEndTheConnection(t *testing.T) {
 	t.Parallel()
 	s := framingServer(t)
-	n, _ := startNode(t, configFor(s), nil)
+	n, _ := startNode(t, configWithServers(s), nil)
 	for _, c := range framingErrors {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/node/clienttimeouts_test.go
+++ b/internal/node/clienttimeouts_test.go
@@ -13,7 +13,7 @@
 // Silent connections, partial requests and idle connections time out.
 func TestConnectionsWithoutARequestTimeOut(t *testing.T) {
 	s := testutil.NewServer(t, testutil.Echo)
-	n, _ := startNode(t, configFor(s), func(n *Node) {
+	n, _ := startNode(t, configWithServers(s), func(n *Node) {
 		n.frontend.server.ReadTimeout = 300 * time.Millisecond
 		n.frontend.server.IdleTimeout = 300 * time.Millisecond
 	})
@@ -35,7 +35,7 @@
 // reading a request, even if it has sent too little to be distinguished from an idle one.
 func TestPartialRequestsTimeOut(t *testing.T) {
 	s := testutil.NewServer(t, testutil.Echo)
-	n, _ := startNode(t, configFor(s), func(n *Node) {
+	n, _ := startNode(t, configWithServers(s), func(n *Node) {
 		n.frontend.server.ReadTimeout = 300 * time.Millisecond
 		n.frontend.server.IdleTimeout = 10 * testutil.Limit
 	})
--- a/internal/node/departure_test.go
+++ b/internal/node/departure_test.go
@@ -31,7 +31,7 @@
 		})
 		return answers && testutil.Echo(c, r, body)
 	})
-	n, _ := startNode(t, withLongObjectives(configFor(s)), nil)
+	n, _ := startNode(t, withLongObjectives(configWithServers(s)), nil)
 	c := dial(t, n)
 	c.Send("POST", "/note/k", "leaving", "x", "60")
 	testutil.Wait(t, got, "the attempt")
@@ -321,7 +321,7 @@
 	t.Parallel()
 	s := testutil.NewServer(t, testutil.Echo)
 	through := make(chan struct{})
-	n, _ := startNode(t, configFor(s), func(n *Node) {
+	n, _ := startNode(t, configWithServers(s), func(n *Node) {
 		n.upstream.Dial = func(_ context.Context, network, address string) (net.Conn, error) {
 			nc, err := net.Dial(network, address)
 			<-through
@@ -355,7 +355,7 @@
 	t.Parallel()
 	s := testutil.NewServer(t, testutil.Echo)
 	reads, looks := newGate(2), newGate(2)
-	n, _ := startNode(t, configFor(s), func(n *Node) {
+	n, _ := startNode(t, configWithServers(s), func(n *Node) {
 		n.listener = gatedConns{n.listener.(*net.TCPListener), reads, looks}
 	})
 	c, other := dial(t, n), dial(t, n)
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -19,7 +19,7 @@
 	t.Parallel()
 	s, got, release := testutil.NewHoldingServer(t, "held")
 	const most = 4
-	n, _ := startNode(t, configFor(s), func(n *Node) {
+	n, _ := startNode(t, configWithServers(s), func(n *Node) {
 		limits := downstreamLimits(n.cfg)
 		limits.Descriptors, limits.UpstreamReserve, limits.GracePeriods.Idle = 2*most, most, 0
 		n.frontend.conns.Configure(limits)
@@ -53,7 +53,7 @@
 func TestNoRequestIsLostWhileIdleConnectionsAreEvicted(t *testing.T) {
 	t.Parallel()
 	s := testutil.NewServer(t, testutil.Echo)
-	n, _ := startNode(t, configFor(s), func(n *Node) {
+	n, _ := startNode(t, configWithServers(s), func(n *Node) {
 		limits := downstreamLimits(n.cfg)
 		limits.Descriptors, limits.UpstreamReserve, limits.GracePeriods.Idle = 8, 4, 0
 		n.frontend.conns.Configure(limits)
@@ -113,7 +113,7 @@
 func TestClientIsServedBesideHundredsOfSilentConnections(t *testing.T) {
 	t.Parallel()
 	s := testutil.NewServer(t, testutil.Echo)
-	cfg := configFor(s)
+	cfg := configWithServers(s)
 	cfg.Sockets = 256
 	n, _ := startNode(t, cfg, func(n *Node) {
 		n.frontend.server.ReadTimeout = 2 * testutil.Limit // connections end by eviction only
@@ -208,7 +208,7 @@
 // a request: first those connections that it takes for partial requests.
 func startFullNode(t *testing.T, s *testutil.Server, moment string) *Node {
 	t.Helper()
-	cfg := withLongObjectives(configFor(s))
+	cfg := withLongObjectives(configWithServers(s))
 	cfg.Sockets = reservedDescriptors + fullNodeConns + 1 // one is kept for the server
 	n, _ := startNode(t, cfg, func(n *Node) {
 		f := n.frontend
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -60,7 +60,7 @@
 	t.Parallel()
 	s := testutil.NewServer(t, testutil.Echo)
 	gate, shut := make(chan struct{}), make(chan struct{}, 1)
-	n, stop := startNode(t, configFor(s), func(n *Node) {
+	n, stop := startNode(t, configWithServers(s), func(n *Node) {
 		n.drainSchedule = drainSchedule{closeConns: time.Millisecond, answerAll: testutil.Limit}
 		n.drainLimit = 2 * testutil.Limit
 		n.listener = gatedListener{n.listener.(*net.TCPListener), gate, shut}
@@ -99,7 +99,7 @@
 				c.Read(make([]byte, 1)) // until the node closes
 				return false
 			})
-			cfg := configFor(s)
+			cfg := configWithServers(s)
 			cfg.Settings.MaxRetryAfter = advice
 			n, stop := startNode(t, cfg, func(n *Node) {
 				n.drainSchedule = drainSchedule{answerAll: testutil.Limit}
@@ -146,7 +146,7 @@
 func TestGracefulShutdownAnswersAllAcceptedRequests(t *testing.T) {
 	t.Parallel()
 	s, got, release := testutil.NewHoldingServer(t, "held")
-	n, stop := startNode(t, configFor(s), func(n *Node) {
+	n, stop := startNode(t, configWithServers(s), func(n *Node) {
 		n.drainSchedule = drainSchedule{
 			stopAccepting: time.Second, closeConns: 2 * time.Second, answerAll: testutil.Limit,
 		}
@@ -197,7 +197,7 @@
 		io.Copy(io.Discard, c) // never answers
 		return false
 	})
-	n, stop := startNode(t, configFor(s), func(n *Node) {
+	n, stop := startNode(t, configWithServers(s), func(n *Node) {
 		n.drainSchedule = drainSchedule{answerAll: 500 * time.Millisecond}
 		n.drainLimit = testutil.Limit
 	})
--- a/internal/node/frontend_test.go
+++ b/internal/node/frontend_test.go
@@ -39,7 +39,7 @@
 		got <- seen{r, body}
 		return testutil.ReplyOK(c, answerBody)
 	})
-	n, _ := startNode(t, configFor(s), func(n *Node) { n.upstream.ReuseDelay = 0 })
+	n, _ := startNode(t, configWithServers(s), func(n *Node) { n.upstream.ReuseDelay = 0 })
 	c := dial(t, n)
 	long := strings.Repeat("b\r\n\x00", http1.MaxBodyBytes/4)
 	for i, target := range []string{"/keyed/a%2fB?q=%20%41&&x", `/keyed/"odd"|{};,`, "/keyed/", "/keyed//x/../y?"} {
@@ -150,7 +150,7 @@
 		<-hold
 		return testutil.Echo(c, r, body)
 	})
-	n, _ := startNode(t, configFor(s), func(n *Node) {
+	n, _ := startNode(t, configWithServers(s), func(n *Node) {
 		n.frontend.server.ReadTimeout = time.Second
 	})
 	first := dial(t, n)
@@ -210,7 +210,7 @@
 func TestLongLastAttemptDoesNotMakeFirstAttemptsRetries(t *testing.T) {
 	t.Parallel()
 	s, got, release := testutil.NewHoldingServer(t, "held")
-	n, _ := startNode(t, configFor(s), nil)
+	n, _ := startNode(t, configWithServers(s), nil)
 	c := dial(t, n)
 	view := func(id, deadline string) {
 		t.Helper()
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -44,9 +44,13 @@
 	}
 }
 
-// configFor is testConfig with one endpoint in its list, which is in service at a server.
-func configFor(s *testutil.Server) Config {
-	return testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service")))
+// configWithServers lists servers as s1, s2 and so on.
+func configWithServers(servers ...*testutil.Server) Config {
+	var entries []string
+	for i, server := range servers {
+		entries = append(entries, testutil.ListEntry(fmt.Sprint("s", i+1), server.Address(), "in_service"))
+	}
+	return testConfig(testutil.CompleteList(entries...))
 }
 
 // withLongObjectives keeps the attempts of a configuration from timing out while a test waits for something else
--- a/internal/node/invalidpipelined_test.go
+++ b/internal/node/invalidpipelined_test.go
@@ -34,7 +34,7 @@
 		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
 			s := testutil.NewServer(t, testutil.Echo)
-			n, _ := startNode(t, configFor(s), nil)
+			n, _ := startNode(t, configWithServers(s), nil)
 			c := dial(t, n)
 			io.WriteString(c, row.invalid+testutil.RequestText("behind"))
 			if r, _ := c.Response(t); r.StatusCode != row.status || r.Close != row.closes {
--- a/internal/node/listener_test.go
+++ b/internal/node/listener_test.go
@@ -27,7 +27,7 @@
 		t.Run(cause.Error(), func(t *testing.T) {
 			t.Parallel()
 			s := testutil.NewServer(t, testutil.Echo)
-			n, stop := startNode(t, configFor(s), func(n *Node) {
+			n, stop := startNode(t, configWithServers(s), func(n *Node) {
 				n.drainSchedule = drainSchedule{closeConns: time.Millisecond, answerAll: testutil.Limit}
 				n.drainLimit = 2 * testutil.Limit
 				ln, fail := n.listener.(*net.TCPListener), testutil.FailTimes(cause, 3)
@@ -53,7 +53,7 @@
 			s, got, release := testutil.NewHoldingServer(t, "")
 			draining, resume := make(chan struct{}), make(chan struct{})
 			fail := testutil.FailTimes(cause, 3)
-			n, stop := startNode(t, configFor(s), func(n *Node) {
+			n, stop := startNode(t, configWithServers(s), func(n *Node) {
 				n.drainSchedule = drainSchedule{closeConns: time.Millisecond, answerAll: testutil.Limit}
 				n.drainLimit = 2 * testutil.Limit
 				n.listener = testutil.FailingListener{TCPListener: n.listener.(*net.TCPListener), Fail: func() error {
@@ -104,7 +104,7 @@
 			})
 			var failing atomic.Bool
 			failed := make(chan struct{}, 1)
-			n, stop := startNode(t, configFor(s), func(n *Node) {
+			n, stop := startNode(t, configWithServers(s), func(n *Node) {
 				n.drainSchedule = drainSchedule{closeConns: time.Millisecond, answerAll: 100 * time.Millisecond}
 				n.drainLimit = 2 * testutil.Limit
 				n.listener = testutil.FailingListener{TCPListener: n.listener.(*net.TCPListener), Fail: func() error {
--- a/internal/node/readahead_test.go
+++ b/internal/node/readahead_test.go
@@ -13,7 +13,7 @@
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	t.Parallel()
 	s, got, release := testutil.NewHoldingServer(t, "")
-	n, _ := startNode(t, configFor(s), nil)
+	n, _ := startNode(t, configWithServers(s), nil)
 	c := dial(t, n)
 	c.Get("r0")
 	testutil.Wait(t, got, "the first request")
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -233,7 +233,7 @@
 				t.Parallel()
 				s, got, release := testutil.NewHoldingServer(t, "")
 				var reads recordingConns
-				n, _ := startNode(t, configFor(s), func(n *Node) {
+				n, _ := startNode(t, configWithServers(s), func(n *Node) {
 					reads = recordReads(n)
 				})
 				c := dial(t, n)
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -12,15 +12,6 @@
 	"basaltdrum/internal/testutil"
 )
 
-// configWithServers lists servers as s1, s2 and so on.
-func configWithServers(servers ...*testutil.Server) Config {
-	var entries []string
-	for i, server := range servers {
-		entries = append(entries, testutil.ListEntry(fmt.Sprint("s", i+1), server.Address(), "in_service"))
-	}
-	return testConfig(testutil.CompleteList(entries...))
-}
-
 // A reused connection that breaks under a request may have carried it. Neither the node nor a library below it may
 // send the request again, whatever its method or headers.
 func TestNonIdempotentRequestIsNotRetriedAfterAReset(t *testing.T) {
