--- a/internal/fleet/hollownode.go
+++ b/internal/fleet/hollownode.go
@@ -22,7 +22,8 @@
 	if err != nil {
 		return nil, err
 	}
-	serve := func(string) (time.Duration, balancer.AttemptResult) { // called by the loop's goroutine alone, as draws needs
+	// The loop's goroutine alone calls it, as draws needs.
+	serve := func(string) (time.Duration, balancer.AttemptResult) {
 		return time.Duration(draws.ExpFloat64() * float64(mean)), balancer.Success
 	}
 	return newHollow(cfg, serve, log)
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -220,8 +220,8 @@
 }
 
 // handleDeparture stops retries for a client that has closed its connection, or may have; the module is notified
-// once that the client is gone. A client that has only closed its sending side may still read the answer of an
-// attempt that has begun, so such an attempt goes on until the client is known to be gone.
+// of it once. A client that has only closed its sending side may still read the answer of an
+// attempt that has begun, so such an attempt goes on until the client is known to have disconnected.
 func (l *Loop) handleDeparture(e clientDeparted) {
 	l.noteLag(e.at)
 	p := l.pending[e.request.ID]
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -101,7 +101,7 @@
 	for i := range 300 {
 		round(50 + i)
 	}
-	testutil.Until(t, "all that has gone to be forgotten", func() bool {
+	testutil.Until(t, "what was removed to be forgotten", func() bool {
 		pool := n.upstream.Stats()
 		return n.frontend.conns.Count() == 0 &&
 			pool.Endpoints == 1 && pool.IdleInstances <= 1 && pool.Open <= 1 &&
--- a/internal/node/pendingrequest.go
+++ b/internal/node/pendingrequest.go
@@ -15,7 +15,7 @@
 	attempts   []*Attempt // all that were started, by their number
 	inFlight   int        // attempts that have not ended
 	answered   bool
-	departed   downstream.Departure // anything but Present: the module was notified that the client is gone
+	departed   downstream.Departure // anything but Present: the module was notified that the client has departed
 	retryAfter time.Duration        // for the answer, should the request be rejected after its client has departed
 	mayHaveRun bool                 // an attempt that has ended may have been executed by its endpoint
 }
@@ -97,8 +97,8 @@
 	return false
 }
 
-// departedResponse returns the final response to a departed client, which the module leaves out for a client that is
-// gone: a rejection, unless an attempt may have been executed.
+// departedResponse returns the final response to a departed client, which the module leaves out for one that has
+// departed: a rejection, unless an attempt may have been executed.
 func (p *pendingRequest) departedResponse() Response {
 	if p.mayHaveRun || p.hasBegunAttempt() {
 		return Response{Kind: ResponseFailed}
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -20,7 +20,7 @@
 	return set
 }
 
-// upstreamTimeouts returns the part of a configuration that the upstream pool is told.
+// upstreamTimeouts returns the part of a configuration that the upstream pool needs.
 func upstreamTimeouts(cfg Config) upstream.Timeouts {
 	return upstream.Timeouts{Connect: cfg.ConnectTimeout, Idle: cfg.ConnIdle}
 }
--- a/internal/node/starttimes_test.go
+++ b/internal/node/starttimes_test.go
@@ -97,7 +97,7 @@
 // hourMS is an hour in the unit of boot_ms.
 const hourMS = int64(time.Hour / time.Millisecond)
 
-// uncertainStarts are starts of the server s1 that can't be told for certain.
+// uncertainStarts are starts of the server s1 whose time can't be known for certain.
 var uncertainStarts = []struct {
 	name string
 	do   func(l *simulatedLoop) // s1 starts in it or before
