--- a/internal/fleet/hollow.go
+++ b/internal/fleet/hollow.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"log/slog"
+	"math/rand/v2"
 	"sort"
 	"strconv"
 	"sync"
@@ -69,6 +70,24 @@
 	return h, nil
 }
 
+// newSpecifiedHollow sets up a hollow node by its specification. Its attempts all succeed, after times that are drawn
+// with the mean given.
+func newSpecifiedHollow(spec NodeSpec, mean time.Duration, draws *rand.Rand, log *slog.Logger) (*hollow, error) {
+	text, err := spec.Configuration()
+	if err != nil {
+		return nil, err
+	}
+	cfg, err := node.ParseConfig(text)
+	if err != nil {
+		return nil, err
+	}
+	// The loop's goroutine alone calls it, as draws needs.
+	serve := func(string) (time.Duration, balancer.AttemptResult) {
+		return time.Duration(draws.ExpFloat64() * float64(mean)), balancer.Success
+	}
+	return newHollow(cfg, serve, log)
+}
+
 // run follows discovery and answers calls until ctx ends. Calls that are pending then are never answered.
 func (h *hollow) run(ctx context.Context) {
 	go func() {
