--- /dev/null
+++ b/internal/fleet/chainreport.go
@@ -0,0 +1,14 @@
+package fleet
+
+// Chain compares calls through nodes with calls that servers make to one another directly.
+type Chain struct {
+	Depth   int         `json:"depth"`
+	Chains  int         `json:"chains"`
+	Rate    float64     `json:"rate"` // calls a second at each node
+	Direct  PathFigures `json:"direct"`
+	Through PathFigures `json:"through"`
+	// Differences of the quantiles of the two ways, in milliseconds: added by all nodes of the chain.
+	AddedP50  float64 `json:"added_p50_ms"`
+	AddedP99  float64 `json:"added_p99_ms"`
+	AddedP999 float64 `json:"added_p99_9_ms"`
+}
--- a/internal/fleet/child.go
+++ b/internal/fleet/child.go
@@ -9,20 +9,11 @@
 	"net/rpc/jsonrpc"
 	"os"
 	"os/exec"
-	"os/signal"
 	"sync"
 	"syscall"
 	"time"
 )
 
-// The roles of child processes.
-const (
-	roleRegistry = "registry"
-	roleHollows  = "hollows"
-	roleServers  = "servers"
-	roleListed   = "listed-servers"
-)
-
 // serviceName is the name of a child's RPC service, whatever its role.
 const serviceName = "Host"
 
@@ -35,26 +26,6 @@
 	io.WriteCloser
 }
 
-// Child is the main function of a child process: it serves the requests of its parent, JSON-RPC on standard input
-// and output, until its input is closed.
-func Child(role string) error {
-	services := map[string]any{
-		roleRegistry: &RegistryHost{}, roleHollows: &Hollows{}, roleServers: &Servers{}, roleListed: &ListedServers{},
-	}
-	host, ok := services[role]
-	if !ok {
-		return fmt.Errorf("child: no role %q", role)
-	}
-	// A terminal sends these signals to all of its processes. The parent ends its children itself.
-	signal.Ignore(syscall.SIGINT, syscall.SIGTERM)
-	s := rpc.NewServer()
-	if err := s.RegisterName(serviceName, host); err != nil {
-		return fmt.Errorf("child: %w", err)
-	}
-	s.ServeCodec(jsonrpc.NewServerCodec(pipes{os.Stdin, os.Stdout}))
-	return nil
-}
-
 // child is a child process that runs this program in one of the roles.
 type child struct {
 	cmd      *exec.Cmd
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -11,9 +11,6 @@
 	callDeadline = 3.0 // seconds
 )
 
-// zones are two regions of three zones each.
-var zones = []string{"north-1", "north-2", "north-3", "south-1", "south-2", "south-3"}
-
 // NodeSpec is what the configuration of one node is made from.
 type NodeSpec struct {
 	Name          string
--- a/internal/fleet/latency.go
+++ b/internal/fleet/latency.go
@@ -42,3 +42,6 @@
 	at := func(q float64) float64 { return float64(l.hist.ValueAtQuantile(q)) / 1000 }
 	return Quantiles{Count: l.hist.TotalCount(), P50: at(50), P99: at(99), P999: at(99.9), Max: float64(l.hist.Max()) / 1000}
 }
+
+// ms returns a time in milliseconds.
+func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- /dev/null
+++ b/internal/fleet/listchange.go
@@ -0,0 +1,50 @@
+package fleet
+
+import (
+	"sort"
+	"time"
+)
+
+// ListChange is a change of a service's list, as the nodes should apply it.
+type ListChange struct {
+	Group   string
+	Service int
+	Rev     int64
+	AtNS    int64 // Unix time from which the registry could send it
+}
+
+// inForce returns, for each group of changes, how long they took to be in force.
+func (h *Hollows) inForce(changes []ListChange) map[string]InForce {
+	figures := map[string]InForce{}
+	times := map[string]*[3][]float64{}
+	for _, c := range changes {
+		f := figures[c.Group]
+		if times[c.Group] == nil {
+			times[c.Group] = &[3][]float64{}
+		}
+		f.Changes++
+		var took []float64
+		for i := c.Service; i < len(h.nodes); i += h.services {
+			at, ok := h.nodes[i].appliedAt(c.Rev)
+			if !ok {
+				f.Missed++
+				continue
+			}
+			f.Applied++
+			took = append(took, ms(time.Duration(at.UnixNano()-c.AtNS)))
+		}
+		if len(took) > 0 {
+			sort.Float64s(took)
+			for k, share := range []float64{0.5, 0.99, 1} {
+				times[c.Group][k] = append(times[c.Group][k], atShare(took, share))
+			}
+		}
+		figures[c.Group] = f
+	}
+	for group, f := range figures {
+		t := times[group]
+		f.Half, f.P99, f.All = spread(t[0]), spread(t[1]), spread(t[2])
+		figures[group] = f
+	}
+	return figures
+}
--- a/internal/fleet/realnodes.go
+++ b/internal/fleet/realnodes.go
@@ -10,23 +10,10 @@
 	"os/exec"
 	"path/filepath"
 	"regexp"
-	"strings"
-	"sync"
-	"sync/atomic"
 	"syscall"
 	"time"
 )
 
-// buildProgram builds the real nodes' program in a folder.
-func buildProgram(ctx context.Context, dir string) (string, error) {
-	path := filepath.Join(dir, "balancer")
-	out, err := exec.CommandContext(ctx, "go", "build", "-o", path, "basaltdrum/cmd/balancer").CombinedOutput()
-	if err != nil {
-		return "", fmt.Errorf("build: %w: %s", err, strings.TrimSpace(string(out)))
-	}
-	return path, nil
-}
-
 // realNode is a process of the real program.
 type realNode struct {
 	spec    NodeSpec
@@ -133,51 +120,3 @@
 	_ = n.cmd.Process.Kill() // it fails only if the node has just ended
 	<-n.exited
 }
-
-// Configs are the figures of how changes of the configuration came into force at the real nodes.
-type Configs struct {
-	Changes    int       `json:"changes"`
-	Sent       int       `json:"sent"`         // pairs of a change and a node
-	InForce    int       `json:"in_force"`     // of these, in force within the limit
-	NotInForce int       `json:"not_in_force"` // not by then
-	LimitSec   float64   `json:"limit_s"`
-	Took       Quantiles `json:"took"` // of those in force
-}
-
-// configLimit is the time within which a change must be in force everywhere.
-const configLimit = 11 * time.Second
-
-// addClass adds a class to the configuration of all nodes. The function that it returns waits until the class is in
-// force at each node or configLimit has passed, and returns at how many nodes it is. It is in force at a node that no
-// longer answers a request of the class as of an unknown class.
-func (r *run) addClass(ctx context.Context, class string, took *latencies) (wait func() int, err error) {
-	var wg sync.WaitGroup
-	var inForce atomic.Int32
-	for _, n := range r.real {
-		n.spec.Classes = append(n.spec.Classes, class)
-		if err := n.write(); err != nil {
-			return nil, err
-		}
-		begun := time.Now()
-		if err := n.cmd.Process.Signal(syscall.SIGHUP); err != nil {
-			return nil, fmt.Errorf("%s: %w", n.spec.Name, err)
-		}
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			limit, cancel := context.WithTimeout(ctx, configLimit)
-			defer cancel()
-			for i := 0; limit.Err() == nil; i++ {
-				got, err := r.client.call(limit, n.address, class, fmt.Sprintf("%s-%s-%d", class, n.spec.Name, i),
-					time.Now().Add(time.Second))
-				if err == nil && got != unknownClass {
-					took.add(time.Since(begun))
-					inForce.Add(1)
-					return
-				}
-				pause(limit, 20*time.Millisecond)
-			}
-		}()
-	}
-	return func() int { wg.Wait(); return int(inForce.Load()) }, nil
-}
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -2,7 +2,6 @@
 
 import (
 	"strings"
-	"time"
 )
 
 // Machine describes the machine of a run.
@@ -93,9 +92,6 @@
 	Busy     float64         `json:"machine_cores_in_use"`
 }
 
-// ms returns a time in milliseconds.
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
-
 // Report is what a command writes as JSON.
 type Report struct {
 	Command string          `json:"command"`
@@ -106,3 +102,13 @@
 
 // Command returns the command line of a run, for its report.
 func Command(args []string) string { return "fleetscale " + strings.Join(args, " ") }
+
+// Configs are the figures of how changes of the configuration came into force at the real nodes.
+type Configs struct {
+	Changes    int       `json:"changes"`
+	Sent       int       `json:"sent"`         // pairs of a change and a node
+	InForce    int       `json:"in_force"`     // of these, in force within the limit
+	NotInForce int       `json:"not_in_force"` // not by then
+	LimitSec   float64   `json:"limit_s"`
+	Took       Quantiles `json:"took"` // of those in force
+}
--- a/internal/fleet/runchanges.go
+++ b/internal/fleet/runchanges.go
@@ -2,9 +2,6 @@
 
 import (
 	"context"
-	"errors"
-	"fmt"
-	"sync"
 	"time"
 )
 
@@ -46,40 +43,3 @@
 		}
 	}
 }
-
-// reconfigure changes the real nodes' configuration evenly over the run, at least once.
-func (r *run) reconfigure(ctx context.Context, c *Configs) error {
-	every := time.Duration(float64(time.Minute) / r.args.Configs)
-	first := min(every, r.args.For) / 2
-	start := time.Now()
-	took := newLatencies()
-	var wg sync.WaitGroup
-	var mu sync.Mutex
-	var errs []error
-	for at := first; at < r.args.For; at += every {
-		pause(ctx, time.Until(start.Add(at)))
-		if ctx.Err() != nil {
-			break
-		}
-		c.Changes++
-		class := fmt.Sprintf("added-%d", c.Changes)
-		// One change is followed while the next is made. The nodes' files are this goroutine's own.
-		wait, err := r.addClass(ctx, class, took)
-		if err != nil {
-			errs = append(errs, err)
-			break
-		}
-		c.Sent += len(r.real)
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			n := wait()
-			mu.Lock()
-			defer mu.Unlock()
-			c.InForce += n
-		}()
-	}
-	wg.Wait()
-	c.NotInForce, c.Took = c.Sent-c.InForce, took.quantiles()
-	return errors.Join(errs...)
-}
--- a/internal/fleet/runfigures.go
+++ b/internal/fleet/runfigures.go
@@ -37,11 +37,6 @@
 	return u, nil
 }
 
-// cores is how many processor cores were in use between two readings.
-func cores(used time.Duration, from, to time.Time) float64 {
-	return used.Seconds() / to.Sub(from).Seconds()
-}
-
 // fill notes what the processes used and what passed at the registry. realCores is what the real nodes used
 // while calls went through them; nil: there were none.
 func (r *run) fill(p *Point, before, after usage, realCores []float64, counted Counted) {
