--- a/internal/fleet/args.go
+++ b/internal/fleet/args.go
@@ -1,17 +1,23 @@
 package fleet
 
 import (
-	"errors"
 	"fmt"
 	"time"
 )
 
 // Bounds of a run.
 const (
-	maxHollowNodes    = 1100
-	maxRealNodes      = 1100
-	maxRunLength      = 10 * time.Minute
-	maxCallsPerSecond = 400000 // over all nodes
+	maxHollowNodes      = 1100
+	maxRealNodes        = 1100
+	maxRunLength        = 10 * time.Minute
+	maxCallsPerSecond   = 400000 // over all nodes
+	maxServersListed    = 5000   // to one node
+	maxServices         = 1000
+	maxEntries          = 200000      // of all lists together
+	maxChangesPerMinute = 6000        // of one list
+	maxConfigsPerMinute = 600         // of one node
+	maxNodeRate         = 10000       // calls a second at one node
+	maxServiceTime      = time.Second // of a server, in the mean
 	// Margin is how much longer than its length a run may take in all: to build the program and start the nodes, to
 	// wait for the last updates and answers, and to end its children.
 	Margin = 2 * time.Minute
@@ -38,43 +44,46 @@
 	Program  string        `help:"The real nodes' program; built by go build where none is named." type:"path" json:"program,omitempty"`
 }
 
-// Check returns an error that names the first argument that can't be used.
+// Check returns an error that names the first argument that can't be used: an OutOfRangeError or a ConflictError.
 func (a Args) Check() error {
-	between := func(name string, v, least, most float64) error {
-		if !(v >= least && v <= most) {
-			return fmt.Errorf("--%s must be from %v to %v, not %v", name, least, most, v)
-		}
-		return nil
+	err := firstError(
+		checkRange("nodes", float64(a.Nodes), 0, maxHollowNodes),
+		checkRange("real", float64(a.Real), 0, maxRealNodes),
+		checkRange("servers", float64(a.Servers), 2, maxServersListed),
+		checkRange("services", float64(a.Services), 1, maxServices),
+		checkRange("changes", a.Changes, 0, maxChangesPerMinute),
+		checkRange("configs", a.Configs, 0, maxConfigsPerMinute),
+		checkRange("depth", float64(a.Depth), 1, maxRealNodes),
+		checkRange("rate", a.Rate, 0, maxNodeRate),
+		checkRange("for", a.For, time.Second, maxRunLength),
+		checkRange("service", a.Service, 0, maxServiceTime),
+	)
+	if err != nil {
+		return err
 	}
-	for _, err := range []error{
-		between("nodes", float64(a.Nodes), 0, maxHollowNodes), between("real", float64(a.Real), 0, maxRealNodes),
-		between("servers", float64(a.Servers), 2, 5000), between("services", float64(a.Services), 1, 1000),
-		between("changes", a.Changes, 0, 6000), between("configs", a.Configs, 0, 600),
-		between("depth", float64(a.Depth), 1, maxRealNodes), between("rate", a.Rate, 0, 10000),
-	} {
-		if err != nil {
-			return err
-		}
-	}
-	switch {
-	case a.For < time.Second || a.For > maxRunLength:
-		return fmt.Errorf("--for must be from 1s to %v, not %v", maxRunLength, a.For)
-	case a.Service < 0 || a.Service > time.Second:
-		return fmt.Errorf("--service must be from 0s to 1s, not %v", a.Service)
-	case a.Nodes+a.Real == 0:
-		return errors.New("--nodes and --real are both 0: there is nothing to measure")
-	case a.Nodes > 0 && a.Services > a.Nodes:
-		return fmt.Errorf("--services %d is more than --nodes %d", a.Services, a.Nodes)
-	case a.Real%a.Depth != 0 || a.Real == 0 && a.Depth > 1:
-		return fmt.Errorf("--real %d makes no whole chains of --depth %d", a.Real, a.Depth)
-	case a.Configs > 0 && a.Real == 0:
-		return errors.New("--configs needs --real nodes")
-	case a.Rate*float64(a.Nodes+a.Real) > maxCallsPerSecond:
-		return fmt.Errorf("--rate %v at %d nodes is more than %d calls a second", a.Rate, a.Nodes+a.Real, maxCallsPerSecond)
-	case a.Services*a.Servers > 200000:
-		return fmt.Errorf("--services %d of --servers %d are more than 200000 entries", a.Services, a.Servers)
+	return firstConflict(a.conflicts())
+}
+
+// conflicts lists the combinations of arguments, each within its range, that can't be used together.
+func (a Args) conflicts() []conflict {
+	nodes := a.Nodes + a.Real
+	return []conflict{
+		{nodes == 0, "--nodes and --real are both 0: there is nothing to measure"},
+		{a.Nodes > 0 && a.Services > a.Nodes, fmt.Sprintf("--services %d is more than --nodes %d", a.Services, a.Nodes)},
+		{
+			a.Real%a.Depth != 0 || a.Real == 0 && a.Depth > 1,
+			fmt.Sprintf("--real %d makes no whole chains of --depth %d", a.Real, a.Depth),
+		},
+		{a.Configs > 0 && a.Real == 0, "--configs needs --real nodes"},
+		{
+			a.Rate*float64(nodes) > maxCallsPerSecond,
+			fmt.Sprintf("--rate %v at %d nodes is more than %d calls a second", a.Rate, nodes, maxCallsPerSecond),
+		},
+		{
+			a.Services*a.Servers > maxEntries,
+			fmt.Sprintf("--services %d of --servers %d are more than %d entries", a.Services, a.Servers, maxEntries),
+		},
 	}
-	return nil
 }
 
 // bound returns how long the run may take in all.
--- a/internal/fleet/growthargs.go
+++ b/internal/fleet/growthargs.go
@@ -28,31 +28,29 @@
 	Program string        `help:"The nodes' program; built by go build where none is named." type:"path" json:"program,omitempty"`
 }
 
-// Check returns an error that names the first argument that can't be used.
+// Check returns an error that names the first argument that can't be used: an OutOfRangeError or a ConflictError.
 func (a GrowthArgs) Check() error {
-	for _, one := range []struct {
-		name               string
-		value, least, most float64
-	}{
-		{"servers", float64(a.Servers), 10, maxListedServers},
-		{"factor", float64(a.Factor), 2, 16},
-		{"real", float64(a.Real), 1, maxGrowthNodes},
-		{"fleet", float64(a.Fleet), float64(a.Real), maxFleetNodes},
-		{"rate", a.Rate, 1, maxGrowthRate},
-	} {
-		if !(one.value >= one.least && one.value <= one.most) {
-			return fmt.Errorf("--%s must be from %v to %v, not %v", one.name, one.least, one.most, one.value)
-		}
+	err := firstError(
+		checkRange("servers", float64(a.Servers), 10, maxListedServers),
+		checkRange("factor", float64(a.Factor), 2, 16),
+		checkRange("real", float64(a.Real), 1, maxGrowthNodes),
+		checkRange("fleet", float64(a.Fleet), float64(a.Real), maxFleetNodes),
+		checkRange("rate", a.Rate, 1, maxGrowthRate),
+	)
+	if err != nil {
+		return err
 	}
-	switch {
-	case a.Servers*a.Factor > maxListedServers:
-		return fmt.Errorf("--servers %d times --factor %d is more than %d", a.Servers, a.Factor, maxListedServers)
-	case a.For < time.Second || a.For > maxGrowthLength:
-		return fmt.Errorf("--for must be from 1s to %v, not %v", maxGrowthLength, a.For)
-	case a.Service < 0 || a.Service > time.Second:
-		return fmt.Errorf("--service must be from 0s to 1s, not %v", a.Service)
+	err = firstConflict([]conflict{{
+		a.Servers*a.Factor > maxListedServers,
+		fmt.Sprintf("--servers %d times --factor %d is more than %d", a.Servers, a.Factor, maxListedServers),
+	}})
+	if err != nil {
+		return err
 	}
-	return nil
+	return firstError(
+		checkRange("for", a.For, time.Second, maxGrowthLength),
+		checkRange("service", a.Service, 0, maxServiceTime),
+	)
 }
 
 // bound returns how long both days may take in all.
