--- a/internal/fleet/arrivals.go
+++ b/internal/fleet/arrivals.go
@@ -5,6 +5,8 @@
 	"math/rand/v2"
 	"syscall"
 	"time"
+
+	"basaltdrum/internal/monotime"
 )
 
 // Arrivals draws the times of a Poisson process, counted from 0. It makes an open-loop load: no call waits for the
@@ -37,7 +39,7 @@
 	for at := a.Next(); at < length && ctx.Err() == nil; at = a.Next() {
 		drawn := start.Add(at)
 		if wait := time.Until(drawn); wait > timerResolution {
-			pause(ctx, wait-timerResolution)
+			monotime.Sleep(ctx, wait-timerResolution)
 		}
 		if wait := time.Until(drawn); wait > 0 && ctx.Err() == nil {
 			left := syscall.NsecToTimespec(int64(wait))
--- a/internal/fleet/configchange.go
+++ b/internal/fleet/configchange.go
@@ -8,6 +8,8 @@
 	"sync/atomic"
 	"syscall"
 	"time"
+
+	"basaltdrum/internal/monotime"
 )
 
 // configLimit is the time within which a change must be in force everywhere.
@@ -41,7 +43,7 @@
 					inForce.Add(1)
 					return
 				}
-				pause(limit, 20*time.Millisecond)
+				monotime.Sleep(limit, 20*time.Millisecond)
 			}
 		}()
 	}
@@ -58,7 +60,7 @@
 	var mu sync.Mutex
 	var errs []error
 	for at := first; at < r.args.For; at += every {
-		pause(ctx, time.Until(start.Add(at)))
+		monotime.Sleep(ctx, time.Until(start.Add(at)))
 		if ctx.Err() != nil {
 			break
 		}
--- a/internal/fleet/growth.go
+++ b/internal/fleet/growth.go
@@ -7,6 +7,8 @@
 	"os"
 	"runtime"
 	"time"
+
+	"basaltdrum/internal/monotime"
 )
 
 // descriptorsEvery is how often the nodes' descriptors are counted.
@@ -193,7 +195,7 @@
 				most[i] = max(most[i], open)
 			}
 		}
-		pause(ctx, descriptorsEvery)
+		monotime.Sleep(ctx, descriptorsEvery)
 	}
 	return most
 }
--- a/internal/fleet/growthevents.go
+++ b/internal/fleet/growthevents.go
@@ -3,6 +3,8 @@
 import (
 	"context"
 	"time"
+
+	"basaltdrum/internal/monotime"
 )
 
 // playEvents makes the day's events at their times, those that are due at once together, and notes how many
@@ -11,7 +13,7 @@
 	begun := time.Now()
 	var latest time.Duration
 	for plan := planDay(d.size.servers, d.args.For, d.args.Seed); len(plan) > 0; {
-		pause(ctx, time.Until(begun.Add(plan[0].at)))
+		monotime.Sleep(ctx, time.Until(begun.Add(plan[0].at)))
 		if ctx.Err() != nil {
 			return nil
 		}
--- a/internal/fleet/runchanges.go
+++ b/internal/fleet/runchanges.go
@@ -3,6 +3,8 @@
 import (
 	"context"
 	"time"
+
+	"basaltdrum/internal/monotime"
 )
 
 // change makes a new version of a list and notes it.
@@ -31,7 +33,7 @@
 		if at >= length {
 			return nil
 		}
-		pause(ctx, time.Until(start.Add(at)))
+		monotime.Sleep(ctx, time.Until(start.Add(at)))
 		if ctx.Err() != nil {
 			return nil
 		}
--- a/internal/fleet/runmeasure.go
+++ b/internal/fleet/runmeasure.go
@@ -4,6 +4,8 @@
 	"context"
 	"fmt"
 	"time"
+
+	"basaltdrum/internal/monotime"
 )
 
 // measure lets the run go on for its length, and fills the point.
@@ -21,7 +23,7 @@
 	defer activities.cancel(nil)
 	outcome := r.startActivities(activities, p)
 	r.Log.Info("measuring", "for", r.args.For)
-	pause(activities.ctx, time.Until(before.at.Add(r.args.For)))
+	monotime.Sleep(activities.ctx, time.Until(before.at.Add(r.args.For)))
 	after, err := r.usage() // before the nodes' last answers and updates, which are left out
 	if err != nil {
 		activities.cancel(err)
--- a/internal/fleet/servers.go
+++ b/internal/fleet/servers.go
@@ -1,7 +1,6 @@
 package fleet
 
 import (
-	"context"
 	"fmt"
 	"math/rand/v2"
 	"net"
@@ -9,6 +8,8 @@
 	"strconv"
 	"sync/atomic"
 	"time"
+
+	"basaltdrum/internal/monotime"
 )
 
 // ServersSpec describes chains of servers: for each tier of each chain there are two servers. One calls the node of
@@ -100,7 +101,7 @@
 	n := s.calls.Add(1)
 	if s.service > 0 {
 		rng := rand.New(rand.NewPCG(s.seed, uint64(n)))
-		pause(r.Context(), time.Duration(rng.ExpFloat64()*float64(s.service)))
+		monotime.Sleep(r.Context(), time.Duration(rng.ExpFloat64()*float64(s.service)))
 	}
 	if next := s.next.Load(); next != nil {
 		got, err := s.client.call(r.Context(), *next, callClass, fmt.Sprintf("%s-%x", s.name, n), deadline)
@@ -111,13 +112,3 @@
 	}
 	fmt.Fprintf(w, "%s serves %s\n", s.name, id)
 }
-
-// pause waits for a while, or until ctx ends.
-func pause(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-t.C:
-	case <-ctx.Done():
-	}
-}
--- a/internal/fleet/storm.go
+++ b/internal/fleet/storm.go
@@ -3,6 +3,8 @@
 import (
 	"context"
 	"time"
+
+	"basaltdrum/internal/monotime"
 )
 
 // stormTimes are when an outage began and ended.
@@ -13,7 +15,7 @@
 func (r *run) storm(ctx context.Context) (*stormTimes, error) {
 	start := time.Now()
 	share := func(s float64) time.Time { return start.Add(time.Duration(s * float64(r.args.For))) }
-	pause(ctx, time.Until(share(stormBegins)))
+	monotime.Sleep(ctx, time.Until(share(stormBegins)))
 	s := &stormTimes{}
 	if err := r.phase(ctx, inStorm); err != nil {
 		return nil, err
@@ -22,7 +24,7 @@
 		return nil, err
 	}
 	r.Log.Info("lost", "what", r.args.Storm)
-	pause(ctx, time.Until(share(stormEnds)))
+	monotime.Sleep(ctx, time.Until(share(stormEnds)))
 	if err := r.restore(ctx, s); err != nil {
 		return nil, err
 	}
