--- a/internal/fleet/child.go
+++ b/internal/fleet/child.go
@@ -9,6 +9,7 @@
 	"net/rpc/jsonrpc"
 	"os"
 	"os/exec"
+	"os/signal"
 	"sync"
 	"syscall"
 	"time"
@@ -26,6 +27,19 @@
 	io.WriteCloser
 }
 
+// serveParent makes this process a child: it serves the requests of its parent for a service, JSON-RPC on standard
+// input and output, until its input is closed.
+func serveParent(service any) error {
+	// A terminal sends these signals to all of its processes. The parent ends its children itself.
+	signal.Ignore(syscall.SIGINT, syscall.SIGTERM)
+	s := rpc.NewServer()
+	if err := s.RegisterName(serviceName, service); err != nil {
+		return fmt.Errorf("child: %w", err)
+	}
+	s.ServeCodec(jsonrpc.NewServerCodec(pipes{os.Stdin, os.Stdout}))
+	return nil
+}
+
 // child is a child process that runs this program in one of the roles.
 type child struct {
 	cmd      *exec.Cmd
@@ -37,7 +51,7 @@
 // errEnded says that a child process has ended.
 var errEnded = errors.New("it has ended")
 
-// startChild starts the program self, which must call Child with its last argument.
+// startChild starts the program self with one more argument, the role, whose service it must serve with serveParent.
 func startChild(self []string, role string) (*child, error) {
 	args := append(append([]string(nil), self[1:]...), role)
 	c := &child{cmd: exec.Command(self[0], args...), exited: make(chan struct{})}
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -9,6 +9,12 @@
 	"time"
 )
 
+// The class of all calls, and how long a client waits.
+const (
+	callClass    = "view"
+	callDeadline = 3 * time.Second
+)
+
 // outcome is how a call ended, as its client sees it.
 type outcome int
 
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -5,12 +5,6 @@
 	"fmt"
 )
 
-// The class of all calls, and how long a client waits.
-const (
-	callClass    = "view"
-	callDeadline = 3.0 // seconds
-)
-
 // NodeSpec is what the configuration of one node is made from.
 type NodeSpec struct {
 	Name          string
@@ -31,7 +25,7 @@
 	for _, name := range append([]string{callClass}, s.Classes...) {
 		classes = append(classes, object{
 			"name": name, "effect": "read_like", "target-ms": 1000,
-			"deadline-ms": callDeadline * 1000, "worth": 1,
+			"deadline-ms": callDeadline.Milliseconds(), "worth": 1,
 		})
 	}
 	mode := "pushed"
--- a/internal/fleet/generator.go
+++ b/internal/fleet/generator.go
@@ -21,71 +21,101 @@
 // kept.
 const maxSendLateness = 1.0
 
-// loadGenerator makes calls at some addresses, in an open loop at the same rate for each.
+// scheduleKept says whether calls were sent at the times drawn, by how late the sends were.
+func scheduleKept(lateness Quantiles) bool { return lateness.P99 <= maxSendLateness }
+
+// loadGenerator makes calls at some addresses, in an open loop at the same rate for each. One round is made
+// at a time.
 type loadGenerator struct {
-	client    *client
-	addresses []string
-	name      string
-	rate      float64
-	seed      uint64
-	lateness  *latencies
-	latency   *latencies
-	warmUp    time.Duration // what is left of it
-	rounds    int
-	cores     float64 // in use over the whole machine, summed over the rounds
+	load
+	client *client
+
+	lateness   *latencies
+	latency    *latencies
+	warmUpLeft time.Duration
+	rounds     int
+	cores      float64 // in use over the whole machine, summed over the rounds
 
 	mu    sync.Mutex
 	tally Tally
 }
 
-// play makes calls for a while, and waits for their answers.
-func (t *loadGenerator) play(ctx context.Context, length time.Duration) {
-	warm := time.Now().Add(t.warmUp)
-	t.warmUp -= min(t.warmUp, length)
-	t.rounds++
+// load describes the calls of a loadGenerator.
+type load struct {
+	name      string // starts the ids of the calls
+	addresses []string
+	rate      float64 // calls a second at each address
+	seed      uint64
+	warmUp    time.Duration // the latency of calls in it is left out
+}
+
+// newLoadGenerator returns a generator of a load. It starts nothing before its first round.
+func newLoadGenerator(client *client, l load) *loadGenerator {
+	return &loadGenerator{
+		client: client, load: l, warmUpLeft: l.warmUp, lateness: newLatencies(), latency: newLatencies(),
+	}
+}
+
+// play makes one round of calls, and waits for their answers.
+func (g *loadGenerator) play(ctx context.Context, length time.Duration) {
+	warm := time.Now().Add(g.warmUpLeft)
+	g.warmUpLeft -= min(g.warmUpLeft, length)
+	g.rounds++
 	var senders, calls sync.WaitGroup
-	for c, head := range t.addresses {
+	for i := range g.addresses {
 		senders.Add(1)
 		go func() {
 			defer senders.Done()
-			n := 0
-			NewArrivals(t.rate, t.seed, uint64(t.rounds*len(t.addresses)+c)).Play(ctx, length, func(drawn time.Time) {
-				t.lateness.add(time.Since(drawn))
-				id := fmt.Sprintf("%s-%d-%d-%d", t.name, t.rounds, c, n)
-				n++
-				calls.Add(1)
-				go func() {
-					defer calls.Done()
-					t.call(ctx, head, id, drawn, drawn.After(warm))
-				}()
-			})
+			g.send(ctx, i, length, warm, &calls)
 		}()
 	}
 	senders.Wait()
 	calls.Wait()
 }
 
-func (t *loadGenerator) call(ctx context.Context, head, id string, drawn time.Time, counts bool) {
-	got, _ := t.client.call(ctx, head, callClass, id, drawn.Add(time.Duration(callDeadline*float64(time.Second))))
-	if got == served && counts {
-		t.latency.add(time.Since(drawn))
+// send makes one round's calls at the address with an index, and adds each to calls until it is answered.
+func (g *loadGenerator) send(ctx context.Context, index int, length time.Duration, warm time.Time, calls *sync.WaitGroup) {
+	arrivals := NewArrivals(g.rate, g.seed, uint64(g.rounds*len(g.addresses)+index))
+	sent := 0
+	arrivals.Play(ctx, length, func(drawn time.Time) {
+		g.lateness.add(time.Since(drawn))
+		id := fmt.Sprintf("%s-%d-%d-%d", g.name, g.rounds, index, sent)
+		sent++
+		calls.Add(1)
+		go func() {
+			defer calls.Done()
+			g.call(ctx, g.addresses[index], id, drawn, drawn.After(warm))
+		}()
+	})
+}
+
+// call makes one call, and notes its latency if it is measured.
+func (g *loadGenerator) call(ctx context.Context, address, id string, drawn time.Time, measured bool) {
+	got, _ := g.client.call(ctx, address, callClass, id, drawn.Add(callDeadline)) // the outcome says all that counts
+	if got == served && measured {
+		g.latency.add(time.Since(drawn))
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.tally.Offered++
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.tally.Offered++
 	switch got {
 	case served:
-		t.tally.Served++
+		g.tally.Served++
 	case rejected:
-		t.tally.Rejected++
+		g.tally.Rejected++
 	default:
-		t.tally.Failed++
+		g.tally.Failed++
 	}
 }
 
-// figures returns what the calls showed.
-func (t *loadGenerator) figures() PathFigures {
-	w := PathFigures{Tally: t.tally, Lateness: t.lateness.quantiles(), Latency: t.latency.quantiles(), Cores: t.cores / float64(t.rounds)}
-	w.ScheduleKept = w.Lateness.P99 <= maxSendLateness
-	return w
+// addCores notes how many cores of the machine were in use during the last round.
+func (g *loadGenerator) addCores(used float64) { g.cores += used }
+
+// figures returns what the calls of all rounds showed.
+func (g *loadGenerator) figures() PathFigures {
+	lateness := g.lateness.quantiles()
+	return PathFigures{
+		Tally: g.tally, Lateness: lateness, Latency: g.latency.quantiles(),
+		ScheduleKept: scheduleKept(lateness), Cores: g.cores / float64(g.rounds),
+	}
 }
--- a/internal/fleet/growth.go
+++ b/internal/fleet/growth.go
@@ -39,9 +39,7 @@
 	if report.Large, err = r.playDay(ctx, dir, args, args.large()); err != nil {
 		return report, err
 	}
-	for _, limit := range growthLimits {
-		report.Rows = append(report.Rows, limit.row(report.Usual, report.Large))
-	}
+	report.judge()
 	return report, nil
 }
 
@@ -175,15 +173,13 @@
 
 // makeCalls calls each node for the length of the day, and waits for the answers.
 func (d *growthDay) makeCalls(ctx context.Context) Tally {
-	calls := &loadGenerator{
-		client: d.client, name: "day", rate: d.args.Rate, seed: d.args.Seed, lateness: newLatencies(),
-		latency: newLatencies(),
-	}
+	calls := load{name: "day", rate: d.args.Rate, seed: d.args.Seed}
 	for _, n := range d.nodes {
 		calls.addresses = append(calls.addresses, n.address)
 	}
-	calls.play(ctx, d.args.For)
-	return calls.figures().Tally
+	generator := newLoadGenerator(d.client, calls)
+	generator.play(ctx, d.args.For)
+	return generator.figures().Tally
 }
 
 // watchDescriptors samples the nodes' open descriptors until ctx ends, and returns the most of each.
@@ -191,7 +187,7 @@
 	most := make([]int, len(d.nodes))
 	for ctx.Err() == nil {
 		for i, n := range d.nodes {
-			if open, err := Descriptors(n.cmd.Process.Pid); err == nil { // a node that ended is found at the end
+			if open, err := Descriptors(n.pid()); err == nil { // a node that ended is found at the end
 				most[i] = max(most[i], open)
 			}
 		}
@@ -212,13 +208,13 @@
 	nodes := float64(len(d.nodes))
 	for _, n := range d.nodes {
 		if !n.alive() {
-			return fmt.Errorf("%s has ended", n.spec.Name)
+			return fmt.Errorf("%s has ended", n.name())
 		}
-		used, err := UsageOf(n.cmd.Process.Pid)
+		used, err := UsageOf(n.pid())
 		if err != nil {
 			return err
 		}
-		peak, err := PeakMemory(n.cmd.Process.Pid)
+		peak, err := PeakMemory(n.pid())
 		if err != nil {
 			return err
 		}
--- a/internal/fleet/hollows.go
+++ b/internal/fleet/hollows.go
@@ -165,7 +165,7 @@
 	t := &h.tallies[h.phase.Load()]
 	t.offered.Add(1)
 	h.lateness.add(time.Since(drawn))
-	n.Call(callClass, time.Duration(callDeadline*float64(time.Second)), func(a node.Answer) {
+	n.Call(callClass, callDeadline, func(a node.Answer) {
 		switch a {
 		case node.Served:
 			h.latency.add(time.Since(drawn))
--- a/internal/fleet/realnodes.go
+++ b/internal/fleet/realnodes.go
@@ -105,6 +105,26 @@
 	}
 }
 
+// name is the node's name in its configuration.
+func (n *realNode) name() string { return n.spec.Name }
+
+// pid is the id of the node's process.
+func (n *realNode) pid() int { return n.cmd.Process.Pid }
+
+// addClass adds a class to the node's configuration file, which the node reads at its next reload.
+func (n *realNode) addClass(class string) error {
+	n.spec.Classes = append(n.spec.Classes, class)
+	return n.write()
+}
+
+// reload has the node read its configuration.
+func (n *realNode) reload() error {
+	if err := n.cmd.Process.Signal(syscall.SIGHUP); err != nil {
+		return fmt.Errorf("%s: %w", n.spec.Name, err)
+	}
+	return nil
+}
+
 // alive says that the process has not ended.
 func (n *realNode) alive() bool {
 	select {
--- a/internal/fleet/runfigures.go
+++ b/internal/fleet/runfigures.go
@@ -27,7 +27,7 @@
 		}
 	}
 	for _, n := range r.real {
-		one, err := UsageOf(n.cmd.Process.Pid)
+		one, err := UsageOf(n.pid())
 		if err != nil && n.alive() {
 			return u, err
 		}
@@ -84,7 +84,7 @@
 		Nodes: r.args.Nodes, ReadyMS: ms(started.Took),
 		CoresNode: cores(after.hollows.CPU-before.hollows.CPU, before.at, after.at) / n,
 		HeapNode:  float64(started.HeapBytes) / n, HeapAfter: float64(report.HeapBytes) / n, StackNode: float64(started.StackMem) / n, RSS: after.hollows.RSS,
-		Lateness: report.Lateness, Latency: report.Latency, ScheduleKept: report.Lateness.P99 <= maxSendLateness,
+		Lateness: report.Lateness, Latency: report.Latency, ScheduleKept: scheduleKept(report.Lateness),
 		InForce: report.InForce, Warnings: report.Warnings,
 	}
 	for _, t := range report.Phases {
