--- a/internal/fleet/args.go
+++ b/internal/fleet/args.go
@@ -26,6 +26,12 @@
 // modePolled is the value of --mode with which lists are polled; with the other they are pushed.
 const modePolled = "asked"
 
+// The values of --storm that are compared with.
+const (
+	stormNone = "none"
+	stormZone = "zone"
+)
+
 // Args are the arguments of a run.
 type Args struct {
 	Nodes    int           `help:"Hollow nodes: the real module, loop and discovery client, without sockets to callers and servers." default:"0" json:"nodes"`
--- a/internal/fleet/chain.go
+++ b/internal/fleet/chain.go
@@ -38,12 +38,14 @@
 
 // chainGenerators returns the generators of calls at the first server and at the first node of each chain.
 func (r *run) chainGenerators() (direct, through *loadGenerator) {
-	directLoad := load{name: "direct", rate: r.args.Rate, seed: r.args.Seed, warmUp: min(chainWarmUp, r.args.For/10)}
+	directLoad := loadSpec{
+		name: "direct", rate: r.args.Rate, seed: r.args.Seed, warmUp: min(chainWarmUp, r.args.For/10),
+	}
 	throughLoad := directLoad
 	throughLoad.name = "through"
 	for c, chain := range r.serverAddresses.Direct {
 		directLoad.addresses = append(directLoad.addresses, chain[0])
-		throughLoad.addresses = append(throughLoad.addresses, r.real[c*r.args.Depth].address)
+		throughLoad.addresses = append(throughLoad.addresses, r.real[c*r.args.Depth].Address())
 	}
 	return newLoadGenerator(r.client, directLoad), newLoadGenerator(r.client, throughLoad)
 }
--- a/internal/fleet/configchange.go
+++ b/internal/fleet/configchange.go
@@ -82,7 +82,7 @@
 	defer cancel()
 	for i := 0; ctx.Err() == nil; i++ {
 		id := fmt.Sprintf("%s-%s-%d", class, n.name(), i)
-		got, err := c.client.call(ctx, n.address, class, id, time.Now().Add(configCallDeadline))
+		got, err := c.client.call(ctx, n.Address(), class, id, time.Now().Add(configCallDeadline))
 		if err == nil && got != unknownClass {
 			c.took.add(time.Since(begun))
 			c.inForce.Add(1)
--- a/internal/fleet/generator.go
+++ b/internal/fleet/generator.go
@@ -27,7 +27,7 @@
 // loadGenerator makes calls at some addresses, in an open loop at the same rate for each. One round is made
 // at a time.
 type loadGenerator struct {
-	load
+	spec   loadSpec
 	client *client
 
 	lateness   *latencies
@@ -40,8 +40,8 @@
 	tally Tally
 }
 
-// load describes the calls of a loadGenerator.
-type load struct {
+// loadSpec describes the calls of a loadGenerator.
+type loadSpec struct {
 	name      string // starts the ids of the calls
 	addresses []string
 	rate      float64 // calls a second at each address
@@ -50,9 +50,9 @@
 }
 
 // newLoadGenerator returns a generator of a load. It starts nothing before its first round.
-func newLoadGenerator(client *client, l load) *loadGenerator {
+func newLoadGenerator(client *client, spec loadSpec) *loadGenerator {
 	return &loadGenerator{
-		client: client, load: l, warmUpLeft: l.warmUp, lateness: newLatencies(), latency: newLatencies(),
+		client: client, spec: spec, warmUpLeft: spec.warmUp, lateness: newLatencies(), latency: newLatencies(),
 	}
 }
 
@@ -62,7 +62,7 @@
 	g.warmUpLeft -= min(g.warmUpLeft, length)
 	g.rounds++
 	var senders, calls sync.WaitGroup
-	for i := range g.addresses {
+	for i := range g.spec.addresses {
 		senders.Add(1)
 		go func() {
 			defer senders.Done()
@@ -74,17 +74,19 @@
 }
 
 // send makes one round's calls at the address with an index, and adds each to calls until it is answered.
-func (g *loadGenerator) send(ctx context.Context, index int, length time.Duration, warm time.Time, calls *sync.WaitGroup) {
-	arrivals := NewArrivals(g.rate, g.seed, uint64(g.rounds*len(g.addresses)+index))
+func (g *loadGenerator) send(
+	ctx context.Context, index int, length time.Duration, warm time.Time, calls *sync.WaitGroup,
+) {
+	arrivals := NewArrivals(g.spec.rate, g.spec.seed, uint64(g.rounds*len(g.spec.addresses)+index))
 	sent := 0
 	arrivals.Play(ctx, length, func(drawn time.Time) {
 		g.lateness.add(time.Since(drawn))
-		id := fmt.Sprintf("%s-%d-%d-%d", g.name, g.rounds, index, sent)
+		id := fmt.Sprintf("%s-%d-%d-%d", g.spec.name, g.rounds, index, sent)
 		sent++
 		calls.Add(1)
 		go func() {
 			defer calls.Done()
-			g.call(ctx, g.addresses[index], id, drawn, drawn.After(warm))
+			g.call(ctx, g.spec.addresses[index], id, drawn, drawn.After(warm))
 		}()
 	})
 }
--- a/internal/fleet/growth.go
+++ b/internal/fleet/growth.go
@@ -39,7 +39,7 @@
 	if report.Large, err = r.playDay(ctx, dir, args, args.large()); err != nil {
 		return report, err
 	}
-	report.judge()
+	report.Rows = growthRows(report.Usual, report.Large)
 	return report, nil
 }
 
@@ -173,9 +173,9 @@
 
 // makeCalls calls each node for the length of the day, and waits for the answers.
 func (d *growthDay) makeCalls(ctx context.Context) Tally {
-	calls := load{name: "day", rate: d.args.Rate, seed: d.args.Seed}
+	calls := loadSpec{name: "day", rate: d.args.Rate, seed: d.args.Seed}
 	for _, n := range d.nodes {
-		calls.addresses = append(calls.addresses, n.address)
+		calls.addresses = append(calls.addresses, n.Address())
 	}
 	generator := newLoadGenerator(d.client, calls)
 	generator.play(ctx, d.args.For)
--- a/internal/fleet/growthlimits.go
+++ b/internal/fleet/growthlimits.go
@@ -44,6 +44,14 @@
 	},
 }
 
+// growthRows compares the figures of both sizes with all limits.
+func growthRows(usual, large GrowthFigures) (rows []GrowthRow) {
+	for _, limit := range growthLimits {
+		rows = append(rows, limit.row(usual, large))
+	}
+	return rows
+}
+
 // GrowthRow compares a figure at both sizes with its limit.
 type GrowthRow struct {
 	What   string  `json:"what"`
--- a/internal/fleet/growthreport.go
+++ b/internal/fleet/growthreport.go
@@ -36,13 +36,6 @@
 	Rows    []GrowthRow   `json:"rows"`
 }
 
-// judge compares the figures of both sizes with all limits.
-func (r *GrowthReport) judge() {
-	for _, limit := range growthLimits {
-		r.Rows = append(r.Rows, limit.row(r.Usual, r.Large))
-	}
-}
-
 // OverLimitError says that a node needs more at the large size than the limits allow.
 type OverLimitError struct{ Rows []string }
 
--- a/internal/fleet/realnodes.go
+++ b/internal/fleet/realnodes.go
@@ -105,6 +105,9 @@
 	}
 }
 
+// Address is where the node serves.
+func (n *realNode) Address() string { return n.address }
+
 // name is the node's name in its configuration.
 func (n *realNode) name() string { return n.spec.Name }
 
--- a/internal/fleet/rotation.go
+++ b/internal/fleet/rotation.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"sync"
 	"time"
 )
@@ -29,6 +30,13 @@
 	return r
 }
 
+// Entries returns all entries, as they are while in service.
+func (r *rotation) Entries() []ListEntry {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return slices.Clone(r.entries)
+}
+
 // next returns the next change of one server, or none if all that could change are in the outage.
 func (r *rotation) next() []ListEntry {
 	r.mu.Lock()
--- a/internal/fleet/runfigures.go
+++ b/internal/fleet/runfigures.go
@@ -88,9 +88,9 @@
 		InForce: report.InForce, Warnings: report.Warnings,
 	}
 	for _, t := range report.Phases {
-		h.Calls.add(t)
+		h.Calls = h.Calls.Plus(t)
 	}
-	if r.args.Storm != "none" {
+	if r.args.Storm != stormNone {
 		h.StormCalls = &report.Phases[inStorm]
 	}
 	p.Hollow = h
--- a/internal/fleet/runmeasure.go
+++ b/internal/fleet/runmeasure.go
@@ -59,7 +59,7 @@
 	if r.args.Changes > 0 {
 		a.start(func(ctx context.Context) error { return r.rotate(ctx, r.args.For) })
 	}
-	if r.args.Storm != "none" {
+	if r.args.Storm != stormNone {
 		a.start(func(ctx context.Context) (err error) {
 			outcome.storm, err = r.storm(ctx)
 			return err
--- a/internal/fleet/runstart.go
+++ b/internal/fleet/runstart.go
@@ -72,7 +72,7 @@
 		spec.Addresses = nil
 	}
 	for i, l := range r.lists {
-		spec.Services = append(spec.Services, l.entries)
+		spec.Services = append(spec.Services, l.Entries())
 		if polled {
 			spec.Addresses = append(spec.Addresses, i)
 		}
@@ -122,7 +122,7 @@
 			return err
 		}
 		r.real = append(r.real, n)
-		nodes[len(nodes)-1] = append(nodes[len(nodes)-1], n.address)
+		nodes[len(nodes)-1] = append(nodes[len(nodes)-1], n.Address())
 	}
 	for _, n := range r.real {
 		if err := n.ready(ctx); err != nil {
--- a/internal/fleet/storm.go
+++ b/internal/fleet/storm.go
@@ -42,7 +42,7 @@
 
 // lose begins the outage.
 func (r *run) lose(ctx context.Context, s *stormTimes) error {
-	if r.args.Storm == "zone" {
+	if r.args.Storm == stormZone {
 		s.lost = time.Now()
 		return r.changeZone(ctx, false, groupZoneLost)
 	}
@@ -57,7 +57,7 @@
 
 // restore ends the outage.
 func (r *run) restore(ctx context.Context, s *stormTimes) error {
-	if r.args.Storm == "zone" {
+	if r.args.Storm == stormZone {
 		s.back = time.Now()
 		return r.changeZone(ctx, true, groupZoneBack)
 	}
--- a/internal/fleet/tally.go
+++ b/internal/fleet/tally.go
@@ -11,10 +11,10 @@
 // Answered returns how many calls were answered, in whatever way.
 func (t Tally) Answered() int64 { return t.Served + t.Rejected + t.Failed }
 
-// add adds the counts of another tally.
-func (t *Tally) add(u Tally) {
-	t.Offered += u.Offered
-	t.Served += u.Served
-	t.Rejected += u.Rejected
-	t.Failed += u.Failed
+// Plus returns the sum of two tallies.
+func (t Tally) Plus(u Tally) Tally {
+	return Tally{
+		Offered: t.Offered + u.Offered, Served: t.Served + u.Served,
+		Rejected: t.Rejected + u.Rejected, Failed: t.Failed + u.Failed,
+	}
 }
