--- a/cmd/fleetscale/main.go
+++ b/cmd/fleetscale/main.go
@@ -51,7 +51,7 @@
 
 // Validate checks each run of the sweep. Kong calls it.
 func (s sweep) Validate() error {
-	_, err := fleet.Plan(s.Args, s.Over, s.Values)
+	_, err := fleet.SweepPlan(s.Args, s.Over, s.Values)
 	return err
 }
 
--- a/internal/fleet/args.go
+++ b/internal/fleet/args.go
@@ -23,13 +23,13 @@
 	Margin = 2 * time.Minute
 )
 
-// modePolled is the value of --mode with which lists are polled; with the other they are pushed.
-const modePolled = "asked"
+// ModePolled is the value of --mode with which lists are polled; with the other they are pushed.
+const ModePolled = "asked"
 
 // The values of --storm that are compared with.
 const (
-	stormNone = "none"
-	stormZone = "zone"
+	StormNone = "none"
+	StormZone = "zone"
 )
 
 // Args are the arguments of a run.
@@ -92,5 +92,5 @@
 	}
 }
 
-// bound returns how long the run may take in all.
-func (a Args) bound() time.Duration { return a.For + Margin }
+// Bound returns how long the run may take in all.
+func (a Args) Bound() time.Duration { return a.For + Margin }
--- a/internal/fleet/chain.go
+++ b/internal/fleet/chain.go
@@ -32,39 +32,39 @@
 		}
 	}
 	c := &Chain{Depth: r.args.Depth, Chains: len(r.serverAddresses.Direct), Rate: r.args.Rate}
-	c.compare(direct.figures(), through.figures())
+	c.Compare(direct.Figures(), through.Figures())
 	return c, nodeCores, nil
 }
 
 // chainGenerators returns the generators of calls at the first server and at the first node of each chain.
-func (r *run) chainGenerators() (direct, through *loadGenerator) {
-	directLoad := loadSpec{
-		name: "direct", rate: r.args.Rate, seed: r.args.Seed, warmUp: min(chainWarmUp, r.args.For/10),
+func (r *run) chainGenerators() (direct, through *Generator) {
+	directLoad := Spec{
+		Name: "direct", Rate: r.args.Rate, Seed: r.args.Seed, WarmUp: min(chainWarmUp, r.args.For/10),
 	}
 	throughLoad := directLoad
-	throughLoad.name = "through"
+	throughLoad.Name = "through"
 	for c, chain := range r.serverAddresses.Direct {
-		directLoad.addresses = append(directLoad.addresses, chain[0])
-		throughLoad.addresses = append(throughLoad.addresses, r.real[c*r.args.Depth].Address())
+		directLoad.Addresses = append(directLoad.Addresses, chain[0])
+		throughLoad.Addresses = append(throughLoad.Addresses, r.real[c*r.args.Depth].Address())
 	}
-	return newLoadGenerator(r.client, directLoad), newLoadGenerator(r.client, throughLoad)
+	return NewGenerator(r.client, directLoad), NewGenerator(r.client, throughLoad)
 }
 
 // chainRound makes one round of calls, and returns the cores that each node used meanwhile.
-func (r *run) chainRound(ctx context.Context, g *loadGenerator, length time.Duration) ([]float64, error) {
+func (r *run) chainRound(ctx context.Context, g *Generator, length time.Duration) ([]float64, error) {
 	before, err := r.usage()
 	if err != nil {
 		return nil, err
 	}
-	g.play(ctx, length)
+	g.Play(ctx, length)
 	after, err := r.usage()
 	if err != nil {
 		return nil, err
 	}
-	g.addCores(cores(after.busy-before.busy, before.at, after.at))
+	g.AddCores(Cores(after.busy-before.busy, before.at, after.at))
 	nodeCores := make([]float64, len(r.real))
 	for i := range nodeCores {
-		nodeCores[i] = cores(after.real[i].CPU-before.real[i].CPU, before.at, after.at)
+		nodeCores[i] = Cores(after.real[i].CPU-before.real[i].CPU, before.at, after.at)
 	}
 	return nodeCores, nil
 }
--- a/internal/fleet/chainreport.go
+++ b/internal/fleet/chainreport.go
@@ -13,8 +13,8 @@
 	AddedP999 float64 `json:"added_p99_9_ms"`
 }
 
-// compare sets the figures of both paths, and the differences of their quantiles.
-func (c *Chain) compare(direct, through PathFigures) {
+// Compare sets the figures of both paths, and the differences of their quantiles.
+func (c *Chain) Compare(direct, through PathFigures) {
 	c.Direct, c.Through = direct, through
 	c.AddedP50 = through.Latency.P50 - direct.Latency.P50
 	c.AddedP99 = through.Latency.P99 - direct.Latency.P99
--- a/internal/fleet/child.go
+++ b/internal/fleet/child.go
@@ -18,8 +18,8 @@
 // serviceName is the name of a child's RPC service, whatever its role.
 const serviceName = "Host"
 
-// childStopTimeout is how long a child may take to end by itself once its input is closed.
-const childStopTimeout = 2 * time.Second
+// StopTimeout is how long a child may take to end by itself once its input is closed.
+const StopTimeout = 2 * time.Second
 
 // pipes joins a standard input and output to one connection.
 type pipes struct {
@@ -27,9 +27,9 @@
 	io.WriteCloser
 }
 
-// serveParent makes this process a child: it serves the requests of its parent for a service, JSON-RPC on standard
+// ServeParent makes this process a child: it serves the requests of its parent for a service, JSON-RPC on standard
 // input and output, until its input is closed.
-func serveParent(service any) error {
+func ServeParent(service any) error {
 	// A terminal sends these signals to all of its processes. The parent ends its children itself.
 	signal.Ignore(syscall.SIGINT, syscall.SIGTERM)
 	s := rpc.NewServer()
@@ -40,21 +40,21 @@
 	return nil
 }
 
-// child is a child process that runs this program in one of the roles.
-type child struct {
+// ChildProcess is a child process that runs this program in one of the roles.
+type ChildProcess struct {
 	cmd      *exec.Cmd
 	client   *rpc.Client
 	exited   chan struct{} // closed once it has ended
 	stopOnce sync.Once
 }
 
-// errEnded says that a child process has ended.
-var errEnded = errors.New("it has ended")
+// ErrEnded says that a child process has ended.
+var ErrEnded = errors.New("it has ended")
 
-// startChild starts the program self with one more argument, the role, whose service it must serve with serveParent.
-func startChild(self []string, role string) (*child, error) {
+// StartChild starts the program self with one more argument, the role, whose service it must serve with ServeParent.
+func StartChild(self []string, role string) (*ChildProcess, error) {
 	args := append(append([]string(nil), self[1:]...), role)
-	c := &child{cmd: exec.Command(self[0], args...), exited: make(chan struct{})}
+	c := &ChildProcess{cmd: exec.Command(self[0], args...), exited: make(chan struct{})}
 	c.cmd.Stderr = os.Stderr
 	c.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	in, err := c.cmd.StdinPipe()
@@ -76,8 +76,8 @@
 	return c, nil
 }
 
-// call calls a method of the child's service, and waits for its reply.
-func (c *child) call(ctx context.Context, what string, spec, reply any) error {
+// Call calls a method of the child's service, and waits for its reply.
+func (c *ChildProcess) Call(ctx context.Context, what string, spec, reply any) error {
 	call := c.client.Go(serviceName+"."+what, spec, reply, make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
@@ -88,21 +88,21 @@
 	case <-ctx.Done():
 		return fmt.Errorf("child: %s: %w", what, ctx.Err())
 	case <-c.exited:
-		return fmt.Errorf("child: %s: %w", what, errEnded)
+		return fmt.Errorf("child: %s: %w", what, ErrEnded)
 	}
 }
 
-// stop ends the child and waits until it is gone.
-func (c *child) stop() {
+// Stop ends the child and waits until it is gone.
+func (c *ChildProcess) Stop() {
 	c.stopOnce.Do(func() {
 		_ = c.client.Close() // it closes the child's input, and fails only if the child has ended
 		select {
 		case <-c.exited:
-		case <-time.After(childStopTimeout):
+		case <-time.After(StopTimeout):
 			_ = c.cmd.Process.Kill() // it fails only if the child has just ended
 			<-c.exited
 		}
 	})
 }
 
-func (c *child) pid() int { return c.cmd.Process.Pid }
+func (c *ChildProcess) PID() int { return c.cmd.Process.Pid }
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -11,25 +11,25 @@
 
 // The class of all calls, and how long a client waits.
 const (
-	callClass    = "view"
-	callDeadline = 3 * time.Second
+	Class    = "view"
+	Deadline = 3 * time.Second
 )
 
-// outcome is how a call ended, as its client sees it.
-type outcome int
+// Outcome is how a call ended, as its client sees it.
+type Outcome int
 
 const (
-	served outcome = iota
-	rejected
-	failed
-	unknownClass // the node does not know the class
+	Served Outcome = iota
+	Rejected
+	Failed
+	UnknownClass // the node does not know the class
 )
 
-// client makes calls as PROTOCOL has them, one at a time on each connection.
-type client struct{ http *http.Client }
+// Client makes calls as PROTOCOL has them, one at a time on each connection.
+type Client struct{ http *http.Client }
 
-func newClient() *client {
-	return &client{&http.Client{Transport: &http.Transport{
+func NewClient() *Client {
+	return &Client{&http.Client{Transport: &http.Transport{
 		DisableCompression: true, MaxIdleConnsPerHost: 1000,
 		IdleConnTimeout: 30 * time.Second,
 	}}}
@@ -38,35 +38,35 @@
 // maxAnswer is how much of an answer's body is read, in bytes.
 const maxAnswer = 64 << 10
 
-// call makes a call to a node or a server, which has until deadline, and reads the answer to its end.
-func (c *client) call(ctx context.Context, address, class, id string, deadline time.Time) (outcome, error) {
+// Call makes a call to a node or a server, which has until deadline, and reads the answer to its end.
+func (c *Client) Call(ctx context.Context, address, class, id string, deadline time.Time) (Outcome, error) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/"+class+"/k", nil)
 	if err != nil {
-		return failed, fmt.Errorf("call: %w", err)
+		return Failed, fmt.Errorf("call: %w", err)
 	}
 	req.Header.Set("X-Request-Id", id)
 	req.Header.Set("X-Deadline", fmt.Sprintf("%.4f", time.Until(deadline).Seconds()))
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return failed, fmt.Errorf("call: %w", err)
+		return Failed, fmt.Errorf("call: %w", err)
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
 	switch {
 	case err != nil:
-		return failed, fmt.Errorf("call: %w", err)
+		return Failed, fmt.Errorf("call: %w", err)
 	case resp.StatusCode == http.StatusNotFound:
-		return unknownClass, nil
+		return UnknownClass, nil
 	case resp.StatusCode == http.StatusTooManyRequests || resp.StatusCode == http.StatusServiceUnavailable:
-		return rejected, nil
+		return Rejected, nil
 	case resp.StatusCode != http.StatusOK:
-		return failed, fmt.Errorf("call: status %d", resp.StatusCode)
+		return Failed, fmt.Errorf("call: status %d", resp.StatusCode)
 	case !strings.Contains(string(body), id):
-		return failed, fmt.Errorf("call: the answer to %s is another's: %q", id, body)
+		return Failed, fmt.Errorf("call: the answer to %s is another's: %q", id, body)
 	}
-	return served, nil
+	return Served, nil
 }
 
-func (c *client) close() { c.http.CloseIdleConnections() }
+func (c *Client) Close() { c.http.CloseIdleConnections() }
--- a/internal/fleet/configchange.go
+++ b/internal/fleet/configchange.go
@@ -22,9 +22,9 @@
 // configChanges makes changes of the real nodes' configuration, and follows each in goroutines of its own: the next
 // change is made meanwhile.
 type configChanges struct {
-	nodes     []*realNode
-	client    *client
-	took      *latencies
+	nodes     []*RealNode
+	client    *Client
+	took      *Latencies
 	inForce   atomic.Int64 // pairs of a change and a node
 	followers sync.WaitGroup
 }
@@ -34,7 +34,7 @@
 func (r *run) reconfigure(ctx context.Context, c *Configs) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	changes := &configChanges{nodes: r.real, client: r.client, took: newLatencies()}
+	changes := &configChanges{nodes: r.real, client: r.client, took: NewLatencies()}
 	every := time.Duration(float64(time.Minute) / r.args.Configs)
 	start := time.Now()
 	var err error
@@ -51,19 +51,19 @@
 		c.Sent += len(r.real)
 	}
 	changes.followers.Wait()
-	c.InForce, c.Took = int(changes.inForce.Load()), changes.took.quantiles()
+	c.InForce, c.Took = int(changes.inForce.Load()), changes.took.Quantiles()
 	c.NotInForce = c.Sent - c.InForce
 	return err
 }
 
-// addClass adds a class to the configuration of all nodes, and follows the change at each.
+// AddClass adds a class to the configuration of all nodes, and follows the change at each.
 func (c *configChanges) addClass(ctx context.Context, class string) error {
 	for _, n := range c.nodes {
-		if err := n.addClass(class); err != nil {
+		if err := n.AddClass(class); err != nil {
 			return err
 		}
 		begun := time.Now()
-		if err := n.reload(); err != nil {
+		if err := n.Reload(); err != nil {
 			return err
 		}
 		c.followers.Add(1)
@@ -77,14 +77,14 @@
 
 // follow waits until a class is in force at a node, or configLimit has passed. It is in force at a node that no
 // longer answers a request of the class as of an unknown class.
-func (c *configChanges) follow(ctx context.Context, n *realNode, class string, begun time.Time) {
+func (c *configChanges) follow(ctx context.Context, n *RealNode, class string, begun time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, configLimit)
 	defer cancel()
 	for i := 0; ctx.Err() == nil; i++ {
-		id := fmt.Sprintf("%s-%s-%d", class, n.name(), i)
-		got, err := c.client.call(ctx, n.Address(), class, id, time.Now().Add(configCallDeadline))
-		if err == nil && got != unknownClass {
-			c.took.add(time.Since(begun))
+		id := fmt.Sprintf("%s-%s-%d", class, n.Name(), i)
+		got, err := c.client.Call(ctx, n.Address(), class, id, time.Now().Add(configCallDeadline))
+		if err == nil && got != UnknownClass {
+			c.took.Add(time.Since(begun))
 			c.inForce.Add(1)
 			return
 		}
--- a/internal/fleet/generator.go
+++ b/internal/fleet/generator.go
@@ -21,17 +21,17 @@
 // kept.
 const maxSendLateness = 1.0
 
-// scheduleKept says whether calls were sent at the times drawn, by how late the sends were.
-func scheduleKept(lateness Quantiles) bool { return lateness.P99 <= maxSendLateness }
+// ScheduleKept says whether calls were sent at the times drawn, by how late the sends were.
+func ScheduleKept(lateness Quantiles) bool { return lateness.P99 <= maxSendLateness }
 
-// loadGenerator makes calls at some addresses, in an open loop at the same rate for each. One round is made
+// Generator makes calls at some addresses, in an open loop at the same rate for each. One round is made
 // at a time.
-type loadGenerator struct {
-	spec   loadSpec
-	client *client
+type Generator struct {
+	spec   Spec
+	client *Client
 
-	lateness   *latencies
-	latency    *latencies
+	lateness   *Latencies
+	latency    *Latencies
 	warmUpLeft time.Duration
 	rounds     int
 	cores      float64 // in use over the whole machine, summed over the rounds
@@ -40,29 +40,29 @@
 	tally Tally
 }
 
-// loadSpec describes the calls of a loadGenerator.
-type loadSpec struct {
-	name      string // starts the ids of the calls
-	addresses []string
-	rate      float64 // calls a second at each address
-	seed      uint64
-	warmUp    time.Duration // the latency of calls in it is left out
+// Spec describes the calls of a Generator.
+type Spec struct {
+	Name      string // starts the ids of the calls
+	Addresses []string
+	Rate      float64 // calls a second at each address
+	Seed      uint64
+	WarmUp    time.Duration // the latency of calls in it is left out
 }
 
-// newLoadGenerator returns a generator of a load. It starts nothing before its first round.
-func newLoadGenerator(client *client, spec loadSpec) *loadGenerator {
-	return &loadGenerator{
-		client: client, spec: spec, warmUpLeft: spec.warmUp, lateness: newLatencies(), latency: newLatencies(),
+// NewGenerator returns a generator of a load. It starts nothing before its first round.
+func NewGenerator(client *Client, spec Spec) *Generator {
+	return &Generator{
+		client: client, spec: spec, warmUpLeft: spec.WarmUp, lateness: NewLatencies(), latency: NewLatencies(),
 	}
 }
 
-// play makes one round of calls, and waits for their answers.
-func (g *loadGenerator) play(ctx context.Context, length time.Duration) {
+// Play makes one round of calls, and waits for their answers.
+func (g *Generator) Play(ctx context.Context, length time.Duration) {
 	warm := time.Now().Add(g.warmUpLeft)
 	g.warmUpLeft -= min(g.warmUpLeft, length)
 	g.rounds++
 	var senders, calls sync.WaitGroup
-	for i := range g.spec.addresses {
+	for i := range g.spec.Addresses {
 		senders.Add(1)
 		go func() {
 			defer senders.Done()
@@ -74,50 +74,50 @@
 }
 
 // send makes one round's calls at the address with an index, and adds each to calls until it is answered.
-func (g *loadGenerator) send(
+func (g *Generator) send(
 	ctx context.Context, index int, length time.Duration, warm time.Time, calls *sync.WaitGroup,
 ) {
-	arrivals := NewArrivals(g.spec.rate, g.spec.seed, uint64(g.rounds*len(g.spec.addresses)+index))
+	arrivals := NewArrivals(g.spec.Rate, g.spec.Seed, uint64(g.rounds*len(g.spec.Addresses)+index))
 	sent := 0
 	arrivals.Play(ctx, length, func(drawn time.Time) {
-		g.lateness.add(time.Since(drawn))
-		id := fmt.Sprintf("%s-%d-%d-%d", g.spec.name, g.rounds, index, sent)
+		g.lateness.Add(time.Since(drawn))
+		id := fmt.Sprintf("%s-%d-%d-%d", g.spec.Name, g.rounds, index, sent)
 		sent++
 		calls.Add(1)
 		go func() {
 			defer calls.Done()
-			g.call(ctx, g.spec.addresses[index], id, drawn, drawn.After(warm))
+			g.call(ctx, g.spec.Addresses[index], id, drawn, drawn.After(warm))
 		}()
 	})
 }
 
 // call makes one call, and notes its latency if it is measured.
-func (g *loadGenerator) call(ctx context.Context, address, id string, drawn time.Time, measured bool) {
-	got, _ := g.client.call(ctx, address, callClass, id, drawn.Add(callDeadline)) // the outcome says all that counts
-	if got == served && measured {
-		g.latency.add(time.Since(drawn))
+func (g *Generator) call(ctx context.Context, address, id string, drawn time.Time, measured bool) {
+	got, _ := g.client.Call(ctx, address, Class, id, drawn.Add(Deadline)) // the outcome says all that counts
+	if got == Served && measured {
+		g.latency.Add(time.Since(drawn))
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.tally.Offered++
 	switch got {
-	case served:
+	case Served:
 		g.tally.Served++
-	case rejected:
+	case Rejected:
 		g.tally.Rejected++
 	default:
 		g.tally.Failed++
 	}
 }
 
-// addCores notes how many cores of the machine were in use during the last round.
-func (g *loadGenerator) addCores(used float64) { g.cores += used }
+// AddCores notes how many cores of the machine were in use during the last round.
+func (g *Generator) AddCores(used float64) { g.cores += used }
 
-// figures returns what the calls of all rounds showed.
-func (g *loadGenerator) figures() PathFigures {
-	lateness := g.lateness.quantiles()
+// Figures returns what the calls of all rounds showed.
+func (g *Generator) Figures() PathFigures {
+	lateness := g.lateness.Quantiles()
 	return PathFigures{
-		Tally: g.tally, Lateness: lateness, Latency: g.latency.quantiles(),
-		ScheduleKept: scheduleKept(lateness), Cores: g.cores / float64(g.rounds),
+		Tally: g.tally, Lateness: lateness, Latency: g.latency.Quantiles(),
+		ScheduleKept: ScheduleKept(lateness), Cores: g.cores / float64(g.rounds),
 	}
 }
--- a/internal/fleet/growth.go
+++ b/internal/fleet/growth.go
@@ -20,40 +20,40 @@
 	if err := args.Check(); err != nil {
 		return report, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, args.bound()-2*childStopTimeout)
+	ctx, cancel := context.WithTimeout(ctx, args.Bound()-2*StopTimeout)
 	defer cancel()
 	dir, err := os.MkdirTemp("", "fleetscale")
 	if err != nil {
 		return report, fmt.Errorf("growth: %w", err)
 	}
 	defer func() { _ = os.RemoveAll(dir) }() // what is left of it stays in the folder for temporary files
-	report.Args, report.Machine = args, Machine{runtime.NumCPU(), runtime.Version(), loadAverage()}
+	report.Args, report.Machine = args, Machine{runtime.NumCPU(), runtime.Version(), LoadAverage()}
 	if args.Program == "" {
-		if args.Program, err = buildProgram(ctx, dir); err != nil {
+		if args.Program, err = BuildProgram(ctx, dir); err != nil {
 			return report, err
 		}
 	}
-	if report.Usual, err = r.playDay(ctx, dir, args, args.usual()); err != nil {
+	if report.Usual, err = r.playDay(ctx, dir, args, args.Usual()); err != nil {
 		return report, err
 	}
-	if report.Large, err = r.playDay(ctx, dir, args, args.large()); err != nil {
+	if report.Large, err = r.playDay(ctx, dir, args, args.Large()); err != nil {
 		return report, err
 	}
-	report.Rows = growthRows(report.Usual, report.Large)
+	report.Rows = GrowthRows(report.Usual, report.Large)
 	return report, nil
 }
 
 // playDay plays one day and ends all that it started.
-func (r Runner) playDay(ctx context.Context, dir string, args GrowthArgs, size growthSize) (GrowthFigures, error) {
-	d := &growthDay{Runner: r, args: args, size: size, dir: dir, client: newClient()}
+func (r Runner) playDay(ctx context.Context, dir string, args GrowthArgs, size GrowthSize) (GrowthFigures, error) {
+	d := &growthDay{Runner: r, args: args, size: size, dir: dir, client: NewClient()}
 	defer d.stop()
 	if err := d.start(ctx); err != nil {
 		return GrowthFigures{}, err
 	}
-	r.Log.Info("playing a day", "servers", size.servers, "for", args.For)
+	r.Log.Info("playing a day", "servers", size.Servers, "for", args.For)
 	figures, err := d.play(ctx)
 	if err != nil {
-		return GrowthFigures{}, fmt.Errorf("day of %d servers: %w", size.servers, err)
+		return GrowthFigures{}, fmt.Errorf("day of %d servers: %w", size.Servers, err)
 	}
 	return figures, nil
 }
@@ -62,33 +62,33 @@
 type growthDay struct {
 	Runner
 	args      GrowthArgs
-	size      growthSize
+	size      GrowthSize
 	dir       string
-	registry  *child
-	servers   *child
+	registry  *ChildProcess
+	servers   *ChildProcess
 	endpoints []string // of all servers of the day
-	nodes     []*realNode
-	client    *client
+	nodes     []*RealNode
+	client    *Client
 }
 
 // start brings up the servers, the registry and the nodes, until all nodes are ready.
 func (d *growthDay) start(ctx context.Context) (err error) {
-	if d.servers, err = startChild(d.ChildCommand, roleListed); err != nil {
+	if d.servers, err = StartChild(d.ChildCommand, roleListed); err != nil {
 		return err
 	}
-	spec := ListedServersSpec{d.size.servers + replacedCount(d.size.servers), d.args.Service, d.args.Seed}
-	if err := d.servers.call(ctx, "Start", spec, &d.endpoints); err != nil {
+	spec := ListedServersSpec{d.size.Servers + ReplacedCount(d.size.Servers), d.args.Service, d.args.Seed}
+	if err := d.servers.Call(ctx, "Start", spec, &d.endpoints); err != nil {
 		return err
 	}
-	if d.registry, err = startChild(d.ChildCommand, roleRegistry); err != nil {
+	if d.registry, err = StartChild(d.ChildCommand, roleRegistry); err != nil {
 		return err
 	}
 	list := RegistrySpec{Services: [][]ListEntry{nil}, Addresses: make([]int, d.args.Real)}
-	for i := range d.size.servers {
+	for i := range d.size.Servers {
 		list.Services[0] = append(list.Services[0], d.target(i))
 	}
 	var addresses []string
-	if err := d.registry.call(ctx, "Start", list, &addresses); err != nil {
+	if err := d.registry.Call(ctx, "Start", list, &addresses); err != nil {
 		return err
 	}
 	return d.startNodes(ctx, addresses)
@@ -99,9 +99,9 @@
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for i, address := range addresses {
-		n, err := startReal(ctx, d.args.Program, d.dir, NodeSpec{
-			Name: fmt.Sprintf("n%d", i), Index: i, Replicas: d.size.nodes,
-			Listen: "127.0.0.1:0", Discovery: address, PollDiscovery: d.args.Mode == modePolled, Seed: d.args.Seed + uint64(i),
+		n, err := StartRealNode(ctx, d.args.Program, d.dir, NodeSpec{
+			Name: fmt.Sprintf("n%d", i), Index: i, Replicas: d.size.Nodes,
+			Listen: "127.0.0.1:0", Discovery: address, PollDiscovery: d.args.Mode == ModePolled, Seed: d.args.Seed + uint64(i),
 		})
 		if err != nil {
 			return err
@@ -109,7 +109,7 @@
 		d.nodes = append(d.nodes, n)
 	}
 	for _, n := range d.nodes {
-		if err := n.ready(ctx); err != nil {
+		if err := n.WaitReady(ctx); err != nil {
 			return err
 		}
 	}
@@ -119,28 +119,28 @@
 // target returns a server's entry while it is in service. The servers listed first started long ago.
 func (d *growthDay) target(i int) ListEntry {
 	return ListEntry{
-		UID: fmt.Sprintf("s-%d", i), Endpoint: d.endpoints[i], Zone: zones[i%len(zones)], Model: "m1",
-		Cell: i % 10, State: inService, Capacity: d.size.capacity,
+		UID: fmt.Sprintf("s-%d", i), Endpoint: d.endpoints[i], Zone: Zones[i%len(Zones)], Model: "m1",
+		Cell: i % 10, State: InService, Capacity: d.size.Capacity,
 	}
 }
 
 // stop ends all processes of the day.
 func (d *growthDay) stop() {
 	for _, n := range d.nodes {
-		n.stop()
+		n.Stop()
 	}
-	for _, c := range []*child{d.servers, d.registry} {
+	for _, c := range []*ChildProcess{d.servers, d.registry} {
 		if c != nil {
-			c.stop()
+			c.Stop()
 		}
 	}
-	d.client.close()
+	d.client.Close()
 }
 
 // play makes the calls and the events of the day, and measures. The first error ends all of it.
 func (d *growthDay) play(ctx context.Context) (f GrowthFigures, err error) {
-	f = GrowthFigures{Servers: d.size.servers, FleetNodes: d.size.nodes, Capacity: d.size.capacity}
-	busy, err := machineBusy()
+	f = GrowthFigures{Servers: d.size.Servers, FleetNodes: d.size.Nodes, Capacity: d.size.Capacity}
+	busy, err := MachineBusy()
 	if err != nil {
 		return f, err
 	}
@@ -160,11 +160,11 @@
 	if err := activities.wait(); err != nil {
 		return f, err
 	}
-	after, err := machineBusy()
+	after, err := MachineBusy()
 	if err != nil {
 		return f, err
 	}
-	f.Busy = cores(after-busy, begun, time.Now())
+	f.Busy = Cores(after-busy, begun, time.Now())
 	for _, n := range descriptors {
 		f.Descriptors += float64(n) / float64(len(d.nodes))
 	}
@@ -173,13 +173,13 @@
 
 // makeCalls calls each node for the length of the day, and waits for the answers.
 func (d *growthDay) makeCalls(ctx context.Context) Tally {
-	calls := loadSpec{name: "day", rate: d.args.Rate, seed: d.args.Seed}
+	calls := Spec{Name: "day", Rate: d.args.Rate, Seed: d.args.Seed}
 	for _, n := range d.nodes {
-		calls.addresses = append(calls.addresses, n.Address())
+		calls.Addresses = append(calls.Addresses, n.Address())
 	}
-	generator := newLoadGenerator(d.client, calls)
-	generator.play(ctx, d.args.For)
-	return generator.figures().Tally
+	generator := NewGenerator(d.client, calls)
+	generator.Play(ctx, d.args.For)
+	return generator.Figures().Tally
 }
 
 // watchDescriptors samples the nodes' open descriptors until ctx ends, and returns the most of each.
@@ -187,7 +187,7 @@
 	most := make([]int, len(d.nodes))
 	for ctx.Err() == nil {
 		for i, n := range d.nodes {
-			if open, err := Descriptors(n.pid()); err == nil { // a node that ended is found at the end
+			if open, err := Descriptors(n.PID()); err == nil { // a node that ended is found at the end
 				most[i] = max(most[i], open)
 			}
 		}
@@ -207,14 +207,14 @@
 	f.Served = float64(f.Calls.Served) / float64(f.Calls.Offered)
 	nodes := float64(len(d.nodes))
 	for _, n := range d.nodes {
-		if !n.alive() {
-			return fmt.Errorf("%s has ended", n.name())
+		if !n.Alive() {
+			return fmt.Errorf("%s has ended", n.Name())
 		}
-		used, err := UsageOf(n.pid())
+		used, err := UsageOf(n.PID())
 		if err != nil {
 			return err
 		}
-		peak, err := PeakMemory(n.pid())
+		peak, err := PeakMemory(n.PID())
 		if err != nil {
 			return err
 		}
@@ -222,11 +222,11 @@
 		f.PeakMemory += float64(peak) / nodes
 	}
 	var connections int64
-	if err := d.servers.call(ctx, "Accepted", struct{}{}, &connections); err != nil {
+	if err := d.servers.Call(ctx, "Accepted", struct{}{}, &connections); err != nil {
 		return err
 	}
 	var counted Counted
-	if err := d.registry.call(ctx, "Traffic", struct{}{}, &counted); err != nil {
+	if err := d.registry.Call(ctx, "Traffic", struct{}{}, &counted); err != nil {
 		return err
 	}
 	f.Connections = float64(connections) / nodes
--- a/internal/fleet/growth_test.go
+++ b/internal/fleet/growth_test.go
@@ -89,9 +89,9 @@
 		{200, 16, 300, 900}, {200, 16, 20, 320}, {100, 4, 225, 900}, {100, 16, 900, 900},
 	} {
 		args := GrowthArgs{Servers: test.servers, Factor: test.factor, Fleet: test.fleet}
-		usual, large := args.usual(), args.large()
-		each := func(s growthSize) float64 { return s.capacity * float64(s.servers) / float64(s.nodes) }
-		if large.nodes != test.nodes || large.servers != test.servers*test.factor || math.Abs(each(large)/each(usual)-1) > 1e-9 {
+		usual, large := args.Usual(), args.Large()
+		each := func(s GrowthSize) float64 { return s.Capacity * float64(s.Servers) / float64(s.Nodes) }
+		if large.Nodes != test.nodes || large.Servers != test.servers*test.factor || math.Abs(each(large)/each(usual)-1) > 1e-9 {
 			t.Errorf("%+v: usual %+v, large %+v", test, usual, large)
 		}
 	}
@@ -100,52 +100,52 @@
 // Each server that is replaced drains, leaves the list and ends, in this order; another is listed in its place.
 func TestPlanDay(t *testing.T) {
 	const servers, length = 200, 20 * time.Second
-	plan := planDay(servers, length, 1)
-	steps := map[int][]eventKind{}
+	plan := Day(servers, length, 1)
+	steps := map[int][]EventKind{}
 	var first, last time.Duration
-	seen := map[eventKind]int{}
+	seen := map[EventKind]int{}
 	for i, e := range plan {
-		seen[e.kind]++
-		if i > 0 && e.at < plan[i-1].at || e.at < 0 || e.at > length {
-			t.Errorf("event %d at %v", i, e.at)
+		seen[e.Kind]++
+		if i > 0 && e.At < plan[i-1].At || e.At < 0 || e.At > length {
+			t.Errorf("event %d at %v", i, e.At)
 		}
-		if e.kind == breakWatches {
+		if e.Kind == BreakWatches {
 			continue
 		}
-		steps[e.server] = append(steps[e.server], e.kind)
-		if e.kind == listServer {
+		steps[e.Server] = append(steps[e.Server], e.Kind)
+		if e.Kind == ListServer {
 			if first == 0 {
-				first = e.at
+				first = e.At
 			}
-			last = e.at
+			last = e.At
 		}
 	}
 	for server, kinds := range steps {
-		want := []eventKind{drainServer, removeServer, closeServer}
+		want := []EventKind{DrainServer, RemoveServer, CloseServer}
 		if server >= servers {
-			want = []eventKind{listServer}
+			want = []EventKind{ListServer}
 		}
 		if !slices.Equal(kinds, want) {
 			t.Errorf("server %d: %v", server, kinds)
 		}
 	}
-	if len(steps) != 240 || seen[listServer] != 120 || seen[drainServer] != 120 || seen[breakWatches] != len(watchBreaks) ||
+	if len(steps) != 240 || seen[ListServer] != 120 || seen[DrainServer] != 120 || seen[BreakWatches] != len(watchBreaks) ||
 		last-first > 7*time.Second || last-first < 6*time.Second {
 		t.Errorf("%d servers, events %v, replaced within %v", len(steps), seen, last-first)
 	}
-	if !slices.Equal(plan, planDay(servers, length, 1)) || slices.Equal(plan, planDay(servers, length, 2)) {
+	if !slices.Equal(plan, Day(servers, length, 1)) || slices.Equal(plan, Day(servers, length, 2)) {
 		t.Error("a day does not depend on its seed alone")
 	}
 }
 
 func TestDueEvents(t *testing.T) {
-	plan := []dayEvent{{at: 1}, {at: 3}, {at: 3}, {at: 4}}
+	plan := []Event{{At: 1}, {At: 3}, {At: 3}, {At: 4}}
 	for at, want := range []int{0, 1, 1, 3, 4, 4} {
-		if got := dueEvents(plan, time.Duration(at)); got != want {
+		if got := DueEvents(plan, time.Duration(at)); got != want {
 			t.Errorf("at %d: %d events are due, want %d", at, got, want)
 		}
 	}
-	if dueEvents(nil, 1) != 0 {
+	if DueEvents(nil, 1) != 0 {
 		t.Error("events of no plan are due")
 	}
 }
@@ -157,10 +157,10 @@
 	if err := h.Start(ListedServersSpec{Count: 2}, &endpoints); err != nil {
 		t.Fatal(err)
 	}
-	c := newClient()
-	defer c.close()
+	c := NewClient()
+	defer c.Close()
 	for i, at := range []int{0, 0, 1} {
-		if got, err := c.call(context.Background(), endpoints[at], callClass, fmt.Sprint(i), time.Now().Add(limit)); got != served {
+		if got, err := c.Call(context.Background(), endpoints[at], Class, fmt.Sprint(i), time.Now().Add(limit)); got != Served {
 			t.Fatalf("call %d: %v, %v", i, got, err)
 		}
 	}
@@ -201,7 +201,7 @@
 		}
 		for i, f := range []GrowthFigures{report.Usual, report.Large} {
 			servers := []int{20, 40}[i]
-			if f.Servers != servers || f.Changes != 3*replacedCount(servers) || f.Calls.Answered() != f.Calls.Offered || f.Calls.Offered < 10 ||
+			if f.Servers != servers || f.Changes != 3*ReplacedCount(servers) || f.Calls.Answered() != f.Calls.Offered || f.Calls.Offered < 10 ||
 				f.Calls.Served < 1 || f.CPUSeconds <= 0 || f.PeakMemory < 1e6 || f.Descriptors < 3 || f.Connections < 1 ||
 				f.ListBytes < float64(servers)*100 || f.ListPayload <= f.ListBytes || f.ListCalls < 1 {
 				t.Errorf("%s: %+v", mode, f)
--- a/internal/fleet/growthargs.go
+++ b/internal/fleet/growthargs.go
@@ -53,24 +53,24 @@
 	)
 }
 
-// bound returns how long both days may take in all.
-func (a GrowthArgs) bound() time.Duration { return 2*a.For + Margin }
+// Bound returns how long both days may take in all.
+func (a GrowthArgs) Bound() time.Duration { return 2*a.For + Margin }
 
-// growthSize is the size of the fleet on one day.
-type growthSize struct {
-	servers  int
-	nodes    int     // of the fleet, as the settings have them
-	capacity float64 // of each server; 1 at the usual size
+// GrowthSize is the size of the fleet on one day.
+type GrowthSize struct {
+	Servers  int
+	Nodes    int     // of the fleet, as the settings have them
+	Capacity float64 // of each server; 1 at the usual size
 }
 
-// usual returns the usual size.
-func (a GrowthArgs) usual() growthSize {
-	return growthSize{servers: a.Servers, nodes: a.Fleet, capacity: 1}
+// Usual returns the usual size.
+func (a GrowthArgs) Usual() GrowthSize {
+	return GrowthSize{Servers: a.Servers, Nodes: a.Fleet, Capacity: 1}
 }
 
-// large returns the large size. All servers together have the same capacity for each node as at the usual size.
-func (a GrowthArgs) large() growthSize {
-	size := growthSize{servers: a.Servers * a.Factor, nodes: min(a.Fleet*a.Factor, maxFleetNodes)}
-	size.capacity = float64(size.nodes) / float64(a.Fleet) / float64(a.Factor)
+// Large returns the large size. All servers together have the same capacity for each node as at the usual size.
+func (a GrowthArgs) Large() GrowthSize {
+	size := GrowthSize{Servers: a.Servers * a.Factor, Nodes: min(a.Fleet*a.Factor, maxFleetNodes)}
+	size.Capacity = float64(size.Nodes) / float64(a.Fleet) / float64(a.Factor)
 	return size
 }
--- a/internal/fleet/growthevents.go
+++ b/internal/fleet/growthevents.go
@@ -12,14 +12,14 @@
 func (d *growthDay) playEvents(ctx context.Context, f *GrowthFigures) error {
 	begun := time.Now()
 	var latest time.Duration
-	for plan := planDay(d.size.servers, d.args.For, d.args.Seed); len(plan) > 0; {
-		monotime.Sleep(ctx, time.Until(begun.Add(plan[0].at)))
+	for plan := Day(d.size.Servers, d.args.For, d.args.Seed); len(plan) > 0; {
+		monotime.Sleep(ctx, time.Until(begun.Add(plan[0].At)))
 		if ctx.Err() != nil {
 			return nil
 		}
 		now := time.Since(begun)
-		latest = max(latest, now-plan[0].at)
-		due := dueEvents(plan, now)
+		latest = max(latest, now-plan[0].At)
+		due := DueEvents(plan, now)
 		changes, err := d.playTogether(ctx, plan[:due])
 		if err != nil {
 			return err
@@ -27,38 +27,38 @@
 		f.Changes += changes
 		plan = plan[due:]
 	}
-	f.LateMS = ms(latest)
+	f.LateMS = Milliseconds(latest)
 	return nil
 }
 
 // playTogether makes events: the changes of the list, one after another, then what else there is. It returns how
 // many changes there were.
-func (d *growthDay) playTogether(ctx context.Context, events []dayEvent) (int, error) {
+func (d *growthDay) playTogether(ctx context.Context, events []Event) (int, error) {
 	var changes []ChangeSpec
 	var ended []int
 	broken := false
 	for _, e := range events {
-		switch e.kind {
-		case closeServer:
-			ended = append(ended, e.server)
-		case breakWatches:
+		switch e.Kind {
+		case CloseServer:
+			ended = append(ended, e.Server)
+		case BreakWatches:
 			broken = true
 		default:
 			changes = append(changes, ChangeSpec{0, []ListEntry{d.changed(e)}})
 		}
 	}
 	if len(changes) > 0 {
-		if err := d.registry.call(ctx, "ChangeInTurn", changes, &struct{}{}); err != nil {
+		if err := d.registry.Call(ctx, "ChangeInTurn", changes, &struct{}{}); err != nil {
 			return 0, err
 		}
 	}
 	if broken {
-		if err := d.registry.call(ctx, "BreakWatches", struct{}{}, &struct{}{}); err != nil {
+		if err := d.registry.Call(ctx, "BreakWatches", struct{}{}, &struct{}{}); err != nil {
 			return 0, err
 		}
 	}
 	if len(ended) > 0 {
-		if err := d.servers.call(ctx, "Close", ended, &struct{}{}); err != nil {
+		if err := d.servers.Call(ctx, "Close", ended, &struct{}{}); err != nil {
 			return 0, err
 		}
 	}
@@ -66,15 +66,15 @@
 }
 
 // changed is the entry of a server after an event that changes the list.
-func (d *growthDay) changed(e dayEvent) ListEntry {
-	entry := d.target(e.server)
-	switch e.kind {
-	case listServer:
+func (d *growthDay) changed(e Event) ListEntry {
+	entry := d.target(e.Server)
+	switch e.Kind {
+	case ListServer:
 		entry.BootMS = time.Now().UnixMilli()
-	case drainServer:
-		entry.State = terminating
-	case removeServer:
-		entry.State = terminated
+	case DrainServer:
+		entry.State = Terminating
+	case RemoveServer:
+		entry.State = Terminated
 	}
 	return entry
 }
--- a/internal/fleet/growthlimits.go
+++ b/internal/fleet/growthlimits.go
@@ -44,8 +44,8 @@
 	},
 }
 
-// growthRows compares the figures of both sizes with all limits.
-func growthRows(usual, large GrowthFigures) (rows []GrowthRow) {
+// GrowthRows compares the figures of both sizes with all limits.
+func GrowthRows(usual, large GrowthFigures) (rows []GrowthRow) {
 	for _, limit := range growthLimits {
 		rows = append(rows, limit.row(usual, large))
 	}
--- a/internal/fleet/growthplan.go
+++ b/internal/fleet/growthplan.go
@@ -21,28 +21,28 @@
 // watchBreaks are when all open watches of the list are broken, as shares of the day.
 var watchBreaks = []float64{0.1, 0.3, 0.45, 0.7}
 
-// eventKind says what an event of a growth day does.
-type eventKind int
+// EventKind says what an event of a growth day does.
+type EventKind int
 
 const (
-	listServer   eventKind = iota // a new server is listed
-	drainServer                   // a server begins to drain
-	removeServer                  // a server is removed from the list
-	closeServer                   // a server ends
-	breakWatches
+	ListServer   EventKind = iota // a new server is listed
+	DrainServer                   // a server begins to drain
+	RemoveServer                  // a server is removed from the list
+	CloseServer                   // a server ends
+	BreakWatches
 )
 
-// dayEvent is an event of a growth day.
-type dayEvent struct {
-	at     time.Duration
-	kind   eventKind
-	server int // the servers listed first, then those that replace some of them
+// Event is an event of a growth day.
+type Event struct {
+	At     time.Duration
+	Kind   EventKind
+	Server int // the servers listed first, then those that replace some of them
 }
 
-// dueEvents returns how many of the events of a plan are due at a time.
-func dueEvents(plan []dayEvent, at time.Duration) int {
-	n, _ := slices.BinarySearchFunc(plan, at, func(e dayEvent, at time.Duration) int {
-		if e.at <= at {
+// DueEvents returns how many of the events of a plan are due at a time.
+func DueEvents(plan []Event, at time.Duration) int {
+	n, _ := slices.BinarySearchFunc(plan, at, func(e Event, at time.Duration) int {
+		if e.At <= at {
 			return -1
 		}
 		return 1
@@ -50,25 +50,25 @@
 	return n
 }
 
-// replacedCount returns how many of so many servers a day replaces.
-func replacedCount(servers int) int { return int(replacedShare * float64(servers)) }
+// ReplacedCount returns how many of so many servers a day replaces.
+func ReplacedCount(servers int) int { return int(replacedShare * float64(servers)) }
 
-// planDay lays out a day: servers that are drawn anew for each seed are replaced one after another, evenly over
+// Day lays out a day: servers that are drawn anew for each seed are replaced one after another, evenly over
 // the time, and the watches break.
-func planDay(servers int, length time.Duration, seed uint64) []dayEvent {
+func Day(servers int, length time.Duration, seed uint64) []Event {
 	share := func(s float64) time.Duration { return time.Duration(s * float64(length)) }
-	var events []dayEvent
-	count := replacedCount(servers)
+	var events []Event
+	count := ReplacedCount(servers)
 	for i, old := range rand.New(rand.NewPCG(seed, uint64(servers))).Perm(servers)[:count] {
 		listed := share(replaceBegins + replaceTakes*float64(i)/float64(count))
 		drains := share(replaceBegins + replaceTakes*(float64(i)+0.5)/float64(count))
-		events = append(events, dayEvent{listed, listServer, servers + i}, dayEvent{drains, drainServer, old},
-			dayEvent{drains + share(drainTakes), removeServer, old},
-			dayEvent{drains + share(drainTakes+closeAfter), closeServer, old})
+		events = append(events, Event{listed, ListServer, servers + i}, Event{drains, DrainServer, old},
+			Event{drains + share(drainTakes), RemoveServer, old},
+			Event{drains + share(drainTakes+closeAfter), CloseServer, old})
 	}
 	for _, at := range watchBreaks {
-		events = append(events, dayEvent{at: share(at), kind: breakWatches})
+		events = append(events, Event{At: share(at), Kind: BreakWatches})
 	}
-	slices.SortStableFunc(events, func(a, b dayEvent) int { return cmp.Compare(a.at, b.at) })
+	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	return events
 }
--- a/internal/fleet/hollows.go
+++ b/internal/fleet/hollows.go
@@ -17,10 +17,10 @@
 
 // Phases of a storm, in which calls are counted apart.
 const (
-	beforeStorm = iota
-	inStorm
-	afterStorm
-	phases
+	BeforeStorm = iota
+	InStorm
+	AfterStorm
+	PhaseCount
 )
 
 // finalUpdateWait is how long the last updates are waited for after the end of a run. A node that applies a change
@@ -57,7 +57,7 @@
 
 // HollowReport are the figures of the nodes at the end of a run.
 type HollowReport struct {
-	Phases    [phases]Tally
+	Phases    [PhaseCount]Tally
 	Lateness  Quantiles // of sends, against the times drawn
 	Latency   Quantiles // from the time drawn to the answer
 	InForce   map[string]InForce
@@ -70,9 +70,9 @@
 	services int
 	nodes    []*hollow
 	phase    atomic.Int32
-	tallies  [phases]struct{ offered, served, rejected, failed atomic.Int64 }
-	lateness *latencies
-	latency  *latencies
+	tallies  [PhaseCount]struct{ offered, served, rejected, failed atomic.Int64 }
+	lateness *Latencies
+	latency  *Latencies
 	senders  sync.WaitGroup // the goroutines that make calls
 
 	heapWithoutNodes int64 // in bytes
@@ -81,7 +81,7 @@
 
 // Start starts the nodes, and waits until all are ready.
 func (h *Hollows) Start(spec HollowSpec, started *HollowStart) error {
-	h.services, h.lateness, h.latency = spec.Services, newLatencies(), newLatencies()
+	h.services, h.lateness, h.latency = spec.Services, NewLatencies(), NewLatencies()
 	h.warnings = &warnings{Handler: slog.NewTextHandler(io.Discard, nil)}
 	before := memory()
 	h.heapWithoutNodes = int64(before.HeapAlloc)
@@ -164,11 +164,11 @@
 func (h *Hollows) call(n *hollow, drawn time.Time) {
 	t := &h.tallies[h.phase.Load()]
 	t.offered.Add(1)
-	h.lateness.add(time.Since(drawn))
-	n.Call(callClass, callDeadline, func(a node.Answer) {
+	h.lateness.Add(time.Since(drawn))
+	n.Call(Class, Deadline, func(a node.Answer) {
 		switch a {
 		case node.Served:
-			h.latency.add(time.Since(drawn))
+			h.latency.Add(time.Since(drawn))
 			t.served.Add(1)
 		case node.Rejected:
 			t.rejected.Add(1)
@@ -180,7 +180,7 @@
 
 // Phase has the calls counted in another phase from now on.
 func (h *Hollows) Phase(phase int, _ *struct{}) error {
-	if phase < 0 || phase >= phases {
+	if phase < 0 || phase >= PhaseCount {
 		return errors.New("hollow nodes: no such phase")
 	}
 	h.phase.Store(int32(phase))
@@ -207,6 +207,6 @@
 		}
 	}
 	report.HeapBytes = int64(memory().HeapAlloc) - h.heapWithoutNodes
-	report.Lateness, report.Latency, report.Warnings = h.lateness.quantiles(), h.latency.quantiles(), h.warnings.count.Load()
+	report.Lateness, report.Latency, report.Warnings = h.lateness.Quantiles(), h.latency.Quantiles(), h.warnings.count.Load()
 	return nil
 }
--- a/internal/fleet/inforce.go
+++ b/internal/fleet/inforce.go
@@ -20,18 +20,18 @@
 	All     Spread `json:"all"`
 }
 
-// atShare returns the quantile of sorted values by the nearest rank: the least one that so large a share of them does
+// Quantile returns the quantile of sorted values by the nearest rank: the least one that so large a share of them does
 // not exceed.
-func atShare(sorted []float64, share float64) float64 {
+func Quantile(sorted []float64, share float64) float64 {
 	n := int(share*float64(len(sorted))+0.999999) - 1
 	return sorted[min(max(n, 0), len(sorted)-1)]
 }
 
-// spread returns the median and the largest of some values, which it sorts.
-func spread(values []float64) Spread {
+// SpreadOf returns the median and the largest of some values, which it sorts.
+func SpreadOf(values []float64) Spread {
 	if len(values) == 0 {
 		return Spread{}
 	}
 	sort.Float64s(values)
-	return Spread{atShare(values, 0.5), values[len(values)-1]}
+	return Spread{Quantile(values, 0.5), values[len(values)-1]}
 }
--- a/internal/fleet/latency.go
+++ b/internal/fleet/latency.go
@@ -19,29 +19,29 @@
 // longestLatency is the longest time that a histogram tells apart; longer ones count as this long.
 const longestLatency = 2 * time.Minute
 
-// latencies is an HdrHistogram of times in microseconds, to three digits. Many goroutines may add to it.
-type latencies struct {
+// Latencies is an HdrHistogram of times in microseconds, to three digits. Many goroutines may add to it.
+type Latencies struct {
 	mu   sync.Mutex
 	hist *hdrhistogram.Histogram
 }
 
-func newLatencies() *latencies {
-	return &latencies{hist: hdrhistogram.New(1, longestLatency.Microseconds(), 3)}
+func NewLatencies() *Latencies {
+	return &Latencies{hist: hdrhistogram.New(1, longestLatency.Microseconds(), 3)}
 }
 
-func (l *latencies) add(d time.Duration) {
+func (l *Latencies) Add(d time.Duration) {
 	us := min(max(d.Microseconds(), 0), longestLatency.Microseconds())
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	_ = l.hist.RecordValue(us) // it fails only out of the histogram's range
 }
 
-func (l *latencies) quantiles() Quantiles {
+func (l *Latencies) Quantiles() Quantiles {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	at := func(q float64) float64 { return float64(l.hist.ValueAtQuantile(q)) / 1000 }
 	return Quantiles{Count: l.hist.TotalCount(), P50: at(50), P99: at(99), P999: at(99.9), Max: float64(l.hist.Max()) / 1000}
 }
 
-// ms returns a time in milliseconds.
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+// Milliseconds returns a time in milliseconds.
+func Milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/fleet/list.go
+++ b/internal/fleet/list.go
@@ -29,9 +29,9 @@
 
 // The states of an entry.
 const (
-	inService   = "in_service"
-	terminating = "terminating"
-	terminated  = "terminated" // only among changes
+	InService   = "in_service"
+	Terminating = "terminating"
+	Terminated  = "terminated" // only among changes
 )
 
 // listBody is the body of an answer to a call for a list.
@@ -73,7 +73,7 @@
 	defer l.mu.Unlock()
 	l.rev++
 	for _, t := range targets {
-		if _, listed := l.entries[t.UID]; t.State == terminated {
+		if _, listed := l.entries[t.UID]; t.State == Terminated {
 			delete(l.entries, t.UID)
 		} else {
 			if !listed {
--- a/internal/fleet/listchange.go
+++ b/internal/fleet/listchange.go
@@ -31,19 +31,19 @@
 				continue
 			}
 			f.Applied++
-			took = append(took, ms(time.Duration(at.UnixNano()-c.AtNS)))
+			took = append(took, Milliseconds(time.Duration(at.UnixNano()-c.AtNS)))
 		}
 		if len(took) > 0 {
 			sort.Float64s(took)
 			for k, share := range []float64{0.5, 0.99, 1} {
-				times[c.Group][k] = append(times[c.Group][k], atShare(took, share))
+				times[c.Group][k] = append(times[c.Group][k], Quantile(took, share))
 			}
 		}
 		figures[c.Group] = f
 	}
 	for group, f := range figures {
 		t := times[group]
-		f.Half, f.P99, f.All = spread(t[0]), spread(t[1]), spread(t[2])
+		f.Half, f.P99, f.All = SpreadOf(t[0]), SpreadOf(t[1]), SpreadOf(t[2])
 		figures[group] = f
 	}
 	return figures
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// machineBusy returns the processor time that all programs on the machine have used since its start.
-func machineBusy() (time.Duration, error) {
+// MachineBusy returns the processor time that all programs on the machine have used since its start.
+func MachineBusy() (time.Duration, error) {
 	text, err := os.ReadFile("/proc/stat")
 	if err != nil {
 		return 0, fmt.Errorf("machine: %w", err)
@@ -29,8 +29,8 @@
 	return busy, nil
 }
 
-// loadAverage returns the machine's load average over the last minute, or "" if that can't be read.
-func loadAverage() string {
+// LoadAverage returns the machine's load average over the last minute, or "" if that can't be read.
+func LoadAverage() string {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
 		return ""
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -87,7 +87,7 @@
 	return len(entries), nil
 }
 
-// cores is how many processor cores were in use between two readings.
-func cores(used time.Duration, from, to time.Time) float64 {
+// Cores is how many processor cores were in use between two readings.
+func Cores(used time.Duration, from, to time.Time) float64 {
 	return used.Seconds() / to.Sub(from).Seconds()
 }
--- a/internal/fleet/program.go
+++ b/internal/fleet/program.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// buildProgram builds the real nodes' program in a folder.
-func buildProgram(ctx context.Context, dir string) (string, error) {
+// BuildProgram builds the real nodes' program in a folder.
+func BuildProgram(ctx context.Context, dir string) (string, error) {
 	path := filepath.Join(dir, "balancer")
 	out, err := exec.CommandContext(ctx, "go", "build", "-o", path, "basaltdrum/cmd/balancer").CombinedOutput()
 	if err != nil {
--- a/internal/fleet/realnodes.go
+++ b/internal/fleet/realnodes.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// realNode is a process of the real program.
-type realNode struct {
+// RealNode is a process of the real program.
+type RealNode struct {
 	spec    NodeSpec
 	path    string // of its configuration
 	address string
@@ -25,9 +25,9 @@
 
 var servingAt = regexp.MustCompile(`msg=serving .*address=(\S+)`)
 
-// startReal starts a node, with a limit of 1,024 descriptors, and waits until it listens.
-func startReal(ctx context.Context, program, dir string, spec NodeSpec) (*realNode, error) {
-	n := &realNode{spec: spec, path: filepath.Join(dir, spec.Name+".json"), exited: make(chan struct{})}
+// StartRealNode starts a node, with a limit of 1,024 descriptors, and waits until it listens.
+func StartRealNode(ctx context.Context, program, dir string, spec NodeSpec) (*RealNode, error) {
+	n := &RealNode{spec: spec, path: filepath.Join(dir, spec.Name+".json"), exited: make(chan struct{})}
 	if err := n.write(); err != nil {
 		return nil, err
 	}
@@ -60,13 +60,13 @@
 	case <-n.exited:
 		return nil, fmt.Errorf("%s: it ended before it served: %s", spec.Name, last)
 	case <-ctx.Done():
-		n.stop()
+		n.Stop()
 		return nil, fmt.Errorf("%s: %w", spec.Name, ctx.Err())
 	}
 }
 
 // write writes the node's configuration file.
-func (n *realNode) write() error {
+func (n *RealNode) write() error {
 	text, err := n.spec.Configuration()
 	if err != nil {
 		return err
@@ -81,8 +81,8 @@
 	return nil
 }
 
-// ready waits until the node passes its health check.
-func (n *realNode) ready(ctx context.Context) error {
+// WaitReady waits until the node passes its health check.
+func (n *RealNode) WaitReady(ctx context.Context) error {
 	for {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.address+"/health/ready", nil)
 		if err != nil {
@@ -106,30 +106,30 @@
 }
 
 // Address is where the node serves.
-func (n *realNode) Address() string { return n.address }
+func (n *RealNode) Address() string { return n.address }
 
-// name is the node's name in its configuration.
-func (n *realNode) name() string { return n.spec.Name }
+// Name is the node's name in its configuration.
+func (n *RealNode) Name() string { return n.spec.Name }
 
-// pid is the id of the node's process.
-func (n *realNode) pid() int { return n.cmd.Process.Pid }
+// PID is the id of the node's process.
+func (n *RealNode) PID() int { return n.cmd.Process.Pid }
 
-// addClass adds a class to the node's configuration file, which the node reads at its next reload.
-func (n *realNode) addClass(class string) error {
+// AddClass adds a class to the node's configuration file, which the node reads at its next reload.
+func (n *RealNode) AddClass(class string) error {
 	n.spec.Classes = append(n.spec.Classes, class)
 	return n.write()
 }
 
-// reload has the node read its configuration.
-func (n *realNode) reload() error {
+// Reload has the node read its configuration.
+func (n *RealNode) Reload() error {
 	if err := n.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		return fmt.Errorf("%s: %w", n.spec.Name, err)
 	}
 	return nil
 }
 
-// alive says that the process has not ended.
-func (n *realNode) alive() bool {
+// Alive says that the process has not ended.
+func (n *RealNode) Alive() bool {
 	select {
 	case <-n.exited:
 		return false
@@ -138,8 +138,8 @@
 	}
 }
 
-// stop kills the node and waits until it has ended. Draining would only lengthen the run.
-func (n *realNode) stop() {
+// Stop kills the node and waits until it has ended. Draining would only lengthen the run.
+func (n *RealNode) Stop() {
 	_ = n.cmd.Process.Kill() // it fails only if the node has just ended
 	<-n.exited
 }
--- a/internal/fleet/registry.go
+++ b/internal/fleet/registry.go
@@ -182,7 +182,7 @@
 		return nil, err
 	}
 	l.traffic.Add(Traffic{Conns: 1})
-	l.traffic.opened(1)
+	l.traffic.CountOpen(1)
 	return &meteredConn{Conn: c, traffic: l.traffic}, nil
 }
 
@@ -206,6 +206,6 @@
 }
 
 func (c *meteredConn) Close() error {
-	c.closed.Do(func() { c.traffic.opened(-1) })
+	c.closed.Do(func() { c.traffic.CountOpen(-1) })
 	return c.Conn.Close()
 }
--- a/internal/fleet/registry_test.go
+++ b/internal/fleet/registry_test.go
@@ -13,7 +13,7 @@
 // limit is how long a test waits for what must come; only a failing one waits so long.
 const limit = 60 * time.Second
 
-func targets(n int) []ListEntry { return newRotation(0, n, "127.0.0.1:1").entries }
+func targets(n int) []ListEntry { return NewRotation(0, n, "127.0.0.1:1").entries }
 
 // tell asks an address of a registry.
 func tell(t *testing.T, address, query string) listBody {
@@ -67,18 +67,18 @@
 
 func TestRegistryTellsWholeListsAndChanges(t *testing.T) {
 	r, address := newTestRegistry(t, targets(3))
-	if a := tell(t, address, ""); a.Rev != 1 || !a.All || len(a.Entries) != 3 || a.Entries[0].State != inService {
+	if a := tell(t, address, ""); a.Rev != 1 || !a.All || len(a.Entries) != 3 || a.Entries[0].State != InService {
 		t.Errorf("the whole list: %+v", a)
 	}
 	if a := tell(t, address, "?from=1&hold_ms=1"); a.Rev != 1 || a.All || len(a.Entries) != 0 {
 		t.Errorf("a hold without news: %+v", a)
 	}
 	one := targets(3)[1]
-	one.State = terminating
+	one.State = Terminating
 	makeChange(t, r, one)
-	one.State = terminated
+	one.State = Terminated
 	makeChange(t, r, one)
-	if a := tell(t, address, "?from=1&hold_ms=60000"); a.Rev != 3 || a.All || len(a.Entries) != 1 || a.Entries[0].State != terminated {
+	if a := tell(t, address, "?from=1&hold_ms=60000"); a.Rev != 3 || a.All || len(a.Entries) != 1 || a.Entries[0].State != Terminated {
 		t.Errorf("two changes of one entry: %+v", a)
 	}
 	if a := tell(t, address, "?from=2&hold_ms=60000"); a.Rev != 3 || len(a.Entries) != 1 {
@@ -204,23 +204,23 @@
 }
 
 func TestRotationKeepsTheListWhole(t *testing.T) {
-	r := newRotation(0, 12, "127.0.0.1:1")
+	r := NewRotation(0, 12, "127.0.0.1:1")
 	l := newList(r.entries)
 	listed := func() int { return len(l.since(-1).Entries) }
 	for i := range 3 * 12 {
-		l.change(r.next())
+		l.change(r.Next())
 		if n := listed(); n < 11 || n > 12 || i%3 == 2 && n != 12 {
 			t.Fatalf("after %d changes %d servers are listed", i+1, n)
 		}
 	}
-	l.change(r.zone(false))
+	l.change(r.ChangeZone(false))
 	for range 3 * 12 {
-		l.change(r.next())
+		l.change(r.Next())
 		if n := listed(); n < 9 || n > 10 {
 			t.Fatalf("%d servers are listed without a zone of 2", n)
 		}
 	}
-	l.change(r.zone(true))
+	l.change(r.ChangeZone(true))
 	if n := listed(); n != 12 {
 		t.Fatalf("%d servers are listed after the return", n)
 	}
--- a/internal/fleet/reporttable.go
+++ b/internal/fleet/reporttable.go
@@ -70,7 +70,7 @@
 			h.Calls.Offered, h.Calls.Served, h.Calls.Rejected, h.Calls.Failed,
 			h.Latency.P50, h.Latency.P99, h.Latency.P999, scheduleText(h.ScheduleKept, h.Lateness))
 	}
-	for _, group := range groups {
+	for _, group := range Groups {
 		if f, ok := h.InForce[group]; ok {
 			t.row("in force: "+group, "%d changes; at 50/99/100 in 100 nodes: median %.1f/%.1f/%.1f ms, worst %.1f/%.1f/%.1f ms; %d heard, %d missed",
 				f.Changes, f.Half.Median, f.P99.Median, f.All.Median, f.Half.Worst, f.P99.Worst, f.All.Worst, f.Applied, f.Missed)
--- a/internal/fleet/roles.go
+++ b/internal/fleet/roles.go
@@ -1,6 +1,8 @@
 package fleet
 
-import "fmt"
+import (
+	"fmt"
+)
 
 // The roles of child processes.
 const (
@@ -20,5 +22,5 @@
 	if !ok {
 		return fmt.Errorf("child: no role %q", role)
 	}
-	return serveParent(service)
+	return ServeParent(service)
 }
--- a/internal/fleet/rotation.go
+++ b/internal/fleet/rotation.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// rotation changes one list: one server after the other drains, is removed and is listed again. At most one server
+// Rotation changes one list: one server after the other drains, is removed and is listed again. At most one server
 // is missing at a time, except in the outage of a zone.
-type rotation struct {
-	service int
+type Rotation struct {
+	Service int
 
 	mu      sync.Mutex
 	entries []ListEntry // as they are while in service
@@ -19,40 +19,40 @@
 	lost    bool // the first zone is in an outage
 }
 
-func newRotation(service, servers int, endpoint string) *rotation {
-	r := &rotation{service: service}
+func NewRotation(service, servers int, endpoint string) *Rotation {
+	r := &Rotation{Service: service}
 	for i := range servers {
 		r.entries = append(r.entries, ListEntry{
 			UID: fmt.Sprintf("s-%d-%d", service, i), Endpoint: endpoint,
-			Zone: zones[i%len(zones)], Model: "m1", Cell: i % 10, State: inService, Capacity: 1,
+			Zone: Zones[i%len(Zones)], Model: "m1", Cell: i % 10, State: InService, Capacity: 1,
 		})
 	}
 	return r
 }
 
 // Entries returns all entries, as they are while in service.
-func (r *rotation) Entries() []ListEntry {
+func (r *Rotation) Entries() []ListEntry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.entries)
 }
 
-// next returns the next change of one server, or none if all that could change are in the outage.
-func (r *rotation) next() []ListEntry {
+// Next returns the next change of one server, or none if all that could change are in the outage.
+func (r *Rotation) Next() []ListEntry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for range r.entries {
-		if !r.lost || r.entries[r.at].Zone != zones[0] {
+		if !r.lost || r.entries[r.at].Zone != Zones[0] {
 			break
 		}
 		r.at, r.step = (r.at+1)%len(r.entries), 0
 	}
 	t := &r.entries[r.at]
-	if r.lost && t.Zone == zones[0] {
+	if r.lost && t.Zone == Zones[0] {
 		return nil
 	}
 	changed := *t
-	changed.State = []string{terminating, terminated, inService}[r.step]
+	changed.State = []string{Terminating, Terminated, InService}[r.step]
 	if r.step++; r.step == 3 {
 		t.BootMS = time.Now().UnixMilli()
 		changed.BootMS = t.BootMS
@@ -61,8 +61,8 @@
 	return []ListEntry{changed}
 }
 
-// restart returns the change in which the last server has restarted.
-func (r *rotation) restart() []ListEntry {
+// Restart returns the change in which the last server has restarted.
+func (r *Rotation) Restart() []ListEntry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := &r.entries[len(r.entries)-1]
@@ -70,19 +70,19 @@
 	return []ListEntry{*t}
 }
 
-// zone returns the change in which all servers of the first zone are removed, or are back after a restart.
-func (r *rotation) zone(back bool) []ListEntry {
+// ChangeZone returns the change in which all servers of the first zone are removed, or are back after a restart.
+func (r *Rotation) ChangeZone(back bool) []ListEntry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lost = !back
 	var changed []ListEntry
 	for i := range r.entries {
 		t := &r.entries[i]
-		if t.Zone != zones[0] {
+		if t.Zone != Zones[0] {
 			continue
 		}
 		n := *t
-		n.State = terminated
+		n.State = Terminated
 		if back {
 			t.BootMS = time.Now().UnixMilli()
 			n = *t
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -24,13 +24,13 @@
 	Runner
 	args            Args
 	dir             string
-	registry        *child
-	hollows         *child
-	servers         *child
+	registry        *ChildProcess
+	hollows         *ChildProcess
+	servers         *ChildProcess
 	serverAddresses ServerAddresses
-	real            []*realNode // chain by chain, tier by tier
-	client          *client
-	lists           []*rotation // of the services, then of the real nodes' tiers
+	real            []*RealNode // chain by chain, tier by tier
+	client          *Client
+	lists           []*Rotation // of the services, then of the real nodes' tiers
 
 	mu                   sync.Mutex
 	changes              []ListChange
@@ -42,14 +42,14 @@
 	if err := args.Check(); err != nil {
 		return Point{}, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, args.bound()-2*childStopTimeout)
+	ctx, cancel := context.WithTimeout(ctx, args.Bound()-2*StopTimeout)
 	defer cancel()
-	one := &run{Runner: r, args: args, client: newClient()}
+	one := &run{Runner: r, args: args, client: NewClient()}
 	defer one.stop()
 	if one.dir, err = os.MkdirTemp("", "fleetscale"); err != nil {
 		return Point{}, fmt.Errorf("run: %w", err)
 	}
-	p = Point{Args: args, Machine: Machine{runtime.NumCPU(), runtime.Version(), loadAverage()}}
+	p = Point{Args: args, Machine: Machine{runtime.NumCPU(), runtime.Version(), LoadAverage()}}
 	started, err := one.start(ctx)
 	if err != nil {
 		return Point{}, err
@@ -64,19 +64,19 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			n.stop()
+			n.Stop()
 		}()
 	}
-	for _, c := range []*child{r.hollows, r.servers, r.registry} {
+	for _, c := range []*ChildProcess{r.hollows, r.servers, r.registry} {
 		if c != nil {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				c.stop()
+				c.Stop()
 			}()
 		}
 	}
 	wg.Wait()
-	r.client.close()
+	r.client.Close()
 	_ = os.RemoveAll(r.dir) // what is left of it stays in the folder for temporary files
 }
--- a/internal/fleet/run_test.go
+++ b/internal/fleet/run_test.go
@@ -85,7 +85,7 @@
 		if h == nil || p.Real != nil || p.Chain != nil || p.Configs != nil || p.Storm != nil {
 			t.Fatalf("%s: parts %+v", mode, p)
 		}
-		f := h.InForce[groupChange]
+		f := h.InForce[GroupServerState]
 		if f.Changes < 4 || f.Missed != 0 || f.Applied != 3*f.Changes || f.All.Worst <= 0 || f.Half.Median > f.All.Worst {
 			t.Errorf("%s: in force %+v", mode, f)
 		}
@@ -156,7 +156,7 @@
 	if l := report.Slopes["hollow heap bytes a node"]; l.Slope < 100 { // bytes for each server
 		t.Errorf("heap against servers: %+v", l)
 	}
-	for name := range report.Points[0].figures() {
+	for name := range report.Points[0].Figures() {
 		if _, ok := report.Slopes[name]; !ok {
 			t.Errorf("no slope for %s", name)
 		}
--- a/internal/fleet/runchanges.go
+++ b/internal/fleet/runchanges.go
@@ -8,9 +8,9 @@
 )
 
 // change makes a new version of a list and notes it.
-func (r *run) change(ctx context.Context, l *rotation, targets []ListEntry, group string) error {
+func (r *run) change(ctx context.Context, l *Rotation, targets []ListEntry, group string) error {
 	var changed Changed
-	if err := r.registry.call(ctx, "Change", ChangeSpec{l.service, targets}, &changed); err != nil {
+	if err := r.registry.Call(ctx, "Change", ChangeSpec{l.Service, targets}, &changed); err != nil {
 		return err
 	}
 	r.mu.Lock()
@@ -18,8 +18,8 @@
 	if r.registryUnresponsive { // it is only sent after the outage
 		return nil
 	}
-	if l.service < r.args.Services && r.args.Nodes > 0 {
-		r.changes = append(r.changes, ListChange{group, l.service, changed.Rev, changed.AtNS})
+	if l.Service < r.args.Services && r.args.Nodes > 0 {
+		r.changes = append(r.changes, ListChange{group, l.Service, changed.Rev, changed.AtNS})
 	}
 	return nil
 }
@@ -38,8 +38,8 @@
 			return nil
 		}
 		l := r.lists[i%len(r.lists)]
-		if changed := l.next(); changed != nil {
-			if err := r.change(ctx, l, changed, groupChange); err != nil {
+		if changed := l.Next(); changed != nil {
+			if err := r.change(ctx, l, changed, GroupServerState); err != nil {
 				return err
 			}
 		}
--- a/internal/fleet/runfigures.go
+++ b/internal/fleet/runfigures.go
@@ -15,20 +15,20 @@
 }
 
 func (r *run) usage() (u usage, err error) {
-	if u.busy, err = machineBusy(); err != nil {
+	if u.busy, err = MachineBusy(); err != nil {
 		return u, err
 	}
-	if u.registry, err = UsageOf(r.registry.pid()); err != nil {
+	if u.registry, err = UsageOf(r.registry.PID()); err != nil {
 		return u, err
 	}
 	if r.hollows != nil {
-		if u.hollows, err = UsageOf(r.hollows.pid()); err != nil {
+		if u.hollows, err = UsageOf(r.hollows.PID()); err != nil {
 			return u, err
 		}
 	}
 	for _, n := range r.real {
-		one, err := UsageOf(n.pid())
-		if err != nil && n.alive() {
+		one, err := UsageOf(n.PID())
+		if err != nil && n.Alive() {
 			return u, err
 		}
 		u.real = append(u.real, one)
@@ -42,12 +42,12 @@
 func (r *run) fill(p *Point, before, after usage, realCores []float64, counted Counted) {
 	sum, peak, seconds := counted.Between(before.at, after.at)
 	p.Seconds = after.at.Sub(before.at).Seconds()
-	p.Busy = cores(after.busy-before.busy, before.at, after.at)
+	p.Busy = Cores(after.busy-before.busy, before.at, after.at)
 	per := func(n int64) float64 { return float64(n) / seconds }
 	p.Registry = RegistryFigures{
 		Open: counted.Open, Conns: per(sum.Conns), Calls: per(sum.Calls), BytesIn: per(sum.In),
 		BytesOut: per(sum.Out), Peak: float64(peak) / BucketWidth.Seconds(),
-		Cores: cores(after.registry.CPU-before.registry.CPU, before.at, after.at), RSS: after.registry.RSS,
+		Cores: Cores(after.registry.CPU-before.registry.CPU, before.at, after.at), RSS: after.registry.RSS,
 	}
 	nodes := r.args.Nodes + r.args.Real
 	p.PerNode = PerNode{nodes, per(sum.Out) / float64(nodes), per(sum.In) / float64(nodes)}
@@ -56,10 +56,10 @@
 	}
 	f := &RealFigures{Nodes: len(r.real)}
 	for i, n := range r.real {
-		if n.alive() {
+		if n.Alive() {
 			f.Alive++
 		}
-		used := cores(after.real[i].CPU-before.real[i].CPU, before.at, after.at)
+		used := Cores(after.real[i].CPU-before.real[i].CPU, before.at, after.at)
 		if realCores != nil {
 			used = realCores[i]
 		}
@@ -76,22 +76,22 @@
 	changes := r.changes
 	r.mu.Unlock()
 	var report HollowReport
-	if err := r.hollows.call(ctx, "Report", changes, &report); err != nil {
+	if err := r.hollows.Call(ctx, "Report", changes, &report); err != nil {
 		return err
 	}
 	n := float64(r.args.Nodes)
 	h := &HollowFigures{
-		Nodes: r.args.Nodes, ReadyMS: ms(started.Took),
-		CoresNode: cores(after.hollows.CPU-before.hollows.CPU, before.at, after.at) / n,
+		Nodes: r.args.Nodes, ReadyMS: Milliseconds(started.Took),
+		CoresNode: Cores(after.hollows.CPU-before.hollows.CPU, before.at, after.at) / n,
 		HeapNode:  float64(started.HeapBytes) / n, HeapAfter: float64(report.HeapBytes) / n, StackNode: float64(started.StackMem) / n, RSS: after.hollows.RSS,
-		Lateness: report.Lateness, Latency: report.Latency, ScheduleKept: scheduleKept(report.Lateness),
+		Lateness: report.Lateness, Latency: report.Latency, ScheduleKept: ScheduleKept(report.Lateness),
 		InForce: report.InForce, Warnings: report.Warnings,
 	}
 	for _, t := range report.Phases {
 		h.Calls = h.Calls.Plus(t)
 	}
-	if r.args.Storm != stormNone {
-		h.StormCalls = &report.Phases[inStorm]
+	if r.args.Storm != StormNone {
+		h.StormCalls = &report.Phases[InStorm]
 	}
 	p.Hollow = h
 	return nil
--- a/internal/fleet/runmeasure.go
+++ b/internal/fleet/runmeasure.go
@@ -15,7 +15,7 @@
 		return err
 	}
 	if r.hollows != nil {
-		if err := r.hollows.call(ctx, "Load", HollowLoad{r.args.Rate, r.args.For, r.args.Seed}, &struct{}{}); err != nil {
+		if err := r.hollows.Call(ctx, "Load", HollowLoad{r.args.Rate, r.args.For, r.args.Seed}, &struct{}{}); err != nil {
 			return err
 		}
 	}
@@ -32,7 +32,7 @@
 		return fmt.Errorf("run: %w", err)
 	}
 	var counted Counted
-	if err := r.registry.call(ctx, "Traffic", struct{}{}, &counted); err != nil {
+	if err := r.registry.Call(ctx, "Traffic", struct{}{}, &counted); err != nil {
 		return err
 	}
 	r.fill(p, before, after, outcome.realCores, counted)
@@ -59,7 +59,7 @@
 	if r.args.Changes > 0 {
 		a.start(func(ctx context.Context) error { return r.rotate(ctx, r.args.For) })
 	}
-	if r.args.Storm != stormNone {
+	if r.args.Storm != StormNone {
 		a.start(func(ctx context.Context) (err error) {
 			outcome.storm, err = r.storm(ctx)
 			return err
--- a/internal/fleet/runstart.go
+++ b/internal/fleet/runstart.go
@@ -7,16 +7,16 @@
 
 // start starts the registry, the servers and the nodes, and waits until all nodes are ready.
 func (r *run) start(ctx context.Context) (started HollowStart, err error) {
-	if r.registry, err = startChild(r.ChildCommand, roleRegistry); err != nil {
+	if r.registry, err = StartChild(r.ChildCommand, roleRegistry); err != nil {
 		return started, err
 	}
 	if err = r.startServers(ctx); err != nil {
 		return started, err
 	}
-	polled := r.args.Mode == modePolled
+	polled := r.args.Mode == ModePolled
 	spec, hollowLists := r.makeLists(polled)
 	var addresses []string
-	if err = r.registry.call(ctx, "Start", spec, &addresses); err != nil {
+	if err = r.registry.Call(ctx, "Start", spec, &addresses); err != nil {
 		return started, err
 	}
 	discovery := func(node, list int) string {
@@ -39,11 +39,11 @@
 	if chains == 0 {
 		return nil
 	}
-	if r.servers, err = startChild(r.ChildCommand, roleServers); err != nil {
+	if r.servers, err = StartChild(r.ChildCommand, roleServers); err != nil {
 		return err
 	}
 	spec := ServersSpec{chains, r.args.Depth, r.args.Service, r.args.Seed}
-	return r.servers.call(ctx, "Start", spec, &r.serverAddresses)
+	return r.servers.Call(ctx, "Start", spec, &r.serverAddresses)
 }
 
 // hollowEndpoint is the endpoint of all servers that hollow nodes are listed, which never connect to it.
@@ -55,7 +55,7 @@
 func (r *run) makeLists(polled bool) (spec RegistrySpec, hollowLists int) {
 	if r.args.Nodes > 0 {
 		for s := range r.args.Services {
-			r.lists = append(r.lists, newRotation(s, r.args.Servers, hollowEndpoint))
+			r.lists = append(r.lists, NewRotation(s, r.args.Servers, hollowEndpoint))
 		}
 	}
 	hollowLists = len(r.lists)
@@ -65,7 +65,7 @@
 	for _, chain := range r.serverAddresses.Through {
 		for _, endpoint := range chain {
 			spec.Addresses = append(spec.Addresses, len(r.lists))
-			r.lists = append(r.lists, newRotation(len(r.lists), r.args.Servers, endpoint))
+			r.lists = append(r.lists, NewRotation(len(r.lists), r.args.Servers, endpoint))
 		}
 	}
 	if polled {
@@ -86,17 +86,17 @@
 	for i := range r.args.Nodes {
 		spec.Discovery = append(spec.Discovery, discovery(i, i%r.args.Services))
 	}
-	if r.hollows, err = startChild(r.ChildCommand, roleHollows); err != nil {
+	if r.hollows, err = StartChild(r.ChildCommand, roleHollows); err != nil {
 		return started, err
 	}
-	if err = r.hollows.call(ctx, "Start", spec, &started); err != nil {
+	if err = r.hollows.Call(ctx, "Start", spec, &started); err != nil {
 		return started, err
 	}
 	r.Log.Info("hollow nodes are ready", "nodes", started.Ready, "after", started.Took)
 	return started, nil
 }
 
-// startReal starts the real nodes, and gives the servers of the chains their addresses.
+// StartRealNode starts the real nodes, and gives the servers of the chains their addresses.
 func (r *run) startReal(ctx context.Context, discovery func(i int) string, polled bool) (err error) {
 	if r.args.Real == 0 {
 		return nil
@@ -105,7 +105,7 @@
 	defer cancel()
 	program := r.args.Program
 	if program == "" {
-		if program, err = buildProgram(ctx, r.dir); err != nil {
+		if program, err = BuildProgram(ctx, r.dir); err != nil {
 			return err
 		}
 	}
@@ -114,7 +114,7 @@
 		if i%r.args.Depth == 0 {
 			nodes = append(nodes, nil)
 		}
-		n, err := startReal(ctx, program, r.dir, NodeSpec{
+		n, err := StartRealNode(ctx, program, r.dir, NodeSpec{
 			Name: fmt.Sprintf("n%d", i), Replicas: 1, Tier: i % r.args.Depth,
 			Listen: "127.0.0.1:0", Discovery: discovery(i), PollDiscovery: polled, Seed: r.args.Seed + uint64(i),
 		})
@@ -125,10 +125,10 @@
 		nodes[len(nodes)-1] = append(nodes[len(nodes)-1], n.Address())
 	}
 	for _, n := range r.real {
-		if err := n.ready(ctx); err != nil {
+		if err := n.WaitReady(ctx); err != nil {
 			return err
 		}
 	}
 	r.Log.Info("real nodes are ready", "nodes", len(r.real))
-	return r.servers.call(ctx, "Link", nodes, &struct{}{})
+	return r.servers.Call(ctx, "Link", nodes, &struct{}{})
 }
--- a/internal/fleet/series.go
+++ b/internal/fleet/series.go
@@ -31,8 +31,8 @@
 	s.buckets[at].add(t)
 }
 
-// opened counts connections that open (1) or close (-1).
-func (s *Series) opened(n int64) {
+// CountOpen counts connections that open (1) or close (-1).
+func (s *Series) CountOpen(n int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.open += n
--- a/internal/fleet/storm.go
+++ b/internal/fleet/storm.go
@@ -15,21 +15,21 @@
 func (r *run) storm(ctx context.Context) (*stormTimes, error) {
 	start := time.Now()
 	share := func(s float64) time.Time { return start.Add(time.Duration(s * float64(r.args.For))) }
-	monotime.Sleep(ctx, time.Until(share(stormBegins)))
+	monotime.Sleep(ctx, time.Until(share(StormBegins)))
 	s := &stormTimes{}
-	if err := r.phase(ctx, inStorm); err != nil {
+	if err := r.phase(ctx, InStorm); err != nil {
 		return nil, err
 	}
 	if err := r.lose(ctx, s); err != nil {
 		return nil, err
 	}
 	r.Log.Info("lost", "what", r.args.Storm)
-	monotime.Sleep(ctx, time.Until(share(stormEnds)))
+	monotime.Sleep(ctx, time.Until(share(StormEnds)))
 	if err := r.restore(ctx, s); err != nil {
 		return nil, err
 	}
 	r.Log.Info("back", "what", r.args.Storm)
-	return s, r.phase(ctx, afterStorm)
+	return s, r.phase(ctx, AfterStorm)
 }
 
 // phase has the hollow nodes' calls counted in another phase from now on.
@@ -37,43 +37,43 @@
 	if r.hollows == nil {
 		return nil
 	}
-	return r.hollows.call(ctx, "Phase", phase, &struct{}{})
+	return r.hollows.Call(ctx, "Phase", phase, &struct{}{})
 }
 
 // lose begins the outage.
 func (r *run) lose(ctx context.Context, s *stormTimes) error {
-	if r.args.Storm == stormZone {
+	if r.args.Storm == StormZone {
 		s.lost = time.Now()
-		return r.changeZone(ctx, false, groupZoneLost)
+		return r.changeZone(ctx, false, GroupZoneLost)
 	}
 	r.mu.Lock()
 	r.registryUnresponsive = true
 	r.mu.Unlock()
 	var at int64
-	err := r.registry.call(ctx, "Silence", true, &at)
+	err := r.registry.Call(ctx, "Silence", true, &at)
 	s.lost = time.Unix(0, at)
 	return err
 }
 
 // restore ends the outage.
 func (r *run) restore(ctx context.Context, s *stormTimes) error {
-	if r.args.Storm == stormZone {
+	if r.args.Storm == StormZone {
 		s.back = time.Now()
-		return r.changeZone(ctx, true, groupZoneBack)
+		return r.changeZone(ctx, true, GroupZoneBack)
 	}
 	// The newest version of each list is made last; all other changes of the outage are sent along with it.
 	var last []ListChange
 	for _, l := range r.lists {
 		var changed Changed
-		if err := r.registry.call(ctx, "Change", ChangeSpec{l.service, l.restart()}, &changed); err != nil {
+		if err := r.registry.Call(ctx, "Change", ChangeSpec{l.Service, l.Restart()}, &changed); err != nil {
 			return err
 		}
-		if l.service < r.args.Services && r.args.Nodes > 0 {
-			last = append(last, ListChange{Group: groupAfterOutage, Service: l.service, Rev: changed.Rev})
+		if l.Service < r.args.Services && r.args.Nodes > 0 {
+			last = append(last, ListChange{Group: GroupAfterOutage, Service: l.Service, Rev: changed.Rev})
 		}
 	}
 	var at int64
-	if err := r.registry.call(ctx, "Silence", false, &at); err != nil {
+	if err := r.registry.Call(ctx, "Silence", false, &at); err != nil {
 		return err
 	}
 	s.back = time.Unix(0, at)
@@ -90,7 +90,7 @@
 // changeZone removes the servers of the first zone from all lists, or lists them again.
 func (r *run) changeZone(ctx context.Context, back bool, group string) error {
 	for _, l := range r.lists {
-		if targets := l.zone(back); len(targets) > 0 {
+		if targets := l.ChangeZone(back); len(targets) > 0 {
 			if err := r.change(ctx, l, targets, group); err != nil {
 				return err
 			}
@@ -102,7 +102,7 @@
 // figures compares the registry's load after the outage with the mean before it.
 func (s *stormTimes) figures(kind string, counted Counted, begin, end time.Time, h *HollowFigures) *StormFigures {
 	f := &StormFigures{Kind: kind, LostSec: s.back.Sub(s.lost).Seconds()}
-	watched := s.back.Add(stormWatch)
+	watched := s.back.Add(StormWatch)
 	if watched.After(end) {
 		watched = end
 	}
@@ -117,7 +117,7 @@
 		f.PeakToMean = f.PeakAfter / f.Before
 	}
 	if h != nil {
-		for _, group := range []string{groupAfterOutage, groupZoneBack} {
+		for _, group := range []string{GroupAfterOutage, GroupZoneBack} {
 			if in, ok := h.InForce[group]; ok {
 				f.NewestAllMS, f.Missed = in.All.Worst, in.Missed
 			}
--- a/internal/fleet/sweep.go
+++ b/internal/fleet/sweep.go
@@ -8,7 +8,7 @@
 // Sweep makes a run for each value of one argument, and fits each figure against it.
 func (r Runner) Sweep(ctx context.Context, args Args, over string, values []int) (Report, error) {
 	report := Report{Over: over, Slopes: map[string]Line{}}
-	plan, err := Plan(args, over, values)
+	plan, err := SweepPlan(args, over, values)
 	if err != nil {
 		return report, fmt.Errorf("sweep: %w", err)
 	}
@@ -24,7 +24,7 @@
 	y := map[string][]float64{}
 	for i, p := range report.Points {
 		x[i] = float64(values[i])
-		for name, v := range p.figures() {
+		for name, v := range p.Figures() {
 			y[name] = append(y[name], v)
 		}
 	}
--- a/internal/fleet/sweepfigures.go
+++ b/internal/fleet/sweepfigures.go
@@ -1,7 +1,7 @@
 package fleet
 
-// figures returns those of a point's figures that a sweep fits.
-func (p Point) figures() map[string]float64 {
+// Figures returns those of a point's figures that a sweep fits.
+func (p Point) Figures() map[string]float64 {
 	f := map[string]float64{
 		"node bytes in/s": p.PerNode.BytesIn, "node bytes out/s": p.PerNode.BytesOut,
 		"registry connections": float64(p.Registry.Open), "registry calls/s": p.Registry.Calls,
--- a/internal/fleet/sweepplan.go
+++ b/internal/fleet/sweepplan.go
@@ -4,8 +4,8 @@
 	"fmt"
 )
 
-// Plan returns the runs of a sweep: the arguments with one of them varied.
-func Plan(args Args, over string, values []int) ([]Args, error) {
+// SweepPlan returns the runs of a sweep: the arguments with one of them varied.
+func SweepPlan(args Args, over string, values []int) ([]Args, error) {
 	set, ok := map[string]func(a *Args, v int){
 		"nodes":   func(a *Args, v int) { a.Nodes = v },
 		"servers": func(a *Args, v int) { a.Servers = v },
