--- a/internal/fleet/growth.go
+++ b/internal/fleet/growth.go
@@ -16,31 +16,31 @@
 
 // Growth plays the same day with real nodes at the usual size and at the large one, and compares the growth of what a
 // node needs with the limits. It ends within its bound, and its children with it.
-func (r Runner) Growth(ctx context.Context, args GrowthArgs) (report GrowthReport, err error) {
+func (r Runner) Growth(ctx context.Context, args GrowthArgs) (result GrowthReport, err error) {
 	if err := args.Check(); err != nil {
-		return report, err
+		return result, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, args.Bound()-2*StopTimeout)
 	defer cancel()
 	dir, err := os.MkdirTemp("", "fleetscale")
 	if err != nil {
-		return report, fmt.Errorf("growth: %w", err)
+		return result, fmt.Errorf("growth: %w", err)
 	}
 	defer func() { _ = os.RemoveAll(dir) }() // what is left of it stays in the folder for temporary files
-	report.Args, report.Machine = args, Machine{runtime.NumCPU(), runtime.Version(), LoadAverage()}
+	result.Args, result.Machine = args, Machine{runtime.NumCPU(), runtime.Version(), LoadAverage()}
 	if args.Program == "" {
 		if args.Program, err = BuildProgram(ctx, dir); err != nil {
-			return report, err
+			return result, err
 		}
 	}
-	if report.Usual, err = r.playDay(ctx, dir, args, args.Usual()); err != nil {
-		return report, err
+	if result.Usual, err = r.playDay(ctx, dir, args, args.Usual()); err != nil {
+		return result, err
 	}
-	if report.Large, err = r.playDay(ctx, dir, args, args.Large()); err != nil {
-		return report, err
+	if result.Large, err = r.playDay(ctx, dir, args, args.Large()); err != nil {
+		return result, err
 	}
-	report.Rows = GrowthRows(report.Usual, report.Large)
-	return report, nil
+	result.Rows = GrowthRows(result.Usual, result.Large)
+	return result, nil
 }
 
 // playDay plays one day and ends all that it started.
@@ -205,7 +205,7 @@
 		return errNoCallServed
 	}
 	f.Served = float64(f.Calls.Served) / float64(f.Calls.Offered)
-	nodes := float64(len(d.nodes))
+	nodeCount := float64(len(d.nodes))
 	for _, n := range d.nodes {
 		if !n.Alive() {
 			return fmt.Errorf("%s has ended", n.Name())
@@ -218,8 +218,8 @@
 		if err != nil {
 			return err
 		}
-		f.CPUSeconds += used.CPU.Seconds() / nodes
-		f.PeakMemory += float64(peak) / nodes
+		f.CPUSeconds += used.CPU.Seconds() / nodeCount
+		f.PeakMemory += float64(peak) / nodeCount
 	}
 	var connections int64
 	if err := d.servers.Call(ctx, "Accepted", struct{}{}, &connections); err != nil {
@@ -229,11 +229,11 @@
 	if err := d.registry.Call(ctx, "Traffic", struct{}{}, &counted); err != nil {
 		return err
 	}
-	f.Connections = float64(connections) / nodes
+	f.Connections = float64(connections) / nodeCount
 	for _, bucket := range counted.Buckets {
-		f.ListBytes += float64(bucket.Lists) / nodes
-		f.ListPayload += float64(bucket.Out) / nodes
-		f.ListCalls += float64(bucket.Calls) / nodes
+		f.ListBytes += float64(bucket.Lists) / nodeCount
+		f.ListPayload += float64(bucket.Out) / nodeCount
+		f.ListCalls += float64(bucket.Calls) / nodeCount
 	}
 	return nil
 }
--- a/internal/fleet/growthevents.go
+++ b/internal/fleet/growthevents.go
@@ -12,20 +12,20 @@
 func (d *growthDay) playEvents(ctx context.Context, f *GrowthFigures) error {
 	begun := time.Now()
 	var latest time.Duration
-	for plan := Day(d.size.Servers, d.args.For, d.args.Seed); len(plan) > 0; {
-		monotime.Sleep(ctx, time.Until(begun.Add(plan[0].At)))
+	for events := Day(d.size.Servers, d.args.For, d.args.Seed); len(events) > 0; {
+		monotime.Sleep(ctx, time.Until(begun.Add(events[0].At)))
 		if ctx.Err() != nil {
 			return nil
 		}
 		now := time.Since(begun)
-		latest = max(latest, now-plan[0].At)
-		due := DueEvents(plan, now)
-		changes, err := d.playTogether(ctx, plan[:due])
+		latest = max(latest, now-events[0].At)
+		due := DueEvents(events, now)
+		changes, err := d.playTogether(ctx, events[:due])
 		if err != nil {
 			return err
 		}
 		f.Changes += changes
-		plan = plan[due:]
+		events = events[due:]
 	}
 	f.LateMS = Milliseconds(latest)
 	return nil
--- a/internal/fleet/hollows.go
+++ b/internal/fleet/hollows.go
@@ -143,8 +143,8 @@
 }
 
 // Load starts the calls at all nodes, and does not wait for their end.
-func (h *Hollows) Load(load HollowLoad, _ *struct{}) error {
-	if load.Rate <= 0 {
+func (h *Hollows) Load(calls HollowLoad, _ *struct{}) error {
+	if calls.Rate <= 0 {
 		return nil
 	}
 	// The arrivals of many nodes together are a Poisson process too, each at a node drawn anew.
@@ -152,8 +152,8 @@
 		h.senders.Add(1)
 		go func() {
 			defer h.senders.Done()
-			at := rand.New(rand.NewPCG(load.Seed, uint64(loadGoroutines+i)))
-			NewArrivals(load.Rate*float64(len(h.nodes))/loadGoroutines, load.Seed, uint64(i)).Play(context.Background(), load.For,
+			at := rand.New(rand.NewPCG(calls.Seed, uint64(loadGoroutines+i)))
+			NewArrivals(calls.Rate*float64(len(h.nodes))/loadGoroutines, calls.Seed, uint64(i)).Play(context.Background(), calls.For,
 				func(drawn time.Time) { h.call(h.nodes[at.IntN(len(h.nodes))], drawn) })
 		}()
 	}
--- a/internal/fleet/runfigures.go
+++ b/internal/fleet/runfigures.go
@@ -49,8 +49,8 @@
 		BytesOut: per(sum.Out), Peak: float64(peak) / BucketWidth.Seconds(),
 		Cores: Cores(after.registry.CPU-before.registry.CPU, before.at, after.at), RSS: after.registry.RSS,
 	}
-	nodes := r.args.Nodes + r.args.Real
-	p.PerNode = PerNode{nodes, per(sum.Out) / float64(nodes), per(sum.In) / float64(nodes)}
+	nodeCount := r.args.Nodes + r.args.Real
+	p.PerNode = PerNode{nodeCount, per(sum.Out) / float64(nodeCount), per(sum.In) / float64(nodeCount)}
 	if len(r.real) == 0 {
 		return
 	}
@@ -75,23 +75,23 @@
 	r.mu.Lock()
 	changes := r.changes
 	r.mu.Unlock()
-	var report HollowReport
-	if err := r.hollows.Call(ctx, "Report", changes, &report); err != nil {
+	var reported HollowReport
+	if err := r.hollows.Call(ctx, "Report", changes, &reported); err != nil {
 		return err
 	}
 	n := float64(r.args.Nodes)
 	h := &HollowFigures{
 		Nodes: r.args.Nodes, ReadyMS: Milliseconds(started.Took),
 		CoresNode: Cores(after.hollows.CPU-before.hollows.CPU, before.at, after.at) / n,
-		HeapNode:  float64(started.HeapBytes) / n, HeapAfter: float64(report.HeapBytes) / n, StackNode: float64(started.StackMem) / n, RSS: after.hollows.RSS,
-		Lateness: report.Lateness, Latency: report.Latency, ScheduleKept: ScheduleKept(report.Lateness),
-		InForce: report.InForce, Warnings: report.Warnings,
+		HeapNode:  float64(started.HeapBytes) / n, HeapAfter: float64(reported.HeapBytes) / n, StackNode: float64(started.StackMem) / n, RSS: after.hollows.RSS,
+		Lateness: reported.Lateness, Latency: reported.Latency, ScheduleKept: ScheduleKept(reported.Lateness),
+		InForce: reported.InForce, Warnings: reported.Warnings,
 	}
-	for _, t := range report.Phases {
+	for _, t := range reported.Phases {
 		h.Calls = h.Calls.Plus(t)
 	}
 	if r.args.Storm != StormNone {
-		h.StormCalls = &report.Phases[InStorm]
+		h.StormCalls = &reported.Phases[InStorm]
 	}
 	p.Hollow = h
 	return nil
--- a/internal/fleet/runstart.go
+++ b/internal/fleet/runstart.go
@@ -109,10 +109,10 @@
 			return err
 		}
 	}
-	var nodes [][]string
+	var addresses [][]string
 	for i := range r.args.Real {
 		if i%r.args.Depth == 0 {
-			nodes = append(nodes, nil)
+			addresses = append(addresses, nil)
 		}
 		n, err := StartRealNode(ctx, program, r.dir, NodeSpec{
 			Name: fmt.Sprintf("n%d", i), Replicas: 1, Tier: i % r.args.Depth,
@@ -122,7 +122,7 @@
 			return err
 		}
 		r.real = append(r.real, n)
-		nodes[len(nodes)-1] = append(nodes[len(nodes)-1], n.Address())
+		addresses[len(addresses)-1] = append(addresses[len(addresses)-1], n.Address())
 	}
 	for _, n := range r.real {
 		if err := n.WaitReady(ctx); err != nil {
@@ -130,5 +130,5 @@
 		}
 	}
 	r.Log.Info("real nodes are ready", "nodes", len(r.real))
-	return r.servers.Call(ctx, "Link", nodes, &struct{}{})
+	return r.servers.Call(ctx, "Link", addresses, &struct{}{})
 }
