--- a/cmd/fleetscale/imports_test.go
+++ b/cmd/fleetscale/imports_test.go
@@ -13,7 +13,7 @@
 		t.Fatalf("%v: %s", err, out)
 	}
 	for _, name := range strings.Fields(string(out)) {
-		if strings.HasPrefix(name, "github.com/") || name == "basaltdrum/internal/fleet" {
+		if strings.HasPrefix(name, "github.com/") || strings.HasPrefix(name, "basaltdrum/internal/fleet") {
 			t.Errorf("a service imports %s", name)
 		}
 	}
--- a/cmd/fleetscale/main.go
+++ b/cmd/fleetscale/main.go
@@ -21,6 +21,8 @@
 	"github.com/alecthomas/kong"
 
 	"basaltdrum/internal/fleet"
+	"basaltdrum/internal/fleet/plan"
+	"basaltdrum/internal/fleet/report"
 )
 
 // How the program exits.
@@ -35,29 +37,29 @@
 }
 
 type single struct {
-	fleet.Args `embed:""`
-	output     `embed:""`
+	plan.Args `embed:""`
+	output    `embed:""`
 }
 
 // Validate checks the run. Kong calls it.
 func (s single) Validate() error { return s.Check() }
 
 type sweep struct {
-	fleet.Args `embed:""`
-	output     `embed:""`
-	Over       string `help:"What to vary: ${enum}." enum:"nodes,servers,changes" required:""`
-	Values     []int  `help:"Its values, at least two different ones." required:""`
+	plan.Args `embed:""`
+	output    `embed:""`
+	Over      string `help:"What to vary: ${enum}." enum:"nodes,servers,changes" required:""`
+	Values    []int  `help:"Its values, at least two different ones." required:""`
 }
 
 // Validate checks each run of the sweep. Kong calls it.
 func (s sweep) Validate() error {
-	_, err := fleet.SweepPlan(s.Args, s.Over, s.Values)
+	_, err := plan.SweepPlan(s.Args, s.Over, s.Values)
 	return err
 }
 
 type growth struct {
-	fleet.GrowthArgs `embed:""`
-	output           `embed:""`
+	plan.GrowthArgs `embed:""`
+	output          `embed:""`
 }
 
 // Validate checks the days. Kong calls it.
@@ -108,8 +110,8 @@
 	return 0
 }
 
-// report is what a command writes: a table for a reader, and JSON.
-type report interface{ Table(io.Writer) error }
+// tableWriter is what a command writes: a table for a reader, and JSON.
+type tableWriter interface{ Table(io.Writer) error }
 
 // measure makes the runs and writes the report. SIGINT and SIGTERM end it.
 func measure(command string, c commands, args []string, stdout, stderr io.Writer) error {
@@ -123,24 +125,24 @@
 	switch command {
 	case "sweep":
 		result, err := runner.Sweep(ctx, c.Sweep.Args, c.Sweep.Over, c.Sweep.Values)
-		result.Command = fleet.Command(args)
+		result.Command = report.Command(args)
 		return finish(ctx, result, err, c.Sweep.JSON, stdout)
 	case "growth":
 		result, err := runner.Growth(ctx, c.Growth.GrowthArgs)
-		result.Command = fleet.Command(args)
+		result.Command = report.Command(args)
 		if err := finish(ctx, result, err, c.Growth.JSON, stdout); err != nil {
 			return err
 		}
 		return result.Err()
 	default:
 		point, err := runner.Run(ctx, c.Run.Args)
-		result := fleet.Report{Command: fleet.Command(args), Points: []fleet.Point{point}}
+		result := report.Report{Command: report.Command(args), Points: []report.Point{point}}
 		return finish(ctx, result, err, c.Run.JSON, stdout)
 	}
 }
 
 // finish writes the report of runs that ended without an error, as JSON to the file named, or to standard output.
-func finish(ctx context.Context, result report, err error, file string, stdout io.Writer) error {
+func finish(ctx context.Context, result tableWriter, err error, file string, stdout io.Writer) error {
 	if ctx.Err() != nil {
 		return errors.New("ended by a signal")
 	}
--- a/cmd/fleetscale/main_test.go
+++ b/cmd/fleetscale/main_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"basaltdrum/internal/fleet"
+	"basaltdrum/internal/fleet/report"
 )
 
 // limit is how long a test waits for what must come; only a failing one waits so long.
@@ -120,13 +120,13 @@
 			}
 			text = string(kept)
 		}
-		var report fleet.Report
-		if err := json.Unmarshal([]byte(text), &report); err != nil {
+		var got report.Report
+		if err := json.Unmarshal([]byte(text), &got); err != nil {
 			t.Fatalf("%v: %s", err, text)
 		}
 		if !strings.Contains(table, "a hollow node") || !strings.Contains(stderr.String(), "msg=measuring") ||
-			len(report.Points) != 1 || report.Points[0].Args.Nodes != 3 || report.Command != "fleetscale "+strings.Join(args, " ") {
-			t.Errorf("%v: table %q, report %+v", args, table, report)
+			len(got.Points) != 1 || got.Points[0].Args.Nodes != 3 || got.Command != "fleetscale "+strings.Join(args, " ") {
+			t.Errorf("%v: table %q, report %+v", args, table, got)
 		}
 	}
 }
@@ -142,20 +142,20 @@
 	if readErr != nil {
 		t.Fatalf("%v, %v: %s", err, readErr, stderr.String())
 	}
-	var report fleet.GrowthReport
-	if err := json.Unmarshal(text, &report); err != nil {
+	var got report.GrowthReport
+	if err := json.Unmarshal(text, &got); err != nil {
 		t.Fatalf("%v: %s", err, text)
 	}
-	if over := report.Err(); (over == nil) != (err == nil) || over != nil && !strings.Contains(stderr.String(), over.Error()) {
+	if over := got.Err(); (over == nil) != (err == nil) || over != nil && !strings.Contains(stderr.String(), over.Error()) {
 		t.Errorf("the run: %v, %s; its rows: %v", err, stderr.String(), over)
 	}
-	for _, row := range report.Rows {
+	for _, row := range got.Rows {
 		if !strings.Contains(stdout.String(), row.What) {
 			t.Errorf("no row %q in %s", row.What, stdout.String())
 		}
 	}
-	if len(report.Rows) != 6 || !strings.HasPrefix(report.Command, "fleetscale growth --servers 10") {
-		t.Errorf("report %+v", report)
+	if len(got.Rows) != 6 || !strings.HasPrefix(got.Command, "fleetscale growth --servers 10") {
+		t.Errorf("report %+v", got)
 	}
 }
 
--- a/internal/fleet/configchange.go
+++ b/internal/fleet/configchange.go
@@ -7,6 +7,10 @@
 	"sync/atomic"
 	"time"
 
+	"basaltdrum/internal/fleet/load"
+	"basaltdrum/internal/fleet/nodes"
+	"basaltdrum/internal/fleet/report"
+	"basaltdrum/internal/fleet/stats"
 	"basaltdrum/internal/monotime"
 )
 
@@ -22,19 +26,19 @@
 // configChanges makes changes of the real nodes' configuration, and follows each in goroutines of its own: the next
 // change is made meanwhile.
 type configChanges struct {
-	nodes     []*RealNode
-	client    *Client
-	took      *Latencies
+	nodes     []*nodes.RealNode
+	client    *load.Client
+	took      *stats.Latencies
 	inForce   atomic.Int64 // pairs of a change and a node
 	followers sync.WaitGroup
 }
 
 // reconfigure changes the real nodes' configuration evenly over the run, at least once, and waits until the changes
 // are in force or their time is over.
-func (r *run) reconfigure(ctx context.Context, c *Configs) error {
+func (r *run) reconfigure(ctx context.Context, c *report.Configs) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	changes := &configChanges{nodes: r.real, client: r.client, took: NewLatencies()}
+	changes := &configChanges{nodes: r.real, client: r.client, took: stats.NewLatencies()}
 	every := time.Duration(float64(time.Minute) / r.args.Configs)
 	start := time.Now()
 	var err error
@@ -77,13 +81,13 @@
 
 // follow waits until a class is in force at a node, or configLimit has passed. It is in force at a node that no
 // longer answers a request of the class as of an unknown class.
-func (c *configChanges) follow(ctx context.Context, n *RealNode, class string, begun time.Time) {
+func (c *configChanges) follow(ctx context.Context, n *nodes.RealNode, class string, begun time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, configLimit)
 	defer cancel()
 	for i := 0; ctx.Err() == nil; i++ {
 		id := fmt.Sprintf("%s-%s-%d", class, n.Name(), i)
 		got, err := c.client.Call(ctx, n.Address(), class, id, time.Now().Add(configCallDeadline))
-		if err == nil && got != UnknownClass {
+		if err == nil && got != load.UnknownClass {
 			c.took.Add(time.Since(begun))
 			c.inForce.Add(1)
 			return
--- a/internal/fleet/doc.go
+++ b/internal/fleet/doc.go
@@ -1,19 +1,21 @@
 // Package fleet measures on one machine what a fleet of nodes costs. It is the library behind the command
-// fleetscale; no program that serves imports it.
+// fleetscale; no program that serves imports it or a package below it.
 //
-// A run starts nodes and stand-ins and measures CPU, memory, traffic and latency:
+// Runner.Run measures one point, Runner.Sweep fits slopes over several, and Runner.Growth plays the same day at two
+// sizes and compares what a node needs with the limits of the standing test. The packages below have the parts:
 //
-//   - hollow nodes, many in one process: the real module, event loop and discovery client, without sockets to
-//     clients and servers;
-//   - real nodes, one process of the real program each;
-//   - a stand-in registry, which also plays the agents that lists are pushed to;
-//   - stand-in servers.
+//   - plan: arguments, and what happens when;
+//   - standin: the stand-in registry, which also plays the agents that lists are pushed to, and stand-in servers;
+//   - nodes: real nodes, one process of the real program each, and hollow nodes, many in one process;
+//   - load: clients and their calls;
+//   - process: child processes, and what processes use;
+//   - stats and report: the figures, and the reports of them.
 //
-// Runner.Run measures one point, Runner.Sweep fits slopes over several, and Runner.Growth plays the same day at two
-// sizes and compares what a node needs with the limits of the standing test. Stand-ins and hollow nodes run in
-// child processes, so that the use of each can be measured apart. All connections are on loopback addresses, and
-// all processes end with the run.
+// Imports go one way: plan, stats and process import none of the others; load imports stats; standin and nodes import
+// load, plan and stats; report imports load, plan and stats; this package imports all, and the command imports this
+// package, plan and report.
 //
-// Lists have the form that PROTOCOL describes. The agents read the registry's lists in memory, so the traffic
-// between the registry and its agents is not measured. Bytes are of TCP payload, if not said otherwise.
+// Stand-ins and hollow nodes run in child processes, so that the use of each can be measured apart. A run starts its
+// children, its real nodes and the goroutines of its activities, and waits for all of them before it returns, also
+// after an error. All connections are on loopback addresses.
 package fleet
--- a/internal/fleet/growth.go
+++ b/internal/fleet/growth.go
@@ -8,6 +8,13 @@
 	"runtime"
 	"time"
 
+	"basaltdrum/internal/fleet/load"
+	"basaltdrum/internal/fleet/nodes"
+	"basaltdrum/internal/fleet/plan"
+	"basaltdrum/internal/fleet/process"
+	"basaltdrum/internal/fleet/report"
+	"basaltdrum/internal/fleet/standin"
+	"basaltdrum/internal/fleet/stats"
 	"basaltdrum/internal/monotime"
 )
 
@@ -16,20 +23,20 @@
 
 // Growth plays the same day with real nodes at the usual size and at the large one, and compares the growth of what a
 // node needs with the limits. It ends within its bound, and its children with it.
-func (r Runner) Growth(ctx context.Context, args GrowthArgs) (result GrowthReport, err error) {
+func (r Runner) Growth(ctx context.Context, args plan.GrowthArgs) (result report.GrowthReport, err error) {
 	if err := args.Check(); err != nil {
 		return result, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, args.Bound()-2*StopTimeout)
+	ctx, cancel := context.WithTimeout(ctx, args.Bound()-2*process.StopTimeout)
 	defer cancel()
 	dir, err := os.MkdirTemp("", "fleetscale")
 	if err != nil {
 		return result, fmt.Errorf("growth: %w", err)
 	}
 	defer func() { _ = os.RemoveAll(dir) }() // what is left of it stays in the folder for temporary files
-	result.Args, result.Machine = args, Machine{runtime.NumCPU(), runtime.Version(), LoadAverage()}
+	result.Args, result.Machine = args, report.Machine{Cores: runtime.NumCPU(), Go: runtime.Version(), Load: process.LoadAverage()}
 	if args.Program == "" {
-		if args.Program, err = BuildProgram(ctx, dir); err != nil {
+		if args.Program, err = nodes.BuildProgram(ctx, dir); err != nil {
 			return result, err
 		}
 	}
@@ -39,21 +46,21 @@
 	if result.Large, err = r.playDay(ctx, dir, args, args.Large()); err != nil {
 		return result, err
 	}
-	result.Rows = GrowthRows(result.Usual, result.Large)
+	result.Rows = report.GrowthRows(result.Usual, result.Large)
 	return result, nil
 }
 
 // playDay plays one day and ends all that it started.
-func (r Runner) playDay(ctx context.Context, dir string, args GrowthArgs, size GrowthSize) (GrowthFigures, error) {
-	d := &growthDay{Runner: r, args: args, size: size, dir: dir, client: NewClient()}
+func (r Runner) playDay(ctx context.Context, dir string, args plan.GrowthArgs, size plan.GrowthSize) (report.GrowthFigures, error) {
+	d := &growthDay{Runner: r, args: args, size: size, dir: dir, client: load.NewClient()}
 	defer d.stop()
 	if err := d.start(ctx); err != nil {
-		return GrowthFigures{}, err
+		return report.GrowthFigures{}, err
 	}
 	r.Log.Info("playing a day", "servers", size.Servers, "for", args.For)
 	figures, err := d.play(ctx)
 	if err != nil {
-		return GrowthFigures{}, fmt.Errorf("day of %d servers: %w", size.Servers, err)
+		return report.GrowthFigures{}, fmt.Errorf("day of %d servers: %w", size.Servers, err)
 	}
 	return figures, nil
 }
@@ -61,29 +68,31 @@
 // growthDay is one day while it is played.
 type growthDay struct {
 	Runner
-	args      GrowthArgs
-	size      GrowthSize
+	args      plan.GrowthArgs
+	size      plan.GrowthSize
 	dir       string
-	registry  *ChildProcess
-	servers   *ChildProcess
+	registry  *process.ChildProcess
+	servers   *process.ChildProcess
 	endpoints []string // of all servers of the day
-	nodes     []*RealNode
-	client    *Client
+	nodes     []*nodes.RealNode
+	client    *load.Client
 }
 
 // start brings up the servers, the registry and the nodes, until all nodes are ready.
 func (d *growthDay) start(ctx context.Context) (err error) {
-	if d.servers, err = StartChild(d.ChildCommand, roleListed); err != nil {
+	if d.servers, err = process.StartChild(d.ChildCommand, roleListed); err != nil {
 		return err
 	}
-	spec := ListedServersSpec{d.size.Servers + ReplacedCount(d.size.Servers), d.args.Service, d.args.Seed}
+	spec := standin.ListedServersSpec{
+		Count: d.size.Servers + plan.ReplacedCount(d.size.Servers), Service: d.args.Service, Seed: d.args.Seed,
+	}
 	if err := d.servers.Call(ctx, "Start", spec, &d.endpoints); err != nil {
 		return err
 	}
-	if d.registry, err = StartChild(d.ChildCommand, roleRegistry); err != nil {
+	if d.registry, err = process.StartChild(d.ChildCommand, roleRegistry); err != nil {
 		return err
 	}
-	list := RegistrySpec{Services: [][]ListEntry{nil}, Addresses: make([]int, d.args.Real)}
+	list := standin.RegistrySpec{Services: [][]standin.ListEntry{nil}, Addresses: make([]int, d.args.Real)}
 	for i := range d.size.Servers {
 		list.Services[0] = append(list.Services[0], d.target(i))
 	}
@@ -99,9 +108,9 @@
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for i, address := range addresses {
-		n, err := StartRealNode(ctx, d.args.Program, d.dir, NodeSpec{
+		n, err := nodes.StartRealNode(ctx, d.args.Program, d.dir, nodes.NodeSpec{
 			Name: fmt.Sprintf("n%d", i), Index: i, Replicas: d.size.Nodes,
-			Listen: "127.0.0.1:0", Discovery: address, PollDiscovery: d.args.Mode == ModePolled, Seed: d.args.Seed + uint64(i),
+			Listen: "127.0.0.1:0", Discovery: address, PollDiscovery: d.args.Mode == plan.ModePolled, Seed: d.args.Seed + uint64(i),
 		})
 		if err != nil {
 			return err
@@ -117,10 +126,10 @@
 }
 
 // target returns a server's entry while it is in service. The servers listed first started long ago.
-func (d *growthDay) target(i int) ListEntry {
-	return ListEntry{
-		UID: fmt.Sprintf("s-%d", i), Endpoint: d.endpoints[i], Zone: Zones[i%len(Zones)], Model: "m1",
-		Cell: i % 10, State: InService, Capacity: d.size.Capacity,
+func (d *growthDay) target(i int) standin.ListEntry {
+	return standin.ListEntry{
+		UID: fmt.Sprintf("s-%d", i), Endpoint: d.endpoints[i], Zone: plan.Zones[i%len(plan.Zones)], Model: "m1",
+		Cell: i % 10, State: standin.InService, Capacity: d.size.Capacity,
 	}
 }
 
@@ -129,7 +138,7 @@
 	for _, n := range d.nodes {
 		n.Stop()
 	}
-	for _, c := range []*ChildProcess{d.servers, d.registry} {
+	for _, c := range []*process.ChildProcess{d.servers, d.registry} {
 		if c != nil {
 			c.Stop()
 		}
@@ -138,9 +147,9 @@
 }
 
 // play makes the calls and the events of the day, and measures. The first error ends all of it.
-func (d *growthDay) play(ctx context.Context) (f GrowthFigures, err error) {
-	f = GrowthFigures{Servers: d.size.Servers, FleetNodes: d.size.Nodes, Capacity: d.size.Capacity}
-	busy, err := MachineBusy()
+func (d *growthDay) play(ctx context.Context) (f report.GrowthFigures, err error) {
+	f = report.GrowthFigures{Servers: d.size.Servers, FleetNodes: d.size.Nodes, Capacity: d.size.Capacity}
+	busy, err := process.MachineBusy()
 	if err != nil {
 		return f, err
 	}
@@ -160,11 +169,11 @@
 	if err := activities.wait(); err != nil {
 		return f, err
 	}
-	after, err := MachineBusy()
+	after, err := process.MachineBusy()
 	if err != nil {
 		return f, err
 	}
-	f.Busy = Cores(after-busy, begun, time.Now())
+	f.Busy = process.Cores(after-busy, begun, time.Now())
 	for _, n := range descriptors {
 		f.Descriptors += float64(n) / float64(len(d.nodes))
 	}
@@ -172,12 +181,12 @@
 }
 
 // makeCalls calls each node for the length of the day, and waits for the answers.
-func (d *growthDay) makeCalls(ctx context.Context) Tally {
-	calls := Spec{Name: "day", Rate: d.args.Rate, Seed: d.args.Seed}
+func (d *growthDay) makeCalls(ctx context.Context) stats.Tally {
+	calls := load.Spec{Name: "day", Rate: d.args.Rate, Seed: d.args.Seed}
 	for _, n := range d.nodes {
 		calls.Addresses = append(calls.Addresses, n.Address())
 	}
-	generator := NewGenerator(d.client, calls)
+	generator := load.NewGenerator(d.client, calls)
 	generator.Play(ctx, d.args.For)
 	return generator.Figures().Tally
 }
@@ -187,7 +196,7 @@
 	most := make([]int, len(d.nodes))
 	for ctx.Err() == nil {
 		for i, n := range d.nodes {
-			if open, err := Descriptors(n.PID()); err == nil { // a node that ended is found at the end
+			if open, err := process.Descriptors(n.PID()); err == nil { // a node that ended is found at the end
 				most[i] = max(most[i], open)
 			}
 		}
@@ -200,7 +209,7 @@
 var errNoCallServed = errors.New("no call was served")
 
 // readFigures reads what the nodes used and what the stand-ins counted.
-func (d *growthDay) readFigures(ctx context.Context, f *GrowthFigures) error {
+func (d *growthDay) readFigures(ctx context.Context, f *report.GrowthFigures) error {
 	if f.Calls.Served == 0 {
 		return errNoCallServed
 	}
@@ -210,11 +219,11 @@
 		if !n.Alive() {
 			return fmt.Errorf("%s has ended", n.Name())
 		}
-		used, err := UsageOf(n.PID())
+		used, err := process.UsageOf(n.PID())
 		if err != nil {
 			return err
 		}
-		peak, err := PeakMemory(n.PID())
+		peak, err := process.PeakMemory(n.PID())
 		if err != nil {
 			return err
 		}
@@ -225,7 +234,7 @@
 	if err := d.servers.Call(ctx, "Accepted", struct{}{}, &connections); err != nil {
 		return err
 	}
-	var counted Counted
+	var counted stats.Counted
 	if err := d.registry.Call(ctx, "Traffic", struct{}{}, &counted); err != nil {
 		return err
 	}
--- a/internal/fleet/growthevents.go
+++ b/internal/fleet/growthevents.go
@@ -4,22 +4,26 @@
 	"context"
 	"time"
 
+	"basaltdrum/internal/fleet/plan"
+	"basaltdrum/internal/fleet/report"
+	"basaltdrum/internal/fleet/standin"
+	"basaltdrum/internal/fleet/stats"
 	"basaltdrum/internal/monotime"
 )
 
 // playEvents makes the day's events at their times, those that are due at once together, and notes how many
 // changes they were and how late they came.
-func (d *growthDay) playEvents(ctx context.Context, f *GrowthFigures) error {
+func (d *growthDay) playEvents(ctx context.Context, f *report.GrowthFigures) error {
 	begun := time.Now()
 	var latest time.Duration
-	for events := Day(d.size.Servers, d.args.For, d.args.Seed); len(events) > 0; {
+	for events := plan.Day(d.size.Servers, d.args.For, d.args.Seed); len(events) > 0; {
 		monotime.Sleep(ctx, time.Until(begun.Add(events[0].At)))
 		if ctx.Err() != nil {
 			return nil
 		}
 		now := time.Since(begun)
 		latest = max(latest, now-events[0].At)
-		due := DueEvents(events, now)
+		due := plan.DueEvents(events, now)
 		changes, err := d.playTogether(ctx, events[:due])
 		if err != nil {
 			return err
@@ -27,24 +31,24 @@
 		f.Changes += changes
 		events = events[due:]
 	}
-	f.LateMS = Milliseconds(latest)
+	f.LateMS = stats.Milliseconds(latest)
 	return nil
 }
 
 // playTogether makes events: the changes of the list, one after another, then what else there is. It returns how
 // many changes there were.
-func (d *growthDay) playTogether(ctx context.Context, events []Event) (int, error) {
-	var changes []ChangeSpec
+func (d *growthDay) playTogether(ctx context.Context, events []plan.Event) (int, error) {
+	var changes []standin.ChangeSpec
 	var ended []int
 	broken := false
 	for _, e := range events {
 		switch e.Kind {
-		case CloseServer:
+		case plan.CloseServer:
 			ended = append(ended, e.Server)
-		case BreakWatches:
+		case plan.BreakWatches:
 			broken = true
 		default:
-			changes = append(changes, ChangeSpec{0, []ListEntry{d.changed(e)}})
+			changes = append(changes, standin.ChangeSpec{Entries: []standin.ListEntry{d.changed(e)}})
 		}
 	}
 	if len(changes) > 0 {
@@ -66,15 +70,15 @@
 }
 
 // changed is the entry of a server after an event that changes the list.
-func (d *growthDay) changed(e Event) ListEntry {
+func (d *growthDay) changed(e plan.Event) standin.ListEntry {
 	entry := d.target(e.Server)
 	switch e.Kind {
-	case ListServer:
+	case plan.ListServer:
 		entry.BootMS = time.Now().UnixMilli()
-	case DrainServer:
-		entry.State = Terminating
-	case RemoveServer:
-		entry.State = Terminated
+	case plan.DrainServer:
+		entry.State = standin.Terminating
+	case plan.RemoveServer:
+		entry.State = standin.Terminated
 	}
 	return entry
 }
--- a/internal/fleet/arrivals_test.go
+++ b/internal/fleet/load/arrivals_test.go
@@ -1,4 +1,4 @@
-package fleet
+package load
 
 import (
 	"context"
--- a/internal/fleet/client.go
+++ b/internal/fleet/load/client.go
@@ -1,4 +1,4 @@
-package fleet
+package load
 
 import (
 	"context"
@@ -18,16 +18,18 @@
 // Outcome is how a call ended, as its client sees it.
 type Outcome int
 
+// The outcomes of a call.
 const (
-	Served Outcome = iota
-	Rejected
-	Failed
-	UnknownClass // the node does not know the class
+	Served       Outcome = iota
+	Rejected             // a retry is harmless
+	Failed               // it may have run, or was not answered
+	UnknownClass         // the node does not know the class
 )
 
 // Client makes calls as PROTOCOL has them, one at a time on each connection.
 type Client struct{ http *http.Client }
 
+// NewClient returns a client that has no connection yet.
 func NewClient() *Client {
 	return &Client{&http.Client{Transport: &http.Transport{
 		DisableCompression: true, MaxIdleConnsPerHost: 1000,
@@ -69,4 +71,5 @@
 	return Served, nil
 }
 
+// Close closes the idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
--- a/internal/fleet/generator.go
+++ b/internal/fleet/load/generator.go
@@ -1,20 +1,22 @@
-package fleet
+package load
 
 import (
 	"context"
 	"fmt"
 	"sync"
 	"time"
+
+	"basaltdrum/internal/fleet/stats"
 )
 
 // PathFigures are the figures of calls on one path through a chain: directly from server to server, or through the
 // nodes between them.
 type PathFigures struct {
-	Tally
-	Lateness     Quantiles `json:"late"`    // of sends, after the times drawn
-	Latency      Quantiles `json:"latency"` // of served calls, from the time drawn to the answer, without the first second
-	ScheduleKept bool      `json:"schedule_kept"`
-	Cores        float64   `json:"machine_cores"` // processor cores in use over the whole machine meanwhile
+	stats.Tally
+	Lateness     stats.Quantiles `json:"late"`    // of sends, after the times drawn
+	Latency      stats.Quantiles `json:"latency"` // of served calls, from the time drawn to the answer, without the first second
+	ScheduleKept bool            `json:"schedule_kept"`
+	Cores        float64         `json:"machine_cores"` // processor cores in use over the whole machine meanwhile
 }
 
 // maxSendLateness is how late the 99th percentile of sends may be, in milliseconds, for the schedule to count as
@@ -22,7 +24,7 @@
 const maxSendLateness = 1.0
 
 // ScheduleKept says whether calls were sent at the times drawn, by how late the sends were.
-func ScheduleKept(lateness Quantiles) bool { return lateness.P99 <= maxSendLateness }
+func ScheduleKept(lateness stats.Quantiles) bool { return lateness.P99 <= maxSendLateness }
 
 // Generator makes calls at some addresses, in an open loop at the same rate for each. One round is made
 // at a time.
@@ -30,14 +32,14 @@
 	spec   Spec
 	client *Client
 
-	lateness   *Latencies
-	latency    *Latencies
+	lateness   *stats.Latencies
+	latency    *stats.Latencies
 	warmUpLeft time.Duration
 	rounds     int
 	cores      float64 // in use over the whole machine, summed over the rounds
 
 	mu    sync.Mutex
-	tally Tally
+	tally stats.Tally
 }
 
 // Spec describes the calls of a Generator.
@@ -52,7 +54,7 @@
 // NewGenerator returns a generator of a load. It starts nothing before its first round.
 func NewGenerator(client *Client, spec Spec) *Generator {
 	return &Generator{
-		client: client, spec: spec, warmUpLeft: spec.WarmUp, lateness: NewLatencies(), latency: NewLatencies(),
+		client: client, spec: spec, warmUpLeft: spec.WarmUp, lateness: stats.NewLatencies(), latency: stats.NewLatencies(),
 	}
 }
 
--- a/internal/fleet/hollows.go
+++ b/internal/fleet/nodes/hollows.go
@@ -1,4 +1,4 @@
-package fleet
+package nodes
 
 import (
 	"context"
@@ -12,6 +12,8 @@
 	"sync/atomic"
 	"time"
 
+	"basaltdrum/internal/fleet/load"
+	"basaltdrum/internal/fleet/stats"
 	"basaltdrum/internal/node"
 )
 
@@ -57,10 +59,10 @@
 
 // HollowReport are the figures of the nodes at the end of a run.
 type HollowReport struct {
-	Phases    [PhaseCount]Tally
-	Lateness  Quantiles // of sends, against the times drawn
-	Latency   Quantiles // from the time drawn to the answer
-	InForce   map[string]InForce
+	Phases    [PhaseCount]stats.Tally
+	Lateness  stats.Quantiles // of sends, against the times drawn
+	Latency   stats.Quantiles // from the time drawn to the answer
+	InForce   map[string]stats.InForce
 	HeapBytes int64 // heap in use more than without nodes, after a collection at the end
 	Warnings  int64 // lines of the nodes' logs at the level of a warning or above
 }
@@ -70,18 +72,28 @@
 	services int
 	nodes    []*hollow
 	phase    atomic.Int32
-	tallies  [PhaseCount]struct{ offered, served, rejected, failed atomic.Int64 }
-	lateness *Latencies
-	latency  *Latencies
+	tallies  [PhaseCount]atomicTally
+	lateness *stats.Latencies
+	latency  *stats.Latencies
 	senders  sync.WaitGroup // the goroutines that make calls
 
 	heapWithoutNodes int64 // in bytes
 	warnings         *warnings
 }
 
+// atomicTally is a tally that many goroutines count in.
+type atomicTally struct{ offered, served, rejected, failed atomic.Int64 }
+
+// snapshot returns the present counts.
+func (t *atomicTally) snapshot() stats.Tally {
+	return stats.Tally{
+		Offered: t.offered.Load(), Served: t.served.Load(), Rejected: t.rejected.Load(), Failed: t.failed.Load(),
+	}
+}
+
 // Start starts the nodes, and waits until all are ready.
 func (h *Hollows) Start(spec HollowSpec, started *HollowStart) error {
-	h.services, h.lateness, h.latency = spec.Services, NewLatencies(), NewLatencies()
+	h.services, h.lateness, h.latency = spec.Services, stats.NewLatencies(), stats.NewLatencies()
 	h.warnings = &warnings{Handler: slog.NewTextHandler(io.Discard, nil)}
 	before := memory()
 	h.heapWithoutNodes = int64(before.HeapAlloc)
@@ -153,7 +165,7 @@
 		go func() {
 			defer h.senders.Done()
 			at := rand.New(rand.NewPCG(calls.Seed, uint64(loadGoroutines+i)))
-			NewArrivals(calls.Rate*float64(len(h.nodes))/loadGoroutines, calls.Seed, uint64(i)).Play(context.Background(), calls.For,
+			load.NewArrivals(calls.Rate*float64(len(h.nodes))/loadGoroutines, calls.Seed, uint64(i)).Play(context.Background(), calls.For,
 				func(drawn time.Time) { h.call(h.nodes[at.IntN(len(h.nodes))], drawn) })
 		}()
 	}
@@ -165,7 +177,7 @@
 	t := &h.tallies[h.phase.Load()]
 	t.offered.Add(1)
 	h.lateness.Add(time.Since(drawn))
-	n.Call(Class, Deadline, func(a node.Answer) {
+	n.Call(load.Class, load.Deadline, func(a node.Answer) {
 		switch a {
 		case node.Served:
 			h.latency.Add(time.Since(drawn))
@@ -199,7 +211,7 @@
 		}
 		for i := range h.tallies {
 			t := &h.tallies[i]
-			report.Phases[i] = Tally{t.offered.Load(), t.served.Load(), t.rejected.Load(), t.failed.Load()}
+			report.Phases[i] = t.snapshot()
 			out += report.Phases[i].Offered - report.Phases[i].Answered()
 		}
 		if missed == 0 && out == 0 || time.Now().After(end) {
--- a/internal/fleet/listchange.go
+++ b/internal/fleet/nodes/listchange.go
@@ -1,8 +1,10 @@
-package fleet
+package nodes
 
 import (
 	"sort"
 	"time"
+
+	"basaltdrum/internal/fleet/stats"
 )
 
 // ListChange is a change of a service's list, as the nodes should apply it.
@@ -14,8 +16,8 @@
 }
 
 // inForce returns, for each group of changes, how long they took to be in force.
-func (h *Hollows) inForce(changes []ListChange) map[string]InForce {
-	figures := map[string]InForce{}
+func (h *Hollows) inForce(changes []ListChange) map[string]stats.InForce {
+	figures := map[string]stats.InForce{}
 	times := map[string]*[3][]float64{}
 	for _, c := range changes {
 		f := figures[c.Group]
@@ -31,19 +33,19 @@
 				continue
 			}
 			f.Applied++
-			took = append(took, Milliseconds(time.Duration(at.UnixNano()-c.AtNS)))
+			took = append(took, stats.Milliseconds(time.Duration(at.UnixNano()-c.AtNS)))
 		}
 		if len(took) > 0 {
 			sort.Float64s(took)
 			for k, share := range []float64{0.5, 0.99, 1} {
-				times[c.Group][k] = append(times[c.Group][k], Quantile(took, share))
+				times[c.Group][k] = append(times[c.Group][k], stats.Quantile(took, share))
 			}
 		}
 		figures[c.Group] = f
 	}
 	for group, f := range figures {
 		t := times[group]
-		f.Half, f.P99, f.All = SpreadOf(t[0]), SpreadOf(t[1]), SpreadOf(t[2])
+		f.Half, f.P99, f.All = stats.SpreadOf(t[0]), stats.SpreadOf(t[1]), stats.SpreadOf(t[2])
 		figures[group] = f
 	}
 	return figures
--- a/internal/fleet/config.go
+++ b/internal/fleet/nodes/spec.go
@@ -1,8 +1,11 @@
-package fleet
+package nodes
 
 import (
 	"encoding/json"
 	"fmt"
+
+	"basaltdrum/internal/fleet/load"
+	"basaltdrum/internal/fleet/plan"
 )
 
 // NodeSpec is what the configuration of one node is made from.
@@ -22,10 +25,10 @@
 func (s NodeSpec) Configuration() ([]byte, error) {
 	type object = map[string]any
 	var classes []object
-	for _, name := range append([]string{Class}, s.Classes...) {
+	for _, name := range append([]string{load.Class}, s.Classes...) {
 		classes = append(classes, object{
 			"name": name, "effect": "read_like", "target-ms": 1000,
-			"deadline-ms": Deadline.Milliseconds(), "worth": 1,
+			"deadline-ms": load.Deadline.Milliseconds(), "worth": 1,
 		})
 	}
 	mode := "pushed"
@@ -37,8 +40,8 @@
 		"limits": object{"cores": 1, "memory_mb": 128, "sockets": 1024},
 		"known":  object{"rev": 0, "all": true, "targets": []any{}},
 		"settings": object{
-			"balancers": s.Replicas, "me": s.Index, "tier": s.Tier, "zone": Zones[s.Index%len(Zones)],
-			"localities": Zones, "registry-mode": mode, "tick-ms": 5, "lanes": classes,
+			"balancers": s.Replicas, "me": s.Index, "tier": s.Tier, "zone": plan.Zones[s.Index%len(plan.Zones)],
+			"localities": plan.Zones, "registry-mode": mode, "tick-ms": 5, "lanes": classes,
 			"blend": object{"whole": 0.65, "worst-class": 0.2},
 			"limits": object{
 				"cancelling": true, "conn-idle-ms": 10000, "connect-timeout-ms": 150,
--- a/internal/fleet/argchecks.go
+++ b/internal/fleet/plan/argchecks.go
@@ -1,4 +1,4 @@
-package fleet
+package plan
 
 import (
 	"fmt"
--- a/internal/fleet/growthplan.go
+++ b/internal/fleet/plan/day.go
@@ -1,4 +1,4 @@
-package fleet
+package plan
 
 import (
 	"cmp"
@@ -24,6 +24,7 @@
 // EventKind says what an event of a growth day does.
 type EventKind int
 
+// The kinds of events.
 const (
 	ListServer   EventKind = iota // a new server is listed
 	DrainServer                   // a server begins to drain
--- /dev/null
+++ b/internal/fleet/plan/main_test.go
@@ -0,0 +1,9 @@
+package plan
+
+import (
+	"testing"
+
+	"basaltdrum/internal/testutil"
+)
+
+func TestMain(m *testing.M) { testutil.Main(m) }
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan/plan.go
@@ -1,4 +1,4 @@
-package fleet
+package plan
 
 import (
 	"time"
@@ -15,6 +15,7 @@
 	GroupZoneBack    = "a zone back"
 )
 
+// Groups are all kinds, in the order of the tables.
 var Groups = []string{GroupServerState, GroupAfterOutage, GroupZoneLost, GroupZoneBack}
 
 // When an outage begins and ends, as shares of a run's length, and how long its end is watched.
--- a/internal/fleet/child.go
+++ b/internal/fleet/process/child.go
@@ -1,4 +1,4 @@
-package fleet
+package process
 
 import (
 	"context"
@@ -105,4 +105,5 @@
 	})
 }
 
+// PID is the id of the process.
 func (c *ChildProcess) PID() int { return c.cmd.Process.Pid }
--- a/internal/fleet/chainreport.go
+++ b/internal/fleet/report/chain.go
@@ -1,12 +1,16 @@
-package fleet
+package report
+
+import (
+	"basaltdrum/internal/fleet/load"
+)
 
 // Chain compares calls through nodes with calls that servers make to one another directly.
 type Chain struct {
-	Depth   int         `json:"depth"`
-	Chains  int         `json:"chains"`
-	Rate    float64     `json:"rate"` // calls a second at each node
-	Direct  PathFigures `json:"direct"`
-	Through PathFigures `json:"through"`
+	Depth   int              `json:"depth"`
+	Chains  int              `json:"chains"`
+	Rate    float64          `json:"rate"` // calls a second at each node
+	Direct  load.PathFigures `json:"direct"`
+	Through load.PathFigures `json:"through"`
 	// Differences of the quantiles of the two ways, in milliseconds: added by all nodes of the chain.
 	AddedP50  float64 `json:"added_p50_ms"`
 	AddedP99  float64 `json:"added_p99_ms"`
@@ -14,7 +18,7 @@
 }
 
 // Compare sets the figures of both paths, and the differences of their quantiles.
-func (c *Chain) Compare(direct, through PathFigures) {
+func (c *Chain) Compare(direct, through load.PathFigures) {
 	c.Direct, c.Through = direct, through
 	c.AddedP50 = through.Latency.P50 - direct.Latency.P50
 	c.AddedP99 = through.Latency.P99 - direct.Latency.P99
--- a/internal/fleet/growthreport.go
+++ b/internal/fleet/report/growth.go
@@ -1,39 +1,42 @@
-package fleet
+package report
 
 import (
 	"fmt"
 	"io"
 	"strings"
 	"text/tabwriter"
+
+	"basaltdrum/internal/fleet/plan"
+	"basaltdrum/internal/fleet/stats"
 )
 
 // GrowthFigures are what a node needed on one day, as the mean over the nodes, from the start of its process on.
 type GrowthFigures struct {
-	Servers     int     `json:"servers"`
-	FleetNodes  int     `json:"fleet_nodes"` // as the settings tell
-	Capacity    float64 `json:"capacity_hint"`
-	CPUSeconds  float64 `json:"cpu_s"`
-	PeakMemory  float64 `json:"peak_memory_bytes"`
-	Descriptors float64 `json:"descriptors"` // the most at once, by samples
-	Connections float64 `json:"connections_made"`
-	ListBytes   float64 `json:"list_bytes"`         // with the first list, without the headers of HTTP
-	ListPayload float64 `json:"list_payload_bytes"` // the same with them
-	ListCalls   float64 `json:"list_calls"`         // at the registry; one may bring many changes
-	Served      float64 `json:"served_share"`
-	Calls       Tally   `json:"calls"`
-	Changes     int     `json:"changes"`            // of one entry each
-	LateMS      float64 `json:"latest_event_ms"`    // how far the day's events fell behind its plan at most
-	Busy        float64 `json:"machine_cores_busy"` // by all programs on the machine
+	Servers     int         `json:"servers"`
+	FleetNodes  int         `json:"fleet_nodes"` // as the settings tell
+	Capacity    float64     `json:"capacity_hint"`
+	CPUSeconds  float64     `json:"cpu_s"`
+	PeakMemory  float64     `json:"peak_memory_bytes"`
+	Descriptors float64     `json:"descriptors"` // the most at once, by samples
+	Connections float64     `json:"connections_made"`
+	ListBytes   float64     `json:"list_bytes"`         // with the first list, without the headers of HTTP
+	ListPayload float64     `json:"list_payload_bytes"` // the same with them
+	ListCalls   float64     `json:"list_calls"`         // at the registry; one may bring many changes
+	Served      float64     `json:"served_share"`
+	Calls       stats.Tally `json:"calls"`
+	Changes     int         `json:"changes"`            // of one entry each
+	LateMS      float64     `json:"latest_event_ms"`    // how far the day's events fell behind its plan at most
+	Busy        float64     `json:"machine_cores_busy"` // by all programs on the machine
 }
 
 // GrowthReport is what a growth run writes as JSON.
 type GrowthReport struct {
-	Command string        `json:"command"`
-	Args    GrowthArgs    `json:"args"`
-	Machine Machine       `json:"machine"`
-	Usual   GrowthFigures `json:"usual"`
-	Large   GrowthFigures `json:"large"`
-	Rows    []GrowthRow   `json:"rows"`
+	Command string          `json:"command"`
+	Args    plan.GrowthArgs `json:"args"`
+	Machine Machine         `json:"machine"`
+	Usual   GrowthFigures   `json:"usual"`
+	Large   GrowthFigures   `json:"large"`
+	Rows    []GrowthRow     `json:"rows"`
 }
 
 // OverLimitError says that a node needs more at the large size than the limits allow.
--- a/internal/fleet/growthlimits.go
+++ b/internal/fleet/report/growthlimits.go
@@ -1,4 +1,4 @@
-package fleet
+package report
 
 // growthLimit says how far a figure may grow. The limit at the large size is factor times the figure at the
 // usual size, plus base, plus perThousand for each thousand servers.
--- a/internal/fleet/report.go
+++ b/internal/fleet/report/report.go
@@ -1,7 +1,10 @@
-package fleet
+package report
 
 import (
 	"strings"
+
+	"basaltdrum/internal/fleet/plan"
+	"basaltdrum/internal/fleet/stats"
 )
 
 // Machine describes the machine of a run.
@@ -22,20 +25,20 @@
 // HollowFigures are the figures of the hollow nodes' process. Its processor time holds all that the process does: the
 // modules, loops and discovery clients, the load generator, and the answers in memory.
 type HollowFigures struct {
-	Nodes        int                `json:"nodes"`
-	ReadyMS      float64            `json:"all_ready_after_ms"`
-	CoresNode    float64            `json:"cores_per_node"`
-	HeapNode     float64            `json:"heap_bytes_per_node"`
-	HeapAfter    float64            `json:"heap_bytes_per_node_at_end"` // with what the run notes of each change
-	StackNode    float64            `json:"stack_bytes_per_node"`
-	RSS          int64              `json:"rss_bytes"`
-	Calls        Tally              `json:"calls"`
-	Lateness     Quantiles          `json:"late"`
-	Latency      Quantiles          `json:"latency"`
-	ScheduleKept bool               `json:"schedule_kept"`
-	InForce      map[string]InForce `json:"in_force"` // by the kind of change
-	Warnings     int64              `json:"log_warnings"`
-	StormCalls   *Tally             `json:"calls_in_storm,omitempty"`
+	Nodes        int                      `json:"nodes"`
+	ReadyMS      float64                  `json:"all_ready_after_ms"`
+	CoresNode    float64                  `json:"cores_per_node"`
+	HeapNode     float64                  `json:"heap_bytes_per_node"`
+	HeapAfter    float64                  `json:"heap_bytes_per_node_at_end"` // with what the run notes of each change
+	StackNode    float64                  `json:"stack_bytes_per_node"`
+	RSS          int64                    `json:"rss_bytes"`
+	Calls        stats.Tally              `json:"calls"`
+	Lateness     stats.Quantiles          `json:"late"`
+	Latency      stats.Quantiles          `json:"latency"`
+	ScheduleKept bool                     `json:"schedule_kept"`
+	InForce      map[string]stats.InForce `json:"in_force"` // by the kind of change
+	Warnings     int64                    `json:"log_warnings"`
+	StormCalls   *stats.Tally             `json:"calls_in_storm,omitempty"`
 }
 
 // RealFigures are the figures of the real nodes' processes, over the rounds in which calls went through them (with no
@@ -79,7 +82,7 @@
 
 // Point is the report of one run.
 type Point struct {
-	Args     Args            `json:"args"`
+	Args     plan.Args       `json:"args"`
 	Machine  Machine         `json:"machine"`
 	Seconds  float64         `json:"measured_s"`
 	PerNode  PerNode         `json:"per_node"`
@@ -94,10 +97,10 @@
 
 // Report is what a command writes as JSON.
 type Report struct {
-	Command string          `json:"command"`
-	Points  []Point         `json:"points"`
-	Over    string          `json:"over,omitempty"`   // for a sweep: what was varied
-	Slopes  map[string]Line `json:"slopes,omitempty"` // of each figure against it
+	Command string                `json:"command"`
+	Points  []Point               `json:"points"`
+	Over    string                `json:"over,omitempty"`   // for a sweep: what was varied
+	Slopes  map[string]stats.Line `json:"slopes,omitempty"` // of each figure against it
 }
 
 // Command returns the command line of a run, for its report.
@@ -105,10 +108,10 @@
 
 // Configs are the figures of how changes of the configuration came into force at the real nodes.
 type Configs struct {
-	Changes    int       `json:"changes"`
-	Sent       int       `json:"sent"`         // pairs of a change and a node
-	InForce    int       `json:"in_force"`     // of these, in force within the limit
-	NotInForce int       `json:"not_in_force"` // not by then
-	LimitSec   float64   `json:"limit_s"`
-	Took       Quantiles `json:"took"` // of those in force
+	Changes    int             `json:"changes"`
+	Sent       int             `json:"sent"`         // pairs of a change and a node
+	InForce    int             `json:"in_force"`     // of these, in force within the limit
+	NotInForce int             `json:"not_in_force"` // not by then
+	LimitSec   float64         `json:"limit_s"`
+	Took       stats.Quantiles `json:"took"` // of those in force
 }
--- a/internal/fleet/sweepfigures.go
+++ b/internal/fleet/report/sweep.go
@@ -1,4 +1,4 @@
-package fleet
+package report
 
 // Figures returns those of a point's figures that a sweep fits.
 func (p Point) Figures() map[string]float64 {
--- a/internal/fleet/reporttable.go
+++ b/internal/fleet/report/table.go
@@ -1,4 +1,4 @@
-package fleet
+package report
 
 import (
 	"fmt"
@@ -6,6 +6,10 @@
 	"maps"
 	"slices"
 	"text/tabwriter"
+
+	"basaltdrum/internal/fleet/load"
+	"basaltdrum/internal/fleet/plan"
+	"basaltdrum/internal/fleet/stats"
 )
 
 // table writes rows of a name and a text in two columns.
@@ -70,7 +74,7 @@
 			h.Calls.Offered, h.Calls.Served, h.Calls.Rejected, h.Calls.Failed,
 			h.Latency.P50, h.Latency.P99, h.Latency.P999, scheduleText(h.ScheduleKept, h.Lateness))
 	}
-	for _, group := range Groups {
+	for _, group := range plan.Groups {
 		if f, ok := h.InForce[group]; ok {
 			t.row("in force: "+group, "%d changes; at 50/99/100 in 100 nodes: median %.1f/%.1f/%.1f ms, worst %.1f/%.1f/%.1f ms; %d heard, %d missed",
 				f.Changes, f.Half.Median, f.P99.Median, f.All.Median, f.Half.Worst, f.P99.Worst, f.All.Worst, f.Applied, f.Missed)
@@ -82,7 +86,7 @@
 func (c *Chain) rows(t table) {
 	for _, path := range []struct {
 		name    string
-		figures PathFigures
+		figures load.PathFigures
 	}{
 		{"direct", c.Direct},
 		{"through nodes", c.Through},
@@ -107,7 +111,7 @@
 func megabytes(bytes int64) float64 { return float64(bytes) / megabyte }
 
 // scheduleText says whether calls were sent at the times that were drawn.
-func scheduleText(kept bool, late Quantiles) string {
+func scheduleText(kept bool, late stats.Quantiles) string {
 	text := "schedule kept"
 	if !kept {
 		text = "SCHEDULE NOT KEPT"
--- a/internal/fleet/roles.go
+++ b/internal/fleet/roles.go
@@ -2,6 +2,10 @@
 
 import (
 	"fmt"
+
+	"basaltdrum/internal/fleet/nodes"
+	"basaltdrum/internal/fleet/process"
+	"basaltdrum/internal/fleet/standin"
 )
 
 // The roles of child processes.
@@ -16,11 +20,11 @@
 // input is closed.
 func Child(role string) error {
 	services := map[string]any{
-		roleRegistry: &RegistryHost{}, roleHollows: &Hollows{}, roleServers: &Servers{}, roleListed: &ListedServers{},
+		roleRegistry: &standin.RegistryHost{}, roleHollows: &nodes.Hollows{}, roleServers: &standin.Servers{}, roleListed: &standin.ListedServers{},
 	}
 	service, ok := services[role]
 	if !ok {
 		return fmt.Errorf("child: no role %q", role)
 	}
-	return ServeParent(service)
+	return process.ServeParent(service)
 }
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -8,6 +8,13 @@
 	"runtime"
 	"sync"
 	"time"
+
+	"basaltdrum/internal/fleet/load"
+	"basaltdrum/internal/fleet/nodes"
+	"basaltdrum/internal/fleet/plan"
+	"basaltdrum/internal/fleet/process"
+	"basaltdrum/internal/fleet/report"
+	"basaltdrum/internal/fleet/standin"
 )
 
 // startTimeout is how long the nodes may take to be ready.
@@ -22,37 +29,37 @@
 // run is one run while it is made. Its children are stopped at its end, also after an error.
 type run struct {
 	Runner
-	args            Args
+	args            plan.Args
 	dir             string
-	registry        *ChildProcess
-	hollows         *ChildProcess
-	servers         *ChildProcess
-	serverAddresses ServerAddresses
-	real            []*RealNode // chain by chain, tier by tier
-	client          *Client
-	lists           []*Rotation // of the services, then of the real nodes' tiers
+	registry        *process.ChildProcess
+	hollows         *process.ChildProcess
+	servers         *process.ChildProcess
+	serverAddresses standin.ServerAddresses
+	real            []*nodes.RealNode // chain by chain, tier by tier
+	client          *load.Client
+	lists           []*standin.Rotation // of the services, then of the real nodes' tiers
 
 	mu                   sync.Mutex
-	changes              []ListChange
+	changes              []nodes.ListChange
 	registryUnresponsive bool
 }
 
 // Run makes one run. It ends within its bound, and its children with it.
-func (r Runner) Run(ctx context.Context, args Args) (p Point, err error) {
+func (r Runner) Run(ctx context.Context, args plan.Args) (p report.Point, err error) {
 	if err := args.Check(); err != nil {
-		return Point{}, err
+		return report.Point{}, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, args.Bound()-2*StopTimeout)
+	ctx, cancel := context.WithTimeout(ctx, args.Bound()-2*process.StopTimeout)
 	defer cancel()
-	one := &run{Runner: r, args: args, client: NewClient()}
+	one := &run{Runner: r, args: args, client: load.NewClient()}
 	defer one.stop()
 	if one.dir, err = os.MkdirTemp("", "fleetscale"); err != nil {
-		return Point{}, fmt.Errorf("run: %w", err)
+		return report.Point{}, fmt.Errorf("run: %w", err)
 	}
-	p = Point{Args: args, Machine: Machine{runtime.NumCPU(), runtime.Version(), LoadAverage()}}
+	p = report.Point{Args: args, Machine: report.Machine{Cores: runtime.NumCPU(), Go: runtime.Version(), Load: process.LoadAverage()}}
 	started, err := one.start(ctx)
 	if err != nil {
-		return Point{}, err
+		return report.Point{}, err
 	}
 	return p, one.measure(ctx, &p, started)
 }
@@ -67,7 +74,7 @@
 			n.Stop()
 		}()
 	}
-	for _, c := range []*ChildProcess{r.hollows, r.servers, r.registry} {
+	for _, c := range []*process.ChildProcess{r.hollows, r.servers, r.registry} {
 		if c != nil {
 			wg.Add(1)
 			go func() {
--- a/internal/fleet/run_test.go
+++ b/internal/fleet/run_test.go
@@ -11,6 +11,10 @@
 	"time"
 
 	"go.uber.org/goleak"
+
+	"basaltdrum/internal/fleet/load"
+	"basaltdrum/internal/fleet/plan"
+	"basaltdrum/internal/fleet/report"
 )
 
 // TestMain lets the tests' own program play the children, and fails the tests if a goroutine outlives them.
@@ -34,11 +38,11 @@
 	return Runner{ChildCommand: []string{self, "child"}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
 }
 
-func base() Args {
-	return Args{Servers: 12, Services: 1, Mode: "pushed", Storm: "none", Depth: 1, Seed: 1, For: 1500 * time.Millisecond}
+func base() plan.Args {
+	return plan.Args{Servers: 12, Services: 1, Mode: "pushed", Storm: "none", Depth: 1, Seed: 1, For: 1500 * time.Millisecond}
 }
 
-func testRun(t *testing.T, args Args) Point {
+func testRun(t *testing.T, args plan.Args) report.Point {
 	t.Helper()
 	p, err := testRunner(t).Run(context.Background(), args)
 	if err != nil {
@@ -85,7 +89,7 @@
 		if h == nil || p.Real != nil || p.Chain != nil || p.Configs != nil || p.Storm != nil {
 			t.Fatalf("%s: parts %+v", mode, p)
 		}
-		f := h.InForce[GroupServerState]
+		f := h.InForce[plan.GroupServerState]
 		if f.Changes < 4 || f.Missed != 0 || f.Applied != 3*f.Changes || f.All.Worst <= 0 || f.Half.Median > f.All.Worst {
 			t.Errorf("%s: in force %+v", mode, f)
 		}
@@ -131,7 +135,7 @@
 	if c == nil || c.Depth != 2 || c.Chains != 1 || p.Hollow != nil {
 		t.Fatalf("chain %+v", c)
 	}
-	for name, way := range map[string]PathFigures{"direct": c.Direct, "through": c.Through} {
+	for name, way := range map[string]load.PathFigures{"direct": c.Direct, "through": c.Through} {
 		if way.Offered < 20 || way.Served < way.Offered*9/10 || way.Answered() != way.Offered || way.Lateness.Count != way.Offered ||
 			way.Latency.Count == 0 || way.Latency.P50 <= 0 || way.Latency.P999 > way.Latency.Max {
 			t.Errorf("%s: %+v", name, way)
--- a/internal/fleet/runchanges.go
+++ b/internal/fleet/runchanges.go
@@ -4,13 +4,16 @@
 	"context"
 	"time"
 
+	"basaltdrum/internal/fleet/nodes"
+	"basaltdrum/internal/fleet/plan"
+	"basaltdrum/internal/fleet/standin"
 	"basaltdrum/internal/monotime"
 )
 
 // change makes a new version of a list and notes it.
-func (r *run) change(ctx context.Context, l *Rotation, targets []ListEntry, group string) error {
-	var changed Changed
-	if err := r.registry.Call(ctx, "Change", ChangeSpec{l.Service, targets}, &changed); err != nil {
+func (r *run) change(ctx context.Context, l *standin.Rotation, targets []standin.ListEntry, group string) error {
+	var changed standin.Changed
+	if err := r.registry.Call(ctx, "Change", standin.ChangeSpec{Service: l.Service, Entries: targets}, &changed); err != nil {
 		return err
 	}
 	r.mu.Lock()
@@ -19,7 +22,9 @@
 		return nil
 	}
 	if l.Service < r.args.Services && r.args.Nodes > 0 {
-		r.changes = append(r.changes, ListChange{group, l.Service, changed.Rev, changed.AtNS})
+		r.changes = append(r.changes, nodes.ListChange{
+			Group: group, Service: l.Service, Rev: changed.Rev, AtNS: changed.AtNS,
+		})
 	}
 	return nil
 }
@@ -39,7 +44,7 @@
 		}
 		l := r.lists[i%len(r.lists)]
 		if changed := l.Next(); changed != nil {
-			if err := r.change(ctx, l, changed, GroupServerState); err != nil {
+			if err := r.change(ctx, l, changed, plan.GroupServerState); err != nil {
 				return err
 			}
 		}
--- a/internal/fleet/runfigures.go
+++ b/internal/fleet/runfigures.go
@@ -3,31 +3,38 @@
 import (
 	"context"
 	"time"
+
+	"basaltdrum/internal/fleet/load"
+	"basaltdrum/internal/fleet/nodes"
+	"basaltdrum/internal/fleet/plan"
+	"basaltdrum/internal/fleet/process"
+	"basaltdrum/internal/fleet/report"
+	"basaltdrum/internal/fleet/stats"
 )
 
 // usage reads what processes have used.
 type usage struct {
 	at       time.Time
 	busy     time.Duration
-	hollows  Usage
-	registry Usage
-	real     []Usage
+	hollows  process.Usage
+	registry process.Usage
+	real     []process.Usage
 }
 
 func (r *run) usage() (u usage, err error) {
-	if u.busy, err = MachineBusy(); err != nil {
+	if u.busy, err = process.MachineBusy(); err != nil {
 		return u, err
 	}
-	if u.registry, err = UsageOf(r.registry.PID()); err != nil {
+	if u.registry, err = process.UsageOf(r.registry.PID()); err != nil {
 		return u, err
 	}
 	if r.hollows != nil {
-		if u.hollows, err = UsageOf(r.hollows.PID()); err != nil {
+		if u.hollows, err = process.UsageOf(r.hollows.PID()); err != nil {
 			return u, err
 		}
 	}
 	for _, n := range r.real {
-		one, err := UsageOf(n.PID())
+		one, err := process.UsageOf(n.PID())
 		if err != nil && n.Alive() {
 			return u, err
 		}
@@ -39,27 +46,29 @@
 
 // fill notes what the processes used and what passed at the registry. realCores is what the real nodes used
 // while calls went through them; nil: there were none.
-func (r *run) fill(p *Point, before, after usage, realCores []float64, counted Counted) {
+func (r *run) fill(p *report.Point, before, after usage, realCores []float64, counted stats.Counted) {
 	sum, peak, seconds := counted.Between(before.at, after.at)
 	p.Seconds = after.at.Sub(before.at).Seconds()
-	p.Busy = Cores(after.busy-before.busy, before.at, after.at)
+	p.Busy = process.Cores(after.busy-before.busy, before.at, after.at)
 	per := func(n int64) float64 { return float64(n) / seconds }
-	p.Registry = RegistryFigures{
+	p.Registry = report.RegistryFigures{
 		Open: counted.Open, Conns: per(sum.Conns), Calls: per(sum.Calls), BytesIn: per(sum.In),
-		BytesOut: per(sum.Out), Peak: float64(peak) / BucketWidth.Seconds(),
-		Cores: Cores(after.registry.CPU-before.registry.CPU, before.at, after.at), RSS: after.registry.RSS,
+		BytesOut: per(sum.Out), Peak: float64(peak) / stats.BucketWidth.Seconds(),
+		Cores: process.Cores(after.registry.CPU-before.registry.CPU, before.at, after.at), RSS: after.registry.RSS,
 	}
 	nodeCount := r.args.Nodes + r.args.Real
-	p.PerNode = PerNode{nodeCount, per(sum.Out) / float64(nodeCount), per(sum.In) / float64(nodeCount)}
+	p.PerNode = report.PerNode{
+		Nodes: nodeCount, BytesIn: per(sum.Out) / float64(nodeCount), BytesOut: per(sum.In) / float64(nodeCount),
+	}
 	if len(r.real) == 0 {
 		return
 	}
-	f := &RealFigures{Nodes: len(r.real)}
+	f := &report.RealFigures{Nodes: len(r.real)}
 	for i, n := range r.real {
 		if n.Alive() {
 			f.Alive++
 		}
-		used := Cores(after.real[i].CPU-before.real[i].CPU, before.at, after.at)
+		used := process.Cores(after.real[i].CPU-before.real[i].CPU, before.at, after.at)
 		if realCores != nil {
 			used = realCores[i]
 		}
@@ -71,27 +80,27 @@
 	p.Real = f
 }
 
-func (r *run) hollowFigures(ctx context.Context, p *Point, before, after usage, started HollowStart) error {
+func (r *run) hollowFigures(ctx context.Context, p *report.Point, before, after usage, started nodes.HollowStart) error {
 	r.mu.Lock()
 	changes := r.changes
 	r.mu.Unlock()
-	var reported HollowReport
+	var reported nodes.HollowReport
 	if err := r.hollows.Call(ctx, "Report", changes, &reported); err != nil {
 		return err
 	}
 	n := float64(r.args.Nodes)
-	h := &HollowFigures{
-		Nodes: r.args.Nodes, ReadyMS: Milliseconds(started.Took),
-		CoresNode: Cores(after.hollows.CPU-before.hollows.CPU, before.at, after.at) / n,
+	h := &report.HollowFigures{
+		Nodes: r.args.Nodes, ReadyMS: stats.Milliseconds(started.Took),
+		CoresNode: process.Cores(after.hollows.CPU-before.hollows.CPU, before.at, after.at) / n,
 		HeapNode:  float64(started.HeapBytes) / n, HeapAfter: float64(reported.HeapBytes) / n, StackNode: float64(started.StackMem) / n, RSS: after.hollows.RSS,
-		Lateness: reported.Lateness, Latency: reported.Latency, ScheduleKept: ScheduleKept(reported.Lateness),
+		Lateness: reported.Lateness, Latency: reported.Latency, ScheduleKept: load.ScheduleKept(reported.Lateness),
 		InForce: reported.InForce, Warnings: reported.Warnings,
 	}
 	for _, t := range reported.Phases {
 		h.Calls = h.Calls.Plus(t)
 	}
-	if r.args.Storm != StormNone {
-		h.StormCalls = &reported.Phases[InStorm]
+	if r.args.Storm != plan.StormNone {
+		h.StormCalls = &reported.Phases[nodes.InStorm]
 	}
 	p.Hollow = h
 	return nil
--- a/internal/fleet/runmeasure.go
+++ b/internal/fleet/runmeasure.go
@@ -5,17 +5,21 @@
 	"fmt"
 	"time"
 
+	"basaltdrum/internal/fleet/nodes"
+	"basaltdrum/internal/fleet/plan"
+	"basaltdrum/internal/fleet/report"
+	"basaltdrum/internal/fleet/stats"
 	"basaltdrum/internal/monotime"
 )
 
 // measure lets the run go on for its length, and fills the point.
-func (r *run) measure(ctx context.Context, p *Point, started HollowStart) error {
+func (r *run) measure(ctx context.Context, p *report.Point, started nodes.HollowStart) error {
 	before, err := r.usage()
 	if err != nil {
 		return err
 	}
 	if r.hollows != nil {
-		if err := r.hollows.Call(ctx, "Load", HollowLoad{r.args.Rate, r.args.For, r.args.Seed}, &struct{}{}); err != nil {
+		if err := r.hollows.Call(ctx, "Load", nodes.HollowLoad{Rate: r.args.Rate, For: r.args.For, Seed: r.args.Seed}, &struct{}{}); err != nil {
 			return err
 		}
 	}
@@ -31,7 +35,7 @@
 	if err := activities.wait(); err != nil {
 		return fmt.Errorf("run: %w", err)
 	}
-	var counted Counted
+	var counted stats.Counted
 	if err := r.registry.Call(ctx, "Traffic", struct{}{}, &counted); err != nil {
 		return err
 	}
@@ -54,19 +58,19 @@
 }
 
 // startActivities starts all that happens in a run besides the calls at hollow nodes.
-func (r *run) startActivities(a *activities, p *Point) *activityOutcome {
+func (r *run) startActivities(a *activities, p *report.Point) *activityOutcome {
 	outcome := &activityOutcome{}
 	if r.args.Changes > 0 {
 		a.start(func(ctx context.Context) error { return r.rotate(ctx, r.args.For) })
 	}
-	if r.args.Storm != StormNone {
+	if r.args.Storm != plan.StormNone {
 		a.start(func(ctx context.Context) (err error) {
 			outcome.storm, err = r.storm(ctx)
 			return err
 		})
 	}
 	if r.args.Configs > 0 {
-		p.Configs = &Configs{LimitSec: configLimit.Seconds()}
+		p.Configs = &report.Configs{LimitSec: configLimit.Seconds()}
 		a.start(func(ctx context.Context) error { return r.reconfigure(ctx, p.Configs) })
 	}
 	if len(r.real) > 0 && r.args.Rate > 0 {
--- a/internal/fleet/runstart.go
+++ b/internal/fleet/runstart.go
@@ -3,17 +3,22 @@
 import (
 	"context"
 	"fmt"
+
+	"basaltdrum/internal/fleet/nodes"
+	"basaltdrum/internal/fleet/plan"
+	"basaltdrum/internal/fleet/process"
+	"basaltdrum/internal/fleet/standin"
 )
 
 // start starts the registry, the servers and the nodes, and waits until all nodes are ready.
-func (r *run) start(ctx context.Context) (started HollowStart, err error) {
-	if r.registry, err = StartChild(r.ChildCommand, roleRegistry); err != nil {
+func (r *run) start(ctx context.Context) (started nodes.HollowStart, err error) {
+	if r.registry, err = process.StartChild(r.ChildCommand, roleRegistry); err != nil {
 		return started, err
 	}
 	if err = r.startServers(ctx); err != nil {
 		return started, err
 	}
-	polled := r.args.Mode == ModePolled
+	polled := r.args.Mode == plan.ModePolled
 	spec, hollowLists := r.makeLists(polled)
 	var addresses []string
 	if err = r.registry.Call(ctx, "Start", spec, &addresses); err != nil {
@@ -39,10 +44,12 @@
 	if chains == 0 {
 		return nil
 	}
-	if r.servers, err = StartChild(r.ChildCommand, roleServers); err != nil {
+	if r.servers, err = process.StartChild(r.ChildCommand, roleServers); err != nil {
 		return err
 	}
-	spec := ServersSpec{chains, r.args.Depth, r.args.Service, r.args.Seed}
+	spec := standin.ServersSpec{
+		Chains: chains, Depth: r.args.Depth, Service: r.args.Service, Seed: r.args.Seed,
+	}
 	return r.servers.Call(ctx, "Start", spec, &r.serverAddresses)
 }
 
@@ -52,10 +59,10 @@
 // makeLists makes the lists: those of the services, which the hollow nodes get, and then one for each real node. It
 // returns what the registry is started with, and how many lists are the hollow nodes'. Where lists are pushed, each
 // node has an address of its own, its agent's; where they are polled, each list has one.
-func (r *run) makeLists(polled bool) (spec RegistrySpec, hollowLists int) {
+func (r *run) makeLists(polled bool) (spec standin.RegistrySpec, hollowLists int) {
 	if r.args.Nodes > 0 {
 		for s := range r.args.Services {
-			r.lists = append(r.lists, NewRotation(s, r.args.Servers, hollowEndpoint))
+			r.lists = append(r.lists, standin.NewRotation(s, r.args.Servers, hollowEndpoint))
 		}
 	}
 	hollowLists = len(r.lists)
@@ -65,7 +72,7 @@
 	for _, chain := range r.serverAddresses.Through {
 		for _, endpoint := range chain {
 			spec.Addresses = append(spec.Addresses, len(r.lists))
-			r.lists = append(r.lists, NewRotation(len(r.lists), r.args.Servers, endpoint))
+			r.lists = append(r.lists, standin.NewRotation(len(r.lists), r.args.Servers, endpoint))
 		}
 	}
 	if polled {
@@ -81,12 +88,12 @@
 }
 
 // startHollow starts the hollow nodes.
-func (r *run) startHollow(ctx context.Context, discovery func(node, list int) string, polled bool) (started HollowStart, err error) {
-	spec := HollowSpec{Services: r.args.Services, PollDiscovery: polled, Service: r.args.Service, Seed: r.args.Seed, Wait: startTimeout}
+func (r *run) startHollow(ctx context.Context, discovery func(node, list int) string, polled bool) (started nodes.HollowStart, err error) {
+	spec := nodes.HollowSpec{Services: r.args.Services, PollDiscovery: polled, Service: r.args.Service, Seed: r.args.Seed, Wait: startTimeout}
 	for i := range r.args.Nodes {
 		spec.Discovery = append(spec.Discovery, discovery(i, i%r.args.Services))
 	}
-	if r.hollows, err = StartChild(r.ChildCommand, roleHollows); err != nil {
+	if r.hollows, err = process.StartChild(r.ChildCommand, roleHollows); err != nil {
 		return started, err
 	}
 	if err = r.hollows.Call(ctx, "Start", spec, &started); err != nil {
@@ -105,7 +112,7 @@
 	defer cancel()
 	program := r.args.Program
 	if program == "" {
-		if program, err = BuildProgram(ctx, r.dir); err != nil {
+		if program, err = nodes.BuildProgram(ctx, r.dir); err != nil {
 			return err
 		}
 	}
@@ -114,7 +121,7 @@
 		if i%r.args.Depth == 0 {
 			addresses = append(addresses, nil)
 		}
-		n, err := StartRealNode(ctx, program, r.dir, NodeSpec{
+		n, err := nodes.StartRealNode(ctx, program, r.dir, nodes.NodeSpec{
 			Name: fmt.Sprintf("n%d", i), Replicas: 1, Tier: i % r.args.Depth,
 			Listen: "127.0.0.1:0", Discovery: discovery(i), PollDiscovery: polled, Seed: r.args.Seed + uint64(i),
 		})
--- a/internal/fleet/listedservers_test.go
+++ b/internal/fleet/standin/listedservers_test.go
@@ -1,4 +1,4 @@
-package fleet
+package standin
 
 import (
 	"context"
@@ -6,6 +6,8 @@
 	"net"
 	"testing"
 	"time"
+
+	"basaltdrum/internal/fleet/load"
 )
 
 // Connections are counted once each, and a server that ends closes those it has.
@@ -15,10 +17,10 @@
 	if err := h.Start(ListedServersSpec{Count: 2}, &endpoints); err != nil {
 		t.Fatal(err)
 	}
-	c := NewClient()
+	c := load.NewClient()
 	defer c.Close()
 	for i, at := range []int{0, 0, 1} {
-		if got, err := c.Call(context.Background(), endpoints[at], Class, fmt.Sprint(i), time.Now().Add(limit)); got != Served {
+		if got, err := c.Call(context.Background(), endpoints[at], load.Class, fmt.Sprint(i), time.Now().Add(limit)); got != load.Served {
 			t.Fatalf("call %d: %v, %v", i, got, err)
 		}
 	}
--- /dev/null
+++ b/internal/fleet/standin/main_test.go
@@ -0,0 +1,9 @@
+package standin
+
+import (
+	"testing"
+
+	"basaltdrum/internal/testutil"
+)
+
+func TestMain(m *testing.M) { testutil.Main(m) }
--- a/internal/fleet/registry.go
+++ b/internal/fleet/standin/registry.go
@@ -1,4 +1,4 @@
-package fleet
+package standin
 
 import (
 	"context"
@@ -9,6 +9,8 @@
 	"strconv"
 	"sync"
 	"time"
+
+	"basaltdrum/internal/fleet/stats"
 )
 
 // maxHold is the longest wait of a watch.
@@ -18,7 +20,7 @@
 // address stands for the registry itself where lists are polled, and for one node's agent where they are pushed.
 // The agents read changes in memory and at once, and have no answer while the registry is unresponsive.
 type Registry struct {
-	Traffic *Series
+	Traffic *stats.Series
 	lists   []*list
 
 	mu           sync.Mutex
@@ -30,7 +32,7 @@
 
 // NewRegistry holds a list for each service.
 func NewRegistry(services [][]ListEntry) *Registry {
-	r := &Registry{Traffic: NewSeries(), down: make(chan struct{}), broken: make(chan struct{})}
+	r := &Registry{Traffic: stats.NewSeries(), down: make(chan struct{}), broken: make(chan struct{})}
 	for _, targets := range services {
 		r.lists = append(r.lists, newList(targets))
 	}
@@ -127,7 +129,7 @@
 
 // serveList answers one call for a list.
 func (r *Registry) serveList(w http.ResponseWriter, q *http.Request, l *list) {
-	r.Traffic.Add(Traffic{Calls: 1})
+	r.Traffic.Add(stats.Traffic{Calls: 1})
 	if q.Method != http.MethodGet || q.URL.Path != "/registry/instances" {
 		http.NotFound(w, q)
 		return
@@ -144,7 +146,7 @@
 	case err == nil:
 		w.Header().Set("Content-Type", "application/json")
 		n, _ := w.Write(body) // a caller whose connection is broken calls again
-		r.Traffic.Add(Traffic{Lists: int64(n)})
+		r.Traffic.Add(stats.Traffic{Lists: int64(n)})
 	case errors.Is(err, errUnresponsive):
 		<-q.Context().Done()
 	case errors.Is(context.Cause(ctx), errBroken):
@@ -173,7 +175,7 @@
 // meteredListener counts the traffic of its connections.
 type meteredListener struct {
 	net.Listener
-	traffic *Series
+	traffic *stats.Series
 }
 
 func (l *meteredListener) Accept() (net.Conn, error) {
@@ -181,7 +183,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l.traffic.Add(Traffic{Conns: 1})
+	l.traffic.Add(stats.Traffic{Conns: 1})
 	l.traffic.CountOpen(1)
 	return &meteredConn{Conn: c, traffic: l.traffic}, nil
 }
@@ -189,19 +191,19 @@
 // meteredConn is a connection of a meteredListener.
 type meteredConn struct {
 	net.Conn
-	traffic *Series
+	traffic *stats.Series
 	closed  sync.Once
 }
 
 func (c *meteredConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.traffic.Add(Traffic{In: int64(n)})
+	c.traffic.Add(stats.Traffic{In: int64(n)})
 	return n, err
 }
 
 func (c *meteredConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.traffic.Add(Traffic{Out: int64(n)})
+	c.traffic.Add(stats.Traffic{Out: int64(n)})
 	return n, err
 }
 
--- a/internal/fleet/registry_test.go
+++ b/internal/fleet/standin/registry_test.go
@@ -1,4 +1,4 @@
-package fleet
+package standin
 
 import (
 	"context"
@@ -8,6 +8,8 @@
 	"net/http"
 	"testing"
 	"time"
+
+	"basaltdrum/internal/fleet/stats"
 )
 
 // limit is how long a test waits for what must come; only a failing one waits so long.
@@ -102,7 +104,7 @@
 		}
 	}
 	c := r.Traffic.Counted()
-	sum, peak, _ := c.Between(time.Unix(0, c.StartNS), time.Now().Add(BucketWidth))
+	sum, peak, _ := c.Between(time.Unix(0, c.StartNS), time.Now().Add(stats.BucketWidth))
 	if sum.Calls != 10 || sum.Conns < 1 || sum.In < 10*50 || sum.Out < 10*50 || peak < 1 || peak > 10 {
 		t.Errorf("counted %+v, peak %d", sum, peak)
 	}
--- a/internal/fleet/registryhost.go
+++ b/internal/fleet/standin/registryhost.go
@@ -1,8 +1,10 @@
-package fleet
+package standin
 
 import (
 	"errors"
 	"time"
+
+	"basaltdrum/internal/fleet/stats"
 )
 
 // RegistrySpec are the lists of a registry, one for each service, and its addresses.
@@ -73,7 +75,7 @@
 }
 
 // Traffic returns what was counted since the start.
-func (h *RegistryHost) Traffic(_ struct{}, counted *Counted) error {
+func (h *RegistryHost) Traffic(_ struct{}, counted *stats.Counted) error {
 	*counted = h.registry.Traffic.Counted()
 	return nil
 }
--- a/internal/fleet/rotation.go
+++ b/internal/fleet/standin/rotation.go
@@ -1,16 +1,18 @@
-package fleet
+package standin
 
 import (
 	"fmt"
 	"slices"
 	"sync"
 	"time"
+
+	"basaltdrum/internal/fleet/plan"
 )
 
 // Rotation changes one list: one server after the other drains, is removed and is listed again. At most one server
 // is missing at a time, except in the outage of a zone.
 type Rotation struct {
-	Service int
+	Service int // the index of the list at the registry
 
 	mu      sync.Mutex
 	entries []ListEntry // as they are while in service
@@ -19,12 +21,13 @@
 	lost    bool // the first zone is in an outage
 }
 
+// NewRotation returns the rotation of the list of a service, whose servers all have the same endpoint.
 func NewRotation(service, servers int, endpoint string) *Rotation {
 	r := &Rotation{Service: service}
 	for i := range servers {
 		r.entries = append(r.entries, ListEntry{
 			UID: fmt.Sprintf("s-%d-%d", service, i), Endpoint: endpoint,
-			Zone: Zones[i%len(Zones)], Model: "m1", Cell: i % 10, State: InService, Capacity: 1,
+			Zone: plan.Zones[i%len(plan.Zones)], Model: "m1", Cell: i % 10, State: InService, Capacity: 1,
 		})
 	}
 	return r
@@ -42,13 +45,13 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for range r.entries {
-		if !r.lost || r.entries[r.at].Zone != Zones[0] {
+		if !r.lost || r.entries[r.at].Zone != plan.Zones[0] {
 			break
 		}
 		r.at, r.step = (r.at+1)%len(r.entries), 0
 	}
 	t := &r.entries[r.at]
-	if r.lost && t.Zone == Zones[0] {
+	if r.lost && t.Zone == plan.Zones[0] {
 		return nil
 	}
 	changed := *t
@@ -78,7 +81,7 @@
 	var changed []ListEntry
 	for i := range r.entries {
 		t := &r.entries[i]
-		if t.Zone != Zones[0] {
+		if t.Zone != plan.Zones[0] {
 			continue
 		}
 		n := *t
--- a/internal/fleet/servers.go
+++ b/internal/fleet/standin/servers.go
@@ -1,4 +1,4 @@
-package fleet
+package standin
 
 import (
 	"fmt"
@@ -9,6 +9,7 @@
 	"sync/atomic"
 	"time"
 
+	"basaltdrum/internal/fleet/load"
 	"basaltdrum/internal/monotime"
 )
 
@@ -27,14 +28,14 @@
 
 // Servers is the RPC service of the stand-in servers of chains, for a parent process.
 type Servers struct {
-	client  *Client
+	client  *load.Client
 	through [][]*server
 }
 
 // server is a stand-in server: it answers a request after a service time that it draws, and after its own call to
 // the next tier, if there is one.
 type server struct {
-	client  *Client
+	client  *load.Client
 	service time.Duration
 	next    atomic.Pointer[string]
 	calls   atomic.Int64
@@ -44,7 +45,7 @@
 
 // Start opens the servers, and returns their addresses.
 func (s *Servers) Start(spec ServersSpec, at *ServerAddresses) error {
-	s.client = NewClient()
+	s.client = load.NewClient()
 	open := func(name string, n int) (*server, string, error) {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -104,8 +105,8 @@
 		monotime.Sleep(r.Context(), time.Duration(rng.ExpFloat64()*float64(s.service)))
 	}
 	if next := s.next.Load(); next != nil {
-		got, err := s.client.Call(r.Context(), *next, Class, fmt.Sprintf("%s-%x", s.name, n), deadline)
-		if err != nil || got != Served {
+		got, err := s.client.Call(r.Context(), *next, load.Class, fmt.Sprintf("%s-%x", s.name, n), deadline)
+		if err != nil || got != load.Served {
 			http.Error(w, fmt.Sprintf("the next tier: %v, %v", got, err), http.StatusInternalServerError)
 			return
 		}
--- a/internal/fleet/inforce_test.go
+++ b/internal/fleet/stats/inforce_test.go
@@ -1,4 +1,4 @@
-package fleet
+package stats
 
 import (
 	"testing"
--- a/internal/fleet/latency.go
+++ b/internal/fleet/stats/latencies.go
@@ -1,4 +1,4 @@
-package fleet
+package stats
 
 import (
 	"sync"
@@ -25,10 +25,12 @@
 	hist *hdrhistogram.Histogram
 }
 
+// NewLatencies returns an empty histogram.
 func NewLatencies() *Latencies {
 	return &Latencies{hist: hdrhistogram.New(1, longestLatency.Microseconds(), 3)}
 }
 
+// Add adds a time.
 func (l *Latencies) Add(d time.Duration) {
 	us := min(max(d.Microseconds(), 0), longestLatency.Microseconds())
 	l.mu.Lock()
@@ -36,6 +38,7 @@
 	_ = l.hist.RecordValue(us) // it fails only out of the histogram's range
 }
 
+// Quantiles returns the quantiles of the times added so far.
 func (l *Latencies) Quantiles() Quantiles {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/fleet/slope.go
+++ b/internal/fleet/stats/line.go
@@ -1,6 +1,8 @@
-package fleet
+package stats
 
-import "fmt"
+import (
+	"fmt"
+)
 
 // Line is a fit y = Base + Slope x by ordinary least squares. R2 is its coefficient of determination.
 type Line struct {
--- a/internal/fleet/tally.go
+++ b/internal/fleet/stats/tally.go
@@ -1,4 +1,4 @@
-package fleet
+package stats
 
 // Tally counts calls and their answers.
 type Tally struct {
--- a/internal/fleet/traffic.go
+++ b/internal/fleet/stats/traffic.go
@@ -1,4 +1,4 @@
-package fleet
+package stats
 
 // Traffic is the traffic at a stand-in: new connections, calls, and bytes of TCP payload each way. Lists are the bytes
 // of the lists in it, without the headers of HTTP.
--- a/internal/fleet/storm.go
+++ b/internal/fleet/storm.go
@@ -4,6 +4,11 @@
 	"context"
 	"time"
 
+	"basaltdrum/internal/fleet/nodes"
+	"basaltdrum/internal/fleet/plan"
+	"basaltdrum/internal/fleet/report"
+	"basaltdrum/internal/fleet/standin"
+	"basaltdrum/internal/fleet/stats"
 	"basaltdrum/internal/monotime"
 )
 
@@ -15,21 +20,21 @@
 func (r *run) storm(ctx context.Context) (*stormTimes, error) {
 	start := time.Now()
 	share := func(s float64) time.Time { return start.Add(time.Duration(s * float64(r.args.For))) }
-	monotime.Sleep(ctx, time.Until(share(StormBegins)))
+	monotime.Sleep(ctx, time.Until(share(plan.StormBegins)))
 	s := &stormTimes{}
-	if err := r.phase(ctx, InStorm); err != nil {
+	if err := r.phase(ctx, nodes.InStorm); err != nil {
 		return nil, err
 	}
 	if err := r.lose(ctx, s); err != nil {
 		return nil, err
 	}
 	r.Log.Info("lost", "what", r.args.Storm)
-	monotime.Sleep(ctx, time.Until(share(StormEnds)))
+	monotime.Sleep(ctx, time.Until(share(plan.StormEnds)))
 	if err := r.restore(ctx, s); err != nil {
 		return nil, err
 	}
 	r.Log.Info("back", "what", r.args.Storm)
-	return s, r.phase(ctx, AfterStorm)
+	return s, r.phase(ctx, nodes.AfterStorm)
 }
 
 // phase has the hollow nodes' calls counted in another phase from now on.
@@ -42,9 +47,9 @@
 
 // lose begins the outage.
 func (r *run) lose(ctx context.Context, s *stormTimes) error {
-	if r.args.Storm == StormZone {
+	if r.args.Storm == plan.StormZone {
 		s.lost = time.Now()
-		return r.changeZone(ctx, false, GroupZoneLost)
+		return r.changeZone(ctx, false, plan.GroupZoneLost)
 	}
 	r.mu.Lock()
 	r.registryUnresponsive = true
@@ -57,19 +62,19 @@
 
 // restore ends the outage.
 func (r *run) restore(ctx context.Context, s *stormTimes) error {
-	if r.args.Storm == StormZone {
+	if r.args.Storm == plan.StormZone {
 		s.back = time.Now()
-		return r.changeZone(ctx, true, GroupZoneBack)
+		return r.changeZone(ctx, true, plan.GroupZoneBack)
 	}
 	// The newest version of each list is made last; all other changes of the outage are sent along with it.
-	var last []ListChange
+	var last []nodes.ListChange
 	for _, l := range r.lists {
-		var changed Changed
-		if err := r.registry.Call(ctx, "Change", ChangeSpec{l.Service, l.Restart()}, &changed); err != nil {
+		var changed standin.Changed
+		if err := r.registry.Call(ctx, "Change", standin.ChangeSpec{Service: l.Service, Entries: l.Restart()}, &changed); err != nil {
 			return err
 		}
 		if l.Service < r.args.Services && r.args.Nodes > 0 {
-			last = append(last, ListChange{Group: GroupAfterOutage, Service: l.Service, Rev: changed.Rev})
+			last = append(last, nodes.ListChange{Group: plan.GroupAfterOutage, Service: l.Service, Rev: changed.Rev})
 		}
 	}
 	var at int64
@@ -100,24 +105,24 @@
 }
 
 // figures compares the registry's load after the outage with the mean before it.
-func (s *stormTimes) figures(kind string, counted Counted, begin, end time.Time, h *HollowFigures) *StormFigures {
-	f := &StormFigures{Kind: kind, LostSec: s.back.Sub(s.lost).Seconds()}
-	watched := s.back.Add(StormWatch)
+func (s *stormTimes) figures(kind string, counted stats.Counted, begin, end time.Time, h *report.HollowFigures) *report.StormFigures {
+	f := &report.StormFigures{Kind: kind, LostSec: s.back.Sub(s.lost).Seconds()}
+	watched := s.back.Add(plan.StormWatch)
 	if watched.After(end) {
 		watched = end
 	}
 	before, _, beforeSec := counted.Between(begin, s.lost)
 	during, _, duringSec := counted.Between(s.lost, s.back)
 	// The bucket in which the outage ends counts as after it.
-	after, peak, afterSec := counted.Between(s.back.Add(-BucketWidth), watched)
+	after, peak, afterSec := counted.Between(s.back.Add(-stats.BucketWidth), watched)
 	f.Before, f.During = float64(before.Calls)/beforeSec, float64(during.Calls)/duringSec
 	f.After, f.AfterSec, f.PeakBytes = float64(after.Calls)/afterSec, afterSec, float64(after.Out)/afterSec
-	f.PeakAfter = float64(peak) / BucketWidth.Seconds()
+	f.PeakAfter = float64(peak) / stats.BucketWidth.Seconds()
 	if f.Before > 0 {
 		f.PeakToMean = f.PeakAfter / f.Before
 	}
 	if h != nil {
-		for _, group := range []string{GroupAfterOutage, GroupZoneBack} {
+		for _, group := range []string{plan.GroupAfterOutage, plan.GroupZoneBack} {
 			if in, ok := h.InForce[group]; ok {
 				f.NewestAllMS, f.Missed = in.All.Worst, in.Missed
 			}
--- a/internal/fleet/sweep.go
+++ b/internal/fleet/sweep.go
@@ -3,12 +3,16 @@
 import (
 	"context"
 	"fmt"
+
+	"basaltdrum/internal/fleet/plan"
+	"basaltdrum/internal/fleet/report"
+	"basaltdrum/internal/fleet/stats"
 )
 
 // Sweep makes a run for each value of one argument, and fits each figure against it.
-func (r Runner) Sweep(ctx context.Context, args Args, over string, values []int) (Report, error) {
-	result := Report{Over: over, Slopes: map[string]Line{}}
-	runs, err := SweepPlan(args, over, values)
+func (r Runner) Sweep(ctx context.Context, args plan.Args, over string, values []int) (report.Report, error) {
+	result := report.Report{Over: over, Slopes: map[string]stats.Line{}}
+	runs, err := plan.SweepPlan(args, over, values)
 	if err != nil {
 		return result, fmt.Errorf("sweep: %w", err)
 	}
@@ -29,7 +33,7 @@
 		}
 	}
 	for name, v := range y {
-		line, err := Fit(x, v)
+		line, err := stats.Fit(x, v)
 		if err != nil {
 			return result, fmt.Errorf("%s: %w", name, err)
 		}
