--- a/balancer/classes.go
+++ b/balancer/classes.go
@@ -1,23 +1,15 @@
-// Statistics of each class of requests: exponentially weighted averages of latency and its deviation, as in
-// TCP's estimate of the round-trip time (RFC 6298), and of what else the mechanisms go by.
+// The classes of requests: settings, and statistics that outlive them.
 
 package balancer
 
 import (
 	"cmp"
-	"math"
 	"slices"
-	"time"
-)
 
-// Constants of the averages: weights of a new sample, or ratios.
-const (
-	averageWeight  = 0.06   // least weight in averages over all endpoints (about 16 samples)
-	baseRiseWeight = 0.0005 // weight in a class's base latency when the mean lies above it
-	baseFallWeight = 0.02   // and when it lies below; the mean is noisy and at times lower than any real one
-	baseSamples    = 8      // samples from which base latency has a value of its own and answers can be slow
-	slowDeviations = 3.0    // deviations above the mean from which an answer is slow
-	countDecay     = 0.99   // factor of the counts of arrivals and answers at each request
+	"basaltdrum/balancer/internal/admission"
+	"basaltdrum/balancer/internal/clienttimeout"
+	"basaltdrum/balancer/internal/latency"
+	"basaltdrum/balancer/internal/outlier"
 )
 
 // class is a class as the settings had it when its requests were accepted, with its statistics, which outlive
@@ -25,46 +17,33 @@
 type class struct {
 	Class
 	*classStats
+	rates     outlier.Classes // that its results count for: its own, and that of all classes together
+	admission admission.Class
 }
 
 // classStats is what was observed of a class.
 type classStats struct {
-	mean, deviation  float64 // latency of successes, in ns
-	base             float64 // what mean was when load was lowest
-	samples          int
-	failureShare     float64 // share of its attempts that fail
-	arrivals, served float64 // requests, and answers within the latency objective: decayed counts
-	timeout          usualTimeout
+	latency  latency.Estimator
+	failures outlier.ClassRate
+	traffic  admission.Traffic
+	timeout  clienttimeout.Usual
 }
 
-// newClass returns a class with the first guess at its latency.
-func newClass(c Class) *class {
-	objective := float64(c.LatencyObjective)
-	return &class{c, &classStats{mean: objective / 4, deviation: objective / 8, base: objective / 4}}
+// newClassStats returns the statistics of a class of which nothing was observed yet.
+func newClassStats(c Class) *classStats {
+	return &classStats{latency: latency.NewEstimator(c.LatencyObjective)}
 }
 
-// observe takes in the latency of a success, and says whether enough are known to call one slow. The first
-// samples replace the guess, or the endpoint that answers first would look fast against it.
-func (c *classStats) observe(latency float64) bool {
-	c.samples++
-	weight := max(averageWeight, 1/float64(c.samples))
-	c.deviation += weight * (math.Abs(latency-c.mean) - c.deviation)
-	c.mean += weight * (latency - c.mean)
-	c.base += baseRiseWeight * (c.mean - c.base)
-	c.base += min(0, baseFallWeight*(c.mean-c.base))
-	if c.samples < baseSamples {
-		c.base = c.mean
-		return false
+// newClass returns a class with its settings and its statistics, and the failure rate of all classes
+// together.
+func newClass(c Class, stats *classStats, total *outlier.ClassRate) *class {
+	return &class{
+		Class: c, classStats: stats, rates: outlier.Classes{&stats.failures, total},
+		admission: admission.Class{
+			Objective: c.LatencyObjective, PriorityWeight: c.PriorityWeight, LateValue: c.LateValue,
+			Latency: &stats.latency, Traffic: &stats.traffic,
+		},
 	}
-	return true
-}
-
-// isSlow says that an answer after so many nanoseconds is slow for the class.
-func (c *classStats) isSlow(latency float64) bool { return latency > c.mean+slowDeviations*c.deviation }
-
-// slowLatency returns the latency that most answers of the class stay well under.
-func (c *classStats) slowLatency() time.Duration {
-	return time.Duration(c.mean + slowDeviations*c.deviation)
 }
 
 // classTable is the classes of the settings in force.
@@ -75,21 +54,33 @@
 
 // newClassTable returns the classes of new settings. One that was in the old settings keeps its statistics.
 func newClassTable(classes []Class, old classTable) classTable {
+	unknown := unknownClass(classes)
+	stats := old.statsOf(unknown)
 	table := classTable{byName: map[string]*class{}}
-	for _, settings := range append(slices.Clone(classes), unknownClass(classes)) {
-		c := newClass(settings)
-		if was := old.byName[c.Name]; was != nil {
-			c.classStats = was.classStats
-			if was.Deadline != c.Deadline {
-				c.timeout.votes = 0 // the usual timeout was a share of the deadline
-			}
-		}
-		table.byName[c.Name] = c
-		table.ordered = append(table.ordered, c)
+	for _, settings := range classes {
+		table.add(newClass(settings, old.statsOf(settings), &stats.failures))
 	}
+	table.add(newClass(unknown, stats, &stats.failures))
 	return table
 }
 
+func (t *classTable) add(c *class) {
+	t.byName[c.Name] = c
+	t.ordered = append(t.ordered, c)
+}
+
+// statsOf returns the statistics that a class keeps under new settings, or new ones.
+func (t *classTable) statsOf(c Class) *classStats {
+	was := t.byName[c.Name]
+	if was == nil {
+		return newClassStats(c)
+	}
+	if was.Deadline != c.Deadline {
+		was.timeout.Reset() // the usual timeout was a share of the deadline
+	}
+	return was.classStats
+}
+
 // unknownClass returns the class of requests whose class is not in the settings: not idempotent, and
 // otherwise like the class with the longest deadline.
 func unknownClass(classes []Class) Class {
@@ -101,7 +92,7 @@
 	}
 }
 
-// unknown returns the unknown class. Its failure rates stand for all classes together.
+// unknown returns the unknown class. Its failure rate is that of all classes together.
 func (t *classTable) unknown() *class { return t.ordered[len(t.ordered)-1] }
 
 // get returns the class of this name, or the unknown one.
@@ -112,16 +103,18 @@
 	return t.unknown()
 }
 
-// has says whether the statistics belong to a class of the table.
-func (t *classTable) has(stats *classStats) bool {
-	return slices.ContainsFunc(t.ordered, func(c *class) bool { return c.classStats == stats })
+// hasRate says whether the failure rate is that of a class of the table.
+func (t *classTable) hasRate(rate *outlier.ClassRate) bool {
+	return slices.ContainsFunc(t.ordered, func(c *class) bool { return &c.failures == rate })
 }
 
-// countArrival counts a request of a class.
-func (t *classTable) countArrival(c *class) {
-	for _, k := range t.ordered {
-		k.arrivals *= countDecay
-		k.served *= countDecay
+// priorities returns the ranking of the classes for load shedding.
+func (t *classTable) priorities(settings *Settings) admission.Priorities {
+	priorities := admission.Priorities{
+		TotalWeight: settings.TotalWeight, WorstClassWeight: settings.WorstClassWeight,
+	}
+	for _, c := range t.ordered {
+		priorities.Classes = append(priorities.Classes, &c.admission)
 	}
-	c.arrivals++
+	return priorities
 }
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -4,6 +4,9 @@
 	"fmt"
 	"testing"
 	"time"
+
+	"basaltdrum/balancer/internal/endpoints"
+	"basaltdrum/balancer/internal/outlier"
 )
 
 // A server that fails at once has few calls in flight; without ejection it would win every pick.
@@ -56,12 +59,19 @@
 	}
 }
 
+// eject ejects an endpoint for so long, whatever the others do.
+func eject(ep *endpoints.Endpoint, now, length time.Duration) {
+	detector := outlier.NewDetector()
+	const baseEjection = 12 // mean latencies that a first ejection lasts
+	detector.ObserveFailure(&ep.Health, now, float64(length)/baseEjection)
+}
+
 // After an ejection the first trial must not be a request that cannot be retried.
 func TestServerOnTrialGetsNoNonIdempotentRequest(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
-	s := b.endpoints["s03"]
-	s.ejection.level, s.ejection.until = 1, 0
+	s := knownEndpoint(t, b, "s03")
+	eject(s, 0, 0)
 	if got := sendTraffic(b, 400, "pay", func(string) AttemptResult { return Success }); got["s03"] != 0 {
 		t.Errorf("a server on trial got %d unsafe requests", got["s03"])
 	}
@@ -70,6 +80,14 @@
 	}
 }
 
+// shedUpTo sheds requests until a share of them is shed, within two hundredths and not over it.
+func shedUpTo(b *Balancer, share float64) {
+	for b.admission.ShedShare() < share {
+		b.admission.ObserveShed()
+	}
+	b.admission.ObserveAdmitted()
+}
+
 // In overload every server is needed: the more is shed, the fewer may be ejected.
 func TestLoadSheddingEjectsFewerServers(t *testing.T) {
 	for _, c := range []struct {
@@ -79,14 +97,18 @@
 		t.Run(fmt.Sprint("shed ", c.shed), func(t *testing.T) {
 			b := newBalancer(t, nil)
 			b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(20)})
-			for _, s := range b.ready.all[:10] {
-				s.ejection.until = time.Minute
+			for _, s := range allReady(b)[:10] {
+				eject(s, msec, time.Minute)
 			}
-			b.shedding.share = c.shed
+			shedUpTo(b, c.shed)
 			out := 0
-			b.excludeUnhealthy(candidates{groups: b.subset.all, excludeOutliers: true}, &request{class: b.classes.byName["get"]})
-			for _, s := range b.ready.all {
-				if s.excluded {
+			choice := selection{
+				endpointSelector: &b.endpoints, now: b.now, req: &request{class: b.classes.byName["get"]},
+				load: load{shedShare: b.admission.ShedShare()},
+			}
+			choice.excludeUnhealthy(candidates{groups: b.endpoints.Groups(), excludeOutliers: true})
+			for _, s := range allReady(b) {
+				if s.Excluded {
 					out++
 				}
 			}
@@ -97,8 +119,8 @@
 	}
 }
 
-// A server whose connection table is filled by other replicas refuses connections at once: it gets no more own
-// calls than it had, however many others refuse too, and is tried again later.
+// A server whose connection table is filled by other replicas refuses connections at once: it gets no more
+// own calls than it had, however many others refuse too, and is tried again later.
 func TestServerThatRefusesConnectionsGetsNoMoreCalls(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier, s.Replicas = 1, 1 })
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
@@ -134,23 +156,27 @@
 	}
 }
 
-// An overloaded server answers, but late: one overlong response must be enough to eject it for a while, for one of
-// many nodes calls it too rarely to wait for a mean. Where overlong responses are common none is ejected.
+// An overloaded server answers, but late: one overlong response must be enough to eject it for a while, for
+// one of many nodes calls it too rarely to wait for a mean. Where overlong responses are common none is
+// ejected.
 func TestOverlongResponseEjects(t *testing.T) {
 	for _, c := range []struct {
-		common float64
-		want   bool
-	}{{0.02, true}, {0.5, false}} {
-		t.Run(fmt.Sprint("overlong ", c.common), func(t *testing.T) {
+		otherBadResults int // of the latest; 11 make half of them bad
+		want            bool
+	}{{0, true}, {11, false}} {
+		t.Run(fmt.Sprint(c.otherBadResults, " other bad results"), func(t *testing.T) {
 			b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 			b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: servers(10)})
 			sendTraffic(b, 40, "get", func(string) AttemptResult { return Success })
-			b.badResults.share = c.common
+			b.endpoints.outliers = outlier.NewDetector()
+			for range c.otherBadResults {
+				b.endpoints.outliers.ObserveFailure(&outlier.Record{}, b.now, float64(msec))
+			}
 			now := b.now
 			s := sends(b.Handle(now, Request{ID: "slow", Class: "get", Deadline: now + time.Second}))[0]
 			endAttempt(b, now+400*msec, "slow", s, Success)
-			if out := b.endpoints[s.Endpoint].ejection.until > b.now; out != c.want {
-				t.Errorf("with %.2f of answers overlong: ejected %v, want %v", c.common, out, c.want)
+			if out := knownEndpoint(t, b, s.Endpoint).Health.IsEjected(b.now); out != c.want {
+				t.Errorf("with %d other bad results: ejected %v, want %v", c.otherBadResults, out, c.want)
 			}
 		})
 	}
--- a/internal/node/downstreamlistener.go
+++ b/internal/downstream/listener.go
@@ -1,4 +1,4 @@
-package node
+package downstream
 
 import (
 	"errors"
@@ -22,16 +22,16 @@
 	acceptLogInterval = 5 * time.Second
 )
 
-// downstreamListener accepts downstream connections and wraps them as downstreamConns. Accept returns an
+// Listener accepts downstream connections and wraps them as Conns. Accept returns an
 // error only once the listener is closed. Every other error of accept(2) (EMFILE, ENOBUFS, ECONNABORTED) is
 // retried with exponential backoff here, because http.Server.Serve would return on most of them and so end
 // the process for a temporary shortage.
-type downstreamListener struct {
+type Listener struct {
 	net.Listener
-	conns *downstreamConns
+	conns *Conns
 	log   *slog.Logger
 
-	readTimeout time.Duration // handed to each connection; see downstreamConn.readTimeout
+	readTimeout time.Duration // handed to each connection; see Conn.readTimeout
 
 	drainOnce, closeOnce sync.Once
 	draining, closed     chan struct{}
@@ -42,9 +42,13 @@
 	unlogged   int           // failures since then
 }
 
-func newDownstreamListener(ln net.Listener, conns *downstreamConns, log *slog.Logger) *downstreamListener {
-	return &downstreamListener{
-		Listener: ln, conns: conns, log: log,
+// NewListener accepts connections from ln for the given set. readTimeout is the time for reading the rest of
+// a request that has begun; 0: no limit.
+func NewListener(
+	ln net.Listener, conns *Conns, readTimeout time.Duration, log *slog.Logger,
+) *Listener {
+	return &Listener{
+		Listener: ln, conns: conns, readTimeout: readTimeout, log: log,
 		draining: make(chan struct{}), closed: make(chan struct{}),
 	}
 }
@@ -52,9 +56,9 @@
 // deadlineSetter is a listener whose Accept can be interrupted without closing it, as *net.TCPListener's.
 type deadlineSetter interface{ SetDeadline(time.Time) error }
 
-// drainQueue has Accept take what is in the accept queue and then close the listener. Closing it at once
+// DrainQueue has Accept take what is in the accept queue and then close the listener. Closing it at once
 // would make the kernel reset the queued connections, on which complete requests may already have arrived.
-func (l *downstreamListener) drainQueue() {
+func (l *Listener) DrainQueue() {
 	l.drainOnce.Do(func() { close(l.draining) })
 	if d, ok := l.Listener.(deadlineSetter); !ok || d.SetDeadline(pastDeadline) != nil {
 		_ = l.Close() // nothing more can be done for a listener that can't be closed
@@ -62,18 +66,18 @@
 }
 
 // Close ends Accept at once, also during a backoff.
-func (l *downstreamListener) Close() error {
+func (l *Listener) Close() error {
 	l.closeOnce.Do(func() { close(l.closed) })
 	return l.Listener.Close()
 }
 
 // Accept returns the next connection, or net.ErrClosed. A connection that would exceed the hard limit on
 // descriptors is closed unread, so that the process never runs out of them.
-func (l *downstreamListener) Accept() (net.Conn, error) {
+func (l *Listener) Accept() (net.Conn, error) {
 	for !isClosed(l.closed) {
 		draining := isClosed(l.draining)
 		if draining {
-			// With drainQueue's deadline in the past Accept would not look into the queue. If this fails, that
+			// With DrainQueue's deadline in the past Accept would not look into the queue. If this fails, that
 			// deadline still holds and ends the loop.
 			_ = l.Listener.(deadlineSetter).SetDeadline(time.Now().Add(emptyQueueWait))
 		}
@@ -83,12 +87,12 @@
 			conn.Close()
 		case err == nil:
 			l.backoff = 0
-			return &downstreamConn{Conn: conn, conns: l.conns, readTimeout: l.readTimeout}, nil
+			return &Conn{Conn: conn, conns: l.conns, readTimeout: l.readTimeout}, nil
 		case errors.Is(err, net.ErrClosed):
 			return nil, net.ErrClosed
 		case errors.Is(err, os.ErrDeadlineExceeded) && draining:
 			_ = l.Close() // the loop ends either way
-		case errors.Is(err, os.ErrDeadlineExceeded): // drainQueue has interrupted the wait
+		case errors.Is(err, os.ErrDeadlineExceeded): // DrainQueue has interrupted the wait
 		default:
 			l.backOff(err, draining)
 		}
@@ -98,7 +102,7 @@
 
 // backOff counts and logs a failed accept, and waits before the next one. The beginning of draining
 // interrupts the wait, because time to accept what is queued is short then.
-func (l *downstreamListener) backOff(err error, draining bool) {
+func (l *Listener) backOff(err error, draining bool) {
 	l.conns.countFailedAccept()
 	limit, interrupt := maxAcceptBackoff, l.draining
 	if draining {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -11,6 +11,8 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/discovery"
+	"basaltdrum/internal/downstream"
 	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/monotime"
 )
@@ -19,13 +21,17 @@
 // for clients whose requests are only read to be rejected.
 const reservedDescriptors = 48
 
+// readAheadMemoryShare is the divisor that gives the part of the node's memory limit which the read-ahead buffers of
+// all downstream connections together may use.
+const readAheadMemoryShare = 16
+
 // Node is one load balancer on sockets. New makes one, Run serves until its context ends, and Reload puts another
 // configuration into force meanwhile.
 type Node struct {
 	loop        *loop
 	frontend    *frontend
 	upstream    *upstreamPool
-	discovery   *discovery
+	discovery   *discovery.Client
 	listener    net.Listener
 	listsPushed bool
 	log         *slog.Logger
@@ -53,13 +59,12 @@
 	clock := monotime.New()
 	l := newLoop(module, clock, log)
 	l.rules.Store(newRequestRules(1, set))
-	descriptors := cfg.Sockets - reservedDescriptors
 	n := &Node{
-		loop: l, upstream: newUpstreamPool(cfg, clock, descriptors/2), listsPushed: !set.PollDiscovery, log: log,
+		loop: l, upstream: newUpstreamPool(cfg, clock, (cfg.Sockets-reservedDescriptors)/2), listsPushed: !set.PollDiscovery, log: log,
 		cfg: cfg, revision: 1, drainSchedule: drainScheduleOf(cfg), drainLimit: drainLimit(cfg),
 	}
-	conns := newDownstreamConns(clock, descriptors, reservedDescriptors/2, int64(cfg.MemoryMB)<<20, n.upstream.connections)
-	n.upstream.descriptorAllowance = conns.upstreamAllowance
+	conns := downstream.NewConns(clock, downstreamLimits(cfg), n.upstream.connections)
+	n.upstream.descriptorAllowance = conns.UpstreamAllowance
 	n.frontend = newFrontend(clock, conns, &l.rules, l.post, l.ready.Load, log)
 	l.connectionStats = n.connectionStats
 	l.start = n.startAttempt
@@ -71,6 +76,15 @@
 	return n, nil
 }
 
+// downstreamLimits are the limits on downstream connections that follow from a configuration.
+func downstreamLimits(cfg Config) downstream.Limits {
+	descriptors := cfg.Sockets - reservedDescriptors
+	return downstream.Limits{
+		Descriptors: descriptors, UpstreamReserve: descriptors / 4, RejectReserve: reservedDescriptors / 2,
+		ReadAhead: int64(cfg.MemoryMB) << 20 / readAheadMemoryShare, GracePeriods: downstream.DefaultGracePeriods(),
+	}
+}
+
 // startDiscovery sets up discovery and hands the cached list to the loop. Where lists are polled the loop applies
 // it at once, and the module subscribes for a newer one.
 func (n *Node) startDiscovery(cfg Config) {
@@ -78,11 +92,14 @@
 	version := cached.Version
 	if err != nil {
 		n.log.Warn("cached endpoint list is not usable", "error", err)
-		cached, version = endpointlist.List{Complete: true}, noListVersion
+		cached, version = endpointlist.List{Complete: true}, discovery.NoVersion
 	}
 	n.cfg.Known = nil // it is long, and only counts at the start
-	n.discovery = newDiscovery(cfg, version, n.loop.post, n.log)
-	n.loop.subscribe = n.discovery.subscribe
+	n.discovery = discovery.New(
+		discovery.Config{Address: cfg.Discovery, Polled: cfg.Settings.PollDiscovery, Version: version},
+		discoveryHandler{n.loop.post}, n.log,
+	)
+	n.loop.subscribe = n.discovery.Subscribe
 	n.loop.cachedList = cached
 	if !n.listsPushed {
 		n.loop.useCachedList()
@@ -100,7 +117,7 @@
 
 // connectionStats returns the attributes of the traffic line that tell of connections, and resets their counts.
 func (n *Node) connectionStats() []any {
-	counts, open := n.frontend.conns.takeCounts()
+	counts, open := n.frontend.conns.TakeCounts()
 	return []any{
 		slog.Group("downstream", "open", open, "accepted", counts.Accepted, "accept_failed", counts.AcceptFailed,
 			"evicted", counts.Evicted, "over_capacity", counts.Rejected, "closed_unread", counts.ClosedUnread),
@@ -118,8 +135,7 @@
 	defer stop()
 	var serveErr error
 	served := make(chan struct{})
-	ln := newDownstreamListener(n.listener, n.frontend.conns, n.log)
-	ln.readTimeout = n.frontend.server.ReadTimeout
+	ln := downstream.NewListener(n.listener, n.frontend.conns, n.frontend.server.ReadTimeout, n.log)
 	go func() {
 		defer close(served)
 		serveErr = n.frontend.server.Serve(ln)
@@ -156,11 +172,7 @@
 	}
 	start(&loop, loopCtx, n.loop.run)
 	start(&feeders, feederCtx, n.upstream.closeExpired)
-	if n.listsPushed {
-		start(&feeders, feederCtx, n.discovery.runPushed)
-	} else {
-		start(&feeders, feederCtx, n.discovery.runPolled)
-	}
+	start(&feeders, feederCtx, n.discovery.Run)
 	return func() {
 		stopFeeders()
 		feeders.Wait()
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -5,15 +5,17 @@
 	"net/http"
 	"strconv"
 	"time"
+
+	"basaltdrum/internal/downstream"
 )
 
 // writeResponse writes the final response of a request. It closes the connection with the response while
 // there are too many connections or the node shuts down, but not if a pipelined request was read on it, which
 // would then get no response.
-func (f *frontend) writeResponse(w http.ResponseWriter, conn *downstreamConn, a response) {
+func (f *frontend) writeResponse(w http.ResponseWriter, conn *downstream.Conn, a response) {
 	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
 	h := w.Header()
-	if (f.conns.overLimit() || f.closing.Load()) && !conn.endWatch() {
+	if (f.conns.OverLimit() || f.closing.Load()) && !conn.EndWatch() {
 		h.Set("Connection", "close")
 	}
 	switch a.kind {
@@ -47,10 +49,10 @@
 
 // writeInvalidRequest answers a request that is invalid and closes its connection, unless its body is sound and
 // pipelined requests were read behind it, which would then get no response.
-func writeInvalidRequest(w http.ResponseWriter, conn *downstreamConn, err error) {
+func writeInvalidRequest(w http.ResponseWriter, conn *downstream.Conn, err error) {
 	var invalid *requestError
 	sound := errors.As(err, &invalid) && !invalid.ofBody
-	if sound && conn.pipelinedBehindBody() {
+	if sound && conn.PipelinedBehindBody() {
 		http.NewResponseController(w).SetReadDeadline(time.Time{}) // the deadline was for reading the request
 		w.Header().Del("Connection")
 	}
--- a/internal/node/responsedeadline_test.go
+++ b/internal/node/responsedeadline_test.go
@@ -7,10 +7,12 @@
 	"io"
 	"net"
 	"net/http"
+	"slices"
 	"syscall"
 	"testing"
 	"time"
 
+	"basaltdrum/internal/downstream"
 	"basaltdrum/internal/testutil"
 )
 
@@ -128,14 +130,9 @@
 			return true
 		default:
 		}
-		n.frontend.conns.mu.Lock()
-		defer n.frontend.conns.mu.Unlock()
-		for conn := range n.frontend.conns.conns {
-			if conn.RemoteAddr().String() == c.LocalAddr().String() {
-				return conn.phase == phaseActive
-			}
-		}
-		return false
+		return slices.ContainsFunc(n.frontend.conns.Status(), func(conn downstream.ConnStatus) bool {
+			return conn.RemoteAddr.String() == c.LocalAddr().String() && conn.Phase == downstream.PhaseActive
+		})
 	})
 }
 
@@ -170,6 +167,7 @@
 	for i := range cfg.Settings.Classes {
 		cfg.Settings.Classes[i].Deadline, cfg.Settings.Classes[i].LatencyObjective = faultDeadline, faultDeadline/2
 	}
+	const startupWait = time.Second // discovery's default
 	first := time.Duration(0)
 	switch c.discovery {
 	case "refused":
@@ -180,7 +178,7 @@
 		cfg.Discovery, first = ag.Addr().String(), startupWait
 	}
 	n, _ := startNode(t, cfg, func(n *Node) {
-		n.discovery.startupWait = first
+		n.discovery.StartupWait = first
 		if c.dial != nil {
 			n.upstream.dial = func(context.Context, string, string) (net.Conn, error) { return nil, c.dial }
 		}
