--- a/cmd/fleetscale/main.go
+++ b/cmd/fleetscale/main.go
@@ -32,6 +32,8 @@
 )
 
 // output says where the report goes.
+//
+//nolint:lll // a struct tag is one string
 type output struct {
 	JSON string `name:"json" help:"Write the JSON report to this file, not to standard output." type:"path" placeholder:"FILE"`
 }
@@ -65,6 +67,9 @@
 // Validate checks the days. Kong calls it.
 func (g growth) Validate() error { return g.Check() }
 
+// commands are the command line, as kong reads it.
+//
+//nolint:lll // a struct tag is one string
 type commands struct {
 	Run    single `cmd:"" default:"withargs" help:"Make one run, which measures one point."`
 	Sweep  sweep  `cmd:"" help:"Make runs in a row that differ in one argument, and fit slopes."`
@@ -78,7 +83,8 @@
 
 func newParser(c *commands, stdout, stderr io.Writer, exit func(int)) (*kong.Kong, error) {
 	return kong.New(c, kong.Name("fleetscale"), kong.Writers(stdout, stderr), kong.Exit(exit),
-		kong.Description("Measures what a fleet of nodes costs. Everything stays on this machine's loopback addresses."))
+		kong.Description("Measures what a fleet of nodes costs. "+
+			"Everything stays on this machine's loopback addresses."))
 }
 
 // run does what the arguments say, and tells how to exit.
--- a/internal/fleet/chain.go
+++ b/internal/fleet/chain.go
@@ -12,8 +12,8 @@
 // chainWarmUp is the time in which connections are opened. The latency of its calls is left out.
 const chainWarmUp = time.Second
 
-// chainRoundLength is how long calls take one path before they take the other. Since the two alternate, other load on the
-// machine affects both alike.
+// chainRoundLength is how long calls take one path before they take the other. Since the two alternate, other load on
+// the machine affects both alike.
 const chainRoundLength = time.Second
 
 // chain makes calls in turns directly and through the nodes. It also returns the cores that each node used while
--- a/internal/fleet/growth.go
+++ b/internal/fleet/growth.go
@@ -5,7 +5,6 @@
 	"errors"
 	"fmt"
 	"os"
-	"runtime"
 	"time"
 
 	"basaltdrum/internal/fleet/load"
@@ -34,7 +33,7 @@
 		return result, fmt.Errorf("growth: %w", err)
 	}
 	defer func() { _ = os.RemoveAll(dir) }() // what is left of it stays in the folder for temporary files
-	result.Args, result.Machine = args, report.Machine{Cores: runtime.NumCPU(), Go: runtime.Version(), Load: process.LoadAverage()}
+	result.Args, result.Machine = args, thisMachine()
 	if args.Program == "" {
 		if args.Program, err = nodes.BuildProgram(ctx, dir); err != nil {
 			return result, err
@@ -51,7 +50,9 @@
 }
 
 // playDay plays one day and ends all that it started.
-func (r Runner) playDay(ctx context.Context, dir string, args plan.GrowthArgs, size plan.GrowthSize) (report.GrowthFigures, error) {
+func (r Runner) playDay(
+	ctx context.Context, dir string, args plan.GrowthArgs, size plan.GrowthSize,
+) (report.GrowthFigures, error) {
 	d := &growthDay{Runner: r, args: args, size: size, dir: dir, client: load.NewClient()}
 	defer d.stop()
 	if err := d.start(ctx); err != nil {
@@ -110,7 +111,8 @@
 	for i, address := range addresses {
 		n, err := nodes.StartRealNode(ctx, d.args.Program, d.dir, nodes.NodeSpec{
 			Name: fmt.Sprintf("n%d", i), Index: i, Replicas: d.size.Nodes,
-			Listen: "127.0.0.1:0", Discovery: address, PollDiscovery: d.args.Mode == plan.ModePolled, Seed: d.args.Seed + uint64(i),
+			Listen: "127.0.0.1:0", Discovery: address, PollDiscovery: d.args.Mode == plan.ModePolled,
+			Seed: d.args.Seed + uint64(i),
 		})
 		if err != nil {
 			return err
@@ -154,17 +156,17 @@
 		return f, err
 	}
 	begun := time.Now()
-	activities := newActivities(ctx)
+	activities, playing := newActivities(ctx)
 	defer activities.cancel(nil)
-	activities.start(func(ctx context.Context) error { return d.playEvents(ctx, &f) })
-	watching, stopWatching := context.WithCancel(activities.ctx)
+	activities.start(func() error { return d.playEvents(playing, &f) })
+	watching, stopWatching := context.WithCancel(playing)
 	defer stopWatching()
 	var descriptors []int
-	activities.start(func(context.Context) error {
+	activities.start(func() error {
 		descriptors = d.watchDescriptors(watching)
 		return nil
 	})
-	f.Calls = d.makeCalls(activities.ctx)
+	f.Calls = d.makeCalls(playing)
 	stopWatching()
 	if err := activities.wait(); err != nil {
 		return f, err
--- a/internal/fleet/growthevents.go
+++ b/internal/fleet/growthevents.go
@@ -19,7 +19,7 @@
 	for events := plan.Day(d.size.Servers, d.args.For, d.args.Seed); len(events) > 0; {
 		monotime.Sleep(ctx, time.Until(begun.Add(events[0].At)))
 		if ctx.Err() != nil {
-			return nil
+			return nil //nolint:nilerr // who waits for the activities reports why their context has ended
 		}
 		now := time.Since(begun)
 		latest = max(latest, now-events[0].At)
@@ -79,6 +79,7 @@
 		entry.State = standin.Terminating
 	case plan.RemoveServer:
 		entry.State = standin.Terminated
+	default: // the other events change no entry
 	}
 	return entry
 }
--- a/internal/fleet/load/generator.go
+++ b/internal/fleet/load/generator.go
@@ -13,8 +13,10 @@
 // nodes between them.
 type PathFigures struct {
 	stats.Tally
-	Lateness     stats.Quantiles `json:"late"`    // of sends, after the times drawn
-	Latency      stats.Quantiles `json:"latency"` // of served calls, from the time drawn to the answer, without the first second
+	// Lateness is of sends, after the times drawn.
+	Lateness stats.Quantiles `json:"late"`
+	// Latency is of served calls, from the time drawn to the answer, without the first second.
+	Latency      stats.Quantiles `json:"latency"`
 	ScheduleKept bool            `json:"schedule_kept"`
 	Cores        float64         `json:"machine_cores"` // processor cores in use over the whole machine meanwhile
 }
@@ -54,7 +56,8 @@
 // NewGenerator returns a generator of a load. It starts nothing before its first round.
 func NewGenerator(client *Client, spec Spec) *Generator {
 	return &Generator{
-		client: client, spec: spec, warmUpLeft: spec.WarmUp, lateness: stats.NewLatencies(), latency: stats.NewLatencies(),
+		client: client, spec: spec, warmUpLeft: spec.WarmUp,
+		lateness: stats.NewLatencies(), latency: stats.NewLatencies(),
 	}
 }
 
--- a/internal/fleet/nodes/hollownode.go
+++ b/internal/fleet/nodes/hollownode.go
@@ -37,7 +37,8 @@
 		return nil, err
 	}
 	h := &hollow{}
-	serve := func(string) (time.Duration, balancer.AttemptResult) { // called by the loop's goroutine alone, as draws needs
+	// The loop's goroutine alone calls serve, as draws needs.
+	serve := func(string) (time.Duration, balancer.AttemptResult) {
 		return time.Duration(draws.ExpFloat64() * float64(mean)), balancer.Success
 	}
 	h.Hollow, err = node.NewHollow(cfg, log, serve, h.noteApplied)
--- a/internal/fleet/nodes/hollows.go
+++ b/internal/fleet/nodes/hollows.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"log/slog"
 	"math/rand/v2"
 	"runtime"
@@ -29,6 +28,12 @@
 // later counts as having missed it. The target allows 11 s.
 const finalUpdateWait = 12 * time.Second
 
+// How often it is looked whether all nodes are ready, and whether the figures are complete.
+const (
+	readyInterval  = 10 * time.Millisecond
+	reportInterval = 20 * time.Millisecond
+)
+
 // loadGoroutines is how many goroutines make the calls of all hollow nodes.
 const loadGoroutines = 4
 
@@ -94,7 +99,7 @@
 // Start starts the nodes, and waits until all are ready.
 func (h *Hollows) Start(spec HollowSpec, started *HollowStart) error {
 	h.services, h.lateness, h.latency = spec.Services, stats.NewLatencies(), stats.NewLatencies()
-	h.warnings = &warnings{Handler: slog.NewTextHandler(io.Discard, nil)}
+	h.warnings = &warnings{Handler: slog.DiscardHandler}
 	before := memory()
 	h.heapWithoutNodes = int64(before.HeapAlloc)
 	begun := time.Now()
@@ -110,7 +115,7 @@
 		if started.Took > spec.Wait {
 			return fmt.Errorf("hollow nodes: %d of %d are ready after %v", started.Ready, len(h.nodes), spec.Wait)
 		}
-		time.Sleep(10 * time.Millisecond)
+		time.Sleep(readyInterval)
 	}
 	after := memory()
 	started.HeapBytes = int64(after.HeapAlloc) - h.heapWithoutNodes
@@ -159,19 +164,26 @@
 	if calls.Rate <= 0 {
 		return nil
 	}
-	// The arrivals of many nodes together are a Poisson process too, each at a node drawn anew.
 	for i := range loadGoroutines {
 		h.senders.Add(1)
 		go func() {
 			defer h.senders.Done()
-			at := rand.New(rand.NewPCG(calls.Seed, uint64(loadGoroutines+i)))
-			load.NewArrivals(calls.Rate*float64(len(h.nodes))/loadGoroutines, calls.Seed, uint64(i)).Play(context.Background(), calls.For,
-				func(drawn time.Time) { h.call(h.nodes[at.IntN(len(h.nodes))], drawn) })
+			h.send(calls, uint64(i))
 		}()
 	}
 	return nil
 }
 
+// send makes the part of the calls that one goroutine makes. The arrivals of many nodes together are a Poisson process
+// too, each at a node drawn anew.
+func (h *Hollows) send(calls HollowLoad, stream uint64) {
+	draws := rand.New(rand.NewPCG(calls.Seed, loadGoroutines+stream))
+	rate := calls.Rate * float64(len(h.nodes)) / loadGoroutines
+	load.NewArrivals(rate, calls.Seed, stream).Play(context.Background(), calls.For, func(drawn time.Time) {
+		h.call(h.nodes[draws.IntN(len(h.nodes))], drawn)
+	})
+}
+
 // call makes one call at a node, and counts its answer.
 func (h *Hollows) call(n *hollow, drawn time.Time) {
 	t := &h.tallies[h.phase.Load()]
@@ -203,22 +215,38 @@
 // the figures.
 func (h *Hollows) Report(changes []ListChange, report *HollowReport) error {
 	h.senders.Wait()
-	for end := time.Now().Add(finalUpdateWait); ; time.Sleep(20 * time.Millisecond) {
-		missed, out := 0, int64(0)
+	for end := time.Now().Add(finalUpdateWait); ; time.Sleep(reportInterval) {
 		report.InForce = h.inForce(changes)
-		for _, f := range report.InForce {
-			missed += f.Missed
-		}
-		for i := range h.tallies {
-			t := &h.tallies[i]
-			report.Phases[i] = t.snapshot()
-			out += report.Phases[i].Offered - report.Phases[i].Answered()
-		}
-		if missed == 0 && out == 0 || time.Now().After(end) {
+		report.Phases = h.phases()
+		if report.complete() || time.Now().After(end) {
 			break
 		}
 	}
 	report.HeapBytes = int64(memory().HeapAlloc) - h.heapWithoutNodes
-	report.Lateness, report.Latency, report.Warnings = h.lateness.Quantiles(), h.latency.Quantiles(), h.warnings.count.Load()
+	report.Lateness, report.Latency = h.lateness.Quantiles(), h.latency.Quantiles()
+	report.Warnings = h.warnings.count.Load()
 	return nil
 }
+
+// phases returns the tallies of all phases as they are.
+func (h *Hollows) phases() (tallies [PhaseCount]stats.Tally) {
+	for i := range h.tallies {
+		tallies[i] = h.tallies[i].snapshot()
+	}
+	return tallies
+}
+
+// complete says that all calls are answered and all updates applied.
+func (r *HollowReport) complete() bool {
+	for _, figures := range r.InForce {
+		if figures.Missed > 0 {
+			return false
+		}
+	}
+	for _, tally := range r.Phases {
+		if tally.Answered() < tally.Offered {
+			return false
+		}
+	}
+	return true
+}
--- a/internal/fleet/plan/args.go
+++ b/internal/fleet/plan/args.go
@@ -33,6 +33,8 @@
 )
 
 // Args are the arguments of a run.
+//
+//nolint:lll // a struct tag is one string
 type Args struct {
 	Nodes    int           `help:"Hollow nodes: the real module, loop and discovery client, without sockets to callers and servers." default:"0" json:"nodes"`
 	Real     int           `help:"Real nodes, one process each, in chains of --depth." default:"0" json:"real"`
@@ -75,7 +77,10 @@
 	nodes := a.Nodes + a.Real
 	return []conflict{
 		{nodes == 0, "--nodes and --real are both 0: there is nothing to measure"},
-		{a.Nodes > 0 && a.Services > a.Nodes, fmt.Sprintf("--services %d is more than --nodes %d", a.Services, a.Nodes)},
+		{
+			a.Nodes > 0 && a.Services > a.Nodes,
+			fmt.Sprintf("--services %d is more than --nodes %d", a.Services, a.Nodes),
+		},
 		{
 			a.Real%a.Depth != 0 || a.Real == 0 && a.Depth > 1,
 			fmt.Sprintf("--real %d makes no whole chains of --depth %d", a.Real, a.Depth),
--- a/internal/fleet/plan/growthargs.go
+++ b/internal/fleet/plan/growthargs.go
@@ -15,6 +15,8 @@
 )
 
 // GrowthArgs are the arguments of a growth run.
+//
+//nolint:lll // a struct tag is one string
 type GrowthArgs struct {
 	Servers int           `help:"Servers listed at the usual size." default:"200" json:"servers"`
 	Factor  int           `help:"How many times as many servers the large size has." default:"16" json:"factor"`
--- a/internal/fleet/report/growth.go
+++ b/internal/fleet/report/growth.go
@@ -63,9 +63,11 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(w, "machine\t%d cores, %s, load before %s\n", r.Machine.Cores, r.Machine.Go, r.Machine.Load)
 	for _, f := range []GrowthFigures{r.Usual, r.Large} {
-		fmt.Fprintf(w, "%d servers\tfleet of %d nodes, capacity of a server %.4g, %d changes (latest %.0f ms behind) in %.0f calls for lists a node (%.4g KB with "+
-			"the heads of HTTP), %d calls: %d served, %d refused, %d failed; %.1f cores of the machine in use\n", f.Servers, f.FleetNodes, f.Capacity,
-			f.Changes, f.LateMS, f.ListCalls, f.ListPayload/kilobyte, f.Calls.Offered, f.Calls.Served, f.Calls.Rejected, f.Calls.Failed, f.Busy)
+		fmt.Fprintf(w, "%d servers\tfleet of %d nodes, capacity of a server %.4g, %d changes (latest %.0f ms behind) "+
+			"in %.0f calls for lists a node (%.4g KB with the heads of HTTP), "+
+			"%d calls: %d served, %d refused, %d failed; %.1f cores of the machine in use\n",
+			f.Servers, f.FleetNodes, f.Capacity, f.Changes, f.LateMS, f.ListCalls, f.ListPayload/kilobyte,
+			f.Calls.Offered, f.Calls.Served, f.Calls.Rejected, f.Calls.Failed, f.Busy)
 	}
 	if err := w.Flush(); err != nil {
 		return fmt.Errorf("table: %w", err)
--- a/internal/fleet/report/sweep.go
+++ b/internal/fleet/report/sweep.go
@@ -5,7 +5,8 @@
 	f := map[string]float64{
 		"node bytes in/s": p.PerNode.BytesIn, "node bytes out/s": p.PerNode.BytesOut,
 		"registry connections": float64(p.Registry.Open), "registry calls/s": p.Registry.Calls,
-		"registry bytes out/s": p.Registry.BytesOut, "registry bytes in/s": p.Registry.BytesIn, "registry cores": p.Registry.Cores,
+		"registry bytes out/s": p.Registry.BytesOut, "registry bytes in/s": p.Registry.BytesIn,
+		"registry cores": p.Registry.Cores,
 	}
 	if p.Hollow != nil {
 		f["hollow cores a node"] = p.Hollow.CoresNode
--- a/internal/fleet/report/table.go
+++ b/internal/fleet/report/table.go
@@ -34,11 +34,14 @@
 func (p Point) Table(out io.Writer) error {
 	t := newTable(out)
 	a, r := p.Args, p.Registry
-	t.row("run", "%d hollow and %d real nodes, %d services, %d servers listed, %v changes a minute of each list, %s, storm %s, %v calls/s a node, seed %d",
+	t.row("run", "%d hollow and %d real nodes, %d services, %d servers listed, %v changes a minute of each list, "+
+		"%s, storm %s, %v calls/s a node, seed %d",
 		a.Nodes, a.Real, a.Services, a.Servers, a.Changes, a.Mode, a.Storm, a.Rate, a.Seed)
-	t.row("machine", "%d cores, %s, load before %s, %.1f cores in use over %.1f s", p.Machine.Cores, p.Machine.Go, p.Machine.Load, p.Busy, p.Seconds)
+	t.row("machine", "%d cores, %s, load before %s, %.1f cores in use over %.1f s",
+		p.Machine.Cores, p.Machine.Go, p.Machine.Load, p.Busy, p.Seconds)
 	t.row("a node and its agent or registry", "in %.0f B/s, out %.0f B/s", p.PerNode.BytesIn, p.PerNode.BytesOut)
-	t.row("registry and agents", "%d connections, %.1f calls/s, peak %.0f, in %.0f B/s, out %.0f B/s, %.3f cores, %.1f MB",
+	t.row("registry and agents",
+		"%d connections, %.1f calls/s, peak %.0f, in %.0f B/s, out %.0f B/s, %.3f cores, %.1f MB",
 		r.Open, r.Calls, r.Peak, r.BytesIn, r.BytesOut, r.Cores, megabytes(r.RSS))
 	if p.Hollow != nil {
 		p.Hollow.rows(t)
@@ -51,7 +54,8 @@
 		p.Chain.rows(t)
 	}
 	if c := p.Configs; c != nil {
-		t.row("changes of configuration", "%d at %d nodes: %d in force within %.0f s, %d not; 50/99/100 in 100: %.0f/%.0f/%.0f ms",
+		t.row("changes of configuration",
+			"%d at %d nodes: %d in force within %.0f s, %d not; 50/99/100 in 100: %.0f/%.0f/%.0f ms",
 			c.Changes, a.Real, c.InForce, c.LimitSec, c.NotInForce, c.Took.P50, c.Took.P99, c.Took.Max)
 	}
 	if p.Storm != nil {
@@ -67,7 +71,8 @@
 
 // rows writes the figures of the hollow nodes.
 func (h *HollowFigures) rows(t table) {
-	t.row("a hollow node", "%.3f%% of a core, heap %.0f KB (at the end %.0f KB), stacks %.0f KB; all ready after %.0f ms",
+	t.row("a hollow node",
+		"%.3f%% of a core, heap %.0f KB (at the end %.0f KB), stacks %.0f KB; all ready after %.0f ms",
 		100*h.CoresNode, h.HeapNode/1e3, h.HeapAfter/1e3, h.StackNode/1e3, h.ReadyMS)
 	if h.Calls.Offered > 0 {
 		t.row("hollow calls", "%d offered, %d served, %d refused, %d failed; 50/99/99.9 in 100: %.2f/%.2f/%.2f ms; %s",
@@ -76,8 +81,10 @@
 	}
 	for _, group := range plan.Groups {
 		if f, ok := h.InForce[group]; ok {
-			t.row("in force: "+group, "%d changes; at 50/99/100 in 100 nodes: median %.1f/%.1f/%.1f ms, worst %.1f/%.1f/%.1f ms; %d heard, %d missed",
-				f.Changes, f.Half.Median, f.P99.Median, f.All.Median, f.Half.Worst, f.P99.Worst, f.All.Worst, f.Applied, f.Missed)
+			t.row("in force: "+group, "%d changes; at 50/99/100 in 100 nodes: median %.1f/%.1f/%.1f ms, "+
+				"worst %.1f/%.1f/%.1f ms; %d heard, %d missed",
+				f.Changes, f.Half.Median, f.P99.Median, f.All.Median, f.Half.Worst, f.P99.Worst, f.All.Worst,
+				f.Applied, f.Missed)
 		}
 	}
 }
@@ -97,12 +104,14 @@
 			f.Offered, f.Served, f.Rejected, f.Failed, f.Latency.P50, f.Latency.P99, f.Latency.P999,
 			scheduleText(f.ScheduleKept, f.Lateness), f.Cores)
 	}
-	t.row(fmt.Sprintf("added by %d nodes", c.Depth), "50/99/99.9 in 100: %.2f/%.2f/%.2f ms", c.AddedP50, c.AddedP99, c.AddedP999)
+	t.row(fmt.Sprintf("added by %d nodes", c.Depth), "50/99/99.9 in 100: %.2f/%.2f/%.2f ms",
+		c.AddedP50, c.AddedP99, c.AddedP999)
 }
 
 // rows writes the figures of an outage.
 func (s *StormFigures) rows(t table) {
-	t.row("storm: "+s.Kind, "lost for %.1f s; calls/s before %.1f, meanwhile %.1f, in the %.1f s after %.1f, peak %.0f, which is %.1f of the mean before; out after %.0f B/s",
+	t.row("storm: "+s.Kind, "lost for %.1f s; calls/s before %.1f, meanwhile %.1f, in the %.1f s after %.1f, "+
+		"peak %.0f, which is %.1f of the mean before; out after %.0f B/s",
 		s.LostSec, s.Before, s.During, s.AfterSec, s.After, s.PeakAfter, s.PeakToMean, s.PeakBytes)
 	t.row("newest list", "at all hollow nodes %.0f ms after the return; %d without it", s.NewestAllMS, s.Missed)
 }
--- a/internal/fleet/roles.go
+++ b/internal/fleet/roles.go
@@ -20,7 +20,10 @@
 // input is closed.
 func Child(role string) error {
 	services := map[string]any{
-		roleRegistry: &standin.RegistryHost{}, roleHollows: &nodes.Hollows{}, roleServers: &standin.Servers{}, roleListed: &standin.ListedServers{},
+		roleRegistry: &standin.RegistryHost{},
+		roleHollows:  &nodes.Hollows{},
+		roleServers:  &standin.Servers{},
+		roleListed:   &standin.ListedServers{},
 	}
 	service, ok := services[role]
 	if !ok {
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -56,7 +56,7 @@
 	if one.dir, err = os.MkdirTemp("", "fleetscale"); err != nil {
 		return report.Point{}, fmt.Errorf("run: %w", err)
 	}
-	p = report.Point{Args: args, Machine: report.Machine{Cores: runtime.NumCPU(), Go: runtime.Version(), Load: process.LoadAverage()}}
+	p = report.Point{Args: args, Machine: thisMachine()}
 	started, err := one.start(ctx)
 	if err != nil {
 		return report.Point{}, err
@@ -64,6 +64,11 @@
 	return p, one.measure(ctx, &p, started)
 }
 
+// thisMachine describes the machine before a run.
+func thisMachine() report.Machine {
+	return report.Machine{Cores: runtime.NumCPU(), Go: runtime.Version(), Load: process.LoadAverage()}
+}
+
 // stop ends all processes of the run.
 func (r *run) stop() {
 	var wg sync.WaitGroup
--- a/internal/fleet/runchanges.go
+++ b/internal/fleet/runchanges.go
@@ -13,7 +13,8 @@
 // change makes a new version of a list and notes it.
 func (r *run) change(ctx context.Context, l *standin.Rotation, targets []standin.ListEntry, group string) error {
 	var changed standin.Changed
-	if err := r.registry.Call(ctx, "Change", standin.ChangeSpec{Service: l.Service, Entries: targets}, &changed); err != nil {
+	spec := standin.ChangeSpec{Service: l.Service, Entries: targets}
+	if err := r.registry.Call(ctx, "Change", spec, &changed); err != nil {
 		return err
 	}
 	r.mu.Lock()
@@ -40,7 +41,7 @@
 		}
 		monotime.Sleep(ctx, time.Until(start.Add(at)))
 		if ctx.Err() != nil {
-			return nil
+			return nil //nolint:nilerr // who waits for the activities reports why their context has ended
 		}
 		l := r.lists[i%len(r.lists)]
 		if changed := l.Next(); changed != nil {
--- a/internal/fleet/runfigures.go
+++ b/internal/fleet/runfigures.go
@@ -80,7 +80,10 @@
 	p.Real = f
 }
 
-func (r *run) hollowFigures(ctx context.Context, p *report.Point, before, after usage, started nodes.HollowStart) error {
+// hollowFigures notes what the hollow nodes used, and how calls and changes of lists fared there.
+func (r *run) hollowFigures(
+	ctx context.Context, p *report.Point, before, after usage, started nodes.HollowStart,
+) error {
 	r.mu.Lock()
 	changes := r.changes
 	r.mu.Unlock()
@@ -92,7 +95,8 @@
 	h := &report.HollowFigures{
 		Nodes: r.args.Nodes, ReadyMS: stats.Milliseconds(started.Took),
 		CoresNode: process.Cores(after.hollows.CPU-before.hollows.CPU, before.at, after.at) / n,
-		HeapNode:  float64(started.HeapBytes) / n, HeapAfter: float64(reported.HeapBytes) / n, StackNode: float64(started.StackMem) / n, RSS: after.hollows.RSS,
+		HeapNode:  float64(started.HeapBytes) / n, HeapAfter: float64(reported.HeapBytes) / n,
+		StackNode: float64(started.StackMem) / n, RSS: after.hollows.RSS,
 		Lateness: reported.Lateness, Latency: reported.Latency, ScheduleKept: load.ScheduleKept(reported.Lateness),
 		InForce: reported.InForce, Warnings: reported.Warnings,
 	}
--- a/internal/fleet/runmeasure.go
+++ b/internal/fleet/runmeasure.go
@@ -19,15 +19,16 @@
 		return err
 	}
 	if r.hollows != nil {
-		if err := r.hollows.Call(ctx, "Load", nodes.HollowLoad{Rate: r.args.Rate, For: r.args.For, Seed: r.args.Seed}, &struct{}{}); err != nil {
+		calls := nodes.HollowLoad{Rate: r.args.Rate, For: r.args.For, Seed: r.args.Seed}
+		if err := r.hollows.Call(ctx, "Load", calls, &struct{}{}); err != nil {
 			return err
 		}
 	}
-	activities := newActivities(ctx)
+	activities, running := newActivities(ctx)
 	defer activities.cancel(nil)
-	outcome := r.startActivities(activities, p)
+	outcome := r.startActivities(running, activities, p)
 	r.Log.Info("measuring", "for", r.args.For)
-	monotime.Sleep(activities.ctx, time.Until(before.at.Add(r.args.For)))
+	monotime.Sleep(running, time.Until(before.at.Add(r.args.For)))
 	after, err := r.usage() // before the nodes' last answers and updates, which are left out
 	if err != nil {
 		activities.cancel(err)
@@ -58,23 +59,23 @@
 }
 
 // startActivities starts all that happens in a run besides the calls at hollow nodes.
-func (r *run) startActivities(a *activities, p *report.Point) *activityOutcome {
+func (r *run) startActivities(ctx context.Context, a *activities, p *report.Point) *activityOutcome {
 	outcome := &activityOutcome{}
 	if r.args.Changes > 0 {
-		a.start(func(ctx context.Context) error { return r.rotate(ctx, r.args.For) })
+		a.start(func() error { return r.rotate(ctx, r.args.For) })
 	}
 	if r.args.Storm != plan.StormNone {
-		a.start(func(ctx context.Context) (err error) {
+		a.start(func() (err error) {
 			outcome.storm, err = r.storm(ctx)
 			return err
 		})
 	}
 	if r.args.Configs > 0 {
 		p.Configs = &report.Configs{LimitSec: configLimit.Seconds()}
-		a.start(func(ctx context.Context) error { return r.reconfigure(ctx, p.Configs) })
+		a.start(func() error { return r.reconfigure(ctx, p.Configs) })
 	}
 	if len(r.real) > 0 && r.args.Rate > 0 {
-		a.start(func(ctx context.Context) (err error) {
+		a.start(func() (err error) {
 			p.Chain, outcome.realCores, err = r.chain(ctx)
 			return err
 		})
--- a/internal/fleet/runstart.go
+++ b/internal/fleet/runstart.go
@@ -88,8 +88,13 @@
 }
 
 // startHollow starts the hollow nodes.
-func (r *run) startHollow(ctx context.Context, discovery func(node, list int) string, polled bool) (started nodes.HollowStart, err error) {
-	spec := nodes.HollowSpec{Services: r.args.Services, PollDiscovery: polled, Service: r.args.Service, Seed: r.args.Seed, Wait: startTimeout}
+func (r *run) startHollow(
+	ctx context.Context, discovery func(node, list int) string, polled bool,
+) (started nodes.HollowStart, err error) {
+	spec := nodes.HollowSpec{
+		Services: r.args.Services, PollDiscovery: polled, Service: r.args.Service,
+		Seed: r.args.Seed, Wait: startTimeout,
+	}
 	for i := range r.args.Nodes {
 		spec.Discovery = append(spec.Discovery, discovery(i, i%r.args.Services))
 	}
--- a/internal/fleet/standin/list.go
+++ b/internal/fleet/standin/list.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"slices"
 	"sync"
 	"time"
 )
@@ -94,12 +95,9 @@
 
 // addUID appends a uid, unless it was listed before and so has its place.
 func (l *list) addUID(uid string) {
-	for _, known := range l.uids {
-		if known == uid {
-			return
-		}
+	if !slices.Contains(l.uids, uid) {
+		l.uids = append(l.uids, uid)
 	}
-	l.uids = append(l.uids, uid)
 }
 
 // answerFor returns the answer to who holds a version, or noVersion: what is newer, and whether anything is. newer
--- a/internal/fleet/stats/latencies.go
+++ b/internal/fleet/stats/latencies.go
@@ -43,7 +43,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	at := func(q float64) float64 { return float64(l.hist.ValueAtQuantile(q)) / 1000 }
-	return Quantiles{Count: l.hist.TotalCount(), P50: at(50), P99: at(99), P999: at(99.9), Max: float64(l.hist.Max()) / 1000}
+	return Quantiles{
+		Count: l.hist.TotalCount(), P50: at(50), P99: at(99), P999: at(99.9), Max: float64(l.hist.Max()) / 1000,
+	}
 }
 
 // Milliseconds returns a time in milliseconds.
--- a/internal/fleet/storm.go
+++ b/internal/fleet/storm.go
@@ -70,7 +70,8 @@
 	var last []nodes.ListChange
 	for _, l := range r.lists {
 		var changed standin.Changed
-		if err := r.registry.Call(ctx, "Change", standin.ChangeSpec{Service: l.Service, Entries: l.Restart()}, &changed); err != nil {
+		spec := standin.ChangeSpec{Service: l.Service, Entries: l.Restart()}
+		if err := r.registry.Call(ctx, "Change", spec, &changed); err != nil {
 			return err
 		}
 		if l.Service < r.args.Services && r.args.Nodes > 0 {
@@ -105,7 +106,9 @@
 }
 
 // figures compares the registry's load after the outage with the mean before it.
-func (s *stormTimes) figures(kind string, counted stats.Counted, begin, end time.Time, h *report.HollowFigures) *report.StormFigures {
+func (s *stormTimes) figures(
+	kind string, counted stats.Counted, begin, end time.Time, h *report.HollowFigures,
+) *report.StormFigures {
 	f := &report.StormFigures{Kind: kind, LostSec: s.back.Sub(s.lost).Seconds()}
 	watched := s.back.Add(plan.StormWatch)
 	if watched.After(end) {
