--- a/internal/fleet/growth.go
+++ b/internal/fleet/growth.go
@@ -28,7 +28,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, args.Bound()-2*process.StopTimeout)
 	defer cancel()
-	dir, err := os.MkdirTemp("", "fleetscale")
+	dir, err := os.MkdirTemp(r.TempDir, "fleetscale")
 	if err != nil {
 		return result, fmt.Errorf("growth: %w", err)
 	}
--- a/internal/fleet/growth_test.go
+++ b/internal/fleet/growth_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"testing"
 	"time"
 
@@ -12,42 +13,64 @@
 // growthRowCount is how many rows a growth report has: those of the standing test.
 const growthRowCount = 6
 
-// A run at a small size gives all rows, and leaves no child. Whether a row is within its limit is the machine's.
+// A growth run at a small size gives all rows, and leaves no child. Whether a row is within its limit is the machine's.
 func TestGrowthRun(t *testing.T) {
-	for _, mode := range []string{"pushed", "asked"} {
-		result, err := testRunner(t).Growth(context.Background(), plan.GrowthArgs{
-			Servers: 20, Factor: 2, Real: 1, Fleet: 10, Mode: mode,
-			Rate: 40, Seed: 1, For: time.Second,
-		})
-		if err != nil {
-			t.Fatal(err)
-		}
-		if n := children(t); len(n) > 0 {
-			t.Fatalf("children are left: %v", n)
-		}
-		if len(result.Rows) != growthRowCount {
-			t.Fatalf("%s: rows %+v", mode, result.Rows)
-		}
-		for i, f := range []report.GrowthFigures{result.Usual, result.Large} {
-			servers := []int{20, 40}[i]
-			if f.Servers != servers || f.Changes != 3*plan.ReplacedCount(servers) || f.Calls.Answered() != f.Calls.Offered || f.Calls.Offered < 10 ||
-				f.Calls.Served < 1 || f.CPUSeconds <= 0 || f.PeakMemory < 1e6 || f.Descriptors < 3 || f.Connections < 1 ||
-				f.ListBytes < float64(servers)*100 || f.ListPayload <= f.ListBytes || f.ListCalls < 1 {
-				t.Errorf("%s: %+v", mode, f)
+	t.Parallel()
+	for _, test := range []struct{ name, mode string }{
+		{"lists are pushed", "pushed"},
+		{"lists are polled", plan.ModePolled},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			t.Parallel()
+			runner := newTestRunner(t)
+			result, err := runner.Growth(t.Context(), plan.GrowthArgs{
+				Servers: 20, Factor: 2, Real: 1, Fleet: 10, Mode: test.mode,
+				Rate: 40, Seed: 1, For: time.Second,
+			})
+			if err != nil {
+				t.Fatal(err)
+			}
+			runner.started.checkEnded(t)
+			if len(result.Rows) != growthRowCount {
+				t.Errorf("rows %+v", result.Rows)
 			}
-		}
+			checkGrowthFigures(t, result.Usual, 20)
+			checkGrowthFigures(t, result.Large, 40)
+		})
 	}
 }
 
-// A growth run that is ended early leaves no child, and says so.
+// checkGrowthFigures wants all figures of a day with so many servers.
+func checkGrowthFigures(t *testing.T, f report.GrowthFigures, servers int) {
+	t.Helper()
+	expect(t, f,
+		expectation{"the servers listed", f.Servers == servers},
+		expectation{"three changes for each server replaced", f.Changes == 3*plan.ReplacedCount(servers)},
+		expectation{"all calls answered", f.Calls.Answered() == f.Calls.Offered},
+		expectation{"at least 10 calls", f.Calls.Offered >= 10},
+		expectation{"a call served", f.Calls.Served >= 1},
+		expectation{"processor time", f.CPUSeconds > 0},
+		expectation{"a megabyte of memory", f.PeakMemory >= 1e6},
+		expectation{"standard descriptors", f.Descriptors >= 3},
+		expectation{"connections to servers", f.Connections >= 1},
+		expectation{"100 bytes for each server listed", f.ListBytes >= float64(servers)*100},
+		expectation{"more bytes with the headers", f.ListPayload > f.ListBytes},
+		expectation{"calls for lists", f.ListCalls >= 1},
+	)
+}
+
+// A growth run that is ended early leaves no child, and says why it has ended.
 func TestGrowthRunEndsWithItsContext(t *testing.T) {
-	ctx, cancel := context.WithCancel(context.Background())
-	time.AfterFunc(time.Second, cancel)
-	_, err := testRunner(t).Growth(ctx, plan.GrowthArgs{Servers: 20, Factor: 2, Real: 1, Fleet: 10, Mode: "pushed", Rate: 40, For: time.Minute})
-	if err == nil {
-		t.Error("no error")
-	}
-	if n := children(t); len(n) > 0 {
-		t.Errorf("children are left: %v", n)
+	t.Parallel()
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	runner := newTestRunner(t)
+	runner.cancelAt("playing a day", cancel)
+	_, err := runner.Growth(ctx, plan.GrowthArgs{
+		Servers: 20, Factor: 2, Real: 1, Fleet: 10, Mode: "pushed", Rate: 40, For: time.Minute,
+	})
+	if !errors.Is(err, context.Canceled) {
+		t.Errorf("error %v, want %v", err, context.Canceled)
 	}
+	runner.started.checkEnded(t)
 }
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -23,6 +23,7 @@
 // Runner makes runs.
 type Runner struct {
 	ChildCommand []string // the command that calls Child with one more argument, the role
+	TempDir      string   // where runs keep their temporary files; empty: the system's folder for them
 	Log          *slog.Logger
 }
 
@@ -53,7 +54,7 @@
 	defer cancel()
 	one := &run{Runner: r, args: args, client: load.NewClient()}
 	defer one.stop()
-	if one.dir, err = os.MkdirTemp("", "fleetscale"); err != nil {
+	if one.dir, err = os.MkdirTemp(r.TempDir, "fleetscale"); err != nil {
 		return report.Point{}, fmt.Errorf("run: %w", err)
 	}
 	p = report.Point{Args: args, Machine: thisMachine()}
--- a/internal/fleet/run_test.go
+++ b/internal/fleet/run_test.go
@@ -2,190 +2,215 @@
 
 import (
 	"context"
-	"fmt"
-	"io"
-	"log/slog"
-	"os"
-	"strings"
+	"errors"
 	"testing"
 	"time"
 
-	"go.uber.org/goleak"
-
 	"basaltdrum/internal/fleet/load"
 	"basaltdrum/internal/fleet/plan"
 	"basaltdrum/internal/fleet/report"
 )
 
-// TestMain lets the tests' own program play the children, and fails the tests if a goroutine outlives them.
-func TestMain(m *testing.M) {
-	if len(os.Args) > 2 && os.Args[1] == "child" { // a child never runs the tests, which start children
-		if err := Child(os.Args[2]); err != nil {
-			fmt.Fprintln(os.Stderr, err)
-			os.Exit(1)
-		}
-		return
+// testArgs are the arguments that all runs of these tests share. The length of a run is real time, which its processes
+// spend waiting for the most part.
+func testArgs() plan.Args {
+	return plan.Args{
+		Servers: 12, Services: 1, Mode: "pushed", Storm: plan.StormNone, Depth: 1, Seed: 1,
+		For: 1500 * time.Millisecond,
 	}
-	goleak.VerifyTestMain(m)
 }
 
-func testRunner(t *testing.T) Runner {
-	t.Helper()
-	self, err := os.Executable()
-	if err != nil {
-		t.Fatal(err)
+// Every hollow node applies every change, and every call is answered.
+func TestHollowRun(t *testing.T) {
+	t.Parallel()
+	for _, test := range []struct{ name, mode string }{
+		{"lists are pushed", "pushed"},
+		{"lists are polled", plan.ModePolled},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			t.Parallel()
+			args := testArgs()
+			args.Nodes, args.Services, args.Mode, args.Changes = 6, 2, test.mode, 240
+			args.Rate, args.Service = 100, time.Millisecond
+			point := newTestRunner(t).run(t, args)
+			if point.Hollow == nil {
+				t.Fatalf("no figures of hollow nodes: %+v", point)
+			}
+			expect(t, point,
+				expectation{"no real nodes", point.Real == nil},
+				expectation{"no chain", point.Chain == nil},
+				expectation{"no changes of configuration", point.Configs == nil},
+				expectation{"no storm", point.Storm == nil},
+				expectation{"the whole length measured", point.Seconds >= args.For.Seconds()},
+			)
+			checkInForce(t, point.Hollow, args.Nodes/args.Services)
+			checkHollowCalls(t, point.Hollow)
+			checkHollowUse(t, point.Hollow)
+			checkRegistry(t, point, args.Nodes)
+			checkMachine(t, point)
+		})
 	}
-	return Runner{ChildCommand: []string{self, "child"}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
 }
 
-func base() plan.Args {
-	return plan.Args{Servers: 12, Services: 1, Mode: "pushed", Storm: "none", Depth: 1, Seed: 1, For: 1500 * time.Millisecond}
+// checkInForce wants each change applied by all nodes of its service.
+func checkInForce(t *testing.T, hollow *report.HollowFigures, nodesOfService int) {
+	t.Helper()
+	f := hollow.InForce[plan.GroupServerState]
+	expect(t, f,
+		expectation{"at least 4 changes", f.Changes >= 4},
+		expectation{"no change missed", f.Missed == 0},
+		expectation{"each change applied by all nodes", f.Applied == nodesOfService*f.Changes},
+		expectation{"a time", f.All.Worst > 0},
+		expectation{"half of the nodes no later than all", f.Half.Median <= f.All.Worst},
+	)
 }
 
-func testRun(t *testing.T, args plan.Args) report.Point {
+// checkHollowCalls wants all calls answered and measured.
+func checkHollowCalls(t *testing.T, hollow *report.HollowFigures) {
 	t.Helper()
-	p, err := testRunner(t).Run(context.Background(), args)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if n := children(t); len(n) > 0 {
-		t.Fatalf("children are left: %v", n)
-	}
-	var table strings.Builder
-	if err := p.Table(&table); err != nil {
-		t.Fatal(err)
-	}
-	t.Log("\n" + table.String())
-	return p
+	expect(t, hollow,
+		expectation{"at least 100 calls", hollow.Calls.Offered >= 100},
+		expectation{"all calls answered", hollow.Calls.Answered() == hollow.Calls.Offered},
+		expectation{"some calls served", hollow.Calls.Served > 0},
+		expectation{"the latency of each served call", hollow.Latency.Count == hollow.Calls.Served},
+		expectation{"the lateness of each call", hollow.Lateness.Count == hollow.Calls.Offered},
+		expectation{"a latency", hollow.Latency.P50 > 0},
+	)
 }
 
-// children are the processes that this one has started and that are still there.
-func children(t *testing.T) (found []string) {
+// checkHollowUse wants figures of what hollow nodes use.
+func checkHollowUse(t *testing.T, hollow *report.HollowFigures) {
 	t.Helper()
-	entries, err := os.ReadDir("/proc")
-	if err != nil {
-		t.Fatal(err)
-	}
-	for _, e := range entries {
-		text, err := os.ReadFile("/proc/" + e.Name() + "/stat")
-		if err != nil {
-			continue
-		}
-		fields := strings.Fields(string(text[strings.LastIndexByte(string(text), ')')+1:]))
-		if len(fields) > 1 && fields[1] == fmt.Sprint(os.Getpid()) {
-			found = append(found, e.Name())
-		}
-	}
-	return found
+	expect(t, hollow,
+		expectation{"cores", hollow.CoresNode > 0},
+		expectation{"heap at the start", hollow.HeapNode > 0},
+		expectation{"heap at the end", hollow.HeapAfter > 0},
+		expectation{"memory", hollow.RSS > 0},
+		expectation{"a time until all are ready", hollow.ReadyMS > 0},
+	)
 }
 
-// Every node hears every change, and every call is answered.
-func TestHollowRun(t *testing.T) {
-	for _, mode := range []string{"pushed", "asked"} {
-		args := base()
-		args.Nodes, args.Services, args.Mode, args.Changes, args.Rate, args.Service = 6, 2, mode, 240, 100, time.Millisecond
-		p := testRun(t, args)
-		h := p.Hollow
-		if h == nil || p.Real != nil || p.Chain != nil || p.Configs != nil || p.Storm != nil {
-			t.Fatalf("%s: parts %+v", mode, p)
-		}
-		f := h.InForce[plan.GroupServerState]
-		if f.Changes < 4 || f.Missed != 0 || f.Applied != 3*f.Changes || f.All.Worst <= 0 || f.Half.Median > f.All.Worst {
-			t.Errorf("%s: in force %+v", mode, f)
-		}
-		if h.Calls.Offered < 100 || h.Calls.Answered() != h.Calls.Offered || h.Calls.Served == 0 || h.Latency.Count != h.Calls.Served ||
-			h.Lateness.Count != h.Calls.Offered || h.Latency.P50 <= 0 {
-			t.Errorf("%s: calls %+v, latency %+v", mode, h.Calls, h.Latency)
-		}
-		if h.CoresNode <= 0 || h.HeapNode <= 0 || h.HeapAfter <= 0 || h.RSS <= 0 || h.ReadyMS <= 0 {
-			t.Errorf("%s: figures %+v", mode, h)
-		}
-		r := p.Registry
-		if r.Open < 6 || r.Calls <= 0 || r.BytesIn <= 0 || r.BytesOut <= 0 || r.Peak < r.Calls/10 || r.RSS <= 0 || p.PerNode.Nodes != 6 ||
-			p.PerNode.BytesIn*6 != r.BytesOut && p.PerNode.BytesIn <= 0 || p.Seconds < args.For.Seconds() {
-			t.Errorf("%s: registry %+v, per node %+v in %v s", mode, r, p.PerNode, p.Seconds)
-		}
-		if p.Machine.Cores < 1 || p.Machine.Go == "" || p.Busy <= 0 {
-			t.Errorf("%s: machine %+v, %v busy", mode, p.Machine, p.Busy)
-		}
-	}
+// checkRegistry wants the traffic of all nodes at the registry.
+func checkRegistry(t *testing.T, point report.Point, nodes int) {
+	t.Helper()
+	registry := point.Registry
+	expect(t, registry,
+		expectation{"a connection of each node", registry.Open >= int64(nodes)},
+		expectation{"calls", registry.Calls > 0},
+		expectation{"bytes in", registry.BytesIn > 0},
+		expectation{"bytes out", registry.BytesOut > 0},
+		expectation{"a peak", registry.Peak >= registry.Calls/10},
+		expectation{"memory", registry.RSS > 0},
+	)
+	expect(t, point.PerNode,
+		expectation{"all nodes", point.PerNode.Nodes == nodes},
+		expectation{"bytes in", point.PerNode.BytesIn > 0},
+	)
+}
+
+// checkMachine wants a description of the machine.
+func checkMachine(t *testing.T, point report.Point) {
+	t.Helper()
+	expect(t, point.Machine,
+		expectation{"cores", point.Machine.Cores >= 1},
+		expectation{"the version of Go", point.Machine.Go != ""},
+		expectation{"cores in use", point.Busy > 0},
+	)
 }
 
+// After an outage all nodes get the newest list; most calls are served meanwhile, and all are answered.
 func TestStorms(t *testing.T) {
-	for _, storm := range []string{"zone", "registry"} {
-		args := base()
-		args.Nodes, args.Storm, args.Rate, args.Changes, args.For = 4, storm, 100, 300, 4*time.Second
-		p := testRun(t, args)
-		s, h := p.Storm, p.Hollow
-		if s == nil || s.Kind != storm || s.LostSec <= 0 || s.Before <= 0 || s.PeakAfter <= 0 || s.Missed != 0 || s.NewestAllMS <= 0 || s.AfterSec <= 0 {
-			t.Errorf("%s: %+v", storm, s)
-		}
-		if h.StormCalls == nil || h.StormCalls.Offered < 100 || h.StormCalls.Answered() != h.StormCalls.Offered ||
-			h.StormCalls.Served < h.StormCalls.Offered/2 || h.StormCalls.Offered >= h.Calls.Offered {
-			t.Errorf("%s: calls meanwhile %+v of %+v", storm, h.StormCalls, h.Calls)
-		}
+	t.Parallel()
+	for _, test := range []struct{ name, storm string }{
+		{"a zone is lost", plan.StormZone},
+		{"the registry is silent", "registry"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			t.Parallel()
+			args := testArgs()
+			args.Nodes, args.Storm, args.Rate, args.Changes, args.For = 4, test.storm, 100, 300, 4*time.Second
+			point := newTestRunner(t).run(t, args)
+			if point.Storm == nil || point.Hollow == nil || point.Hollow.StormCalls == nil {
+				t.Fatalf("no figures of the storm: %+v", point)
+			}
+			checkStorm(t, point.Storm, test.storm)
+			meanwhile, all := point.Hollow.StormCalls, point.Hollow.Calls
+			expect(t, meanwhile,
+				expectation{"at least 100 calls", meanwhile.Offered >= 100},
+				expectation{"all calls answered", meanwhile.Answered() == meanwhile.Offered},
+				expectation{"half of the calls served", meanwhile.Served >= meanwhile.Offered/2},
+				expectation{"fewer calls than in the whole run", meanwhile.Offered < all.Offered},
+			)
+		})
 	}
 }
 
+// checkStorm wants the newest list at all nodes after an outage.
+func checkStorm(t *testing.T, storm *report.StormFigures, kind string) {
+	t.Helper()
+	expect(t, storm,
+		expectation{"the kind " + kind, storm.Kind == kind},
+		expectation{"a length", storm.LostSec > 0},
+		expectation{"calls before", storm.Before > 0},
+		expectation{"a peak after", storm.PeakAfter > 0},
+		expectation{"time watched after", storm.AfterSec > 0},
+		expectation{"the newest list at all nodes", storm.Missed == 0},
+		expectation{"the time that it took", storm.NewestAllMS > 0},
+	)
+}
+
+// Calls take a chain of two real nodes, whose program the run builds, and the direct path beside it.
 func TestRealNodes(t *testing.T) {
-	args := base()
+	t.Parallel()
+	args := testArgs()
 	args.Real, args.Depth, args.Rate, args.For, args.Changes = 2, 2, 50, 2*time.Second, 60
-	p := testRun(t, args)
-	c := p.Chain
-	if c == nil || c.Depth != 2 || c.Chains != 1 || p.Hollow != nil {
-		t.Fatalf("chain %+v", c)
-	}
-	for name, way := range map[string]load.PathFigures{"direct": c.Direct, "through": c.Through} {
-		if way.Offered < 20 || way.Served < way.Offered*9/10 || way.Answered() != way.Offered || way.Lateness.Count != way.Offered ||
-			way.Latency.Count == 0 || way.Latency.P50 <= 0 || way.Latency.P999 > way.Latency.Max {
-			t.Errorf("%s: %+v", name, way)
-		}
-	}
-	f := p.Real
-	if f == nil || f.Nodes != 2 || f.Alive != 2 || f.CoresMean <= 0 || f.CoresMax < f.CoresMean || f.RSSMean < 1e6 || float64(f.RSSMax) < f.RSSMean {
-		t.Errorf("real nodes %+v", f)
-	}
+	point := newTestRunner(t).run(t, args)
+	chain, nodes := point.Chain, point.Real
+	if chain == nil || nodes == nil {
+		t.Fatalf("no figures of the chain: %+v", point)
+	}
+	expect(t, chain,
+		expectation{"a depth of 2", chain.Depth == 2},
+		expectation{"one chain", chain.Chains == 1},
+		expectation{"no hollow nodes", point.Hollow == nil},
+	)
+	t.Run("direct path", func(t *testing.T) { checkPath(t, chain.Direct) })
+	t.Run("path through the nodes", func(t *testing.T) { checkPath(t, chain.Through) })
+	expect(t, nodes,
+		expectation{"two nodes", nodes.Nodes == 2},
+		expectation{"both alive at the end", nodes.Alive == 2},
+		expectation{"cores", nodes.CoresMean > 0},
+		expectation{"the most cores no less than the mean", nodes.CoresMax >= nodes.CoresMean},
+		expectation{"a megabyte of memory", nodes.RSSMean >= 1e6},
+		expectation{"the most memory no less than the mean", float64(nodes.RSSMax) >= nodes.RSSMean},
+	)
 }
 
-func TestSweepFitsItsPoints(t *testing.T) {
-	args := base()
-	args.Nodes, args.For = 3, time.Second
-	report, err := testRunner(t).Sweep(context.Background(), args, "servers", []int{10, 300})
-	if err != nil {
-		t.Fatal(err)
-	}
-	if len(report.Points) != 2 || report.Points[1].Args.Servers != 300 {
-		t.Fatalf("points %+v", report.Points)
-	}
-	if l := report.Slopes["hollow heap bytes a node"]; l.Slope < 100 { // bytes for each server
-		t.Errorf("heap against servers: %+v", l)
-	}
-	for name := range report.Points[0].Figures() {
-		if _, ok := report.Slopes[name]; !ok {
-			t.Errorf("no slope for %s", name)
-		}
-	}
-	var table strings.Builder
-	if err := report.Table(&table); err != nil || !strings.Contains(table.String(), "against servers") {
-		t.Errorf("%v: %s", err, table.String())
-	}
-	for _, over := range []string{"nodes", "servers", "changes", "seeds"} {
-		if _, err := testRunner(t).Sweep(context.Background(), args, over, []int{-1, 1}); err == nil {
-			t.Errorf("over %s from -1 is taken", over)
-		}
-	}
+// checkPath wants the calls of one path answered and measured.
+func checkPath(t *testing.T, path load.PathFigures) {
+	t.Helper()
+	expect(t, path,
+		expectation{"at least 20 calls", path.Offered >= 20},
+		expectation{"nine in ten calls served", path.Served >= path.Offered*9/10},
+		expectation{"all calls answered", path.Answered() == path.Offered},
+		expectation{"the lateness of each call", path.Lateness.Count == path.Offered},
+		expectation{"latencies", path.Latency.Count > 0},
+		expectation{"a latency", path.Latency.P50 > 0},
+		expectation{"no quantile over the maximum", path.Latency.P999 <= path.Latency.Max},
+	)
 }
 
-// A run that is ended early leaves no child, and says so.
+// A run that is ended early leaves no child, and says why it has ended.
 func TestRunEndsWithItsContext(t *testing.T) {
-	args := base()
+	t.Parallel()
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	runner := newTestRunner(t)
+	runner.cancelAt("measuring", cancel)
+	args := testArgs()
 	args.Nodes, args.For = 3, time.Minute
-	ctx, cancel := context.WithCancel(context.Background())
-	time.AfterFunc(time.Second, cancel)
-	if _, err := testRunner(t).Run(ctx, args); err == nil {
-		t.Error("no error")
-	}
-	if n := children(t); len(n) > 0 {
-		t.Errorf("children are left: %v", n)
+	if _, err := runner.Run(ctx, args); !errors.Is(err, context.Canceled) {
+		t.Errorf("error %v, want %v", err, context.Canceled)
 	}
+	runner.started.checkEnded(t)
 }
