--- a/internal/fleet/plan/day_test.go
+++ b/internal/fleet/plan/day_test.go
@@ -9,67 +9,126 @@
 
 // The capacity of all servers together, counted for each node, stays the same.
 func TestGrowthSizes(t *testing.T) {
-	for _, test := range []struct{ servers, factor, fleet, nodes int }{
-		{200, 16, 300, 900}, {200, 16, 20, 320}, {100, 4, 225, 900}, {100, 16, 900, 900},
+	for _, test := range []struct {
+		name                   string
+		servers, factor, fleet int
+		largeNodes             int
+	}{
+		{"the largest fleet is reached", 200, 16, 300, 900},
+		{"small fleet", 200, 16, 20, 320},
+		{"the largest fleet exactly", 100, 4, 225, 900},
+		{"the largest fleet from the start", 100, 16, 900, 900},
 	} {
-		args := GrowthArgs{Servers: test.servers, Factor: test.factor, Fleet: test.fleet}
-		usual, large := args.Usual(), args.Large()
-		each := func(s GrowthSize) float64 { return s.Capacity * float64(s.Servers) / float64(s.Nodes) }
-		if large.Nodes != test.nodes || large.Servers != test.servers*test.factor || math.Abs(each(large)/each(usual)-1) > 1e-9 {
-			t.Errorf("%+v: usual %+v, large %+v", test, usual, large)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			args := GrowthArgs{Servers: test.servers, Factor: test.factor, Fleet: test.fleet}
+			usual, large := args.Usual(), args.Large()
+			if large.Nodes != test.largeNodes || large.Servers != test.servers*test.factor {
+				t.Errorf("large %+v", large)
+			}
+			if ratio := capacityForNode(large) / capacityForNode(usual); math.Abs(ratio-1) > 1e-9 {
+				t.Errorf("a node has %v times the capacity: usual %+v, large %+v", ratio, usual, large)
+			}
+		})
 	}
 }
 
+// capacityForNode is the capacity of all servers, counted for each node.
+func capacityForNode(size GrowthSize) float64 {
+	return size.Capacity * float64(size.Servers) / float64(size.Nodes)
+}
+
+// The day of these tests.
+const (
+	dayServers  = 200
+	dayReplaced = 120
+	dayLength   = 20 * time.Second
+)
+
 // Each server that is replaced drains, leaves the list and ends, in this order; another is listed in its place.
-func TestPlanDay(t *testing.T) {
-	const servers, length = 200, 20 * time.Second
-	plan := Day(servers, length, 1)
+func TestDayReplacesServers(t *testing.T) {
 	steps := map[int][]EventKind{}
-	var first, last time.Duration
-	seen := map[EventKind]int{}
-	for i, e := range plan {
-		seen[e.Kind]++
-		if i > 0 && e.At < plan[i-1].At || e.At < 0 || e.At > length {
-			t.Errorf("event %d at %v", i, e.At)
-		}
-		if e.Kind == BreakWatches {
-			continue
-		}
-		steps[e.Server] = append(steps[e.Server], e.Kind)
-		if e.Kind == ListServer {
-			if first == 0 {
-				first = e.At
-			}
-			last = e.At
+	for _, e := range Day(dayServers, dayLength, 1) {
+		if e.Kind != BreakWatches {
+			steps[e.Server] = append(steps[e.Server], e.Kind)
 		}
 	}
+	if len(steps) != 2*dayReplaced {
+		t.Errorf("%d servers have events, want %d", len(steps), 2*dayReplaced)
+	}
 	for server, kinds := range steps {
 		want := []EventKind{DrainServer, RemoveServer, CloseServer}
-		if server >= servers {
+		if server >= dayServers {
 			want = []EventKind{ListServer}
 		}
 		if !slices.Equal(kinds, want) {
-			t.Errorf("server %d: %v", server, kinds)
+			t.Errorf("server %d: %v, want %v", server, kinds, want)
 		}
 	}
-	if len(steps) != 240 || seen[ListServer] != 120 || seen[DrainServer] != 120 || seen[BreakWatches] != len(watchBreaks) ||
-		last-first > 7*time.Second || last-first < 6*time.Second {
-		t.Errorf("%d servers, events %v, replaced within %v", len(steps), seen, last-first)
+}
+
+// A day has all events in the order of their times, within its length.
+func TestDayIsInOrder(t *testing.T) {
+	counts := map[EventKind]int{}
+	var last time.Duration
+	for i, e := range Day(dayServers, dayLength, 1) {
+		counts[e.Kind]++
+		if e.At < last || e.At > dayLength {
+			t.Errorf("event %d at %v, after one at %v", i, e.At, last)
+		}
+		last = e.At
 	}
-	if !slices.Equal(plan, Day(servers, length, 1)) || slices.Equal(plan, Day(servers, length, 2)) {
-		t.Error("a day does not depend on its seed alone")
+	for kind, want := range map[EventKind]int{
+		ListServer: dayReplaced, DrainServer: dayReplaced, BreakWatches: len(watchBreaks),
+	} {
+		if counts[kind] != want {
+			t.Errorf("%d events of kind %d, want %d", counts[kind], kind, want)
+		}
 	}
 }
 
-func TestDueEvents(t *testing.T) {
-	plan := []Event{{At: 1}, {At: 3}, {At: 3}, {At: 4}}
-	for at, want := range []int{0, 1, 1, 3, 4, 4} {
-		if got := DueEvents(plan, time.Duration(at)); got != want {
-			t.Errorf("at %d: %d events are due, want %d", at, got, want)
+// All servers are replaced within 6 to 7 s of a day of 20 s.
+func TestDayReplacesWithinSevenSeconds(t *testing.T) {
+	var listed []time.Duration
+	for _, e := range Day(dayServers, dayLength, 1) {
+		if e.Kind == ListServer {
+			listed = append(listed, e.At)
 		}
 	}
-	if DueEvents(nil, 1) != 0 {
-		t.Error("events of no plan are due")
+	if took := slices.Max(listed) - slices.Min(listed); took < 6*time.Second || took > 7*time.Second {
+		t.Errorf("replaced within %v", took)
+	}
+}
+
+func TestDayDependsOnItsSeedAlone(t *testing.T) {
+	day := Day(dayServers, dayLength, 1)
+	if !slices.Equal(day, Day(dayServers, dayLength, 1)) {
+		t.Error("the same seed gives another day")
+	}
+	if slices.Equal(day, Day(dayServers, dayLength, 2)) {
+		t.Error("another seed gives the same day")
+	}
+}
+
+func TestDueEvents(t *testing.T) {
+	day := []Event{{At: 1}, {At: 3}, {At: 3}, {At: 4}}
+	for _, test := range []struct {
+		name   string
+		events []Event
+		at     time.Duration
+		want   int
+	}{
+		{"before the first", day, 0, 0},
+		{"at the first", day, 1, 1},
+		{"between two", day, 2, 1},
+		{"at two at once", day, 3, 3},
+		{"at the last", day, 4, 4},
+		{"after the last", day, 5, 4},
+		{"no events", nil, 1, 0},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if got := DueEvents(test.events, test.at); got != test.want {
+				t.Errorf("%d events are due, want %d", got, test.want)
+			}
+		})
 	}
 }
--- a/internal/fleet/report/growthlimits_test.go
+++ b/internal/fleet/report/growthlimits_test.go
@@ -18,7 +18,7 @@
 
 // The limits are those of the standing test, and a figure just at its limit is within.
 func TestGrowthLimits(t *testing.T) {
-	limits := map[string][2]float64{ // at 1,000 and at 3,200 servers
+	limits := map[string]struct{ at1000, at3200 float64 }{ // by the number of servers at the large size
 		"CPU seconds":                 {1.4 + 0.02 + 0.03, 1.4 + 0.02 + 0.096},
 		"peak memory, MB":             {15 + 8 + 4, 15 + 8 + 12.8},
 		"descriptors":                 {60 + 40, 60 + 40},
@@ -30,18 +30,25 @@
 		t.Errorf("%d rows, want %d", len(growthLimits), len(limits))
 	}
 	for _, limit := range growthLimits {
-		for i, servers := range []int{1000, 3200} {
-			want := limits[limit.what][i]
-			for _, test := range []struct {
-				share  float64 // of the limit
-				within bool
-			}{{0.999, !limit.least}, {1.001, limit.least}} {
-				row := limit.row(usualFigures(), figuresAt(limit.what, test.share*want, servers))
-				if math.Abs(row.Limit-want) > 1e-9*want || row.Within != test.within ||
-					math.Abs(row.Large-test.share*want) > 1e-9*want {
-					t.Errorf("%s at %d servers: %+v, want limit %v, within %v", limit.what, servers, row, want, test.within)
-				}
-			}
+		t.Run(limit.what, func(t *testing.T) {
+			want := limits[limit.what]
+			checkLimit(t, limit, 1000, want.at1000)
+			checkLimit(t, limit, 3200, want.at3200)
+		})
+	}
+}
+
+// checkLimit wants a limit at a number of servers: a figure just under it and one just over it are judged.
+func checkLimit(t *testing.T, limit growthLimit, servers int, want float64) {
+	t.Helper()
+	for _, test := range []struct {
+		share  float64 // of the limit
+		within bool
+	}{{0.999, !limit.least}, {1.001, limit.least}} {
+		figure := test.share * want
+		row := limit.row(usualFigures(), figuresAt(limit.what, figure, servers))
+		if math.Abs(row.Limit-want) > 1e-9*want || row.Within != test.within || math.Abs(row.Large-figure) > 1e-9*want {
+			t.Errorf("at %d servers: %+v, want limit %v, within %v", servers, row, want, test.within)
 		}
 	}
 }
@@ -62,19 +69,23 @@
 	return f
 }
 
-// The error names each row that is over, and only those.
-func TestGrowthReportTellsWhatIsOver(t *testing.T) {
-	report := GrowthReport{Rows: []GrowthRow{{What: "a", Within: true}, {What: "b"}, {What: "c"}}}
+// The error names each row that is over its limit, and only those.
+func TestGrowthReportNamesRowsOverTheirLimit(t *testing.T) {
+	within := GrowthReport{Rows: []GrowthRow{{What: "a", Within: true}}}
+	if err := within.Err(); err != nil {
+		t.Errorf("all rows are within: %v", err)
+	}
+	both := GrowthReport{Rows: []GrowthRow{{What: "a", Within: true}, {What: "b"}, {What: "c"}}}
 	var over *OverLimitError
-	if err := report.Err(); !errors.As(err, &over) || !slices.Equal(over.Rows, []string{"b", "c"}) {
+	if err := both.Err(); !errors.As(err, &over) || !slices.Equal(over.Rows, []string{"b", "c"}) {
 		t.Errorf("error %v", err)
 	}
 	var table strings.Builder
-	if err := report.Table(&table); err != nil || strings.Count(table.String(), "over\n") != 2 || strings.Count(table.String(), "within\n") != 1 {
-		t.Errorf("%v: %s", err, table.String())
+	if err := both.Table(&table); err != nil {
+		t.Fatal(err)
 	}
-	report.Rows = report.Rows[:1]
-	if err := report.Err(); err != nil {
-		t.Errorf("nothing is over: %v", err)
+	text := table.String()
+	if strings.Count(text, "over\n") != 2 || strings.Count(text, "within\n") != 1 {
+		t.Errorf("table %s", text)
 	}
 }
--- a/internal/fleet/standin/listedservers_test.go
+++ b/internal/fleet/standin/listedservers_test.go
@@ -1,44 +1,85 @@
 package standin
 
 import (
-	"context"
-	"fmt"
 	"net"
+	"strconv"
 	"testing"
 	"time"
 
 	"basaltdrum/internal/fleet/load"
+	"basaltdrum/internal/testutil"
 )
 
-// Connections are counted once each, and a server that ends closes those it has.
-func TestListedServersCountConnections(t *testing.T) {
-	var h ListedServers
-	var endpoints []string
-	if err := h.Start(ListedServersSpec{Count: 2}, &endpoints); err != nil {
+// startListedServers starts servers that the test ends.
+func startListedServers(t *testing.T, count int) (servers *ListedServers, endpoints []string) {
+	t.Helper()
+	servers = &ListedServers{}
+	if err := servers.Start(ListedServersSpec{Count: count}, &endpoints); err != nil {
 		t.Fatal(err)
 	}
-	c := load.NewClient()
-	defer c.Close()
-	for i, at := range []int{0, 0, 1} {
-		if got, err := c.Call(context.Background(), endpoints[at], load.Class, fmt.Sprint(i), time.Now().Add(limit)); got != load.Served {
-			t.Fatalf("call %d: %v, %v", i, got, err)
+	t.Cleanup(func() {
+		for i := range count {
+			if err := servers.Close([]int{i}, nil); err != nil {
+				t.Error(err)
+			}
 		}
+	})
+	return servers, endpoints
+}
+
+// callServer makes a call that must be served.
+func callServer(t *testing.T, client *load.Client, endpoint, id string) {
+	t.Helper()
+	got, err := client.Call(t.Context(), endpoint, load.Class, id, time.Now().Add(testutil.Limit))
+	if got != load.Served {
+		t.Fatalf("call %s: %v, %v", id, got, err)
+	}
+}
+
+// Each connection is counted once, however many calls it carries.
+func TestListedServersCountConnections(t *testing.T) {
+	servers, endpoints := startListedServers(t, 2)
+	client := load.NewClient()
+	defer client.Close()
+	for i, endpoint := range []string{endpoints[0], endpoints[0], endpoints[1]} {
+		callServer(t, client, endpoint, strconv.Itoa(i))
 	}
 	var accepted int64
-	if err := h.Accepted(struct{}{}, &accepted); err != nil || accepted != 2 {
+	if err := servers.Accepted(struct{}{}, &accepted); err != nil || accepted != 2 {
 		t.Errorf("%v: %d connections accepted, want 2", err, accepted)
 	}
-	if err := h.Close([]int{0}, nil); err != nil {
+}
+
+// A server that has ended accepts no connection, and may be ended again with others.
+func TestListedServersClose(t *testing.T) {
+	servers, endpoints := startListedServers(t, 2)
+	client := load.NewClient()
+	defer client.Close()
+	callServer(t, client, endpoints[0], "first")
+	if err := servers.Close([]int{0}, nil); err != nil {
 		t.Fatal(err)
 	}
 	if conn, err := net.Dial("tcp", endpoints[0]); err == nil {
 		conn.Close()
 		t.Error("a server that has ended accepts")
 	}
-	if err := h.Close([]int{0, 1}, nil); err != nil {
+	if err := servers.Close([]int{0, 1}, nil); err != nil {
 		t.Error(err)
 	}
-	if h.Close([]int{2}, nil) == nil || h.Close([]int{-1}, nil) == nil || h.Start(ListedServersSpec{Count: 1}, &endpoints) == nil {
-		t.Error("a server that isn't there is ended, or the servers start twice")
+}
+
+func TestListedServersRefuse(t *testing.T) {
+	servers, endpoints := startListedServers(t, 2)
+	for _, test := range []struct {
+		name string
+		err  error
+	}{
+		{"a server past the last", servers.Close([]int{2}, nil)},
+		{"a server before the first", servers.Close([]int{-1}, nil)},
+		{"a second start", servers.Start(ListedServersSpec{Count: 1}, &endpoints)},
+	} {
+		if test.err == nil {
+			t.Errorf("%s: no error", test.name)
+		}
 	}
 }
--- a/internal/fleet/standin/main_test.go
+++ /dev/null
@@ -1,9 +0,0 @@
-package standin
-
-import (
-	"testing"
-
-	"basaltdrum/internal/testutil"
-)
-
-func TestMain(m *testing.M) { testutil.Main(m) }
--- a/internal/fleet/standin/registry_test.go
+++ b/internal/fleet/standin/registry_test.go
@@ -2,205 +2,165 @@
 
 import (
 	"context"
-	"encoding/json"
-	"fmt"
-	"io"
-	"net/http"
 	"testing"
 	"time"
 
 	"basaltdrum/internal/fleet/stats"
+	"basaltdrum/internal/testutil"
 )
 
-// limit is how long a test waits for what must come; only a failing one waits so long.
-const limit = 60 * time.Second
-
-func targets(n int) []ListEntry { return NewRotation(0, n, "127.0.0.1:1").entries }
-
-// tell asks an address of a registry.
-func tell(t *testing.T, address, query string) listBody {
-	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
-	defer cancel()
-	body, err := tryTell(ctx, address, query)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return body
+// A call without a version gets the complete list, in service or not, without what was removed.
+func TestCompleteList(t *testing.T) {
+	entries := testEntries(3)
+	r := newTestRegistry(t, entries)
+	if body := r.get(t, ""); body.Rev != 1 || !body.All || len(body.Entries) != 3 || body.Entries[0].State != InService {
+		t.Errorf("at first: %+v", body)
+	}
+	r.change(t, inState(entries[1], Terminating))
+	r.change(t, inState(entries[1], Terminated))
+	if body := r.get(t, ""); body.Rev != 3 || len(body.Entries) != 2 {
+		t.Errorf("after a removal: %+v", body)
+	}
 }
 
-func tryTell(ctx context.Context, address, query string) (a listBody, err error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/registry/instances"+query, nil)
-	if err != nil {
-		return a, err
+// A watch gets each entry that has changed since its version once, as it is now.
+func TestWatchGetsWhatHasChanged(t *testing.T) {
+	entries := testEntries(3)
+	r := newTestRegistry(t, entries)
+	if body := r.get(t, "?from=1&hold_ms=1"); body.Rev != 1 || body.All || len(body.Entries) != 0 {
+		t.Errorf("nothing changes during the hold: %+v", body)
+	}
+	r.change(t, inState(entries[1], Terminating))
+	r.change(t, inState(entries[1], Terminated))
+	body := r.get(t, "?from=1&hold_ms=60000")
+	if body.Rev != 3 || body.All || len(body.Entries) != 1 || body.Entries[0].State != Terminated {
+		t.Errorf("two changes of one entry: %+v", body)
+	}
+	if body := r.get(t, "?from=2&hold_ms=60000"); body.Rev != 3 || len(body.Entries) != 1 {
+		t.Errorf("the last change: %+v", body)
 	}
-	resp, err := http.DefaultClient.Do(req)
-	if err != nil {
-		return a, err
+}
+
+// Where the changes since a version are not known, the watch gets the complete list at once.
+func TestWatchFromAnUnknownVersion(t *testing.T) {
+	entries := testEntries(3)
+	r := newTestRegistry(t, entries)
+	r.change(t, inState(entries[1], Terminating))
+	r.change(t, inState(entries[1], Terminated))
+	if body := r.get(t, "?from=77&hold_ms=60000"); body.Rev != 3 || !body.All {
+		t.Errorf("a version that never was: %+v", body)
 	}
-	defer resp.Body.Close()
-	text, err := io.ReadAll(resp.Body)
-	if err != nil {
-		return a, err
+	for range maxChanges {
+		r.change(t, entries[0])
 	}
-	if resp.StatusCode != http.StatusOK {
-		return a, fmt.Errorf("status %d: %s", resp.StatusCode, text)
+	if body := r.get(t, "?from=1&hold_ms=60000"); !body.All || len(body.Entries) != 2 {
+		t.Errorf("a version whose changes are dropped: all %v, %d entries", body.All, len(body.Entries))
 	}
-	return a, json.Unmarshal(text, &a)
-}
-
-func newTestRegistry(t *testing.T, services ...[]ListEntry) (*Registry, string) {
-	t.Helper()
-	r := NewRegistry(services)
-	t.Cleanup(func() { r.Close() })
-	address, err := r.Listen(0)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return r, address
 }
 
-func makeChange(t *testing.T, r *Registry, targets ...ListEntry) {
-	t.Helper()
-	if _, err := r.Change(0, targets); err != nil {
-		t.Fatal(err)
+func TestBadWatchParameters(t *testing.T) {
+	r := newTestRegistry(t, testEntries(1))
+	for _, test := range []struct{ name, query string }{
+		{"version is no number", "?from=x&hold_ms=1"},
+		{"no hold", "?from=1"},
+		{"hold is no number", "?from=1&hold_ms=x"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if body, err := r.tryGet(t.Context(), test.query); err == nil {
+				t.Errorf("%+v", body)
+			}
+		})
 	}
 }
 
-func TestRegistryTellsWholeListsAndChanges(t *testing.T) {
-	r, address := newTestRegistry(t, targets(3))
-	if a := tell(t, address, ""); a.Rev != 1 || !a.All || len(a.Entries) != 3 || a.Entries[0].State != InService {
-		t.Errorf("the whole list: %+v", a)
-	}
-	if a := tell(t, address, "?from=1&hold_ms=1"); a.Rev != 1 || a.All || len(a.Entries) != 0 {
-		t.Errorf("a hold without news: %+v", a)
-	}
-	one := targets(3)[1]
-	one.State = Terminating
-	makeChange(t, r, one)
-	one.State = Terminated
-	makeChange(t, r, one)
-	if a := tell(t, address, "?from=1&hold_ms=60000"); a.Rev != 3 || a.All || len(a.Entries) != 1 || a.Entries[0].State != Terminated {
-		t.Errorf("two changes of one entry: %+v", a)
-	}
-	if a := tell(t, address, "?from=2&hold_ms=60000"); a.Rev != 3 || len(a.Entries) != 1 {
-		t.Errorf("the last change: %+v", a)
-	}
-	if a := tell(t, address, ""); a.Rev != 3 || len(a.Entries) != 2 {
-		t.Errorf("the whole list without what has gone: %+v", a)
-	}
-	if a := tell(t, address, "?from=77&hold_ms=60000"); a.Rev != 3 || !a.All {
-		t.Errorf("from a version that never was: %+v", a)
-	}
-	for range maxChanges {
-		makeChange(t, r, targets(3)[0])
-	}
-	if a := tell(t, address, "?from=1&hold_ms=60000"); !a.All || len(a.Entries) != 2 {
-		t.Errorf("from a version that is forgotten: all %v, %d entries", a.All, len(a.Entries))
-	}
-	for _, query := range []string{"?from=x&hold_ms=1", "?from=1", "?from=1&hold_ms=x"} {
-		if a, err := tryTell(context.Background(), address, query); err == nil {
-			t.Errorf("%s: %+v", query, a)
+// All calls are counted, those that get an error too, with their bytes both ways.
+func TestRegistryCountsTraffic(t *testing.T) {
+	const goodCalls, badCalls = 7, 3
+	r := newTestRegistry(t, testEntries(3))
+	for range goodCalls {
+		r.get(t, "")
+	}
+	for range badCalls {
+		if _, err := r.tryGet(t.Context(), "?from=x"); err == nil {
+			t.Error("a bad call is answered")
 		}
 	}
-	c := r.Traffic.Counted()
-	sum, peak, _ := c.Between(time.Unix(0, c.StartNS), time.Now().Add(stats.BucketWidth))
-	if sum.Calls != 10 || sum.Conns < 1 || sum.In < 10*50 || sum.Out < 10*50 || peak < 1 || peak > 10 {
+	counted := r.Traffic.Counted()
+	const all = goodCalls + badCalls
+	sum, peak, _ := counted.Between(time.Unix(0, counted.StartNS), time.Now().Add(stats.BucketWidth))
+	if sum.Calls != all || sum.Conns < 1 || peak < 1 || peak > all {
 		t.Errorf("counted %+v, peak %d", sum, peak)
 	}
+	if sum.In < all*50 || sum.Out < all*50 { // bytes of the shortest request and response
+		t.Errorf("bytes %+v", sum)
+	}
 }
 
-func TestWatchWaitsForNews(t *testing.T) {
-	r, address := newTestRegistry(t, targets(2))
-	got := make(chan listBody, 1)
-	go func() {
-		a, err := tryTell(context.Background(), address, "?from=1&hold_ms=60000")
-		if err != nil {
-			t.Error(err)
-		}
-		got <- a
-	}()
-	for r.Traffic.Counted().Open == 0 {
-		time.Sleep(time.Millisecond)
-	}
-	makeChange(t, r, targets(2)[1])
-	select {
-	case a := <-got:
-		if a.Rev != 2 || len(a.Entries) != 1 {
-			t.Errorf("%+v", a)
-		}
-	case <-time.After(limit):
-		t.Fatal("the watch is not woken")
+func TestWatchIsAnsweredByAChange(t *testing.T) {
+	entries := testEntries(2)
+	r := newTestRegistry(t, entries)
+	watch := r.watch(t.Context(), t, "?from=1&hold_ms=60000")
+	r.change(t, entries[1])
+	got := testutil.Wait(t, watch, "the answer to the watch")
+	if got.err != nil || got.body.Rev != 2 || len(got.body.Entries) != 1 {
+		t.Errorf("%v: %+v", got.err, got.body)
 	}
 }
 
-// A silent registry accepts and answers nothing: not what waited as it fell silent, nor what came meanwhile,
-// even after its return. What comes then is answered.
+// lostCallTime is how long it is watched that a call gets no answer. Time is the subject: there is no event to wait
+// for, and an answer that comes later is found when the call is cancelled.
+const lostCallTime = 100 * time.Millisecond
+
+// A registry that is silent accepts calls and answers none: neither those that waited when the outage began, nor those
+// that come during it, even after its end. A call that comes after the outage is answered.
 func TestSilence(t *testing.T) {
-	r, address := newTestRegistry(t, targets(2))
-	ctx, cancel := context.WithCancel(context.Background())
-	errs := make(chan error, 2)
-	ask := func(query string) {
-		before := calls(r)
-		go func() {
-			_, err := tryTell(ctx, address, query)
-			errs <- err
-		}()
-		for calls(r) == before {
-			time.Sleep(time.Millisecond)
-		}
-	}
-	ask("?from=1&hold_ms=50")
+	entries := testEntries(2)
+	r := newTestRegistry(t, entries)
+	ctx, cancel := context.WithCancel(t.Context())
+	before := r.watch(ctx, t, "?from=1&hold_ms=50")
 	r.Silence(true)
-	ask("")
-	makeChange(t, r, targets(2)[0])
+	during := r.watch(ctx, t, "")
+	r.change(t, entries[0])
 	r.Silence(false)
-	makeChange(t, r, targets(2)[0])
-	if a := tell(t, address, "?from=1&hold_ms=60000"); a.Rev != 3 {
-		t.Errorf("after the return: %+v", a)
+	r.change(t, entries[0])
+	if body := r.get(t, "?from=1&hold_ms=60000"); body.Rev != 3 {
+		t.Errorf("after the outage: %+v", body)
 	}
 	select {
-	case err := <-errs:
-		t.Errorf("a lost call ended: %v", err)
-	case <-time.After(100 * time.Millisecond):
+	case result := <-before:
+		t.Errorf("the call from before the outage ended: %+v", result)
+	case result := <-during:
+		t.Errorf("the call from the outage ended: %+v", result)
+	case <-time.After(lostCallTime):
 	}
 	cancel()
-	for range 2 {
-		if err := <-errs; err == nil {
-			t.Error("a lost call was answered")
+	for _, lost := range []<-chan watchResult{before, during} {
+		if result := testutil.Wait(t, lost, "the end of a lost call"); result.err == nil {
+			t.Errorf("a lost call was answered: %+v", result.body)
 		}
 	}
 }
 
 // A broken watch ends without an answer; the next one is answered.
 func TestBreakWatches(t *testing.T) {
-	r, address := newTestRegistry(t, targets(2))
-	ended := make(chan error, 1)
-	go func() {
-		_, err := tryTell(context.Background(), address, "?from=1&hold_ms=60000")
-		ended <- err
-	}()
-	var err error
-	for over := false; !over; {
-		r.BreakWatches() // before the watch is there it breaks none
+	entries := testEntries(2)
+	r := newTestRegistry(t, entries)
+	watch := r.watch(t.Context(), t, "?from=1&hold_ms=60000")
+	var result watchResult
+	testutil.Until(t, "the end of the watch", func() bool {
+		r.BreakWatches() // the call is counted just before its watch is open, so the first may break none
 		select {
-		case err = <-ended:
-			over = true
-		case <-time.After(time.Millisecond):
+		case result = <-watch:
+			return true
+		default:
+			return false
 		}
+	})
+	if result.err == nil {
+		t.Errorf("a broken watch was answered: %+v", result.body)
 	}
-	if err == nil {
-		t.Error("a broken watch was answered")
-	}
-	makeChange(t, r, targets(2)[0])
-	if a := tell(t, address, "?from=1&hold_ms=60000"); a.Rev != 2 || len(a.Entries) != 1 {
-		t.Errorf("after the break: %+v", a)
-	}
-}
-
-func calls(r *Registry) (n int64) {
-	for _, b := range r.Traffic.Counted().Buckets {
-		n += b.Calls
+	r.change(t, entries[0])
+	if body := r.get(t, "?from=1&hold_ms=60000"); body.Rev != 2 || len(body.Entries) != 1 {
+		t.Errorf("after the break: %+v", body)
 	}
-	return n
 }
