--- a/cmd/fleetscale/main_test.go
+++ b/cmd/fleetscale/main_test.go
@@ -11,23 +11,21 @@
 	"strings"
 	"syscall"
 	"testing"
-	"time"
 
 	"basaltdrum/internal/fleet/report"
+	"basaltdrum/internal/testutil"
 )
 
-// limit is how long a test waits for what must come; only a failing one waits so long.
-const limit = 60 * time.Second
-
 // TestMain lets the tests' own program be the command, and its children. A child never runs the tests, which
 // would start children of their own without end.
 func TestMain(m *testing.M) {
 	if os.Getenv("FLEETSCALE_TEST_MAIN") != "" || len(os.Args) > 1 && os.Args[1] == "child" {
 		main()
 	}
-	os.Exit(m.Run())
+	testutil.Main(m)
 }
 
+// command starts the tests' own program as fleetscale.
 func command(args ...string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0], args...)
 	cmd.Env = append(os.Environ(), "FLEETSCALE_TEST_MAIN=1")
@@ -35,52 +33,60 @@
 }
 
 func TestBadArguments(t *testing.T) {
-	for _, test := range []struct{ args, want string }{
-		{"", "nothing to measure"},
-		{"--nodes x", "--nodes"},
-		{"--nodes=-1", "--nodes must be from 0 to 1100"},
-		{"--nodes 1101", "--nodes must be from 0 to 1100"},
-		{"--real 1101", "--real must be from 0 to 1100"},
-		{"--nodes 5 --servers 1", "--servers must be from 2"},
-		{"--nodes 5 --services 6", "--services 6 is more than --nodes 5"},
-		{"--nodes 5 --mode told", "--mode"},
-		{"--nodes 5 --storm rain", "--storm"},
-		{"--nodes 5 --depth 3", "--depth 3"},
-		{"--real 5 --depth 3", "--depth 3"},
-		{"--nodes 5 --configs 6", "--configs needs --real"},
-		{"--nodes 5 --rate NaN", "--rate"},
-		{"--nodes 1100 --rate 1000", "more than 400000 calls a second"},
-		{"--nodes 5 --for 10ms", "--for must be from 1s"},
-		{"--nodes 5 --for soon", "--for"},
-		{"--nodes 5 --service 2s", "--service"},
-		{"--nodes 5 --changes=-3", "--changes"},
-		{"--nodes 5 --colour red", "--colour"},
-		{"--nodes 5 more", "more"},
-		{"growth --servers 201", "--servers 201 times --factor 16 is more than 3200"},
-		{"growth --servers 5", "--servers must be from 10 to 3200"},
-		{"growth --factor 1", "--factor must be from 2 to 16"},
-		{"growth --real 0", "--real must be from 1"},
-		{"growth --real 5 --fleet 4", "--fleet must be from 5 to 900"},
-		{"growth --rate NaN", "--rate must be from 1"},
-		{"growth --for 2m", "--for must be from 1s to 1m"},
-		{"growth --service 2s", "--service must be from 0s"},
-		{"growth --mode told", "--mode"},
-		{"sweep --nodes 5", "--over"},
-		{"sweep --nodes 5 --over seeds --values 1,2", "--over"},
-		{"sweep --nodes 5 --over servers --values 10", "--values"},
-		{"sweep --nodes 5 --over servers --values 10,1", "--servers must be from 2"},
+	for _, test := range []struct{ name, args, want string }{
+		{"nothing to measure", "", "nothing to measure"},
+		{"nodes is no number", "--nodes x", "--nodes"},
+		{"nodes under its range", "--nodes=-1", "--nodes must be from 0 to 1100"},
+		{"nodes over its range", "--nodes 1101", "--nodes must be from 0 to 1100"},
+		{"real over its range", "--real 1101", "--real must be from 0 to 1100"},
+		{"servers under its range", "--nodes 5 --servers 1", "--servers must be from 2"},
+		{"more services than nodes", "--nodes 5 --services 6", "--services 6 is more than --nodes 5"},
+		{"unknown mode", "--nodes 5 --mode told", "--mode"},
+		{"unknown storm", "--nodes 5 --storm rain", "--storm"},
+		{"a chain of no nodes", "--nodes 5 --depth 3", "--depth 3"},
+		{"part of a chain", "--real 5 --depth 3", "--depth 3"},
+		{"configurations of no real nodes", "--nodes 5 --configs 6", "--configs needs --real"},
+		{"rate is no number", "--nodes 5 --rate NaN", "--rate"},
+		{"too many calls", "--nodes 1100 --rate 1000", "more than 400000 calls a second"},
+		{"length under its range", "--nodes 5 --for 10ms", "--for must be from 1s"},
+		{"length is no duration", "--nodes 5 --for soon", "--for"},
+		{"service time over its range", "--nodes 5 --service 2s", "--service"},
+		{"changes under their range", "--nodes 5 --changes=-3", "--changes"},
+		{"unknown argument", "--nodes 5 --colour red", "--colour"},
+		{"a word too many", "--nodes 5 more", "more"},
+		{
+			"growth: too many servers at the large size", "growth --servers 201",
+			"--servers 201 times --factor 16 is more than 3200",
+		},
+		{"growth: servers under their range", "growth --servers 5", "--servers must be from 10 to 3200"},
+		{"growth: factor under its range", "growth --factor 1", "--factor must be from 2 to 16"},
+		{"growth: no node", "growth --real 0", "--real must be from 1"},
+		{"growth: more nodes than the fleet has", "growth --real 5 --fleet 4", "--fleet must be from 5 to 900"},
+		{"growth: rate is no number", "growth --rate NaN", "--rate must be from 1"},
+		{"growth: length over its range", "growth --for 2m", "--for must be from 1s to 1m"},
+		{"growth: service time over its range", "growth --service 2s", "--service must be from 0s"},
+		{"growth: unknown mode", "growth --mode told", "--mode"},
+		{"sweep over nothing", "sweep --nodes 5", "--over"},
+		{"sweep over an argument that can't be varied", "sweep --nodes 5 --over seeds --values 1,2", "--over"},
+		{"sweep with one value", "sweep --nodes 5 --over servers --values 10", "--values"},
+		{"sweep to a value out of range", "sweep --nodes 5 --over servers --values 10,1", "--servers must be from 2"},
 	} {
-		var stdout, stderr bytes.Buffer
-		code := run(strings.Fields(test.args), &stdout, &stderr)
-		said := stderr.String()
-		if code != exitUsage || !strings.HasPrefix(said, "fleetscale: ") || !strings.Contains(said, test.want) ||
-			strings.Count(said, "\n") != 1 || stdout.Len() > 0 {
-			t.Errorf("%q: exit %d, said %q, output %q", test.args, code, said, stdout.String())
-		}
+		t.Run(test.name, func(t *testing.T) {
+			var stdout, stderr bytes.Buffer
+			code := run(strings.Fields(test.args), &stdout, &stderr)
+			message := stderr.String()
+			if code != exitUsage || stdout.Len() > 0 {
+				t.Errorf("exit %d, output %q", code, stdout.String())
+			}
+			if !strings.HasPrefix(message, "fleetscale: ") || !strings.Contains(message, test.want) ||
+				strings.Count(message, "\n") != 1 {
+				t.Errorf("%q: message %q", test.args, message)
+			}
+		})
 	}
 }
 
-// What is varied needs no value beside.
+// The argument that a sweep varies need not be given.
 func TestSweepOverNodesNeedsNoNodes(t *testing.T) {
 	var c commands
 	parser, err := newParser(&c, io.Discard, io.Discard, func(int) {})
@@ -88,66 +94,91 @@
 		t.Fatal(err)
 	}
 	parsed, err := parser.Parse(strings.Fields("sweep --over nodes --values 10,20 --servers 7"))
-	if err != nil || parsed.Command() != "sweep" || c.Sweep.Servers != 7 || len(c.Sweep.Values) != 2 || c.Sweep.Mode != "pushed" {
-		t.Errorf("%v: %+v", err, c.Sweep)
+	if err != nil || parsed.Command() != "sweep" {
+		t.Fatalf("%v: %+v", err, parsed)
+	}
+	if c.Sweep.Servers != 7 || len(c.Sweep.Values) != 2 || c.Sweep.Mode != "pushed" {
+		t.Errorf("%+v", c.Sweep)
 	}
 }
 
+// The help lists the commands, but for the one that children are started with.
 func TestHelp(t *testing.T) {
 	var stdout, stderr bytes.Buffer
-	if code := run([]string{"--help"}, &stdout, &stderr); code != 0 || !strings.Contains(stdout.String(), "sweep") || strings.Contains(stdout.String(), "child") {
-		t.Errorf("exit %d: %s%s", code, stdout.String(), stderr.String())
+	code := run([]string{"--help"}, &stdout, &stderr)
+	help := stdout.String()
+	if code != 0 || !strings.Contains(help, "sweep") || strings.Contains(help, "child") {
+		t.Errorf("exit %d: %s%s", code, help, stderr.String())
 	}
 }
 
 // The report goes to standard output, as a table and JSON, or the JSON to a file.
 func TestReport(t *testing.T) {
-	file := filepath.Join(t.TempDir(), "report.json")
-	for _, args := range [][]string{{"--nodes", "3", "--for", "1s"}, {"--nodes", "3", "--for", "1s", "--json", file}} {
-		cmd := command(args...)
-		var stderr bytes.Buffer
-		cmd.Stderr = &stderr
-		out, err := cmd.Output()
-		if err != nil {
-			t.Fatalf("%v: %s", err, stderr.String())
-		}
-		table, text, _ := strings.Cut(string(out), "\n{")
-		text = "{" + text
-		if len(args) > 4 {
-			kept, err := os.ReadFile(file)
+	t.Parallel()
+	for _, test := range []struct {
+		name   string
+		toFile bool
+	}{
+		{"to standard output", false},
+		{"to a file", true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			t.Parallel()
+			args := []string{"--nodes", "3", "--for", "1s"}
+			file := filepath.Join(t.TempDir(), "report.json")
+			if test.toFile {
+				args = append(args, "--json", file)
+			}
+			cmd := command(args...)
+			var stderr bytes.Buffer
+			cmd.Stderr = &stderr
+			out, err := cmd.Output()
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("%v: %s", err, stderr.String())
 			}
-			text = string(kept)
-		}
-		var got report.Report
-		if err := json.Unmarshal([]byte(text), &got); err != nil {
-			t.Fatalf("%v: %s", err, text)
-		}
-		if !strings.Contains(table, "a hollow node") || !strings.Contains(stderr.String(), "msg=measuring") ||
-			len(got.Points) != 1 || got.Points[0].Args.Nodes != 3 || got.Command != "fleetscale "+strings.Join(args, " ") {
-			t.Errorf("%v: table %q, report %+v", args, table, got)
-		}
+			if !strings.Contains(stderr.String(), "msg=measuring") {
+				t.Errorf("log %s", stderr.String())
+			}
+			table, text, _ := strings.Cut(string(out), "\n{")
+			text = "{" + text
+			if test.toFile {
+				text = readFile(t, file)
+			}
+			checkReport(t, args, table, text)
+		})
+	}
+}
+
+// checkReport wants the table and the JSON of a run of three hollow nodes.
+func checkReport(t *testing.T, args []string, table, text string) {
+	t.Helper()
+	if !strings.Contains(table, "a hollow node") {
+		t.Errorf("table %q", table)
+	}
+	var got report.Report
+	if err := json.Unmarshal([]byte(text), &got); err != nil {
+		t.Fatalf("%v: %s", err, text)
+	}
+	if got.Command != "fleetscale "+strings.Join(args, " ") || len(got.Points) != 1 || got.Points[0].Args.Nodes != 3 {
+		t.Errorf("report %+v", got)
 	}
 }
 
 // A growth run prints the rows and writes the report, whether or not a row is over its limit on this machine.
 func TestGrowthReport(t *testing.T) {
+	t.Parallel()
 	file := filepath.Join(t.TempDir(), "report.json")
 	cmd := command("growth", "--servers", "10", "--factor", "2", "--real", "1", "--for", "1s", "--json", file)
 	var stdout, stderr bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &stdout, &stderr
-	err := cmd.Run()
-	text, readErr := os.ReadFile(file)
-	if readErr != nil {
-		t.Fatalf("%v, %v: %s", err, readErr, stderr.String())
-	}
+	runErr := cmd.Run()
 	var got report.GrowthReport
-	if err := json.Unmarshal(text, &got); err != nil {
-		t.Fatalf("%v: %s", err, text)
+	if err := json.Unmarshal([]byte(readFile(t, file)), &got); err != nil {
+		t.Fatalf("%v, %v: %s", runErr, err, stderr.String())
 	}
-	if over := got.Err(); (over == nil) != (err == nil) || over != nil && !strings.Contains(stderr.String(), over.Error()) {
-		t.Errorf("the run: %v, %s; its rows: %v", err, stderr.String(), over)
+	over := got.Err()
+	if (over == nil) != (runErr == nil) || over != nil && !strings.Contains(stderr.String(), over.Error()) {
+		t.Errorf("the run: %v, %s; its rows: %v", runErr, stderr.String(), over)
 	}
 	for _, row := range got.Rows {
 		if !strings.Contains(stdout.String(), row.What) {
@@ -161,51 +192,74 @@
 
 // SIGTERM and SIGINT end a run and all its children; so does its own sudden death.
 func TestSignalsLeaveNoChildren(t *testing.T) {
+	t.Parallel()
 	program := filepath.Join(t.TempDir(), "balancer")
-	if out, err := exec.Command("go", "build", "-o", program, "basaltdrum/cmd/balancer").CombinedOutput(); err != nil {
+	build := exec.Command("go", "build", "-o", program, "basaltdrum/cmd/balancer")
+	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGINT, syscall.SIGKILL} {
-		cmd := command("--nodes", "3", "--real", "2", "--for", "60s", "--program", program)
-		cmd.Env = append(cmd.Env, "TMPDIR="+t.TempDir()) // what a killed run leaves is the test's to remove
-		var stderr bytes.Buffer
-		cmd.Stderr = &stderr
-		if err := cmd.Start(); err != nil {
-			t.Fatal(err)
-		}
-		var found []string
-		for end := time.Now().Add(limit); len(found) < 5; time.Sleep(5 * time.Millisecond) {
-			if found = children(t, cmd.Process.Pid); time.Now().After(end) {
-				t.Fatalf("children %v", found)
+	for _, test := range []struct {
+		signal syscall.Signal
+		killed bool // the run can't wait for its children, which the kernel ends a moment later
+	}{
+		{syscall.SIGTERM, false},
+		{syscall.SIGINT, false},
+		{syscall.SIGKILL, true},
+	} {
+		t.Run(test.signal.String(), func(t *testing.T) {
+			t.Parallel()
+			cmd := command("--nodes", "3", "--real", "2", "--for", "60s", "--program", program)
+			cmd.Env = append(cmd.Env, "TMPDIR="+t.TempDir()) // what a killed run leaves is the test's to remove
+			var stderr bytes.Buffer
+			cmd.Stderr = &stderr
+			if err := cmd.Start(); err != nil {
+				t.Fatal(err)
 			}
-		}
-		cmd.Process.Signal(s)
-		err := cmd.Wait()
-		if s != syscall.SIGKILL && (cmd.ProcessState.ExitCode() != exitFailed || !strings.Contains(stderr.String(), "ended by a signal")) {
-			t.Errorf("%v: %v: %s", s, err, stderr.String())
-		}
-		for end := time.Now().Add(limit); ; time.Sleep(5 * time.Millisecond) {
-			left := 0
-			for _, pid := range found {
-				if there(pid) {
-					left++
-				}
+			var started []string
+			testutil.Until(t, "all children", func() bool {
+				started = children(t, cmd.Process.Pid)
+				return len(started) >= runChildren
+			})
+			if err := cmd.Process.Signal(test.signal); err != nil {
+				t.Fatal(err)
 			}
-			if left == 0 {
-				break
+			err := cmd.Wait()
+			if test.killed {
+				testutil.Until(t, "the end of all children", func() bool { return len(running(started)) == 0 })
+				return
 			}
-			if s != syscall.SIGKILL || time.Now().After(end) {
-				t.Errorf("%v: %d children are left", s, left)
-				break
+			if left := running(started); len(left) > 0 {
+				t.Errorf("children are left: %v", left)
 			}
-		}
+			if cmd.ProcessState.ExitCode() != exitFailed || !strings.Contains(stderr.String(), "ended by a signal") {
+				t.Errorf("%v: %s", err, stderr.String())
+			}
+		})
 	}
 }
 
-// there says that a process is there and no zombie.
-func there(pid string) bool {
-	fields := stat(pid)
-	return len(fields) > 1 && fields[0] != "Z"
+// runChildren is how many children the runs of TestSignalsLeaveNoChildren have: the registry, the hollow nodes, the
+// servers, and two real nodes.
+const runChildren = 5
+
+// readFile returns the text of a file that must be there.
+func readFile(t *testing.T, path string) string {
+	t.Helper()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+// running returns those of some processes that are there and no zombies.
+func running(pids []string) (found []string) {
+	for _, pid := range pids {
+		if fields := stat(pid); len(fields) > 1 && fields[0] != "Z" {
+			found = append(found, pid)
+		}
+	}
+	return found
 }
 
 // stat is a process's state, its parent and more.
@@ -217,6 +271,7 @@
 	return strings.Fields(string(text[bytes.LastIndexByte(text, ')')+1:]))
 }
 
+// children returns the processes that another one has started and that are still there.
 func children(t *testing.T, parent int) (found []string) {
 	t.Helper()
 	entries, err := os.ReadDir("/proc")
--- a/cmd/fleetscale/reportfile_test.go
+++ b/cmd/fleetscale/reportfile_test.go
@@ -11,18 +11,18 @@
 	"testing"
 )
 
-// failingFile takes so many bytes, then fails to write, or fails at another call.
+// failingFile stores as many bytes as its disk has space for, then fails to write, or fails at another call.
 type failingFile struct {
 	newFile
-	room                   int
-	write, sync, mode, end error
+	space                    int
+	write, sync, mode, close error
 }
 
 func (f *failingFile) Write(p []byte) (int, error) {
-	if len(p) <= f.room {
+	if len(p) <= f.space {
 		return f.newFile.Write(p)
 	}
-	n, err := f.newFile.Write(p[:f.room])
+	n, err := f.newFile.Write(p[:f.space])
 	return n, errors.Join(err, f.write) // without an error: a short write
 }
 
@@ -30,59 +30,69 @@
 	return errors.Join(f.newFile.Chmod(mode), f.mode)
 }
 func (f *failingFile) Sync() error  { return errors.Join(f.newFile.Sync(), f.sync) }
-func (f *failingFile) Close() error { return errors.Join(f.newFile.Close(), f.end) }
+func (f *failingFile) Close() error { return errors.Join(f.newFile.Close(), f.close) }
 
 const (
 	oldReport = "the report of an earlier run\n"
 	newReport = "{\"a\": \"new report\"}\n"
 )
 
-// A report that can't be written whole leaves the one before, and no new file; the error names the file.
+// failedWrite is a write of a report that fails with an error.
+type failedWrite struct {
+	file   failingFile
+	rename error
+	want   error
+}
+
+// A report that can't be written completely leaves the one before, and no new file; the error names the file.
 func TestFailedReportLeavesTheOldOne(t *testing.T) {
 	all := len(newReport)
-	for name, test := range map[string]struct {
-		file   failingFile
-		rename error
-		want   error
-	}{
-		"no space at the first byte": {file: failingFile{room: 0, write: syscall.ENOSPC}, want: syscall.ENOSPC},
-		"no space at the last byte":  {file: failingFile{room: all - 1, write: syscall.ENOSPC}, want: syscall.ENOSPC},
-		"bad disk in the middle":     {file: failingFile{room: all / 2, write: syscall.EIO}, want: syscall.EIO},
-		"short write, no error":      {file: failingFile{room: all / 2}, want: io.ErrShortWrite},
-		"bad disk at the sync":       {file: failingFile{room: all, sync: syscall.EIO}, want: syscall.EIO},
-		"no space at the sync":       {file: failingFile{room: all, sync: syscall.ENOSPC}, want: syscall.ENOSPC},
-		"mode refused":               {file: failingFile{room: all, mode: syscall.EPERM}, want: syscall.EPERM},
-		"bad disk at the close":      {file: failingFile{room: all, end: syscall.EIO}, want: syscall.EIO},
-		"bad disk at the rename":     {file: failingFile{room: all}, rename: syscall.EIO, want: syscall.EIO},
+	for name, test := range map[string]failedWrite{
+		"no space at the first byte": {file: failingFile{space: 0, write: syscall.ENOSPC}, want: syscall.ENOSPC},
+		"no space at the last byte":  {file: failingFile{space: all - 1, write: syscall.ENOSPC}, want: syscall.ENOSPC},
+		"bad disk in the middle":     {file: failingFile{space: all / 2, write: syscall.EIO}, want: syscall.EIO},
+		"short write, no error":      {file: failingFile{space: all / 2}, want: io.ErrShortWrite},
+		"bad disk at the sync":       {file: failingFile{space: all, sync: syscall.EIO}, want: syscall.EIO},
+		"no space at the sync":       {file: failingFile{space: all, sync: syscall.ENOSPC}, want: syscall.ENOSPC},
+		"mode refused":               {file: failingFile{space: all, mode: syscall.EPERM}, want: syscall.EPERM},
+		"bad disk at the close":      {file: failingFile{space: all, close: syscall.EIO}, want: syscall.EIO},
+		"bad disk at the rename":     {file: failingFile{space: all}, rename: syscall.EIO, want: syscall.EIO},
 	} {
-		for _, old := range []string{"", oldReport} {
-			path := filepath.Join(t.TempDir(), "report.json")
-			if old != "" {
-				if err := os.WriteFile(path, []byte(old), 0o644); err != nil {
-					t.Fatal(err)
-				}
-			}
-			folder := reportFiles
-			folder.create = func(in, pattern string) (newFile, error) {
-				f, err := os.CreateTemp(in, pattern)
-				file := test.file
-				file.newFile = f
-				return &file, err
-			}
-			if test.rename != nil {
-				folder.rename = func(string, string) error { return test.rename }
-			}
-			err := folder.write(path, []byte(newReport))
-			if !errors.Is(err, test.want) || !strings.Contains(err.Error(), path) {
-				t.Errorf("%s: error %v, want %v at %s", name, err, test.want, path)
-			}
-			checkFolder(t, name, path, old)
+		t.Run(name, func(t *testing.T) {
+			t.Run("no old report", func(t *testing.T) { checkFailedWrite(t, test, "") })
+			t.Run("an old report", func(t *testing.T) { checkFailedWrite(t, test, oldReport) })
+		})
+	}
+}
+
+// checkFailedWrite writes a report in a way that fails, and wants the old one untouched.
+func checkFailedWrite(t *testing.T, test failedWrite, old string) {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "report.json")
+	if old != "" {
+		if err := os.WriteFile(path, []byte(old), 0o644); err != nil {
+			t.Fatal(err)
 		}
 	}
+	folder := reportFiles
+	folder.create = func(in, pattern string) (newFile, error) {
+		f, err := os.CreateTemp(in, pattern)
+		file := test.file
+		file.newFile = f
+		return &file, err
+	}
+	if test.rename != nil {
+		folder.rename = func(string, string) error { return test.rename }
+	}
+	err := folder.write(path, []byte(newReport))
+	if !errors.Is(err, test.want) || !strings.Contains(err.Error(), path) {
+		t.Errorf("error %v, want %v at %s", err, test.want, path)
+	}
+	checkFolder(t, path, old)
 }
 
 // checkFolder wants the text at path, or nothing if it is empty, and no other file in the folder.
-func checkFolder(t *testing.T, name, path, want string) {
+func checkFolder(t *testing.T, path, want string) {
 	t.Helper()
 	entries, err := os.ReadDir(filepath.Dir(path))
 	if err != nil {
@@ -91,12 +101,12 @@
 	text, err := os.ReadFile(path)
 	if want == "" {
 		if len(entries) != 0 || !errors.Is(err, fs.ErrNotExist) {
-			t.Errorf("%s: %v are there", name, entries)
+			t.Errorf("%v are there", entries)
 		}
 		return
 	}
 	if err != nil || string(text) != want || len(entries) != 1 {
-		t.Errorf("%s: %v, %q among %v, want %q", name, err, text, entries, want)
+		t.Errorf("%v, %q among %v, want %q", err, text, entries, want)
 	}
 }
 
@@ -126,7 +136,7 @@
 		if err := folder.write(path, []byte(newReport)); err != nil {
 			t.Fatal(err)
 		}
-		checkFolder(t, "written", path, newReport)
+		checkFolder(t, path, newReport)
 		if got := strings.Join(steps, ", "); got != "sync, close, rename, sync folder" {
 			t.Errorf("steps %s", got)
 		}
@@ -149,12 +159,14 @@
 	path := filepath.Join(t.TempDir(), "report.json")
 	folder := reportFiles
 	folder.sync = func(string) error { return syscall.EIO }
-	if err := folder.write(path, []byte(newReport)); !errors.Is(err, syscall.EIO) || !strings.Contains(err.Error(), path) {
+	err := folder.write(path, []byte(newReport))
+	if !errors.Is(err, syscall.EIO) || !strings.Contains(err.Error(), path) {
 		t.Errorf("sync: %v", err)
 	}
-	checkFolder(t, "folder not synced", path, newReport)
+	checkFolder(t, path, newReport)
 	missing := filepath.Join(t.TempDir(), "none", "report.json")
-	if err := reportFiles.write(missing, []byte(newReport)); !errors.Is(err, fs.ErrNotExist) || !strings.Contains(err.Error(), missing) {
+	err = reportFiles.write(missing, []byte(newReport))
+	if !errors.Is(err, fs.ErrNotExist) || !strings.Contains(err.Error(), missing) {
 		t.Errorf("no folder: %v", err)
 	}
 }
--- a/internal/fleet/load/arrivals_test.go
+++ b/internal/fleet/load/arrivals_test.go
@@ -7,41 +7,51 @@
 	"time"
 )
 
-func TestArrivals(t *testing.T) {
-	const n = 100000
-	a, same, other := NewArrivals(282, 7, 1), NewArrivals(282, 7, 1), NewArrivals(282, 7, 2)
-	var last, sum2 float64
+// Arrivals are a Poisson process: their gaps have the mean that the rate gives, and as large a standard deviation.
+func TestArrivalsArePoisson(t *testing.T) {
+	const count, rate = 100000, 282
+	arrivals := NewArrivals(rate, 7, 1)
+	var last, squares float64
+	for range count {
+		at := arrivals.Next().Seconds()
+		squares += (at - last) * (at - last)
+		last = at
+	}
+	mean := last / count
+	if math.Abs(mean*rate-1) > 0.02 {
+		t.Errorf("mean %v s, want %v", mean, 1.0/rate)
+	}
+	if deviation := math.Sqrt(squares/count-mean*mean) / mean; math.Abs(deviation-1) > 0.02 {
+		t.Errorf("gaps have a standard deviation of %v means, want 1", deviation)
+	}
+}
+
+func TestArrivalsDependOnSeedAndStream(t *testing.T) {
+	const count = 100000
+	arrivals, same, other := NewArrivals(282, 7, 1), NewArrivals(282, 7, 1), NewArrivals(282, 7, 2)
 	differ := false
-	for range n {
-		at := a.Next()
+	for range count {
+		at := arrivals.Next()
 		if at != same.Next() {
 			t.Fatal("the same seed gives other times")
 		}
 		differ = differ || at != other.Next()
-		gap := at.Seconds() - last
-		sum2 += gap * gap
-		last = at.Seconds()
 	}
 	if !differ {
 		t.Error("streams do not differ")
 	}
-	mean := last / n
-	if math.Abs(mean*282-1) > 0.02 {
-		t.Errorf("mean %v s, want %v", mean, 1.0/282)
-	}
-	if spread := math.Sqrt(sum2/n-mean*mean) / mean; math.Abs(spread-1) > 0.02 { // a Poisson process has 1
-		t.Errorf("gaps have a standard deviation of %v means, want 1", spread)
-	}
 }
 
-// What is drawn is sent, each at its time or later, and never waits for an answer.
+// What is drawn is sent, each at its time or later, and never waits for an answer. The times are the subject.
 func TestPlaySendsAllThatIsDrawn(t *testing.T) {
+	t.Parallel()
+	const rate, length = 1000, 200 * time.Millisecond
 	want := 0
-	for a := NewArrivals(1000, 3, 0); a.Next() < 200*time.Millisecond; {
+	for drawn := NewArrivals(rate, 3, 0); drawn.Next() < length; {
 		want++
 	}
 	sent := 0
-	NewArrivals(1000, 3, 0).Play(context.Background(), 200*time.Millisecond, func(drawn time.Time) {
+	NewArrivals(rate, 3, 0).Play(t.Context(), length, func(drawn time.Time) {
 		sent++
 		if early := time.Until(drawn); early > timerResolution {
 			t.Errorf("sent %v early", early)
@@ -50,7 +60,10 @@
 	if sent != want || want < 100 {
 		t.Errorf("sent %d of %d", sent, want)
 	}
-	ctx, cancel := context.WithCancel(context.Background())
+}
+
+func TestPlayEndsWithItsContext(t *testing.T) {
+	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	NewArrivals(1000, 3, 0).Play(ctx, time.Hour, func(time.Time) { t.Error("sent after the end") })
 }
--- /dev/null
+++ b/internal/fleet/load/client_test.go
@@ -0,0 +1,94 @@
+package load
+
+import (
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"basaltdrum/internal/fleet/stats"
+	"basaltdrum/internal/testutil"
+)
+
+// startServer starts a server that answers each call with a status and a body, in which ID stands for the call's id.
+func startServer(t *testing.T, status int, body string) (address string) {
+	t.Helper()
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		w.WriteHeader(status)
+		w.Write([]byte(strings.ReplaceAll(body, "ID", r.Header.Get("X-Request-Id"))))
+	}))
+	t.Cleanup(server.Close)
+	return server.Listener.Addr().String()
+}
+
+func newTestClient(t *testing.T) *Client {
+	t.Helper()
+	client := NewClient()
+	t.Cleanup(client.Close)
+	return client
+}
+
+func TestCallOutcomes(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		status int
+		body   string
+		want   Outcome
+		fails  bool
+	}{
+		{"its own answer", http.StatusOK, "for ID", Served, false},
+		{"another call's answer", http.StatusOK, "for another", Failed, true},
+		{"unknown class", http.StatusNotFound, "", UnknownClass, false},
+		{"rejected by a server", http.StatusTooManyRequests, "", Rejected, false},
+		{"rejected by a node", http.StatusServiceUnavailable, "", Rejected, false},
+		{"failed", http.StatusBadGateway, "", Failed, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			address := startServer(t, test.status, test.body)
+			got, err := newTestClient(t).Call(t.Context(), address, Class, "id-1", time.Now().Add(testutil.Limit))
+			if got != test.want || (err != nil) != test.fails {
+				t.Errorf("outcome %d, %v, want %d", got, err, test.want)
+			}
+		})
+	}
+}
+
+func TestCallEndsAtItsDeadline(t *testing.T) {
+	address := startServer(t, http.StatusOK, "for ID")
+	if got, err := newTestClient(t).Call(t.Context(), address, Class, "id-1", time.Now()); got != Failed || err == nil {
+		t.Errorf("outcome %d, %v", got, err)
+	}
+}
+
+// A generator counts every call at every address, and the latency of served ones that come after the warm-up.
+func TestGeneratorCountsCalls(t *testing.T) {
+	t.Parallel()
+	const rounds, length = 2, 100 * time.Millisecond
+	generator := NewGenerator(newTestClient(t), Spec{
+		Name: "test", Rate: 200, Seed: 1, WarmUp: length,
+		Addresses: []string{
+			startServer(t, http.StatusOK, "for ID"),
+			startServer(t, http.StatusServiceUnavailable, ""),
+			startServer(t, http.StatusBadGateway, ""),
+		},
+	})
+	var firstRound stats.Tally
+	for i := range rounds {
+		generator.Play(t.Context(), length)
+		generator.AddCores(3)
+		if i == 0 {
+			firstRound = generator.Figures().Tally
+		}
+	}
+	f := generator.Figures()
+	if f.Served == 0 || f.Rejected == 0 || f.Failed == 0 || f.Answered() != f.Offered || f.Lateness.Count != f.Offered {
+		t.Errorf("figures %+v", f)
+	}
+	if f.Latency.Count != f.Served-firstRound.Served {
+		t.Errorf("%d latencies, want those of the second round, %d", f.Latency.Count, f.Served-firstRound.Served)
+	}
+	if f.Cores != 3 {
+		t.Errorf("%v cores in the mean, want 3", f.Cores)
+	}
+}
--- /dev/null
+++ b/internal/fleet/nodes/listchange_test.go
@@ -0,0 +1,54 @@
+package nodes
+
+import (
+	"testing"
+	"time"
+)
+
+// A change is in force at a node that has applied its version or a newer one.
+func TestAppliedAt(t *testing.T) {
+	h := &hollow{}
+	first, second := time.Unix(1, 0), time.Unix(2, 0)
+	h.noteApplied(3, first)
+	h.noteApplied(5, second)
+	for _, test := range []struct {
+		name string
+		rev  int64
+		want time.Time // zero: not applied
+	}{
+		{"older than the first", 2, first},
+		{"the first", 3, first},
+		{"covered by a newer one", 4, second},
+		{"the last", 5, second},
+		{"not applied yet", 6, time.Time{}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if at, applied := h.appliedAt(test.rev); applied == test.want.IsZero() || !at.Equal(test.want) {
+				t.Errorf("at %v, %v; want %v", at, applied, test.want)
+			}
+		})
+	}
+}
+
+// The times of a change are those of the nodes of its service, and each group of changes has its own.
+func TestInForceByGroup(t *testing.T) {
+	hollows := &Hollows{services: 2, nodes: []*hollow{{}, {}, {}, {}}}
+	begun := time.Unix(100, 0)
+	hollows.nodes[0].noteApplied(2, begun.Add(10*time.Millisecond))
+	hollows.nodes[2].noteApplied(2, begun.Add(30*time.Millisecond))
+	hollows.nodes[1].noteApplied(2, begun.Add(50*time.Millisecond))
+	figures := hollows.inForce([]ListChange{
+		{Group: "first", Service: 0, Rev: 2, AtNS: begun.UnixNano()},
+		{Group: "second", Service: 1, Rev: 2, AtNS: begun.UnixNano()},
+	})
+	first, second := figures["first"], figures["second"]
+	if first.Changes != 1 || first.Applied != 2 || first.Missed != 0 {
+		t.Errorf("applied by both nodes: %+v", first)
+	}
+	if first.Half.Worst != 10 || first.All.Worst != 30 {
+		t.Errorf("times at both nodes: %+v", first)
+	}
+	if second.Changes != 1 || second.Applied != 1 || second.Missed != 1 || second.All.Worst != 50 {
+		t.Errorf("applied by one node: %+v", second)
+	}
+}
--- /dev/null
+++ b/internal/fleet/nodes/main_test.go
@@ -0,0 +1,9 @@
+package nodes
+
+import (
+	"testing"
+
+	"basaltdrum/internal/testutil"
+)
+
+func TestMain(m *testing.M) { testutil.Main(m) }
--- a/internal/fleet/standin/registry_test.go
+++ b/internal/fleet/standin/registry_test.go
@@ -13,7 +13,8 @@
 func TestCompleteList(t *testing.T) {
 	entries := testEntries(3)
 	r := newTestRegistry(t, entries)
-	if body := r.get(t, ""); body.Rev != 1 || !body.All || len(body.Entries) != 3 || body.Entries[0].State != InService {
+	body := r.get(t, "")
+	if body.Rev != 1 || !body.All || len(body.Entries) != 3 || body.Entries[0].State != InService {
 		t.Errorf("at first: %+v", body)
 	}
 	r.change(t, inState(entries[1], Terminating))
--- a/internal/fleet/stats/inforce_test.go
+++ b/internal/fleet/stats/inforce_test.go
@@ -4,17 +4,26 @@
 	"testing"
 )
 
-func TestAtShare(t *testing.T) {
-	var v []float64
+func TestQuantile(t *testing.T) {
+	var hundreds []float64
 	for i := range 200 {
-		v = append(v, float64(i+1))
+		hundreds = append(hundreds, float64(i+1))
 	}
-	for share, want := range map[float64]float64{0.5: 100, 0.99: 198, 1: 200} {
-		if got := Quantile(v, share); got != want {
-			t.Errorf("%v: %v, want %v", share, got, want)
-		}
-	}
-	if got := Quantile(v[:1], 0.5); got != 1 {
-		t.Errorf("of one: %v", got)
+	for _, test := range []struct {
+		name   string
+		sorted []float64
+		share  float64
+		want   float64
+	}{
+		{"median", hundreds, 0.5, 100},
+		{"99 in 100", hundreds, 0.99, 198},
+		{"maximum", hundreds, 1, 200},
+		{"median of one", hundreds[:1], 0.5, 1},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if got := Quantile(test.sorted, test.share); got != test.want {
+				t.Errorf("%v, want %v", got, test.want)
+			}
+		})
 	}
 }
--- a/internal/fleet/stats/line_test.go
+++ b/internal/fleet/stats/line_test.go
@@ -6,24 +6,46 @@
 )
 
 func TestFit(t *testing.T) {
-	x := []float64{10, 100, 300, 1100}
-	var y []float64
-	for _, v := range x {
-		y = append(y, 5+0.25*v)
+	for _, test := range []struct {
+		name string
+		x, y []float64
+		want Line
+	}{
+		{
+			"points on a line",
+			[]float64{10, 100, 300, 1100},
+			[]float64{5 + 2.5, 5 + 25, 5 + 75, 5 + 275},
+			Line{Slope: 0.25, Base: 5, R2: 1},
+		},
+		{"level", []float64{1, 2, 3}, []float64{4, 4, 4}, Line{Slope: 0, Base: 4, R2: 1}},
+		{"no trend", []float64{0, 1, 2}, []float64{0, 1, 0}, Line{Slope: 0, Base: 1.0 / 3, R2: 0}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			got, err := Fit(test.x, test.y)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if math.Abs(got.Slope-test.want.Slope) > 1e-12 || math.Abs(got.Base-test.want.Base) > 1e-9 ||
+				math.Abs(got.R2-test.want.R2) > 1e-12 {
+				t.Errorf("%+v, want %+v", got, test.want)
+			}
+		})
 	}
-	l, err := Fit(x, y)
-	if err != nil || math.Abs(l.Slope-0.25) > 1e-12 || math.Abs(l.Base-5) > 1e-9 || math.Abs(l.R2-1) > 1e-12 {
-		t.Errorf("%+v, %v", l, err)
-	}
-	if l, err = Fit([]float64{1, 2, 3}, []float64{4, 4, 4}); err != nil || l.Slope != 0 || l.Base != 4 {
-		t.Errorf("level: %+v, %v", l, err)
-	}
-	if l, err = Fit([]float64{0, 1, 2}, []float64{0, 1, 0}); err != nil || l.Slope != 0 || l.R2 != 0 {
-		t.Errorf("no trend: %+v, %v", l, err)
-	}
-	for _, bad := range [][2][]float64{{{1}, {1}}, {{1, 1}, {1, 2}}, {{1, 2}, {1}}} {
-		if l, err := Fit(bad[0], bad[1]); err == nil {
-			t.Errorf("%v: %+v", bad, l)
-		}
+}
+
+func TestFitRefuses(t *testing.T) {
+	for _, test := range []struct {
+		name string
+		x, y []float64
+	}{
+		{"one point", []float64{1}, []float64{1}},
+		{"the same x twice", []float64{1, 1}, []float64{1, 2}},
+		{"an x without a y", []float64{1, 2}, []float64{1}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if line, err := Fit(test.x, test.y); err == nil {
+				t.Errorf("%+v", line)
+			}
+		})
 	}
 }
--- a/internal/fleet/stats/series_test.go
+++ b/internal/fleet/stats/series_test.go
@@ -6,18 +6,34 @@
 	"time"
 )
 
+// Only complete buckets count, and those after the last one that was counted have no traffic.
 func TestSeriesBetween(t *testing.T) {
 	start := time.Unix(100, 0)
-	c := Counted{StartNS: start.UnixNano(), Buckets: []Traffic{{Calls: 1}, {Calls: 5, In: 7}, {Calls: 2, Out: 9}}}
-	at := func(n float64) time.Time { return start.Add(time.Duration(n * float64(BucketWidth))) }
+	counted := Counted{
+		StartNS: start.UnixNano(),
+		Buckets: []Traffic{{Calls: 1}, {Calls: 5, In: 7}, {Calls: 2, Out: 9}},
+	}
+	at := func(buckets float64) time.Time { return start.Add(time.Duration(buckets * float64(BucketWidth))) }
 	for _, test := range []struct {
-		from, to    float64
+		name        string
+		from, to    float64 // in buckets
 		calls, peak int64
 		buckets     float64
-	}{{0, 3, 8, 5, 3}, {0.5, 3, 7, 5, 2}, {1, 2.9, 5, 5, 1}, {2, 10, 2, 2, 8}, {-1, 1, 1, 1, 1}} {
-		sum, peak, seconds := c.Between(at(test.from), at(test.to))
-		if sum.Calls != test.calls || peak != test.peak || math.Abs(seconds-test.buckets*BucketWidth.Seconds()) > 1e-9 {
-			t.Errorf("from %v to %v: %+v, peak %d, %v s", test.from, test.to, sum, peak, seconds)
-		}
+	}{
+		{"all buckets", 0, 3, 8, 5, 3},
+		{"a part of the first", 0.5, 3, 7, 5, 2},
+		{"a part of the last", 1, 2.9, 5, 5, 1},
+		{"past the last", 2, 10, 2, 2, 8},
+		{"before the first", -1, 1, 1, 1, 1},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			sum, peak, seconds := counted.Between(at(test.from), at(test.to))
+			if sum.Calls != test.calls || peak != test.peak {
+				t.Errorf("%+v, peak %d", sum, peak)
+			}
+			if want := test.buckets * BucketWidth.Seconds(); math.Abs(seconds-want) > 1e-9 {
+				t.Errorf("%v s, want %v", seconds, want)
+			}
+		})
 	}
 }
