--- a/cmd/fleetscale/main_test.go
+++ b/cmd/fleetscale/main_test.go
@@ -32,45 +32,49 @@
 	return cmd
 }
 
+// badArguments are command lines that are refused, and what the message says of each.
+var badArguments = []struct{ name, args, want string }{
+	{"nothing to measure", "", "nothing to measure"},
+	{"nodes is no number", "--nodes x", "--nodes"},
+	{"nodes under its range", "--nodes=-1", "--nodes must be from 0 to 1100"},
+	{"nodes over its range", "--nodes 1101", "--nodes must be from 0 to 1100"},
+	{"real over its range", "--real 1101", "--real must be from 0 to 1100"},
+	{"servers under its range", "--nodes 5 --servers 1", "--servers must be from 2"},
+	{"more services than nodes", "--nodes 5 --services 6", "--services 6 is more than --nodes 5"},
+	{"unknown mode", "--nodes 5 --mode told", "--mode"},
+	{"unknown storm", "--nodes 5 --storm rain", "--storm"},
+	{"a chain of no nodes", "--nodes 5 --depth 3", "--depth 3"},
+	{"part of a chain", "--real 5 --depth 3", "--depth 3"},
+	{"configurations of no real nodes", "--nodes 5 --configs 6", "--configs needs --real"},
+	{"rate is no number", "--nodes 5 --rate NaN", "--rate"},
+	{"too many calls", "--nodes 1100 --rate 1000", "more than 400000 calls a second"},
+	{"length under its range", "--nodes 5 --for 10ms", "--for must be from 1s"},
+	{"length is no duration", "--nodes 5 --for soon", "--for"},
+	{"service time over its range", "--nodes 5 --service 2s", "--service"},
+	{"changes under their range", "--nodes 5 --changes=-3", "--changes"},
+	{"unknown argument", "--nodes 5 --colour red", "--colour"},
+	{"a word too many", "--nodes 5 more", "more"},
+	{
+		"growth: too many servers at the large size", "growth --servers 201",
+		"--servers 201 times --factor 16 is more than 3200",
+	},
+	{"growth: servers under their range", "growth --servers 5", "--servers must be from 10 to 3200"},
+	{"growth: factor under its range", "growth --factor 1", "--factor must be from 2 to 16"},
+	{"growth: no node", "growth --real 0", "--real must be from 1"},
+	{"growth: more nodes than the fleet has", "growth --real 5 --fleet 4", "--fleet must be from 5 to 900"},
+	{"growth: rate is no number", "growth --rate NaN", "--rate must be from 1"},
+	{"growth: length over its range", "growth --for 2m", "--for must be from 1s to 1m"},
+	{"growth: service time over its range", "growth --service 2s", "--service must be from 0s"},
+	{"growth: unknown mode", "growth --mode told", "--mode"},
+	{"sweep over nothing", "sweep --nodes 5", "--over"},
+	{"sweep over an argument that can't be varied", "sweep --nodes 5 --over seeds --values 1,2", "--over"},
+	{"sweep with one value", "sweep --nodes 5 --over servers --values 10", "--values"},
+	{"sweep to a value out of range", "sweep --nodes 5 --over servers --values 10,1", "--servers must be from 2"},
+}
+
+// Bad arguments are refused with one line that names them.
 func TestBadArguments(t *testing.T) {
-	for _, test := range []struct{ name, args, want string }{
-		{"nothing to measure", "", "nothing to measure"},
-		{"nodes is no number", "--nodes x", "--nodes"},
-		{"nodes under its range", "--nodes=-1", "--nodes must be from 0 to 1100"},
-		{"nodes over its range", "--nodes 1101", "--nodes must be from 0 to 1100"},
-		{"real over its range", "--real 1101", "--real must be from 0 to 1100"},
-		{"servers under its range", "--nodes 5 --servers 1", "--servers must be from 2"},
-		{"more services than nodes", "--nodes 5 --services 6", "--services 6 is more than --nodes 5"},
-		{"unknown mode", "--nodes 5 --mode told", "--mode"},
-		{"unknown storm", "--nodes 5 --storm rain", "--storm"},
-		{"a chain of no nodes", "--nodes 5 --depth 3", "--depth 3"},
-		{"part of a chain", "--real 5 --depth 3", "--depth 3"},
-		{"configurations of no real nodes", "--nodes 5 --configs 6", "--configs needs --real"},
-		{"rate is no number", "--nodes 5 --rate NaN", "--rate"},
-		{"too many calls", "--nodes 1100 --rate 1000", "more than 400000 calls a second"},
-		{"length under its range", "--nodes 5 --for 10ms", "--for must be from 1s"},
-		{"length is no duration", "--nodes 5 --for soon", "--for"},
-		{"service time over its range", "--nodes 5 --service 2s", "--service"},
-		{"changes under their range", "--nodes 5 --changes=-3", "--changes"},
-		{"unknown argument", "--nodes 5 --colour red", "--colour"},
-		{"a word too many", "--nodes 5 more", "more"},
-		{
-			"growth: too many servers at the large size", "growth --servers 201",
-			"--servers 201 times --factor 16 is more than 3200",
-		},
-		{"growth: servers under their range", "growth --servers 5", "--servers must be from 10 to 3200"},
-		{"growth: factor under its range", "growth --factor 1", "--factor must be from 2 to 16"},
-		{"growth: no node", "growth --real 0", "--real must be from 1"},
-		{"growth: more nodes than the fleet has", "growth --real 5 --fleet 4", "--fleet must be from 5 to 900"},
-		{"growth: rate is no number", "growth --rate NaN", "--rate must be from 1"},
-		{"growth: length over its range", "growth --for 2m", "--for must be from 1s to 1m"},
-		{"growth: service time over its range", "growth --service 2s", "--service must be from 0s"},
-		{"growth: unknown mode", "growth --mode told", "--mode"},
-		{"sweep over nothing", "sweep --nodes 5", "--over"},
-		{"sweep over an argument that can't be varied", "sweep --nodes 5 --over seeds --values 1,2", "--over"},
-		{"sweep with one value", "sweep --nodes 5 --over servers --values 10", "--values"},
-		{"sweep to a value out of range", "sweep --nodes 5 --over servers --values 10,1", "--servers must be from 2"},
-	} {
+	for _, test := range badArguments {
 		t.Run(test.name, func(t *testing.T) {
 			var stdout, stderr bytes.Buffer
 			code := run(strings.Fields(test.args), &stdout, &stderr)
