--- a/internal/fleet/nodes/doc.go
+++ b/internal/fleet/nodes/doc.go
@@ -4,7 +4,7 @@
 // goroutine for each node reads its log and waits for its end, which Stop waits for.
 //
 // Hollows is the RPC service of many hollow nodes in one child process, which package fleet starts. A hollow node is
-// the real module, event loop and discovery client, without sockets to clients and servers. Start starts one goroutine
-// for each node, which runs to the end of the process; Load starts those that make the calls, and Report waits for
-// them.
+// the real module, event loop and discovery client, without sockets to clients and servers. Start starts two goroutines
+// for each node, its loop and its discovery client, which run to the end of the process; each call and each attempt has
+// one of its own, which ends with it. Load starts those that make the calls, and Report waits for them.
 package nodes
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -8,13 +8,12 @@
 // timers, the endpoint list and the figures of the traffic line. Other goroutines reach it only by posting events
 // (events.go). It never waits for I/O, and it answers a request by a send on that request's buffered channel.
 //
-// Package downstream owns the clients' connections, with their part of the descriptors.
+// Package downstream owns the clients' connections, with their part of the descriptors. Package upstream owns the
+// connections to endpoints, the list as far as it needs it, and whether an attempt may begin for a request.
 //
 // The following state is shared, and guarded by a mutex or atomic where it stands:
 //
-//   - upstreamPool: the connections to endpoints, and the list as far as the pool needs it;
-//   - request: whether its client has departed and whether an attempt has begun;
-//   - loop.rules and loop.ready: set by the loop, read by the front end;
+//   - Loop.rules and Loop.ready: set by the loop, read by the front end;
 //   - Node: what Reload changes.
 //
 // # Goroutines
@@ -38,9 +37,8 @@
 //
 //   - One goroutine for each attempt ends with the attempt: by an answer, an error, its cancellation or its
 //     deadline. An attempt whose client has departed may still be in flight when all requests are answered.
-//   - One reader for each connection to an endpoint ends when that connection is closed, by either side. Idle
-//     connections stay open until the process exits.
+//   - The readers of connections to endpoints; see package upstream.
 //
-// A Hollow node has the loop, discovery and its attempts, and for each pending request a goroutine that waits for
-// the answer. Hollow.Run waits for the loop and for discovery.
+// Loop, with the names that it takes and returns, is exported for the scale run (package fleet), which runs it without
+// sockets to clients and endpoints.
 package node
