--- a/internal/fleet/growth.go
+++ b/internal/fleet/growth.go
@@ -5,8 +5,16 @@
 	"errors"
 	"fmt"
 	"os"
-	"runtime"
 	"time"
+
+	"basaltdrum/internal/fleet/load"
+	"basaltdrum/internal/fleet/nodes"
+	"basaltdrum/internal/fleet/plan"
+	"basaltdrum/internal/fleet/process"
+	"basaltdrum/internal/fleet/report"
+	"basaltdrum/internal/fleet/standin"
+	"basaltdrum/internal/fleet/stats"
+	"basaltdrum/internal/monotime"
 )
 
 // descriptorsEvery is how often the nodes' descriptors are counted.
@@ -14,46 +22,46 @@
 
 // Growth plays the same day with real nodes at the usual size and at the large one, and compares the growth of what a
 // node needs with the limits. It ends within its bound, and its children with it.
-func (r Runner) Growth(ctx context.Context, args GrowthArgs) (report GrowthReport, err error) {
+func (r Runner) Growth(ctx context.Context, args plan.GrowthArgs) (result report.GrowthReport, err error) {
 	if err := args.Check(); err != nil {
-		return report, err
+		return result, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, args.bound()-2*childStopTimeout)
+	ctx, cancel := context.WithTimeout(ctx, args.Bound()-2*process.StopTimeout)
 	defer cancel()
-	dir, err := os.MkdirTemp("", "fleetscale")
+	dir, err := os.MkdirTemp(r.TempDir, "fleetscale")
 	if err != nil {
-		return report, fmt.Errorf("growth: %w", err)
+		return result, fmt.Errorf("growth: %w", err)
 	}
 	defer func() { _ = os.RemoveAll(dir) }() // what is left of it stays in the folder for temporary files
-	report.Args, report.Machine = args, Machine{runtime.NumCPU(), runtime.Version(), loadAverage()}
+	result.Args, result.Machine = args, thisMachine()
 	if args.Program == "" {
-		if args.Program, err = buildProgram(ctx, dir); err != nil {
-			return report, err
+		if args.Program, err = nodes.BuildProgram(ctx, dir); err != nil {
+			return result, err
 		}
 	}
-	if report.Usual, err = r.playDay(ctx, dir, args, args.usual()); err != nil {
-		return report, err
-	}
-	if report.Large, err = r.playDay(ctx, dir, args, args.large()); err != nil {
-		return report, err
+	if result.Usual, err = r.playDay(ctx, dir, args, args.Usual()); err != nil {
+		return result, err
 	}
-	for _, limit := range growthLimits {
-		report.Rows = append(report.Rows, limit.row(report.Usual, report.Large))
+	if result.Large, err = r.playDay(ctx, dir, args, args.Large()); err != nil {
+		return result, err
 	}
-	return report, nil
+	result.Rows = report.GrowthRows(result.Usual, result.Large)
+	return result, nil
 }
 
 // playDay plays one day and ends all that it started.
-func (r Runner) playDay(ctx context.Context, dir string, args GrowthArgs, size growthSize) (GrowthFigures, error) {
-	d := &growthDay{Runner: r, args: args, size: size, dir: dir, client: newClient()}
+func (r Runner) playDay(
+	ctx context.Context, dir string, args plan.GrowthArgs, size plan.GrowthSize,
+) (report.GrowthFigures, error) {
+	d := &growthDay{Runner: r, args: args, size: size, dir: dir, client: load.NewClient()}
 	defer d.stop()
 	if err := d.start(ctx); err != nil {
-		return GrowthFigures{}, err
+		return report.GrowthFigures{}, err
 	}
-	r.Log.Info("playing a day", "servers", size.servers, "for", args.For)
+	r.Log.Info("playing a day", "servers", size.Servers, "for", args.For)
 	figures, err := d.play(ctx)
 	if err != nil {
-		return GrowthFigures{}, fmt.Errorf("day of %d servers: %w", size.servers, err)
+		return report.GrowthFigures{}, fmt.Errorf("day of %d servers: %w", size.Servers, err)
 	}
 	return figures, nil
 }
@@ -61,34 +69,36 @@
 // growthDay is one day while it is played.
 type growthDay struct {
 	Runner
-	args      GrowthArgs
-	size      growthSize
+	args      plan.GrowthArgs
+	size      plan.GrowthSize
 	dir       string
-	registry  *child
-	servers   *child
+	registry  *process.ChildProcess
+	servers   *process.ChildProcess
 	endpoints []string // of all servers of the day
-	nodes     []*realNode
-	client    *client
+	nodes     []*nodes.RealNode
+	client    *load.Client
 }
 
 // start brings up the servers, the registry and the nodes, until all nodes are ready.
 func (d *growthDay) start(ctx context.Context) (err error) {
-	if d.servers, err = startChild(d.ChildCommand, roleListed); err != nil {
+	if d.servers, err = process.StartChild(d.ChildCommand, roleListed); err != nil {
 		return err
 	}
-	spec := ListedServersSpec{d.size.servers + replacedCount(d.size.servers), d.args.Service, d.args.Seed}
-	if err := d.servers.call(ctx, "Start", spec, &d.endpoints); err != nil {
+	spec := standin.ListedServersSpec{
+		Count: d.size.Servers + plan.ReplacedCount(d.size.Servers), Service: d.args.Service, Seed: d.args.Seed,
+	}
+	if err := d.servers.Call(ctx, "Start", spec, &d.endpoints); err != nil {
 		return err
 	}
-	if d.registry, err = startChild(d.ChildCommand, roleRegistry); err != nil {
+	if d.registry, err = process.StartChild(d.ChildCommand, roleRegistry); err != nil {
 		return err
 	}
-	list := RegistrySpec{Services: [][]ListEntry{nil}, Addresses: make([]int, d.args.Real)}
-	for i := range d.size.servers {
+	list := standin.RegistrySpec{Services: [][]standin.ListEntry{nil}, Addresses: make([]int, d.args.Real)}
+	for i := range d.size.Servers {
 		list.Services[0] = append(list.Services[0], d.target(i))
 	}
 	var addresses []string
-	if err := d.registry.call(ctx, "Start", list, &addresses); err != nil {
+	if err := d.registry.Call(ctx, "Start", list, &addresses); err != nil {
 		return err
 	}
 	return d.startNodes(ctx, addresses)
@@ -99,9 +109,10 @@
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for i, address := range addresses {
-		n, err := startReal(ctx, d.args.Program, d.dir, NodeSpec{
-			Name: fmt.Sprintf("n%d", i), Index: i, Replicas: d.size.nodes,
-			Listen: "127.0.0.1:0", Discovery: address, PollDiscovery: d.args.Mode == modePolled, Seed: d.args.Seed + uint64(i),
+		n, err := nodes.StartRealNode(ctx, d.args.Program, d.dir, nodes.NodeSpec{
+			Name: fmt.Sprintf("n%d", i), Index: i, Replicas: d.size.Nodes,
+			Listen: "127.0.0.1:0", Discovery: address, PollDiscovery: d.args.Mode == plan.ModePolled,
+			Seed: d.args.Seed + uint64(i),
 		})
 		if err != nil {
 			return err
@@ -109,7 +120,7 @@
 		d.nodes = append(d.nodes, n)
 	}
 	for _, n := range d.nodes {
-		if err := n.ready(ctx); err != nil {
+		if err := n.WaitReady(ctx); err != nil {
 			return err
 		}
 	}
@@ -117,54 +128,54 @@
 }
 
 // target returns a server's entry while it is in service. The servers listed first started long ago.
-func (d *growthDay) target(i int) ListEntry {
-	return ListEntry{
-		UID: fmt.Sprintf("s-%d", i), Endpoint: d.endpoints[i], Zone: zones[i%len(zones)], Model: "m1",
-		Cell: i % 10, State: inService, Capacity: d.size.capacity,
+func (d *growthDay) target(i int) standin.ListEntry {
+	return standin.ListEntry{
+		UID: fmt.Sprintf("s-%d", i), Endpoint: d.endpoints[i], Zone: plan.Zones[i%len(plan.Zones)], Model: "m1",
+		Cell: i % 10, State: standin.InService, Capacity: d.size.Capacity,
 	}
 }
 
 // stop ends all processes of the day.
 func (d *growthDay) stop() {
 	for _, n := range d.nodes {
-		n.stop()
+		n.Stop()
 	}
-	for _, c := range []*child{d.servers, d.registry} {
+	for _, c := range []*process.ChildProcess{d.servers, d.registry} {
 		if c != nil {
-			c.stop()
+			c.Stop()
 		}
 	}
-	d.client.close()
+	d.client.Close()
 }
 
 // play makes the calls and the events of the day, and measures. The first error ends all of it.
-func (d *growthDay) play(ctx context.Context) (f GrowthFigures, err error) {
-	f = GrowthFigures{Servers: d.size.servers, FleetNodes: d.size.nodes, Capacity: d.size.capacity}
-	busy, err := machineBusy()
+func (d *growthDay) play(ctx context.Context) (f report.GrowthFigures, err error) {
+	f = report.GrowthFigures{Servers: d.size.Servers, FleetNodes: d.size.Nodes, Capacity: d.size.Capacity}
+	busy, err := process.MachineBusy()
 	if err != nil {
 		return f, err
 	}
 	begun := time.Now()
-	activities := newActivities(ctx)
+	activities, playing := newActivities(ctx)
 	defer activities.cancel(nil)
-	activities.start(func(ctx context.Context) error { return d.playEvents(ctx, &f) })
-	watching, stopWatching := context.WithCancel(activities.ctx)
+	activities.start(func() error { return d.playEvents(playing, &f) })
+	watching, stopWatching := context.WithCancel(playing)
 	defer stopWatching()
 	var descriptors []int
-	activities.start(func(context.Context) error {
+	activities.start(func() error {
 		descriptors = d.watchDescriptors(watching)
 		return nil
 	})
-	f.Calls = d.makeCalls(activities.ctx)
+	f.Calls = d.makeCalls(playing)
 	stopWatching()
 	if err := activities.wait(); err != nil {
 		return f, err
 	}
-	after, err := machineBusy()
+	after, err := process.MachineBusy()
 	if err != nil {
 		return f, err
 	}
-	f.Busy = cores(after-busy, begun, time.Now())
+	f.Busy = process.Cores(after-busy, begun, time.Now())
 	for _, n := range descriptors {
 		f.Descriptors += float64(n) / float64(len(d.nodes))
 	}
@@ -172,16 +183,14 @@
 }
 
 // makeCalls calls each node for the length of the day, and waits for the answers.
-func (d *growthDay) makeCalls(ctx context.Context) Tally {
-	calls := &loadGenerator{
-		client: d.client, name: "day", rate: d.args.Rate, seed: d.args.Seed, lateness: newLatencies(),
-		latency: newLatencies(),
-	}
+func (d *growthDay) makeCalls(ctx context.Context) stats.Tally {
+	calls := load.Spec{Name: "day", Rate: d.args.Rate, Seed: d.args.Seed}
 	for _, n := range d.nodes {
-		calls.addresses = append(calls.addresses, n.address)
+		calls.Addresses = append(calls.Addresses, n.Address())
 	}
-	calls.play(ctx, d.args.For)
-	return calls.figures().Tally
+	generator := load.NewGenerator(d.client, calls)
+	generator.Play(ctx, d.args.For)
+	return generator.Figures().Tally
 }
 
 // watchDescriptors samples the nodes' open descriptors until ctx ends, and returns the most of each.
@@ -189,11 +198,11 @@
 	most := make([]int, len(d.nodes))
 	for ctx.Err() == nil {
 		for i, n := range d.nodes {
-			if open, err := Descriptors(n.cmd.Process.Pid); err == nil { // a node that ended is found at the end
+			if open, err := process.Descriptors(n.PID()); err == nil { // a node that ended is found at the end
 				most[i] = max(most[i], open)
 			}
 		}
-		pause(ctx, descriptorsEvery)
+		monotime.Sleep(ctx, descriptorsEvery)
 	}
 	return most
 }
@@ -202,40 +211,40 @@
 var errNoCallServed = errors.New("no call was served")
 
 // readFigures reads what the nodes used and what the stand-ins counted.
-func (d *growthDay) readFigures(ctx context.Context, f *GrowthFigures) error {
+func (d *growthDay) readFigures(ctx context.Context, f *report.GrowthFigures) error {
 	if f.Calls.Served == 0 {
 		return errNoCallServed
 	}
 	f.Served = float64(f.Calls.Served) / float64(f.Calls.Offered)
-	nodes := float64(len(d.nodes))
+	nodeCount := float64(len(d.nodes))
 	for _, n := range d.nodes {
-		if !n.alive() {
-			return fmt.Errorf("%s has ended", n.spec.Name)
+		if !n.Alive() {
+			return fmt.Errorf("%s has ended", n.Name())
 		}
-		used, err := UsageOf(n.cmd.Process.Pid)
+		used, err := process.UsageOf(n.PID())
 		if err != nil {
 			return err
 		}
-		peak, err := PeakMemory(n.cmd.Process.Pid)
+		peak, err := process.PeakMemory(n.PID())
 		if err != nil {
 			return err
 		}
-		f.CPUSeconds += used.CPU.Seconds() / nodes
-		f.PeakMemory += float64(peak) / nodes
+		f.CPUSeconds += used.CPU.Seconds() / nodeCount
+		f.PeakMemory += float64(peak) / nodeCount
 	}
 	var connections int64
-	if err := d.servers.call(ctx, "Accepted", struct{}{}, &connections); err != nil {
+	if err := d.servers.Call(ctx, "Accepted", struct{}{}, &connections); err != nil {
 		return err
 	}
-	var counted Counted
-	if err := d.registry.call(ctx, "Traffic", struct{}{}, &counted); err != nil {
+	var counted stats.Counted
+	if err := d.registry.Call(ctx, "Traffic", struct{}{}, &counted); err != nil {
 		return err
 	}
-	f.Connections = float64(connections) / nodes
+	f.Connections = float64(connections) / nodeCount
 	for _, bucket := range counted.Buckets {
-		f.ListBytes += float64(bucket.Lists) / nodes
-		f.ListPayload += float64(bucket.Out) / nodes
-		f.ListCalls += float64(bucket.Calls) / nodes
+		f.ListBytes += float64(bucket.Lists) / nodeCount
+		f.ListPayload += float64(bucket.Out) / nodeCount
+		f.ListCalls += float64(bucket.Calls) / nodeCount
 	}
 	return nil
 }
--- a/internal/fleet/hollow_test.go
+++ b/internal/fleet/nodes/hollow_test.go
@@ -1,4 +1,4 @@
-package fleet
+package nodes
 
 import (
 	"context"
@@ -8,6 +8,7 @@
 	"time"
 
 	"basaltdrum/balancer"
+	"basaltdrum/internal/fleet/load"
 	"basaltdrum/internal/node"
 	"basaltdrum/internal/testutil"
 )
@@ -63,7 +64,7 @@
 
 // callUntil makes a call whose answer goes to answers.
 func (h *hollowTest) callUntil(deadline time.Duration) {
-	h.call(callClass, deadline, func(kind node.ResponseKind) { h.answers <- kind })
+	h.call(load.Class, deadline, func(kind node.ResponseKind) { h.answers <- kind })
 }
 
 // A hollow node receives lists from discovery, records each that changes something, and answers calls from
@@ -92,7 +93,7 @@
 			}
 			h.stop()
 			testutil.Wait(t, h.ended, "the end")
-			h.call(callClass, testutil.Limit, func(node.ResponseKind) { t.Error("answered after the end") })
+			h.call(load.Class, testutil.Limit, func(node.ResponseKind) { t.Error("answered after the end") })
 		})
 	}
 }
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -8,23 +8,13 @@
 	"runtime"
 	"sync"
 	"time"
-)
-
-// The kinds of list changes, whose times are reported apart.
-const (
-	groupChange      = "a server's state" // one server of the list drains, goes, or comes back
-	groupAfterOutage = "told at the return"
-	groupZoneLost    = "a zone lost"
-	groupZoneBack    = "a zone back"
-)
 
-var groups = []string{groupChange, groupAfterOutage, groupZoneLost, groupZoneBack}
-
-// When an outage begins and ends, as shares of a run's length, and how long its end is watched.
-const (
-	stormBegins = 0.25
-	stormEnds   = 0.6
-	stormWatch  = 10 * time.Second
+	"basaltdrum/internal/fleet/load"
+	"basaltdrum/internal/fleet/nodes"
+	"basaltdrum/internal/fleet/plan"
+	"basaltdrum/internal/fleet/process"
+	"basaltdrum/internal/fleet/report"
+	"basaltdrum/internal/fleet/standin"
 )
 
 // startTimeout is how long the nodes may take to be ready.
@@ -33,47 +23,53 @@
 // Runner makes runs.
 type Runner struct {
 	ChildCommand []string // the command that calls Child with one more argument, the role
+	TempDir      string   // where runs keep their temporary files; empty: the system's folder for them
 	Log          *slog.Logger
 }
 
 // run is one run while it is made. Its children are stopped at its end, also after an error.
 type run struct {
 	Runner
-	args            Args
+	args            plan.Args
 	dir             string
-	registry        *child
-	hollows         *child
-	servers         *child
-	serverAddresses ServerAddresses
-	real            []*realNode // chain by chain, tier by tier
-	client          *client
-	lists           []*rotation // of the services, then of the real nodes' tiers
+	registry        *process.ChildProcess
+	hollows         *process.ChildProcess
+	servers         *process.ChildProcess
+	serverAddresses standin.ServerAddresses
+	real            []*nodes.RealNode // chain by chain, tier by tier
+	client          *load.Client
+	lists           []*standin.Rotation // of the services, then of the real nodes' tiers
 
 	mu                   sync.Mutex
-	changes              []ListChange
+	changes              []nodes.ListChange
 	registryUnresponsive bool
 }
 
 // Run makes one run. It ends within its bound, and its children with it.
-func (r Runner) Run(ctx context.Context, args Args) (p Point, err error) {
+func (r Runner) Run(ctx context.Context, args plan.Args) (p report.Point, err error) {
 	if err := args.Check(); err != nil {
-		return Point{}, err
+		return report.Point{}, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, args.bound()-2*childStopTimeout)
+	ctx, cancel := context.WithTimeout(ctx, args.Bound()-2*process.StopTimeout)
 	defer cancel()
-	one := &run{Runner: r, args: args, client: newClient()}
+	one := &run{Runner: r, args: args, client: load.NewClient()}
 	defer one.stop()
-	if one.dir, err = os.MkdirTemp("", "fleetscale"); err != nil {
-		return Point{}, fmt.Errorf("run: %w", err)
+	if one.dir, err = os.MkdirTemp(r.TempDir, "fleetscale"); err != nil {
+		return report.Point{}, fmt.Errorf("run: %w", err)
 	}
-	p = Point{Args: args, Machine: Machine{runtime.NumCPU(), runtime.Version(), loadAverage()}}
+	p = report.Point{Args: args, Machine: thisMachine()}
 	started, err := one.start(ctx)
 	if err != nil {
-		return Point{}, err
+		return report.Point{}, err
 	}
 	return p, one.measure(ctx, &p, started)
 }
 
+// thisMachine describes the machine before a run.
+func thisMachine() report.Machine {
+	return report.Machine{Cores: runtime.NumCPU(), Go: runtime.Version(), Load: process.LoadAverage()}
+}
+
 // stop ends all processes of the run.
 func (r *run) stop() {
 	var wg sync.WaitGroup
@@ -81,19 +77,19 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			n.stop()
+			n.Stop()
 		}()
 	}
-	for _, c := range []*child{r.hollows, r.servers, r.registry} {
+	for _, c := range []*process.ChildProcess{r.hollows, r.servers, r.registry} {
 		if c != nil {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				c.stop()
+				c.Stop()
 			}()
 		}
 	}
 	wg.Wait()
-	r.client.close()
+	r.client.Close()
 	_ = os.RemoveAll(r.dir) // what is left of it stays in the folder for temporary files
 }
--- a/internal/fleet/runchanges.go
+++ b/internal/fleet/runchanges.go
@@ -2,16 +2,19 @@
 
 import (
 	"context"
-	"errors"
-	"fmt"
-	"sync"
 	"time"
+
+	"basaltdrum/internal/fleet/nodes"
+	"basaltdrum/internal/fleet/plan"
+	"basaltdrum/internal/fleet/standin"
+	"basaltdrum/internal/monotime"
 )
 
 // change makes a new version of a list and notes it.
-func (r *run) change(ctx context.Context, l *rotation, targets []ListEntry, group string) error {
-	var changed Changed
-	if err := r.registry.call(ctx, "Change", ChangeSpec{l.service, targets}, &changed); err != nil {
+func (r *run) change(ctx context.Context, l *standin.Rotation, targets []standin.ListEntry, group string) error {
+	var changed standin.Changed
+	spec := standin.ChangeSpec{Service: l.Service, Entries: targets}
+	if err := r.registry.Call(ctx, "Change", spec, &changed); err != nil {
 		return err
 	}
 	r.mu.Lock()
@@ -19,8 +22,10 @@
 	if r.registryUnresponsive { // it is only sent after the outage
 		return nil
 	}
-	if l.service < r.args.Services && r.args.Nodes > 0 {
-		r.changes = append(r.changes, ListChange{group, l.service, changed.Rev, changed.AtNS})
+	if l.Service < r.args.Services && r.args.Nodes > 0 {
+		r.changes = append(r.changes, nodes.ListChange{
+			Group: group, Service: l.Service, Rev: changed.Rev, AtNS: changed.AtNS,
+		})
 	}
 	return nil
 }
@@ -34,52 +39,15 @@
 		if at >= length {
 			return nil
 		}
-		pause(ctx, time.Until(start.Add(at)))
+		monotime.Sleep(ctx, time.Until(start.Add(at)))
 		if ctx.Err() != nil {
-			return nil
+			return nil //nolint:nilerr // who waits for the activities reports why their context has ended
 		}
 		l := r.lists[i%len(r.lists)]
-		if changed := l.next(); changed != nil {
-			if err := r.change(ctx, l, changed, groupChange); err != nil {
+		if changed := l.Next(); changed != nil {
+			if err := r.change(ctx, l, changed, plan.GroupServerState); err != nil {
 				return err
 			}
 		}
 	}
 }
-
-// reconfigure changes the real nodes' configuration evenly over the run, at least once.
-func (r *run) reconfigure(ctx context.Context, c *Configs) error {
-	every := time.Duration(float64(time.Minute) / r.args.Configs)
-	first := min(every, r.args.For) / 2
-	start := time.Now()
-	took := newLatencies()
-	var wg sync.WaitGroup
-	var mu sync.Mutex
-	var errs []error
-	for at := first; at < r.args.For; at += every {
-		pause(ctx, time.Until(start.Add(at)))
-		if ctx.Err() != nil {
-			break
-		}
-		c.Changes++
-		class := fmt.Sprintf("added-%d", c.Changes)
-		// One change is followed while the next is made. The nodes' files are this goroutine's own.
-		wait, err := r.addClass(ctx, class, took)
-		if err != nil {
-			errs = append(errs, err)
-			break
-		}
-		c.Sent += len(r.real)
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			n := wait()
-			mu.Lock()
-			defer mu.Unlock()
-			c.InForce += n
-		}()
-	}
-	wg.Wait()
-	c.NotInForce, c.Took = c.Sent-c.InForce, took.quantiles()
-	return errors.Join(errs...)
-}
--- a/internal/fleet/runstart.go
+++ b/internal/fleet/runstart.go
@@ -3,20 +3,25 @@
 import (
 	"context"
 	"fmt"
+
+	"basaltdrum/internal/fleet/nodes"
+	"basaltdrum/internal/fleet/plan"
+	"basaltdrum/internal/fleet/process"
+	"basaltdrum/internal/fleet/standin"
 )
 
 // start starts the registry, the servers and the nodes, and waits until all nodes are ready.
-func (r *run) start(ctx context.Context) (started HollowStart, err error) {
-	if r.registry, err = startChild(r.ChildCommand, roleRegistry); err != nil {
+func (r *run) start(ctx context.Context) (started nodes.HollowStart, err error) {
+	if r.registry, err = process.StartChild(r.ChildCommand, roleRegistry); err != nil {
 		return started, err
 	}
 	if err = r.startServers(ctx); err != nil {
 		return started, err
 	}
-	polled := r.args.Mode == modePolled
+	polled := r.args.Mode == plan.ModePolled
 	spec, hollowLists := r.makeLists(polled)
 	var addresses []string
-	if err = r.registry.call(ctx, "Start", spec, &addresses); err != nil {
+	if err = r.registry.Call(ctx, "Start", spec, &addresses); err != nil {
 		return started, err
 	}
 	discovery := func(node, list int) string {
@@ -39,11 +44,13 @@
 	if chains == 0 {
 		return nil
 	}
-	if r.servers, err = startChild(r.ChildCommand, roleServers); err != nil {
+	if r.servers, err = process.StartChild(r.ChildCommand, roleServers); err != nil {
 		return err
 	}
-	spec := ServersSpec{chains, r.args.Depth, r.args.Service, r.args.Seed}
-	return r.servers.call(ctx, "Start", spec, &r.serverAddresses)
+	spec := standin.ServersSpec{
+		Chains: chains, Depth: r.args.Depth, Service: r.args.Service, Seed: r.args.Seed,
+	}
+	return r.servers.Call(ctx, "Start", spec, &r.serverAddresses)
 }
 
 // hollowEndpoint is the endpoint of all servers that hollow nodes are listed, which never connect to it.
@@ -52,10 +59,10 @@
 // makeLists makes the lists: those of the services, which the hollow nodes get, and then one for each real node. It
 // returns what the registry is started with, and how many lists are the hollow nodes'. Where lists are pushed, each
 // node has an address of its own, its agent's; where they are polled, each list has one.
-func (r *run) makeLists(polled bool) (spec RegistrySpec, hollowLists int) {
+func (r *run) makeLists(polled bool) (spec standin.RegistrySpec, hollowLists int) {
 	if r.args.Nodes > 0 {
 		for s := range r.args.Services {
-			r.lists = append(r.lists, newRotation(s, r.args.Servers, hollowEndpoint))
+			r.lists = append(r.lists, standin.NewRotation(s, r.args.Servers, hollowEndpoint))
 		}
 	}
 	hollowLists = len(r.lists)
@@ -65,14 +72,14 @@
 	for _, chain := range r.serverAddresses.Through {
 		for _, endpoint := range chain {
 			spec.Addresses = append(spec.Addresses, len(r.lists))
-			r.lists = append(r.lists, newRotation(len(r.lists), r.args.Servers, endpoint))
+			r.lists = append(r.lists, standin.NewRotation(len(r.lists), r.args.Servers, endpoint))
 		}
 	}
 	if polled {
 		spec.Addresses = nil
 	}
 	for i, l := range r.lists {
-		spec.Services = append(spec.Services, l.entries)
+		spec.Services = append(spec.Services, l.Entries())
 		if polled {
 			spec.Addresses = append(spec.Addresses, i)
 		}
@@ -81,22 +88,27 @@
 }
 
 // startHollow starts the hollow nodes.
-func (r *run) startHollow(ctx context.Context, discovery func(node, list int) string, polled bool) (started HollowStart, err error) {
-	spec := HollowSpec{Services: r.args.Services, PollDiscovery: polled, Service: r.args.Service, Seed: r.args.Seed, Wait: startTimeout}
+func (r *run) startHollow(
+	ctx context.Context, discovery func(node, list int) string, polled bool,
+) (started nodes.HollowStart, err error) {
+	spec := nodes.HollowSpec{
+		Services: r.args.Services, PollDiscovery: polled, Service: r.args.Service,
+		Seed: r.args.Seed, Wait: startTimeout,
+	}
 	for i := range r.args.Nodes {
 		spec.Discovery = append(spec.Discovery, discovery(i, i%r.args.Services))
 	}
-	if r.hollows, err = startChild(r.ChildCommand, roleHollows); err != nil {
+	if r.hollows, err = process.StartChild(r.ChildCommand, roleHollows); err != nil {
 		return started, err
 	}
-	if err = r.hollows.call(ctx, "Start", spec, &started); err != nil {
+	if err = r.hollows.Call(ctx, "Start", spec, &started); err != nil {
 		return started, err
 	}
 	r.Log.Info("hollow nodes are ready", "nodes", started.Ready, "after", started.Took)
 	return started, nil
 }
 
-// startReal starts the real nodes, and gives the servers of the chains their addresses.
+// StartRealNode starts the real nodes, and gives the servers of the chains their addresses.
 func (r *run) startReal(ctx context.Context, discovery func(i int) string, polled bool) (err error) {
 	if r.args.Real == 0 {
 		return nil
@@ -105,16 +117,16 @@
 	defer cancel()
 	program := r.args.Program
 	if program == "" {
-		if program, err = buildProgram(ctx, r.dir); err != nil {
+		if program, err = nodes.BuildProgram(ctx, r.dir); err != nil {
 			return err
 		}
 	}
-	var nodes [][]string
+	var addresses [][]string
 	for i := range r.args.Real {
 		if i%r.args.Depth == 0 {
-			nodes = append(nodes, nil)
+			addresses = append(addresses, nil)
 		}
-		n, err := startReal(ctx, program, r.dir, NodeSpec{
+		n, err := nodes.StartRealNode(ctx, program, r.dir, nodes.NodeSpec{
 			Name: fmt.Sprintf("n%d", i), Replicas: 1, Tier: i % r.args.Depth,
 			Listen: "127.0.0.1:0", Discovery: discovery(i), PollDiscovery: polled, Seed: r.args.Seed + uint64(i),
 		})
@@ -122,13 +134,13 @@
 			return err
 		}
 		r.real = append(r.real, n)
-		nodes[len(nodes)-1] = append(nodes[len(nodes)-1], n.address)
+		addresses[len(addresses)-1] = append(addresses[len(addresses)-1], n.Address())
 	}
 	for _, n := range r.real {
-		if err := n.ready(ctx); err != nil {
+		if err := n.WaitReady(ctx); err != nil {
 			return err
 		}
 	}
 	r.Log.Info("real nodes are ready", "nodes", len(r.real))
-	return r.servers.call(ctx, "Link", nodes, &struct{}{})
+	return r.servers.Call(ctx, "Link", addresses, &struct{}{})
 }
