--- a/internal/socketpeek/socketpeek.go
+++ b/internal/socketpeek/socketpeek.go
@@ -4,7 +4,6 @@
 package socketpeek
 
 import (
-	"errors"
 	"net"
 	"syscall"
 )
@@ -31,12 +30,15 @@
 
 // hasUnreadBy is HasUnread with a given recv. An interrupted call is repeated, as it gives no information about
 // the socket: the runtime's poller is edge-triggered, so that what is missed here is not reported again.
+//
+// A system call's error is compared as it is: with errors.Is this function would be too long to be inlined, and buf
+// would be allocated at each call, several times for a request.
 func hasUnreadBy(recv recvFunc, fd uintptr) bool {
 	var buf [1]byte
 	for {
 		_, _, err := recv(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		if !errors.Is(err, syscall.EINTR) {
-			return !errors.Is(err, syscall.EAGAIN)
+		if err != syscall.EINTR { //nolint:errorlint // recv wraps no error, see above
+			return err != syscall.EAGAIN //nolint:errorlint // the same
 		}
 	}
 }
--- a/internal/socketpeek/socketpeek_test.go
+++ b/internal/socketpeek/socketpeek_test.go
@@ -40,3 +40,15 @@
 		})
 	}
 }
+
+// A peek is a part of every request, and allocates nothing.
+func TestPeekDoesNotAllocate(t *testing.T) {
+	_, ours := testutil.ConnPair(t)
+	var allocations float64
+	err := RawConn(ours).Control(func(fd uintptr) {
+		allocations = testing.AllocsPerRun(100, func() { HasUnread(fd) })
+	})
+	if err != nil || allocations != 0 {
+		t.Errorf("%v allocations (%v)", allocations, err)
+	}
+}
