--- a/internal/fleet/process/child.go
+++ b/internal/fleet/process/child.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// Stop ends the child and waits until it is gone.
+// Stop ends the child and waits until it has ended.
 func (c *ChildProcess) Stop() {
 	c.stopOnce.Do(func() {
 		_ = c.client.Close() // it closes the child's input, and fails only if the child has ended
--- a/internal/fleet/run_test.go
+++ b/internal/fleet/run_test.go
@@ -41,7 +41,7 @@
 				expectation{"no chain", point.Chain == nil},
 				expectation{"no changes of configuration", point.Configs == nil},
 				expectation{"no storm", point.Storm == nil},
-				expectation{"the whole length measured", point.Seconds >= args.For.Seconds()},
+				expectation{"its length measured", point.Seconds >= args.For.Seconds()},
 			)
 			checkInForce(t, point.Hollow, args.Nodes/args.Services)
 			checkHollowCalls(t, point.Hollow)
@@ -139,7 +139,7 @@
 				expectation{"at least 100 calls", meanwhile.Offered >= 100},
 				expectation{"all calls answered", meanwhile.Answered() == meanwhile.Offered},
 				expectation{"half of the calls served", meanwhile.Served >= meanwhile.Offered/2},
-				expectation{"fewer calls than in the whole run", meanwhile.Offered < all.Offered},
+				expectation{"fewer calls than in all of the run", meanwhile.Offered < all.Offered},
 			)
 		})
 	}
--- a/internal/node/departure_test.go
+++ b/internal/node/departure_test.go
@@ -19,24 +19,24 @@
 
 func TestClientDepartureCancelsTheAttempt(t *testing.T) {
 	t.Parallel()
-	got, gone := make(chan struct{}), make(chan struct{})
+	got, ended := make(chan struct{}), make(chan struct{})
 	var first sync.Once
 	s := testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		answers := true
 		first.Do(func() {
 			close(got)
 			c.Read(make([]byte, 1)) // returns when the node closes
-			close(gone)
+			close(ended)
 			answers = false
 		})
 		return answers && testutil.Echo(c, r, body)
 	})
-	n, _ := startNode(t, withLongObjectives(configFor(s)), nil)
+	n, _ := startNode(t, withLongObjectives(configWithServers(s)), nil)
 	c := dial(t, n)
 	c.Send("POST", "/note/k", "leaving", "x", "60")
 	testutil.Wait(t, got, "the attempt")
 	c.Close()
-	testutil.Wait(t, gone, "the end of the attempt")
+	testutil.Wait(t, ended, "the end of the attempt")
 	again := dial(t, n)
 	testutil.Until(t, "the id to be free again", func() bool {
 		again.Send("POST", "/note/k", "leaving", "x", "60")
@@ -321,7 +321,7 @@
 	t.Parallel()
 	s := testutil.NewServer(t, testutil.Echo)
 	through := make(chan struct{})
-	n, _ := startNode(t, configFor(s), func(n *Node) {
+	n, _ := startNode(t, configWithServers(s), func(n *Node) {
 		n.upstream.Dial = func(_ context.Context, network, address string) (net.Conn, error) {
 			nc, err := net.Dial(network, address)
 			<-through
@@ -355,7 +355,7 @@
 	t.Parallel()
 	s := testutil.NewServer(t, testutil.Echo)
 	reads, looks := newGate(2), newGate(2)
-	n, _ := startNode(t, configFor(s), func(n *Node) {
+	n, _ := startNode(t, configWithServers(s), func(n *Node) {
 		n.listener = gatedConns{n.listener.(*net.TCPListener), reads, looks}
 	})
 	c, other := dial(t, n), dial(t, n)
--- a/internal/node/descriptorbudget_test.go
+++ b/internal/node/descriptors_test.go
@@ -19,7 +19,7 @@
 	t.Parallel()
 	s, got, release := testutil.NewHoldingServer(t, "held")
 	const most = 4
-	n, _ := startNode(t, configFor(s), func(n *Node) {
+	n, _ := startNode(t, configWithServers(s), func(n *Node) {
 		limits := downstreamLimits(n.cfg)
 		limits.Descriptors, limits.UpstreamReserve, limits.GracePeriods.Idle = 2*most, most, 0
 		n.frontend.conns.Configure(limits)
@@ -36,9 +36,9 @@
 		held = append(held, c)
 	}
 	testutil.ExpectClosed(t, idle.Reader, "the idle connection when there are too many")
-	over := dial(t, n) // read and refused, never left unread
-	over.Get("over")
-	r, _ := over.Response(t)
+	excess := dial(t, n) // read and rejected, never left unread
+	excess.Get("over")
+	r, _ := excess.Response(t)
 	if r.StatusCode != 503 || r.Header.Get("Retry-After") == "" || !r.Close {
 		t.Errorf("got %d, Retry-After %q, close %v", r.StatusCode, r.Header.Get("Retry-After"), r.Close)
 	}
@@ -53,7 +53,7 @@
 func TestNoRequestIsLostWhileIdleConnectionsAreEvicted(t *testing.T) {
 	t.Parallel()
 	s := testutil.NewServer(t, testutil.Echo)
-	n, _ := startNode(t, configFor(s), func(n *Node) {
+	n, _ := startNode(t, configWithServers(s), func(n *Node) {
 		limits := downstreamLimits(n.cfg)
 		limits.Descriptors, limits.UpstreamReserve, limits.GracePeriods.Idle = 8, 4, 0
 		n.frontend.conns.Configure(limits)
@@ -113,7 +113,7 @@
 func TestClientIsServedBesideHundredsOfSilentConnections(t *testing.T) {
 	t.Parallel()
 	s := testutil.NewServer(t, testutil.Echo)
-	cfg := configFor(s)
+	cfg := configWithServers(s)
 	cfg.Sockets = 256
 	n, _ := startNode(t, cfg, func(n *Node) {
 		n.frontend.server.ReadTimeout = 2 * testutil.Limit // connections end by eviction only
@@ -208,7 +208,7 @@
 // a request: first those connections that it takes for partial requests.
 func startFullNode(t *testing.T, s *testutil.Server, moment string) *Node {
 	t.Helper()
-	cfg := withLongObjectives(configFor(s))
+	cfg := withLongObjectives(configWithServers(s))
 	cfg.Sockets = reservedDescriptors + fullNodeConns + 1 // one is kept for the server
 	n, _ := startNode(t, cfg, func(n *Node) {
 		f := n.frontend
@@ -219,11 +219,11 @@
 		}
 		f.conns.Configure(limits)
 		limits.GracePeriods = downstream.GracePeriods{Lingering: testutil.Limit, Idle: testutil.Limit}
-		makeRoom := func() { f.conns.Configure(limits) }
+		tightenLimits := func() { f.conns.Configure(limits) }
 		if moment == "head read" {
 			f.server.ConnState = func(c net.Conn, state http.ConnState) {
 				if f.conns.ConnStateChanged(c, state); state == http.StateActive {
-					makeRoom()
+					tightenLimits()
 				}
 			}
 			return
@@ -234,7 +234,7 @@
 				r.Body = io.NopCloser(bytes.NewReader(body))
 			}
 			downstream.FromContext(r.Context()).AwaitCaughtUp()
-			makeRoom()
+			tightenLimits()
 			f.ServeHTTP(w, r)
 		})
 	})
