--- a/cmd/fleetscale/main.go
+++ b/cmd/fleetscale/main.go
@@ -21,6 +21,8 @@
 	"github.com/alecthomas/kong"
 
 	"basaltdrum/internal/fleet"
+	"basaltdrum/internal/fleet/plan"
+	"basaltdrum/internal/fleet/report"
 )
 
 // How the program exits.
@@ -30,39 +32,44 @@
 )
 
 // output says where the report goes.
+//
+//nolint:lll // a struct tag is one string
 type output struct {
 	JSON string `name:"json" help:"Write the JSON report to this file, not to standard output." type:"path" placeholder:"FILE"`
 }
 
 type single struct {
-	fleet.Args `embed:""`
-	output     `embed:""`
+	plan.Args `embed:""`
+	output    `embed:""`
 }
 
 // Validate checks the run. Kong calls it.
 func (s single) Validate() error { return s.Check() }
 
 type sweep struct {
-	fleet.Args `embed:""`
-	output     `embed:""`
-	Over       string `help:"What to vary: ${enum}." enum:"nodes,servers,changes" required:""`
-	Values     []int  `help:"Its values, at least two different ones." required:""`
+	plan.Args `embed:""`
+	output    `embed:""`
+	Over      string `help:"What to vary: ${enum}." enum:"nodes,servers,changes" required:""`
+	Values    []int  `help:"Its values, at least two different ones." required:""`
 }
 
 // Validate checks each run of the sweep. Kong calls it.
 func (s sweep) Validate() error {
-	_, err := fleet.Plan(s.Args, s.Over, s.Values)
+	_, err := plan.SweepPlan(s.Args, s.Over, s.Values)
 	return err
 }
 
 type growth struct {
-	fleet.GrowthArgs `embed:""`
-	output           `embed:""`
+	plan.GrowthArgs `embed:""`
+	output          `embed:""`
 }
 
 // Validate checks the days. Kong calls it.
 func (g growth) Validate() error { return g.Check() }
 
+// commands are the command line, as kong reads it.
+//
+//nolint:lll // a struct tag is one string
 type commands struct {
 	Run    single `cmd:"" default:"withargs" help:"Make one run, which measures one point."`
 	Sweep  sweep  `cmd:"" help:"Make runs in a row that differ in one argument, and fit slopes."`
@@ -76,7 +83,8 @@
 
 func newParser(c *commands, stdout, stderr io.Writer, exit func(int)) (*kong.Kong, error) {
 	return kong.New(c, kong.Name("fleetscale"), kong.Writers(stdout, stderr), kong.Exit(exit),
-		kong.Description("Measures what a fleet of nodes costs. Everything stays on this machine's loopback addresses."))
+		kong.Description("Measures what a fleet of nodes costs. "+
+			"Everything stays on this machine's loopback addresses."))
 }
 
 // run does what the arguments say, and tells how to exit.
@@ -108,8 +116,8 @@
 	return 0
 }
 
-// report is what a command writes: a table for a reader, and JSON.
-type report interface{ Table(io.Writer) error }
+// tableWriter is what a command writes: a table for a reader, and JSON.
+type tableWriter interface{ Table(io.Writer) error }
 
 // measure makes the runs and writes the report. SIGINT and SIGTERM end it.
 func measure(command string, c commands, args []string, stdout, stderr io.Writer) error {
@@ -123,24 +131,24 @@
 	switch command {
 	case "sweep":
 		result, err := runner.Sweep(ctx, c.Sweep.Args, c.Sweep.Over, c.Sweep.Values)
-		result.Command = fleet.Command(args)
+		result.Command = report.Command(args)
 		return finish(ctx, result, err, c.Sweep.JSON, stdout)
 	case "growth":
 		result, err := runner.Growth(ctx, c.Growth.GrowthArgs)
-		result.Command = fleet.Command(args)
+		result.Command = report.Command(args)
 		if err := finish(ctx, result, err, c.Growth.JSON, stdout); err != nil {
 			return err
 		}
 		return result.Err()
 	default:
 		point, err := runner.Run(ctx, c.Run.Args)
-		result := fleet.Report{Command: fleet.Command(args), Points: []fleet.Point{point}}
+		result := report.Report{Command: report.Command(args), Points: []report.Point{point}}
 		return finish(ctx, result, err, c.Run.JSON, stdout)
 	}
 }
 
 // finish writes the report of runs that ended without an error, as JSON to the file named, or to standard output.
-func finish(ctx context.Context, result report, err error, file string, stdout io.Writer) error {
+func finish(ctx context.Context, result tableWriter, err error, file string, stdout io.Writer) error {
 	if ctx.Err() != nil {
 		return errors.New("ended by a signal")
 	}
--- a/internal/fleet/hollows.go
+++ b/internal/fleet/nodes/hollows.go
@@ -1,10 +1,9 @@
-package fleet
+package nodes
 
 import (
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"log/slog"
 	"math/rand/v2"
 	"runtime"
@@ -12,21 +11,29 @@
 	"sync/atomic"
 	"time"
 
+	"basaltdrum/internal/fleet/load"
+	"basaltdrum/internal/fleet/stats"
 	"basaltdrum/internal/node"
 )
 
 // Phases of a storm, in which calls are counted apart.
 const (
-	beforeStorm = iota
-	inStorm
-	afterStorm
-	phases
+	BeforeStorm = iota
+	InStorm
+	AfterStorm
+	PhaseCount
 )
 
 // finalUpdateWait is how long the last updates are waited for after the end of a run. A node that applies a change
 // later counts as having missed it. The target allows 11 s.
 const finalUpdateWait = 12 * time.Second
 
+// How often it is looked whether all nodes are ready, and whether the figures are complete.
+const (
+	readyInterval  = 10 * time.Millisecond
+	reportInterval = 20 * time.Millisecond
+)
+
 // loadGoroutines is how many goroutines make the calls of all hollow nodes.
 const loadGoroutines = 4
 
@@ -57,10 +64,10 @@
 
 // HollowReport are the figures of the nodes at the end of a run.
 type HollowReport struct {
-	Phases    [phases]Tally
-	Lateness  Quantiles // of sends, against the times drawn
-	Latency   Quantiles // from the time drawn to the answer
-	InForce   map[string]InForce
+	Phases    [PhaseCount]stats.Tally
+	Lateness  stats.Quantiles // of sends, against the times drawn
+	Latency   stats.Quantiles // from the time drawn to the answer
+	InForce   map[string]stats.InForce
 	HeapBytes int64 // heap in use more than without nodes, after a collection at the end
 	Warnings  int64 // lines of the nodes' logs at the level of a warning or above
 }
@@ -70,19 +77,29 @@
 	services int
 	nodes    []*hollow
 	phase    atomic.Int32
-	tallies  [phases]struct{ offered, served, rejected, failed atomic.Int64 }
-	lateness *latencies
-	latency  *latencies
+	tallies  [PhaseCount]atomicTally
+	lateness *stats.Latencies
+	latency  *stats.Latencies
 	senders  sync.WaitGroup // the goroutines that make calls
 
 	heapWithoutNodes int64 // in bytes
 	warnings         *warnings
 }
 
+// atomicTally is a tally that many goroutines count in.
+type atomicTally struct{ offered, served, rejected, failed atomic.Int64 }
+
+// snapshot returns the present counts.
+func (t *atomicTally) snapshot() stats.Tally {
+	return stats.Tally{
+		Offered: t.offered.Load(), Served: t.served.Load(), Rejected: t.rejected.Load(), Failed: t.failed.Load(),
+	}
+}
+
 // Start starts the nodes, and waits until all are ready.
 func (h *Hollows) Start(spec HollowSpec, started *HollowStart) error {
-	h.services, h.lateness, h.latency = spec.Services, newLatencies(), newLatencies()
-	h.warnings = &warnings{Handler: slog.NewTextHandler(io.Discard, nil)}
+	h.services, h.lateness, h.latency = spec.Services, stats.NewLatencies(), stats.NewLatencies()
+	h.warnings = &warnings{Handler: slog.DiscardHandler}
 	before := memory()
 	h.heapWithoutNodes = int64(before.HeapAlloc)
 	begun := time.Now()
@@ -98,7 +115,7 @@
 		if started.Took > spec.Wait {
 			return fmt.Errorf("hollow nodes: %d of %d are ready after %v", started.Ready, len(h.nodes), spec.Wait)
 		}
-		time.Sleep(10 * time.Millisecond)
+		time.Sleep(readyInterval)
 	}
 	after := memory()
 	started.HeapBytes = int64(after.HeapAlloc) - h.heapWithoutNodes
@@ -115,12 +132,12 @@
 			Name: fmt.Sprintf("h%d", i), Index: i / spec.Services, Replicas: replicas, Tier: 1,
 			Listen: "127.0.0.1:0", Discovery: address, PollDiscovery: spec.PollDiscovery, Seed: spec.Seed + uint64(i),
 		}
-		one, err := newHollow(nodeSpec, spec.Service, rand.New(rand.NewPCG(spec.Seed, uint64(i))), log)
+		one, err := newSpecifiedHollow(nodeSpec, spec.Service, rand.New(rand.NewPCG(spec.Seed, uint64(i))), log)
 		if err != nil {
 			return err
 		}
 		h.nodes = append(h.nodes, one)
-		go one.Run(context.Background())
+		go one.run(context.Background())
 	}
 	return nil
 }
@@ -128,7 +145,7 @@
 // readyNodes returns how many nodes are ready.
 func (h *Hollows) readyNodes() (ready int) {
 	for _, n := range h.nodes {
-		if n.Ready() {
+		if n.ready() {
 			ready++
 		}
 	}
@@ -143,34 +160,41 @@
 }
 
 // Load starts the calls at all nodes, and does not wait for their end.
-func (h *Hollows) Load(load HollowLoad, _ *struct{}) error {
-	if load.Rate <= 0 {
+func (h *Hollows) Load(calls HollowLoad, _ *struct{}) error {
+	if calls.Rate <= 0 {
 		return nil
 	}
-	// The arrivals of many nodes together are a Poisson process too, each at a node drawn anew.
 	for i := range loadGoroutines {
 		h.senders.Add(1)
 		go func() {
 			defer h.senders.Done()
-			at := rand.New(rand.NewPCG(load.Seed, uint64(loadGoroutines+i)))
-			NewArrivals(load.Rate*float64(len(h.nodes))/loadGoroutines, load.Seed, uint64(i)).Play(context.Background(), load.For,
-				func(drawn time.Time) { h.call(h.nodes[at.IntN(len(h.nodes))], drawn) })
+			h.send(calls, uint64(i))
 		}()
 	}
 	return nil
 }
 
+// send makes the part of the calls that one goroutine makes. The arrivals of many nodes together are a Poisson process
+// too, each at a node drawn anew.
+func (h *Hollows) send(calls HollowLoad, stream uint64) {
+	draws := rand.New(rand.NewPCG(calls.Seed, loadGoroutines+stream))
+	rate := calls.Rate * float64(len(h.nodes)) / loadGoroutines
+	load.NewArrivals(rate, calls.Seed, stream).Play(context.Background(), calls.For, func(drawn time.Time) {
+		h.call(h.nodes[draws.IntN(len(h.nodes))], drawn)
+	})
+}
+
 // call makes one call at a node, and counts its answer.
 func (h *Hollows) call(n *hollow, drawn time.Time) {
 	t := &h.tallies[h.phase.Load()]
 	t.offered.Add(1)
-	h.lateness.add(time.Since(drawn))
-	n.Call(callClass, time.Duration(callDeadline*float64(time.Second)), func(a node.Answer) {
-		switch a {
-		case node.Served:
-			h.latency.add(time.Since(drawn))
+	h.lateness.Add(time.Since(drawn))
+	n.call(load.Class, load.Deadline, func(kind node.ResponseKind) {
+		switch kind {
+		case node.ResponseServed:
+			h.latency.Add(time.Since(drawn))
 			t.served.Add(1)
-		case node.Rejected:
+		case node.ResponseRejected:
 			t.rejected.Add(1)
 		default:
 			t.failed.Add(1)
@@ -180,7 +204,7 @@
 
 // Phase has the calls counted in another phase from now on.
 func (h *Hollows) Phase(phase int, _ *struct{}) error {
-	if phase < 0 || phase >= phases {
+	if phase < 0 || phase >= PhaseCount {
 		return errors.New("hollow nodes: no such phase")
 	}
 	h.phase.Store(int32(phase))
@@ -191,22 +215,38 @@
 // the figures.
 func (h *Hollows) Report(changes []ListChange, report *HollowReport) error {
 	h.senders.Wait()
-	for end := time.Now().Add(finalUpdateWait); ; time.Sleep(20 * time.Millisecond) {
-		missed, out := 0, int64(0)
+	for end := time.Now().Add(finalUpdateWait); ; time.Sleep(reportInterval) {
 		report.InForce = h.inForce(changes)
-		for _, f := range report.InForce {
-			missed += f.Missed
-		}
-		for i := range h.tallies {
-			t := &h.tallies[i]
-			report.Phases[i] = Tally{t.offered.Load(), t.served.Load(), t.rejected.Load(), t.failed.Load()}
-			out += report.Phases[i].Offered - report.Phases[i].Answered()
-		}
-		if missed == 0 && out == 0 || time.Now().After(end) {
+		report.Phases = h.phases()
+		if report.complete() || time.Now().After(end) {
 			break
 		}
 	}
 	report.HeapBytes = int64(memory().HeapAlloc) - h.heapWithoutNodes
-	report.Lateness, report.Latency, report.Warnings = h.lateness.quantiles(), h.latency.quantiles(), h.warnings.count.Load()
+	report.Lateness, report.Latency = h.lateness.Quantiles(), h.latency.Quantiles()
+	report.Warnings = h.warnings.count.Load()
 	return nil
 }
+
+// phases returns the tallies of all phases as they are.
+func (h *Hollows) phases() (tallies [PhaseCount]stats.Tally) {
+	for i := range h.tallies {
+		tallies[i] = h.tallies[i].snapshot()
+	}
+	return tallies
+}
+
+// complete says that all calls are answered and all updates applied.
+func (r *HollowReport) complete() bool {
+	for _, figures := range r.InForce {
+		if figures.Missed > 0 {
+			return false
+		}
+	}
+	for _, tally := range r.Phases {
+		if tally.Answered() < tally.Offered {
+			return false
+		}
+	}
+	return true
+}
--- a/internal/fleet/growthargs.go
+++ b/internal/fleet/plan/growthargs.go
@@ -1,4 +1,4 @@
-package fleet
+package plan
 
 import (
 	"fmt"
@@ -15,6 +15,8 @@
 )
 
 // GrowthArgs are the arguments of a growth run.
+//
+//nolint:lll // a struct tag is one string
 type GrowthArgs struct {
 	Servers int           `help:"Servers listed at the usual size." default:"200" json:"servers"`
 	Factor  int           `help:"How many times as many servers the large size has." default:"16" json:"factor"`
@@ -28,51 +30,49 @@
 	Program string        `help:"The nodes' program; built by go build where none is named." type:"path" json:"program,omitempty"`
 }
 
-// Check returns an error that names the first argument that can't be used.
+// Check returns an error that names the first argument that can't be used: an OutOfRangeError or a ConflictError.
 func (a GrowthArgs) Check() error {
-	for _, one := range []struct {
-		name               string
-		value, least, most float64
-	}{
-		{"servers", float64(a.Servers), 10, maxListedServers},
-		{"factor", float64(a.Factor), 2, 16},
-		{"real", float64(a.Real), 1, maxGrowthNodes},
-		{"fleet", float64(a.Fleet), float64(a.Real), maxFleetNodes},
-		{"rate", a.Rate, 1, maxGrowthRate},
-	} {
-		if !(one.value >= one.least && one.value <= one.most) {
-			return fmt.Errorf("--%s must be from %v to %v, not %v", one.name, one.least, one.most, one.value)
-		}
+	err := firstError(
+		checkRange("servers", float64(a.Servers), 10, maxListedServers),
+		checkRange("factor", float64(a.Factor), 2, 16),
+		checkRange("real", float64(a.Real), 1, maxGrowthNodes),
+		checkRange("fleet", float64(a.Fleet), float64(a.Real), maxFleetNodes),
+		checkRange("rate", a.Rate, 1, maxGrowthRate),
+	)
+	if err != nil {
+		return err
 	}
-	switch {
-	case a.Servers*a.Factor > maxListedServers:
-		return fmt.Errorf("--servers %d times --factor %d is more than %d", a.Servers, a.Factor, maxListedServers)
-	case a.For < time.Second || a.For > maxGrowthLength:
-		return fmt.Errorf("--for must be from 1s to %v, not %v", maxGrowthLength, a.For)
-	case a.Service < 0 || a.Service > time.Second:
-		return fmt.Errorf("--service must be from 0s to 1s, not %v", a.Service)
+	err = firstConflict([]conflict{{
+		a.Servers*a.Factor > maxListedServers,
+		fmt.Sprintf("--servers %d times --factor %d is more than %d", a.Servers, a.Factor, maxListedServers),
+	}})
+	if err != nil {
+		return err
 	}
-	return nil
+	return firstError(
+		checkRange("for", a.For, time.Second, maxGrowthLength),
+		checkRange("service", a.Service, 0, maxServiceTime),
+	)
 }
 
-// bound returns how long both days may take in all.
-func (a GrowthArgs) bound() time.Duration { return 2*a.For + Margin }
+// Bound returns how long both days may take in all.
+func (a GrowthArgs) Bound() time.Duration { return 2*a.For + Margin }
 
-// growthSize is the size of the fleet on one day.
-type growthSize struct {
-	servers  int
-	nodes    int     // of the fleet, as the settings have them
-	capacity float64 // of each server; 1 at the usual size
+// GrowthSize is the size of the fleet on one day.
+type GrowthSize struct {
+	Servers  int
+	Nodes    int     // of the fleet, as the settings have them
+	Capacity float64 // of each server; 1 at the usual size
 }
 
-// usual returns the usual size.
-func (a GrowthArgs) usual() growthSize {
-	return growthSize{servers: a.Servers, nodes: a.Fleet, capacity: 1}
+// Usual returns the usual size.
+func (a GrowthArgs) Usual() GrowthSize {
+	return GrowthSize{Servers: a.Servers, Nodes: a.Fleet, Capacity: 1}
 }
 
-// large returns the large size. All servers together have the same capacity for each node as at the usual size.
-func (a GrowthArgs) large() growthSize {
-	size := growthSize{servers: a.Servers * a.Factor, nodes: min(a.Fleet*a.Factor, maxFleetNodes)}
-	size.capacity = float64(size.nodes) / float64(a.Fleet) / float64(a.Factor)
+// Large returns the large size. All servers together have the same capacity for each node as at the usual size.
+func (a GrowthArgs) Large() GrowthSize {
+	size := GrowthSize{Servers: a.Servers * a.Factor, Nodes: min(a.Fleet*a.Factor, maxFleetNodes)}
+	size.Capacity = float64(size.Nodes) / float64(a.Fleet) / float64(a.Factor)
 	return size
 }
--- a/internal/fleet/process.go
+++ b/internal/fleet/process/usage.go
@@ -1,4 +1,4 @@
-package fleet
+package process
 
 import (
 	"bytes"
@@ -86,3 +86,8 @@
 	}
 	return len(entries), nil
 }
+
+// Cores is how many processor cores were in use between two readings.
+func Cores(used time.Duration, from, to time.Time) float64 {
+	return used.Seconds() / to.Sub(from).Seconds()
+}
--- /dev/null
+++ b/internal/fleet/roles.go
@@ -0,0 +1,33 @@
+package fleet
+
+import (
+	"fmt"
+
+	"basaltdrum/internal/fleet/nodes"
+	"basaltdrum/internal/fleet/process"
+	"basaltdrum/internal/fleet/standin"
+)
+
+// The roles of child processes.
+const (
+	roleRegistry = "registry"
+	roleHollows  = "hollows"
+	roleServers  = "servers"
+	roleListed   = "listed-servers"
+)
+
+// Child is the main function of a child process: it serves the requests of its parent in one of the roles, until its
+// input is closed.
+func Child(role string) error {
+	services := map[string]any{
+		roleRegistry: &standin.RegistryHost{},
+		roleHollows:  &nodes.Hollows{},
+		roleServers:  &standin.Servers{},
+		roleListed:   &standin.ListedServers{},
+	}
+	service, ok := services[role]
+	if !ok {
+		return fmt.Errorf("child: no role %q", role)
+	}
+	return process.ServeParent(service)
+}
--- a/internal/fleet/list.go
+++ b/internal/fleet/standin/list.go
@@ -1,10 +1,11 @@
-package fleet
+package standin
 
 import (
 	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
+	"slices"
 	"sync"
 	"time"
 )
@@ -29,9 +30,9 @@
 
 // The states of an entry.
 const (
-	inService   = "in_service"
-	terminating = "terminating"
-	terminated  = "terminated" // only among changes
+	InService   = "in_service"
+	Terminating = "terminating"
+	Terminated  = "terminated" // only among changes
 )
 
 // listBody is the body of an answer to a call for a list.
@@ -73,7 +74,7 @@
 	defer l.mu.Unlock()
 	l.rev++
 	for _, t := range targets {
-		if _, listed := l.entries[t.UID]; t.State == terminated {
+		if _, listed := l.entries[t.UID]; t.State == Terminated {
 			delete(l.entries, t.UID)
 		} else {
 			if !listed {
@@ -94,12 +95,9 @@
 
 // addUID appends a uid, unless it was listed before and so has its place.
 func (l *list) addUID(uid string) {
-	for _, known := range l.uids {
-		if known == uid {
-			return
-		}
+	if !slices.Contains(l.uids, uid) {
+		l.uids = append(l.uids, uid)
 	}
-	l.uids = append(l.uids, uid)
 }
 
 // answerFor returns the answer to who holds a version, or noVersion: what is newer, and whether anything is. newer
--- a/internal/fleet/servers.go
+++ b/internal/fleet/standin/servers.go
@@ -1,7 +1,6 @@
-package fleet
+package standin
 
 import (
-	"context"
 	"fmt"
 	"math/rand/v2"
 	"net"
@@ -9,6 +8,9 @@
 	"strconv"
 	"sync/atomic"
 	"time"
+
+	"basaltdrum/internal/fleet/load"
+	"basaltdrum/internal/monotime"
 )
 
 // ServersSpec describes chains of servers: for each tier of each chain there are two servers. One calls the node of
@@ -26,14 +28,14 @@
 
 // Servers is the RPC service of the stand-in servers of chains, for a parent process.
 type Servers struct {
-	client  *client
+	client  *load.Client
 	through [][]*server
 }
 
 // server is a stand-in server: it answers a request after a service time that it draws, and after its own call to
 // the next tier, if there is one.
 type server struct {
-	client  *client
+	client  *load.Client
 	service time.Duration
 	next    atomic.Pointer[string]
 	calls   atomic.Int64
@@ -43,7 +45,7 @@
 
 // Start opens the servers, and returns their addresses.
 func (s *Servers) Start(spec ServersSpec, at *ServerAddresses) error {
-	s.client = newClient()
+	s.client = load.NewClient()
 	open := func(name string, n int) (*server, string, error) {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -100,24 +102,14 @@
 	n := s.calls.Add(1)
 	if s.service > 0 {
 		rng := rand.New(rand.NewPCG(s.seed, uint64(n)))
-		pause(r.Context(), time.Duration(rng.ExpFloat64()*float64(s.service)))
+		monotime.Sleep(r.Context(), time.Duration(rng.ExpFloat64()*float64(s.service)))
 	}
 	if next := s.next.Load(); next != nil {
-		got, err := s.client.call(r.Context(), *next, callClass, fmt.Sprintf("%s-%x", s.name, n), deadline)
-		if err != nil || got != served {
+		got, err := s.client.Call(r.Context(), *next, load.Class, fmt.Sprintf("%s-%x", s.name, n), deadline)
+		if err != nil || got != load.Served {
 			http.Error(w, fmt.Sprintf("the next tier: %v, %v", got, err), http.StatusInternalServerError)
 			return
 		}
 	}
 	fmt.Fprintf(w, "%s serves %s\n", s.name, id)
 }
-
-// pause waits for a while, or until ctx ends.
-func pause(ctx context.Context, d time.Duration) {
-	t := time.NewTimer(d)
-	defer t.Stop()
-	select {
-	case <-t.C:
-	case <-ctx.Done():
-	}
-}
--- a/internal/node/descriptorbudget_test.go
+++ b/internal/node/descriptors_test.go
@@ -16,9 +16,10 @@
 )
 
 func TestDownstreamConnectionsBeyondTheBudget(t *testing.T) {
+	t.Parallel()
 	s, got, release := testutil.NewHoldingServer(t, "held")
 	const most = 4
-	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) {
+	n, _ := startNode(t, configWithServers(s), func(n *Node) {
 		limits := downstreamLimits(n.cfg)
 		limits.Descriptors, limits.UpstreamReserve, limits.GracePeriods.Idle = 2*most, most, 0
 		n.frontend.conns.Configure(limits)
@@ -35,9 +36,9 @@
 		held = append(held, c)
 	}
 	testutil.ExpectClosed(t, idle.Reader, "the idle connection when there are too many")
-	over := dial(t, n) // read and refused, never left unread
-	over.Get("over")
-	r, _ := over.Response(t)
+	excess := dial(t, n) // read and rejected, never left unread
+	excess.Get("over")
+	r, _ := excess.Response(t)
 	if r.StatusCode != 503 || r.Header.Get("Retry-After") == "" || !r.Close {
 		t.Errorf("got %d, Retry-After %q, close %v", r.StatusCode, r.Header.Get("Retry-After"), r.Close)
 	}
@@ -50,52 +51,26 @@
 // What reaches a server has been read by the node, so its client must get a response, however often idle
 // connections are evicted meanwhile.
 func TestNoRequestIsLostWhileIdleConnectionsAreEvicted(t *testing.T) {
+	t.Parallel()
 	s := testutil.NewServer(t, testutil.Echo)
-	n, _ := startNode(t, testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))), func(n *Node) {
+	n, _ := startNode(t, configWithServers(s), func(n *Node) {
 		limits := downstreamLimits(n.cfg)
 		limits.Descriptors, limits.UpstreamReserve, limits.GracePeriods.Idle = 8, 4, 0
 		n.frontend.conns.Configure(limits)
 	})
-	var mu sync.Mutex
-	answered := map[string]bool{}
+	var answered sync.Map // ids of requests
 	var callers sync.WaitGroup
 	for i := range 12 {
 		callers.Add(1)
 		go func() {
 			defer callers.Done()
-			var c *testutil.Client
-			for j := range 60 {
-				if c == nil {
-					nc, err := net.Dial("tcp", n.Addr())
-					if err != nil {
-						t.Error(err)
-						return
-					}
-					nc.SetDeadline(time.Now().Add(2 * testutil.Limit))
-					c = &testutil.Client{Conn: nc, Reader: bufio.NewReader(nc)}
-				}
-				id := fmt.Sprintf("c%d-%d", i, j)
-				c.Get(id)
-				r, _, err := c.ReadResponse()
-				if err == nil {
-					mu.Lock()
-					answered[id] = true
-					mu.Unlock()
-				}
-				if err != nil || r.Close {
-					c.Close()
-					c = nil
-				}
-			}
-			if c != nil {
-				c.Close()
-			}
+			callRepeatedly(t, n, fmt.Sprint("c", i), &answered)
 		}()
 	}
 	callers.Wait()
 	forwarded := s.Requests()
 	for _, id := range forwarded {
-		if !answered[id] {
+		if _, ok := answered.Load(id); !ok {
 			t.Errorf("%s was forwarded to the server, and its client got no response", id)
 		}
 	}
@@ -104,11 +79,41 @@
 	}
 }
 
+// callRepeatedly sends requests on one connection after another, and adds the ids of those that were answered.
+func callRepeatedly(t *testing.T, n *Node, name string, answered *sync.Map) {
+	var c *testutil.Client
+	for i := range 60 {
+		if c == nil {
+			nc, err := net.Dial("tcp", n.Addr())
+			if err != nil {
+				t.Error(err)
+				return
+			}
+			nc.SetDeadline(time.Now().Add(2 * testutil.Limit))
+			c = &testutil.Client{Conn: nc, Reader: bufio.NewReader(nc)}
+		}
+		id := fmt.Sprintf("%s-%d", name, i)
+		c.Get(id)
+		r, _, err := c.ReadResponse()
+		if err == nil {
+			answered.Store(id, true)
+		}
+		if err != nil || r.Close {
+			c.Close()
+			c = nil
+		}
+	}
+	if c != nil {
+		c.Close()
+	}
+}
+
 // Hundreds of connections that send nothing, a partial head or a partial body take no capacity that a well-behaved
 // client needs: they are evicted first, before they would time out, and that client is served.
 func TestClientIsServedBesideHundredsOfSilentConnections(t *testing.T) {
+	t.Parallel()
 	s := testutil.NewServer(t, testutil.Echo)
-	cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service")))
+	cfg := configWithServers(s)
 	cfg.Sockets = 256
 	n, _ := startNode(t, cfg, func(n *Node) {
 		n.frontend.server.ReadTimeout = 2 * testutil.Limit // connections end by eviction only
@@ -116,7 +121,8 @@
 		limits.GracePeriods = downstream.GracePeriods{Idle: testutil.Limit}
 		n.frontend.conns.Configure(limits)
 	})
-	const body = "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: half\r\nX-Deadline: 60\r\nContent-Length: 9\r\n\r\nhal"
+	const body = "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: half\r\nX-Deadline: 60\r\n" +
+		"Content-Length: 9\r\n\r\nhal"
 	// served wants an answer, and returns the connection to go on with: the node may end this one with the answer.
 	served := func(c *testutil.Client, id string) *testutil.Client {
 		c.Get(id)
@@ -145,6 +151,7 @@
 // been read, or while it waits in its handler: a silent connection is evicted in its place, and its client's
 // departure is still noticed. The read of a partial request is aborted instead.
 func TestCompleteRequestIsServedDuringEviction(t *testing.T) {
+	t.Parallel()
 	for _, moment := range []string{"head read", "watched"} {
 		for _, method := range []string{"GET", "POST"} {
 			for _, id := range []string{"served", "leaving"} {
@@ -201,7 +208,7 @@
 // a request: first those connections that it takes for partial requests.
 func startFullNode(t *testing.T, s *testutil.Server, moment string) *Node {
 	t.Helper()
-	cfg := withLongObjectives(testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "in_service"))))
+	cfg := withLongObjectives(configWithServers(s))
 	cfg.Sockets = reservedDescriptors + fullNodeConns + 1 // one is kept for the server
 	n, _ := startNode(t, cfg, func(n *Node) {
 		f := n.frontend
@@ -212,11 +219,11 @@
 		}
 		f.conns.Configure(limits)
 		limits.GracePeriods = downstream.GracePeriods{Lingering: testutil.Limit, Idle: testutil.Limit}
-		makeRoom := func() { f.conns.Configure(limits) }
+		tightenLimits := func() { f.conns.Configure(limits) }
 		if moment == "head read" {
 			f.server.ConnState = func(c net.Conn, state http.ConnState) {
 				if f.conns.ConnStateChanged(c, state); state == http.StateActive {
-					makeRoom()
+					tightenLimits()
 				}
 			}
 			return
@@ -227,13 +234,14 @@
 				r.Body = io.NopCloser(bytes.NewReader(body))
 			}
 			downstream.FromContext(r.Context()).AwaitCaughtUp()
-			makeRoom()
+			tightenLimits()
 			f.ServeHTTP(w, r)
 		})
 	})
 	for range fullNodeConns {
 		dial(t, n)
 	}
-	testutil.Until(t, "the silent connections to be held", func() bool { return n.frontend.conns.Count() == fullNodeConns })
+	full := func() bool { return n.frontend.conns.Count() == fullNodeConns }
+	testutil.Until(t, "the silent connections to be held", full)
 	return n
 }
--- a/internal/node/goroutines_test.go
+++ b/internal/node/goroutines_test.go
@@ -12,7 +12,7 @@
 // startedByRun and itsWork find the goroutines that Run has started and that are still at work, in a dump of stacks.
 var (
 	startedByRun = "created by basaltdrum/internal/node.(*Node).startBackground"
-	itsWork      = regexp.MustCompile(`\.\(\*(loop|Client|Pool)\)\.(run|Run|CloseExpired)\(`)
+	itsWork      = regexp.MustCompile(`\.\(\*(Loop|Client|Pool)\)\.(Run|CloseExpired)\(`)
 )
 
 // backgroundGoroutines returns the goroutines that Run has started, of all nodes that run, by their numbers.
@@ -26,7 +26,7 @@
 		stacks = make([]byte, 2*len(stacks))
 	}
 	found := map[string]bool{}
-	for _, stack := range strings.Split(string(stacks), "\n\n") {
+	for stack := range strings.SplitSeq(string(stacks), "\n\n") {
 		if strings.Contains(stack, startedByRun) && itsWork.MatchString(stack) {
 			number, _, _ := strings.Cut(strings.TrimPrefix(stack, "goroutine "), " ")
 			found[number] = true
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -44,6 +44,15 @@
 	}
 }
 
+// configWithServers lists servers as s1, s2 and so on.
+func configWithServers(servers ...*testutil.Server) Config {
+	var entries []string
+	for i, server := range servers {
+		entries = append(entries, testutil.ListEntry(fmt.Sprint("s", i+1), server.Address(), "in_service"))
+	}
+	return testConfig(testutil.CompleteList(entries...))
+}
+
 // withLongObjectives keeps the attempts of a configuration from timing out while a test waits for something else
 // to end them.
 func withLongObjectives(cfg Config) Config {
@@ -61,7 +70,8 @@
 	return cfg
 }
 
-// startNode runs a node until the test ends, or until the returned function is called.
+// startNode runs a node until the test ends, or until the returned function is called. That drains the node as its
+// configuration has it; the end of the test doesn't wait for that, and has it answer what is left at once.
 func startNode(t *testing.T, cfg Config, change func(*Node)) (n *Node, stop func() error) {
 	t.Helper()
 	n, err := New(cfg, testutil.DiscardLog())
@@ -80,7 +90,12 @@
 		once.Do(func() { cancel(); err = testutil.Wait(t, end, "the node's end") })
 		return err
 	}
-	t.Cleanup(func() { stop() })
+	t.Cleanup(func() {
+		n.mu.Lock()
+		n.drainSchedule, n.drainLimit = drainSchedule{}, testutil.Limit // the test is over: nobody has to be served
+		n.mu.Unlock()
+		stop()
+	})
 	return n, stop
 }
 
@@ -109,9 +124,9 @@
 func watchStalls(t *testing.T, usual time.Duration) (sum func() time.Duration) {
 	const step = 5 * time.Millisecond
 	var total atomic.Int64
-	over := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(done)
 		for t.Context().Err() == nil {
 			begin := time.Now()
 			time.Sleep(step)
@@ -120,7 +135,7 @@
 			}
 		}
 	}()
-	t.Cleanup(func() { <-over })
+	t.Cleanup(func() { <-done })
 	return func() time.Duration { return time.Duration(total.Load()) }
 }
 
@@ -180,8 +195,8 @@
 // record is a change for startNode: it has the recorder see the lists from the start of the node on.
 func (r *listRecorder) record(n *Node) {
 	r.entries = map[string]endpointlist.Entry{}
-	update := n.loop.updateEndpoints
-	n.loop.updateEndpoints = func(entries []endpointlist.Entry, complete bool) {
+	update := n.loop.hooks.UpdateEndpoints
+	n.loop.hooks.UpdateEndpoints = func(entries []endpointlist.Entry, complete bool) {
 		update(entries, complete)
 		r.mu.Lock()
 		defer r.mu.Unlock()
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -12,14 +12,15 @@
 )
 
 // moduleSettings returns the settings in the form that the module gets. It paces its polls of discovery by parts
-// of PollWithin; a change counts as notified after discovery.NotifiedWithin, so no poll may be put off longer than that.
+// of PollWithin; a change counts as notified after discovery.NotifiedWithin, so no poll may be put off longer than
+// that.
 func moduleSettings(cfg Config) balancer.Settings {
 	set := cfg.Settings
 	set.PollWithin = min(set.PollWithin, discovery.NotifiedWithin)
 	return set
 }
 
-// upstreamTimeouts returns the part of a configuration that the upstream pool is told.
+// upstreamTimeouts returns the part of a configuration that the upstream pool needs.
 func upstreamTimeouts(cfg Config) upstream.Timeouts {
 	return upstream.Timeouts{Connect: cfg.ConnectTimeout, Idle: cfg.ConnIdle}
 }
