--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -202,7 +202,7 @@
 	}
 }
 
-// endAttempts ends those that are due, some of them twice, and some with their client gone.
+// endAttempts ends those that are due, some of them twice, and some with their client departed.
 func (r *randomRun) endAttempts() {
 	for k := 0; k < len(r.attempts); k++ {
 		p := r.attempts[k]
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// A warming server takes much longer for a heavy request than a warm one; a light request has time to spare.
+// A warming server takes much longer for a heavy request than a warm one; a light request is well within its objective.
 func TestWarmingServerGetsNoHeavyRequests(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	list := servers(4)
--- a/balancer/trace_test.go
+++ b/balancer/trace_test.go
@@ -268,7 +268,7 @@
 	}
 }
 
-// leave has a client give up on one of the last requests.
+// leave has a client depart before the response to one of the last requests.
 func (d *traceDriver) leave() {
 	if d.rng.IntN(25) != 0 {
 		return
--- a/cmd/balancer/clients_test.go
+++ b/cmd/balancer/clients_test.go
@@ -96,9 +96,9 @@
 	return entry, arrived, release
 }
 
-// crowd is idle clients: each connects, does what its kind does, and stays until the node closes the connection;
+// idleClients are clients that hold connections: each connects, does what its kind does, and stays until the node closes the connection;
 // then it connects again.
-type crowd struct {
+type idleClients struct {
 	address  string
 	kind     string
 	permits  chan struct{} // one for each connection to be made
@@ -113,7 +113,7 @@
 }
 
 // connect is one connection of a client.
-func (c *crowd) connect(n int) {
+func (c *idleClients) connect(n int) {
 	nc, err := net.Dial("tcp", c.address)
 	if err != nil {
 		return
@@ -151,15 +151,15 @@
 	c.ended.Add(1)
 }
 
-// Connections of a crowd: all at once at first, then one each time, and no more than so many in all.
+// Connections of idle clients: all at once at first, then one each time, and no more than so many in all.
 const (
 	reconnectInterval = 2 * time.Millisecond
 	maxConnects       = 20_000
 )
 
-// newCrowd has many idle clients connect at once, and connect again for as long as the test runs.
-func newCrowd(t *testing.T, address, kind string, many int) *crowd {
-	c := &crowd{
+// newIdleClients has many idle clients connect at once, and connect again for as long as the test runs.
+func newIdleClients(t *testing.T, address, kind string, many int) *idleClients {
+	c := &idleClients{
 		address: address, kind: kind, permits: make(chan struct{}, many), stop: make(chan struct{}),
 		conns: map[net.Conn]struct{}{},
 	}
--- a/cmd/balancer/descriptors_test.go
+++ b/cmd/balancer/descriptors_test.go
@@ -96,10 +96,10 @@
 }
 
 // fill has many idle clients connect, and waits until the node has closed some of their connections.
-func (w *descriptorWatch) fill(address, kind string) *crowd {
+func (w *descriptorWatch) fill(address, kind string) *idleClients {
 	w.t.Helper()
 	const beyond = 100
-	idle := newCrowd(w.t, address, kind, w.sockets+beyond)
+	idle := newIdleClients(w.t, address, kind, w.sockets+beyond)
 	w.eventually("the node to evict the excess", func() bool { return idle.ended.Load() >= beyond })
 	return idle
 }
@@ -237,7 +237,7 @@
 	w := &descriptorWatch{t: t, process: p, sockets: sockets}
 	address := p.address(t)
 	requests := (sockets - 48) / 2
-	queued := newCrowd(t, address, "resting", requests)
+	queued := newIdleClients(t, address, "resting", requests)
 	eventually(t, "the requests to be sent", func() bool { return queued.inFlight.Load() == int64(requests) })
 	queued.resting.Store(true)
 	w.fill(address, kind)
--- a/cmd/fleetscale/reportfile.go
+++ b/cmd/fleetscale/reportfile.go
@@ -46,7 +46,7 @@
 }
 
 // write replaces the report at path in one step: a new file in the same folder is written, synced and renamed.
-// After an error before the rename, what was at path is as it was and the new file is gone. What is no regular
+// After an error before the rename, what was at path is as it was and the new file is removed. What is no regular
 // file, as /dev/stdout, is written to in place.
 func (r reportFolder) write(path string, text []byte) error {
 	if info, err := os.Lstat(path); err == nil && !info.Mode().IsRegular() {
--- a/examples/quickstart/check.go
+++ b/examples/quickstart/check.go
@@ -8,11 +8,11 @@
 
 // Faults that a request may show.
 var (
-	errNoResponse    = errors.New("a request got no response")
-	errWrongResponse = errors.New("a request got the response to another one")
-	errFailed        = errors.New("a request failed though it could have been repeated")
-	errServedByGone  = errors.New("a request was served by a server that is gone")
-	errSentToDrained = errors.New("a server got requests after its drain")
+	errNoResponse      = errors.New("a request got no response")
+	errWrongResponse   = errors.New("a request got the response to another one")
+	errFailed          = errors.New("a request failed though it could have been repeated")
+	errServedByStopped = errors.New("a request was served by a server that has stopped")
+	errSentToDrained   = errors.New("a server got requests after its drain")
 )
 
 // checkResults returns an error for the first request that did not end as it should, or if a server got requests
@@ -49,8 +49,8 @@
 		return fmt.Errorf("%w: %q", errWrongResponse, ended.body)
 	}
 	for _, s := range servers {
-		if ended.server() == s.name && !s.goneAt.IsZero() && ended.sentAt.After(s.goneAt) {
-			return fmt.Errorf("%w: %s", errServedByGone, s.name)
+		if ended.server() == s.name && !s.stoppedAt.IsZero() && ended.sentAt.After(s.stoppedAt) {
+			return fmt.Errorf("%w: %s", errServedByStopped, s.name)
 		}
 	}
 	return nil
--- a/examples/quickstart/main_test.go
+++ b/examples/quickstart/main_test.go
@@ -49,7 +49,7 @@
 
 func TestCheckFindsWhatIsAmiss(t *testing.T) {
 	start := time.Now()
-	servers := serverGroup{{name: "server-1"}, {name: "server-2", goneAt: start}, {name: "server-3"}}
+	servers := serverGroup{{name: "server-1"}, {name: "server-2", stoppedAt: start}, {name: "server-3"}}
 	crash, quiet := phase{mayLose: true}, phase{}
 	served := func(body string) result {
 		return result{class: classView, id: "r", sentAt: start.Add(1), status: http.StatusOK, body: body}
@@ -67,7 +67,7 @@
 	}{
 		{"served", quiet, served("server-1 r"), nil},
 		{"served before the crash", crash, early, nil},
-		{"served after the crash", crash, served("server-2 r"), errServedByGone},
+		{"served after the crash", crash, served("server-2 r"), errServedByStopped},
 		{"response to another request", quiet, served("server-1 other"), errWrongResponse},
 		{"response of nobody", quiet, served(""), errWrongResponse},
 		{"no response", quiet, result{class: classView, err: errors.New("reset")}, errNoResponse},
--- a/examples/quickstart/phases.go
+++ b/examples/quickstart/phases.go
@@ -11,7 +11,7 @@
 	clientCount      = 4   // clients that send at the same time, one request each
 	requestsPerPhase = 120 // by all clients together
 
-	// stopSendingWithin is how long a node may go on sending to a server that is listed as terminating.
+	// stopSendingWithin is how long a node may keep sending to a server that is listed as terminating.
 	stopSendingWithin = 250 * time.Millisecond
 )
 
@@ -34,7 +34,7 @@
 
 // planPhases returns the phases in their order.
 func planPhases(agent *agent, servers serverGroup) []phase {
-	var told time.Time
+	var drainedAt time.Time
 	return []phase{
 		{name: "all three are in service"},
 		{
@@ -44,26 +44,26 @@
 		},
 		{
 			name:   "server-3 is listed as terminating",
-			change: func() { told = time.Now(); agent.drain(drainingServer) },
-			settle: func(ctx context.Context) error { return settleDrain(ctx, agent, servers[drainingServer], told) },
+			change: func() { drainedAt = time.Now(); agent.drain(drainingServer) },
+			settle: func(ctx context.Context) error { return settleDrain(ctx, agent, servers[drainingServer], drainedAt) },
 		},
 		{name: "server-1 is left"},
 	}
 }
 
-// settleDrain waits until the node has been told of the drain and the time to stop sending is over. From then on each
+// settleDrain waits until the node has been notified of the drain and the time to stop sending is over. From then on each
 // request that the server gets is one too many.
-func settleDrain(ctx context.Context, agent *agent, draining *server, told time.Time) error {
+func settleDrain(ctx context.Context, agent *agent, draining *server, drainedAt time.Time) error {
 	if err := agent.awaitConfirmed(ctx); err != nil {
 		return fmt.Errorf("the node did not ask for changes of the endpoint list: %w", err)
 	}
 	select {
-	case <-time.After(time.Until(told.Add(stopSendingWithin))):
+	case <-time.After(time.Until(drainedAt.Add(stopSendingWithin))):
 	case <-ctx.Done():
 		return context.Cause(ctx)
 	}
 	draining.drained.Store(true)
-	draining.goneAt = time.Now()
+	draining.stoppedAt = time.Now()
 	return nil
 }
 
--- a/examples/quickstart/registry.go
+++ b/examples/quickstart/registry.go
@@ -99,7 +99,7 @@
 	}
 	holdMS, _ := strconv.Atoi(query.Get("hold_ms"))
 	list := a.newerThan(r.Context(), version, time.Duration(holdMS)*time.Millisecond)
-	_ = json.NewEncoder(w).Encode(list) // if the node has gone, nobody misses the answer
+	_ = json.NewEncoder(w).Encode(list) // a node that has closed the connection needs no answer
 }
 
 // newerThan returns the list once it is newer than a version, or an empty update after hold.
--- a/examples/quickstart/server.go
+++ b/examples/quickstart/server.go
@@ -25,12 +25,12 @@
 // server is a stand-in for a server of the tier that the node balances. It answers each request with its own name and
 // the request's id.
 type server struct {
-	name    string
-	address string
-	http    *httpServer
-	goneAt  time.Time    // after which no request that a client sends may be served here; zero: it is not gone
-	drained atomic.Bool  // from here on a request is one too many
-	late    atomic.Int64 // requests that came nevertheless
+	name      string
+	address   string
+	http      *httpServer
+	stoppedAt time.Time    // after which no request that a client sends may be served here; zero: it is in service
+	drained   atomic.Bool  // from here on a request is one too many
+	late      atomic.Int64 // requests that came nevertheless
 }
 
 // ServeHTTP works on one request.
@@ -48,7 +48,7 @@
 // crash resets the server's connections and refuses new ones, as the death of its process does.
 func (s *server) crash() {
 	s.http.close()
-	s.goneAt = time.Now()
+	s.stoppedAt = time.Now()
 }
 
 // serverCount is how many servers the tier has.
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -28,7 +28,7 @@
 const (
 	pushHold          = time.Second
 	pushGrace         = 250 * time.Millisecond
-	pollHold          = 2 * time.Second // longer, as the registry itself bears these polls
+	pollHold          = 2 * time.Second // longer, as the registry itself serves these polls
 	pollGrace         = 500 * time.Millisecond
 	agentCheckTimeout = 150 * time.Millisecond // for the head of a response that needs no hold
 	retryInterval     = 100 * time.Millisecond // from an immediate failure to the next poll
--- a/internal/fleet/runmeasure.go
+++ b/internal/fleet/runmeasure.go
@@ -12,7 +12,7 @@
 	"basaltdrum/internal/monotime"
 )
 
-// measure lets the run go on for its length, and fills the point.
+// measure waits for the length of the run, and fills the point.
 func (r *run) measure(ctx context.Context, p *report.Point, started nodes.HollowStart) error {
 	before, err := r.usage()
 	if err != nil {
--- a/internal/http1/scanner_test.go
+++ b/internal/http1/scanner_test.go
@@ -44,7 +44,7 @@
 }
 
 // checkScanner compares the scanner's results for the same bytes in pieces of several sizes, and with what
-// net/http reads where both go on.
+// net/http reads where both continue.
 func checkScanner(t *testing.T, text string) {
 	t.Helper()
 	want := scanned(text, 0)
--- a/internal/node/brokenconn_test.go
+++ b/internal/node/brokenconn_test.go
@@ -47,7 +47,7 @@
 	var dials testutil.HeldDials
 	conns := breakableConns{cause: cause, accepted: make(chan *breakableConn, 2)}
 	cfg := configWithServers(s)
-	for i := range cfg.Settings.Classes { // no attempt times out before the test gives up
+	for i := range cfg.Settings.Classes { // no attempt times out before the test fails
 		cfg.Settings.Classes[i].LatencyObjective, cfg.Settings.Classes[i].Deadline = 4*testutil.Limit, 4*testutil.Limit
 	}
 	n, _ := startNode(t, cfg, func(n *Node) {
--- a/internal/node/departure_test.go
+++ b/internal/node/departure_test.go
@@ -281,7 +281,7 @@
 	}
 }
 
-// proceed lets the request go on, once the departure was noticed.
+// proceed releases the request once the departure was noticed.
 func (d *pipelinedDeparture) proceed(t *testing.T) {
 	switch d.where {
 	case "held":
--- a/internal/node/frontend_test.go
+++ b/internal/node/frontend_test.go
@@ -190,7 +190,7 @@
 	testutil.ExpectClosed(t, c.Reader, "the connection of an invalid request")
 }
 
-// A request that the module gives up is rejected at once, with Retry-After, though its deadline is far off.
+// A request that the module does not forward is rejected at once, with Retry-After, though its deadline is far off.
 func TestRejectionIsImmediateWithRetryAfter(t *testing.T) {
 	t.Parallel()
 	cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", testutil.ClosedPort(t), "in_service")))
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -221,7 +221,7 @@
 
 // handleDeparture stops retries for a client that has closed its connection, or may have; the module is notified
 // of it once. A client that has only closed its sending side may still read the answer of an
-// attempt that has begun, so such an attempt goes on until the client is known to have disconnected.
+// attempt that has begun, so such an attempt continues until the client is known to have disconnected.
 func (l *Loop) handleDeparture(e clientDeparted) {
 	l.noteLag(e.at)
 	p := l.pending[e.request.ID]
--- a/internal/node/pendingrequest.go
+++ b/internal/node/pendingrequest.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// cancelAttempt cancels an attempt, unless the client may still read what the attempt brings: then it goes on until
+// cancelAttempt cancels an attempt, unless the client may still read what the attempt brings: then it continues until
 // the request is answered.
 func (p *pendingRequest) cancelAttempt(number int) {
 	if number >= len(p.attempts) {
--- a/internal/servermodel/degradation.go
+++ b/internal/servermodel/degradation.go
@@ -40,7 +40,7 @@
 	return inFlight >= d.settings.DegradeAt
 }
 
-// nextChange is when the state changes next if the condition for it goes on holding.
+// nextChange is when the state changes next if the condition for it persists.
 func (d *degradation) nextChange() time.Duration {
 	switch {
 	case d.since == notHolding:
--- a/internal/servermodel/settings.go
+++ b/internal/servermodel/settings.go
@@ -6,7 +6,7 @@
 // The model has the mechanisms that make overload last: bounded queues, slow start, contention (throughput falls
 // as concurrency grows, as in Gunther's universal scalability law), and metastable failure, in which a server that
 // was overloaded for a while stays slow until it has been nearly idle for a while. It does not notice that a
-// client has given up: the work goes on.
+// client has departed: the work continues.
 //
 // Only tests import this package; no program does. Storms with service in the fleetscale program are planned to
 // use it.
--- a/internal/testutil/leaks.go
+++ b/internal/testutil/leaks.go
@@ -10,7 +10,7 @@
 )
 
 // Main runs a package's tests, for its TestMain, and fails them if a goroutine outlives them. It looks again for as
-// long as a busy machine may take to end what has been told to end.
+// long as a busy machine may take to end goroutines whose work is over.
 func Main(m *testing.M) {
 	code := m.Run()
 	if code == 0 {
--- a/internal/testutil/sockets.go
+++ b/internal/testutil/sockets.go
@@ -36,7 +36,7 @@
 	return fd, fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
 }
 
-// UnreachableAddress returns an address at which no connection is ever established, as of a machine that is gone.
+// UnreachableAddress returns an address at which no connection is ever established, as of a machine that is down.
 func UnreachableAddress(t *testing.T) string {
 	t.Helper()
 	fd, addr := BoundSocket(t)
--- a/internal/wire/decoder.go
+++ b/internal/wire/decoder.go
@@ -18,7 +18,7 @@
 	readBufferSize = 1 << 20
 )
 
-// Decoder reads messages one at a time. It keeps what holds from one line to the next: whether a batch has
+// Decoder reads messages one at a time. It keeps the state between lines: whether a batch has
 // begun, the instance that events are for, and the endpoint lists that events refer to by number.
 type Decoder struct {
 	reader   *bufio.Reader
