--- a/cmd/balancer/clients_test.go
+++ b/cmd/balancer/clients_test.go
@@ -96,8 +96,8 @@
 	return entry, arrived, release
 }
 
-// idleClients are clients that hold connections: each connects, does what its kind does, and stays until the node closes the connection;
-// then it connects again.
+// idleClients are clients that hold connections: each connects, does what its kind does, and stays until the node
+// closes the connection; then it connects again.
 type idleClients struct {
 	address  string
 	kind     string
--- a/examples/quickstart/phases.go
+++ b/examples/quickstart/phases.go
@@ -45,14 +45,16 @@
 		{
 			name:   "server-3 is listed as terminating",
 			change: func() { drainedAt = time.Now(); agent.drain(drainingServer) },
-			settle: func(ctx context.Context) error { return settleDrain(ctx, agent, servers[drainingServer], drainedAt) },
+			settle: func(ctx context.Context) error {
+				return settleDrain(ctx, agent, servers[drainingServer], drainedAt)
+			},
 		},
 		{name: "server-1 is left"},
 	}
 }
 
-// settleDrain waits until the node has been notified of the drain and the time to stop sending is over. From then on each
-// request that the server gets is one too many.
+// settleDrain waits until the node has been notified of the drain and the time to stop sending is over. From then on
+// each request that the server gets is one too many.
 func settleDrain(ctx context.Context, agent *agent, draining *server, drainedAt time.Time) error {
 	if err := agent.awaitConfirmed(ctx); err != nil {
 		return fmt.Errorf("the node did not ask for changes of the endpoint list: %w", err)
