--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -12,6 +12,11 @@
 // drainPollInterval is how often a draining frontend checks whether its connections are closed.
 const drainPollInterval = 20 * time.Millisecond
 
+// finalAnswerChecks is how many checks of its connections a draining node still makes once it has had everything
+// answered, also past its limit. Checks are counted, not time, because no answer is written while the node is held up:
+// it may be held up for finalAnswerMargin, and then has killMargin left, of which the checks take three fifths.
+const finalAnswerChecks = 3
+
 // drainSchedule is the timetable of a graceful shutdown, each entry being a span since its beginning.
 type drainSchedule struct {
 	stopAccepting time.Duration // until then, new connections are accepted
@@ -22,7 +27,8 @@
 // drain shuts the front end down gracefully: every request that was read is answered. Up to closeConns,
 // clients are served as ever on the connections that they have, because until their load balancer has noticed
 // that this node is not ready, their requests would fail elsewhere. From then on each response closes its
-// connection. drain returns nil once all connections are closed, or an error when ctx ends.
+// connection. drain returns nil once all connections are closed, or an error when ctx has ended and the final
+// answers had their time.
 //
 // http.Server.Shutdown does not do: it waits for seconds on connections that never sent a request, past
 // SIGKILL, and closes an idle connection on which a request has just been read.
@@ -43,26 +49,37 @@
 }
 
 // awaitDrained evicts quiet connections until none is left and the server accepts no more. Once the time to
-// answer all has come, it has the loop answer every open request.
+// answer all has come, it has the loop answer every open request. A node that is held up may find at one check that
+// this time and its limit, the end of ctx, have both passed: it does not give up before it has answered.
 func (f *frontend) awaitDrained(
 	ctx context.Context, ln *downstream.Listener, served <-chan struct{}, answerAll func() bool,
 ) error {
-	for notified := false; ; monotime.Sleep(ctx, drainPollInterval) {
+	for checks := 0; ; sleepUntilNextCheck(ctx) { // checks since the loop was told to answer, that one included
 		accepting := !isClosed(served) // read first, so that the count below has whatever was accepted
 		left := f.conns.EvictQuiet()
 		switch {
 		case !accepting && left == 0:
 			return nil
-		case ctx.Err() != nil:
-			return fmt.Errorf("connections are left open: %d, by phase %v: %w", left, f.connsByPhase(), ctx.Err())
-		case !notified && answerAll():
+		case checks == 0 && (ctx.Err() != nil || answerAll()):
 			_ = ln.Close() // it is still open only if every accept fails, and needs no answer
 			f.post(shutdownDeadline{})
-			notified = true
+			checks = 1
+		case checks >= finalAnswerChecks && ctx.Err() != nil:
+			return fmt.Errorf("connections are left open: %d, by phase %v: %w", left, f.connsByPhase(), ctx.Err())
+		case checks > 0:
+			checks++
 		}
 	}
 }
 
+// sleepUntilNextCheck sleeps for the interval of the checks, and no further than the end of ctx if that is to come.
+func sleepUntilNextCheck(ctx context.Context) {
+	if ctx.Err() != nil {
+		ctx = context.WithoutCancel(ctx)
+	}
+	monotime.Sleep(ctx, drainPollInterval)
+}
+
 // connsByPhase is how many connections are in each phase.
 func (f *frontend) connsByPhase() map[downstream.Phase]int {
 	counts := map[downstream.Phase]int{}
--- a/internal/node/drainschedule.go
+++ b/internal/node/drainschedule.go
@@ -14,8 +14,8 @@
 	quietPeriod        = 100 * time.Millisecond
 	maxDeadlineCounted = 3 * time.Second
 	killDelay          = 700 * time.Millisecond
-	killMargin         = 100 * time.Millisecond // from the latest end of the node to the kill
-	finalAnswerMargin  = 150 * time.Millisecond // from the final answers to the latest end of the node
+	killMargin         = 100 * time.Millisecond // from the drain limit to the kill; a held-up node uses it
+	finalAnswerMargin  = 150 * time.Millisecond // from the final answers to the drain limit
 )
 
 // drainLimit is how long the node may take to drain.
