--- a/internal/downstream/budget.go
+++ b/internal/downstream/budget.go
@@ -11,7 +11,7 @@
 
 // Configure puts limits into force, and evicts the connections that exceed them.
 func (s *Conns) Configure(limits Limits) {
-	s.readAheadLimit.Store(limits.ReadAhead)
+	s.readAheadBudget.limit.Store(limits.ReadAhead)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.limits = limits
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -25,22 +25,21 @@
 // it reports StateIdle.
 type Conn struct {
 	net.Conn
-	mu                sync.Mutex
-	requestBegun      bool      // bytes of a request were read since the last response
-	readEnded         bool      // the read deadline is in the past, to evict the connection
-	readAborted       bool      // readEnded holds even if more bytes arrive
-	deadline          time.Time // the read deadline that net/http wants
-	requestOpen       bool      // a request's head is read and its response has not begun
-	requestComplete   bool      // the body of the open request is read to its end
-	readAhead         []byte    // pipelined bytes, to be read once the open request is answered
-	readAheadReserved int       // bytes reserved for readAhead
-	departed          Departure
-	caughtUp          chan struct{} // closed once the departure watch has read all that had arrived
-	watchEnded        chan struct{} // closed once the departure watch has ended
-	departureChanged  chan struct{} // receives a value when departed changes
-	requests          http1.RequestScanner
-	readTimeout       time.Duration // for reading the rest of a request that has begun; 0: no limit
-	requestDeadline   time.Time     // when readTimeout expires; zero while no request is being read
+	mu               sync.Mutex
+	requestBegun     bool      // bytes of a request were read since the last response
+	readEnded        bool      // the read deadline is in the past, to evict the connection
+	readAborted      bool      // readEnded holds even if more bytes arrive
+	deadline         time.Time // the read deadline that net/http wants
+	requestOpen      bool      // a request's head is read and its response has not begun
+	requestComplete  bool      // the body of the open request is read to its end
+	readAhead        readAheadBuffer
+	departed         Departure
+	caughtUp         chan struct{} // closed once the departure watch has read all that had arrived
+	watchEnded       chan struct{} // closed once the departure watch has ended
+	departureChanged chan struct{} // receives a value when departed changes
+	requests         http1.RequestScanner
+	readTimeout      time.Duration // for reading the rest of a request that has begun; 0: no limit
+	requestDeadline  time.Time     // when readTimeout expires; zero while no request is being read
 
 	conns        *Conns
 	connActivity // guarded by conns.mu
@@ -50,6 +49,14 @@
 // bring it into the future.
 var pastDeadline = time.Now().Add(-time.Hour)
 
+// newConn returns a connection of a set. readTimeout is the time for reading the rest of a request that has begun;
+// 0: no limit.
+func newConn(nc net.Conn, conns *Conns, readTimeout time.Duration) *Conn {
+	return &Conn{
+		Conn: nc, conns: conns, readTimeout: readTimeout, readAhead: readAheadBuffer{budget: &conns.readAheadBudget},
+	}
+}
+
 type connKey struct{}
 
 // NewContext is the ConnContext of the http.Server: it makes the connection available to the handler.
@@ -109,6 +116,20 @@
 	return c.requests.BehindBody()
 }
 
+// takeReadAhead moves bytes that were read ahead into p and returns how many.
+func (c *Conn) takeReadAhead(p []byte) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.readAhead.take(p)
+}
+
+// releaseReadAhead drops the bytes that were read ahead.
+func (c *Conn) releaseReadAhead() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.readAhead.release()
+}
+
 // limitRequestTime gives the rest of a request that has begun its own read timeout. The timeouts of net/http
 // do not: it waits for a request's first four bytes as long as for an idle connection, and counts the time
 // of a connection's first request from the connection's start.
@@ -158,7 +179,7 @@
 func (c *Conn) Write(p []byte) (int, error) {
 	if !bytes.HasPrefix(p, []byte("HTTP/1.1 1")) {
 		c.mu.Lock()
-		c.requestBegun, c.requestOpen, c.requestComplete = len(c.readAhead) > 0, false, false
+		c.requestBegun, c.requestOpen, c.requestComplete = c.readAhead.size() > 0, false, false
 		c.mu.Unlock()
 	}
 	return c.Conn.Write(p)
--- a/internal/downstream/conns.go
+++ b/internal/downstream/conns.go
@@ -4,7 +4,6 @@
 	"net"
 	"net/http"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"basaltdrum/internal/monotime"
@@ -17,8 +16,7 @@
 	clock         monotime.Clock
 	upstreamCount func() int // how many upstream connections there are
 
-	readAheadLimit    atomic.Int64 // bytes that all read-ahead buffers together may have
-	readAheadReserved atomic.Int64 // bytes that they have reserved
+	readAheadBudget readAheadBudget // not guarded by mu
 
 	mu       sync.Mutex
 	limits   Limits
@@ -65,9 +63,7 @@
 	default:
 		s.setPhase(c, PhaseLingering)
 		delete(s.conns, c)
-		c.mu.Lock()
 		c.releaseReadAhead()
-		c.mu.Unlock()
 		return
 	}
 	s.evictExcess()
@@ -136,12 +132,12 @@
 	defer c.mu.Unlock()
 	return ConnStatus{
 		RemoteAddr: c.RemoteAddr(), Phase: c.phase, RequestBegun: c.requestBegun, Departure: c.departed,
-		ReadAhead: len(c.readAhead),
+		ReadAhead: c.readAhead.size(),
 	}
 }
 
 // ReadAheadReserved is how many bytes are reserved for the read-ahead buffers of all connections.
-func (s *Conns) ReadAheadReserved() int64 { return s.readAheadReserved.Load() }
+func (s *Conns) ReadAheadReserved() int64 { return s.readAheadBudget.reserved.Load() }
 
 // TakeCounts returns what happened to connections since the last call, and how many there are.
 func (s *Conns) TakeCounts() (counts Counts, conns int) {
--- a/internal/downstream/departure.go
+++ b/internal/downstream/departure.go
@@ -65,14 +65,14 @@
 			c.noteRead(0, err)
 			return err
 		}
-		buffer := c.readAheadBuffer()
+		buffer := c.unusedReadAhead()
 		if buffer == nil {
 			c.noteDeparture(Unobservable)
 			return errReadAheadFull
 		}
 		n, err := c.Conn.Read(buffer)
 		c.scan(buffer[:n])
-		c.appendReadAhead(n)
+		c.extendReadAhead(n)
 		c.noteRead(n, err)
 		switch {
 		case errors.Is(err, io.EOF):
@@ -84,6 +84,20 @@
 	}
 }
 
+// unusedReadAhead returns the part of the read-ahead buffer to read into, or nil at a limit.
+func (c *Conn) unusedReadAhead() []byte {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.readAhead.unused()
+}
+
+// extendReadAhead adds the n bytes that were read into the unused part of the read-ahead buffer.
+func (c *Conn) extendReadAhead(n int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.readAhead.extend(n)
+}
+
 // awaitUnread waits until the kernel has received something from the client: bytes, a FIN or an RST. Before
 // it waits, it notes that everything received so far has been read.
 func (c *Conn) awaitUnread() error {
--- a/internal/downstream/eviction_test.go
+++ b/internal/downstream/eviction_test.go
@@ -98,14 +98,14 @@
 	testutil.Until(t, "the rest to arrive", func() bool { return socketpeek.HasUnreadOrClosed(conn.Conn) })
 	conns.ConnStateChanged(conn, http.StateNew) // one too many
 	silent, _ := net.Pipe()
-	conns.ConnStateChanged(&Conn{Conn: silent, conns: conns}, http.StateNew)
+	conns.ConnStateChanged(newConn(silent, conns, 0), http.StateNew)
 	if conn.evicted {
 		t.Error("aborted with the rest of a request unread")
 	}
 	if text := make([]byte, 3); !readsAll(conn, text) || string(text) != " /v" {
 		t.Errorf("read %q", text)
 	}
-	conns.ConnStateChanged(&Conn{Conn: silent, conns: conns}, http.StateNew)
+	conns.ConnStateChanged(newConn(silent, conns, 0), http.StateNew)
 	if !conn.evicted {
 		t.Error("not aborted once all is read")
 	}
@@ -118,7 +118,7 @@
 	defer theirs.Close()
 	defer ours.Close()
 	conns := newTestConns(testLimits(10), 0)
-	conn := &Conn{Conn: ours, conns: conns}
+	conn := newConn(ours, conns, 0)
 	conns.limits.GracePeriods.New = testutil.Limit
 	conns.ConnStateChanged(conn, http.StateNew)
 	if conns.EvictQuiet() != 1 || conn.evicted {
--- a/internal/downstream/listener.go
+++ b/internal/downstream/listener.go
@@ -87,7 +87,7 @@
 			conn.Close()
 		case err == nil:
 			l.backoff = 0
-			return &Conn{Conn: conn, conns: l.conns, readTimeout: l.readTimeout}, nil
+			return newConn(conn, l.conns, l.readTimeout), nil
 		case errors.Is(err, net.ErrClosed):
 			return nil, net.ErrClosed
 		case errors.Is(err, os.ErrDeadlineExceeded) && draining:
