--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -25,21 +25,18 @@
 // it reports StateIdle.
 type Conn struct {
 	net.Conn
-	mu               sync.Mutex
-	requestBegun     bool      // bytes of a request were read since the last response
-	readEnded        bool      // the read deadline is in the past, to evict the connection
-	readAborted      bool      // readEnded holds even if more bytes arrive
-	deadline         time.Time // the read deadline that net/http wants
-	requestOpen      bool      // a request's head is read and its response has not begun
-	requestComplete  bool      // the body of the open request is read to its end
-	readAhead        readAheadBuffer
-	departed         Departure
-	caughtUp         chan struct{} // closed once the departure watch has read all that had arrived
-	watchEnded       chan struct{} // closed once the departure watch has ended
-	departureChanged chan struct{} // receives a value when departed changes
-	requests         http1.RequestScanner
-	readTimeout      time.Duration // for reading the rest of a request that has begun; 0: no limit
-	requestDeadline  time.Time     // when readTimeout expires; zero while no request is being read
+	mu              sync.Mutex
+	requestBegun    bool      // bytes of a request were read since the last response
+	readEnded       bool      // the read deadline is in the past, to evict the connection
+	readAborted     bool      // readEnded holds even if more bytes arrive
+	deadline        time.Time // the read deadline that net/http wants
+	requestOpen     bool      // a request's head is read and its response has not begun
+	requestComplete bool      // the body of the open request is read to its end
+	readAhead       readAheadBuffer
+	departure       departureWatch
+	requests        http1.RequestScanner
+	readTimeout     time.Duration // for reading the rest of a request that has begun; 0: no limit
+	requestDeadline time.Time     // when readTimeout expires; zero while no request is being read
 
 	conns        *Conns
 	connActivity // guarded by conns.mu
@@ -148,13 +145,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.requestOpen, c.requestComplete = true, false
-	c.caughtUp, c.watchEnded = make(chan struct{}), make(chan struct{})
-	if c.departureChanged == nil {
-		c.departureChanged = make(chan struct{}, 1)
-	}
-	if c.departed == Unobservable { // the read-ahead buffer may have been emptied since
-		c.departed = Present
-	}
+	c.departure.begin()
 }
 
 // noteBytes notes that bytes were read from the client, which revokes an eviction. c.mu is held.
--- a/internal/downstream/conns.go
+++ b/internal/downstream/conns.go
@@ -131,7 +131,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return ConnStatus{
-		RemoteAddr: c.RemoteAddr(), Phase: c.phase, RequestBegun: c.requestBegun, Departure: c.departed,
+		RemoteAddr: c.RemoteAddr(), Phase: c.phase, RequestBegun: c.requestBegun, Departure: c.departure.known,
 		ReadAhead: c.readAhead.size(),
 	}
 }
--- a/internal/downstream/departure.go
+++ b/internal/downstream/departure.go
@@ -37,6 +37,49 @@
 	return fmt.Sprintf("Departure(%d)", int(d))
 }
 
+// departureWatch is what the watch of one connection's open request has found out: what is known of the client's
+// departure, and how far the watch is.
+//
+// The caller of its methods holds Conn.mu. The channels may be used without it: begin alone replaces them, which
+// happens before the watch and the handler of the request start.
+type departureWatch struct {
+	known    Departure
+	caughtUp chan struct{} // closed once the watch has read all that had arrived
+	ended    chan struct{} // closed once the watch has ended
+	changed  chan struct{} // receives a value when known changes
+}
+
+// begin begins the watch of another request. What is known of the client stays, but for a read-ahead buffer that was
+// full: it may have been emptied since.
+func (w *departureWatch) begin() {
+	w.caughtUp, w.ended = make(chan struct{}), make(chan struct{})
+	if w.changed == nil {
+		w.changed = make(chan struct{}, 1)
+	}
+	if w.known == Unobservable {
+		w.known = Present
+	}
+}
+
+// observe records an observation. If it exceeds what was known, changed receives a value.
+func (w *departureWatch) observe(observed Departure) {
+	if observed <= w.known {
+		return
+	}
+	w.known = observed
+	select {
+	case w.changed <- struct{}{}:
+	default:
+	}
+}
+
+// markCaughtUp notes that the watch has read all that had arrived, or as much as can be buffered.
+func (w *departureWatch) markCaughtUp() {
+	if !isClosed(w.caughtUp) {
+		close(w.caughtUp)
+	}
+}
+
 // errReadAheadFull ends the departure watch when the client has pipelined more than may be buffered.
 var errReadAheadFull = errors.New("the read-ahead buffer is full")
 
@@ -58,7 +101,7 @@
 // be seen once the bytes before it are read. It returns at the read deadline, on a reset, or when the
 // read-ahead buffer is full. After a FIN it goes on to wait for a reset.
 func (c *Conn) watchForDeparture() error {
-	defer close(c.watchEnded)
+	defer close(c.departure.ended)
 	defer c.markCaughtUp()
 	for {
 		if err := c.awaitUnread(); err != nil {
@@ -141,16 +184,14 @@
 func (c *Conn) markCaughtUp() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !isClosed(c.caughtUp) {
-		close(c.caughtUp)
-	}
+	c.departure.markCaughtUp()
 }
 
 // AwaitCaughtUp waits until the watch has read everything that had arrived, and returns the departure known
 // then.
 func (c *Conn) AwaitCaughtUp() Departure {
 	c.mu.Lock()
-	caughtUp := c.caughtUp
+	caughtUp := c.departure.caughtUp
 	c.mu.Unlock()
 	<-caughtUp
 	return c.Departure()
@@ -160,7 +201,7 @@
 // from now on stay unread. It reports whether another request, or a part of one, was read behind this one.
 func (c *Conn) EndWatch() (another bool) {
 	c.Conn.SetReadDeadline(pastDeadline)
-	<-c.watchEnded
+	<-c.departure.ended
 	return c.PipelinedBehindBody()
 }
 
@@ -181,25 +222,18 @@
 }
 
 // DepartureChanged returns a channel that receives a value when more is known of the client's departure.
-func (c *Conn) DepartureChanged() <-chan struct{} { return c.departureChanged }
+func (c *Conn) DepartureChanged() <-chan struct{} { return c.departure.changed }
 
 // noteDeparture records an observation. If it exceeds what was known, the handler of the open request is notified.
 func (c *Conn) noteDeparture(observed Departure) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if observed <= c.departed {
-		return
-	}
-	c.departed = observed
-	select {
-	case c.departureChanged <- struct{}{}:
-	default:
-	}
+	c.departure.observe(observed)
 }
 
 // Departure returns what is known of the client's departure since its request is open.
 func (c *Conn) Departure() Departure {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.departed
+	return c.departure.known
 }
--- a/internal/downstream/departure_test.go
+++ b/internal/downstream/departure_test.go
@@ -106,3 +106,62 @@
 	}()
 	return ended
 }
+
+// Of two observations the greater holds, and only a greater one is reported. The next request begins with what is
+// known, but for a buffer that was full.
+func TestDepartureWatchKeepsTheGreatestObservation(t *testing.T) {
+	for _, row := range []struct {
+		name            string
+		first, second   Departure
+		reported        bool // the second one
+		known, nextTime Departure
+	}{
+		{"nothing seen", Present, Present, false, Present, Present},
+		{"half-closed", Present, HalfClosed, true, HalfClosed, HalfClosed},
+		{"disconnected", Present, Disconnected, true, Disconnected, Disconnected},
+		{"buffer full", Present, Unobservable, true, Unobservable, Present},
+		{"half-closed, then disconnected", HalfClosed, Disconnected, true, Disconnected, Disconnected},
+		{"half-closed twice", HalfClosed, HalfClosed, false, HalfClosed, HalfClosed},
+		{"disconnected, then half-closed", Disconnected, HalfClosed, false, Disconnected, Disconnected},
+		{"half-closed, then buffer full", HalfClosed, Unobservable, false, HalfClosed, HalfClosed},
+		{"buffer full, then half-closed", Unobservable, HalfClosed, true, HalfClosed, HalfClosed},
+	} {
+		t.Run(row.name, func(t *testing.T) {
+			var w departureWatch
+			w.begin()
+			w.observe(row.first)
+			select {
+			case <-w.changed:
+			default:
+			}
+			w.observe(row.second)
+			if reported := len(w.changed) > 0; reported != row.reported || w.known != row.known {
+				t.Errorf("%v, reported: %v, want %v and %v", w.known, reported, row.known, row.reported)
+			}
+			if w.begin(); w.known != row.nextTime {
+				t.Errorf("%v as the next request begins, want %v", w.known, row.nextTime)
+			}
+		})
+	}
+}
+
+// Each request has a watch of its own to wait for; a change that its handler has not received stays to be received.
+func TestDepartureWatchBeginsAnew(t *testing.T) {
+	var w departureWatch
+	w.begin()
+	w.markCaughtUp()
+	w.markCaughtUp() // as a watch that ends after it has caught up
+	if !isClosed(w.caughtUp) {
+		t.Error("not caught up")
+	}
+	close(w.ended)
+	w.observe(HalfClosed)
+	w.observe(Disconnected)
+	w.begin()
+	if isClosed(w.caughtUp) || isClosed(w.ended) {
+		t.Error("the next request's watch has caught up or ended before it began")
+	}
+	if len(w.changed) != 1 {
+		t.Errorf("%d changes to be received, want 1", len(w.changed))
+	}
+}
