--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"basaltdrum/internal/http1"
+	"basaltdrum/internal/socketpeek"
 )
 
 // Conn is a connection from a client. It sits between net/http and the socket, and adds four
@@ -38,8 +39,8 @@
 	readTimeout     time.Duration // for reading the rest of a request that has begun; 0: no limit
 	requestDeadline time.Time     // when readTimeout expires; zero while no request is being read
 
-	conns        *Conns
-	connActivity // guarded by conns.mu
+	conns    *Conns
+	activity activity // guarded by conns.mu
 }
 
 // pastDeadline is a deadline that ends a wait at once. It is so far back that a step of the wall clock can't
@@ -163,6 +164,43 @@
 	return c.requestBegun
 }
 
+// evictIfQuiet ends the wait for a request, unless one has begun, including one that has arrived and not been
+// read: closing over unread bytes resets the connection, and a client retries such a request only once. It
+// reports whether the connection is being evicted.
+func (c *Conn) evictIfQuiet() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.requestBegun && !socketpeek.HasUnreadOrClosed(c.Conn) {
+		c.readEnded = true
+		c.Conn.SetReadDeadline(pastDeadline)
+	}
+	return c.readEnded
+}
+
+// abortRead ends the wait for the rest of a request, and reports whether it did. It does not if the request
+// is complete, when a deadline in the past would end the departure watch instead, or if bytes have arrived
+// that nobody has read, which may be the rest.
+func (c *Conn) abortRead() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.requestComplete || socketpeek.HasUnreadOrClosed(c.Conn) {
+		return false
+	}
+	c.readEnded, c.readAborted = true, true
+	c.Conn.SetReadDeadline(pastDeadline)
+	return true
+}
+
+// status returns what the connection is doing. conns.mu is held.
+func (c *Conn) status() ConnStatus {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return ConnStatus{
+		RemoteAddr: c.RemoteAddr(), Phase: c.activity.phase, RequestBegun: c.requestBegun, Departure: c.departure.known,
+		ReadAhead: c.readAhead.size(),
+	}
+}
+
 // Write writes for net/http. The first write of a final response ends the open request. It does so before
 // the bytes are written, because the client may send its next request as soon as it has them; bytes of that
 // request that were read ahead already count as begun. An interim response (net/http writes 100 Continue)
--- a/internal/downstream/conns.go
+++ b/internal/downstream/conns.go
@@ -4,7 +4,6 @@
 	"net"
 	"net/http"
 	"sync"
-	"time"
 
 	"basaltdrum/internal/monotime"
 )
@@ -29,13 +28,6 @@
 // Counts count, for the log, what happened to connections.
 type Counts struct{ Accepted, AcceptFailed, Evicted, Rejected, ClosedUnread int }
 
-// connActivity is what a connection is doing, and since when.
-type connActivity struct {
-	phase   Phase
-	since   time.Duration
-	evicted bool // being evicted, and counted in Conns.evicting
-}
-
 // NewConns returns an empty set. upstreamCount tells how many upstream connections there are; it is called
 // while the set's lock is held.
 func NewConns(clock monotime.Clock, limits Limits, upstreamCount func() int) *Conns {
@@ -78,16 +70,16 @@
 
 // setPhase notes what a connection does from now on, which ends an eviction that was begun. s.mu is held.
 func (s *Conns) setPhase(c *Conn, p Phase) {
-	if c.evicted {
+	if c.activity.evicted {
 		s.evicting--
 	}
-	if c.phase == PhaseActive {
+	if c.activity.phase == PhaseActive {
 		s.active--
 	}
 	if p == PhaseActive {
 		s.active++
 	}
-	c.connActivity = connActivity{phase: p, since: s.clock.Now()}
+	c.activity = activity{phase: p, since: s.clock.Now()}
 }
 
 // startLingering notes that net/http has written its last response and waits for the client to receive it.
@@ -126,16 +118,6 @@
 	return all
 }
 
-// status returns what the connection is doing. s.mu is held.
-func (c *Conn) status() ConnStatus {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return ConnStatus{
-		RemoteAddr: c.RemoteAddr(), Phase: c.phase, RequestBegun: c.requestBegun, Departure: c.departure.known,
-		ReadAhead: c.readAhead.size(),
-	}
-}
-
 // ReadAheadReserved is how many bytes are reserved for the read-ahead buffers of all connections.
 func (s *Conns) ReadAheadReserved() int64 { return s.readAheadBudget.reserved.Load() }
 
--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -4,8 +4,6 @@
 	"cmp"
 	"slices"
 	"time"
-
-	"basaltdrum/internal/socketpeek"
 )
 
 // GracePeriods are how long a connection without an open request is exempt from eviction, for each of the
@@ -36,16 +34,25 @@
 	rankIdle                               // all that came is answered
 )
 
-// evictionRank is the rank of a connection, whatever its age. conns.mu is held.
-func (c *Conn) evictionRank() evictionRank {
+// activity is what a connection is doing, since when, and whether it is being evicted. The caller of its methods
+// holds Conns.mu.
+type activity struct {
+	phase   Phase
+	since   time.Duration // clock time when the phase began
+	evicted bool          // being evicted, and counted in Conns.evicting
+}
+
+// rank is the rank of the connection, whatever its age. hasRequestBytes tells whether bytes of a request were read
+// that has no response yet; it takes Conn.mu, and is called only where the rank depends on it.
+func (a activity) rank(hasRequestBytes func() bool) evictionRank {
 	switch {
-	case c.phase == PhaseLingering:
+	case a.phase == PhaseLingering:
 		return rankLingering
-	case c.phase == PhaseActive:
+	case a.phase == PhaseActive:
 		return notEvictable
-	case c.phase == PhaseReading || c.hasRequestBytes():
+	case a.phase == PhaseReading || hasRequestBytes():
 		return rankPartialRequest
-	case c.phase == PhaseNew:
+	case a.phase == PhaseNew:
 		return rankNew
 	default:
 		return rankIdle
@@ -66,6 +73,17 @@
 	}
 }
 
+// isEvictable reports whether a connection of a rank has outlived its grace period, which a divisor shortens.
+func (a activity) isEvictable(rank evictionRank, now time.Duration, grace GracePeriods, divisor time.Duration) bool {
+	return rank != notEvictable && (now-a.since)*divisor >= grace.of(rank)
+}
+
+// isQuiet reports whether the connection waits for a request, of which nothing has come for as long as a client that
+// has just connected may take. hasRequestBytes is as for rank.
+func (a activity) isQuiet(now time.Duration, grace GracePeriods, hasRequestBytes func() bool) bool {
+	return a.phase == PhaseIdle || a.phase == PhaseNew && !hasRequestBytes() && now-a.since >= grace.New
+}
+
 // evictable is a connection whose grace period is over.
 type evictable struct {
 	conn *Conn
@@ -89,22 +107,22 @@
 
 // evictableConns returns the connections that may be evicted, in the order of eviction. s.mu is held.
 func (s *Conns) evictableConns() []evictable {
-	now, pressure := s.clock.Now(), time.Duration(1)
+	now, divisor := s.clock.Now(), time.Duration(1)
 	if s.excess() > s.limits.RejectReserve/2 {
-		pressure = pressureDivisor
+		divisor = pressureDivisor
 	}
 	var found []evictable
 	for c := range s.conns {
-		if c.evicted {
+		if c.activity.evicted {
 			continue
 		}
-		rank := c.evictionRank()
-		if rank != notEvictable && (now-c.since)*pressure >= s.limits.GracePeriods.of(rank) {
+		rank := c.activity.rank(c.hasRequestBytes)
+		if c.activity.isEvictable(rank, now, s.limits.GracePeriods, divisor) {
 			found = append(found, evictable{c, rank})
 		}
 	}
 	slices.SortFunc(found, func(a, b evictable) int {
-		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.conn.since, b.conn.since))
+		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.conn.activity.since, b.conn.activity.since))
 	})
 	return found
 }
@@ -112,20 +130,20 @@
 // evict begins to evict a connection, unless a request has begun or arrived on it meanwhile, and counts it as
 // being evicted. s.mu is held.
 func (s *Conns) evict(c *Conn) {
-	if c.evicted {
+	if c.activity.evicted {
 		return
 	}
 	evicting := true
 	switch {
-	case c.phase == PhaseLingering:
+	case c.activity.phase == PhaseLingering:
 		c.Close()
-	case c.phase == PhaseReading || c.phase == PhaseNew && c.hasRequestBytes():
+	case c.activity.phase == PhaseReading || c.activity.phase == PhaseNew && c.hasRequestBytes():
 		evicting = c.abortRead()
 	default:
 		evicting = c.evictIfQuiet()
 	}
 	if evicting {
-		c.evicted = true
+		c.activity.evicted = true
 		s.evicting++
 		s.counts.Evicted++
 	}
@@ -138,37 +156,9 @@
 	defer s.mu.Unlock()
 	now := s.clock.Now()
 	for c := range s.conns {
-		silent := c.phase == PhaseNew && !c.hasRequestBytes() && now-c.since >= s.limits.GracePeriods.New
-		if c.phase == PhaseIdle || silent {
+		if c.activity.isQuiet(now, s.limits.GracePeriods, c.hasRequestBytes) {
 			s.evict(c)
 		}
 	}
 	return len(s.conns)
 }
-
-// evictIfQuiet ends the wait for a request, unless one has begun, including one that has arrived and not been
-// read: closing over unread bytes resets the connection, and a client retries such a request only once. It
-// reports whether the connection is being evicted.
-func (c *Conn) evictIfQuiet() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if !c.requestBegun && !socketpeek.HasUnreadOrClosed(c.Conn) {
-		c.readEnded = true
-		c.Conn.SetReadDeadline(pastDeadline)
-	}
-	return c.readEnded
-}
-
-// abortRead ends the wait for the rest of a request, and reports whether it did. It does not if the request
-// is complete, when a deadline in the past would end the departure watch instead, or if bytes have arrived
-// that nobody has read, which may be the rest.
-func (c *Conn) abortRead() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.requestComplete || socketpeek.HasUnreadOrClosed(c.Conn) {
-		return false
-	}
-	c.readEnded, c.readAborted = true, true
-	c.Conn.SetReadDeadline(pastDeadline)
-	return true
-}
--- a/internal/downstream/eviction_test.go
+++ b/internal/downstream/eviction_test.go
@@ -38,19 +38,19 @@
 	sendByte(t, client, conn) // the next request's first byte
 	conns.ConnStateChanged(conn, http.StateIdle)
 	conns.ConnStateChanged(other, http.StateNew) // one too many
-	if conn.evicted || !conns.OverLimit() {
+	if conn.activity.evicted || !conns.OverLimit() {
 		t.Fatal("a connection with a request on it was evicted")
 	}
 	sendByte(t, client, conn)
 	sendByte(t, conn, client)
 	conns.limits.GracePeriods.Idle = testutil.Limit
 	conns.ConnStateChanged(conn, http.StateIdle)
-	if conn.evicted || !conns.OverLimit() {
+	if conn.activity.evicted || !conns.OverLimit() {
 		t.Fatal("a connection idle for a moment only was evicted")
 	}
 	conns.limits.GracePeriods.Idle = 0
 	conns.ConnStateChanged(other, http.StateActive)
-	if !conn.evicted || conns.OverLimit() {
+	if !conn.activity.evicted || conns.OverLimit() {
 		t.Fatal("the idle connection was not evicted")
 	}
 	conn.SetReadDeadline(time.Time{}) // net/http does so after it has reported that the connection is idle
@@ -71,14 +71,14 @@
 	conns.ConnStateChanged(conn, http.StateIdle)
 	io.WriteString(client, "GET")
 	testutil.Until(t, "the bytes to arrive", func() bool { return socketpeek.HasUnreadOrClosed(conn.Conn) })
-	if conns.EvictQuiet(); conn.evicted {
+	if conns.EvictQuiet(); conn.activity.evicted {
 		t.Error("evicted with a request on it")
 	}
 	if text := make([]byte, 3); !readsAll(conn, text) || string(text) != "GET" {
 		t.Errorf("read %q", text)
 	}
 	conn.Write([]byte("response"))
-	if conns.EvictQuiet(); !conn.evicted {
+	if conns.EvictQuiet(); !conn.activity.evicted {
 		t.Error("not evicted once it is answered")
 	}
 }
@@ -99,14 +99,14 @@
 	conns.ConnStateChanged(conn, http.StateNew) // one too many
 	silent, _ := net.Pipe()
 	conns.ConnStateChanged(newConn(silent, conns, 0), http.StateNew)
-	if conn.evicted {
+	if conn.activity.evicted {
 		t.Error("aborted with the rest of a request unread")
 	}
 	if text := make([]byte, 3); !readsAll(conn, text) || string(text) != " /v" {
 		t.Errorf("read %q", text)
 	}
 	conns.ConnStateChanged(newConn(silent, conns, 0), http.StateNew)
-	if !conn.evicted {
+	if !conn.activity.evicted {
 		t.Error("not aborted once all is read")
 	}
 }
@@ -121,11 +121,11 @@
 	conn := newConn(ours, conns, 0)
 	conns.limits.GracePeriods.New = testutil.Limit
 	conns.ConnStateChanged(conn, http.StateNew)
-	if conns.EvictQuiet() != 1 || conn.evicted {
+	if conns.EvictQuiet() != 1 || conn.activity.evicted {
 		t.Error("evicted at once")
 	}
 	conns.limits.GracePeriods.New = 0
-	if conns.EvictQuiet(); !conn.evicted {
+	if conns.EvictQuiet(); !conn.activity.evicted {
 		t.Error("never evicted")
 	}
 }
@@ -151,8 +151,7 @@
 		{"waits for its response", PhaseActive, begun, notEvictable, 0},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			c := &Conn{requestBegun: row.requestBegun, connActivity: connActivity{phase: row.phase}}
-			rank := c.evictionRank()
+			rank := activity{phase: row.phase}.rank(func() bool { return row.requestBegun })
 			if rank != row.rank {
 				t.Fatalf("rank %d, want %d", rank, row.rank)
 			}
@@ -162,3 +161,59 @@
 		})
 	}
 }
+
+// A connection is exempt until its grace period is over, which comes sooner under pressure.
+func TestConnectionsAreExemptWithinTheirGracePeriod(t *testing.T) {
+	const period = 100 * time.Millisecond
+	grace := GracePeriods{Lingering: period, PartialRequest: period, New: period, Idle: period}
+	for _, row := range []struct {
+		name    string
+		rank    evictionRank
+		age     time.Duration
+		divisor time.Duration
+		want    bool
+	}{
+		{"within the grace period", rankIdle, period - 1, 1, false},
+		{"at its end", rankIdle, period, 1, true},
+		{"within the shortened grace period", rankIdle, period/pressureDivisor - 1, pressureDivisor, false},
+		{"at the shortened end", rankIdle, period / pressureDivisor, pressureDivisor, true},
+		{"request open", notEvictable, time.Hour, pressureDivisor, false},
+	} {
+		t.Run(row.name, func(t *testing.T) {
+			const since = time.Minute
+			a := activity{since: since}
+			if got := a.isEvictable(row.rank, since+row.age, grace, row.divisor); got != row.want {
+				t.Errorf("evictable: %v, want %v", got, row.want)
+			}
+		})
+	}
+}
+
+// While the node drains, what waits for a request is quiet, but a client that has just connected is not yet.
+func TestQuietConnections(t *testing.T) {
+	const begun, nothing = true, false
+	grace := GracePeriods{New: 100 * time.Millisecond}
+	for _, row := range []struct {
+		name         string
+		phase        Phase
+		requestBegun bool
+		age          time.Duration
+		want         bool
+	}{
+		{"answered", PhaseIdle, nothing, 0, true},
+		{"answered, first bytes of the next request read", PhaseIdle, begun, 0, true}, // evict looks at the bytes
+		{"connected a moment ago", PhaseNew, nothing, grace.New - 1, false},
+		{"connected, nothing has come", PhaseNew, nothing, grace.New, true},
+		{"connected, first bytes read", PhaseNew, begun, time.Hour, false},
+		{"head read", PhaseReading, begun, time.Hour, false},
+		{"waits for its response", PhaseActive, begun, time.Hour, false},
+		{"last response written", PhaseLingering, nothing, time.Hour, false},
+	} {
+		t.Run(row.name, func(t *testing.T) {
+			quiet := activity{phase: row.phase}.isQuiet(row.age, grace, func() bool { return row.requestBegun })
+			if quiet != row.want {
+				t.Errorf("quiet: %v, want %v", quiet, row.want)
+			}
+		})
+	}
+}
