--- a/internal/downstream/budget.go
+++ b/internal/downstream/budget.go
@@ -9,66 +9,57 @@
 	GracePeriods    GracePeriods
 }
 
-// Configure puts limits into force, and evicts the connections that exceed them.
-func (s *Conns) Configure(limits Limits) {
-	s.readAheadBudget.limit.Store(limits.ReadAhead)
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.limits = limits
-	s.evictExcess()
+// descriptorBudget divides the process's descriptors between downstream and upstream connections, and counts the
+// downstream connections that matter for it. How many connections there are is told with each question. The caller
+// of its methods holds Conns.mu.
+type descriptorBudget struct {
+	limits   Limits
+	evicting int // connections that are being evicted and not closed yet
+	active   int // connections with an open request
 }
 
-// AdmitRequest notes that a connection's request is open, and reports whether it may go to the decision
-// module. It may not if open requests hold more than half of the capacity. An excess of connections is no
-// reason to reject: silent clients must not cost a well-behaved one its response. If this connection was
-// being evicted, another is evicted in its place.
-func (s *Conns) AdmitRequest(c *Conn) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.setPhase(c, PhaseActive)
-	s.evictExcess()
-	if s.active > s.limits.Descriptors/2 {
-		s.counts.Rejected++
-		return false
+// replaceActivity counts that a connection's activity has changed.
+func (b *descriptorBudget) replaceActivity(before, after activity) {
+	if before.evicted {
+		b.evicting--
+	}
+	if after.evicted {
+		b.evicting++
+	}
+	if before.phase == PhaseActive {
+		b.active--
+	}
+	if after.phase == PhaseActive {
+		b.active++
 	}
-	return true
 }
 
-// limit is how many downstream connections there may be now: what upstream connections leave of the
-// capacity. s.mu is held.
-func (s *Conns) limit() int {
-	descriptors := s.limits.Descriptors
-	return max(descriptors/2, descriptors-max(s.limits.UpstreamReserve, s.upstreamCount()))
+// upstreamShare is how many descriptors are kept for so many upstream connections.
+func (b *descriptorBudget) upstreamShare(upstream int) int {
+	return max(b.limits.UpstreamReserve, upstream)
 }
 
-// excess is how many connections there are beyond the limit, not counting those being evicted. s.mu is held.
-func (s *Conns) excess() int { return len(s.conns) - s.evicting - s.limit() }
-
-// OverLimit reports whether there are more connections than the limit permits, not counting those being evicted.
-func (s *Conns) OverLimit() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.excess() > 0
+// excess is how many downstream connections there are beyond what upstream ones leave of the capacity, at least
+// half of it. Those being evicted do not count.
+func (b *descriptorBudget) excess(downstream, upstream int) int {
+	limit := max(b.limits.Descriptors/2, b.limits.Descriptors-b.upstreamShare(upstream))
+	return downstream - b.evicting - limit
 }
 
-// UpstreamAllowance is how many descriptors downstream connections leave for upstream ones.
-func (s *Conns) UpstreamAllowance() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.limits.Descriptors + s.limits.RejectReserve - len(s.conns)
-}
+// isShort reports whether an excess is so large that descriptors are about to run out.
+func (b *descriptorBudget) isShort(excess int) bool { return excess > b.limits.RejectReserve/2 }
 
-// atHardLimit reports whether one more connection would take a descriptor that is reserved for others. Such a
-// connection is closed without reaching net/http and so without a call of ConnStateChanged, which is why
-// others are evicted here, for the next one.
-func (s *Conns) atHardLimit() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	usable := s.limits.Descriptors + s.limits.RejectReserve
-	if len(s.conns) < usable-max(s.limits.UpstreamReserve, s.upstreamCount()) {
-		return false
-	}
-	s.counts.ClosedUnread++
-	s.evictExcess()
-	return true
+// admitsRequest reports whether the open requests, one that was just counted included, hold no more than half of
+// the capacity.
+func (b *descriptorBudget) admitsRequest() bool { return b.active <= b.limits.Descriptors/2 }
+
+// usable is how many descriptors connections may have, those included whose requests are only read to be rejected.
+func (b *descriptorBudget) usable() int { return b.limits.Descriptors + b.limits.RejectReserve }
+
+// upstreamAllowance is how many descriptors so many downstream connections leave for upstream ones.
+func (b *descriptorBudget) upstreamAllowance(downstream int) int { return b.usable() - downstream }
+
+// isExhausted reports whether one more downstream connection would take a descriptor that is kept for others.
+func (b *descriptorBudget) isExhausted(downstream, upstream int) bool {
+	return downstream >= b.usable()-b.upstreamShare(upstream)
 }
--- /dev/null
+++ b/internal/downstream/budget_test.go
@@ -0,0 +1,93 @@
+package downstream
+
+import "testing"
+
+// Downstream connections have what upstream ones leave of the capacity, but at least half of it; upstream ones have
+// what downstream ones leave of all descriptors.
+func TestDescriptorBudgetDividesTheCapacity(t *testing.T) {
+	limits := Limits{Descriptors: 100, UpstreamReserve: 20, RejectReserve: 10}
+	for _, row := range []struct {
+		name                 string
+		downstream, upstream int // connections
+		evicting             int
+		excess               int
+		short, exhausted     bool
+		upstreamAllowance    int
+	}{
+		{"no connection", 0, 0, 0, -80, false, false, 110},
+		{"at the limit", 80, 0, 0, 0, false, false, 30},
+		{"one beyond", 81, 0, 0, 1, false, false, 29},
+		{"one beyond, which is being evicted", 81, 0, 1, 0, false, false, 29},
+		{"half of the reserve for rejections", 85, 20, 0, 5, false, false, 25},
+		{"more than half of the reserve for rejections", 86, 20, 0, 6, true, false, 24},
+		{"one descriptor is left beside the upstream reserve", 89, 0, 0, 9, true, false, 21},
+		{"none is left beside the upstream reserve", 90, 0, 0, 10, true, true, 20},
+		{"none is left, though all are being evicted", 90, 0, 90, -80, false, true, 20},
+		{"more upstream connections than the reserve", 71, 30, 0, 1, false, false, 39},
+		{"none is left beside upstream connections", 80, 30, 0, 10, true, true, 30},
+		{"half is left to downstream connections", 50, 70, 0, 0, false, true, 60},
+	} {
+		t.Run(row.name, func(t *testing.T) {
+			b := descriptorBudget{limits: limits, evicting: row.evicting}
+			excess := b.excess(row.downstream, row.upstream)
+			if excess != row.excess || b.isShort(excess) != row.short {
+				t.Errorf("excess %d, short: %v, want %d and %v", excess, b.isShort(excess), row.excess, row.short)
+			}
+			if got := b.isExhausted(row.downstream, row.upstream); got != row.exhausted {
+				t.Errorf("exhausted: %v, want %v", got, row.exhausted)
+			}
+			if got := b.upstreamAllowance(row.downstream); got != row.upstreamAllowance {
+				t.Errorf("%d for upstream connections, want %d", got, row.upstreamAllowance)
+			}
+		})
+	}
+}
+
+// A request is admitted while open requests, its own included, hold at most half of the capacity.
+func TestDescriptorBudgetAdmitsRequests(t *testing.T) {
+	for _, row := range []struct {
+		name                string
+		descriptors, active int
+		want                bool
+	}{
+		{"the only request", 10, 1, true},
+		{"half of the capacity", 10, 5, true},
+		{"more than half", 10, 6, false},
+		{"half of an odd capacity, rounded down", 11, 5, true},
+		{"more than half of an odd capacity", 11, 6, false},
+	} {
+		t.Run(row.name, func(t *testing.T) {
+			b := descriptorBudget{limits: Limits{Descriptors: row.descriptors}, active: row.active}
+			if got := b.admitsRequest(); got != row.want {
+				t.Errorf("admitted: %v, want %v", got, row.want)
+			}
+		})
+	}
+}
+
+// Open requests and evictions are counted once, from the change that begins them to the one that ends them.
+func TestDescriptorBudgetCountsActivities(t *testing.T) {
+	idle, active := activity{phase: PhaseIdle}, activity{phase: PhaseActive}
+	evicted := idle.whileEvicted()
+	for _, row := range []struct {
+		name             string
+		before, after    activity
+		active, evicting int // the changes of the counts
+	}{
+		{"a request is open", idle, active, 1, 0},
+		{"still open", active, active, 0, 0},
+		{"answered", active, idle, -1, 0},
+		{"evicted", idle, evicted, 0, 1},
+		{"closed after the eviction", evicted, activity{phase: PhaseLingering}, 0, -1},
+		{"a request came in spite of the eviction", evicted, active, 1, -1},
+	} {
+		t.Run(row.name, func(t *testing.T) {
+			const some = 3
+			b := descriptorBudget{active: some, evicting: some}
+			b.replaceActivity(row.before, row.after)
+			if active, evicting := b.active-some, b.evicting-some; active != row.active || evicting != row.evicting {
+				t.Errorf("changed by %d and %d, want %d and %d", active, evicting, row.active, row.evicting)
+			}
+		})
+	}
+}
--- a/internal/downstream/conns.go
+++ b/internal/downstream/conns.go
@@ -17,12 +17,10 @@
 
 	readAheadBudget readAheadBudget // not guarded by mu
 
-	mu       sync.Mutex
-	limits   Limits
-	conns    map[*Conn]struct{}
-	evicting int // connections that are being evicted and not closed yet
-	active   int // connections with an open request
-	counts   Counts
+	mu     sync.Mutex
+	budget descriptorBudget
+	conns  map[*Conn]struct{}
+	counts Counts
 }
 
 // Counts count, for the log, what happened to connections.
@@ -36,6 +34,15 @@
 	return s
 }
 
+// Configure puts limits into force, and evicts the connections that exceed them.
+func (s *Conns) Configure(limits Limits) {
+	s.readAheadBudget.limit.Store(limits.ReadAhead)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.budget.limits = limits
+	s.evictExcess()
+}
+
 // ConnStateChanged is the ConnState hook of the http.Server. Each change is an occasion to evict, as it may
 // have added a connection or made one evictable.
 func (s *Conns) ConnStateChanged(nc net.Conn, state http.ConnState) {
@@ -61,6 +68,50 @@
 	s.evictExcess()
 }
 
+// AdmitRequest notes that a connection's request is open, and reports whether it may go to the decision
+// module. It may not if open requests hold more than half of the capacity. An excess of connections is no
+// reason to reject: silent clients must not cost a well-behaved one its response. If this connection was
+// being evicted, another is evicted in its place.
+func (s *Conns) AdmitRequest(c *Conn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.setPhase(c, PhaseActive)
+	s.evictExcess()
+	if !s.budget.admitsRequest() {
+		s.counts.Rejected++
+		return false
+	}
+	return true
+}
+
+// OverLimit reports whether there are more connections than the limit permits, not counting those being evicted.
+func (s *Conns) OverLimit() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.excess() > 0
+}
+
+// UpstreamAllowance is how many descriptors downstream connections leave for upstream ones.
+func (s *Conns) UpstreamAllowance() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.budget.upstreamAllowance(len(s.conns))
+}
+
+// atHardLimit reports whether one more connection would take a descriptor that is reserved for others. Such a
+// connection is closed without reaching net/http and so without a call of ConnStateChanged, which is why
+// others are evicted here, for the next one.
+func (s *Conns) atHardLimit() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.budget.isExhausted(len(s.conns), s.upstreamCount()) {
+		return false
+	}
+	s.counts.ClosedUnread++
+	s.evictExcess()
+	return true
+}
+
 // countFailedAccept counts a failed accept.
 func (s *Conns) countFailedAccept() {
 	s.mu.Lock()
@@ -70,18 +121,18 @@
 
 // setPhase notes what a connection does from now on, which ends an eviction that was begun. s.mu is held.
 func (s *Conns) setPhase(c *Conn, p Phase) {
-	if c.activity.evicted {
-		s.evicting--
-	}
-	if c.activity.phase == PhaseActive {
-		s.active--
-	}
-	if p == PhaseActive {
-		s.active++
-	}
-	c.activity = activity{phase: p, since: s.clock.Now()}
+	s.setActivity(c, activity{phase: p, since: s.clock.Now()})
 }
 
+// setActivity replaces a connection's activity and counts the change. s.mu is held.
+func (s *Conns) setActivity(c *Conn, a activity) {
+	s.budget.replaceActivity(c.activity, a)
+	c.activity = a
+}
+
+// excess is how many connections there are beyond the limit, not counting those being evicted. s.mu is held.
+func (s *Conns) excess() int { return s.budget.excess(len(s.conns), s.upstreamCount()) }
+
 // startLingering notes that net/http has written its last response and waits for the client to receive it.
 func (s *Conns) startLingering(c *Conn) {
 	s.mu.Lock()
--- a/internal/downstream/doc.go
+++ b/internal/downstream/doc.go
@@ -24,8 +24,12 @@
 //
 // # Locks
 //
-// Conns.mu guards the set, the limits, the counts and what each connection is doing; Conn.mu guards the rest of a
-// connection's state. Conns.mu is taken before Conn.mu, never while Conn.mu is held. The function that counts upstream
-// connections is called while Conns.mu is held: the upstream pool's lock is taken behind it, and the pool asks for
-// UpstreamAllowance before it takes its own lock. Memory for read-ahead is counted by an atomic.
+// Conns.mu guards the set, its counts, the budget of descriptors (descriptorBudget) and what each connection is doing
+// (activity); Conn.mu guards the rest of a connection's state, with its read-ahead buffer (readAheadBuffer) and what
+// is known of its client's departure (departureWatch). These types have no lock of their own: their comments say which
+// one the caller holds.
+//
+// Conns.mu is taken before Conn.mu, never while Conn.mu is held. The function that counts upstream connections is
+// called while Conns.mu is held: the upstream pool's lock is taken behind it, and the pool asks for UpstreamAllowance
+// before it takes its own lock. Memory for read-ahead is counted by an atomic (readAheadBudget).
 package downstream
--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -39,7 +39,13 @@
 type activity struct {
 	phase   Phase
 	since   time.Duration // clock time when the phase began
-	evicted bool          // being evicted, and counted in Conns.evicting
+	evicted bool          // being evicted, and counted in descriptorBudget.evicting
+}
+
+// whileEvicted is the same activity of a connection that is being evicted.
+func (a activity) whileEvicted() activity {
+	a.evicted = true
+	return a
 }
 
 // rank is the rank of the connection, whatever its age. hasRequestBytes tells whether bytes of a request were read
@@ -108,7 +114,7 @@
 // evictableConns returns the connections that may be evicted, in the order of eviction. s.mu is held.
 func (s *Conns) evictableConns() []evictable {
 	now, divisor := s.clock.Now(), time.Duration(1)
-	if s.excess() > s.limits.RejectReserve/2 {
+	if s.budget.isShort(s.excess()) {
 		divisor = pressureDivisor
 	}
 	var found []evictable
@@ -117,7 +123,7 @@
 			continue
 		}
 		rank := c.activity.rank(c.hasRequestBytes)
-		if c.activity.isEvictable(rank, now, s.limits.GracePeriods, divisor) {
+		if c.activity.isEvictable(rank, now, s.budget.limits.GracePeriods, divisor) {
 			found = append(found, evictable{c, rank})
 		}
 	}
@@ -143,8 +149,7 @@
 		evicting = c.evictIfQuiet()
 	}
 	if evicting {
-		c.activity.evicted = true
-		s.evicting++
+		s.setActivity(c, c.activity.whileEvicted())
 		s.counts.Evicted++
 	}
 }
@@ -156,7 +161,7 @@
 	defer s.mu.Unlock()
 	now := s.clock.Now()
 	for c := range s.conns {
-		if c.activity.isQuiet(now, s.limits.GracePeriods, c.hasRequestBytes) {
+		if c.activity.isQuiet(now, s.budget.limits.GracePeriods, c.hasRequestBytes) {
 			s.evict(c)
 		}
 	}
--- a/internal/downstream/eviction_test.go
+++ b/internal/downstream/eviction_test.go
@@ -43,12 +43,12 @@
 	}
 	sendByte(t, client, conn)
 	sendByte(t, conn, client)
-	conns.limits.GracePeriods.Idle = testutil.Limit
+	conns.budget.limits.GracePeriods.Idle = testutil.Limit
 	conns.ConnStateChanged(conn, http.StateIdle)
 	if conn.activity.evicted || !conns.OverLimit() {
 		t.Fatal("a connection idle for a moment only was evicted")
 	}
-	conns.limits.GracePeriods.Idle = 0
+	conns.budget.limits.GracePeriods.Idle = 0
 	conns.ConnStateChanged(other, http.StateActive)
 	if !conn.activity.evicted || conns.OverLimit() {
 		t.Fatal("the idle connection was not evicted")
@@ -58,8 +58,8 @@
 		t.Errorf("the wait for a request ended by %v", err)
 	}
 	conns.ConnStateChanged(conn, http.StateClosed)
-	if conns.evicting != 0 || len(conns.conns) != 1 {
-		t.Errorf("%d of %d connections are being evicted, want none of 1", conns.evicting, len(conns.conns))
+	if conns.budget.evicting != 0 || len(conns.conns) != 1 {
+		t.Errorf("%d of %d connections are being evicted, want none of 1", conns.budget.evicting, len(conns.conns))
 	}
 }
 
@@ -119,12 +119,12 @@
 	defer ours.Close()
 	conns := newTestConns(testLimits(10), 0)
 	conn := newConn(ours, conns, 0)
-	conns.limits.GracePeriods.New = testutil.Limit
+	conns.budget.limits.GracePeriods.New = testutil.Limit
 	conns.ConnStateChanged(conn, http.StateNew)
 	if conns.EvictQuiet() != 1 || conn.activity.evicted {
 		t.Error("evicted at once")
 	}
-	conns.limits.GracePeriods.New = 0
+	conns.budget.limits.GracePeriods.New = 0
 	if conns.EvictQuiet(); !conn.activity.evicted {
 		t.Error("never evicted")
 	}
