--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -5,51 +5,105 @@
 	"strconv"
 )
 
-// BodyError returns the FramingError in the body of the request whose head was taken last, or nil.
-func (s *RequestScanner) BodyError() error {
-	if len(s.heads) == 0 && s.errInBody {
-		return s.err
-	}
-	return nil
+// Limits on the lines of chunked bodies.
+const (
+	maxChunkLine   = 4 << 10 // bytes of a chunk's size and extensions, as in net/http
+	maxTrailers    = 4 << 10 // bytes of all trailers of a request, as in net/http
+	maxChunkDigits = 16      // hexadecimal digits of a chunk's size, as in net/http
+)
+
+// bodyState is what the next byte of a body belongs to.
+type bodyState int
+
+const (
+	bodyOfLength  bodyState = iota // a body with a Content-Length
+	bodyChunkSize                  // the states of a chunked body
+	bodyChunk
+	bodyChunkEnd
+	bodyTrailers
+)
+
+// bodyScanner follows the framing of one request's body (RFC 9112, sections 6 and 7). Its owner gives it the bytes
+// of a body of known length and of chunks by skip, and the lines between chunks by parseLine, as isLine says.
+type bodyScanner struct {
+	state     bodyState
+	remaining uint64 // bytes of the body or chunk that are still to come, or that trailers may still have
 }
 
-// skipBody skips bytes of a body or a chunk, and returns those behind it.
-func (s *RequestScanner) skipBody(p []byte) []byte {
-	n := min(s.remaining, uint64(len(p)))
-	if s.remaining -= n; s.remaining == 0 {
-		if s.state == scanChunk {
-			s.state = scanChunkEnd
+// beginLength begins a body of a length in bytes, which is more than none.
+func (b *bodyScanner) beginLength(length int64) {
+	b.state, b.remaining = bodyOfLength, uint64(length)
+}
+
+// beginChunked begins a chunked body.
+func (b *bodyScanner) beginChunked() { b.state = bodyChunkSize }
+
+// isLine reports whether the next bytes belong to a line, and not to the content.
+func (b *bodyScanner) isLine() bool { return b.state != bodyOfLength && b.state != bodyChunk }
+
+// skip skips bytes of the body or a chunk. It returns those behind it, and whether the body is complete.
+func (b *bodyScanner) skip(p []byte) (rest []byte, complete bool) {
+	n := min(b.remaining, uint64(len(p)))
+	if b.remaining -= n; b.remaining == 0 {
+		if b.state == bodyOfLength {
+			complete = true
 		} else {
-			s.endRequest()
+			b.state = bodyChunkEnd
 		}
 	}
-	return p[n:]
+	return p[n:], complete
+}
+
+// lineLimit returns how long the next line may be, in bytes, and the error if it is longer.
+func (b *bodyScanner) lineLimit() (limit int, tooLong error) {
+	switch b.state {
+	case bodyChunkSize:
+		return maxChunkLine, errChunkSize
+	case bodyChunkEnd:
+		return len("\r\n"), errChunkEnd
+	default:
+		return int(b.remaining), errTrailer
+	}
+}
+
+// parseLine parses a complete line, its end included, and reports whether the body is complete.
+func (b *bodyScanner) parseLine(line []byte) (complete bool, err error) {
+	switch b.state {
+	case bodyChunkSize:
+		return false, b.parseChunkSize(line)
+	case bodyChunkEnd:
+		b.state = bodyChunkSize
+		if string(line) != "\r\n" {
+			return false, errChunkEnd
+		}
+		return false, nil
+	default:
+		return b.parseTrailerLine(line)
+	}
 }
 
 // parseChunkSize parses the line before a chunk (RFC 9112, section 7.1): hexadecimal digits only, followed by
 // the line's end or an extension, which is ignored.
-func (s *RequestScanner) parseChunkSize(line []byte) error {
+func (b *bodyScanner) parseChunkSize(line []byte) error {
 	line, hasEnd := bytes.CutSuffix(line, []byte("\r\n"))
 	digits, _, _ := bytes.Cut(line, []byte(";"))
 	size, err := strconv.ParseUint(string(digits), 16, 64)
 	if !hasEnd || err != nil || len(digits) > maxChunkDigits || bytes.IndexByte(line, '\r') >= 0 {
 		return errChunkSize
 	}
-	s.remaining, s.state = size, scanChunk
+	b.remaining, b.state = size, bodyChunk
 	if size == 0 {
-		s.remaining, s.state = maxTrailers, scanTrailers
+		b.remaining, b.state = maxTrailers, bodyTrailers
 	}
 	return nil
 }
 
-// parseTrailerLine parses a line behind the last chunk. Trailer fields are ignored.
-func (s *RequestScanner) parseTrailerLine(line []byte) error {
-	switch {
-	case string(line) == "\r\n":
-		s.endRequest()
-	case !bytes.HasSuffix(line, []byte("\r\n")):
-		return errTrailer
+// parseTrailerLine parses a line behind the last chunk, of which an empty one is the last. Trailer fields are
+// ignored.
+func (b *bodyScanner) parseTrailerLine(line []byte) (last bool, err error) {
+	if !bytes.HasSuffix(line, []byte("\r\n")) {
+		return false, errTrailer
 	}
-	s.remaining -= uint64(len(line))
-	return nil
+	b.remaining -= uint64(len(line))
+	return len(line) == len("\r\n"), nil
 }
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -8,6 +8,12 @@
 	"time"
 )
 
+// Limits on the lines of heads.
+const (
+	maxRequestLine   = MaxHeaderBytes + 4<<10 // bytes; the limit of net/http for a complete head
+	maxBufferedField = 256                    // bytes buffered of a field line; a valid Content-Length is shorter
+)
+
 // chunkedLength is the bodyLength of a chunked body, as in http.Request.ContentLength.
 const chunkedLength = -1
 
@@ -18,6 +24,12 @@
 	bodyLength int64         // in bytes, or chunkedLength
 }
 
+// matches reports whether this is the head of the request that net/http has read.
+func (h RequestHead) matches(r *http.Request) bool {
+	line := maphash.String(requestLineSeed, r.Method+" "+r.RequestURI+" "+r.Proto)
+	return h.lineHash == line && h.bodyLength == r.ContentLength
+}
+
 // requestLineSeed is the seed for the hashes of request lines.
 var requestLineSeed = maphash.MakeSeed()
 
@@ -30,72 +42,89 @@
 	fieldOther
 )
 
-// TakeHead removes and returns the head of the request that net/http has just read the head of. It fails with a
-// FramingError if the scanner rejects the request, or if the two disagree about where the request before it ends.
-func (s *RequestScanner) TakeHead(r *http.Request) (RequestHead, error) {
-	if len(s.heads) == 0 {
-		if s.err != nil {
-			return RequestHead{}, s.err
-		}
-		return RequestHead{}, errFramingDisagrees
-	}
-	head := s.heads[0]
-	if s.heads = s.heads[1:]; len(s.heads) == 0 {
-		s.heads = nil
-	}
-	line := maphash.String(requestLineSeed, r.Method+" "+r.RequestURI+" "+r.Proto)
-	if head.lineHash != line || head.bodyLength != r.ContentLength {
-		return RequestHead{}, errFramingDisagrees
-	}
-	return head, nil
-}
-
 // withoutLineEnd strips the end of a line in a head, which net/http accepts with or without CR.
 func withoutLineEnd(line []byte) []byte {
 	return bytes.TrimSuffix(bytes.TrimSuffix(line, []byte("\n")), []byte("\r"))
 }
 
-func (s *RequestScanner) parseRequestLine(line []byte) error {
+// headScanner parses the head of one request, line by line (RFC 9112, sections 2 to 6): what the framing of its body
+// depends on, and no more.
+type headScanner struct {
+	current       RequestHead
+	inFields      bool // the request line is parsed
+	http10        bool
+	isPost        bool
+	hasLength     bool
+	hasCoding     bool
+	previousField fieldKind // of the line before
+}
+
+// begin begins the head of another request, whose first byte was read at a clock time.
+func (h *headScanner) begin(at time.Duration) {
+	*h = headScanner{current: RequestHead{FirstByte: at}}
+}
+
+// lineLimit returns how much of the next line is buffered, in bytes, and the error if it is longer. Without an
+// error, the rest of the line is skipped.
+func (h *headScanner) lineLimit() (limit int, tooLong error) {
+	if !h.inFields {
+		return maxRequestLine, errRequestLine
+	}
+	return maxBufferedField, nil
+}
+
+// parseLine parses a complete line, of which the end may be skipped (truncated), and reports whether it is the one
+// that ends the head.
+func (h *headScanner) parseLine(line []byte, truncated bool) (complete bool, err error) {
+	line = withoutLineEnd(line)
+	switch {
+	case !h.inFields:
+		return false, h.parseRequestLine(line)
+	case len(line) == 0:
+		return true, h.endHead()
+	default:
+		return false, h.parseFieldLine(line, truncated)
+	}
+}
+
+func (h *headScanner) parseRequestLine(line []byte) error {
 	method, rest, _ := bytes.Cut(line, []byte(" "))
 	_, proto, _ := bytes.Cut(rest, []byte(" "))
 	version, isHTTP1 := bytes.CutPrefix(proto, []byte("HTTP/1."))
 	if !isHTTP1 || len(version) != 1 {
 		return errRequestLine
 	}
-	s.current.lineHash = maphash.Bytes(requestLineSeed, line)
-	s.http10 = version[0] == '0'
-	s.isPost = string(method) == http.MethodPost
-	s.state = scanFieldLine
+	h.current.lineHash = maphash.Bytes(requestLineSeed, line)
+	h.http10 = version[0] == '0'
+	h.isPost = string(method) == http.MethodPost
+	h.inFields = true
 	return nil
 }
 
-func (s *RequestScanner) parseFieldLine(line []byte) error {
-	if len(line) == 0 {
-		return s.endHead()
-	}
+func (h *headScanner) parseFieldLine(line []byte, truncated bool) error {
 	if line[0] == ' ' || line[0] == '\t' {
-		return s.parseFoldedLine()
+		return h.parseFoldedLine()
 	}
 	name, value, found := bytes.Cut(line, []byte(":"))
-	if !found && !s.truncated {
+	if !found && !truncated {
 		return errFieldLine
 	}
 	value = bytes.Trim(value, " \t")
 	switch {
 	case bytes.EqualFold(name, []byte("Content-Length")):
-		s.previousField = fieldFraming
-		return s.parseContentLength(value)
+		h.previousField = fieldFraming
+		return h.parseContentLength(value, truncated)
 	case bytes.EqualFold(name, []byte("Transfer-Encoding")):
-		s.previousField = fieldFraming
-		return s.parseTransferEncoding(value)
+		h.previousField = fieldFraming
+		return h.parseTransferEncoding(value, truncated)
 	}
-	s.previousField = fieldOther
+	h.previousField = fieldOther
 	return nil
 }
 
 // parseFoldedLine parses a line that continues the field line before it (obs-fold, RFC 9112, section 5.2).
-func (s *RequestScanner) parseFoldedLine() error {
-	switch s.previousField {
+func (h *headScanner) parseFoldedLine() error {
+	switch h.previousField {
 	case fieldNone:
 		return errFieldLine
 	case fieldFraming:
@@ -105,42 +134,33 @@
 	}
 }
 
-func (s *RequestScanner) parseContentLength(value []byte) error {
+func (h *headScanner) parseContentLength(value []byte, truncated bool) error {
 	length, err := strconv.ParseUint(string(value), 10, 63)
-	differs := s.hasLength && int64(length) != s.current.bodyLength
-	if err != nil || s.truncated || differs {
+	differs := h.hasLength && int64(length) != h.current.bodyLength
+	if err != nil || truncated || differs {
 		return errContentLength
 	}
-	s.hasLength, s.current.bodyLength = true, int64(length)
+	h.hasLength, h.current.bodyLength = true, int64(length)
 	return nil
 }
 
-func (s *RequestScanner) parseTransferEncoding(value []byte) error {
-	if s.hasCoding || s.truncated || !bytes.EqualFold(value, []byte("chunked")) {
+func (h *headScanner) parseTransferEncoding(value []byte, truncated bool) error {
+	if h.hasCoding || truncated || !bytes.EqualFold(value, []byte("chunked")) {
 		return errCoding
 	}
-	s.hasCoding = true
+	h.hasCoding = true
 	return nil
 }
 
-// endHead checks how the fields of a complete head go together, queues the head, and begins its body.
-func (s *RequestScanner) endHead() error {
+// endHead checks how the fields of a complete head go together.
+func (h *headScanner) endHead() error {
 	switch {
-	case s.hasCoding && s.hasLength:
+	case h.hasCoding && h.hasLength:
 		return errLengthAndCoding
-	case s.hasCoding && s.http10:
+	case h.hasCoding && h.http10:
 		return errCodingInHTTP10
-	case len(s.heads) >= maxPipelinedHeads:
-		return errTooManyPipelined
-	case s.hasCoding:
-		s.current.bodyLength = chunkedLength
-		s.state = scanChunkSize
-	case s.current.bodyLength > 0:
-		s.remaining = uint64(s.current.bodyLength)
-		s.state = scanBody
-	default:
-		s.endRequest()
+	case h.hasCoding:
+		h.current.bodyLength = chunkedLength
 	}
-	s.heads = append(s.heads, s.current)
 	return nil
 }
--- a/internal/http1/scanner.go
+++ b/internal/http1/scanner.go
@@ -2,18 +2,14 @@
 
 import (
 	"bytes"
+	"net/http"
 	"time"
 )
 
-// Limits on what one downstream connection may make the scanner buffer or skip.
+// Limits on what one downstream connection may make the scanner hold or skip; see head.go and body.go as well.
 const (
-	maxRequestLine    = MaxHeaderBytes + 4<<10 // bytes; the limit of net/http for a complete head
-	maxBufferedField  = 256                    // bytes buffered of a field line; a valid Content-Length is shorter
-	maxChunkLine      = 4 << 10                // bytes of a chunk's size and extensions, as in net/http
-	maxTrailers       = 4 << 10                // bytes of all trailers of a request, as in net/http
-	maxChunkDigits    = 16                     // hexadecimal digits of a chunk's size, as in net/http
-	maxPipelinedHeads = 2048                   // more than the valid requests that fit in MaxHeaderBytes + MaxBodyBytes
-	maxBlankBytes     = 4                      // bytes of CR and LF that net/http skips after a POST
+	maxPipelinedHeads = 2048 // more than the valid requests that fit in MaxHeaderBytes + MaxBodyBytes
+	maxBlankBytes     = 4    // bytes of CR and LF that net/http skips after a POST
 )
 
 // FramingError says why the framing of a request is ambiguous or malformed. Its text is sent to the client.
@@ -38,18 +34,13 @@
 	errFramingDisagrees FramingError = "the request is not where the one before it ends"
 )
 
-// scanState is what the next byte of a connection belongs to.
-type scanState int
+// requestPart is the part of a request that the next byte of a connection belongs to.
+type requestPart int
 
 const (
-	scanIdle        scanState = iota // between two requests
-	scanRequestLine                  // the states of a head, up to scanFieldLine
-	scanFieldLine
-	scanBody      // a body with a Content-Length
-	scanChunkSize // the states of a chunked body
-	scanChunk
-	scanChunkEnd
-	scanTrailers
+	betweenRequests requestPart = iota
+	inHead
+	inBody
 )
 
 // RequestScanner follows the framing of the requests on one downstream connection (RFC 9112, sections 2, 6 and 7).
@@ -60,21 +51,16 @@
 // as strict as net/http. What it rejects has to be answered with an error that closes the connection, so that no
 // request can be smuggled in the body of another. After an error it scans no more.
 //
-// It buffers one line at most, and a RequestHead for each pipelined request. The lines of heads are parsed in
-// head.go, those of bodies in body.go.
+// It buffers one line at most, and a RequestHead for each pipelined request. It cuts the bytes into lines and
+// contents; headScanner parses the lines of heads, and bodyScanner those of bodies.
 type RequestScanner struct {
-	state        scanState
+	position     requestPart
 	line         []byte // the current line so far
 	truncated    bool   // the field line is longer than the buffered part of it
-	remaining    uint64 // bytes of the body or chunk that are still to come, or that trailers may still have
 	blankAllowed int    // bytes of CR and LF that may be skipped before the next request line
 
-	current       RequestHead
-	http10        bool
-	isPost        bool
-	hasLength     bool
-	hasCoding     bool
-	previousField fieldKind // of the line before
+	head headScanner // of the request that is being scanned
+	body bodyScanner
 
 	heads     []RequestHead // complete heads that net/http has not reached yet
 	err       error
@@ -84,29 +70,56 @@
 // Feed scans bytes that were read at the given clock time.
 func (s *RequestScanner) Feed(p []byte, at time.Duration) {
 	for len(p) > 0 && s.err == nil {
-		switch s.state {
-		case scanIdle:
+		switch {
+		case s.position == betweenRequests:
 			p = s.beginRequest(p, at)
-		case scanBody, scanChunk:
-			p = s.skipBody(p)
+		case s.position == inBody && !s.body.isLine():
+			p = s.skipContent(p)
 		default:
 			p = s.collectLine(p)
 		}
 	}
 }
 
+// TakeHead removes and returns the head of the request that net/http has just read the head of. It fails with a
+// FramingError if the scanner rejects the request, or if the two disagree about where the request before it ends.
+func (s *RequestScanner) TakeHead(r *http.Request) (RequestHead, error) {
+	if len(s.heads) == 0 {
+		if s.err != nil {
+			return RequestHead{}, s.err
+		}
+		return RequestHead{}, errFramingDisagrees
+	}
+	head := s.heads[0]
+	if s.heads = s.heads[1:]; len(s.heads) == 0 {
+		s.heads = nil
+	}
+	if !head.matches(r) {
+		return RequestHead{}, errFramingDisagrees
+	}
+	return head, nil
+}
+
+// BodyError returns the FramingError in the body of the request whose head was taken last, or nil.
+func (s *RequestScanner) BodyError() error {
+	if len(s.heads) == 0 && s.errInBody {
+		return s.err
+	}
+	return nil
+}
+
 // MidRequest reports whether a request has begun and is not complete.
-func (s *RequestScanner) MidRequest() bool { return s.err == nil && s.state != scanIdle }
+func (s *RequestScanner) MidRequest() bool { return s.err == nil && s.position != betweenRequests }
 
 // BehindBody reports whether a request has begun behind the complete body of the one that was taken last.
 func (s *RequestScanner) BehindBody() bool {
-	return len(s.heads) > 0 || s.err == nil && (s.state == scanRequestLine || s.state == scanFieldLine)
+	return len(s.heads) > 0 || s.err == nil && s.position == inHead
 }
 
-// fail ends the scan. The state says whether the error is in a head or in a body: those of heads come first.
+// fail ends the scan. An error in a head comes before the head, one in a body behind it.
 func (s *RequestScanner) fail(err error) {
 	s.err = err
-	s.errInBody = s.state > scanFieldLine
+	s.errInBody = s.position == inBody
 	s.line = nil
 }
 
@@ -116,12 +129,20 @@
 		s.blankAllowed--
 		return p[1:]
 	}
-	s.state = scanRequestLine
-	s.current = RequestHead{FirstByte: at}
-	s.hasLength, s.hasCoding, s.previousField = false, false, fieldNone
+	s.position = inHead
+	s.head.begin(at)
 	return p
 }
 
+// skipContent skips bytes of a body or a chunk, and returns those behind it.
+func (s *RequestScanner) skipContent(p []byte) []byte {
+	rest, complete := s.body.skip(p)
+	if complete {
+		s.endRequest()
+	}
+	return rest
+}
+
 // collectLine adds bytes to the current line, parses the line once it is complete, and returns the bytes
 // behind it.
 func (s *RequestScanner) collectLine(p []byte) []byte {
@@ -142,7 +163,7 @@
 		s.parseLine()
 		s.line, s.truncated = s.line[:0], false
 	}
-	if s.state == scanIdle {
+	if s.position == betweenRequests {
 		s.line = nil // an idle connection holds no buffer
 	}
 	return rest
@@ -151,47 +172,52 @@
 // lineLimit returns how much of the current line is buffered, in bytes, and the error if it is longer. Without
 // an error, the rest of the line is skipped.
 func (s *RequestScanner) lineLimit() (limit int, tooLong error) {
-	switch s.state {
-	case scanRequestLine:
-		return maxRequestLine, errRequestLine
-	case scanChunkSize:
-		return maxChunkLine, errChunkSize
-	case scanChunkEnd:
-		return len("\r\n"), errChunkEnd
-	case scanTrailers:
-		return int(s.remaining), errTrailer
-	default:
-		return maxBufferedField, nil
+	if s.position == inHead {
+		return s.head.lineLimit()
 	}
+	return s.body.lineLimit()
 }
 
 // parseLine parses the current line, which is complete.
 func (s *RequestScanner) parseLine() {
+	var complete bool
 	var err error
-	switch s.state {
-	case scanRequestLine:
-		err = s.parseRequestLine(withoutLineEnd(s.line))
-	case scanFieldLine:
-		err = s.parseFieldLine(withoutLineEnd(s.line))
-	case scanChunkSize:
-		err = s.parseChunkSize(s.line)
-	case scanChunkEnd:
-		if s.state = scanChunkSize; string(s.line) != "\r\n" {
-			err = errChunkEnd
+	if s.position == inHead {
+		if complete, err = s.head.parseLine(s.line, s.truncated); complete && err == nil {
+			err = s.endHead()
 		}
-	case scanTrailers:
-		err = s.parseTrailerLine(s.line)
-	default: // the bytes of the other states are not collected as lines
+	} else if complete, err = s.body.parseLine(s.line); complete {
+		s.endRequest()
 	}
 	if err != nil {
 		s.fail(err)
 	}
 }
 
+// endHead queues a complete head, and begins its body.
+func (s *RequestScanner) endHead() error {
+	if len(s.heads) >= maxPipelinedHeads {
+		return errTooManyPipelined
+	}
+	head := s.head.current
+	s.heads = append(s.heads, head)
+	switch {
+	case head.bodyLength == chunkedLength:
+		s.position = inBody
+		s.body.beginChunked()
+	case head.bodyLength > 0:
+		s.position = inBody
+		s.body.beginLength(head.bodyLength)
+	default:
+		s.endRequest()
+	}
+	return nil
+}
+
 // endRequest notes that a request is complete.
 func (s *RequestScanner) endRequest() {
-	s.state, s.blankAllowed, s.line = scanIdle, 0, nil
-	if s.isPost {
+	s.position, s.blankAllowed, s.line = betweenRequests, 0, nil
+	if s.head.isPost {
 		s.blankAllowed = maxBlankBytes
 	}
 }
--- a/internal/http1/scanner_test.go
+++ b/internal/http1/scanner_test.go
@@ -51,7 +51,7 @@
 	for _, size := range []int{1, 2, 3, 7, 64} {
 		got := scanned(text, size)
 		if !slices.Equal(got.heads, want.heads) || !errors.Is(got.err, want.err) || got.errInBody != want.errInBody ||
-			got.state != want.state {
+			got.position != want.position || got.head != want.head || got.body != want.body {
 			t.Fatalf("in pieces of %d: %+v, at once: %+v", size, got, want)
 		}
 	}
