--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -26,21 +26,21 @@
 // it reports StateIdle.
 type Conn struct {
 	net.Conn
+	conns       *Conns
+	activity    activity      // guarded by conns.mu
+	readTimeout time.Duration // for reading the rest of a request that has begun; 0: no limit
+
 	mu              sync.Mutex
-	requestBegun    bool      // bytes of a request were read since the last response
-	readEnded       bool      // the read deadline is in the past, to evict the connection
-	readAborted     bool      // readEnded holds even if more bytes arrive
-	deadline        time.Time // the read deadline that net/http wants
-	requestOpen     bool      // a request's head is read and its response has not begun
-	requestComplete bool      // the body of the open request is read to its end
+	requests        http1.RequestScanner
+	requestBegun    bool // bytes of a request were read since the last response
+	requestOpen     bool // a request's head is read and its response has not begun
+	requestComplete bool // the body of the open request is read to its end
 	readAhead       readAheadBuffer
 	departure       departureWatch
-	requests        http1.RequestScanner
-	readTimeout     time.Duration // for reading the rest of a request that has begun; 0: no limit
-	requestDeadline time.Time     // when readTimeout expires; zero while no request is being read
-
-	conns    *Conns
-	activity activity // guarded by conns.mu
+	deadline        time.Time // the read deadline that net/http wants
+	requestDeadline time.Time // when readTimeout expires; zero while no request is being read
+	readEnded       bool      // the read deadline is in the past, to evict the connection
+	readAborted     bool      // readEnded holds even if more bytes arrive
 }
 
 // pastDeadline is a deadline that ends a wait at once. It is so far back that a step of the wall clock can't
@@ -149,6 +149,20 @@
 	c.departure.begin()
 }
 
+// beginWatch reports whether a request is open, so that the read that net/http begins now is its watch for
+// the client's departure. net/http begins that watch only once the body has been read to its end, so the
+// request is complete. No wait for another request is left to be interrupted, and so an earlier eviction or
+// abort of this connection is void.
+func (c *Conn) beginWatch() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.requestOpen {
+		c.requestComplete, c.readAborted = true, false
+		c.noteBytes()
+	}
+	return c.requestOpen
+}
+
 // noteBytes notes that bytes were read from the client, which revokes an eviction. c.mu is held.
 func (c *Conn) noteBytes() {
 	c.requestBegun = true
--- a/internal/downstream/departure.go
+++ b/internal/downstream/departure.go
@@ -83,20 +83,6 @@
 // errReadAheadFull ends the departure watch when the client has pipelined more than may be buffered.
 var errReadAheadFull = errors.New("the read-ahead buffer is full")
 
-// beginWatch reports whether a request is open, so that the read that net/http begins now is its watch for
-// the client's departure. net/http begins that watch only once the body has been read to its end, so the
-// request is complete. No wait for another request is left to be interrupted, and so an earlier eviction or
-// abort of this connection is void.
-func (c *Conn) beginWatch() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.requestOpen {
-		c.requestComplete, c.readAborted = true, false
-		c.noteBytes()
-	}
-	return c.requestOpen
-}
-
 // watchForDeparture reads whatever the client pipelines behind an open request, since a FIN or RST can only
 // be seen once the bytes before it are read. It returns at the read deadline, on a reset, or when the
 // read-ahead buffer is full. After a FIN it goes on to wait for a reset.
