--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"basaltdrum/internal/http1"
+	"basaltdrum/internal/socketpeek"
 )
 
 // Conn is a connection from a client. It sits between net/http and the socket, and adds four
@@ -25,31 +26,35 @@
 // it reports StateIdle.
 type Conn struct {
 	net.Conn
-	mu                sync.Mutex
-	requestBegun      bool      // bytes of a request were read since the last response
-	readEnded         bool      // the read deadline is in the past, to evict the connection
-	readAborted       bool      // readEnded holds even if more bytes arrive
-	deadline          time.Time // the read deadline that net/http wants
-	requestOpen       bool      // a request's head is read and its response has not begun
-	requestComplete   bool      // the body of the open request is read to its end
-	readAhead         []byte    // pipelined bytes, to be read once the open request is answered
-	readAheadReserved int       // bytes reserved for readAhead
-	departed          Departure
-	caughtUp          chan struct{} // closed once the departure watch has read all that had arrived
-	watchEnded        chan struct{} // closed once the departure watch has ended
-	departureChanged  chan struct{} // receives a value when departed changes
-	requests          http1.RequestScanner
-	readTimeout       time.Duration // for reading the rest of a request that has begun; 0: no limit
-	requestDeadline   time.Time     // when readTimeout expires; zero while no request is being read
-
-	conns        *Conns
-	connActivity // guarded by conns.mu
+	conns       *Conns
+	activity    activity      // guarded by conns.mu
+	readTimeout time.Duration // for reading the rest of a request that has begun; 0: no limit
+
+	mu              sync.Mutex
+	requests        http1.RequestScanner
+	requestBegun    bool // bytes of a request were read since the last response
+	requestOpen     bool // a request's head is read and its response has not begun
+	requestComplete bool // the body of the open request is read to its end
+	readAhead       readAheadBuffer
+	departure       departureWatch
+	deadline        time.Time // the read deadline that net/http wants
+	requestDeadline time.Time // when readTimeout expires; zero while no request is being read
+	readEnded       bool      // the read deadline is in the past, to evict the connection
+	readAborted     bool      // readEnded holds even if more bytes arrive
 }
 
 // pastDeadline is a deadline that ends a wait at once. It is so far back that a step of the wall clock can't
 // bring it into the future.
 var pastDeadline = time.Now().Add(-time.Hour)
 
+// newConn returns a connection of a set. readTimeout is the time for reading the rest of a request that has begun;
+// 0: no limit.
+func newConn(nc net.Conn, conns *Conns, readTimeout time.Duration) *Conn {
+	return &Conn{
+		Conn: nc, conns: conns, readTimeout: readTimeout, readAhead: readAheadBuffer{budget: &conns.readAheadBudget},
+	}
+}
+
 type connKey struct{}
 
 // NewContext is the ConnContext of the http.Server: it makes the connection available to the handler.
@@ -109,6 +114,20 @@
 	return c.requests.BehindBody()
 }
 
+// takeReadAhead moves bytes that were read ahead into p and returns how many.
+func (c *Conn) takeReadAhead(p []byte) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.readAhead.take(p)
+}
+
+// releaseReadAhead drops the bytes that were read ahead.
+func (c *Conn) releaseReadAhead() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.readAhead.release()
+}
+
 // limitRequestTime gives the rest of a request that has begun its own read timeout. The timeouts of net/http
 // do not: it waits for a request's first four bytes as long as for an idle connection, and counts the time
 // of a connection's first request from the connection's start.
@@ -127,13 +146,21 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.requestOpen, c.requestComplete = true, false
-	c.caughtUp, c.watchEnded = make(chan struct{}), make(chan struct{})
-	if c.departureChanged == nil {
-		c.departureChanged = make(chan struct{}, 1)
-	}
-	if c.departed == Unobservable { // the read-ahead buffer may have been emptied since
-		c.departed = Present
+	c.departure.begin()
+}
+
+// beginWatch reports whether a request is open, so that the read that net/http begins now is its watch for
+// the client's departure. net/http begins that watch only once the body has been read to its end, so the
+// request is complete. No wait for another request is left to be interrupted, and so an earlier eviction or
+// abort of this connection is void.
+func (c *Conn) beginWatch() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.requestOpen {
+		c.requestComplete, c.readAborted = true, false
+		c.noteBytes()
 	}
+	return c.requestOpen
 }
 
 // noteBytes notes that bytes were read from the client, which revokes an eviction. c.mu is held.
@@ -151,6 +178,43 @@
 	return c.requestBegun
 }
 
+// evictIfQuiet ends the wait for a request, unless one has begun, including one that has arrived and not been
+// read: closing over unread bytes resets the connection, and a client retries such a request only once. It
+// reports whether the connection is being evicted.
+func (c *Conn) evictIfQuiet() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.requestBegun && !socketpeek.HasUnreadOrClosed(c.Conn) {
+		c.readEnded = true
+		c.Conn.SetReadDeadline(pastDeadline)
+	}
+	return c.readEnded
+}
+
+// abortRead ends the wait for the rest of a request, and reports whether it did. It does not if the request
+// is complete, when a deadline in the past would end the departure watch instead, or if bytes have arrived
+// that nobody has read, which may be the rest.
+func (c *Conn) abortRead() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.requestComplete || socketpeek.HasUnreadOrClosed(c.Conn) {
+		return false
+	}
+	c.readEnded, c.readAborted = true, true
+	c.Conn.SetReadDeadline(pastDeadline)
+	return true
+}
+
+// status returns what the connection is doing. conns.mu is held.
+func (c *Conn) status() ConnStatus {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return ConnStatus{
+		RemoteAddr: c.RemoteAddr(), Phase: c.activity.phase, RequestBegun: c.requestBegun, Departure: c.departure.known,
+		ReadAhead: c.readAhead.size(),
+	}
+}
+
 // Write writes for net/http. The first write of a final response ends the open request. It does so before
 // the bytes are written, because the client may send its next request as soon as it has them; bytes of that
 // request that were read ahead already count as begun. An interim response (net/http writes 100 Continue)
@@ -158,7 +222,7 @@
 func (c *Conn) Write(p []byte) (int, error) {
 	if !bytes.HasPrefix(p, []byte("HTTP/1.1 1")) {
 		c.mu.Lock()
-		c.requestBegun, c.requestOpen, c.requestComplete = len(c.readAhead) > 0, false, false
+		c.requestBegun, c.requestOpen, c.requestComplete = c.readAhead.size() > 0, false, false
 		c.mu.Unlock()
 	}
 	return c.Conn.Write(p)
