--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -83,7 +83,7 @@
 			pool := newTestPool(10)
 			instance := addEndpoint(pool, server.Address())
 			pool.open = 1
-			pool.idle[instance] = []*conn{{Conn: nc, instance: instance}} // with no reader
+			pool.idle.put(&conn{Conn: nc, instance: instance}) // with no reader
 			c.arrive(other)
 			testutil.Until(t, "it to arrive", func() bool { return socketpeek.HasUnreadOrClosed(nc) })
 			outcome := newTestAttempt(t, pool, server.Address()).do(t)
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -110,7 +110,7 @@
 		p.closeConn(c)
 		return waiter, false
 	}
-	c.idleSince, c.reusableAt = endedAt, endedAt+p.reuseDelay()
+	c.idleSince, c.reusableAt = endedAt, endedAt+p.timeouts.reuseDelay(p.ReuseDelay)
 	// A response that arrives early must not admit another request before this one is written.
 	if c.stage == stageWritten {
 		p.putIdle(c)
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -76,8 +76,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open++
-	c := p.startReader(nc, to, nil)
-	p.idle[to] = append(p.idle[to], c)
+	p.idle.put(p.startReader(nc, to, nil))
 }
 
 // newRecordingServer accepts one connection, and reports all that came on it once the connection is closed.
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"net"
 	"sync"
 	"time"
@@ -19,11 +20,8 @@
 // endpoint: as many as requests of this node end there during the delay.
 const DefaultReuseDelay = 50 * time.Millisecond
 
-// Timeouts are what a pool is told of an endpoint's connections.
-type Timeouts struct {
-	Connect time.Duration // for a connection to come up
-	Idle    time.Duration // after which an endpoint closes an idle connection
-}
+// errNoDescriptor reports that the node has no file descriptor left for a connection. No endpoint is at fault.
+var errNoDescriptor = errors.New("no file descriptor left for an upstream connection")
 
 // Pool is a pool of persistent HTTP/1.1 connections to the endpoints, and carries out attempts over
 // them. Among the idle connections to an endpoint it prefers the one used last (LIFO), so that surplus
@@ -41,9 +39,9 @@
 
 	mu        sync.Mutex // guards what follows
 	timeouts  Timeouts
-	idle      map[endpointlist.Instance][]*conn // in the order in which they became idle
-	open      int                               // connections that are open or being opened
-	endpoints map[string]endpointlist.Entry     // the listed endpoints by uid
+	idle      idleConns                     // the connections that carry no request
+	open      int                           // connections that are open or being opened
+	endpoints map[string]endpointlist.Entry // the listed endpoints by uid
 }
 
 // NewPool returns a pool without connections and endpoints, which opens no more than maxConns connections.
@@ -54,7 +52,7 @@
 		clock:      clock,
 		maxConns:   maxConns,
 		timeouts:   timeouts,
-		idle:       map[endpointlist.Instance][]*conn{},
+		idle:       idleConns{},
 		endpoints:  map[string]endpointlist.Entry{},
 	}
 	p.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -97,9 +95,77 @@
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	stats := Stats{Open: p.open, IdleInstances: len(p.idle), Endpoints: len(p.endpoints)}
-	for _, idle := range p.idle {
-		stats.Idle += len(idle)
+	return Stats{
+		Open: p.open, Idle: p.idle.count(), IdleInstances: len(p.idle), Endpoints: len(p.endpoints),
+	}
+}
+
+// takeIdle returns the reusable idle connection to an instance that was used last, and registers waiter for its
+// next response. It returns nil once a descriptor is reserved for a new connection; at the limit, the connection
+// that has been idle for longest is closed for it.
+func (p *Pool) takeIdle(to endpointlist.Instance, waiter chan exchangeResult) (*conn, error) {
+	// The allowance is read before locking: the downstream side counts upstream connections while it holds its lock.
+	limit := min(p.maxConns, p.Allowance())
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if c := p.idle.take(to, p.clock.Now()); c != nil {
+		c.waiter, c.stage = waiter, stageIdle
+		return c, nil
+	}
+	if p.open >= limit {
+		oldest := p.idle.longestIdle()
+		if oldest == nil {
+			return nil, errNoDescriptor
+		}
+		p.closeConn(oldest)
+	}
+	p.open++
+	return nil, nil
+}
+
+// putIdle keeps a connection for further attempts if the instance that it leads to is still ready, and closes it
+// otherwise. The caller holds mu.
+func (p *Pool) putIdle(c *conn) {
+	if !p.isReady(c.instance) {
+		p.closeConn(c)
+		return
+	}
+	p.idle.put(c)
+}
+
+// closeConn closes a connection and removes it from the pool. The caller holds mu.
+func (p *Pool) closeConn(c *conn) {
+	if c.closed {
+		return
+	}
+	c.closed = true
+	p.open--
+	c.Close()
+	p.idle.remove(c)
+}
+
+// closeIdle closes the idle connections to an instance. The caller holds mu.
+func (p *Pool) closeIdle(to endpointlist.Instance) {
+	for c := p.idle.newest(to); c != nil; c = p.idle.newest(to) {
+		p.closeConn(c)
+	}
+}
+
+// CloseExpired closes connections whose idle timeout has passed, until ctx ends.
+func (p *Pool) CloseExpired(ctx context.Context) {
+	for {
+		if monotime.Sleep(ctx, p.Timeouts().sweepInterval()); ctx.Err() != nil {
+			return
+		}
+		p.closeExpired()
+	}
+}
+
+// closeExpired closes the connections whose idle timeout has passed.
+func (p *Pool) closeExpired() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, c := range p.idle.expired(p.clock.Now(), p.timeouts.idleLimit()) {
+		p.closeConn(c)
 	}
-	return stats
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -52,8 +52,8 @@
 		stats := pool.Stats()
 		return stats.Open == 0 && stats.IdleInstances == 0
 	})
-	if timeout := newTestPool(1).idleTimeout(); timeout >= testTimeouts.Idle {
-		t.Errorf("connections are kept for %v", timeout)
+	if limit := testTimeouts.idleLimit(); limit >= testTimeouts.Idle {
+		t.Errorf("connections are kept for %v", limit)
 	}
 }
 
@@ -89,8 +89,9 @@
 		return testutil.Echo(c, r, body)
 	})
 	pool := NewPool(monotime.New(), 10, testTimeouts)
-	if delay := pool.reuseDelay(); delay <= 0 || delay >= pool.idleTimeout() {
-		t.Fatalf("connections stay unused for %v and are kept for %v", delay, pool.idleTimeout())
+	delay, limit := testTimeouts.reuseDelay(pool.ReuseDelay), testTimeouts.idleLimit()
+	if delay <= 0 || delay >= limit {
+		t.Fatalf("connections stay unused for %v and are kept for %v", delay, limit)
 	}
 	pool.SetTimeouts(Timeouts{Connect: testutil.Limit, Idle: 1000 * testutil.Limit})
 	pool.ReuseDelay = 100 * testutil.Limit
