--- a/internal/upstream/connect.go
+++ b/internal/upstream/connect.go
@@ -51,5 +51,5 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	begin := p.clock.Now() + wait
-	return begin < a.Deadline && (a.NotAfter == 0 || begin < a.NotAfter) && p.isReady(a.Instance)
+	return begin < a.Deadline && (a.NotAfter == 0 || begin < a.NotAfter) && p.endpoints.isReady(a.Instance)
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -39,9 +39,9 @@
 
 	mu        sync.Mutex // guards what follows
 	timeouts  Timeouts
-	idle      idleConns                     // the connections that carry no request
-	open      int                           // connections that are open or being opened
-	endpoints map[string]endpointlist.Entry // the listed endpoints by uid
+	idle      idleConns // the connections that carry no request
+	open      int       // connections that are open or being opened
+	endpoints endpointTable
 }
 
 // NewPool returns a pool without connections and endpoints, which opens no more than maxConns connections.
@@ -53,7 +53,7 @@
 		maxConns:   maxConns,
 		timeouts:   timeouts,
 		idle:       idleConns{},
-		endpoints:  map[string]endpointlist.Entry{},
+		endpoints:  endpointTable{},
 	}
 	p.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 		dialer := net.Dialer{Timeout: p.Timeouts().Connect, KeepAlive: -1}
@@ -76,6 +76,16 @@
 	return p.timeouts
 }
 
+// UpdateEndpoints applies an update of the endpoint list, and closes idle connections to endpoints that were
+// removed, that drain or that have restarted.
+func (p *Pool) UpdateEndpoints(entries []endpointlist.Entry, complete bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, instance := range p.endpoints.apply(entries, complete) {
+		p.closeIdle(instance)
+	}
+}
+
 // Connections returns the number of connections that are open or being opened.
 func (p *Pool) Connections() int {
 	p.mu.Lock()
@@ -126,7 +136,7 @@
 // putIdle keeps a connection for further attempts if the instance that it leads to is still ready, and closes it
 // otherwise. The caller holds mu.
 func (p *Pool) putIdle(c *conn) {
-	if !p.isReady(c.instance) {
+	if !p.endpoints.isReady(c.instance) {
 		p.closeConn(c)
 		return
 	}
--- a/internal/upstream/writepermission.go
+++ b/internal/upstream/writepermission.go
@@ -49,7 +49,7 @@
 		c.waiter = nil
 		p.closeConn(c)
 		return useAnotherConn
-	case ctx.Err() != nil || overdue || !p.isReady(c.instance) || !a.Request.beginAttempt(a):
+	case ctx.Err() != nil || overdue || !p.endpoints.isReady(c.instance) || !a.Request.beginAttempt(a):
 		c.waiter, c.idleSince = nil, p.clock.Now()
 		p.putIdle(c)
 		if ctx.Err() != nil {
