--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"context"
 	"errors"
 	"fmt"
 	"net"
@@ -10,7 +9,6 @@
 
 	"basaltdrum/internal/endpointlist"
 	"basaltdrum/internal/http1"
-	"basaltdrum/internal/socketpeek"
 )
 
 // errUnsolicited reports that an endpoint has sent bytes or has closed the connection while no request was
@@ -20,16 +18,21 @@
 // conn is a persistent connection to an endpoint. It carries one request at a time, without pipelining.
 // A goroutine reads it for as long as it is open, so that a connection that the endpoint closes leaves the idle
 // ones at once.
+//
+// The exchange goes from reserve by way of begin and written to end; a response may arrive, and end the exchange,
+// before the request is written. The caller of its methods holds Pool.mu, except of readResponse, which belongs to
+// the goroutine that reads the connection.
 type conn struct {
 	net.Conn
-	instance   endpointlist.Instance
-	limited    *http1.LimitedReader
-	reader     *bufio.Reader       // reads from limited; empty between responses
-	waiter     chan exchangeResult // receives one reply for the attempt in progress; nil if none is. Guarded by Pool.mu
+	instance endpointlist.Instance
+	limited  *http1.LimitedReader
+	reader   *bufio.Reader // reads from limited; empty between responses
+
+	waiter     chan exchangeResult // receives one reply for the attempt in progress; nil if none is
 	idleSince  time.Duration       // clock time
 	reusableAt time.Duration       // clock time from which it may carry another request
-	stage      exchangeStage       // guarded by Pool.mu
-	closed     bool                // guarded by Pool.mu
+	stage      exchangeStage
+	closed     bool
 }
 
 // exchangeStage is how far the request on a connection has been written.
@@ -60,83 +63,58 @@
 	err          error
 }
 
-// startReader returns a new connection with its first attempt registered, if it has one, and starts its reader.
-func (p *Pool) startReader(nc net.Conn, to endpointlist.Instance, waiter chan exchangeResult) *conn {
+// newConn returns a connection to an instance. waiter is that of its first attempt, or nil if it has none.
+func newConn(nc net.Conn, to endpointlist.Instance, waiter chan exchangeResult) *conn {
 	limited := &http1.LimitedReader{Reader: nc}
-	c := &conn{
+	return &conn{
 		Conn:     nc,
 		instance: to,
 		limited:  limited,
 		reader:   bufio.NewReader(limited),
 		waiter:   waiter,
 	}
-	go p.readLoop(c)
-	return c
 }
 
-// readLoop reads a connection until it is closed.
-func (p *Pool) readLoop(c *conn) {
-	for p.readNext(c) {
-	}
+// reserve registers the attempt whose request is written next. Until begin, nothing that arrives can be a response.
+func (c *conn) reserve(waiter chan exchangeResult) {
+	c.waiter, c.stage = waiter, stageIdle
 }
 
-// readNext waits until bytes arrive or the connection ends, reads one response and passes it to the attempt that
-// awaits it. It reports whether the connection remains open. Until a request is being written, it leaves what
-// arrives in the kernel's buffer, where beginWrite detects it.
-func (p *Pool) readNext(c *conn) bool {
-	socketpeek.AwaitReadable(c.Conn)
-	p.mu.Lock()
-	stage, expected := c.stage, c.waiter != nil && c.stage != stageIdle
-	p.mu.Unlock()
-	reply, reusable := exchangeResult{err: fmt.Errorf("%w (request %v)", errUnsolicited, stage)}, false
-	if expected {
-		reply, reusable = p.readResponse(c)
-	}
-	waiter, reusable := p.endExchange(c, reply.EndedAt, reusable)
-	if waiter != nil {
-		waiter <- reply
-	}
-	return reusable
+// begin records that the first byte of the request is written next: what arrives from now on may be its response.
+func (c *conn) begin() {
+	c.stage = stageWriting
+}
+
+// written records that all of the request is written, and reports whether the exchange has ended already.
+func (c *conn) written() (ended bool) {
+	c.stage = stageWritten
+	return c.waiter == nil
 }
 
-// endExchange ends the exchange on a connection once its response is read, and returns the waiting attempt, or nil
-// if it has been abandoned meanwhile. It closes the connection unless that is reusable.
-func (p *Pool) endExchange(c *conn, endedAt time.Duration, reusable bool) (chan exchangeResult, bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// expectsResponse reports whether what arrives now may be a response, because an attempt has begun its request and
+// has not been abandoned.
+func (c *conn) expectsResponse() bool {
+	return c.waiter != nil && c.stage != stageIdle
+}
+
+// end ends the exchange, and returns the waiter of its attempt, or nil if it has been abandoned.
+func (c *conn) end() chan exchangeResult {
 	waiter := c.waiter
 	c.waiter = nil
-	if waiter == nil || !reusable {
-		p.closeConn(c)
-		return waiter, false
-	}
-	c.idleSince, c.reusableAt = endedAt, endedAt+p.timeouts.reuseDelay(p.ReuseDelay)
-	// A response that arrives early must not admit another request before this one is written.
-	if c.stage == stageWritten {
-		p.putIdle(c)
-	}
-	return waiter, true
+	return waiter
 }
 
-// noteWritten records that a request is completely written, and makes the connection idle if its response has
-// been read already.
-func (p *Pool) noteWritten(c *conn) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	c.stage = stageWritten
-	if c.waiter == nil && !c.closed {
-		p.putIdle(c)
-	}
+// setIdle records since when the connection carries no request, and from when it may carry another one.
+func (c *conn) setIdle(since, reusableAt time.Duration) {
+	c.idleSince, c.reusableAt = since, reusableAt
 }
 
-// abandon closes a connection whose attempt has ended without a response. Once the reply has arrived it does
-// nothing, as the connection may carry another attempt by then.
-func (p *Pool) abandon(c *conn, waiter chan exchangeResult) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if c.waiter == waiter {
-		c.waiter = nil
-		p.closeConn(c)
-		waiter <- exchangeResult{err: context.Canceled}
+// shut closes the connection, and reports whether it was open.
+func (c *conn) shut() (wasOpen bool) {
+	if c.closed {
+		return false
 	}
+	c.closed = true
+	c.Close()
+	return true
 }
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -1,7 +1,10 @@
 package upstream
 
 import (
+	"errors"
 	"fmt"
+	"io"
+	"net"
 	"testing"
 )
 
@@ -31,3 +34,64 @@
 		})
 	}
 }
+
+// What arrives can be a response only from the first byte of a request until its exchange ends.
+func TestExchangeOfAConnection(t *testing.T) {
+	waiter := make(chan exchangeResult, 1)
+	for _, c := range []struct {
+		name    string
+		steps   func(*conn)
+		expects bool
+		ended   bool // what written reports then
+	}{
+		{"idle", func(*conn) {}, false, true},
+		{"reserved", func(c *conn) { c.reserve(waiter) }, false, false},
+		{"begun", func(c *conn) { c.reserve(waiter); c.begin() }, true, false},
+		{"written", func(c *conn) { c.reserve(waiter); c.begin(); c.written() }, true, false},
+		{"answered before it is written", func(c *conn) { c.reserve(waiter); c.begin(); c.end() }, false, true},
+		{"answered", func(c *conn) { c.reserve(waiter); c.begin(); c.written(); c.end() }, false, true},
+		{"reserved again", func(c *conn) {
+			c.reserve(waiter)
+			c.begin()
+			c.written()
+			c.end()
+			c.reserve(waiter)
+		}, false, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			connection := &conn{}
+			c.steps(connection)
+			if got := connection.expectsResponse(); got != c.expects {
+				t.Errorf("a response is expected: %v, want %v", got, c.expects)
+			}
+			if got := connection.written(); got != c.ended {
+				t.Errorf("the exchange has ended: %v, want %v", got, c.ended)
+			}
+		})
+	}
+}
+
+// The first end of an exchange returns the waiter of its attempt, a later one none.
+func TestEndReturnsTheWaiterOnce(t *testing.T) {
+	waiter := make(chan exchangeResult, 1)
+	c := &conn{}
+	c.reserve(waiter)
+	if got := c.end(); got != waiter {
+		t.Errorf("the first end returned %v, want %v", got, waiter)
+	}
+	if got := c.end(); got != nil {
+		t.Errorf("the second end returned %v", got)
+	}
+}
+
+// A connection is closed once, however often it is shut.
+func TestShutClosesOnce(t *testing.T) {
+	nc, _ := net.Pipe()
+	c := &conn{Conn: nc}
+	if first, second := c.shut(), c.shut(); !first || second {
+		t.Errorf("it was open: %v and then %v, want true and false", first, second)
+	}
+	if _, err := nc.Read(make([]byte, 1)); !errors.Is(err, io.ErrClosedPipe) {
+		t.Errorf("reading returned %v, want a closed connection", err)
+	}
+}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -119,7 +119,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c := p.idle.take(to, p.clock.Now()); c != nil {
-		c.waiter, c.stage = waiter, stageIdle
+		c.reserve(waiter)
 		return c, nil
 	}
 	if p.open >= limit {
@@ -145,12 +145,10 @@
 
 // closeConn closes a connection and removes it from the pool. The caller holds mu.
 func (p *Pool) closeConn(c *conn) {
-	if c.closed {
+	if !c.shut() {
 		return
 	}
-	c.closed = true
 	p.open--
-	c.Close()
 	p.idle.remove(c)
 }
 
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -10,6 +10,7 @@
 
 	"basaltdrum/balancer"
 	"basaltdrum/internal/http1"
+	"basaltdrum/internal/monotime"
 )
 
 // maxResponseOverhead limits everything in a response besides its body, in bytes: the head, the interim responses
@@ -54,13 +55,13 @@
 	return framedByClose
 }
 
-// readResponse reads one response, and reports whether the connection is reusable.
+// readResponse reads one response, whose end it times by clock, and reports whether the connection is reusable.
 //
 // Only a complete 200 is a success, and only a complete response proves that a request never ran. A response
 // without a length ends with the connection; the body is read to that end for a 200 alone, as it makes no other
 // response conclusive. Bytes that follow a response do not invalidate it, but the connection is not reusable then,
 // as they could not be distinguished from the next response.
-func (p *Pool) readResponse(c *conn) (reply exchangeResult, reusable bool) {
+func (c *conn) readResponse(clock monotime.Clock) (reply exchangeResult, reusable bool) {
 	c.limited.Remaining = maxResponseOverhead
 	resp, err := readHead(c.reader)
 	if err != nil {
@@ -73,7 +74,7 @@
 		return exchangeResult{err: err}, false
 	}
 	complete := framing == framedByLength && err == nil
-	reply.EndedAt, reply.endedByClose = p.clock.Now(), framing == framedByClose
+	reply.EndedAt, reply.endedByClose = clock.Now(), framing == framedByClose
 	reply.Result = resultOf(resp, complete)
 	if reply.Result == balancer.Success {
 		reply.Body, reply.ContentType = body, resp.Header.Get("Content-Type")
--- a/internal/upstream/writepermission.go
+++ b/internal/upstream/writepermission.go
@@ -46,17 +46,19 @@
 	overdue := a.NotAfter > 0 && p.clock.Now() >= a.NotAfter || p.remainingTime(a) == 0
 	switch {
 	case socketpeek.HasUnreadOrClosed(c.Conn):
-		c.waiter = nil
+		c.end()
 		p.closeConn(c)
 		return useAnotherConn
 	case ctx.Err() != nil || overdue || !p.endpoints.isReady(c.instance) || !a.Request.beginAttempt(a):
-		c.waiter, c.idleSince = nil, p.clock.Now()
+		c.end()
+		now := p.clock.Now()
+		c.setIdle(now, now)
 		p.putIdle(c)
 		if ctx.Err() != nil {
 			return useAnotherConn
 		}
 		return attemptObsolete
 	}
-	c.stage = stageWriting
+	c.begin()
 	return mayWrite
 }
