--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -18,6 +18,12 @@
 	errConnUnusable = errors.New("the connection is unusable")
 )
 
+// Limits of the time that is left for an attempt.
+const (
+	minRemainingTime = time.Millisecond     // an attempt with less time left is not begun
+	transitAllowance = 5 * time.Millisecond // subtracted for the ways from the client and to the endpoint
+)
+
 // Attempt is one attempt to have a request served by one endpoint: the first one, or a retry. Its maker sets the
 // exported fields, which do not change once Pool.Do has it.
 type Attempt struct {
@@ -37,6 +43,24 @@
 	return a.begun
 }
 
+// mayBegin reports whether the attempt may begin at a clock time: before its deadline, and while endpoints discard
+// repeats.
+func (a *Attempt) mayBegin(at time.Duration) bool {
+	return at < a.Deadline && (a.NotAfter == 0 || at < a.NotAfter)
+}
+
+// remainingTime returns the time that an endpoint has for the attempt, or 0 if the time is over. That is the time
+// until the deadline by the node's clock, less an allowance for the time in transit, as the clock shows neither
+// when the client sent the request nor when the endpoint will read it. Of a short time the greater part remains.
+func (a *Attempt) remainingTime(now time.Duration) time.Duration {
+	left := a.Deadline - now
+	left -= min(transitAllowance, left/4)
+	if left < minRemainingTime {
+		return 0
+	}
+	return left
+}
+
 // Outcome is how an attempt ended.
 type Outcome struct {
 	Result      balancer.AttemptResult
@@ -62,7 +86,7 @@
 	ctx, cancel := context.WithTimeout(callerCtx, p.clock.Until(a.Deadline))
 	defer cancel()
 	encoded, err := encodeRequest(a.Request)
-	if err != nil || p.remainingTime(a) == 0 {
+	if err != nil || a.remainingTime(p.clock.Now()) == 0 {
 		return Outcome{Result: balancer.NotSent}
 	}
 	c, waiter, err := p.acquire(ctx, a)
@@ -73,7 +97,7 @@
 	stop := context.AfterFunc(ctx, func() { p.abandon(c, waiter) })
 	defer stop()
 	// The remaining time is filled in last, so that no wait for a connection or a lock makes it too long.
-	if !writeDeadlineValue(encoded.deadlineValue, p.remainingTime(a)) {
+	if !writeDeadlineValue(encoded.deadlineValue, a.remainingTime(p.clock.Now())) {
 		p.abandon(c, waiter)
 		return Outcome{Result: balancer.NotSent}
 	}
--- a/internal/upstream/connect.go
+++ b/internal/upstream/connect.go
@@ -50,6 +50,5 @@
 func (p *Pool) mayBeginIn(a *Attempt, wait time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	begin := p.clock.Now() + wait
-	return begin < a.Deadline && (a.NotAfter == 0 || begin < a.NotAfter) && p.endpoints.isReady(a.Instance)
+	return a.mayBegin(p.clock.Now()+wait) && p.endpoints.isReady(a.Instance)
 }
--- a/internal/upstream/encode.go
+++ b/internal/upstream/encode.go
@@ -17,12 +17,9 @@
 // headSizeHint is the number of bytes reserved for the head of a request before it is encoded.
 const headSizeHint = 512
 
-// The value of X-Deadline in a request to an endpoint: the time that the node will wait, in seconds.
-const (
-	deadlineValueWidth = len("3600.000")      // bytes; enough for an hour, the longest, with milliseconds
-	minRemainingTime   = time.Millisecond     // an attempt with less time left is not begun
-	transitAllowance   = 5 * time.Millisecond // subtracted for the ways from the client and to the endpoint
-)
+// deadlineValueWidth is the length of the value of X-Deadline in a request to an endpoint, in bytes. The value is the
+// time that the node will wait, in seconds; the longest is an hour, with milliseconds.
+const deadlineValueWidth = len("3600.000")
 
 // encodedRequest is a request in its HTTP/1.1 form, ready to be written to an endpoint.
 type encodedRequest struct {
@@ -62,18 +59,6 @@
 	return encodedRequest{text: text, deadlineValue: text[start : start+deadlineValueWidth]}, nil
 }
 
-// remainingTime returns the time that an endpoint has for an attempt, or 0 if the time is over. That is the time
-// until the deadline by the node's clock, less an allowance for the time in transit, as the clock shows neither
-// when the client sent the request nor when the endpoint will read it. Of a short time the greater part remains.
-func (p *Pool) remainingTime(a *Attempt) time.Duration {
-	left := p.clock.Until(a.Deadline)
-	left -= min(transitAllowance, left/4)
-	if left < minRemainingTime {
-		return 0
-	}
-	return left
-}
-
 // writeDeadlineValue writes the remaining time over a value of X-Deadline, which has deadlineValueWidth bytes, and
 // never rounds it up. It reports false if no time remains.
 func writeDeadlineValue(value []byte, remaining time.Duration) bool {
--- a/internal/upstream/encode_test.go
+++ b/internal/upstream/encode_test.go
@@ -33,7 +33,7 @@
 		t.Run(left.String(), func(t *testing.T) {
 			a := newTestAttempt(t, pool, "127.0.0.1:1")
 			a.Deadline = pool.clock.Now() + left
-			if remaining := pool.remainingTime(&a.Attempt); remaining != 0 || writeDeadlineValue(nil, remaining) {
+			if remaining := a.remainingTime(pool.clock.Now()); remaining != 0 || writeDeadlineValue(nil, remaining) {
 				t.Errorf("%v is forwarded", remaining)
 			}
 		})
--- a/internal/upstream/writepermission.go
+++ b/internal/upstream/writepermission.go
@@ -43,7 +43,8 @@
 	if c.waiter != waiter {
 		return useAnotherConn
 	}
-	overdue := a.NotAfter > 0 && p.clock.Now() >= a.NotAfter || p.remainingTime(a) == 0
+	now := p.clock.Now()
+	overdue := !a.mayBegin(now) || a.remainingTime(now) == 0
 	switch {
 	case socketpeek.HasUnreadOrClosed(c.Conn):
 		c.end()
@@ -51,7 +52,6 @@
 		return useAnotherConn
 	case ctx.Err() != nil || overdue || !p.endpoints.isReady(c.instance) || !a.Request.beginAttempt(a):
 		c.end()
-		now := p.clock.Now()
 		c.setIdle(now, now)
 		p.putIdle(c)
 		if ctx.Err() != nil {
