--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -142,7 +142,7 @@
 		},
 		firstByte: head.FirstByte, response: make(chan Response, 1),
 	}
-	if err := f.validateHead(c, r); err != nil {
+	if err := f.rules.Load().validateHead(c, r); err != nil {
 		return nil, err
 	}
 	if err := c.readBody(r, conn); err != nil {
--- a/internal/node/requestvalidation.go
+++ b/internal/node/requestvalidation.go
@@ -90,32 +90,31 @@
 	return nil
 }
 
-// validateHead checks a request's head, and sets its class, deadline and expected work. It has to reject an
-// unknown class: a server would answer such a request with an error, and the decision module would take that
-// as a sign of the server's ill health.
-func (f *frontend) validateHead(c *request, r *http.Request) error {
-	if err := c.readClass(r); err != nil {
+// validateHead checks a request's head against the rules, and sets its class, deadline and expected work. It has to
+// reject an unknown class: a server would answer such a request with an error, and the decision module would take
+// that as a sign of the server's ill health.
+func (r *requestRules) validateHead(c *request, httpRequest *http.Request) error {
+	if err := c.readClass(httpRequest); err != nil {
 		return err
 	}
-	rules := f.rules.Load()
-	if err := rules.validate(c); err != nil {
+	if err := r.validate(c); err != nil {
 		return err
 	}
-	if c.ID == "" || len(c.ID) > maxRequestIDBytes || len(r.Header["X-Request-Id"]) > 1 {
+	if c.ID == "" || len(c.ID) > maxRequestIDBytes || len(httpRequest.Header["X-Request-Id"]) > 1 {
 		return errRequestID
 	}
-	wait, err := parseDeadline(r.Header["X-Deadline"])
+	wait, err := parseDeadline(httpRequest.Header["X-Deadline"])
 	switch {
 	case err != nil:
 		return err
-	case wait > maxDeadlineFactor*rules.classes[c.class].Deadline:
+	case wait > maxDeadlineFactor*r.classes[c.class].Deadline:
 		return errDeadlineOfClass
-	case r.ContentLength > http1.MaxBodyBytes:
+	case httpRequest.ContentLength > http1.MaxBodyBytes:
 		return errBodyTooLong
-	case r.ContentLength > 0 && c.Method == http.MethodGet:
+	case httpRequest.ContentLength > 0 && c.Method == http.MethodGet:
 		return errBodyOfGet
 	}
-	c.deadline, c.expectedWork = wait, parseWorkHint(r.Header.Get("X-Cost-Hint"))
+	c.deadline, c.expectedWork = wait, parseWorkHint(httpRequest.Header.Get("X-Cost-Hint"))
 	return nil
 }
 
