--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -132,6 +132,17 @@
 	}
 }
 
+// writeResponse writes the final response of a request. It closes the connection with the response while
+// there are too many connections or the node shuts down, but not if a pipelined request was read on it, which
+// would then get no response.
+func (f *frontend) writeResponse(w http.ResponseWriter, conn *downstream.Conn, response Response) {
+	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
+	if (f.conns.OverLimit() || f.closing.Load()) && !conn.EndWatch() {
+		w.Header().Set("Connection", "close")
+	}
+	response.write(w)
+}
+
 // readRequest reads a complete request and checks what the node and the servers rely on; nothing has been
 // forwarded of a request that is invalid. The client's deadline counts from the request's first byte.
 func (f *frontend) readRequest(r *http.Request, conn *downstream.Conn, head http1.RequestHead) (*request, error) {
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"fmt"
 	"time"
 
 	"basaltdrum/internal/upstream"
@@ -42,41 +41,3 @@
 	a.cancel()
 	return attemptEnded{a, outcome}
 }
-
-// Response is the one final answer to a request.
-type Response struct {
-	Kind        ResponseKind
-	body        []byte        // if served
-	contentType string        // if served; empty: the endpoint sent none
-	retryAfter  time.Duration // if rejected; 0: none
-	reason      *requestError // if invalid
-}
-
-// ResponseKind says how a request ended, which decides the status of its response.
-type ResponseKind int
-
-// The kinds of responses.
-const (
-	ResponseServed      ResponseKind = iota // by an endpoint
-	ResponseRejected                        // not forwarded: the client may retry elsewhere
-	ResponseFailed                          // forwarded, and no answer came back
-	ResponseDuplicateID                     // a request with this id is pending
-	ResponseInvalid                         // new settings came into force between its check and the module
-)
-
-// String names the kind for logs.
-func (k ResponseKind) String() string {
-	switch k {
-	case ResponseServed:
-		return "served"
-	case ResponseRejected:
-		return "rejected"
-	case ResponseFailed:
-		return "failed"
-	case ResponseDuplicateID:
-		return "duplicate id"
-	case ResponseInvalid:
-		return "invalid"
-	}
-	return fmt.Sprintf("responseKind(%d)", int(k))
-}
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"net/http"
 	"strconv"
 	"time"
@@ -9,42 +10,73 @@
 	"basaltdrum/internal/downstream"
 )
 
-// writeResponse writes the final response of a request. It closes the connection with the response while
-// there are too many connections or the node shuts down, but not if a pipelined request was read on it, which
-// would then get no response.
-func (f *frontend) writeResponse(w http.ResponseWriter, conn *downstream.Conn, a Response) {
-	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
-	h := w.Header()
-	if (f.conns.OverLimit() || f.closing.Load()) && !conn.EndWatch() {
-		h.Set("Connection", "close")
+// Response is the one final answer to a request.
+type Response struct {
+	Kind        ResponseKind
+	body        []byte        // if served
+	contentType string        // if served; empty: the endpoint sent none
+	retryAfter  time.Duration // if rejected; 0: none
+	reason      *requestError // if invalid
+}
+
+// ResponseKind says how a request ended, which decides the status of its response.
+type ResponseKind int
+
+// The kinds of responses.
+const (
+	ResponseServed      ResponseKind = iota // by an endpoint
+	ResponseRejected                        // not forwarded: the client may retry elsewhere
+	ResponseFailed                          // forwarded, and no answer came back
+	ResponseDuplicateID                     // a request with this id is pending
+	ResponseInvalid                         // new settings came into force between its check and the module
+)
+
+// String names the kind for logs.
+func (k ResponseKind) String() string {
+	switch k {
+	case ResponseServed:
+		return "served"
+	case ResponseRejected:
+		return "rejected"
+	case ResponseFailed:
+		return "failed"
+	case ResponseDuplicateID:
+		return "duplicate id"
+	case ResponseInvalid:
+		return "invalid"
 	}
-	switch a.Kind {
+	return fmt.Sprintf("responseKind(%d)", int(k))
+}
+
+// write writes the response with the status that its kind stands for.
+func (r Response) write(w http.ResponseWriter) {
+	switch r.Kind {
 	case ResponseServed:
-		writeServed(w, a)
+		r.writeServed(w)
 	case ResponseRejected:
-		if a.retryAfter > 0 {
-			h.Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', -1, 64))
+		if r.retryAfter > 0 {
+			w.Header().Set("Retry-After", strconv.FormatFloat(r.retryAfter.Seconds(), 'f', -1, 64))
 		}
 		http.Error(w, "refused", http.StatusServiceUnavailable)
 	case ResponseFailed:
 		http.Error(w, "failed", http.StatusBadGateway)
 	case ResponseInvalid:
-		writeInvalid(w, a.reason)
+		writeInvalid(w, r.reason)
 	case ResponseDuplicateID:
 		http.Error(w, "X-Request-Id is in use", http.StatusConflict)
 	}
 }
 
 // writeServed forwards the response of a server.
-func writeServed(w http.ResponseWriter, a Response) {
+func (r Response) writeServed(w http.ResponseWriter) {
 	h := w.Header()
-	if a.contentType == "" {
+	if r.contentType == "" {
 		h["Content-Type"] = nil // keeps net/http from guessing one
 	} else {
-		h.Set("Content-Type", a.contentType)
+		h.Set("Content-Type", r.contentType)
 	}
-	h.Set("Content-Length", strconv.Itoa(len(a.body)))
-	w.Write(a.body)
+	h.Set("Content-Length", strconv.Itoa(len(r.body)))
+	w.Write(r.body)
 }
 
 // writeInvalidRequest answers a request that is invalid and closes its connection, unless its body is sound and
