--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -3,13 +3,14 @@
 import (
 	"context"
 	"fmt"
+	"sync/atomic"
 	"time"
 
 	"basaltdrum/internal/downstream"
 	"basaltdrum/internal/monotime"
 )
 
-// drainPollInterval is how often a draining frontend checks whether its connections are closed.
+// drainPollInterval is how often a drainer checks whether its connections are closed.
 const drainPollInterval = 20 * time.Millisecond
 
 // drainSchedule is the timetable of a graceful shutdown, each entry being a span since its beginning.
@@ -19,54 +20,65 @@
 	answerAll     time.Duration // what is unanswered then is answered at once
 }
 
-// drain shuts the front end down gracefully: every request that was read is answered. Up to closeConns,
-// clients are served as ever on the connections that they have, because until their load balancer has noticed
-// that this node is not ready, their requests would fail elsewhere. From then on each response closes its
-// connection. drain returns nil once all connections are closed, or an error when ctx ends.
+// drainer shuts a front end down gracefully: every request that was read is answered. Up to closeConns, clients are
+// served as ever on the connections that they have, because until their load balancer has noticed that this node is
+// not ready, their requests would fail elsewhere. From then on each response closes its connection.
 //
 // http.Server.Shutdown does not do: it waits for seconds on connections that never sent a request, past
 // SIGKILL, and closes an idle connection on which a request has just been read.
-func (f *frontend) drain(
+type drainer struct {
+	clock monotime.Clock
+	conns *downstream.Conns
+	post  func(Event)
+
+	// Set by run, and read by the front end.
+	begun   atomic.Bool // the health check says that the node is not ready
+	closing atomic.Bool // each response closes its connection
+}
+
+// run drains the connections of a listener, whose server has stopped accepting once served is closed. It returns nil
+// once all connections are closed, or an error when ctx ends.
+func (d *drainer) run(
 	ctx context.Context, ln *downstream.Listener, served <-chan struct{}, schedule drainSchedule,
 ) error {
-	begin := f.clock.Now()
-	passed := func(at time.Duration) bool { return f.clock.Now()-begin >= at }
-	f.draining.Store(true)
+	begin := d.clock.Now()
+	passed := func(at time.Duration) bool { return d.clock.Now()-begin >= at }
+	d.begun.Store(true)
 	monotime.Sleep(ctx, schedule.stopAccepting)
 	ln.DrainQueue()
 	defer func() { _ = ln.Close() }() // the process ends, and its listener with it
-	for ctx.Err() == nil && !passed(schedule.closeConns) && (!isClosed(served) || f.conns.Count() > 0) {
+	for ctx.Err() == nil && !passed(schedule.closeConns) && (!isClosed(served) || d.conns.Count() > 0) {
 		monotime.Sleep(ctx, drainPollInterval)
 	}
-	f.closing.Store(true)
-	return f.awaitDrained(ctx, ln, served, func() bool { return passed(schedule.answerAll) })
+	d.closing.Store(true)
+	return d.awaitClosed(ctx, ln, served, func() bool { return passed(schedule.answerAll) })
 }
 
-// awaitDrained evicts quiet connections until none is left and the server accepts no more. Once the time to
+// awaitClosed evicts quiet connections until none is left and the server accepts no more. Once the time to
 // answer all has come, it has the loop answer every open request.
-func (f *frontend) awaitDrained(
+func (d *drainer) awaitClosed(
 	ctx context.Context, ln *downstream.Listener, served <-chan struct{}, answerAll func() bool,
 ) error {
 	for notified := false; ; monotime.Sleep(ctx, drainPollInterval) {
 		accepting := !isClosed(served) // read first, so that the count below has whatever was accepted
-		left := f.conns.EvictQuiet()
+		left := d.conns.EvictQuiet()
 		switch {
 		case !accepting && left == 0:
 			return nil
 		case ctx.Err() != nil:
-			return fmt.Errorf("connections are left open: %d, by phase %v: %w", left, f.connsByPhase(), ctx.Err())
+			return fmt.Errorf("connections are left open: %d, by phase %v: %w", left, countByPhase(d.conns), ctx.Err())
 		case !notified && answerAll():
 			_ = ln.Close() // it is still open only if every accept fails, and needs no answer
-			f.post(shutdownDeadline{})
+			d.post(shutdownDeadline{})
 			notified = true
 		}
 	}
 }
 
-// connsByPhase is how many connections are in each phase.
-func (f *frontend) connsByPhase() map[downstream.Phase]int {
+// countByPhase returns how many connections are in each phase.
+func countByPhase(conns *downstream.Conns) map[downstream.Phase]int {
 	counts := map[downstream.Phase]int{}
-	for _, conn := range f.conns.Status() {
+	for _, conn := range conns.Status() {
 		counts[conn.Phase]++
 	}
 	return counts
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -160,7 +160,7 @@
 	testutil.Wait(t, got, "the attempt")
 	end := make(chan error, 1)
 	go func() { end <- stop() }()
-	testutil.Until(t, "it to drain", n.frontend.draining.Load)
+	testutil.Until(t, "it to drain", n.frontend.drain.begun.Load)
 	for _, moved := range []string{"127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:2"} { // SIGHUP while it ends
 		cfg := n.cfg
 		cfg.Discovery = moved
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -24,22 +24,23 @@
 // frontend is the HTTP server for clients. It reads and checks requests, passes them to the loop, and writes
 // exactly one final response for each.
 type frontend struct {
-	clock    monotime.Clock
-	post     func(Event)
-	ready    func() bool
-	rules    *atomic.Pointer[requestRules]
-	draining atomic.Bool // the health check says that the node is not ready
-	closing  atomic.Bool // each response closes its connection
-	server   *http.Server
-
-	conns *downstream.Conns
+	clock  monotime.Clock
+	post   func(Event)
+	ready  func() bool
+	rules  *atomic.Pointer[requestRules]
+	drain  drainer
+	server *http.Server
+	conns  *downstream.Conns
 }
 
 func newFrontend(
 	c monotime.Clock, conns *downstream.Conns, rules *atomic.Pointer[requestRules], post func(Event),
 	ready func() bool, log *slog.Logger,
 ) *frontend {
-	f := &frontend{clock: c, post: post, ready: ready, conns: conns, rules: rules}
+	f := &frontend{
+		clock: c, post: post, ready: ready, conns: conns, rules: rules,
+		drain: drainer{clock: c, conns: conns, post: post},
+	}
 	f.server = &http.Server{
 		Handler:                      f,
 		ReadTimeout:                  readTimeout,
@@ -59,7 +60,7 @@
 	case r.Method != http.MethodGet && r.Method != http.MethodHead || r.ContentLength != 0:
 		http.Error(w, "only GET is served", http.StatusMethodNotAllowed)
 		return
-	case f.draining.Load():
+	case f.drain.begun.Load():
 	case !f.ready():
 		w.Header().Del("Connection")
 	default:
@@ -137,7 +138,7 @@
 // would then get no response.
 func (f *frontend) writeResponse(w http.ResponseWriter, conn *downstream.Conn, response Response) {
 	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
-	if (f.conns.OverLimit() || f.closing.Load()) && !conn.EndWatch() {
+	if (f.conns.OverLimit() || f.drain.closing.Load()) && !conn.EndWatch() {
 		w.Header().Set("Connection", "close")
 	}
 	response.write(w)
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -167,7 +167,7 @@
 func untilIdle(t *testing.T, n *Node) {
 	t.Helper()
 	testutil.Until(t, "a connection to be idle", func() bool {
-		return n.frontend.connsByPhase()[downstream.PhaseIdle] > 0
+		return countByPhase(n.frontend.conns)[downstream.PhaseIdle] > 0
 	})
 }
 
@@ -175,7 +175,7 @@
 func untilActive(t *testing.T, n *Node, many int) {
 	t.Helper()
 	testutil.Until(t, "the requests to be with the module", func() bool {
-		return n.frontend.connsByPhase()[downstream.PhaseActive] == many
+		return countByPhase(n.frontend.conns)[downstream.PhaseActive] == many
 	})
 }
 
--- a/internal/node/listener_test.go
+++ b/internal/node/listener_test.go
@@ -57,7 +57,7 @@
 				n.drainSchedule = drainSchedule{closeConns: time.Millisecond, answerAll: testutil.Limit}
 				n.drainLimit = 2 * testutil.Limit
 				n.listener = testutil.FailingListener{TCPListener: n.listener.(*net.TCPListener), Fail: func() error {
-					if !n.frontend.draining.Load() {
+					if !n.frontend.drain.begun.Load() {
 						return nil
 					}
 					select {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -146,7 +146,7 @@
 	n.mu.Unlock()
 	drainCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), limit)
 	defer cancel()
-	if err := n.frontend.drain(drainCtx, ln, served, schedule); err != nil {
+	if err := n.frontend.drain.run(drainCtx, ln, served, schedule); err != nil {
 		return fmt.Errorf("node: drain: %w", err)
 	}
 	return nil
