--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -5,10 +5,11 @@
 // # State and its owner
 //
 // A Pool owns its connections and a copy of the endpoint list, as far as it needs it: which endpoints are ready, and in
-// which instance. Pool.mu guards both. A Request owns the decision whether an attempt may begin for its client, under
-// Request.mu; the first byte of an attempt and the client's departure are ordered by it. The node's loop calls
-// UpdateEndpoints, an attempt's goroutine calls Do, the front end calls MarkDeparted, and whoever reads counts or
-// changes timeouts may do so from any goroutine.
+// which instance. Pool.mu guards both, and the types that hold them (conn, idleConns, endpointTable) have no lock of
+// their own. A Request owns the decision whether an attempt may begin for its client, under Request.mu; the first byte
+// of an attempt and the client's departure are ordered by it. The node's loop calls UpdateEndpoints, an attempt's
+// goroutine calls Do, the front end calls MarkDeparted, and whoever reads counts or changes timeouts may do so from any
+// goroutine.
 //
 // Locks are taken in this order: the caller's own, Pool.mu, Request.mu. Callers may hold locks of theirs when they call
 // Connections, Stats, Timeouts or SetTimeouts. No lock of this package is held while Pool.Allowance or Pool.Dial is
