--- a/internal/node/heldupdrain_test.go
+++ b/internal/node/heldupdrain_test.go
@@ -50,12 +50,12 @@
 	}}
 	served := make(chan struct{})
 	close(served)
-	f := &frontend{clock: n.frontend.clock, conns: n.frontend.conns, post: func(Event) {
+	drain := &drainer{clock: n.frontend.clock, conns: n.frontend.conns, post: func(Event) {
 		d.orders++
 		d.onOrder()
 	}}
-	ln := downstream.NewListener(unused, f.conns, 0, testutil.DiscardLog())
-	return f.awaitDrained(ctx, ln, served, func() bool { return true })
+	ln := downstream.NewListener(unused, drain.conns, 0, testutil.DiscardLog())
+	return drain.awaitClosed(ctx, ln, served, func() bool { return true })
 }
 
 // startNodeWithOpenRequest starts a node that is to close its connections, with a request that no server answers.
@@ -71,7 +71,7 @@
 	c := dial(t, n)
 	c.Send("POST", "/note/k", "open", "x", "60")
 	testutil.Wait(t, got, "the attempt")
-	n.frontend.closing.Store(true)
+	n.frontend.drain.closing.Store(true)
 	return n, c
 }
 
