--- a/internal/testutil/server.go
+++ b/internal/testutil/server.go
@@ -22,6 +22,7 @@
 	mu       sync.Mutex
 	requests []string // ids
 	conns    []net.Conn
+	ended    bool // every connection is closed, also one that is accepted from now on
 }
 
 // NewServer starts a server that runs until the test ends.
@@ -44,11 +45,22 @@
 		if err != nil {
 			return
 		}
-		s.mu.Lock()
-		s.conns = append(s.conns, c)
-		s.mu.Unlock()
-		go s.serveConn(c)
+		if s.track(c) {
+			go s.serveConn(c)
+		}
+	}
+}
+
+// track has End close a connection. One that was accepted just before End is closed at once, and false returned.
+func (s *Server) track(c net.Conn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.ended {
+		c.Close()
+		return false
 	}
+	s.conns = append(s.conns, c)
+	return true
 }
 
 // serveConn answers the requests of a connection until it ends or the handler has it closed.
@@ -78,6 +90,7 @@
 	s.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
+	s.ended = true
 	for _, c := range s.conns {
 		c.Close()
 	}
