--- a/internal/downstream/departure.go
+++ b/internal/downstream/departure.go
@@ -37,42 +37,71 @@
 	return fmt.Sprintf("Departure(%d)", int(d))
 }
 
-// errReadAheadFull ends the departure watch when the client has pipelined more than may be buffered.
-var errReadAheadFull = errors.New("the read-ahead buffer is full")
+// departureWatch is what the watch of one connection's open request has found out: what is known of the client's
+// departure, and how far the watch is.
+//
+// The caller of its methods holds Conn.mu. The channels may be used without it: begin alone replaces them, which
+// happens before the watch and the handler of the request start.
+type departureWatch struct {
+	known    Departure
+	caughtUp chan struct{} // closed once the watch has read all that had arrived
+	ended    chan struct{} // closed once the watch has ended
+	changed  chan struct{} // receives a value when known changes
+}
 
-// beginWatch reports whether a request is open, so that the read that net/http begins now is its watch for
-// the client's departure. net/http begins that watch only once the body has been read to its end, so the
-// request is complete. No wait for another request is left to be interrupted, and so an earlier eviction or
-// abort of this connection is void.
-func (c *Conn) beginWatch() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.requestOpen {
-		c.requestComplete, c.readAborted = true, false
-		c.noteBytes()
+// begin begins the watch of another request. What is known of the client stays, but for a read-ahead buffer that was
+// full: it may have been emptied since.
+func (w *departureWatch) begin() {
+	w.caughtUp, w.ended = make(chan struct{}), make(chan struct{})
+	if w.changed == nil {
+		w.changed = make(chan struct{}, 1)
+	}
+	if w.known == Unobservable {
+		w.known = Present
+	}
+}
+
+// observe records an observation. If it exceeds what was known, changed receives a value.
+func (w *departureWatch) observe(observed Departure) {
+	if observed <= w.known {
+		return
+	}
+	w.known = observed
+	select {
+	case w.changed <- struct{}{}:
+	default:
+	}
+}
+
+// markCaughtUp notes that the watch has read all that had arrived, or as much as can be buffered.
+func (w *departureWatch) markCaughtUp() {
+	if !isClosed(w.caughtUp) {
+		close(w.caughtUp)
 	}
-	return c.requestOpen
 }
 
+// errReadAheadFull ends the departure watch when the client has pipelined more than may be buffered.
+var errReadAheadFull = errors.New("the read-ahead buffer is full")
+
 // watchForDeparture reads whatever the client pipelines behind an open request, since a FIN or RST can only
 // be seen once the bytes before it are read. It returns at the read deadline, on a reset, or when the
 // read-ahead buffer is full. After a FIN it goes on to wait for a reset.
 func (c *Conn) watchForDeparture() error {
-	defer close(c.watchEnded)
+	defer close(c.departure.ended)
 	defer c.markCaughtUp()
 	for {
 		if err := c.awaitUnread(); err != nil {
 			c.noteRead(0, err)
 			return err
 		}
-		buffer := c.readAheadBuffer()
+		buffer := c.unusedReadAhead()
 		if buffer == nil {
 			c.noteDeparture(Unobservable)
 			return errReadAheadFull
 		}
 		n, err := c.Conn.Read(buffer)
 		c.scan(buffer[:n])
-		c.appendReadAhead(n)
+		c.extendReadAhead(n)
 		c.noteRead(n, err)
 		switch {
 		case errors.Is(err, io.EOF):
@@ -84,6 +113,20 @@
 	}
 }
 
+// unusedReadAhead returns the part of the read-ahead buffer to read into, or nil at a limit.
+func (c *Conn) unusedReadAhead() []byte {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.readAhead.unused()
+}
+
+// extendReadAhead adds the n bytes that were read into the unused part of the read-ahead buffer.
+func (c *Conn) extendReadAhead(n int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.readAhead.extend(n)
+}
+
 // awaitUnread waits until the kernel has received something from the client: bytes, a FIN or an RST. Before
 // it waits, it notes that everything received so far has been read.
 func (c *Conn) awaitUnread() error {
@@ -127,16 +170,14 @@
 func (c *Conn) markCaughtUp() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !isClosed(c.caughtUp) {
-		close(c.caughtUp)
-	}
+	c.departure.markCaughtUp()
 }
 
 // AwaitCaughtUp waits until the watch has read everything that had arrived, and returns the departure known
 // then.
 func (c *Conn) AwaitCaughtUp() Departure {
 	c.mu.Lock()
-	caughtUp := c.caughtUp
+	caughtUp := c.departure.caughtUp
 	c.mu.Unlock()
 	<-caughtUp
 	return c.Departure()
@@ -146,7 +187,7 @@
 // from now on stay unread. It reports whether another request, or a part of one, was read behind this one.
 func (c *Conn) EndWatch() (another bool) {
 	c.Conn.SetReadDeadline(pastDeadline)
-	<-c.watchEnded
+	<-c.departure.ended
 	return c.PipelinedBehindBody()
 }
 
@@ -167,25 +208,18 @@
 }
 
 // DepartureChanged returns a channel that receives a value when more is known of the client's departure.
-func (c *Conn) DepartureChanged() <-chan struct{} { return c.departureChanged }
+func (c *Conn) DepartureChanged() <-chan struct{} { return c.departure.changed }
 
 // noteDeparture records an observation. If it exceeds what was known, the handler of the open request is notified.
 func (c *Conn) noteDeparture(observed Departure) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if observed <= c.departed {
-		return
-	}
-	c.departed = observed
-	select {
-	case c.departureChanged <- struct{}{}:
-	default:
-	}
+	c.departure.observe(observed)
 }
 
 // Departure returns what is known of the client's departure since its request is open.
 func (c *Conn) Departure() Departure {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.departed
+	return c.departure.known
 }
--- a/internal/http1/scanner_test.go
+++ b/internal/http1/scanner_test.go
@@ -44,14 +44,14 @@
 }
 
 // checkScanner compares the scanner's results for the same bytes in pieces of several sizes, and with what
-// net/http reads where both go on.
+// net/http reads where both continue.
 func checkScanner(t *testing.T, text string) {
 	t.Helper()
 	want := scanned(text, 0)
 	for _, size := range []int{1, 2, 3, 7, 64} {
 		got := scanned(text, size)
 		if !slices.Equal(got.heads, want.heads) || !errors.Is(got.err, want.err) || got.errInBody != want.errInBody ||
-			got.state != want.state {
+			got.position != want.position || got.head != want.head || got.body != want.body {
 			t.Fatalf("in pieces of %d: %+v, at once: %+v", size, got, want)
 		}
 	}
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -24,22 +24,23 @@
 // frontend is the HTTP server for clients. It reads and checks requests, passes them to the loop, and writes
 // exactly one final response for each.
 type frontend struct {
-	clock    monotime.Clock
-	post     func(Event)
-	ready    func() bool
-	rules    *atomic.Pointer[requestRules]
-	draining atomic.Bool // the health check says that the node is not ready
-	closing  atomic.Bool // each response closes its connection
-	server   *http.Server
-
-	conns *downstream.Conns
+	clock  monotime.Clock
+	post   func(Event)
+	ready  func() bool
+	rules  *atomic.Pointer[requestRules]
+	drain  drainer
+	server *http.Server
+	conns  *downstream.Conns
 }
 
 func newFrontend(
 	c monotime.Clock, conns *downstream.Conns, rules *atomic.Pointer[requestRules], post func(Event),
 	ready func() bool, log *slog.Logger,
 ) *frontend {
-	f := &frontend{clock: c, post: post, ready: ready, conns: conns, rules: rules}
+	f := &frontend{
+		clock: c, post: post, ready: ready, conns: conns, rules: rules,
+		drain: drainer{clock: c, conns: conns, post: post},
+	}
 	f.server = &http.Server{
 		Handler:                      f,
 		ReadTimeout:                  readTimeout,
@@ -59,7 +60,7 @@
 	case r.Method != http.MethodGet && r.Method != http.MethodHead || r.ContentLength != 0:
 		http.Error(w, "only GET is served", http.StatusMethodNotAllowed)
 		return
-	case f.draining.Load():
+	case f.drain.begun.Load():
 	case !f.ready():
 		w.Header().Del("Connection")
 	default:
@@ -132,6 +133,17 @@
 	}
 }
 
+// writeResponse writes the final response of a request. It closes the connection with the response while
+// there are too many connections or the node shuts down, but not if a pipelined request was read on it, which
+// would then get no response.
+func (f *frontend) writeResponse(w http.ResponseWriter, conn *downstream.Conn, response Response) {
+	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
+	if (f.conns.OverLimit() || f.drain.closing.Load()) && !conn.EndWatch() {
+		w.Header().Set("Connection", "close")
+	}
+	response.write(w)
+}
+
 // readRequest reads a complete request and checks what the node and the servers rely on; nothing has been
 // forwarded of a request that is invalid. The client's deadline counts from the request's first byte.
 func (f *frontend) readRequest(r *http.Request, conn *downstream.Conn, head http1.RequestHead) (*request, error) {
@@ -142,7 +154,7 @@
 		},
 		firstByte: head.FirstByte, response: make(chan Response, 1),
 	}
-	if err := f.validateHead(c, r); err != nil {
+	if err := f.rules.Load().validateHead(c, r); err != nil {
 		return nil, err
 	}
 	if err := c.readBody(r, conn); err != nil {
