--- a/internal/upstream/endpoints.go
+++ b/internal/upstream/endpoints.go
@@ -15,15 +15,14 @@
 	return listed && entry.State == balancer.Ready && entry.Instance() == to
 }
 
-// apply applies an update of the endpoint list, and returns the instances that are not ready any more: their
-// endpoints were removed, drain or have restarted. Of an incremental update only the named entries are visited, as
+// apply applies an update of the endpoint list, and calls unready for each instance that is not ready any more: its
+// endpoint was removed, drains or has restarted. Of an incremental update only the named entries are visited, as
 // updates of a long list are frequent.
-func (t endpointTable) apply(entries []endpointlist.Entry, complete bool) []endpointlist.Instance {
-	var unready []endpointlist.Instance
+func (t endpointTable) apply(entries []endpointlist.Entry, complete bool, unready func(endpointlist.Instance)) {
 	for _, entry := range entries {
 		previous, known := t[entry.ID]
 		if known && (entry.State != balancer.Ready || entry.Instance() != previous.Instance()) {
-			unready = append(unready, previous.Instance())
+			unready(previous.Instance())
 		}
 		if entry.State == balancer.Removed {
 			delete(t, entry.ID)
@@ -32,23 +31,20 @@
 		}
 	}
 	if complete {
-		unready = append(unready, t.removeUnlisted(entries)...)
+		t.removeUnlisted(entries, unready)
 	}
-	return unready
 }
 
-// removeUnlisted removes the endpoints that a complete list does not name, and returns their instances.
-func (t endpointTable) removeUnlisted(entries []endpointlist.Entry) []endpointlist.Instance {
+// removeUnlisted removes the endpoints that a complete list does not name, and calls unready for their instances.
+func (t endpointTable) removeUnlisted(entries []endpointlist.Entry, unready func(endpointlist.Instance)) {
 	listed := make(map[string]bool, len(entries))
 	for _, entry := range entries {
 		listed[entry.ID] = true
 	}
-	var removed []endpointlist.Instance
 	for id, entry := range t {
 		if !listed[id] {
-			removed = append(removed, entry.Instance())
+			unready(entry.Instance())
 			delete(t, id)
 		}
 	}
-	return removed
 }
--- a/internal/upstream/endpoints_test.go
+++ b/internal/upstream/endpoints_test.go
@@ -30,7 +30,7 @@
 	name     string
 	entries  []endpointlist.Entry
 	complete bool
-	unready  []endpointlist.Instance // that apply returns
+	unready  []endpointlist.Instance // that apply reports
 	ready    []endpointlist.Instance // of the first instances of a, b and c, afterwards
 	listed   []string
 }
@@ -87,8 +87,14 @@
 	for _, c := range tableUpdates() {
 		t.Run(c.name, func(t *testing.T) {
 			table := endpointTable{}
-			table.apply([]endpointlist.Entry{newEntry("a", balancer.Ready, 0), newEntry("b", balancer.Ready, 0)}, true)
-			unready := table.apply(c.entries, c.complete)
+			first := []endpointlist.Entry{newEntry("a", balancer.Ready, 0), newEntry("b", balancer.Ready, 0)}
+			table.apply(first, true, func(instance endpointlist.Instance) {
+				t.Errorf("%v of an empty table", instance)
+			})
+			var unready []endpointlist.Instance
+			table.apply(c.entries, c.complete, func(instance endpointlist.Instance) {
+				unready = append(unready, instance)
+			})
 			slices.SortFunc(unready, func(a, b endpointlist.Instance) int { return int(a.UID[0]) - int(b.UID[0]) })
 			if !slices.Equal(unready, c.unready) {
 				t.Errorf("unready are %v, want %v", unready, c.unready)
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -81,9 +81,7 @@
 func (p *Pool) UpdateEndpoints(entries []endpointlist.Entry, complete bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, instance := range p.endpoints.apply(entries, complete) {
-		p.closeIdle(instance)
-	}
+	p.endpoints.apply(entries, complete, p.closeIdle)
 }
 
 // Connections returns the number of connections that are open or being opened.
