--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -36,11 +36,11 @@
 	subscription subscription.Backoff
 	endpoints    endpointSelector
 
-	classes   classTable
-	requests  map[string]*request // by id: not answered, or with attempts in flight
-	queue     requestQueue
-	retries   retrybudget.Budget
-	admission admission.Limiter
+	classes     classTable
+	requests    map[string]*request // by id: not answered, or with attempts in flight
+	queue       requestQueue
+	retryBudget retrybudget.Budget
+	admission   admission.Limiter
 }
 
 // New returns a Balancer that knows no endpoints yet. The error is a *SettingError.
@@ -50,10 +50,10 @@
 	}
 	rng := rand.New(rand.NewPCG(seed, seedStream))
 	b := &Balancer{
-		rng:       rng,
-		endpoints: newEndpointSelector(rng),
-		requests:  map[string]*request{},
-		retries:   retrybudget.New(),
+		rng:         rng,
+		endpoints:   newEndpointSelector(rng),
+		requests:    map[string]*request{},
+		retryBudget: retrybudget.New(),
 	}
 	b.applySettings(settings)
 	return b, nil
@@ -104,9 +104,9 @@
 	if e.Complete {
 		b.endpoints.Replace(e.Endpoints)
 	} else {
-		b.endpoints.Change(e.Endpoints)
+		b.endpoints.ApplyChanges(e.Endpoints)
 	}
-	b.admission.Start(b.endpoints.PerReplica())
+	b.admission.Initialize(b.endpoints.PerReplica())
 	if e.Cached {
 		b.scheduleSubscribe()
 	} else {
@@ -131,7 +131,7 @@
 
 // subscribeIfDue sends the planned Subscribe.
 func (b *Balancer) subscribeIfDue() {
-	if b.subscription.Due(b.now, b.settings.Tick) {
+	if b.subscription.TakeIfDue(b.now, b.settings.Tick) {
 		b.emit(Subscribe{})
 	}
 }
@@ -153,7 +153,7 @@
 	}
 	settings.PollDiscovery = b.settings.PollDiscovery // the host subscribes, or not, as long as it runs
 	b.applySettings(settings)
-	b.endpoints.forgetClasses(b.classes.hasRate)
+	b.endpoints.forgetClasses(b.classes.hasFailureRate)
 	for _, req := range b.queue.all() {
 		b.enqueue(req)
 	}
--- a/balancer/classes.go
+++ b/balancer/classes.go
@@ -17,16 +17,16 @@
 type class struct {
 	Class
 	*classStats
-	rates     outlier.Classes // that its results count for: its own, and that of all classes together
-	admission admission.Class
+	failureRates outlier.ClassRates // that its results count for: its own, and that of all classes together
+	admission    admission.Class
 }
 
 // classStats is what was observed of a class.
 type classStats struct {
-	latency  latency.Estimator
-	failures outlier.ClassRate
-	traffic  admission.Traffic
-	timeout  clienttimeout.Usual
+	latency     latency.Estimator
+	failureRate outlier.ClassRate
+	traffic     admission.Traffic
+	timeout     clienttimeout.Estimator
 }
 
 // newClassStats returns the statistics of a class of which nothing was observed yet.
@@ -38,7 +38,7 @@
 // together.
 func newClass(c Class, stats *classStats, total *outlier.ClassRate) *class {
 	return &class{
-		Class: c, classStats: stats, rates: outlier.Classes{&stats.failures, total},
+		Class: c, classStats: stats, failureRates: outlier.ClassRates{&stats.failureRate, total},
 		admission: admission.Class{
 			Objective: c.LatencyObjective, PriorityWeight: c.PriorityWeight, LateValue: c.LateValue,
 			Latency: &stats.latency, Traffic: &stats.traffic,
@@ -58,9 +58,9 @@
 	stats := old.statsOf(unknown)
 	table := classTable{byName: map[string]*class{}}
 	for _, settings := range classes {
-		table.add(newClass(settings, old.statsOf(settings), &stats.failures))
+		table.add(newClass(settings, old.statsOf(settings), &stats.failureRate))
 	}
-	table.add(newClass(unknown, stats, &stats.failures))
+	table.add(newClass(unknown, stats, &stats.failureRate))
 	return table
 }
 
@@ -103,9 +103,9 @@
 	return t.unknown()
 }
 
-// hasRate says whether the failure rate is that of a class of the table.
-func (t *classTable) hasRate(rate *outlier.ClassRate) bool {
-	return slices.ContainsFunc(t.ordered, func(c *class) bool { return &c.failures == rate })
+// hasFailureRate says whether the failure rate is that of a class of the table.
+func (t *classTable) hasFailureRate(rate *outlier.ClassRate) bool {
+	return slices.ContainsFunc(t.ordered, func(c *class) bool { return &c.failureRate == rate })
 }
 
 // priorities returns the ranking of the classes for load shedding.
--- a/balancer/classes_test.go
+++ b/balancer/classes_test.go
@@ -22,7 +22,7 @@
 			if is.admission.Traffic != &is.traffic || is.admission.PriorityWeight != is.PriorityWeight {
 				t.Error("admission has other counts or settings than the class")
 			}
-			if is.rates[0] != &is.failures || is.rates[1] != &table.unknown().failures {
+			if is.failureRates[0] != &is.failureRate || is.failureRates[1] != &table.unknown().failureRate {
 				t.Error("results count for other rates than those of the class and of all classes")
 			}
 		})
@@ -30,7 +30,7 @@
 	if table.get("get").PriorityWeight != 7 {
 		t.Errorf("a weight of %v, want the new one", table.get("get").PriorityWeight)
 	}
-	if table.hasRate(&old.get("post").failures) || !table.hasRate(&old.get("pay").failures) {
+	if table.hasFailureRate(&old.get("post").failureRate) || !table.hasFailureRate(&old.get("pay").failureRate) {
 		t.Error("the rate of a removed class is known, or that of a kept one is not")
 	}
 }
--- a/balancer/endpointselector.go
+++ b/balancer/endpointselector.go
@@ -15,10 +15,10 @@
 // chooses the endpoint of each attempt (selection.go) and passes the attempt's result to the mechanisms.
 type endpointSelector struct {
 	endpoints.List
-	rng       *rand.Rand
-	outliers  outlier.Detector
-	responses unresponsive.Detector
-	slowStart slowstart.Limiter
+	rng          *rand.Rand
+	outliers     outlier.Detector
+	unresponsive unresponsive.Detector
+	slowStart    slowstart.Limiter
 }
 
 func newEndpointSelector(rng *rand.Rand) endpointSelector {
@@ -42,7 +42,7 @@
 // is still in flight may bring one back.
 func (s *endpointSelector) forgetClasses(known func(*outlier.ClassRate) bool) {
 	for ep := range s.Known() {
-		ep.Health.Forget(known)
+		ep.Health.RetainClasses(known)
 	}
 }
 
@@ -59,24 +59,24 @@
 	s.slowStart.ObserveRequest(now, work)
 }
 
-// begin records that an attempt of a request is sent to an endpoint.
-func (s *endpointSelector) begin(now time.Duration, a *attempt) {
-	s.slowStart.Spend(&a.endpoint.SlowStart, now, a.request.work)
-	a.endpoint.Attempts.Begin(now, &a.request.class.latency)
+// startAttempt records that an attempt of a request is sent to an endpoint.
+func (s *endpointSelector) startAttempt(now time.Duration, a *attempt) {
+	s.slowStart.TakeTokens(&a.endpoint.SlowStart, now, a.request.work)
+	a.endpoint.Attempts.StartAttempt(now, &a.request.class.latency)
 }
 
 // suspects says that an endpoint seems not to respond.
 func (s *endpointSelector) suspects(now time.Duration, ep *endpoints.Endpoint) bool {
-	return s.responses.Suspects(&ep.Attempts, now)
+	return s.unresponsive.Suspects(&ep.Attempts, now)
 }
 
 // end records that an attempt has ended, and its result unless the host itself held it up.
 func (s *endpointSelector) end(now time.Duration, a *attempt, result AttemptResult, heldUp bool) {
-	a.endpoint.Attempts.End(a.sent, &a.request.class.latency)
+	a.endpoint.Attempts.EndAttempt(a.sent, &a.request.class.latency)
 	if !heldUp {
 		s.observe(now, a, result)
 	}
-	s.Release(a.endpoint)
+	s.RemoveIfUnused(a.endpoint)
 }
 
 // observe records what the end of an attempt shows: the latency of its class, and the endpoint's health and
@@ -116,22 +116,22 @@
 	c := a.request.class
 	switch result {
 	case Success, ServerError, TimedOut:
-		a.endpoint.Health.ObserveRate(c.rates, result != Success, now, c.latency.Mean())
+		a.endpoint.Health.UpdateFailureRates(c.failureRates, result != Success, now, c.latency.Mean())
 	default: // shows nothing of it
 	}
 }
 
 // observeSuccess records what any good answer shows.
 func (s *endpointSelector) observeSuccess(now time.Duration, ep *endpoints.Endpoint) {
-	s.responses.ObserveSuccess(&ep.Attempts, now)
+	s.unresponsive.ObserveSuccess(&ep.Attempts, now)
 	ep.Rejections.ObserveSuccess()
-	s.slowStart.ObserveAnswer(&ep.SlowStart, now, s.slowStartCounts(now), ep.InSubset())
+	s.slowStart.ObserveResponse(&ep.SlowStart, now, s.slowStartCounts(now), ep.InSubset())
 }
 
 // slowStartCounts counts the endpoints for slow start.
-func (s *endpointSelector) slowStartCounts(now time.Duration) slowstart.Counts {
+func (s *endpointSelector) slowStartCounts(now time.Duration) slowstart.EndpointCounts {
 	subset, size := s.Subset()
-	counts := slowstart.Counts{Ready: s.Ready(), SubsetSize: size}
+	counts := slowstart.EndpointCounts{Ready: s.ReadyCount(), SubsetSize: size}
 	for _, group := range [][]*endpoints.Endpoint{subset.Left, subset.Right} {
 		for _, ep := range group {
 			s.slowStart.Count(&counts, &ep.SlowStart, now)
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -31,25 +31,25 @@
 
 // Attempt results. Rejected, ConnectFailed and NotSent prove that the attempt never ran.
 const (
-	Success        AttemptResult = iota
-	ServerError                  // the endpoint answered with an error; the request may have run
-	Rejected                     // the endpoint says that it did not run the request
-	TimedOut                     // no answer came within the attempt's time
-	ConnectFailed                // no connection, or it broke before the request was written completely
-	ConnectionLost               // it broke later, or the answer was not complete
-	Cancelled                    // called off by a Cancel
-	NotSent                      // the host did not begin it
-	attemptResults               // how many there are
+	Success            AttemptResult = iota
+	ServerError                      // the endpoint answered with an error; the request may have run
+	Rejected                         // the endpoint says that it did not run the request
+	TimedOut                         // no answer came within the attempt's time
+	ConnectFailed                    // no connection, or it broke before the request was written completely
+	ConnectionLost                   // it broke later, or the answer was not complete
+	Cancelled                        // called off by a Cancel
+	NotSent                          // the host did not begin it
+	attemptResultCount               // how many there are
 )
 
-var attemptResultNames = [attemptResults]string{
+var attemptResultNames = [attemptResultCount]string{
 	"success", "server error", "rejected", "timed out", "connect failed",
 	"connection lost", "cancelled", "not sent",
 }
 
 // String returns the result in words.
 func (r AttemptResult) String() string {
-	if r < 0 || r >= attemptResults {
+	if r < 0 || r >= attemptResultCount {
 		return fmt.Sprintf("AttemptResult(%d)", int(r))
 	}
 	return attemptResultNames[r]
--- a/balancer/heldup_test.go
+++ b/balancer/heldup_test.go
@@ -13,7 +13,7 @@
 // however it ended and however long that took.
 func TestHeldUpAttemptsAreNotCounted(t *testing.T) {
 	limiter := playHeldUpAttempts(t, Cancelled)
-	for result := range attemptResults {
+	for result := range attemptResultCount {
 		t.Run(result.String(), func(t *testing.T) {
 			// The limiter counts the same sends after any result, so that all of it must be equal.
 			if got := playHeldUpAttempts(t, result); got != limiter {
@@ -60,8 +60,8 @@
 func observationsOf(b *Balancer) map[string]string {
 	class := b.classes.byName["get"]
 	observations := map[string]string{
-		"health":        fmt.Sprintf("%+v %+v", b.endpoints.outliers, b.endpoints.responses),
-		"class latency": fmt.Sprintf("%+v %+v", class.latency, class.failures),
+		"health":        fmt.Sprintf("%+v %+v", b.endpoints.outliers, b.endpoints.unresponsive),
+		"class latency": fmt.Sprintf("%+v %+v", class.latency, class.failureRate),
 	}
 	for ep := range b.endpoints.Known() {
 		observations[ep.ID] = withoutSends(*ep)
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -142,7 +142,7 @@
 // holdAttempts has so many attempts in flight, besides those that a test sends.
 func holdAttempts(b *Balancer, attempts int) {
 	for range attempts {
-		b.admission.Begin()
+		b.admission.StartAttempt()
 	}
 }
 
@@ -164,7 +164,7 @@
 // failAttempts makes so many failures of a class known, at an endpoint that is not listed.
 func failAttempts(b *Balancer, name string, failures int) {
 	for range failures {
-		(&outlier.Record{}).ObserveRate(b.classes.byName[name].rates, true, b.now, float64(msec))
+		(&outlier.Record{}).UpdateFailureRates(b.classes.byName[name].failureRates, true, b.now, float64(msec))
 	}
 }
 
@@ -178,7 +178,7 @@
 
 // countRates counts the failure rates that an endpoint's record holds.
 func countRates(ep *endpoints.Endpoint) (rates int) {
-	ep.Health.Forget(func(*outlier.ClassRate) bool {
+	ep.Health.RetainClasses(func(*outlier.ClassRate) bool {
 		rates++
 		return true
 	})
@@ -190,7 +190,7 @@
 	for i, attempts := range inFlight {
 		ep := &endpoints.Endpoint{Entry: Endpoint{ID: fmt.Sprint(i)}}
 		for range attempts {
-			ep.Attempts.Begin(0, nil)
+			ep.Attempts.StartAttempt(0, nil)
 		}
 		group = append(group, ep)
 	}
--- a/balancer/internal/admission/admission.go
+++ b/balancer/internal/admission/admission.go
@@ -49,8 +49,8 @@
 // Configure puts the classes of new settings in force.
 func (l *Limiter) Configure(priorities Priorities) { l.priorities = priorities }
 
-// Start sets the limit to what is always admitted, when the first endpoints are known.
-func (l *Limiter) Start(endpointsPerReplica float64) {
+// Initialize sets the limit to what is always admitted, when the first endpoints are known.
+func (l *Limiter) Initialize(endpointsPerReplica float64) {
 	if l.limit == 0 {
 		l.limit, l.initialGrowth = floor(endpointsPerReplica), true
 	}
@@ -59,14 +59,14 @@
 // floor returns the least limit.
 func floor(endpointsPerReplica float64) float64 { return minLimitPerEndpoint * endpointsPerReplica }
 
-// Begin counts an attempt that is sent.
-func (l *Limiter) Begin() {
+// StartAttempt counts an attempt that is sent.
+func (l *Limiter) StartAttempt() {
 	l.inFlight++
 	l.meanInFlight += averageWeight * (float64(l.inFlight) - l.meanInFlight)
 }
 
-// End counts an attempt that has ended.
-func (l *Limiter) End() { l.inFlight-- }
+// EndAttempt counts an attempt that has ended.
+func (l *Limiter) EndAttempt() { l.inFlight-- }
 
 // InFlight returns how many attempts are in flight.
 func (l *Limiter) InFlight() int { return l.inFlight }
--- a/balancer/internal/admission/admission_test.go
+++ b/balancer/internal/admission/admission_test.go
@@ -35,7 +35,7 @@
 func TestNewLimitGrowsUntilEndpointsReject(t *testing.T) {
 	const endpointsPerReplica, least = 5, 5 * minLimitPerEndpoint
 	var limiter Limiter
-	limiter.Start(endpointsPerReplica)
+	limiter.Initialize(endpointsPerReplica)
 	if limiter.Limit() != least {
 		t.Fatalf("a new limit is %.1f, want its floor, %.1f", limiter.Limit(), least)
 	}
@@ -170,12 +170,12 @@
 func TestInFlightIsCountedAndAveraged(t *testing.T) {
 	var limiter Limiter
 	for range 500 {
-		limiter.Begin()
-		limiter.Begin()
-		limiter.End()
-		limiter.End()
+		limiter.StartAttempt()
+		limiter.StartAttempt()
+		limiter.EndAttempt()
+		limiter.EndAttempt()
 	}
-	limiter.Begin()
+	limiter.StartAttempt()
 	if limiter.InFlight() != 1 || limiter.MeanInFlight() < 1.4 || limiter.MeanInFlight() > 1.6 {
 		t.Errorf("%d in flight, %.2f on average; want 1 and about 1.5", limiter.InFlight(), limiter.MeanInFlight())
 	}
@@ -198,12 +198,12 @@
 	var limiter Limiter
 	limiter.Configure(Priorities{TotalWeight: 1, Classes: []*Class{&class}})
 	limiter.ObserveArrival(&class)
-	limiter.Start(1) // one endpoint for each replica
+	limiter.Initialize(1) // one endpoint for each replica
 	for limiter.Admits(&class, false) {
-		limiter.Begin()
+		limiter.StartAttempt()
 	}
 	fmt.Println("in flight:", limiter.InFlight())
-	limiter.End()
+	limiter.EndAttempt()
 	limiter.ObserveSuccess(&class, float64(50*time.Millisecond), 1)
 	fmt.Println("limit after a fast answer:", limiter.Limit())
 	// Output:
--- a/balancer/internal/admission/priority.go
+++ b/balancer/internal/admission/priority.go
@@ -29,8 +29,8 @@
 	served   float64 // answers within the latency objective
 }
 
-// ObserveServed counts an answer within the latency objective.
-func (t *Traffic) ObserveServed() { t.served++ }
+// ObserveOnTime counts an answer within the latency objective.
+func (t *Traffic) ObserveOnTime() { t.served++ }
 
 // Priorities ranks the classes of the settings in force.
 type Priorities struct {
--- a/balancer/internal/admission/priority_test.go
+++ b/balancer/internal/admission/priority_test.go
@@ -72,7 +72,7 @@
 	first, second := classWith(1, 0, 0), classWith(1, 0, 0)
 	priorities := Priorities{Classes: []*Class{first, second}}
 	priorities.observeArrival(first)
-	first.Traffic.ObserveServed()
+	first.Traffic.ObserveOnTime()
 	for range 1000 {
 		priorities.observeArrival(second)
 	}
--- a/balancer/internal/clienttimeout/clienttimeout.go
+++ b/balancer/internal/clienttimeout/clienttimeout.go
@@ -12,14 +12,14 @@
 	maxVotes  = 50   // most votes for one timeout
 )
 
-// Usual is the timeout that most attempts of a class's clients have.
-type Usual struct {
+// Estimator is the timeout that most attempts of a class's clients have.
+type Estimator struct {
 	value float64 // in ns
 	votes int     // for it, less those against it
 }
 
-// Vote records a timeout, in nanoseconds, and says whether it is the usual one.
-func (u *Usual) Vote(timeout float64) bool {
+// Observe records a timeout, in nanoseconds, and says whether it is the usual one.
+func (u *Estimator) Observe(timeout float64) bool {
 	switch {
 	case math.Abs(timeout-u.value) <= tolerance*u.value:
 		u.votes = min(u.votes+1, maxVotes)
@@ -33,4 +33,4 @@
 }
 
 // Reset discards the votes: the next timeout becomes the usual one unless it is like the last.
-func (u *Usual) Reset() { u.votes = 0 }
+func (u *Estimator) Reset() { u.votes = 0 }
--- a/balancer/internal/clienttimeout/clienttimeout_test.go
+++ b/balancer/internal/clienttimeout/clienttimeout_test.go
@@ -8,7 +8,7 @@
 // The usual timeout is the majority's: few others don't replace it, and it is replaced once its votes are
 // used up.
 func TestUsualTimeoutIsTheMajoritys(t *testing.T) {
-	var usual Usual
+	var usual Estimator
 	for i, c := range []struct {
 		timeout float64
 		isUsual bool
@@ -21,12 +21,12 @@
 		{500, true, 500},   // the next is taken
 		{1000, false, 500},
 	} {
-		if got := usual.Vote(c.timeout); got != c.isUsual || usual.value != c.value {
+		if got := usual.Observe(c.timeout); got != c.isUsual || usual.value != c.value {
 			t.Errorf("vote %d: usual %v, the usual timeout is %v; want %v, %v", i, got, usual.value, c.isUsual, c.value)
 		}
 	}
 	for range 2 * maxVotes {
-		usual.Vote(500)
+		usual.Observe(500)
 	}
 	if usual.votes > maxVotes {
 		t.Errorf("%d votes, at most %d are wanted", usual.votes, maxVotes)
@@ -35,20 +35,20 @@
 
 // After a reset the next timeout is the usual one, however many votes another had.
 func TestResetDiscardsTheVotes(t *testing.T) {
-	var usual Usual
+	var usual Estimator
 	for range maxVotes {
-		usual.Vote(1000)
+		usual.Observe(1000)
 	}
 	usual.Reset()
-	if !usual.Vote(500) || usual.Vote(1000) {
+	if !usual.Observe(500) || usual.Observe(1000) {
 		t.Errorf("after a reset and a vote for 500 the usual timeout is %v", usual.value)
 	}
 }
 
 func Example() {
-	var usual Usual
+	var usual Estimator
 	for _, timeout := range []float64{1500, 1490, 900, 1510} {
-		fmt.Println(timeout, usual.Vote(timeout))
+		fmt.Println(timeout, usual.Observe(timeout))
 	}
 	// Output:
 	// 1500 true
--- a/balancer/internal/endpoints/endpoints.go
+++ b/balancer/internal/endpoints/endpoints.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// Ready returns how many endpoints may be sent requests.
-func (l *List) Ready() int { return l.ready.len() }
+// ReadyCount returns how many endpoints may be sent requests.
+func (l *List) ReadyCount() int { return l.ready.len() }
 
 // PerReplica returns how many ready endpoints there are for each replica.
 func (l *List) PerReplica() float64 {
@@ -103,14 +103,14 @@
 // Known iterates over the endpoints that are listed or have attempts in flight, in any order.
 func (l *List) Known() iter.Seq[*Endpoint] { return maps.Values(l.byID) }
 
-// Change applies the changed entries of the endpoint list, one by one.
-func (l *List) Change(entries []Entry) {
+// ApplyChanges applies the changed entries of the endpoint list, one by one.
+func (l *List) ApplyChanges(entries []Entry) {
 	for _, entry := range entries {
 		l.change(entry)
 	}
 	for _, entry := range entries { // at the end, as an endpoint may be named twice
 		if ep := l.byID[entry.ID]; ep != nil {
-			l.Release(ep)
+			l.RemoveIfUnused(ep)
 		}
 	}
 	l.subset.cut(l.ready.all)
@@ -146,7 +146,7 @@
 	}
 	l.ready.replace(ready)
 	for _, ep := range l.byID {
-		l.Release(ep)
+		l.RemoveIfUnused(ep)
 	}
 	l.subset.cut(l.ready.all)
 }
@@ -167,8 +167,8 @@
 	return ep
 }
 
-// Release drops an endpoint that has left the list once no attempt at it is in flight.
-func (l *List) Release(ep *Endpoint) {
+// RemoveIfUnused drops an endpoint that has left the list once no attempt at it is in flight.
+func (l *List) RemoveIfUnused(ep *Endpoint) {
 	if !ep.listed && ep.Attempts.InFlight() == 0 && l.byID[ep.ID] == ep {
 		delete(l.byID, ep.ID)
 	}
--- a/balancer/internal/endpoints/endpoints_test.go
+++ b/balancer/internal/endpoints/endpoints_test.go
@@ -175,7 +175,7 @@
 		if update.complete {
 			r.list.Replace(update.entries)
 		} else {
-			r.list.Change(update.entries)
+			r.list.ApplyChanges(update.entries)
 		}
 	case n < 6:
 		r.ref.placement = r.randomPlacement()
@@ -188,8 +188,8 @@
 		i := r.rng.IntN(len(r.open))
 		r.record("end of attempt %d", i)
 		ended := r.open[i]
-		ended.endpoint.Attempts.End(ended.sent, &r.class)
-		r.list.Release(ended.endpoint)
+		ended.endpoint.Attempts.EndAttempt(ended.sent, &r.class)
+		r.list.RemoveIfUnused(ended.endpoint)
 		r.open = slices.Delete(r.open, i, i+1)
 	}
 }
@@ -200,7 +200,7 @@
 	subset, _ := r.list.Subset()
 	if endpoints := slices.Concat(subset.Left, subset.Right); len(endpoints) > 0 {
 		ep := endpoints[r.rng.IntN(len(endpoints))]
-		ep.Attempts.Begin(r.now, &r.class)
+		ep.Attempts.StartAttempt(r.now, &r.class)
 		r.open = append(r.open, sentAttempt{ep, r.now})
 	}
 }
@@ -307,8 +307,8 @@
 			list := newTestList(Placement{}, testEntries(3))
 			ep := list.byID["s00"]
 			ep.Latency.Observe(2)
-			ep.Attempts.Begin(time.Second, &class)
-			list.Change([]Entry{c.change})
+			ep.Attempts.StartAttempt(time.Second, &class)
+			list.ApplyChanges([]Entry{c.change})
 			if list.byID["s00"] != ep || ep.Attempts.InFlight() != 1 || ep.Entry != c.change {
 				t.Errorf("%+v with %d attempts in flight, want one", ep.Entry, ep.Attempts.InFlight())
 			}
--- a/balancer/internal/endpoints/subset_test.go
+++ b/balancer/internal/endpoints/subset_test.go
@@ -12,7 +12,7 @@
 	complete, changed := NewList(), NewList()
 	complete.Replace(entries)
 	for _, entry := range slices.Backward(entries) {
-		changed.Change([]Entry{entry})
+		changed.ApplyChanges([]Entry{entry})
 	}
 	if got, want := endpointIDs(changed.ready.all), endpointIDs(complete.ready.all); !slices.Equal(got, want) {
 		t.Errorf("by changes %v, by a complete list %v", got, want)
--- a/balancer/internal/latency/latency.go
+++ b/balancer/internal/latency/latency.go
@@ -63,11 +63,15 @@
 // IsSlow says that an answer with this latency is slow for the class.
 func (e *Estimator) IsSlow(latency float64) bool { return latency > e.mean+slowDeviations*e.deviation }
 
-// Slow returns the latency from which an answer is slow: most answers stay well under it.
-func (e *Estimator) Slow() time.Duration { return time.Duration(e.mean + slowDeviations*e.deviation) }
+// SlowThreshold returns the latency from which an answer is slow: most answers stay well under it.
+func (e *Estimator) SlowThreshold() time.Duration {
+	return time.Duration(e.mean + slowDeviations*e.deviation)
+}
 
-// Usual returns the latency that an answer may usually take.
-func (e *Estimator) Usual() time.Duration { return time.Duration(e.mean + usualDeviations*e.deviation) }
+// TypicalMax returns the latency that an answer may usually take.
+func (e *Estimator) TypicalMax() time.Duration {
+	return time.Duration(e.mean + usualDeviations*e.deviation)
+}
 
 // Relative is how an endpoint's latency stands to the mean of the classes that it was sent.
 type Relative struct {
--- a/balancer/internal/latency/latency_test.go
+++ b/balancer/internal/latency/latency_test.go
@@ -47,10 +47,10 @@
 // The deviation shrinks with equal samples, and a latency is slow from three deviations above the mean.
 func TestSlowIsThreeDeviationsAboveTheMean(t *testing.T) {
 	e := Estimator{mean: usual, deviation: usual / 4, samples: 100}
-	if got, want := e.Slow(), time.Duration(usual*1.75); got != want {
+	if got, want := e.SlowThreshold(), time.Duration(usual*1.75); got != want {
 		t.Errorf("slow from %v, want %v", got, want)
 	}
-	if got, want := e.Usual(), time.Duration(usual*1.5); got != want {
+	if got, want := e.TypicalMax(), time.Duration(usual*1.5); got != want {
 		t.Errorf("usual up to %v, want %v", got, want)
 	}
 	for latency, want := range map[float64]bool{usual: false, usual * 1.75: false, usual * 1.76: true} {
--- a/balancer/internal/outlier/outlier.go
+++ b/balancer/internal/outlier/outlier.go
@@ -68,13 +68,13 @@
 // OnTrial says that the endpoint was ejected and has had no success since.
 func (r *Record) OnTrial() bool { return r.level > 0 && r.consecutiveSuccesses == 0 }
 
-// CompareWorst orders records by their consecutive failures, the most first.
-func (r *Record) CompareWorst(other *Record) int {
+// CompareFailures orders records by their consecutive failures, the most first.
+func (r *Record) CompareFailures(other *Record) int {
 	return other.consecutiveFailures - r.consecutiveFailures
 }
 
-// ObserveRate records that an attempt at the endpoint failed or did not, for the success rates.
-func (r *Record) ObserveRate(classes Classes, failed bool, now time.Duration, meanLatency float64) {
+// UpdateFailureRates records that an attempt at the endpoint failed or did not, for the success rates.
+func (r *Record) UpdateFailureRates(classes ClassRates, failed bool, now time.Duration, meanLatency float64) {
 	if r.failures == nil {
 		r.failures = failureRates{}
 	}
@@ -83,12 +83,12 @@
 
 // Eligibility returns the probability with which the endpoint may be sent a request of the class now, by its
 // success rate.
-func (r *Record) Eligibility(classes Classes, now time.Duration, meanLatency float64) float64 {
+func (r *Record) Eligibility(classes ClassRates, now time.Duration, meanLatency float64) float64 {
 	return r.failures.eligibility(classes, now, meanLatency)
 }
 
-// Forget discards the failure rates of the classes that are not known any more.
-func (r *Record) Forget(known func(*ClassRate) bool) {
+// RetainClasses discards the failure rates of the classes that are not known any more.
+func (r *Record) RetainClasses(known func(*ClassRate) bool) {
 	maps.DeleteFunc(r.failures, func(class *ClassRate, _ failureRate) bool { return !known(class) })
 }
 
--- a/balancer/internal/outlier/outlier_test.go
+++ b/balancer/internal/outlier/outlier_test.go
@@ -104,7 +104,8 @@
 
 func TestCompareWorstPutsTheLongestRunFirst(t *testing.T) {
 	worse, better := Record{consecutiveFailures: 3}, Record{consecutiveFailures: 1}
-	if worse.CompareWorst(&better) >= 0 || better.CompareWorst(&worse) <= 0 || worse.CompareWorst(&worse) != 0 {
+	if worse.CompareFailures(&better) >= 0 || better.CompareFailures(&worse) <= 0 ||
+		worse.CompareFailures(&worse) != 0 {
 		t.Error("records are not ordered by their runs of failures")
 	}
 }
@@ -127,16 +128,16 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var class, total ClassRate
-			classes := Classes{&class, &total}
+			classes := ClassRates{&class, &total}
 			var endpoint, other Record
 			for i := range c.here {
-				endpoint.ObserveRate(classes, true, 0, meanLatency)
+				endpoint.UpdateFailureRates(classes, true, 0, meanLatency)
 				for range 20 { // other endpoints serve meanwhile
-					other.ObserveRate(classes, c.elsewhere > i, 0, meanLatency)
+					other.UpdateFailureRates(classes, c.elsewhere > i, 0, meanLatency)
 				}
 			}
 			for range c.elsewhere {
-				other.ObserveRate(classes, true, 0, meanLatency)
+				other.UpdateFailureRates(classes, true, 0, meanLatency)
 			}
 			if got := endpoint.Eligibility(classes, c.after, meanLatency); got < c.least || got > c.most {
 				t.Errorf("eligible with %.3f, want %v to %v", got, c.least, c.most)
@@ -150,19 +151,19 @@
 	var reads, writes, total ClassRate
 	var endpoint Record
 	for range 30 {
-		endpoint.ObserveRate(Classes{&writes, &total}, true, 0, meanLatency)
+		endpoint.UpdateFailureRates(ClassRates{&writes, &total}, true, 0, meanLatency)
 		for range 20 {
-			endpoint.ObserveRate(Classes{&reads, &total}, false, 0, meanLatency)
+			endpoint.UpdateFailureRates(ClassRates{&reads, &total}, false, 0, meanLatency)
 		}
 		var other Record
 		for range 40 {
-			other.ObserveRate(Classes{&writes, &total}, false, 0, meanLatency)
+			other.UpdateFailureRates(ClassRates{&writes, &total}, false, 0, meanLatency)
 		}
 	}
-	if got := endpoint.Eligibility(Classes{&writes, &total}, 0, meanLatency); got > 0.1 {
+	if got := endpoint.Eligibility(ClassRates{&writes, &total}, 0, meanLatency); got > 0.1 {
 		t.Errorf("eligible for the failing class with %.3f", got)
 	}
-	if got := endpoint.Eligibility(Classes{&reads, &total}, 0, meanLatency); got < 1 {
+	if got := endpoint.Eligibility(ClassRates{&reads, &total}, 0, meanLatency); got < 1 {
 		t.Errorf("eligible for the other class with %.3f", got)
 	}
 }
@@ -170,9 +171,9 @@
 func TestForgetDiscardsRatesOfUnknownClasses(t *testing.T) {
 	var known, removed, total ClassRate
 	var endpoint Record
-	endpoint.ObserveRate(Classes{&known, &total}, true, 0, meanLatency)
-	endpoint.ObserveRate(Classes{&removed, &total}, true, 0, meanLatency)
-	endpoint.Forget(func(class *ClassRate) bool { return class != &removed })
+	endpoint.UpdateFailureRates(ClassRates{&known, &total}, true, 0, meanLatency)
+	endpoint.UpdateFailureRates(ClassRates{&removed, &total}, true, 0, meanLatency)
+	endpoint.RetainClasses(func(class *ClassRate) bool { return class != &removed })
 	if _, found := endpoint.failures[&removed]; found || len(endpoint.failures) != 2 {
 		t.Errorf("%d rates are left, want those of the known class and of all", len(endpoint.failures))
 	}
--- a/balancer/internal/outlier/successrate.go
+++ b/balancer/internal/outlier/successrate.go
@@ -21,8 +21,8 @@
 // Share returns the share of attempts that fail.
 func (c *ClassRate) Share() float64 { return c.share }
 
-// Classes are the rates that a result counts for: that of the request's class, and that of all classes.
-type Classes [2]*ClassRate
+// ClassRates are the rates that a result counts for: that of the request's class, and that of all classes.
+type ClassRates [2]*ClassRate
 
 // failureRate is a share of attempts that failed. It is the less certain the longer ago it was observed.
 type failureRate struct {
@@ -39,7 +39,7 @@
 type failureRates map[*ClassRate]failureRate
 
 // observe records that an attempt at the endpoint failed or did not.
-func (f failureRates) observe(classes Classes, failed bool, now time.Duration, meanLatency float64) {
+func (f failureRates) observe(classes ClassRates, failed bool, now time.Duration, meanLatency float64) {
 	result := 0.0
 	if failed {
 		result = 1
@@ -56,7 +56,7 @@
 // requests in flight and wins the pick, and its successes end each run of failures; one that lets most
 // attempts time out keeps its part of the concurrency limit. Where all fail alike none is an outlier, so this
 // exclusion needs no cap. It hurts where a few failures by chance are all that is known.
-func (f failureRates) eligibility(classes Classes, now time.Duration, meanLatency float64) float64 {
+func (f failureRates) eligibility(classes ClassRates, now time.Duration, meanLatency float64) float64 {
 	if len(f) == 0 { // no result is known, as for most endpoints of a long list
 		return 1
 	}
--- a/balancer/internal/retrybudget/retrybudget.go
+++ b/balancer/internal/retrybudget/retrybudget.go
@@ -23,11 +23,11 @@
 // New returns a budget that is half full.
 func New() Budget { return Budget{tokens: maxTokens / 2} }
 
-// Earn adds what a success earns.
-func (b *Budget) Earn() { b.tokens = min(maxTokens, b.tokens+tokensPerSuccess) }
+// Deposit adds what a success earns.
+func (b *Budget) Deposit() { b.tokens = min(maxTokens, b.tokens+tokensPerSuccess) }
 
-// Affords says whether a retry of this cost can be paid.
-func (b *Budget) Affords(cost float64) bool { return b.tokens >= cost }
+// CanWithdraw says whether a retry of this cost can be paid.
+func (b *Budget) CanWithdraw(cost float64) bool { return b.tokens >= cost }
 
-// Spend pays for a retry.
-func (b *Budget) Spend(cost float64) { b.tokens -= cost }
+// Withdraw pays for a retry.
+func (b *Budget) Withdraw(cost float64) { b.tokens -= cost }
--- a/balancer/internal/retrybudget/retrybudget_test.go
+++ b/balancer/internal/retrybudget/retrybudget_test.go
@@ -21,14 +21,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			budget := New()
-			budget.Spend(c.spent)
+			budget.Withdraw(c.spent)
 			for range c.successes {
-				budget.Earn()
+				budget.Deposit()
 			}
-			if !budget.Affords(c.affords) {
+			if !budget.CanWithdraw(c.affords) {
 				t.Errorf("%v tokens do not pay for %v", budget.tokens, c.affords)
 			}
-			if budget.Affords(c.refuses) {
+			if budget.CanWithdraw(c.refuses) {
 				t.Errorf("%v tokens pay for %v", budget.tokens, c.refuses)
 			}
 		})
@@ -39,8 +39,8 @@
 	budget := New()
 	retries := 0
 	for range 100 { // failures without a single success
-		if budget.Affords(FullCost) {
-			budget.Spend(FullCost)
+		if budget.CanWithdraw(FullCost) {
+			budget.Withdraw(FullCost)
 			retries++
 		}
 	}
--- a/balancer/internal/slowstart/helpers_test.go
+++ b/balancer/internal/slowstart/helpers_test.go
@@ -23,8 +23,8 @@
 }
 
 // countsOf counts a list of endpoints, all of them in the subset.
-func countsOf(l *Limiter, now time.Duration, records ...Record) Counts {
-	counts := Counts{Ready: len(records), SubsetSize: len(records)}
+func countsOf(l *Limiter, now time.Duration, records ...Record) EndpointCounts {
+	counts := EndpointCounts{Ready: len(records), SubsetSize: len(records)}
 	for i := range records {
 		l.Count(&counts, &records[i], now)
 	}
--- a/balancer/internal/slowstart/overload_test.go
+++ b/balancer/internal/slowstart/overload_test.go
@@ -29,7 +29,7 @@
 	limiter.warm = capacityEstimate{answers: n * memory, seconds: memory, at: startedAt} // n a second at a warm one
 	// It has half of its capacity, of which the settings allow twice as much.
 	record := NewRecord(startedAt)
-	limiter.UpdateCounts(startedAt, countsOf(limiter, startedAt, record, NewRecord(0)))
+	limiter.UpdateRates(startedAt, countsOf(limiter, startedAt, record, NewRecord(0)))
 	limiter.HasTokens(&record, startedAt, true, newRand())
 	return record.bucket.rate * limiter.settings.OverloadWindow.Seconds()
 }
--- a/balancer/internal/slowstart/slowstart.go
+++ b/balancer/internal/slowstart/slowstart.go
@@ -65,8 +65,8 @@
 // NewRecord returns the record of an endpoint that was started at a clock time; 0: long ago.
 func NewRecord(startedAt time.Duration) Record { return Record{startedAt: startedAt} }
 
-// Counts is what the limiter needs to know of the endpoint list.
-type Counts struct {
+// EndpointCounts is what the limiter needs to know of the endpoint list.
+type EndpointCounts struct {
 	Ready      int
 	SubsetSize int     // endpoints that this replica sends to
 	warm       float64 // endpoints of the subset that have all of their capacity
@@ -74,7 +74,7 @@
 }
 
 // Count adds an endpoint of the subset to the counts.
-func (l *Limiter) Count(counts *Counts, r *Record, now time.Duration) {
+func (l *Limiter) Count(counts *EndpointCounts, r *Record, now time.Duration) {
 	if share := l.CapacityShare(r, now); share == 1 {
 		counts.warm++
 	} else {
@@ -130,15 +130,15 @@
 	return math.MaxInt64
 }
 
-// ObserveAnswer records a good answer of an endpoint; inSubset says that this replica has it in its subset.
-func (l *Limiter) ObserveAnswer(r *Record, now time.Duration, counts Counts, inSubset bool) {
+// ObserveResponse records a good answer of an endpoint; inSubset says that this replica has it in its subset.
+func (l *Limiter) ObserveResponse(r *Record, now time.Duration, counts EndpointCounts, inSubset bool) {
 	l.observeCapacity(now, counts, inSubset, l.IsWarm(r, now))
 }
 
 // observeCapacity records the time and, where answered says so, a good answer of a warm endpoint or of
 // another. The answers of warm endpoints say most, as the others answer no more than they are sent. Where the
 // subset has no warm one, the estimate of warm ones stays, and that of the others counts if it is higher.
-func (l *Limiter) observeCapacity(now time.Duration, counts Counts, answered, warm bool) {
+func (l *Limiter) observeCapacity(now time.Duration, counts EndpointCounts, answered, warm bool) {
 	over := l.capacityMemory()
 	l.warm.observe(now, over, counts.warm, answered && warm)
 	l.warmingUp.observe(now, over, counts.warmingUp, answered && !warm)
@@ -158,15 +158,15 @@
 // ObserveSubsetChange records that this replica sends to other endpoints than before.
 func (l *Limiter) ObserveSubsetChange() { l.basis.known = false }
 
-// NeedsCounts says that UpdateCounts is due before HasTokens.
-func (l *Limiter) NeedsCounts(now time.Duration) bool {
+// NeedsRateUpdate says that UpdateCounts is due before HasTokens.
+func (l *Limiter) NeedsRateUpdate(now time.Duration) bool {
 	return l.hasOverloadLimit() && !(l.basis.known && l.basis.at == now)
 }
 
-// UpdateCounts brings the limits up to now. The replicas that have an endpoint in their subsets are taken to
+// UpdateRates brings the limits up to now. The replicas that have an endpoint in their subsets are taken to
 // have subsets as large as this one's. A replica that has seen no warm endpoint assumes that those of its
 // subset, once warm, answer all that it sends.
-func (l *Limiter) UpdateCounts(now time.Duration, counts Counts) {
+func (l *Limiter) UpdateRates(now time.Duration, counts EndpointCounts) {
 	l.observeCapacity(now, counts, false, false)
 	window := l.settings.OverloadWindow.Seconds()
 	interval := max(l.arrivals.mean.Seconds(), leastInterval)
@@ -191,9 +191,9 @@
 	return r.bucket.hasTokens(now, lasts, rng)
 }
 
-// Spend takes a request from the token bucket of an endpoint in slow start. work is in nanoseconds, as its
-// client expects it; 0: unknown.
-func (l *Limiter) Spend(r *Record, now time.Duration, work float64) {
+// TakeTokens takes a request from the token bucket of an endpoint in slow start. work is in nanoseconds, as
+// its client expects it; 0: unknown.
+func (l *Limiter) TakeTokens(r *Record, now time.Duration, work float64) {
 	switch {
 	case !l.hasOverloadLimit() || l.IsWarm(r, now):
 	case work > 0:
--- a/balancer/internal/slowstart/tokenbucket_test.go
+++ b/balancer/internal/slowstart/tokenbucket_test.go
@@ -50,11 +50,11 @@
 			for i := range 1000 {
 				now := startedAt + time.Duration(i)*10*time.Millisecond
 				limiter.ObserveRequest(now, 0)
-				if limiter.NeedsCounts(now) {
-					limiter.UpdateCounts(now, countsOf(&limiter, now, endpoint, NewRecord(0)))
+				if limiter.NeedsRateUpdate(now) {
+					limiter.UpdateRates(now, countsOf(&limiter, now, endpoint, NewRecord(0)))
 				}
 				if limiter.HasTokens(&endpoint, now, c.inSubset, rng) {
-					limiter.Spend(&endpoint, now, 0)
+					limiter.TakeTokens(&endpoint, now, 0)
 					sent++
 				}
 			}
@@ -80,7 +80,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			limiter, record := newLimiter(), NewRecord(c.startedAt)
 			limiter.ObserveRequest(time.Second, 100)
-			if limiter.Spend(&record, startedAt, c.work); record.bucket.tokens != -c.want {
+			if limiter.TakeTokens(&record, startedAt, c.work); record.bucket.tokens != -c.want {
 				t.Errorf("a request costs %v, want %v", -record.bucket.tokens, c.want)
 			}
 		})
@@ -96,13 +96,13 @@
 		want   bool
 	}{
 		{"at first", func() {}, true},
-		{"after an update", func() { limiter.UpdateCounts(now, Counts{}) }, false},
+		{"after an update", func() { limiter.UpdateRates(now, EndpointCounts{}) }, false},
 		{"later", func() { now += time.Millisecond }, true},
-		{"after another update", func() { limiter.UpdateCounts(now, Counts{}) }, false},
+		{"after another update", func() { limiter.UpdateRates(now, EndpointCounts{}) }, false},
 		{"after a change of the subset", limiter.ObserveSubsetChange, true},
 		{"after new settings without a limit", func() { limiter.Configure(Settings{}) }, false},
 	} {
-		if step.change(); limiter.NeedsCounts(now) != step.want {
+		if step.change(); limiter.NeedsRateUpdate(now) != step.want {
 			t.Errorf("%s: needed %v, want %v", step.name, !step.want, step.want)
 		}
 	}
@@ -125,14 +125,14 @@
 			answers := 0
 			for now := startedAt; now < startedAt+5*time.Second; now += 100 * time.Millisecond {
 				counts := countsOf(limiter, now, c.endpoints...)
-				limiter.ObserveAnswer(&c.endpoints[answers%len(c.endpoints)], now, counts, true)
+				limiter.ObserveResponse(&c.endpoints[answers%len(c.endpoints)], now, counts, true)
 				answers++
 			}
 			best := max(limiter.warm.rate(1), limiter.warmingUp.rate(1))
 			if best < c.least || best > c.most {
 				t.Errorf("%.2f answers a second, want %v to %v", best, c.least, c.most)
 			}
-			limiter.ObserveAnswer(&c.endpoints[0], startedAt+10*time.Second, Counts{}, false)
+			limiter.ObserveResponse(&c.endpoints[0], startedAt+10*time.Second, EndpointCounts{}, false)
 			if later := max(limiter.warm.rate(1), limiter.warmingUp.rate(1)); math.Abs(later-best) > 1e-9 {
 				t.Errorf("%.2f answers a second once the subset is empty, were %.2f", later, best)
 			}
--- a/balancer/internal/subscription/subscription.go
+++ b/balancer/internal/subscription/subscription.go
@@ -35,9 +35,9 @@
 	return b.subscribeAt
 }
 
-// Due says whether the planned subscription is due, and if so removes it from the plan. tick is the
+// TakeIfDue says whether the planned subscription is due, and if so removes it from the plan. tick is the
 // resolution of the host's timers, which may fire early by as much.
-func (b *Backoff) Due(now, tick time.Duration) bool {
+func (b *Backoff) TakeIfDue(now, tick time.Duration) bool {
 	if b.subscribeAt == 0 || now+tick < b.subscribeAt {
 		return false
 	}
--- a/balancer/internal/subscription/subscription_test.go
+++ b/balancer/internal/subscription/subscription_test.go
@@ -50,7 +50,7 @@
 		{"a tick early", time.Second - tick, true},
 		{"again", 2 * time.Second, false},
 	} {
-		if got := backoff.Due(c.now, tick); got != c.want {
+		if got := backoff.TakeIfDue(c.now, tick); got != c.want {
 			t.Errorf("%s: due %v, want %v", c.name, got, c.want)
 		}
 	}
--- a/balancer/internal/unresponsive/unresponsive.go
+++ b/balancer/internal/unresponsive/unresponsive.go
@@ -27,13 +27,14 @@
 	class *latency.Estimator
 }
 
-// Begin records that an attempt was sent.
-func (r *Record) Begin(now time.Duration, class *latency.Estimator) {
+// StartAttempt records that an attempt was sent.
+func (r *Record) StartAttempt(now time.Duration, class *latency.Estimator) {
 	r.attempts = append(r.attempts, attempt{now, class})
 }
 
-// End records that an attempt has ended. Attempts of one class that were sent at the same time are alike.
-func (r *Record) End(sent time.Duration, class *latency.Estimator) {
+// EndAttempt records that an attempt has ended. Attempts of one class that were sent at the same time are
+// alike.
+func (r *Record) EndAttempt(sent time.Duration, class *latency.Estimator) {
 	if at := slices.Index(r.attempts, attempt{sent, class}); at >= 0 {
 		r.attempts = slices.Delete(r.attempts, at, at+1)
 	}
@@ -57,7 +58,7 @@
 		return false
 	}
 	oldest := r.attempts[0]
-	wait := oldest.class.Slow()
+	wait := oldest.class.SlowThreshold()
 	recent := oldest.sent + wait/2
 	return now-oldest.sent > wait && d.lastSuccess > recent && r.lastSuccess < recent
 }
--- a/balancer/internal/unresponsive/unresponsive_test.go
+++ b/balancer/internal/unresponsive/unresponsive_test.go
@@ -33,7 +33,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			var detector Detector
 			var record, other Record
-			record.Begin(c.sent, newClass())
+			record.StartAttempt(c.sent, newClass())
 			if c.ownAnswer > 0 {
 				detector.ObserveSuccess(&record, c.ownAnswer)
 			}
@@ -49,15 +49,15 @@
 func TestInFlightCountsAttempts(t *testing.T) {
 	class, other := newClass(), newClass()
 	var record Record
-	record.Begin(1, class)
-	record.Begin(2, class)
-	record.Begin(2, other)
+	record.StartAttempt(1, class)
+	record.StartAttempt(2, class)
+	record.StartAttempt(2, other)
 	for i, ended := range []struct {
 		sent  time.Duration
 		class *latency.Estimator
 		want  int
 	}{{2, class, 2}, {2, class, 2}, {1, other, 2}, {2, other, 1}, {1, class, 0}, {1, class, 0}} {
-		if record.End(ended.sent, ended.class); record.InFlight() != ended.want {
+		if record.EndAttempt(ended.sent, ended.class); record.InFlight() != ended.want {
 			t.Errorf("after end %d: %d in flight, want %d", i, record.InFlight(), ended.want)
 		}
 	}
@@ -68,7 +68,7 @@
 	const now = time.Minute
 	var detector Detector
 	var record, other Record
-	record.Begin(time.Second, newClass())
+	record.StartAttempt(time.Second, newClass())
 	detector.ObserveSuccess(&record, now)
 	detector.ObserveSuccess(&other, now)
 	if detector.Suspects(&record, now) {
@@ -84,9 +84,9 @@
 	class := latency.NewEstimator(160 * time.Millisecond)
 	var detector Detector
 	var hanging, healthy Record
-	hanging.Begin(0, &class)
-	healthy.Begin(0, &class)
-	healthy.End(0, &class)
+	hanging.StartAttempt(0, &class)
+	healthy.StartAttempt(0, &class)
+	healthy.EndAttempt(0, &class)
 	detector.ObserveSuccess(&healthy, 150*time.Millisecond)
 	fmt.Println(detector.Suspects(&hanging, 200*time.Millisecond))
 	fmt.Println(detector.Suspects(&healthy, 200*time.Millisecond))
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -69,8 +69,8 @@
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(6)})
 	patient := latency.NewEstimator(time.Hour) // of a class whose attempts make no endpoint suspect
 	for range 2 {
-		knownEndpoint(t, b, "s00").Attempts.Begin(0, &patient)
-		b.admission.Begin()
+		knownEndpoint(t, b, "s00").Attempts.StartAttempt(0, &patient)
+		b.admission.StartAttempt()
 	}
 	got := sendTraffic(b, 300, "get", func(string) AttemptResult { return Success })
 	if got["s00"] != 0 || len(got) != 5 {
@@ -92,7 +92,7 @@
 	}
 	got := map[string]int{}
 	for range 9000 {
-		got[b.choose(&request{class: b.classes.byName["get"]}).ID]++
+		got[b.chooseEndpoint(&request{class: b.classes.byName["get"]}).ID]++
 	}
 	// A pair's other side is drawn alike, so the zero tie leaves each its share of all weights.
 	total := 2 + 0.25
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -25,9 +25,9 @@
 // all returns the requests that wait, in a slice of its own.
 func (q *requestQueue) all() []*request { return slices.Clone(q.waiting) }
 
-// highest returns the request with the highest priority; of equal ones the youngest, which has most time
-// left.
-func (q *requestQueue) highest(priority func(*request) float64) *request {
+// highestPriority returns the request with the highest priority; of equal ones the youngest, which has
+// the most time left.
+func (q *requestQueue) highestPriority(priority func(*request) float64) *request {
 	best := q.waiting[0]
 	for _, req := range q.waiting[1:] {
 		if priority(req) >= priority(best) {
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -42,7 +42,7 @@
 			for _, id := range []string{"a", "b", "c"} {
 				queue.add(&request{id: id})
 			}
-			best := queue.highest(func(req *request) float64 { return c.priorities[req.id] })
+			best := queue.highestPriority(func(req *request) float64 { return c.priorities[req.id] })
 			if best.id != c.want {
 				t.Errorf("%s goes first, want %s", best.id, c.want)
 			}
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -21,7 +21,7 @@
 	work      float64 // that the client expects, in ns; 0: unknown
 	attempts  []*attempt
 	inFlight  int  // attempts that have not ended
-	retry     bool // the client's, by its mark or its timeout
+	isRetry   bool // the client's, by its mark or its timeout
 	queued    bool
 	answered  bool
 	streaming bool
@@ -44,7 +44,7 @@
 // newRequest returns a request that arrives now.
 func newRequest(now time.Duration, e Request, class *class) *request {
 	return &request{
-		id: e.ID, class: class, arrived: now, deadline: e.Deadline, retry: e.Retry,
+		id: e.ID, class: class, arrived: now, deadline: e.Deadline, isRetry: e.Retry,
 		work: max(0, float64(e.ExpectedWork)),
 	}
 }
@@ -60,15 +60,15 @@
 		began = min(now, firstByte)
 	}
 	c := req.class
-	if c.timeout.Vote(float64(req.deadline - began)) {
+	if c.timeout.Observe(float64(req.deadline - began)) {
 		return
 	}
 	req.arrived = min(now, req.deadline-c.Deadline)
-	req.retry = req.retry || began-req.arrived > c.LatencyObjective/2
+	req.isRetry = req.isRetry || began-req.arrived > c.LatencyObjective/2
 }
 
-// begin adds an attempt that is sent to an endpoint now.
-func (req *request) begin(now time.Duration, ep *endpoints.Endpoint) *attempt {
+// startAttempt adds an attempt that is sent to an endpoint now.
+func (req *request) startAttempt(now time.Duration, ep *endpoints.Endpoint) *attempt {
 	a := &attempt{
 		request: req, endpoint: ep, number: len(req.attempts), sent: now, zone: ep.Zone, cell: ep.Cell,
 	}
@@ -85,8 +85,8 @@
 	a.request.inFlight--
 }
 
-// open returns the attempt with this number, or nil if there is none in flight.
-func (req *request) open(number int) *attempt {
+// inFlightAttempt returns the attempt with this number, or nil if there is none in flight.
+func (req *request) inFlightAttempt(number int) *attempt {
 	if number < 0 || number >= len(req.attempts) || req.attempts[number].ended {
 		return nil
 	}
@@ -140,8 +140,9 @@
 	return slices.ContainsFunc(req.attempts, func(a *attempt) bool { return a.endpoint == ep })
 }
 
-// inScope says that the endpoint discards the repeat of a request with an idempotency key that may have run.
-func (req *request) inScope(ep *endpoints.Endpoint) bool {
+// inDedupScope says that the endpoint discards the repeat of a request with an idempotency key that may have
+// run.
+func (req *request) inDedupScope(ep *endpoints.Endpoint) bool {
 	if req.class.Effect != IdempotentByKey {
 		return true
 	}
@@ -169,18 +170,19 @@
 // of it, if nearly all answers come within that. This hurts requests that take long by themselves; in the
 // first tier the work already done further down would be lost with the attempt.
 func (req *request) attemptTimeout(now time.Duration, settings *Settings, retryIsPaid bool) time.Duration {
-	c, left := req.class, req.answerDeadline(settings)-now
+	c, left := req.class, req.responseDeadline(settings)-now
 	retryLikely := c.Effect == Idempotent && len(req.attempts) < settings.MaxAttempts && retryIsPaid
-	if retryLikely && settings.Tier > 0 && c.failures.Share() > hangingShare && left/2 > c.latency.Slow() {
+	if retryLikely && settings.Tier > 0 && c.failureRate.Share() > hangingShare &&
+		left/2 > c.latency.SlowThreshold() {
 		return left / 2
 	}
 	return left
 }
 
-// answerDeadline returns the time from which an answer is worth nothing: work that continues after it takes
+// responseDeadline returns the time from which an answer is worth nothing: work that continues after it takes
 // capacity from answers that come in time. Below the first tier only the deadline is known.
-func (req *request) answerDeadline(settings *Settings) time.Duration {
-	if settings.Tier > 0 || req.class.LateValue > 0 || req.retry {
+func (req *request) responseDeadline(settings *Settings) time.Duration {
+	if settings.Tier > 0 || req.class.LateValue > 0 || req.isRetry {
 		return req.deadline
 	}
 	return min(req.deadline, req.arrived+req.class.LatencyObjective-2*settings.Tick)
@@ -195,7 +197,7 @@
 		return last
 	}
 	objective := req.class.LatencyObjective
-	slack := max(objective/4, objective-req.class.latency.Usual())
+	slack := max(objective/4, objective-req.class.latency.TypicalMax())
 	return min(last, req.arrived+slack)
 }
 
--- a/balancer/requestrules_test.go
+++ b/balancer/requestrules_test.go
@@ -16,10 +16,10 @@
 		Deadline: 1500 * msec,
 	}
 	stats := newClassStats(settings)
-	req := newRequest(0, Request{ID: "r", Deadline: 1500 * msec}, newClass(settings, stats, &stats.failures))
+	req := newRequest(0, Request{ID: "r", Deadline: 1500 * msec}, newClass(settings, stats, &stats.failureRate))
 	ep := &endpoints.Endpoint{Entry: Endpoint{ID: "first", Zone: "z"}}
 	for i, result := range results {
-		req.begin(time.Duration(i)*10*msec, ep).end(result)
+		req.startAttempt(time.Duration(i)*10*msec, ep).end(result)
 	}
 	return req
 }
@@ -105,7 +105,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			req := requestAfter(c.effect, c.scope, c.result)
-			if got := req.inScope(&endpoints.Endpoint{Entry: c.entry}); got != c.want {
+			if got := req.inDedupScope(&endpoints.Endpoint{Entry: c.entry}); got != c.want {
 				t.Errorf("in scope: %v, want %v", got, c.want)
 			}
 		})
@@ -129,8 +129,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			settings := Settings{Tier: c.tier, Tick: tick}
 			req := requestAfter(Idempotent, ScopeAll)
-			req.retry = c.retry
-			if got := req.answerDeadline(&settings); got != c.answer {
+			req.isRetry = c.retry
+			if got := req.responseDeadline(&settings); got != c.answer {
 				t.Errorf("an answer has a value until %v, want %v", got, c.answer)
 			}
 			if got := req.queueDeadline(&settings, c.ready); got != c.queue {
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -37,7 +37,7 @@
 // dispatch sends a request, or queues it while no endpoint may take it.
 func (b *Balancer) dispatch(req *request) {
 	if !b.atCapacity(req) {
-		if ep := b.choose(req); ep != nil {
+		if ep := b.chooseEndpoint(req); ep != nil {
 			b.send(req, ep)
 			return
 		}
@@ -49,18 +49,18 @@
 // flight as the tiers below answer in time. Only the first tier limits them: a request rejected further down
 // wastes the work done above it.
 func (b *Balancer) atCapacity(req *request) bool {
-	if b.endpoints.Ready() == 0 {
+	if b.endpoints.ReadyCount() == 0 {
 		return true
 	}
-	return b.settings.Tier == 0 && !b.admission.Admits(&req.class.admission, req.retry)
+	return b.settings.Tier == 0 && !b.admission.Admits(&req.class.admission, req.isRetry)
 }
 
 func (b *Balancer) priority(req *request) float64 {
-	return b.admission.Priority(&req.class.admission, req.retry)
+	return b.admission.Priority(&req.class.admission, req.isRetry)
 }
 
-// choose picks an endpoint for the next attempt of a request; nil: none is eligible.
-func (b *Balancer) choose(req *request) *endpoints.Endpoint {
+// chooseEndpoint picks an endpoint for the next attempt of a request; nil: none is eligible.
+func (b *Balancer) chooseEndpoint(req *request) *endpoints.Endpoint {
 	return b.endpoints.choose(b.now, req, load{
 		inFlight: b.admission.InFlight(), meanInFlight: b.admission.MeanInFlight(),
 		shedShare: b.admission.ShedShare(),
@@ -70,11 +70,11 @@
 // dispatchQueued sends requests from the queue while there is capacity, the highest priority first.
 func (b *Balancer) dispatchQueued() {
 	for tries := b.queue.len(); tries > 0 && b.queue.len() > 0; tries-- {
-		best := b.queue.highest(b.priority)
+		best := b.queue.highestPriority(b.priority)
 		if b.atCapacity(best) {
 			return
 		}
-		ep := b.choose(best)
+		ep := b.chooseEndpoint(best)
 		if ep == nil {
 			return
 		}
@@ -85,20 +85,20 @@
 // send begins the next attempt of a request.
 func (b *Balancer) send(req *request, ep *endpoints.Endpoint) {
 	notAfter := req.dedupDeadline(b.settings.Tick)
-	a := req.begin(b.now, ep)
+	a := req.startAttempt(b.now, ep)
 	if a.number == 0 {
 		b.admission.ObserveAdmitted()
 	}
 	b.queue.remove(req)
-	b.endpoints.begin(b.now, a)
-	b.admission.Begin()
-	timeout := req.attemptTimeout(b.now, &b.settings, b.retries.Affords(retrybudget.FullCost))
+	b.endpoints.startAttempt(b.now, a)
+	b.admission.StartAttempt()
+	timeout := req.attemptTimeout(b.now, &b.settings, b.retryBudget.CanWithdraw(retrybudget.FullCost))
 	b.emit(Send{ID: req.id, Endpoint: ep.ID, Timeout: max(timeout, b.settings.Tick), NotAfter: notAfter})
 }
 
 // enqueue keeps a request in the queue as long as that makes sense. Its timer makes sure that it is answered.
 func (b *Balancer) enqueue(req *request) {
-	deadline := req.queueDeadline(&b.settings, b.endpoints.Ready())
+	deadline := req.queueDeadline(&b.settings, b.endpoints.ReadyCount())
 	if b.now >= deadline {
 		b.answer(req)
 		return
@@ -134,15 +134,15 @@
 	if req == nil {
 		return
 	}
-	a := req.open(e.Attempt)
+	a := req.inFlightAttempt(e.Attempt)
 	if a == nil {
 		return
 	}
-	b.closeAttempt(a, e)
+	b.recordAttemptEnd(a, e)
 	switch {
 	case e.Answered:
 		if e.Result == Success && !req.answered && b.now <= req.arrived+req.class.LatencyObjective {
-			req.class.traffic.ObserveServed()
+			req.class.traffic.ObserveOnTime()
 		}
 		b.finish(req)
 	case req.hasFailed():
@@ -152,16 +152,16 @@
 	b.dispatchQueued()
 }
 
-// closeAttempt takes an attempt off the counts and lets the mechanisms learn from it.
-func (b *Balancer) closeAttempt(a *attempt, e AttemptEnded) {
+// recordAttemptEnd takes an attempt off the counts and lets the mechanisms learn from it.
+func (b *Balancer) recordAttemptEnd(a *attempt, e AttemptEnded) {
 	a.end(e.Result)
-	b.admission.End()
+	b.admission.EndAttempt()
 	// The waits of an unresponsive endpoint say nothing of how loaded the others are.
 	if !e.HeldUp && !b.endpoints.suspects(b.now, a.endpoint) {
 		b.adjustLimit(a, e.Result)
 	}
 	if !e.HeldUp && e.Result == Success {
-		b.retries.Earn()
+		b.retryBudget.Deposit()
 	}
 	b.endpoints.end(b.now, a, e.Result, e.HeldUp)
 }
@@ -187,11 +187,12 @@
 // for, likely to be answered in time and an endpoint is eligible; else the final answer. Requests are never
 // hedged: a second attempt begins only when the first one has ended.
 func (b *Balancer) retryOrAnswer(req *request) {
-	left := float64(req.answerDeadline(&b.settings) - b.now)
+	left := float64(req.responseDeadline(&b.settings) - b.now)
 	cost := req.retryCost()
-	if req.mayRetry(b.now, &b.settings) && b.retries.Affords(cost) && left >= req.class.latency.Mean()/2 {
-		if ep := b.choose(req); ep != nil {
-			b.retries.Spend(cost)
+	if req.mayRetry(b.now, &b.settings) && b.retryBudget.CanWithdraw(cost) &&
+		left >= req.class.latency.Mean()/2 {
+		if ep := b.chooseEndpoint(req); ep != nil {
+			b.retryBudget.Withdraw(cost)
 			b.send(req, ep)
 			return
 		}
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -30,7 +30,7 @@
 			b := newBalancer(t, func(s *Settings) { s.Tier = c.tier })
 			b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
 			failAttempts(b, c.class, c.failures)
-			b.retries.Spend(newBudget - c.tokens)
+			b.retryBudget.Withdraw(newBudget - c.tokens)
 			s := sends(b.Handle(0, Request{ID: "a", Class: c.class, Deadline: c.left}))[0]
 			if s.Timeout != c.want {
 				t.Errorf("%s: time-out %v, want %v", c.name, s.Timeout, c.want)
@@ -44,15 +44,15 @@
 func TestNotSentCostsNoRetryBudget(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.MaxAttempts = 4 })
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
-	b.retries.Spend(newBudget - 0.05) // less than any retry costs but a free one
-	before := b.retries
+	b.retryBudget.Withdraw(newBudget - 0.05) // less than any retry costs but a free one
+	before := b.retryBudget
 	sent := sends(b.Handle(0, Request{ID: "r", Class: "get", Deadline: time.Second}))
 	for n := 0; len(sent) > 0; n++ {
 		if n == 4 {
 			t.Fatal("more attempts than allowed")
 		}
-		if b.retries != before {
-			t.Errorf("attempt %d: the budget is %v, was %v", n, b.retries, before)
+		if b.retryBudget != before {
+			t.Errorf("attempt %d: the budget is %v, was %v", n, b.retryBudget, before)
 		}
 		acts := b.Handle(0, AttemptEnded{ID: "r", Attempt: n, Endpoint: sent[0].Endpoint, Result: NotSent})
 		if sent = sends(acts); len(sent) == 0 && n != 3 {
@@ -69,13 +69,13 @@
 	b := newBalancer(t, nil)
 	b.Handle(0, Request{ID: "first", Class: "get", Deadline: 1500 * msec})
 	b.Handle(5*time.Second, Request{ID: "again", Class: "get", Deadline: 5*time.Second + 900*msec})
-	if r := b.requests["first"]; r == nil || r.retry || r.arrived != 0 {
+	if r := b.requests["first"]; r == nil || r.isRetry || r.arrived != 0 {
 		t.Errorf("a first attempt was taken for a retry: %+v", r)
 	}
 	// The retry's latency objective of 500 ms ended 100 ms before it came: without a server it is still
 	// queued.
 	r := b.requests["again"]
-	if r == nil || !r.retry || r.arrived != 5*time.Second-600*msec {
+	if r == nil || !r.isRetry || r.arrived != 5*time.Second-600*msec {
 		t.Errorf("the retry was not recognised: %+v", r)
 	}
 }
@@ -98,11 +98,11 @@
 	} {
 		t.Run(c.id, func(t *testing.T) {
 			b.Handle(c.now, Request{ID: c.id, Class: "get", FirstByte: c.firstByte, Deadline: c.firstByte + c.given})
-			if r := b.requests[c.id]; r == nil || r.retry != c.repeat || r.arrived != c.arrived {
+			if r := b.requests[c.id]; r == nil || r.isRetry != c.repeat || r.arrived != c.arrived {
 				t.Errorf("%s: %+v", c.id, r)
 			}
 			b.classes.byName["get"].timeout.Reset()
-			b.classes.byName["get"].timeout.Vote(float64(1500 * msec)) // one vote for the usual timeout
+			b.classes.byName["get"].timeout.Observe(float64(1500 * msec)) // one vote for the usual timeout
 		})
 	}
 }
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -277,7 +277,7 @@
 			}
 			for ep := range b.endpoints.Known() {
 				known := countKnown(b)
-				if b.endpoints.Release(ep); countKnown(b) != known || ep.Attempts.InFlight() != 0 {
+				if b.endpoints.RemoveIfUnused(ep); countKnown(b) != known || ep.Attempts.InFlight() != 0 {
 					t.Errorf("seed %d: endpoint %s is left over", seed, ep.ID)
 				}
 			}
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -103,12 +103,12 @@
 			unhealthy = append(unhealthy, ep)
 		}
 	}
-	most := int(maxExcludedShare * (1 - s.load.shedShare) * float64(s.Ready()))
+	most := int(maxExcludedShare * (1 - s.load.shedShare) * float64(s.ReadyCount()))
 	if len(unhealthy) <= most {
 		return
 	}
 	slices.SortStableFunc(unhealthy, func(ep, other *endpoints.Endpoint) int {
-		return ep.Health.CompareWorst(&other.Health)
+		return ep.Health.CompareFailures(&other.Health)
 	})
 	for _, ep := range unhealthy[most:] {
 		ep.Excluded = false
@@ -118,7 +118,7 @@
 // isOutlier says, by a random draw, that an endpoint should not be sent a class now, by its success rate.
 func (s *selection) isOutlier(ep *endpoints.Endpoint) bool {
 	c := s.req.class
-	eligibility := ep.Health.Eligibility(c.rates, s.now, c.latency.Mean())
+	eligibility := ep.Health.Eligibility(c.failureRates, s.now, c.latency.Mean())
 	return eligibility < 1 && s.rng.Float64() >= eligibility
 }
 
@@ -139,7 +139,7 @@
 ) (admitted, idle []*endpoints.Endpoint) {
 	for _, ep := range group {
 		switch {
-		case ep.Excluded || ep.Attempts.InFlight() >= limit(ep) || !s.req.inScope(ep) || s.req.tried(ep):
+		case ep.Excluded || ep.Attempts.InFlight() >= limit(ep) || !s.req.inDedupScope(ep) || s.req.tried(ep):
 		case s.admitsInSlowStart(ep):
 			admitted = append(admitted, ep)
 		case ep.Attempts.InFlight() == 0 && len(s.req.attempts) == 0 && s.hasTokens(ep):
@@ -179,8 +179,8 @@
 
 // hasTokens says that an endpoint in slow start may be sent a request now.
 func (s *selection) hasTokens(ep *endpoints.Endpoint) bool {
-	if s.slowStart.NeedsCounts(s.now) {
-		s.slowStart.UpdateCounts(s.now, s.slowStartCounts(s.now))
+	if s.slowStart.NeedsRateUpdate(s.now) {
+		s.slowStart.UpdateRates(s.now, s.slowStartCounts(s.now))
 	}
 	return s.slowStart.HasTokens(&ep.SlowStart, s.now, ep.InSubset(), s.rng)
 }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -14,7 +14,7 @@
 	b := newBalancer(t, func(s *Settings) { s.Tier, s.Replicas = 1, 50 })
 	list := servers(40)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: list})
-	b.choose(&request{class: b.classes.byName["get"]})
+	b.chooseEndpoint(&request{class: b.classes.byName["get"]})
 	subset, _ := b.endpoints.Subset()
 	for _, s := range slices.Concat(subset.Left, subset.Right) {
 		for i := range list {
@@ -26,7 +26,7 @@
 	b.Handle(time.Second, EndpointUpdate{Complete: true, Endpoints: list})
 	warming := 0
 	for range 1000 {
-		if s := b.choose(&request{class: b.classes.byName["get"]}); s.StartedAt > 0 {
+		if s := b.chooseEndpoint(&request{class: b.classes.byName["get"]}); s.StartedAt > 0 {
 			warming++
 		}
 	}
--- a/cmd/balancer-sim/main.go
+++ b/cmd/balancer-sim/main.go
@@ -63,7 +63,7 @@
 	case wire.InstanceEvent:
 		if b := h.balancers[m.Instance]; b != nil {
 			for _, action := range b.Handle(h.now, m.Event) {
-				h.encoder.Action(m.Instance, action)
+				h.encoder.AddAction(m.Instance, action)
 			}
 		}
 	case wire.Ignored:
--- a/cmd/fleetscale/main_test.go
+++ b/cmd/fleetscale/main_test.go
@@ -22,7 +22,7 @@
 	if os.Getenv("FLEETSCALE_TEST_MAIN") != "" || len(os.Args) > 1 && os.Args[1] == "child" {
 		main()
 	}
-	testutil.Main(m)
+	testutil.VerifyTestMain(m)
 }
 
 // command starts the tests' own program as fleetscale.
--- a/internal/discovery/handler.go
+++ b/internal/discovery/handler.go
@@ -13,7 +13,7 @@
 	ListConfirmed()
 	// SubscriptionFailed reports that a poll has failed, where lists are polled. The next one needs a Subscribe.
 	SubscriptionFailed()
-	// Unresponsive reports that the agent has not answered within Client.StartupWait, where lists are pushed. It is
-	// called once, also if the agent answers at that very moment.
-	Unresponsive()
+	// AgentUnresponsive reports that the agent has not answered within Client.StartupWait, where lists are pushed.
+	// It is called once, also if the agent answers at that very moment.
+	AgentUnresponsive()
 }
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -30,7 +30,7 @@
 func (r recorder) ListReceived(list endpointlist.List) { r <- report{received, list} }
 func (r recorder) ListConfirmed()                      { r <- report{kind: confirmed} }
 func (r recorder) SubscriptionFailed()                 { r <- report{kind: failed} }
-func (r recorder) Unresponsive()                       { r <- report{kind: unresponsive} }
+func (r recorder) AgentUnresponsive()                  { r <- report{kind: unresponsive} }
 
 // newClient returns a client whose Handler is a recorder. Its connections are closed when the test ends.
 func newClient(t *testing.T, cfg Config) (*Client, recorder) {
--- a/internal/discovery/polled_test.go
+++ b/internal/discovery/polled_test.go
@@ -14,17 +14,17 @@
 	agent.Set(false, testutil.CompleteList(testutil.ListEntry("s1", "127.0.0.1:1", "in_service")))
 	run(t, c)
 	c.Subscribe()
-	if query := testutil.Wait(t, agent.Calls, "a watch"); !strings.HasPrefix(query, "from=7&") {
+	if query := testutil.Wait(t, agent.Queries, "a watch"); !strings.HasPrefix(query, "from=7&") {
 		t.Errorf("called with %q", query)
 	}
 	waitForEntries(t, reports, 1)
-	testutil.Wait(t, agent.Calls, "the watch to go on")
+	testutil.Wait(t, agent.Queries, "the watch to go on")
 	agent.Set(false, "{bad %d")
 	if got := testutil.Wait(t, reports, "the failure"); got.kind != failed {
 		t.Errorf("got %+v", got)
 	}
 	select {
-	case query := <-agent.Calls:
+	case query := <-agent.Queries:
 		t.Errorf("called with %q without a Subscribe", query)
 	default:
 	}
@@ -38,7 +38,7 @@
 	c, reports := newClient(t, Config{Address: "127.0.0.1:1", Polled: true, Version: 7})
 	run(t, c)
 	c.SetAddress(agent.Addr().String())
-	if query := testutil.Wait(t, agent.Calls, "a call"); query != "" {
+	if query := testutil.Wait(t, agent.Queries, "a call"); query != "" {
 		t.Errorf("called with %q, want the complete list", query)
 	}
 	waitForEntries(t, reports, 1)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -38,9 +38,9 @@
 	watchInterval = 20 * time.Millisecond
 )
 
-// NotifiedWithin is the time after which a change counts as known to the node, whether it was received or not. The
-// delay of a subscription after one that failed must be a quarter of it at most.
-const NotifiedWithin = 6 * time.Second
+// NotificationDeadline is the time after which a change counts as known to the node, whether it was received or not.
+// The delay of a subscription after one that failed must be a quarter of it at most.
+const NotificationDeadline = 6 * time.Second
 
 // errStaleList reports an incremental update that is older than the list that the node has.
 var errStaleList = errors.New("the update is older than the list")
@@ -53,7 +53,7 @@
 // runPushed watches until ctx ends. Each poll follows the previous response within watchInterval, as a watch counts
 // as lost when the next poll is late.
 func (c *Client) runPushed(ctx context.Context) {
-	late := time.AfterFunc(c.StartupWait, c.handler.Unresponsive)
+	late := time.AfterFunc(c.StartupWait, c.handler.AgentUnresponsive)
 	defer late.Stop()
 	suspect := true // whether it is in doubt that the agent responds at all
 	var watched *registryAddress
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -44,7 +44,7 @@
 			t.Parallel()
 			address, sent := changingAgent(t, polls)
 			c, reports := newClient(t, Config{Address: address, Polled: polled, Version: NoVersion})
-			c.Hold, c.StartupWait = 100*testutil.Limit, 100*testutil.Limit
+			c.Hold, c.StartupWait = 100*testutil.Timeout, 100*testutil.Timeout
 			begun := time.Now()
 			c.Subscribe()
 			run(t, c)
@@ -99,7 +99,7 @@
 	agent.Set(false, testutil.CompleteList(testutil.ListEntry("s1", "127.0.0.1:1", "in_service")))
 	c, reports := newClient(t, Config{Address: agent.Addr().String(), Polled: polled, Version: NoVersion})
 	waits := make(chan time.Duration, 10)
-	c.StartupWait = testutil.Limit
+	c.StartupWait = testutil.Timeout
 	c.After = func(wait time.Duration) <-chan time.Time {
 		waits <- wait
 		return time.After(wait)
@@ -153,7 +153,7 @@
 // Where lists are polled, the policy delays each poll by a quarter of NotifiedWithin at most
 // (TestPollBackoffIsBoundedByTheNotificationTime).
 func TestLostCallIsMadeUpForInTime(t *testing.T) {
-	const longestPolicyDelay = NotifiedWithin / 4
+	const longestPolicyDelay = NotificationDeadline / 4
 	for _, row := range []struct {
 		name   string
 		polled bool
@@ -166,8 +166,8 @@
 		c, _ := newClient(t, Config{Address: "127.0.0.1:1", Polled: row.polled, Version: NoVersion})
 		// The pace, the poll that is lost, the wait, a dial that never comes up and its wait, and the next poll.
 		worst := watchInterval + c.Hold + c.Grace + row.retry + agentDialTimeout + row.retry + agentCheckTimeout
-		if worst >= NotifiedWithin {
-			t.Errorf("%s: %v, want less than %v", row.name, worst, NotifiedWithin)
+		if worst >= NotificationDeadline {
+			t.Errorf("%s: %v, want less than %v", row.name, worst, NotificationDeadline)
 		}
 	}
 }
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -107,11 +107,11 @@
 	return c.requests.BodyError()
 }
 
-// PipelinedBehindBody reports whether another request was read behind the complete body of the current one.
-func (c *Conn) PipelinedBehindBody() bool {
+// HasPipelinedRequest reports whether another request was read behind the complete body of the current one.
+func (c *Conn) HasPipelinedRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.requests.BehindBody()
+	return c.requests.HasPipelinedRequest()
 }
 
 // takeReadAhead moves bytes that were read ahead into p and returns how many.
@@ -184,7 +184,7 @@
 func (c *Conn) evictIfQuiet() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.requestBegun && !socketpeek.HasUnreadOrClosed(c.Conn) {
+	if !c.requestBegun && !socketpeek.IsReadable(c.Conn) {
 		c.readEnded = true
 		c.Conn.SetReadDeadline(pastDeadline)
 	}
@@ -197,7 +197,7 @@
 func (c *Conn) abortRead() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.requestComplete || socketpeek.HasUnreadOrClosed(c.Conn) {
+	if c.requestComplete || socketpeek.IsReadable(c.Conn) {
 		return false
 	}
 	c.readEnded, c.readAborted = true, true
@@ -210,8 +210,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return ConnStatus{
-		RemoteAddr: c.RemoteAddr(), Phase: c.activity.phase, RequestBegun: c.requestBegun, Departure: c.departure.known,
-		ReadAhead: c.readAhead.size(),
+		RemoteAddr: c.RemoteAddr(), Phase: c.activity.phase, RequestStarted: c.requestBegun,
+		Departure: c.departure.known, ReadAhead: c.readAhead.size(),
 	}
 }
 
--- a/internal/downstream/conn_test.go
+++ b/internal/downstream/conn_test.go
@@ -18,8 +18,8 @@
 		{"a head without its body", "POST /note/k HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\n"},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			conn, client := connPair(t, newTestConns(testLimits(10), 0), 2*testutil.Limit)
-			conn.SetReadDeadline(time.Now().Add(testutil.Limit))
+			conn, client := connPair(t, newTestConns(testLimits(10), 0), 2*testutil.Timeout)
+			conn.SetReadDeadline(time.Now().Add(testutil.Timeout))
 			io.WriteString(client, row.first)
 			if text := make([]byte, len(row.first)); !readsAll(conn, text) {
 				t.Fatal("the first bytes are not read")
--- a/internal/downstream/conns.go
+++ b/internal/downstream/conns.go
@@ -30,12 +30,12 @@
 // while the set's lock is held.
 func NewConns(clock monotime.Clock, limits Limits, upstreamCount func() int) *Conns {
 	s := &Conns{clock: clock, upstreamCount: upstreamCount, conns: map[*Conn]struct{}{}}
-	s.Configure(limits)
+	s.SetLimits(limits)
 	return s
 }
 
-// Configure puts limits into force, and evicts the connections that exceed them.
-func (s *Conns) Configure(limits Limits) {
+// SetLimits puts limits into force, and evicts the connections that exceed them.
+func (s *Conns) SetLimits(limits Limits) {
 	s.readAheadBudget.limit.Store(limits.ReadAhead)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,11 +151,11 @@
 
 // ConnStatus is what one connection is doing at a moment.
 type ConnStatus struct {
-	RemoteAddr   net.Addr
-	Phase        Phase
-	RequestBegun bool // bytes of a request were read that has no response yet
-	Departure    Departure
-	ReadAhead    int // bytes that are buffered of what the client pipelined behind an open request
+	RemoteAddr     net.Addr
+	Phase          Phase
+	RequestStarted bool // bytes of a request were read that has no response yet
+	Departure      Departure
+	ReadAhead      int // bytes that are buffered of what the client pipelined behind an open request
 }
 
 // Status returns what each connection is doing.
--- a/internal/downstream/departure.go
+++ b/internal/downstream/departure.go
@@ -135,7 +135,7 @@
 		return nil
 	}
 	return raw.Read(func(fd uintptr) bool {
-		unread := socketpeek.HasUnread(fd)
+		unread := socketpeek.IsFDReadable(fd)
 		if !unread {
 			c.markCaughtUp()
 		}
@@ -183,12 +183,12 @@
 	return c.Departure()
 }
 
-// EndWatch ends the watch of an open request, which must have begun (see AwaitCaughtUp); bytes that arrive
+// StopDepartureWatch ends the watch of an open request, which must have begun (see AwaitCaughtUp); bytes that arrive
 // from now on stay unread. It reports whether another request, or a part of one, was read behind this one.
-func (c *Conn) EndWatch() (another bool) {
+func (c *Conn) StopDepartureWatch() (another bool) {
 	c.Conn.SetReadDeadline(pastDeadline)
 	<-c.departure.ended
-	return c.PipelinedBehindBody()
+	return c.HasPipelinedRequest()
 }
 
 // noteRead notes what the result of a read says about the client. Of the timeouts only
--- a/internal/downstream/departure_test.go
+++ b/internal/downstream/departure_test.go
@@ -58,10 +58,10 @@
 	depart(client.(*net.TCPConn))
 	testutil.Wait(t, conn.DepartureChanged(), "the departure")
 	if conn.Departure() == HalfClosed {
-		conn.SendInterimResponse(testutil.Limit)
+		conn.SendInterimResponse(testutil.Timeout)
 	}
 	testutil.Until(t, want.String(), func() bool { return conn.Departure() == want })
-	conn.EndWatch()
+	conn.StopDepartureWatch()
 	testutil.Wait(t, watchEnded, "the end of the watch")
 	if conn.Departure() != want {
 		t.Errorf("%v after the watch, want %v", conn.Departure(), want)
@@ -80,7 +80,7 @@
 	next := testutil.RequestText("next")
 	io.WriteString(client, next)
 	testutil.Until(t, "the bytes to be read", func() bool { return conn.status().ReadAhead == len(next) })
-	if !conn.EndWatch() {
+	if !conn.StopDepartureWatch() {
 		t.Error("the pipelined request was not read")
 	}
 	testutil.Wait(t, watchEnded, "the end of the watch")
--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -154,9 +154,9 @@
 	}
 }
 
-// EvictQuiet evicts idle connections and those on which nothing has arrived for a while; a client that has
+// EvictIdle evicts idle connections and those on which nothing has arrived for a while; a client that has
 // just connected has its request on the way. It returns how many connections of all kinds are left.
-func (s *Conns) EvictQuiet() int {
+func (s *Conns) EvictIdle() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
--- a/internal/downstream/eviction_test.go
+++ b/internal/downstream/eviction_test.go
@@ -16,7 +16,7 @@
 // sendByte has one end of a connection write a byte and the other one read it.
 func sendByte(t *testing.T, from, to net.Conn) {
 	t.Helper()
-	to.SetReadDeadline(time.Now().Add(testutil.Limit))
+	to.SetReadDeadline(time.Now().Add(testutil.Timeout))
 	if _, err := from.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +43,7 @@
 	}
 	sendByte(t, client, conn)
 	sendByte(t, conn, client)
-	conns.budget.limits.GracePeriods.Idle = testutil.Limit
+	conns.budget.limits.GracePeriods.Idle = testutil.Timeout
 	conns.ConnStateChanged(conn, http.StateIdle)
 	if conn.activity.evicted || !conns.OverLimit() {
 		t.Fatal("a connection idle for a moment only was evicted")
@@ -70,15 +70,15 @@
 	conns.ConnStateChanged(conn, http.StateNew)
 	conns.ConnStateChanged(conn, http.StateIdle)
 	io.WriteString(client, "GET")
-	testutil.Until(t, "the bytes to arrive", func() bool { return socketpeek.HasUnreadOrClosed(conn.Conn) })
-	if conns.EvictQuiet(); conn.activity.evicted {
+	testutil.Until(t, "the bytes to arrive", func() bool { return socketpeek.IsReadable(conn.Conn) })
+	if conns.EvictIdle(); conn.activity.evicted {
 		t.Error("evicted with a request on it")
 	}
 	if text := make([]byte, 3); !readsAll(conn, text) || string(text) != "GET" {
 		t.Errorf("read %q", text)
 	}
 	conn.Write([]byte("response"))
-	if conns.EvictQuiet(); !conn.activity.evicted {
+	if conns.EvictIdle(); !conn.activity.evicted {
 		t.Error("not evicted once it is answered")
 	}
 }
@@ -95,7 +95,7 @@
 		t.Fatal("the first part is not read")
 	}
 	io.WriteString(client, " /v")
-	testutil.Until(t, "the rest to arrive", func() bool { return socketpeek.HasUnreadOrClosed(conn.Conn) })
+	testutil.Until(t, "the rest to arrive", func() bool { return socketpeek.IsReadable(conn.Conn) })
 	conns.ConnStateChanged(conn, http.StateNew) // one too many
 	silent, _ := net.Pipe()
 	conns.ConnStateChanged(newConn(silent, conns, 0), http.StateNew)
@@ -119,13 +119,13 @@
 	defer ours.Close()
 	conns := newTestConns(testLimits(10), 0)
 	conn := newConn(ours, conns, 0)
-	conns.budget.limits.GracePeriods.New = testutil.Limit
+	conns.budget.limits.GracePeriods.New = testutil.Timeout
 	conns.ConnStateChanged(conn, http.StateNew)
-	if conns.EvictQuiet() != 1 || conn.activity.evicted {
+	if conns.EvictIdle() != 1 || conn.activity.evicted {
 		t.Error("evicted at once")
 	}
 	conns.budget.limits.GracePeriods.New = 0
-	if conns.EvictQuiet(); !conn.activity.evicted {
+	if conns.EvictIdle(); !conn.activity.evicted {
 		t.Error("never evicted")
 	}
 }
--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -26,7 +26,7 @@
 // connPair returns a connection as the listener hands it to net/http, and its client's end.
 func connPair(t *testing.T, conns *Conns, readTimeout time.Duration) (ours *Conn, theirs net.Conn) {
 	t.Helper()
-	theirs, accepted := testutil.ConnPairBy(t, func(ln net.Listener) net.Listener {
+	theirs, accepted := testutil.ConnPairWithListener(t, func(ln net.Listener) net.Listener {
 		return NewListener(ln, conns, readTimeout, testutil.DiscardLog())
 	})
 	return accepted.(*Conn), theirs
--- a/internal/endpointlist/boottime_test.go
+++ b/internal/endpointlist/boottime_test.go
@@ -13,7 +13,7 @@
 	machine := testutil.NewMachineClocks()
 	clock := newBootClock(monotime.Simulated(machine.Elapsed, machine.Unix))
 	for range 1000 {
-		machine.Pass(time.Second)
+		machine.Advance(time.Second)
 		machine.StepWallClock(offsetTolerance / 2)
 		clock.observe()
 	}
--- a/internal/endpointlist/table.go
+++ b/internal/endpointlist/table.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// IsUnchanged reports whether applying a list would change nothing.
-func (t *Table) IsUnchanged(update List) bool {
+// IsUnchangedBy reports whether applying a list would change nothing.
+func (t *Table) IsUnchangedBy(update List) bool {
 	for _, entry := range update.Entries {
 		held, isHeld := t.entries[entry.ID]
 		if isHeld && held != entry || !isHeld && entry.State != balancer.Removed {
--- a/internal/endpointlist/table_test.go
+++ b/internal/endpointlist/table_test.go
@@ -63,7 +63,7 @@
 	} {
 		table := NewTable(monotime.New())
 		table.Apply(List{Complete: true, Entries: []Entry{ready}})
-		if got := table.IsUnchanged(row.update); got != row.unchanged {
+		if got := table.IsUnchangedBy(row.update); got != row.unchanged {
 			t.Errorf("%s: unchanged %v, want %v", row.name, got, row.unchanged)
 		}
 	}
--- a/internal/fleet/load/client_test.go
+++ b/internal/fleet/load/client_test.go
@@ -46,7 +46,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			address := startServer(t, test.status, test.body)
-			got, err := newTestClient(t).Call(t.Context(), address, Class, "id-1", time.Now().Add(testutil.Limit))
+			got, err := newTestClient(t).Call(t.Context(), address, Class, "id-1", time.Now().Add(testutil.Timeout))
 			if got != test.want || (err != nil) != test.fails {
 				t.Errorf("outcome %d, %v, want %d", got, err, test.want)
 			}
--- a/internal/fleet/nodes/hollow.go
+++ b/internal/fleet/nodes/hollow.go
@@ -110,7 +110,7 @@
 	id := strconv.FormatInt(h.calls, 10)
 	h.mu.Unlock()
 	now := h.clock.Now()
-	event, answered := node.NewCall(id, class, now, now+deadline)
+	event, answered := node.NewRequestEvent(id, class, now, now+deadline)
 	h.post(event)
 	go func() {
 		select {
@@ -145,7 +145,7 @@
 			result = balancer.Cancelled
 		case <-h.ended:
 		}
-		h.post(a.Ended(upstream.Outcome{Result: result, EndedAt: h.clock.Now()}))
+		h.post(a.EndedEvent(upstream.Outcome{Result: result, EndedAt: h.clock.Now()}))
 	}()
 }
 
--- a/internal/fleet/nodes/hollow_test.go
+++ b/internal/fleet/nodes/hollow_test.go
@@ -79,7 +79,7 @@
 			})
 			testutil.Until(t, "readiness", h.ready)
 			for range 5 {
-				h.callUntil(testutil.Limit)
+				h.callUntil(testutil.Timeout)
 			}
 			for range 5 {
 				if kind := testutil.Wait(t, h.answers, "an answer"); kind != node.ResponseServed {
@@ -93,7 +93,7 @@
 			}
 			h.stop()
 			testutil.Wait(t, h.ended, "the end")
-			h.call(load.Class, testutil.Limit, func(node.ResponseKind) { t.Error("answered after the end") })
+			h.call(load.Class, testutil.Timeout, func(node.ResponseKind) { t.Error("answered after the end") })
 		})
 	}
 }
--- a/internal/fleet/plan/main_test.go
+++ b/internal/fleet/plan/main_test.go
@@ -6,4 +6,4 @@
 	"basaltdrum/internal/testutil"
 )
 
-func TestMain(m *testing.M) { testutil.Main(m) }
+func TestMain(m *testing.M) { testutil.VerifyTestMain(m) }
--- a/internal/fleet/process/child_test.go
+++ b/internal/fleet/process/child_test.go
@@ -23,7 +23,7 @@
 		}
 		return
 	}
-	testutil.Main(m)
+	testutil.VerifyTestMain(m)
 }
 
 // testService is what a child of these tests serves.
--- a/internal/fleet/standin/helpers_test.go
+++ b/internal/fleet/standin/helpers_test.go
@@ -11,7 +11,7 @@
 	"basaltdrum/internal/testutil"
 )
 
-func TestMain(m *testing.M) { testutil.Main(m) }
+func TestMain(m *testing.M) { testutil.VerifyTestMain(m) }
 
 // testEndpoint is the endpoint of servers that are never connected to.
 const testEndpoint = "127.0.0.1:1"
@@ -53,7 +53,7 @@
 // get calls for the list, and fails the test if there is no answer.
 func (r testRegistry) get(t *testing.T, query string) listBody {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), testutil.Limit)
+	ctx, cancel := context.WithTimeout(t.Context(), testutil.Timeout)
 	defer cancel()
 	body, err := r.tryGet(ctx, query)
 	if err != nil {
--- a/internal/fleet/standin/listedservers_test.go
+++ b/internal/fleet/standin/listedservers_test.go
@@ -30,7 +30,7 @@
 // callServer makes a call that must be served.
 func callServer(t *testing.T, client *load.Client, endpoint, id string) {
 	t.Helper()
-	got, err := client.Call(t.Context(), endpoint, load.Class, id, time.Now().Add(testutil.Limit))
+	got, err := client.Call(t.Context(), endpoint, load.Class, id, time.Now().Add(testutil.Timeout))
 	if got != load.Served {
 		t.Fatalf("call %s: %v, %v", id, got, err)
 	}
--- a/internal/http1/scanner.go
+++ b/internal/http1/scanner.go
@@ -111,8 +111,8 @@
 // MidRequest reports whether a request has begun and is not complete.
 func (s *RequestScanner) MidRequest() bool { return s.err == nil && s.position != betweenRequests }
 
-// BehindBody reports whether a request has begun behind the complete body of the one that was taken last.
-func (s *RequestScanner) BehindBody() bool {
+// HasPipelinedRequest reports whether a request has begun behind the complete body of the one that was taken last.
+func (s *RequestScanner) HasPipelinedRequest() bool {
 	return len(s.heads) > 0 || s.err == nil && s.position == inHead
 }
 
--- a/internal/netdial/main_test.go
+++ b/internal/netdial/main_test.go
@@ -7,4 +7,4 @@
 )
 
 // TestMain fails the package's tests if a goroutine outlives them.
-func TestMain(m *testing.M) { testutil.Main(m) }
+func TestMain(m *testing.M) { testutil.VerifyTestMain(m) }
--- a/internal/node/brokenconn_test.go
+++ b/internal/node/brokenconn_test.go
@@ -44,11 +44,12 @@
 		calledOff <- struct{}{}
 		return false
 	})
-	var dials testutil.HeldDials
+	var dials testutil.HoldingDialer
 	conns := breakableConns{cause: cause, accepted: make(chan *breakableConn, 2)}
 	cfg := configWithServers(s)
 	for i := range cfg.Settings.Classes { // no attempt times out before the test fails
-		cfg.Settings.Classes[i].LatencyObjective, cfg.Settings.Classes[i].Deadline = 4*testutil.Limit, 4*testutil.Limit
+		class := &cfg.Settings.Classes[i]
+		class.LatencyObjective, class.Deadline = 4*testutil.Timeout, 4*testutil.Timeout
 	}
 	n, _ := startNode(t, cfg, func(n *Node) {
 		conns.TCPListener = n.listener.(*net.TCPListener)
--- a/internal/node/chunked_test.go
+++ b/internal/node/chunked_test.go
@@ -22,7 +22,7 @@
 // framingServer answers with the framing of a request and a hash of its body.
 func framingServer(t *testing.T) *testutil.Server {
 	return testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
-		return testutil.ReplyOK(c, framed(r.Method, r.ContentLength, body, r.TransferEncoding, r.Trailer))
+		return testutil.RespondOK(c, framed(r.Method, r.ContentLength, body, r.TransferEncoding, r.Trailer))
 	})
 }
 
@@ -192,7 +192,7 @@
 		testutil.ExpectClosed(t, endless.Reader, "a connection with an endless body")
 	})
 	t.Cleanup(func() {
-		for _, id := range s.Requests() {
+		for _, id := range s.RequestIDs() {
 			if !strings.HasPrefix(id, "good-") {
 				t.Errorf("%s was forwarded", id)
 			}
--- a/internal/node/clienttimeouts_test.go
+++ b/internal/node/clienttimeouts_test.go
@@ -26,7 +26,7 @@
 		}
 	}
 	c := dial(t, n)
-	c.Get("once")
+	c.SendGet("once")
 	c.Expect(t, http.StatusOK, "for once")
 	testutil.ExpectClosed(t, c.Reader, "a connection that asks no more")
 }
@@ -37,7 +37,7 @@
 	s := testutil.NewServer(t, testutil.Echo)
 	n, _ := startNode(t, configWithServers(s), func(n *Node) {
 		n.frontend.server.ReadTimeout = 300 * time.Millisecond
-		n.frontend.server.IdleTimeout = 10 * testutil.Limit
+		n.frontend.server.IdleTimeout = 10 * testutil.Timeout
 	})
 	const post = "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: half\r\nX-Deadline: 60\r\n"
 	for _, half := range []string{
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -18,14 +18,14 @@
 
 // Config is the configuration of a node. LoadConfig and ParseConfig return checked ones.
 type Config struct {
-	Name      string          // of the node, for its log
-	Zone      string          // where the node runs
-	Listen    string          // address and port for clients' connections
-	Discovery string          // address and port of the agent or the registry
-	Seed      uint64          // of the module's random draws
-	MemoryMB  int             // limit of the process's memory, in megabytes
-	Sockets   int             // limit of the process's descriptors
-	Known     json.RawMessage // the endpoint list as the node last had it; it may be old
+	Name       string          // of the node, for its log
+	Zone       string          // where the node runs
+	Listen     string          // address and port for clients' connections
+	Discovery  string          // address and port of the agent or the registry
+	Seed       uint64          // of the module's random draws
+	MemoryMB   int             // limit of the process's memory, in megabytes
+	Sockets    int             // limit of the process's descriptors
+	CachedList json.RawMessage // the endpoint list as the node last had it; it may be old
 
 	Settings       balancer.Settings // of the module
 	ConnIdle       time.Duration     // after which an endpoint closes an idle connection
@@ -122,7 +122,7 @@
 	}
 	return Config{
 		Name: f.Name, Zone: s.Zone, Listen: f.Listen, Discovery: f.Discovery, Seed: seed,
-		MemoryMB: int(f.Limits.MemoryMB), Sockets: int(f.Limits.Sockets), Known: f.Known, Settings: set,
+		MemoryMB: int(f.Limits.MemoryMB), Sockets: int(f.Limits.Sockets), CachedList: f.Known, Settings: set,
 		ConnIdle:       settings.Milliseconds(s.Limits.ConnIdle),
 		ConnectTimeout: settings.Milliseconds(s.Limits.ConnectTimeout),
 	}, nil
--- a/internal/node/deadlineheader_test.go
+++ b/internal/node/deadlineheader_test.go
@@ -39,7 +39,7 @@
 	t.Helper()
 	seconds, err := strconv.ParseFloat(value, 64)
 	left := (time.Minute - passed).Seconds()
-	if err != nil || seconds > left || seconds < left-testutil.Limit.Seconds()+1 {
+	if err != nil || seconds > left || seconds < left-testutil.Timeout.Seconds()+1 {
 		t.Errorf("the server received %q, %v after the client began; at most %.3f was left", value, passed, left)
 	}
 }
@@ -74,7 +74,7 @@
 			io.WriteString(client, c.first)
 			testutil.Until(t, "the first part to be read", func() bool {
 				conns := n.frontend.conns.Status()
-				return len(conns) == 1 && conns[0].RequestBegun
+				return len(conns) == 1 && conns[0].RequestStarted
 			})
 			passed := holdUp()
 			io.WriteString(client, c.rest)
@@ -95,9 +95,9 @@
 	})
 	n, _ := startNode(t, fullValueConfig(server), nil)
 	client := dial(t, n)
-	client.Get("first")
+	client.SendGet("first")
 	testutil.Wait(t, deadlines, "the first request")
-	client.Get("behind")
+	client.SendGet("behind")
 	testutil.Until(t, "the one behind to be read", func() bool {
 		return readAheadBytes(n) == len(testutil.RequestText("behind"))
 	})
@@ -128,9 +128,9 @@
 
 func testDeadlineAfterALateConnection(t *testing.T) {
 	server, deadlines := newDeadlineServer(t)
-	var dials testutil.HeldDials
+	var dials testutil.HoldingDialer
 	n, _ := startNode(t, fullValueConfig(server), func(n *Node) { dials = holdDials(n) })
-	dial(t, n).Get("r")
+	dial(t, n).SendGet("r")
 	testutil.Wait(t, dials.Dialed, "the connection")
 	passed := holdUp()
 	close(dials.Release)
@@ -149,7 +149,7 @@
 			return gatedConn{nc.(*net.TCPConn), gatedConns{reads: newGate(0), peeks: peeks}}, nil
 		}
 	})
-	dial(t, n).Get("r")
+	dial(t, n).SendGet("r")
 	for range 2 {
 		testutil.Wait(t, peeks.arrived, "a peek")
 	}
@@ -171,7 +171,7 @@
 		return testutil.Echo(c, r, body)
 	}
 	n, _ := startNode(t, fullValueConfig(testutil.NewServer(t, handle), testutil.NewServer(t, handle)), nil)
-	dial(t, n).Get("r")
+	dial(t, n).SendGet("r")
 	testutil.Wait(t, firstAttempt.arrived, "the first attempt")
 	passed := holdUp()
 	close(firstAttempt.release)
--- a/internal/node/departure_test.go
+++ b/internal/node/departure_test.go
@@ -76,7 +76,7 @@
 	}
 	cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), state)))
 	cfg.Settings.AllowCancel = mayCancel
-	var dials testutil.HeldDials
+	var dials testutil.HoldingDialer
 	n, _ := startNode(t, cfg, func(n *Node) {
 		if dials = holdDials(n); held {
 			close(dials.Release)
@@ -136,7 +136,7 @@
 
 	server  *testutil.Server
 	node    *Node
-	dials   testutil.HeldDials
+	dials   testutil.HoldingDialer
 	conns   breakableConns
 	got     chan struct{} // an attempt has arrived at the server, which answers it once answer is closed
 	answer  chan struct{}
@@ -160,7 +160,7 @@
 	d.node, _ = startNode(t, cfg, d.change)
 	c := dial(t, d.node)
 	d.begin(t, c)
-	text := testutil.PipelinedText(d.ahead)
+	text := testutil.PipelinedRequests(d.ahead)
 	if d.ahead > readAheadPerConn && d.where != "busy loop" {
 		text = strings.Repeat("x", d.ahead) // they are answered while the client is connected: no requests, then
 	}
@@ -211,11 +211,11 @@
 
 // change has the node stop where the client is to depart.
 func (d *pipelinedDeparture) change(n *Node) {
-	n.drainSchedule = drainSchedule{closeConns: time.Millisecond, answerAll: testutil.Limit}
-	n.drainLimit = 2 * testutil.Limit // as short as it can be
+	n.drainSchedule = drainSchedule{closeConns: time.Millisecond, answerAll: testutil.Timeout}
+	n.drainLimit = 2 * testutil.Timeout // as short as it can be
 	// A machine that stalls the process for the usual time for reading a request, 2.5 s, would have the node close a
 	// connection whose request it has not read.
-	n.frontend.server.ReadTimeout = 2 * testutil.Limit
+	n.frontend.server.ReadTimeout = 2 * testutil.Timeout
 	d.conns.TCPListener = n.listener.(*net.TCPListener)
 	n.listener = d.conns
 	switch d.where {
@@ -256,7 +256,7 @@
 		d.node.loop.post(listReceived{update})
 		testutil.Wait(t, d.stopped, "the loop")
 	}
-	c.Get("leaving")
+	c.SendGet("leaving")
 	switch d.where {
 	case "held":
 		untilActive(t, d.node, 1)
@@ -298,14 +298,14 @@
 func checkNothingForwarded(t *testing.T, n *Node, s *testutil.Server, want map[string]int) {
 	t.Helper()
 	other := dial(t, n)
-	other.Get("other")
+	other.SendGet("other")
 	other.Expect(t, 200, "for other")
 	testutil.Until(t, "all attempts' end", func() bool {
 		pool := n.upstream.Stats()
 		return pool.Idle == pool.Open
 	})
 	got := map[string]int{}
-	for _, id := range s.Requests() {
+	for _, id := range s.RequestIDs() {
 		got[id]++
 	}
 	if !maps.Equal(got, want) {
@@ -331,12 +331,12 @@
 	var leavers []*testutil.Client
 	for i := range 50 {
 		c := dial(t, n)
-		c.Get(fmt.Sprint("leaving-", i))
+		c.SendGet(fmt.Sprint("leaving-", i))
 		leavers = append(leavers, c)
 	}
 	untilActive(t, n, len(leavers))
 	for i, c := range leavers {
-		io.WriteString(c, testutil.PipelinedText(1000*i))
+		io.WriteString(c, testutil.PipelinedRequests(1000*i))
 	}
 	for i, c := range leavers {
 		if i%2 == 0 {
@@ -362,25 +362,25 @@
 	for range 2 {
 		testutil.Wait(t, reads.arrived, "a read")
 	}
-	c.Get("left")
+	c.SendGet("left")
 	c.Close()
-	other.Get("other")
+	other.SendGet("other")
 	close(reads.release)
 	for range 2 {
 		testutil.Wait(t, looks.arrived, "a look")
 	}
 	third := dial(t, n)
 	for i := range 20 { // time enough for either request, if it did not wait
-		third.Get(fmt.Sprint("third-", i))
+		third.SendGet(fmt.Sprint("third-", i))
 		third.Expect(t, 200, "")
 	}
-	if s.Received() != 20 {
-		t.Errorf("%d requests began, want 20", s.Received())
+	if s.RequestCount() != 20 {
+		t.Errorf("%d requests began, want 20", s.RequestCount())
 	}
 	close(looks.release)
 	other.Expect(t, 200, "for other")
 	testutil.Until(t, "the node to notice", func() bool { return n.frontend.conns.Count() == 2 })
-	if s.Received() != 21 {
-		t.Errorf("%d requests began, want 21", s.Received())
+	if s.RequestCount() != 21 {
+		t.Errorf("%d requests began, want 21", s.RequestCount())
 	}
 }
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -22,22 +22,22 @@
 	n, _ := startNode(t, configWithServers(s), func(n *Node) {
 		limits := downstreamLimits(n.cfg)
 		limits.Descriptors, limits.UpstreamReserve, limits.GracePeriods.Idle = 2*most, most, 0
-		n.frontend.conns.Configure(limits)
+		n.frontend.conns.SetLimits(limits)
 	})
 	idle := dial(t, n)
-	idle.Get("idle")
+	idle.SendGet("idle")
 	idle.Expect(t, 200, "for idle")
 	untilIdle(t, n)
 	var held []*testutil.Client
 	for i := range most {
 		c := dial(t, n)
-		c.Get(fmt.Sprint("held-", i))
+		c.SendGet(fmt.Sprint("held-", i))
 		testutil.Wait(t, got, "an attempt")
 		held = append(held, c)
 	}
 	testutil.ExpectClosed(t, idle.Reader, "the idle connection when there are too many")
 	excess := dial(t, n) // read and rejected, never left unread
-	excess.Get("over")
+	excess.SendGet("over")
 	r, _ := excess.Response(t)
 	if r.StatusCode != 503 || r.Header.Get("Retry-After") == "" || !r.Close {
 		t.Errorf("got %d, Retry-After %q, close %v", r.StatusCode, r.Header.Get("Retry-After"), r.Close)
@@ -56,7 +56,7 @@
 	n, _ := startNode(t, configWithServers(s), func(n *Node) {
 		limits := downstreamLimits(n.cfg)
 		limits.Descriptors, limits.UpstreamReserve, limits.GracePeriods.Idle = 8, 4, 0
-		n.frontend.conns.Configure(limits)
+		n.frontend.conns.SetLimits(limits)
 	})
 	var answered sync.Map // ids of requests
 	var callers sync.WaitGroup
@@ -68,7 +68,7 @@
 		}()
 	}
 	callers.Wait()
-	forwarded := s.Requests()
+	forwarded := s.RequestIDs()
 	for _, id := range forwarded {
 		if _, ok := answered.Load(id); !ok {
 			t.Errorf("%s was forwarded to the server, and its client got no response", id)
@@ -89,11 +89,11 @@
 				t.Error(err)
 				return
 			}
-			nc.SetDeadline(time.Now().Add(2 * testutil.Limit))
+			nc.SetDeadline(time.Now().Add(2 * testutil.Timeout))
 			c = &testutil.Client{Conn: nc, Reader: bufio.NewReader(nc)}
 		}
 		id := fmt.Sprintf("%s-%d", name, i)
-		c.Get(id)
+		c.SendGet(id)
 		r, _, err := c.ReadResponse()
 		if err == nil {
 			answered.Store(id, true)
@@ -116,16 +116,16 @@
 	cfg := configWithServers(s)
 	cfg.Sockets = 256
 	n, _ := startNode(t, cfg, func(n *Node) {
-		n.frontend.server.ReadTimeout = 2 * testutil.Limit // connections end by eviction only
+		n.frontend.server.ReadTimeout = 2 * testutil.Timeout // connections end by eviction only
 		limits := downstreamLimits(n.cfg)
-		limits.GracePeriods = downstream.GracePeriods{Idle: testutil.Limit}
-		n.frontend.conns.Configure(limits)
+		limits.GracePeriods = downstream.GracePeriods{Idle: testutil.Timeout}
+		n.frontend.conns.SetLimits(limits)
 	})
 	const body = "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: half\r\nX-Deadline: 60\r\n" +
 		"Content-Length: 9\r\n\r\nhal"
 	// served wants an answer, and returns the connection to go on with: the node may end this one with the answer.
 	served := func(c *testutil.Client, id string) *testutil.Client {
-		c.Get(id)
+		c.SendGet(id)
 		r, got := c.Response(t)
 		if r.StatusCode != http.StatusOK || got != "for "+id {
 			t.Fatalf("got %d %q, want %d for %s", r.StatusCode, got, http.StatusOK, id)
@@ -187,7 +187,7 @@
 	if method == http.MethodPost {
 		c.Send(method, "/note/k", id, "body", "60")
 	} else {
-		c.Get(id)
+		c.SendGet(id)
 	}
 	if id == "leaving" {
 		testutil.Wait(t, got, "the attempt")
@@ -212,14 +212,15 @@
 	cfg.Sockets = reservedDescriptors + fullNodeConns + 1 // one is kept for the server
 	n, _ := startNode(t, cfg, func(n *Node) {
 		f := n.frontend
-		f.server.ReadTimeout = 2 * testutil.Limit // reads end by eviction only
+		f.server.ReadTimeout = 2 * testutil.Timeout // reads end by eviction only
 		limits := downstreamLimits(cfg)
 		limits.GracePeriods = downstream.GracePeriods{
-			Lingering: testutil.Limit, New: testutil.Limit, PartialRequest: testutil.Limit, Idle: testutil.Limit,
+			Lingering: testutil.Timeout, New: testutil.Timeout,
+			PartialRequest: testutil.Timeout, Idle: testutil.Timeout,
 		}
-		f.conns.Configure(limits)
-		limits.GracePeriods = downstream.GracePeriods{Lingering: testutil.Limit, Idle: testutil.Limit}
-		tightenLimits := func() { f.conns.Configure(limits) }
+		f.conns.SetLimits(limits)
+		limits.GracePeriods = downstream.GracePeriods{Lingering: testutil.Timeout, Idle: testutil.Timeout}
+		tightenLimits := func() { f.conns.SetLimits(limits) }
 		if moment == "head read" {
 			f.server.ConnState = func(c net.Conn, state http.ConnState) {
 				if f.conns.ConnStateChanged(c, state); state == http.StateActive {
--- a/internal/node/dial_test.go
+++ b/internal/node/dial_test.go
@@ -23,12 +23,12 @@
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
 			server := testutil.NewServer(t, testutil.Echo)
-			failing := &testutil.FailingDial{Err: testutil.DialError("connect", errno), Times: 3}
+			failing := &testutil.FailingDialer{Err: testutil.DialError("connect", errno), Failures: 3}
 			n, _ := startNode(t, configWithServers(server), func(n *Node) { n.upstream.Dial = failing.Dial })
 			client := dial(t, n)
 			client.Send("POST", "/note/k", "r", "x", "60")
 			client.Expect(t, http.StatusOK, "for r")
-			received, dials, open := server.Received(), failing.Dials.Load(), n.upstream.Connections()
+			received, dials, open := server.RequestCount(), failing.Dials.Load(), n.upstream.Connections()
 			if received != 1 || dials != 4 || open != 1 {
 				t.Errorf("%d requests at the server after %d dials, %d connections open", received, dials, open)
 			}
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -34,23 +34,23 @@
 	cfg := testConfig(testutil.CompleteList(inService("s1", draining)))
 	cfg.Discovery = agent.Addr().String()
 	n, _ := startNode(t, cfg, func(n *Node) {
-		n.discovery.Hold, n.discovery.StartupWait = 100*testutil.Limit, 100*testutil.Limit
+		n.discovery.Hold, n.discovery.StartupWait = 100*testutil.Timeout, 100*testutil.Timeout
 	})
-	testutil.Wait(t, agent.Calls, "the call that is lost")
-	testutil.Wait(t, agent.Calls, "a call beside it")
+	testutil.Wait(t, agent.Queries, "the call that is lost")
+	testutil.Wait(t, agent.Queries, "a call beside it")
 	early := dial(t, n) // from a client that makes no readiness check
-	early.Get("early")
+	early.SendGet("early")
 	untilActive(t, n, 1)
 	agent.Set(false, testutil.CompleteList(terminating("s1", draining), inService("s2", joined)))
 	early.Expect(t, 200, "for early")
 	testutil.Until(t, "readiness", func() bool { return isReady(t, n) })
 	c := dial(t, n)
 	for i := range 10 {
-		c.Get(fmt.Sprint("r", i))
+		c.SendGet(fmt.Sprint("r", i))
 		c.Expect(t, 200, "")
 	}
-	if draining.Received() != 0 {
-		t.Errorf("%d requests came to the server that drains", draining.Received())
+	if draining.RequestCount() != 0 {
+		t.Errorf("%d requests came to the server that drains", draining.RequestCount())
 	}
 }
 
@@ -65,8 +65,8 @@
 	agent.Set(true, "")
 	cfg := testConfig(list)
 	cfg.Discovery = agent.Addr().String()
-	n, _ := startNode(t, cfg, func(n *Node) { n.discovery.StartupWait = 100 * testutil.Limit })
-	if query := testutil.Wait(t, agent.Calls, "the first call"); query != "" {
+	n, _ := startNode(t, cfg, func(n *Node) { n.discovery.StartupWait = 100 * testutil.Timeout })
+	if query := testutil.Wait(t, agent.Queries, "the first call"); query != "" {
 		t.Errorf("called with %q, want the complete list", query)
 	}
 	if isReady(t, n) {
@@ -79,7 +79,7 @@
 	n, _ = startNode(t, cfg, func(n *Node) { n.discovery.StartupWait = time.Millisecond })
 	testutil.Until(t, "readiness beside a silent agent", func() bool { return isReady(t, n) })
 	c := dial(t, n)
-	c.Get("r")
+	c.SendGet("r")
 	c.Expect(t, 200, "for r")
 }
 
@@ -128,11 +128,11 @@
 				cfg.Discovery = truncatingAgent{response, stop, reset}.serve(t)
 				n, _ := startNode(t, cfg, func(n *Node) {
 					n.discovery.Hold, n.discovery.Grace = 200*time.Millisecond, 200*time.Millisecond
-					n.discovery.StartupWait = 100 * testutil.Limit
+					n.discovery.StartupWait = 100 * testutil.Timeout
 				})
 				testutil.Until(t, "readiness", func() bool { return isReady(t, n) })
 				c := dial(t, n)
-				c.Get("r")
+				c.SendGet("r")
 				c.Expect(t, 200, "for r")
 			})
 		}
@@ -151,7 +151,7 @@
 		n.discovery.Hold, n.discovery.Grace = 20*time.Millisecond, 20*time.Millisecond
 	})
 	for range 3 {
-		if query := testutil.Wait(t, agent.Calls, "a watch"); query != "" {
+		if query := testutil.Wait(t, agent.Queries, "a watch"); query != "" {
 			t.Fatalf("called with %q, want the complete list", query)
 		}
 	}
@@ -164,7 +164,7 @@
 		r, _ := c.Response(t)
 		return r.StatusCode == 200
 	})
-	c.Get("late")
+	c.SendGet("late")
 	c.Expect(t, 200, "for late")
 }
 
@@ -179,32 +179,32 @@
 	after.Set(false, testutil.CompleteList(inService("s2", joined)))
 	cfg := testConfig(testutil.CompleteList(inService("s1", removed)))
 	cfg.Discovery = before.Addr().String()
-	n, _ := startNode(t, cfg, func(n *Node) { n.discovery.Hold = testutil.Limit })
-	for !strings.Contains(testutil.Wait(t, before.Calls, "the watch"), "from=1001&") {
+	n, _ := startNode(t, cfg, func(n *Node) { n.discovery.Hold = testutil.Timeout })
+	for !strings.Contains(testutil.Wait(t, before.Queries, "the watch"), "from=1001&") {
 	}
 	c := dial(t, n)
-	c.Get("before")
+	c.SendGet("before")
 	c.Expect(t, 200, "for before")
 	n.Reload(cfg) // the same address: nothing moves
 	cfg.Discovery = after.Addr().String()
 	n.Reload(cfg)
-	if query := testutil.Wait(t, after.Calls, "the complete list"); query != "" {
+	if query := testutil.Wait(t, after.Queries, "the complete list"); query != "" {
 		t.Errorf("called the new address with %q, want the complete list", query)
 	}
-	query, want := testutil.Wait(t, after.Calls, "the watch"), fmt.Sprintf("from=%d&", after.Version())
+	query, want := testutil.Wait(t, after.Queries, "the watch"), fmt.Sprintf("from=%d&", after.Version())
 	if !strings.HasPrefix(query, want) {
 		t.Errorf("called with %q, want %q", query, want)
 	}
-	if len(before.Calls) > 0 {
-		t.Errorf("the old address was called with %q after the move", <-before.Calls)
+	if len(before.Queries) > 0 {
+		t.Errorf("the old address was called with %q after the move", <-before.Queries)
 	}
-	received := removed.Received()
+	received := removed.RequestCount()
 	for i := range 20 { // on the connection of the request before
-		c.Get(fmt.Sprint("after-", i))
+		c.SendGet(fmt.Sprint("after-", i))
 		c.Expect(t, 200, fmt.Sprint("for after-", i))
 	}
-	if removed.Received() != received || joined.Received() != 20 {
+	if removed.RequestCount() != received || joined.RequestCount() != 20 {
 		t.Errorf("%d requests came to the server that was removed, %d of 20 to the one that joined",
-			removed.Received()-received, joined.Received())
+			removed.RequestCount()-received, joined.RequestCount())
 	}
 }
--- a/internal/node/discoveryfaults_test.go
+++ b/internal/node/discoveryfaults_test.go
@@ -232,20 +232,20 @@
 	c := dial(t, f.node)
 	if f.moment != atTheStart {
 		testutil.Until(t, "the first list", f.node.loop.ready.Load)
-		c.Get("before")
+		c.SendGet("before")
 		c.Expect(t, 200, "")
 	}
 	f.beginFaults()
 	f.awaitFaults(t)
 	f.lists.untilListed(t, "s2")
-	received := draining.Received()
+	received := draining.RequestCount()
 	for i := range 5 {
-		c.Get(fmt.Sprint("after-", i))
+		c.SendGet(fmt.Sprint("after-", i))
 		c.Expect(t, 200, "")
 	}
-	if draining.Received() != received || joined.Received() != 5 {
+	if draining.RequestCount() != received || joined.RequestCount() != 5 {
 		t.Errorf("%d requests came to the server that drains, %d of 5 to the one that joined",
-			draining.Received()-received, joined.Received())
+			draining.RequestCount()-received, joined.RequestCount())
 	}
 }
 
@@ -272,7 +272,7 @@
 			return time.After(d)
 		}
 		n.discovery.Hold, n.discovery.Grace = 100*time.Millisecond, 100*time.Millisecond
-		n.discovery.StartupWait = testutil.Limit
+		n.discovery.StartupWait = testutil.Timeout
 	})
 }
 
--- a/internal/node/discoveryhandler.go
+++ b/internal/node/discoveryhandler.go
@@ -16,5 +16,5 @@
 // SubscriptionFailed posts that a poll has failed.
 func (h DiscoveryHandler) SubscriptionFailed() { h.Post(subscriptionFailed{}) }
 
-// Unresponsive posts that the agent has not answered.
-func (h DiscoveryHandler) Unresponsive() { h.Post(discoveryUnresponsive{}) }
+// AgentUnresponsive posts that the agent has not answered.
+func (h DiscoveryHandler) AgentUnresponsive() { h.Post(discoveryUnresponsive{}) }
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -67,7 +67,7 @@
 ) error {
 	for checks := 0; ; sleepUntilNextCheck(ctx) { // checks since the loop was told to answer, that one included
 		accepting := !isClosed(served) // read first, so that the count below has whatever was accepted
-		left := d.conns.EvictQuiet()
+		left := d.conns.EvictIdle()
 		switch {
 		case !accepting && left == 0:
 			return nil
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -61,14 +61,14 @@
 	s := testutil.NewServer(t, testutil.Echo)
 	gate, shut := make(chan struct{}), make(chan struct{}, 1)
 	n, stop := startNode(t, configWithServers(s), func(n *Node) {
-		n.drainSchedule = drainSchedule{closeConns: time.Millisecond, answerAll: testutil.Limit}
-		n.drainLimit = 2 * testutil.Limit
+		n.drainSchedule = drainSchedule{closeConns: time.Millisecond, answerAll: testutil.Timeout}
+		n.drainLimit = 2 * testutil.Timeout
 		n.listener = gatedListener{n.listener.(*net.TCPListener), gate, shut}
 	})
 	var queued []*testutil.Client
 	for i := range 5 {
 		c := dial(t, n)
-		c.Get(fmt.Sprint("queued-", i))
+		c.SendGet(fmt.Sprint("queued-", i))
 		queued = append(queued, c)
 	}
 	end := make(chan error, 1)
@@ -102,19 +102,19 @@
 			cfg := configWithServers(s)
 			cfg.Settings.MaxRetryAfter = advice
 			n, stop := startNode(t, cfg, func(n *Node) {
-				n.drainSchedule = drainSchedule{answerAll: testutil.Limit}
-				n.drainLimit = 2 * testutil.Limit
+				n.drainSchedule = drainSchedule{answerAll: testutil.Timeout}
+				n.drainLimit = 2 * testutil.Timeout
 			})
 			unsafe, safe, after := dial(t, n), dial(t, n), dial(t, n)
 			unsafe.Send("POST", "/note/k", "unsafe", "x", "60")
 			testutil.Wait(t, got, "the unsafe attempt")
-			safe.Get("safe")
+			safe.SendGet("safe")
 			testutil.Wait(t, got, "the safe attempt")
 			n.loop.post(listReceived{listOf(t, true)})
 			held := dial(t, n)
 			held.Send("POST", "/note/k", "held", "x", "60")
 			untilActive(t, n, 3)
-			after.Get("before") // its response keeps the order: the queued one is with the module by then
+			after.SendGet("before") // its response keeps the order: the queued one is with the module by then
 			untilActive(t, n, 4)
 			n.loop.post(shutdownDeadline{})
 			for _, c := range []struct {
@@ -148,15 +148,15 @@
 	s, got, release := testutil.NewHoldingServer(t, "held")
 	n, stop := startNode(t, configWithServers(s), func(n *Node) {
 		n.drainSchedule = drainSchedule{
-			stopAccepting: time.Second, closeConns: 2 * time.Second, answerAll: testutil.Limit,
+			stopAccepting: time.Second, closeConns: 2 * time.Second, answerAll: testutil.Timeout,
 		}
-		n.drainLimit = 2 * testutil.Limit
+		n.drainLimit = 2 * testutil.Timeout
 	})
 	idle, held, mute := dial(t, n), dial(t, n), dial(t, n)
-	idle.Get("before")
+	idle.SendGet("before")
 	idle.Expect(t, 200, "for before")
 	untilIdle(t, n)
-	held.Get("held")
+	held.SendGet("held")
 	testutil.Wait(t, got, "the attempt")
 	end := make(chan error, 1)
 	go func() { end <- stop() }()
@@ -166,13 +166,13 @@
 		cfg.Discovery = moved
 		n.Reload(cfg)
 	}
-	idle.Get("during") // whoever has a connection is served on it for a while
+	idle.SendGet("during") // whoever has a connection is served on it for a while
 	idle.Expect(t, 200, "for during")
 	probe := dial(t, n)
 	fmt.Fprint(probe, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
 	probe.Expect(t, 503, "")
 	late := dial(t, n) // new connections still come for a while
-	late.Get("late")
+	late.SendGet("late")
 	r, body := late.Response(t)
 	if r.StatusCode != 200 || body != "for late" {
 		t.Errorf("late: %d %q", r.StatusCode, body)
@@ -199,7 +199,7 @@
 	})
 	n, stop := startNode(t, configWithServers(s), func(n *Node) {
 		n.drainSchedule = drainSchedule{answerAll: 500 * time.Millisecond}
-		n.drainLimit = testutil.Limit
+		n.drainLimit = testutil.Timeout
 	})
 	c := dial(t, n)
 	c.Send("POST", "/note/k", "held", "x", "60")
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -16,9 +16,9 @@
 // requestReceived carries a complete request that the front end has checked.
 type requestReceived struct{ request *request }
 
-// NewCall returns the event of a request that came on no connection, and the channel that receives its one response.
-// now and deadline are clock times, of the call and until which its maker waits.
-func NewCall(id, class string, now, deadline time.Duration) (Event, <-chan Response) {
+// NewRequestEvent returns the event of a request that came on no connection, and the channel that receives its one
+// response. now and deadline are clock times, of the call and until which its maker waits.
+func NewRequestEvent(id, class string, now, deadline time.Duration) (Event, <-chan Response) {
 	r := &request{
 		Request: upstream.Request{ID: id}, class: class, receivedAt: now, deadline: deadline,
 		revision: firstRevision, response: make(chan Response, 1),
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -138,7 +138,7 @@
 // would then get no response.
 func (f *frontend) writeResponse(w http.ResponseWriter, conn *downstream.Conn, response Response) {
 	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
-	if (f.conns.OverLimit() || f.drain.closing.Load()) && !conn.EndWatch() {
+	if (f.conns.OverLimit() || f.drain.closing.Load()) && !conn.StopDepartureWatch() {
 		w.Header().Set("Connection", "close")
 	}
 	response.write(w)
--- a/internal/node/frontend_test.go
+++ b/internal/node/frontend_test.go
@@ -37,7 +37,7 @@
 	answerBody := strings.Repeat("\x00\xff binary \r\n", 5000)
 	s := testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		got <- seen{r, body}
-		return testutil.ReplyOK(c, answerBody)
+		return testutil.RespondOK(c, answerBody)
 	})
 	n, _ := startNode(t, configWithServers(s), func(n *Node) { n.upstream.ReuseDelay = 0 })
 	c := dial(t, n)
@@ -57,14 +57,14 @@
 			t.Errorf("X-Deadline %q", g.r.Header.Get("X-Deadline"))
 		}
 	}
-	c.Get("get")
+	c.SendGet("get")
 	c.Expect(t, 200, answerBody)
 	g := testutil.Wait(t, got, "the request")
 	if g.r.Method != "GET" || g.body != "" || g.r.Header["Idempotency-Key"] != nil || g.r.ContentLength != 0 {
 		t.Errorf("got %s %v", g.r.Method, g.r.Header)
 	}
-	if s.Accepted() != 1 {
-		t.Errorf("%d connections for requests one after another, want 1", s.Accepted())
+	if s.ConnCount() != 1 {
+		t.Errorf("%d connections for requests one after another, want 1", s.ConnCount())
 	}
 }
 
@@ -154,7 +154,7 @@
 		n.frontend.server.ReadTimeout = time.Second
 	})
 	first := dial(t, n)
-	first.Get("used")
+	first.SendGet("used")
 	testutil.Wait(t, got, "the attempt")
 	t.Run("rows", func(t *testing.T) { // it ends once all rows have
 		for _, c := range invalidRequests {
@@ -168,8 +168,8 @@
 	io.WriteString(cut, "POST /note/k HTTP/1.1\r\n"+validFields+"Content-Length: 10\r\n\r\nhalf")
 	cut.Conn.(*net.TCPConn).CloseWrite()
 	io.Copy(io.Discard, cut.Reader) // an answer or none, but the end
-	if s.Received() != 1 {
-		t.Errorf("%d requests reached the server, want only the good one", s.Received())
+	if s.RequestCount() != 1 {
+		t.Errorf("%d requests reached the server, want only the good one", s.RequestCount())
 	}
 	close(hold)
 	first.Expect(t, 200, "for used")
@@ -199,7 +199,7 @@
 	begin := time.Now()
 	c.Send("POST", "/note/k", "x", "x", "60")
 	r, _ := c.Response(t)
-	if r.StatusCode != 503 || r.Header.Get("Retry-After") == "" || time.Since(begin) > testutil.Limit {
+	if r.StatusCode != 503 || r.Header.Get("Retry-After") == "" || time.Since(begin) > testutil.Timeout {
 		t.Errorf("got %d, Retry-After %q after %v", r.StatusCode, r.Header.Get("Retry-After"), time.Since(begin))
 	}
 }
--- a/internal/node/goroutines_test.go
+++ b/internal/node/goroutines_test.go
@@ -50,10 +50,10 @@
 	for name, poll := range map[string]bool{"pushed": false, "polled": true} {
 		t.Run(name, func(t *testing.T) {
 			cfg := testConfig(testutil.CompleteList())
-			cfg.Settings.PollDiscovery, cfg.Settings.PollWithin = poll, testutil.Limit
+			cfg.Settings.PollDiscovery, cfg.Settings.PollWithin = poll, testutil.Timeout
 			before := backgroundGoroutines()
 			_, stop := startNode(t, cfg, func(n *Node) {
-				n.drainSchedule, n.drainLimit = drainSchedule{}, 2*testutil.Limit
+				n.drainSchedule, n.drainLimit = drainSchedule{}, 2*testutil.Timeout
 			})
 			for newBackground(before) < 3 {
 				runtime.Gosched()
--- a/internal/node/halfclose_test.go
+++ b/internal/node/halfclose_test.go
@@ -77,7 +77,7 @@
 	}
 	cfg := testConfig(testutil.CompleteList(testutil.ListEntry("s1", s.Address(), state)))
 	cfg.Settings.AllowCancel = mayCancel
-	var dials testutil.HeldDials
+	var dials testutil.HoldingDialer
 	n, _ := startNode(t, cfg, func(n *Node) {
 		if c.where == "dial" {
 			dials = holdDials(n)
@@ -107,8 +107,8 @@
 		close(answer)
 		return
 	}
-	if s.Received() != c.seen {
-		t.Errorf("%d requests began, want %d", s.Received(), c.seen)
+	if s.RequestCount() != c.seen {
+		t.Errorf("%d requests began, want %d", s.RequestCount(), c.seen)
 	}
 }
 
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -25,14 +25,14 @@
 func testConfig(known string) Config {
 	class := func(name string, e balancer.Effect) balancer.Class {
 		return balancer.Class{
-			Name: name, Effect: e, Scope: balancer.ScopeAll, DedupWindow: testutil.Limit,
-			LatencyObjective: testutil.Limit, Deadline: 2 * testutil.Limit, PriorityWeight: 1,
+			Name: name, Effect: e, Scope: balancer.ScopeAll, DedupWindow: testutil.Timeout,
+			LatencyObjective: testutil.Timeout, Deadline: 2 * testutil.Timeout, PriorityWeight: 1,
 		}
 	}
 	return Config{
 		Name: "n", Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", Seed: 1, MemoryMB: 192,
-		Sockets: 1024, ConnIdle: time.Minute, ConnectTimeout: testutil.Limit,
-		Known: []byte(strings.Replace(known, "%d", "1", 1)),
+		Sockets: 1024, ConnIdle: time.Minute, ConnectTimeout: testutil.Timeout,
+		CachedList: []byte(strings.Replace(known, "%d", "1", 1)),
 		Settings: balancer.Settings{
 			Replicas: 1, MaxAttempts: 4, AllowCancel: true,
 			Tick: time.Millisecond, MaxRetryAfter: 2 * time.Second, SlowStartFloor: 1, TotalWeight: 1,
@@ -58,7 +58,7 @@
 func withLongObjectives(cfg Config) Config {
 	return with(cfg, func(classes []balancer.Class) []balancer.Class {
 		for i := range classes {
-			classes[i].LatencyObjective = 2 * testutil.Limit
+			classes[i].LatencyObjective = 2 * testutil.Timeout
 		}
 		return classes
 	})
@@ -92,7 +92,7 @@
 	}
 	t.Cleanup(func() {
 		n.mu.Lock()
-		n.drainSchedule, n.drainLimit = drainSchedule{}, testutil.Limit // the test is over: nobody has to be served
+		n.drainSchedule, n.drainLimit = drainSchedule{}, testutil.Timeout // the test is over: nobody has to be served
 		n.mu.Unlock()
 		stop()
 	})
@@ -180,8 +180,8 @@
 }
 
 // holdDials has a node's connections to endpoints held back once they are established.
-func holdDials(n *Node) testutil.HeldDials {
-	dials := testutil.NewHeldDials()
+func holdDials(n *Node) testutil.HoldingDialer {
+	dials := testutil.NewHoldingDialer()
 	n.upstream.Dial = dials.Dial
 	return dials
 }
--- a/internal/node/listener_test.go
+++ b/internal/node/listener_test.go
@@ -28,13 +28,13 @@
 			t.Parallel()
 			s := testutil.NewServer(t, testutil.Echo)
 			n, stop := startNode(t, configWithServers(s), func(n *Node) {
-				n.drainSchedule = drainSchedule{closeConns: time.Millisecond, answerAll: testutil.Limit}
-				n.drainLimit = 2 * testutil.Limit
+				n.drainSchedule = drainSchedule{closeConns: time.Millisecond, answerAll: testutil.Timeout}
+				n.drainLimit = 2 * testutil.Timeout
 				ln, fail := n.listener.(*net.TCPListener), testutil.FailTimes(cause, 3)
 				n.listener = testutil.FailingListener{TCPListener: ln, Fail: fail}
 			})
 			c := dial(t, n)
-			c.Get("r")
+			c.SendGet("r")
 			c.Expect(t, 200, "for r")
 			if err := stop(); err != nil {
 				t.Error(err)
@@ -54,8 +54,8 @@
 			draining, resume := make(chan struct{}), make(chan struct{})
 			fail := testutil.FailTimes(cause, 3)
 			n, stop := startNode(t, configWithServers(s), func(n *Node) {
-				n.drainSchedule = drainSchedule{closeConns: time.Millisecond, answerAll: testutil.Limit}
-				n.drainLimit = 2 * testutil.Limit
+				n.drainSchedule = drainSchedule{closeConns: time.Millisecond, answerAll: testutil.Timeout}
+				n.drainLimit = 2 * testutil.Timeout
 				n.listener = testutil.FailingListener{TCPListener: n.listener.(*net.TCPListener), Fail: func() error {
 					if !n.frontend.drain.begun.Load() {
 						return nil
@@ -70,13 +70,13 @@
 				}}
 			})
 			held := dial(t, n)
-			held.Get("held")
+			held.SendGet("held")
 			testutil.Wait(t, got, "the attempt")
 			end := make(chan error, 1)
 			go func() { end <- stop() }()
 			testutil.Wait(t, draining, "an accept after the listener was shut")
 			queued := dial(t, n)
-			queued.Get("queued")
+			queued.SendGet("queued")
 			close(resume)
 			testutil.Wait(t, got, "the attempt for the queued request")
 			release()
@@ -106,7 +106,7 @@
 			failed := make(chan struct{}, 1)
 			n, stop := startNode(t, configWithServers(s), func(n *Node) {
 				n.drainSchedule = drainSchedule{closeConns: time.Millisecond, answerAll: 100 * time.Millisecond}
-				n.drainLimit = 2 * testutil.Limit
+				n.drainLimit = 2 * testutil.Timeout
 				n.listener = testutil.FailingListener{TCPListener: n.listener.(*net.TCPListener), Fail: func() error {
 					if !failing.Load() {
 						return nil
--- a/internal/node/lists_test.go
+++ b/internal/node/lists_test.go
@@ -17,7 +17,7 @@
 	for _, servers := range []int{100, 1600, 3200} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			l := newSimulatedLoop(b, true)
-			pool := upstream.NewPool(l.clock, 10, upstream.Timeouts{Connect: testutil.Limit, Idle: time.Minute})
+			pool := upstream.NewPool(l.clock, 10, upstream.Timeouts{Connect: testutil.Timeout, Idle: time.Minute})
 			all := parsedList(b, testutil.LongList(servers, "", false))
 			l.endpoints.SetStartTimes(all.Entries)
 			l.endpoints.Apply(all)
@@ -32,7 +32,7 @@
 			for i := 0; b.Loop(); i++ {
 				change := changes[i%2]
 				l.endpoints.SetStartTimes(change.Entries)
-				if l.endpoints.IsUnchanged(change) {
+				if l.endpoints.IsUnchangedBy(change) {
 					b.Fatal("no change")
 				}
 				l.endpoints.Apply(change)
@@ -70,13 +70,13 @@
 	cfg.Discovery = agent.Addr().String()
 	agent.Set(false, list)
 	n, _ := startNode(t, cfg, nil)
-	for testutil.Wait(t, agent.Calls, "the watch for changes") == "" {
+	for testutil.Wait(t, agent.Queries, "the watch for changes") == "" {
 	}
 	agent.Set(false, testutil.CompleteList(testutil.ListEntry("s1", s.Address(), "terminated"), `{"uid":""}`))
-	if query := testutil.Wait(t, agent.Calls, "the call after the bad list"); query != "" {
+	if query := testutil.Wait(t, agent.Queries, "the call after the bad list"); query != "" {
 		t.Errorf("called with %q, want the complete list", query)
 	}
 	c := dial(t, n)
-	c.Get("r")
+	c.SendGet("r")
 	c.Expect(t, 200, "for r")
 }
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -187,7 +187,7 @@
 	if !cached {
 		defer l.endpoints.Confirm()
 	}
-	if !cached && l.listsPushed && l.endpoints.IsUnchanged(update) {
+	if !cached && l.listsPushed && l.endpoints.IsUnchangedBy(update) {
 		return
 	}
 	e := balancer.EndpointUpdate{Complete: update.Complete, Cached: cached, Endpoints: l.endpoints.Apply(update)}
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -76,8 +76,8 @@
 	defer n.listener.Close()
 	n.Reload(cfg)
 	n.loop.handleEvent(listReceived{listOf(t, true, testutil.ListEntry("s2", "127.0.0.1:1", "in_service"))})
-	if n.cfg.Known != nil || n.loop.cachedList.Entries != nil {
-		t.Errorf("%s and %v are kept", n.cfg.Known, n.loop.cachedList)
+	if n.cfg.CachedList != nil || n.loop.cachedList.Entries != nil {
+		t.Errorf("%s and %v are kept", n.cfg.CachedList, n.loop.cachedList)
 	}
 }
 
@@ -90,7 +90,7 @@
 		l.Entries[0].ID = fmt.Sprint("s", i)
 		n.loop.post(listReceived{l})
 		c := dial(t, n)
-		c.Get(fmt.Sprint("r-", i))
+		c.SendGet(fmt.Sprint("r-", i))
 		c.Expect(t, http.StatusOK, "")
 		c.Close()
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -89,13 +89,13 @@
 
 // setUpDiscovery makes the client of discovery, and returns the cached list.
 func (n *Node) setUpDiscovery(cfg Config) (cached endpointlist.List) {
-	cached, err := endpointlist.Parse(cfg.Known)
+	cached, err := endpointlist.Parse(cfg.CachedList)
 	version := cached.Version
 	if err != nil {
 		n.log.Warn("cached endpoint list is not usable", "error", err)
 		cached, version = endpointlist.List{Complete: true}, discovery.NoVersion
 	}
-	n.cfg.Known = nil // it is long, and only counts at the start
+	n.cfg.CachedList = nil // it is long, and only counts at the start
 	n.discovery = discovery.New(
 		discovery.Config{Address: cfg.Discovery, Polled: cfg.Settings.PollDiscovery, Version: version},
 		DiscoveryHandler{n.loop.post}, n.log,
@@ -106,7 +106,7 @@
 // startAttempt runs an attempt in a goroutine of its own, which posts the outcome.
 func (n *Node) startAttempt(a *Attempt) {
 	go func() {
-		n.loop.post(a.Ended(n.upstream.Do(a.ctx, &a.Attempt)))
+		n.loop.post(a.EndedEvent(n.upstream.Do(a.ctx, &a.Attempt)))
 	}()
 }
 
--- a/internal/node/outlier_test.go
+++ b/internal/node/outlier_test.go
@@ -180,7 +180,7 @@
 	for _, codes := range sendEach(t, n, clients, each, func(c *testutil.Client, client, i int) {
 		id := fmt.Sprintf("%p-%d-%d", c, client, i)
 		if i%3 == 0 {
-			c.Get(id)
+			c.SendGet(id)
 		} else {
 			c.Send("POST", "/note/k", id, "x", "60")
 		}
--- a/internal/node/pendingrequest.go
+++ b/internal/node/pendingrequest.go
@@ -33,7 +33,7 @@
 	switch result {
 	case balancer.ConnectFailed, balancer.Rejected, balancer.NotSent:
 	default:
-		p.mayHaveRun = p.mayHaveRun || a.HasBegun()
+		p.mayHaveRun = p.mayHaveRun || a.WriteStarted()
 	}
 }
 
@@ -44,7 +44,7 @@
 		return
 	}
 	a := p.attempts[number]
-	a.outlivesHalfClose = p.departed == downstream.HalfClosed && a.HasBegun()
+	a.outlivesHalfClose = p.departed == downstream.HalfClosed && a.WriteStarted()
 	if !a.outlivesHalfClose {
 		a.cancel()
 	}
@@ -90,7 +90,7 @@
 // hasBegunAttempt reports whether a byte of an attempt that is in flight may have been written.
 func (p *pendingRequest) hasBegunAttempt() bool {
 	for _, a := range p.attempts {
-		if !a.ended && a.HasBegun() {
+		if !a.ended && a.WriteStarted() {
 			return true
 		}
 	}
--- a/internal/node/polling_test.go
+++ b/internal/node/polling_test.go
@@ -32,7 +32,7 @@
 				before := n.loop.clock.Now()
 				n.loop.handleEvent(subscriptionFailed{})
 				for _, timer := range n.loop.timers.pending {
-					if delay := timer.at - before; delay > discovery.NotifiedWithin/4 {
+					if delay := timer.at - before; delay > discovery.NotificationDeadline/4 {
 						t.Fatalf("polled within %v, seed %d: polls after %v", pollWithin, seed, delay)
 					}
 				}
@@ -92,7 +92,7 @@
 			agent := testutil.NewRegistryAgent(t)
 			agent.Set(false, testutil.CompleteList())
 			n.discovery.SetAddress(agent.Addr().String())
-			testutil.Wait(t, agent.Calls, "the call after the move")
+			testutil.Wait(t, agent.Queries, "the call after the move")
 		})
 	}
 }
--- a/internal/node/readahead_test.go
+++ b/internal/node/readahead_test.go
@@ -15,12 +15,12 @@
 	s, got, release := testutil.NewHoldingServer(t, "")
 	n, _ := startNode(t, configWithServers(s), nil)
 	c := dial(t, n)
-	c.Get("r0")
+	c.SendGet("r0")
 	testutil.Wait(t, got, "the first request")
 	const more = 800 // much longer than what is read at once
 	sent := 0
 	for i := 1; i <= more; i++ {
-		c.Get(fmt.Sprint("r", i))
+		c.SendGet(fmt.Sprint("r", i))
 		sent += len(testutil.RequestText(fmt.Sprint("r", i)))
 	}
 	testutil.Until(t, "the bytes to be read", func() bool { return readAheadBytes(n) == sent })
@@ -73,10 +73,10 @@
 	n, _ := startNode(t, cfg, func(n *Node) {
 		limits := downstreamLimits(n.cfg)
 		limits.ReadAhead = c.all
-		n.frontend.conns.Configure(limits)
+		n.frontend.conns.SetLimits(limits)
 	})
 	many := dial(t, n)
-	many.Get("r")
+	many.SendGet("r")
 	if c.begun {
 		testutil.Wait(t, got, "the attempt")
 	} else {
@@ -85,7 +85,7 @@
 	const more = 2 * readAheadPerConn / 80
 	go func() {
 		for i := range more {
-			many.Get(fmt.Sprint("next-", i))
+			many.SendGet(fmt.Sprint("next-", i))
 		}
 	}()
 	many.Expect(t, c.want, "")
@@ -96,10 +96,10 @@
 	if c.begun {
 		served++
 	}
-	if seen := s.Received(); seen < served || seen > served+aborted {
+	if seen := s.RequestCount(); seen < served || seen > served+aborted {
 		t.Errorf("%d requests began, %d were served and %d aborted", seen, served, aborted)
 	}
-	many.Get("last")
+	many.SendGet("last")
 	many.Expect(t, 200, "for last")
 	if kept := n.frontend.conns.ReadAheadReserved(); kept != 0 {
 		t.Errorf("%d bytes are kept with nothing sent ahead", kept)
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -16,7 +16,7 @@
 // that.
 func moduleSettings(cfg Config) balancer.Settings {
 	set := cfg.Settings
-	set.PollWithin = min(set.PollWithin, discovery.NotifiedWithin)
+	set.PollWithin = min(set.PollWithin, discovery.NotificationDeadline)
 	return set
 }
 
@@ -33,7 +33,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	cfg = n.withoutRestartChanges(cfg)
-	cfg.Known = nil // it only counts at the start
+	cfg.CachedList = nil // it only counts at the start
 	changed, sameSettings := changedNames(n.cfg, cfg), reflect.DeepEqual(n.cfg.Settings, cfg.Settings)
 	n.revision++
 	log := n.log.With("revision", n.revision, "changed", changed)
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -114,7 +114,7 @@
 		awaitArrival(t, "after", one, two).succeed <- true
 	}
 	c.Expect(t, row.status, "")
-	if got := one.Received() + two.Received(); got != attempts+row.served {
+	if got := one.RequestCount() + two.RequestCount(); got != attempts+row.served {
 		t.Errorf("the servers got %d requests, want %d", got, attempts+row.served)
 	}
 }
@@ -128,7 +128,7 @@
 		server = one
 	case got = <-two.arrived:
 		server = two
-	case <-time.After(testutil.Limit):
+	case <-time.After(testutil.Timeout):
 		t.Fatalf("%s comes to no server", id)
 	}
 	if got != id {
@@ -145,7 +145,8 @@
 	n, _ := startNode(t, cfg, nil)
 	more := with(cfg, func(l []balancer.Class) []balancer.Class {
 		return append(l, balancer.Class{
-			Name: "extra", Effect: balancer.Idempotent, LatencyObjective: testutil.Limit, Deadline: 2 * testutil.Limit,
+			Name: "extra", Effect: balancer.Idempotent,
+			LatencyObjective: testutil.Timeout, Deadline: 2 * testutil.Timeout,
 		})
 	})
 	for range 3 {
@@ -203,8 +204,8 @@
 			if row.status == http.StatusOK {
 				want = 1
 			}
-			if s.Received() != want {
-				t.Errorf("the server got %d requests, want %d", s.Received(), want)
+			if s.RequestCount() != want {
+				t.Errorf("the server got %d requests, want %d", s.RequestCount(), want)
 			}
 		})
 	}
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -36,8 +36,8 @@
 // Done returns a channel that is closed when the attempt is cancelled.
 func (a *Attempt) Done() <-chan struct{} { return a.ctx.Done() }
 
-// Ended returns the event that reports the attempt's outcome. It is due once for each attempt that was started.
-func (a *Attempt) Ended(outcome upstream.Outcome) Event {
+// EndedEvent returns the event that reports the attempt's outcome. It is due once for each attempt that was started.
+func (a *Attempt) EndedEvent(outcome upstream.Outcome) Event {
 	a.cancel()
 	return attemptEnded{a, outcome}
 }
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -84,7 +84,7 @@
 func writeInvalidRequest(w http.ResponseWriter, conn *downstream.Conn, err error) {
 	var invalid *requestError
 	sound := errors.As(err, &invalid) && !invalid.ofBody
-	if sound && conn.PipelinedBehindBody() {
+	if sound && conn.HasPipelinedRequest() {
 		http.NewResponseController(w).SetReadDeadline(time.Time{}) // the deadline was for reading the request
 		w.Header().Del("Connection")
 	}
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -241,7 +241,7 @@
 				if pieces == 1 {
 					io.WriteString(c, testutil.RequestText("first")+more)
 				} else {
-					c.Get("first")
+					c.SendGet("first")
 				}
 				testutil.Wait(t, got, "the attempt")
 				if pieces == 2 {
@@ -253,7 +253,7 @@
 				} else {
 					limits := downstreamLimits(n.cfg)
 					limits.Descriptors, limits.UpstreamReserve = 1, 1
-					n.frontend.conns.Configure(limits)
+					n.frontend.conns.SetLimits(limits)
 				}
 				release()
 				for i := range 3 {
--- a/internal/node/starttimes_test.go
+++ b/internal/node/starttimes_test.go
@@ -62,21 +62,21 @@
 	const otherServer = "other"                // never restarts
 	l := newSimulatedLoop(t, row.pushed)
 	l.receiveComplete(unchangingEntry(otherServer), testutil.StartedListEntry("s", l.machine.BootMS()-1e6))
-	l.machine.Pass(10 * time.Second)
+	l.machine.Advance(10 * time.Second)
 	row.stepClock(l, beforeTheStart)
 	started, entries := l.clock.Now(), []string{testutil.StartedListEntry("s", l.machine.BootMS())}
 	if row.complete {
 		entries = append(entries, unchangingEntry(otherServer))
 	}
 	row.stepClock(l, beforeTheList)
-	l.machine.Pass(reportDelay)
+	l.machine.Advance(reportDelay)
 	l.receive(row.complete, entries...)
 	if got := l.endpoints.StartedAt("s"); got != started {
 		t.Errorf("started at %v, taken for %v", started, got)
 	}
 	for range 3 {
 		row.stepClock(l, afterTheList)
-		l.machine.Pass(time.Second)
+		l.machine.Advance(time.Second)
 		l.receive(row.complete, entries...)
 		if got := l.endpoints.StartedAt("s"); got != started {
 			t.Errorf("started at %v, taken for %v when it is listed again", started, got)
@@ -90,7 +90,7 @@
 		if now == row.moment {
 			l.machine.StepWallClock(step)
 		}
-		l.machine.Pass(10 * time.Millisecond)
+		l.machine.Advance(10 * time.Millisecond)
 	}
 }
 
@@ -104,64 +104,64 @@
 	want time.Duration          // after the process's start; negative: long before
 }{
 	{"in the future", func(l *simulatedLoop) {
-		l.machine.Pass(2 * time.Second)
+		l.machine.Advance(2 * time.Second)
 		l.receiveComplete(testutil.StartedListEntry("s1", l.machine.BootMS()+hourMS))
 	}, 2 * time.Second},
 	{"beyond all times", func(l *simulatedLoop) {
-		l.machine.Pass(2 * time.Second)
+		l.machine.Advance(2 * time.Second)
 		l.receiveComplete(testutil.StartedListEntry("s1", 1e13))
 	}, 2 * time.Second},
 	{"a moment in the future is now, though another offset makes it an hour ago", func(l *simulatedLoop) {
 		l.machine.StepWallClock(-time.Hour)
-		l.machine.Pass(2 * time.Second)
+		l.machine.Advance(2 * time.Second)
 		l.receiveComplete(testutil.StartedListEntry("s1", l.machine.BootMS()+50))
 	}, 2 * time.Second},
 	{"before the process, and before the clock was set back", func(l *simulatedLoop) {
 		boot := l.machine.BootMS() - 20_000
 		l.machine.StepWallClock(-time.Hour)
-		l.machine.Pass(2 * time.Second)
+		l.machine.Advance(2 * time.Second)
 		l.receiveComplete(testutil.StartedListEntry("s1", boot))
 	}, -20 * time.Second},
 	{"either of two times, as the clock was set back by less than its age", func(l *simulatedLoop) {
 		boot := l.machine.BootMS() - 20_000
 		l.machine.StepWallClock(-5 * time.Second)
-		l.machine.Pass(2 * time.Second)
+		l.machine.Advance(2 * time.Second)
 		l.receiveComplete(testutil.StartedListEntry("s1", boot))
 	}, -15 * time.Second},
 	{"in the list that the node last had", func(l *simulatedLoop) {
 		l.useCached(testutil.StartedListEntry("s1", l.machine.BootMS()-3000))
 		l.machine.StepWallClock(time.Hour)
-		l.machine.Pass(2 * time.Second)
+		l.machine.Advance(2 * time.Second)
 		l.receiveComplete(testutil.StartedListEntry("s1", l.machine.BootMS()-3000-2000-hourMS))
 	}, -3 * time.Second},
 	{"before the process, whose clock was off at its start", func(l *simulatedLoop) {
 		boot := l.machine.BootMS() - 3000
 		l.machine.StepWallClock(time.Hour) // it is right from now on
-		l.machine.Pass(2 * time.Second)
+		l.machine.Advance(2 * time.Second)
 		l.receiveComplete(testutil.StartedListEntry("s1", boot+hourMS))
 	}, -3 * time.Second},
 	{"since the list before, under a clock that the node never saw", func(l *simulatedLoop) {
 		l.receiveComplete(testutil.StartedListEntry("s1", 0))
-		l.machine.Pass(time.Second)
+		l.machine.Advance(time.Second)
 		l.receiveChanges(testutil.StartedListEntry("s2", 0))
-		l.machine.Pass(time.Second)
+		l.machine.Advance(time.Second)
 		l.receiveChanges(testutil.StartedListEntry("s1", l.machine.BootMS()-hourMS))
 	}, time.Second},
 	{"since a watch that ended without a change", func(l *simulatedLoop) {
 		l.receiveComplete(testutil.StartedListEntry("s1", 0))
-		l.machine.Pass(time.Second)
+		l.machine.Advance(time.Second)
 		l.handleEvent(listConfirmed{})
-		l.machine.Pass(time.Second)
+		l.machine.Advance(time.Second)
 		l.receiveChanges(testutil.StartedListEntry("s1", l.machine.BootMS()-hourMS))
 	}, time.Second},
 	{"new in the list: it may have run all the while", func(l *simulatedLoop) {
 		l.receiveComplete(testutil.StartedListEntry("s2", 0))
-		l.machine.Pass(2 * time.Second)
+		l.machine.Advance(2 * time.Second)
 		l.receiveChanges(testutil.StartedListEntry("s1", l.machine.BootMS()-10_000))
 	}, -8 * time.Second},
 	{"since the list that the node last had, which may be old", func(l *simulatedLoop) {
 		l.useCached(testutil.StartedListEntry("s1", 0))
-		l.machine.Pass(2 * time.Second)
+		l.machine.Advance(2 * time.Second)
 		l.receiveComplete(testutil.StartedListEntry("s1", l.machine.BootMS()-10_000))
 	}, -8 * time.Second},
 }
@@ -241,7 +241,7 @@
 		Request: upstream.Request{ID: fmt.Sprint(now)}, class: "view",
 		receivedAt: now, deadline: now + time.Second, revision: 1, response: make(chan Response, 1),
 	}})
-	d.machine.Pass(5 * time.Millisecond)
+	d.machine.Advance(5 * time.Millisecond)
 }
 
 // sentToARestartedServer counts the requests in each second after a restart, with the wall clock stepped before the
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -21,7 +21,7 @@
 			c.(*net.TCPConn).SetLinger(0)
 			return false
 		}
-		return testutil.ReplyOK(c, "")
+		return testutil.RespondOK(c, "")
 	})
 	n, _ := startNode(t, configWithServers(server), nil)
 	c := dial(t, n)
@@ -30,7 +30,7 @@
 		c.Expect(t, http.StatusOK, "")
 		c.Send("POST", "/note/k", fmt.Sprint("break-", i), "x", "60")
 		c.Expect(t, http.StatusBadGateway, "")
-		if received := server.Received(); received != 2*(i+1) {
+		if received := server.RequestCount(); received != 2*(i+1) {
 			t.Fatalf("%d requests reached the server, want %d", received, 2*(i+1))
 		}
 	}
@@ -55,13 +55,13 @@
 	c.Send("POST", "/note/k", "unsafe", "x", "20")
 	c.Expect(t, http.StatusBadGateway, "") // it may have run: it is not rejected
 	testutil.Wait(t, closed, "the close")
-	c.Get("safe")
+	c.SendGet("safe")
 	r, _ := c.Response(t)
 	if r.StatusCode != http.StatusServiceUnavailable || r.Header.Get("Retry-After") == "" {
 		t.Errorf("got %d, Retry-After %q", r.StatusCode, r.Header.Get("Retry-After"))
 	}
 	testutil.Wait(t, closed, "the close")
-	if received := server.Received(); received != 2 {
+	if received := server.RequestCount(); received != 2 {
 		t.Errorf("%d requests were sent, want 2", received)
 	}
 }
@@ -71,7 +71,7 @@
 	const requests = 50
 	closed := make(chan struct{}, requests)
 	server := testutil.NewServer(t, func(c net.Conn, _ *http.Request, _ string) bool {
-		testutil.ReplyOK(c, "ok") // without "Connection: close"
+		testutil.RespondOK(c, "ok") // without "Connection: close"
 		c.Close()
 		closed <- struct{}{}
 		return false
@@ -83,8 +83,9 @@
 		c.Expect(t, http.StatusOK, "ok")
 		testutil.Wait(t, closed, "the close")
 	}
-	if server.Received() != requests || server.Accepted() != requests {
-		t.Errorf("%d requests on %d connections, want %d on as many", server.Received(), server.Accepted(), requests)
+	if server.RequestCount() != requests || server.ConnCount() != requests {
+		t.Errorf("%d requests on %d connections, want %d on as many",
+			server.RequestCount(), server.ConnCount(), requests)
 	}
 }
 
@@ -96,9 +97,9 @@
 	var lists listRecorder
 	n, _ := startNode(t, configWithServers(server), lists.record)
 	held, c := dial(t, n), dial(t, n)
-	held.Get("held")
+	held.SendGet("held")
 	testutil.Wait(t, received, "the attempt")
-	c.Get("one")
+	c.SendGet("one")
 	c.Expect(t, http.StatusOK, "for one")
 
 	// applyList waits until the entry is applied, and returns how many connections the server had before.
@@ -106,7 +107,7 @@
 		list := listOf(t, true, entry)
 		want := list.Entries[0] // copied before the loop, which sets its start time, owns the list
 		n.loop.post(listReceived{list})
-		before := server.Accepted()
+		before := server.ConnCount()
 		lists.until(t, "s2", func(got endpointlist.Entry) bool {
 			got.StartedAt = 0 // set by the loop
 			return got == want
@@ -115,9 +116,9 @@
 	}
 	// expectNewConn checks that a request opens one connection.
 	expectNewConn := func(id string, before int) {
-		c.Get(id)
+		c.SendGet(id)
 		c.Expect(t, http.StatusOK, "for "+id)
-		if accepted := server.Accepted(); accepted != before+1 {
+		if accepted := server.ConnCount(); accepted != before+1 {
 			t.Errorf("%s: %d connections after %d, want one more", id, accepted, before)
 		}
 	}
@@ -139,27 +140,27 @@
 	c, sent := dial(t, n), 0
 	get := func() {
 		sent++
-		c.Get(fmt.Sprint("r", sent))
+		c.SendGet(fmt.Sprint("r", sent))
 		c.Expect(t, http.StatusOK, fmt.Sprint("for r", sent))
 	}
-	for draining.Received() == 0 || other.Received() == 0 {
+	for draining.RequestCount() == 0 || other.RequestCount() == 0 {
 		get()
 	}
 	for _, state := range []string{"terminating", "terminated"} {
 		entry := testutil.ListEntry("s1", draining.Address(), state)
 		agent.Set(false, `{"rev":%d,"all":false,"targets":[`+entry+`]}`)
 		next := fmt.Sprint("from=", agent.Version())
-		for !strings.Contains(testutil.Wait(t, agent.Calls, "the next watch"), next) {
+		for !strings.Contains(testutil.Wait(t, agent.Queries, "the next watch"), next) {
 		}
 		testutil.Until(t, "the connections to the server to be closed, and no others", func() bool {
 			stats := n.upstream.Stats()
-			return stats.Idle == other.Accepted() && stats.Open == stats.Idle
+			return stats.Idle == other.ConnCount() && stats.Open == stats.Idle
 		})
-		before := draining.Received()
+		before := draining.RequestCount()
 		for range 30 {
 			get()
 		}
-		if received := draining.Received(); received != before {
+		if received := draining.RequestCount(); received != before {
 			t.Errorf("%s: %d requests reached the server", state, received-before)
 		}
 	}
@@ -189,7 +190,7 @@
 	}
 	c.Send("POST", "/note/k", "reset", "x", "60")
 	c.Expect(t, http.StatusBadGateway, "")
-	if server.Received() != 4 || server.Accepted() != 4 {
-		t.Errorf("%d requests on %d connections, want 4 on 4", server.Received(), server.Accepted())
+	if server.RequestCount() != 4 || server.ConnCount() != 4 {
+		t.Errorf("%d requests on %d connections, want 4 on 4", server.RequestCount(), server.ConnCount())
 	}
 }
--- a/internal/socketpeek/socketpeek.go
+++ b/internal/socketpeek/socketpeek.go
@@ -24,9 +24,9 @@
 	return raw
 }
 
-// HasUnread reports whether a socket has bytes that were not read yet, or its other side has closed, or it has
+// IsFDReadable reports whether a socket has bytes that were not read yet, or its other side has closed, or it has
 // failed: in all three cases a read does not block.
-func HasUnread(fd uintptr) bool { return hasUnreadBy(syscall.Recvfrom, fd) }
+func IsFDReadable(fd uintptr) bool { return hasUnreadBy(syscall.Recvfrom, fd) }
 
 // hasUnreadBy is HasUnread with a given recv. An interrupted call is repeated, as it gives no information about
 // the socket: the runtime's poller is edge-triggered, so that what is missed here is not reported again.
@@ -46,18 +46,18 @@
 // AwaitReadable waits until a connection has bytes to read, has been closed by either side, or has failed.
 func AwaitReadable(nc net.Conn) {
 	if raw := RawConn(nc); raw != nil {
-		_ = raw.Read(HasUnread) // The next read of the connection returns the same error.
+		_ = raw.Read(IsFDReadable) // The next read of the connection returns the same error.
 	}
 }
 
-// HasUnreadOrClosed reports the same without waiting.
-func HasUnreadOrClosed(nc net.Conn) bool {
+// IsReadable reports the same without waiting.
+func IsReadable(nc net.Conn) bool {
 	raw := RawConn(nc)
 	if raw == nil {
 		return false
 	}
 	var readable bool
 	// Control and not Read, as the connection's reader holds the lock that Read takes.
-	err := raw.Control(func(fd uintptr) { readable = HasUnread(fd) })
+	err := raw.Control(func(fd uintptr) { readable = IsFDReadable(fd) })
 	return readable || err != nil
 }
--- a/internal/socketpeek/socketpeek_test.go
+++ b/internal/socketpeek/socketpeek_test.go
@@ -23,7 +23,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			theirs, ours := testutil.ConnPair(t)
 			if c.do(theirs); c.has {
-				testutil.Until(t, "it to arrive", func() bool { return HasUnreadOrClosed(ours) })
+				testutil.Until(t, "it to arrive", func() bool { return IsReadable(ours) })
 			}
 			interrupted := testutil.FailTimes(syscall.EINTR, 2)
 			recv := func(fd int, p []byte, flags int) (int, syscall.Sockaddr, error) {
@@ -46,7 +46,7 @@
 	_, ours := testutil.ConnPair(t)
 	var allocations float64
 	err := RawConn(ours).Control(func(fd uintptr) {
-		allocations = testing.AllocsPerRun(100, func() { HasUnread(fd) })
+		allocations = testing.AllocsPerRun(100, func() { IsFDReadable(fd) })
 	})
 	if err != nil || allocations != 0 {
 		t.Errorf("%v allocations (%v)", allocations, err)
--- a/internal/testutil/agent.go
+++ b/internal/testutil/agent.go
@@ -21,7 +21,7 @@
 	unresponsive bool
 	changed      chan struct{} // closed at each change
 
-	Calls chan string // the query of each call, up to the channel's capacity
+	Queries chan string // the query of each call, up to the channel's capacity
 }
 
 // NewRegistryAgent starts an agent that runs until the test ends.
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &RegistryAgent{Listener: ln, rev: 1, changed: make(chan struct{}), Calls: make(chan string, 1000)}
+	a := &RegistryAgent{Listener: ln, rev: 1, changed: make(chan struct{}), Queries: make(chan string, 1000)}
 	srv := &http.Server{Handler: a}
 	go srv.Serve(ln)
 	t.Cleanup(func() { srv.Close() })
@@ -41,7 +41,7 @@
 // ServeHTTP answers a watch: at once if its list is newer than the one asked from, and else at the next change.
 func (a *RegistryAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	select {
-	case a.Calls <- r.URL.RawQuery:
+	case a.Queries <- r.URL.RawQuery:
 	default:
 	}
 	a.mu.Lock()
--- a/internal/testutil/client.go
+++ b/internal/testutil/client.go
@@ -24,12 +24,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(2 * Limit))
+	c.SetDeadline(time.Now().Add(2 * Timeout))
 	return &Client{c, bufio.NewReader(c)}
 }
 
-// Get writes a GET for the class view.
-func (c *Client) Get(id string) { c.Send("GET", "/view/k", id, "", "60") }
+// SendGet writes a GET for the class view.
+func (c *Client) SendGet(id string) { c.Send("GET", "/view/k", id, "", "60") }
 
 // Send writes a request; the body is sent with a POST only.
 func (c *Client) Send(method, target, id, body, deadline string) {
@@ -75,8 +75,8 @@
 	return "GET /view/k HTTP/1.1\r\nHost: backend.local\r\nX-Request-Id: " + id + "\r\nX-Deadline: 60\r\n\r\n"
 }
 
-// PipelinedText is a number of bytes of requests, the last of them truncated.
-func PipelinedText(size int) string {
+// PipelinedRequests is a number of bytes of requests, the last of them truncated.
+func PipelinedRequests(size int) string {
 	text := ""
 	for i := 0; len(text) < size; i++ {
 		text += RequestText(fmt.Sprint("next-", i))
--- a/internal/testutil/clocks.go
+++ b/internal/testutil/clocks.go
@@ -18,8 +18,8 @@
 // BootMS returns the wall clock as a server that starts now reports it, in Unix milliseconds.
 func (m *MachineClocks) BootMS() int64 { return m.unix.Milliseconds() }
 
-// Pass lets time pass.
-func (m *MachineClocks) Pass(d time.Duration) { m.elapsed, m.unix = m.elapsed+d, m.unix+d }
+// Advance lets time pass.
+func (m *MachineClocks) Advance(d time.Duration) { m.elapsed, m.unix = m.elapsed+d, m.unix+d }
 
 // StepWallClock sets the wall clock forward, or back by a negative step.
 func (m *MachineClocks) StepWallClock(step time.Duration) { m.unix += step }
--- a/internal/testutil/faults.go
+++ b/internal/testutil/faults.go
@@ -24,35 +24,35 @@
 	return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError(call, err)}
 }
 
-// FailingDial fails its first dials with an error and lets the others through. It counts all of them.
-type FailingDial struct {
-	Err   error
-	Times int32 // how many fail
-	Dials atomic.Int32
+// FailingDialer fails its first dials with an error and lets the others through. It counts all of them.
+type FailingDialer struct {
+	Err      error
+	Failures int32 // how many fail
+	Dials    atomic.Int32
 }
 
 // Dial is a netdial.Func.
-func (f *FailingDial) Dial(ctx context.Context, network, address string) (net.Conn, error) {
-	if f.Dials.Add(1) <= f.Times {
+func (f *FailingDialer) Dial(ctx context.Context, network, address string) (net.Conn, error) {
+	if f.Dials.Add(1) <= f.Failures {
 		return nil, f.Err
 	}
 	return (&net.Dialer{}).DialContext(ctx, network, address)
 }
 
-// HeldDials hold each connection back once it is established, until they are released. They ignore their contexts,
+// HoldingDialer hold each connection back once it is established, until they are released. They ignore their contexts,
 // so that whatever happens meanwhile is noticed at the first byte only.
-type HeldDials struct {
+type HoldingDialer struct {
 	Dialed  chan struct{} // receives one for each connection
 	Release chan struct{} // to be closed
 }
 
-// NewHeldDials returns dials that hold connections back.
-func NewHeldDials() HeldDials {
-	return HeldDials{Dialed: make(chan struct{}, 10), Release: make(chan struct{})}
+// NewHoldingDialer returns dials that hold connections back.
+func NewHoldingDialer() HoldingDialer {
+	return HoldingDialer{Dialed: make(chan struct{}, 10), Release: make(chan struct{})}
 }
 
 // Dial is a netdial.Func.
-func (h HeldDials) Dial(_ context.Context, network, address string) (net.Conn, error) {
+func (h HoldingDialer) Dial(_ context.Context, network, address string) (net.Conn, error) {
 	c, err := net.Dial(network, address)
 	h.Dialed <- struct{}{}
 	<-h.Release
--- a/internal/testutil/leaks.go
+++ b/internal/testutil/leaks.go
@@ -9,13 +9,13 @@
 	"go.uber.org/goleak"
 )
 
-// Main runs a package's tests, for its TestMain, and fails them if a goroutine outlives them. It looks again for as
-// long as a busy machine may take to end goroutines whose work is over.
-func Main(m *testing.M) {
+// VerifyTestMain runs a package's tests, for its TestMain, and fails them if a goroutine outlives them. It looks
+// again for as long as a busy machine may take to end goroutines whose work is over.
+func VerifyTestMain(m *testing.M) {
 	code := m.Run()
 	if code == 0 {
 		leaked := goleak.Find()
-		for end := time.Now().Add(Limit); leaked != nil && time.Now().Before(end); {
+		for end := time.Now().Add(Timeout); leaked != nil && time.Now().Before(end); {
 			leaked = goleak.Find()
 		}
 		if leaked != nil {
--- a/internal/testutil/server.go
+++ b/internal/testutil/server.go
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	s := &Server{Listener: ln, handle: handle}
-	t.Cleanup(s.End)
+	t.Cleanup(s.Stop)
 	go s.serve()
 	return s
 }
@@ -85,8 +85,8 @@
 	}
 }
 
-// End closes the server and its connections.
-func (s *Server) End() {
+// Stop closes the server and its connections.
+func (s *Server) Stop() {
 	s.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,36 +99,36 @@
 // Address returns the address that the server listens at.
 func (s *Server) Address() string { return s.Addr().String() }
 
-// Received returns how many requests came.
-func (s *Server) Received() int {
+// RequestCount returns how many requests came.
+func (s *Server) RequestCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.requests)
 }
 
-// Requests returns the ids of the requests that came, in order.
-func (s *Server) Requests() []string {
+// RequestIDs returns the ids of the requests that came, in order.
+func (s *Server) RequestIDs() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.requests)
 }
 
-// Accepted returns how many connections came.
-func (s *Server) Accepted() int {
+// ConnCount returns how many connections came.
+func (s *Server) ConnCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// ReplyOK answers 200 with a body.
-func ReplyOK(c net.Conn, body string) bool {
+// RespondOK answers 200 with a body.
+func RespondOK(c net.Conn, body string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	return err == nil
 }
 
 // Echo answers every request with a body that names it.
 func Echo(c net.Conn, r *http.Request, body string) bool {
-	return ReplyOK(c, "for "+r.Header.Get("X-Request-Id"))
+	return RespondOK(c, "for "+r.Header.Get("X-Request-Id"))
 }
 
 // NewHoldingServer holds the requests whose id begins with a prefix until they are released, and answers all
--- a/internal/testutil/sockets.go
+++ b/internal/testutil/sockets.go
@@ -55,11 +55,11 @@
 // ConnPair returns the two ends of a connection over loopback.
 func ConnPair(t *testing.T) (dialed, accepted net.Conn) {
 	t.Helper()
-	return ConnPairBy(t, func(ln net.Listener) net.Listener { return ln })
+	return ConnPairWithListener(t, func(ln net.Listener) net.Listener { return ln })
 }
 
-// ConnPairBy is ConnPair with the accepting listener wrapped.
-func ConnPairBy(t *testing.T, wrap func(net.Listener) net.Listener) (dialed, accepted net.Conn) {
+// ConnPairWithListener is ConnPair with the accepting listener wrapped.
+func ConnPairWithListener(t *testing.T, wrap func(net.Listener) net.Listener) (dialed, accepted net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/testutil/wait.go
+++ b/internal/testutil/wait.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// Limit is how long a test waits for something; only a failing test waits so long.
-const Limit = 30 * time.Second
+// Timeout is how long a test waits for something; only a failing test waits so long.
+const Timeout = 30 * time.Second
 
 // Wait receives from a channel, and fails the test if nothing comes.
 func Wait[T any](t *testing.T, c <-chan T, what string) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
-	case <-time.After(Limit):
+	case <-time.After(Timeout):
 		t.Fatalf("%s: nothing came", what)
 	}
 	return v
@@ -25,9 +25,9 @@
 // Until polls a condition, and fails the test if it never holds.
 func Until(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Limit); !ok(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(Timeout); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: not within %v", what, Limit)
+			t.Fatalf("%s: not within %v", what, Timeout)
 		}
 	}
 }
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -36,8 +36,8 @@
 	heldUp bool // a local fault delayed its connection. Used by the goroutine of Pool.Do alone
 }
 
-// HasBegun reports whether a byte of the attempt may have been written.
-func (a *Attempt) HasBegun() bool {
+// WriteStarted reports whether a byte of the attempt may have been written.
+func (a *Attempt) WriteStarted() bool {
 	a.Request.mu.Lock()
 	defer a.Request.mu.Unlock()
 	return a.begun
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -57,7 +57,7 @@
 	pool.adopt(partialWriteConn{nc}, addEndpoint(pool, server.Address()))
 	outcome := newTestAttempt(t, pool, server.Address()).do(t)
 	checkOutcome(t, pool, outcome, balancer.ConnectFailed, 0)
-	if server.Received() != 0 {
+	if server.RequestCount() != 0 {
 		t.Error("the server received the request")
 	}
 }
@@ -77,7 +77,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			server := testutil.NewServer(t, testutil.Echo)
 			nc, other := testutil.ConnPair(t)
-			if socketpeek.HasUnreadOrClosed(nc) {
+			if socketpeek.IsReadable(nc) {
 				t.Fatal("a silent open connection has unread bytes or is closed")
 			}
 			pool := newTestPool(10)
@@ -85,7 +85,7 @@
 			pool.open = 1
 			pool.idle.put(&conn{Conn: nc, instance: instance}) // with no reader
 			c.arrive(other)
-			testutil.Until(t, "it to arrive", func() bool { return socketpeek.HasUnreadOrClosed(nc) })
+			testutil.Until(t, "it to arrive", func() bool { return socketpeek.IsReadable(nc) })
 			outcome := newTestAttempt(t, pool, server.Address()).do(t)
 			checkOutcome(t, pool, outcome, balancer.Success, 1)
 			if string(outcome.Body) != "for id" {
@@ -100,7 +100,7 @@
 func TestConnectionClosedBeforeTheRequestIsNotWritten(t *testing.T) {
 	nc, other := testutil.ConnPair(t)
 	other.Close()
-	testutil.Until(t, "the close to arrive", func() bool { return socketpeek.HasUnreadOrClosed(nc) })
+	testutil.Until(t, "the close to arrive", func() bool { return socketpeek.IsReadable(nc) })
 	pool := newTestPool(10)
 	waiter := make(chan exchangeResult, 1)
 	pool.open = 1
@@ -177,7 +177,7 @@
 func testObsoleteAttempt(t *testing.T, during func(*testAttempt), want balancer.AttemptResult) {
 	address, received := newRecordingServer(t)
 	pool := newTestPool(10)
-	dials := testutil.NewHeldDials()
+	dials := testutil.NewHoldingDialer()
 	pool.Dial = dials.Dial
 	a := newTestAttempt(t, pool, address)
 	outcome := a.start()
--- a/internal/upstream/connect_test.go
+++ b/internal/upstream/connect_test.go
@@ -96,7 +96,7 @@
 	server := testutil.NewServer(t, testutil.Echo)
 	pool := newTestPool(10)
 	a := newTestAttempt(t, pool, server.Address())
-	failing := &testutil.FailingDial{Err: c.err, Times: c.times}
+	failing := &testutil.FailingDialer{Err: c.err, Failures: c.times}
 	pool.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 		nc, err := failing.Dial(ctx, network, address)
 		if c.during != nil && failing.Dials.Load() == 1 {
@@ -113,7 +113,7 @@
 	if outcome.HeldUp != c.heldUp {
 		t.Errorf("held up: %v, want %v", outcome.HeldUp, c.heldUp)
 	}
-	if n := server.Received(); n != served {
+	if n := server.RequestCount(); n != served {
 		t.Errorf("the server received %d requests, want %d", n, served)
 	}
 	// 5, 10, 20 and 40 ms, and 40 ms each from then on: a wait may be longer, but never shorter.
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -14,7 +14,7 @@
 )
 
 // testTimeouts are those of a test that does not wait for them.
-var testTimeouts = Timeouts{Connect: testutil.Limit, Idle: time.Minute}
+var testTimeouts = Timeouts{Connect: testutil.Timeout, Idle: time.Minute}
 
 // newTestPool returns a pool that reuses connections without a delay.
 func newTestPool(maxConns int) *Pool {
@@ -52,7 +52,7 @@
 		Attempt: Attempt{
 			Request:  &Request{ID: "id", Method: "POST", Target: "/note/k", Body: []byte("body")},
 			Instance: addEndpoint(pool, address),
-			Deadline: pool.clock.Now() + testutil.Limit,
+			Deadline: pool.clock.Now() + testutil.Timeout,
 		},
 		pool: pool, ctx: ctx, cancel: cancel,
 	}
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -24,7 +24,7 @@
 	checkOutcome(t, pool, newTestAttempt(t, pool, idleServer.Address()).do(t), balancer.NotSent, 1)
 	release()
 	checkOutcome(t, pool, testutil.Wait(t, busy, "the outcome"), balancer.Success, 1)
-	if n := idleServer.Received(); n != 1 {
+	if n := idleServer.RequestCount(); n != 1 {
 		t.Errorf("%d requests at the first server, want 1", n)
 	}
 }
@@ -43,7 +43,7 @@
 func TestIdleConnectionsCloseBeforeTheServersDo(t *testing.T) {
 	server := testutil.NewServer(t, testutil.Echo)
 	pool := newTestPool(10)
-	pool.SetTimeouts(Timeouts{Connect: testutil.Limit, Idle: 20 * time.Millisecond})
+	pool.SetTimeouts(Timeouts{Connect: testutil.Timeout, Idle: 20 * time.Millisecond})
 	newTestAttempt(t, pool, server.Address()).do(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -93,20 +93,20 @@
 	if delay <= 0 || delay >= limit {
 		t.Fatalf("connections stay unused for %v and are kept for %v", delay, limit)
 	}
-	pool.SetTimeouts(Timeouts{Connect: testutil.Limit, Idle: 1000 * testutil.Limit})
-	pool.ReuseDelay = 100 * testutil.Limit
+	pool.SetTimeouts(Timeouts{Connect: testutil.Timeout, Idle: 1000 * testutil.Timeout})
+	pool.ReuseDelay = 100 * testutil.Timeout
 	expect := func(id string, connections int) {
 		t.Helper()
 		a := newTestAttempt(t, pool, server.Address())
 		a.Request.ID = id
-		if outcome := a.do(t); string(outcome.Body) != "for "+id || server.Accepted() != connections {
-			t.Errorf("got %q, and %d connections, want %d", outcome.Body, server.Accepted(), connections)
+		if outcome := a.do(t); string(outcome.Body) != "for "+id || server.ConnCount() != connections {
+			t.Errorf("got %q, and %d connections, want %d", outcome.Body, server.ConnCount(), connections)
 		}
 	}
 	expect("one", 1)
 	first := testutil.Wait(t, conns, "the first connection")
 	expect("two", 2)
-	testutil.ReplyOK(first, "for one")
+	testutil.RespondOK(first, "for one")
 	testutil.Until(t, "the close", func() bool { return pool.Connections() == 1 })
 	pool.endReuseDelay(readyEntry(server.Address()).Instance())
 	expect("three", 2)
@@ -125,7 +125,7 @@
 func TestLateConnectionIsPooled(t *testing.T) {
 	server := testutil.NewServer(t, testutil.Echo)
 	pool := newTestPool(10)
-	dials := testutil.NewHeldDials()
+	dials := testutil.NewHoldingDialer()
 	pool.Dial = dials.Dial
 	late := newTestAttempt(t, pool, server.Address())
 	outcome := late.start()
@@ -134,7 +134,7 @@
 	close(dials.Release)
 	testutil.Wait(t, outcome, "the outcome")
 	checkOutcome(t, pool, newTestAttempt(t, pool, server.Address()).do(t), balancer.Success, 1)
-	if server.Accepted() != 1 || server.Received() != 1 {
-		t.Errorf("%d connections, %d requests at the server; want one each", server.Accepted(), server.Received())
+	if server.ConnCount() != 1 || server.RequestCount() != 1 {
+		t.Errorf("%d connections, %d requests at the server; want one each", server.ConnCount(), server.RequestCount())
 	}
 }
--- a/internal/upstream/writepermission.go
+++ b/internal/upstream/writepermission.go
@@ -46,7 +46,7 @@
 	now := p.clock.Now()
 	overdue := !a.mayBegin(now) || a.remainingTime(now) == 0
 	switch {
-	case socketpeek.HasUnreadOrClosed(c.Conn):
+	case socketpeek.IsReadable(c.Conn):
 		c.end()
 		p.closeConn(c)
 		return useAnotherConn
--- a/internal/wire/encoder.go
+++ b/internal/wire/encoder.go
@@ -21,8 +21,8 @@
 	return &Encoder{writer: w, instance: noInstance}
 }
 
-// Action adds one action of an instance to the reply.
-func (e *Encoder) Action(instance int, action balancer.Action) {
+// AddAction adds one action of an instance to the reply.
+func (e *Encoder) AddAction(instance int, action balancer.Action) {
 	if instance != e.instance {
 		e.addLine("instance", strconv.Itoa(instance))
 		e.instance = instance
--- a/internal/wire/encoder_test.go
+++ b/internal/wire/encoder_test.go
@@ -12,9 +12,9 @@
 func TestEncode(t *testing.T) {
 	var out bytes.Buffer
 	e := NewEncoder(&out)
-	e.Action(3, balancer.Send{ID: "a", Endpoint: "s", Timeout: 80500 * time.Microsecond})
-	e.Action(3, balancer.Cancel{ID: "a", Attempt: 1})
-	e.Action(5, balancer.Reject{ID: "b"})
+	e.AddAction(3, balancer.Send{ID: "a", Endpoint: "s", Timeout: 80500 * time.Microsecond})
+	e.AddAction(3, balancer.Cancel{ID: "a", Attempt: 1})
+	e.AddAction(5, balancer.Reject{ID: "b"})
 	if err := e.Flush(); err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 	e := NewEncoder(&out)
 	reply := func(instance int, actions ...balancer.Action) {
 		for _, a := range actions {
-			e.Action(instance, a)
+			e.AddAction(instance, a)
 		}
 	}
 	flush := func() {
@@ -73,7 +73,7 @@
 	w := &brokenWriter{err: errors.New("broken")}
 	e := NewEncoder(w)
 	for range 10_000 {
-		e.Action(1, balancer.Subscribe{})
+		e.AddAction(1, balancer.Subscribe{})
 	}
 	if w.calls != 0 {
 		t.Errorf("%d writes before the end of the reply", w.calls)
--- a/internal/wire/example_test.go
+++ b/internal/wire/example_test.go
@@ -58,9 +58,9 @@
 
 func ExampleEncoder() {
 	encoder := wire.NewEncoder(os.Stdout)
-	encoder.Action(3, balancer.Cancel{ID: "id-1", Attempt: 0})
-	encoder.Action(3, balancer.Fail{ID: "id-1"})
-	encoder.Action(5, balancer.Reject{ID: "id-2", RetryAfter: 250 * time.Millisecond})
+	encoder.AddAction(3, balancer.Cancel{ID: "id-1", Attempt: 0})
+	encoder.AddAction(3, balancer.Fail{ID: "id-1"})
+	encoder.AddAction(5, balancer.Reject{ID: "id-2", RetryAfter: 250 * time.Millisecond})
 	if err := encoder.Flush(); err != nil {
 		fmt.Println(err)
 	}
