--- a/internal/testutil/clocks.go
+++ b/internal/testutil/clocks.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// MachineClocks are the clocks of a machine, for monotime.Simulated: time passes on both, and the wall clock can be
-// stepped. They belong to one goroutine.
+// MachineClocks holds the monotonic clock and the wall clock of a simulated machine, for monotime.Simulated. Both
+// advance together, and the wall clock can be stepped. MachineClocks must be used by one goroutine only.
 type MachineClocks struct{ elapsed, unix time.Duration }
 
-// NewMachineClocks returns the clocks of a machine on which a process starts now.
+// NewMachineClocks returns the clocks of a machine at the start of a process.
 func NewMachineClocks() *MachineClocks { return &MachineClocks{unix: 1_800_000_000 * time.Second} }
 
-// Elapsed returns the monotonic time since the process's start.
+// Elapsed returns the monotonic time since the start of the process.
 func (m *MachineClocks) Elapsed() time.Duration { return m.elapsed }
 
-// Unix returns Unix time by the wall clock.
+// Unix returns the wall clock, as the time since the Unix epoch.
 func (m *MachineClocks) Unix() time.Duration { return m.unix }
 
-// BootMS returns the wall clock as a server that starts now reports it, in Unix milliseconds.
+// BootMS returns the start time that a server reports if it starts now, in Unix milliseconds by the wall clock.
 func (m *MachineClocks) BootMS() int64 { return m.unix.Milliseconds() }
 
-// Advance lets time pass.
+// Advance moves both clocks forward.
 func (m *MachineClocks) Advance(d time.Duration) { m.elapsed, m.unix = m.elapsed+d, m.unix+d }
 
-// StepWallClock sets the wall clock forward, or back by a negative step.
+// StepWallClock moves the wall clock alone, backward if step is negative.
 func (m *MachineClocks) StepWallClock(step time.Duration) { m.unix += step }
--- a/internal/testutil/faults.go
+++ b/internal/testutil/faults.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 )
 
-// FailTimes returns an error a number of times, and then none.
+// FailTimes returns a function that returns err for a number of calls, and nil from then on.
 func FailTimes(err error, times int32) func() error {
 	var left atomic.Int32
 	left.Store(times)
@@ -24,11 +24,11 @@
 	return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError(call, err)}
 }
 
-// FailingDialer fails its first dials with an error and lets the others through. It counts all of them.
+// FailingDialer fails its first dials with an error, lets the others through, and counts all of them.
 type FailingDialer struct {
 	Err      error
-	Failures int32 // how many fail
-	Dials    atomic.Int32
+	Failures int32        // number of dials that fail
+	Dials    atomic.Int32 // number of dials so far
 }
 
 // Dial is a netdial.Func.
@@ -39,14 +39,14 @@
 	return (&net.Dialer{}).DialContext(ctx, network, address)
 }
 
-// HoldingDialer hold each connection back once it is established, until they are released. They ignore their contexts,
-// so that whatever happens meanwhile is noticed at the first byte only.
+// HoldingDialer establishes connections but returns none before Release is closed. It ignores contexts, so that
+// whatever happens to a request meanwhile is noticed only at the first byte.
 type HoldingDialer struct {
-	Dialed  chan struct{} // receives one for each connection
-	Release chan struct{} // to be closed
+	Dialed  chan struct{} // receives a value when a connection is established
+	Release chan struct{} // to be closed by the test
 }
 
-// NewHoldingDialer returns dials that hold connections back.
+// NewHoldingDialer returns a HoldingDialer whose Release is open.
 func NewHoldingDialer() HoldingDialer {
 	return HoldingDialer{Dialed: make(chan struct{}, 10), Release: make(chan struct{})}
 }
@@ -59,13 +59,13 @@
 	return c, err
 }
 
-// FailingListener fails accepts as the system would, for as long as Fail returns an error.
+// FailingListener fails to accept, as with a failed system call, for as long as Fail returns an error.
 type FailingListener struct {
 	*net.TCPListener
 	Fail func() error
 }
 
-// Accept fails, or accepts the next connection.
+// Accept returns the error of Fail if there is one, and otherwise accepts the next connection.
 func (l FailingListener) Accept() (net.Conn, error) {
 	if err := l.Fail(); err != nil {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Addr: l.Addr(), Err: os.NewSyscallError("accept4", err)}
--- a/internal/testutil/server.go
+++ b/internal/testutil/server.go
@@ -12,17 +12,17 @@
 	"testing"
 )
 
-// Handler answers a complete request on its connection, and returns false to have the connection closed.
+// Handler responds to a complete request on its connection. It returns false to have the connection closed.
 type Handler func(c net.Conn, r *http.Request, body string) bool
 
-// Server is a server whose connections a test scripts by a Handler.
+// Server is an HTTP server that leaves the responses to a test's Handler.
 type Server struct {
 	net.Listener
-	handle   Handler
-	mu       sync.Mutex
-	requests []string // ids
-	conns    []net.Conn
-	ended    bool // every connection is closed, also one that is accepted from now on
+	handle     Handler
+	mu         sync.Mutex
+	requestIDs []string
+	conns      []net.Conn
+	stopped    bool // all connections are closed, including those accepted from now on
 }
 
 // NewServer starts a server that runs until the test ends.
@@ -51,11 +51,12 @@
 	}
 }
 
-// track has End close a connection. One that was accepted just before End is closed at once, and false returned.
+// track registers a connection for Stop to close. If the server has already stopped, it closes the connection and
+// returns false.
 func (s *Server) track(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ended {
+	if s.stopped {
 		c.Close()
 		return false
 	}
@@ -63,7 +64,7 @@
 	return true
 }
 
-// serveConn answers the requests of a connection until it ends or the handler has it closed.
+// serveConn handles the requests of a connection until the client or the handler ends it.
 func (s *Server) serveConn(c net.Conn) {
 	defer c.Close()
 	reader := bufio.NewReader(c)
@@ -77,7 +78,7 @@
 			return
 		}
 		s.mu.Lock()
-		s.requests = append(s.requests, r.Header.Get("X-Request-Id"))
+		s.requestIDs = append(s.requestIDs, r.Header.Get("X-Request-Id"))
 		s.mu.Unlock()
 		if !s.handle(c, r, string(body)) {
 			return
@@ -85,64 +86,64 @@
 	}
 }
 
-// Stop closes the server and its connections.
+// Stop closes the listener and all connections.
 func (s *Server) Stop() {
 	s.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ended = true
+	s.stopped = true
 	for _, c := range s.conns {
 		c.Close()
 	}
 }
 
-// Address returns the address that the server listens at.
+// Address returns the address that the server listens on.
 func (s *Server) Address() string { return s.Addr().String() }
 
-// RequestCount returns how many requests came.
+// RequestCount returns the number of requests received so far.
 func (s *Server) RequestCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.requests)
+	return len(s.requestIDs)
 }
 
-// RequestIDs returns the ids of the requests that came, in order.
+// RequestIDs returns the ids of the requests received so far, in order.
 func (s *Server) RequestIDs() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.requests)
+	return slices.Clone(s.requestIDs)
 }
 
-// ConnCount returns how many connections came.
+// ConnCount returns the number of connections accepted so far.
 func (s *Server) ConnCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// RespondOK answers 200 with a body.
+// RespondOK writes a response with status 200 and a body, and reports whether that succeeded.
 func RespondOK(c net.Conn, body string) bool {
 	_, err := fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	return err == nil
 }
 
-// Echo answers every request with a body that names it.
+// Echo responds to every request with a body that contains the id of the request.
 func Echo(c net.Conn, r *http.Request, body string) bool {
 	return RespondOK(c, "for "+r.Header.Get("X-Request-Id"))
 }
 
-// NewHoldingServer holds the requests whose id begins with a prefix until they are released, and answers all
-// requests as Echo does. It reports each request that it holds.
+// NewHoldingServer starts a server that responds as Echo does, but holds each request whose id starts with a prefix
+// until release is called. The channel held receives a value for each request that the server holds.
 func NewHoldingServer(t *testing.T, prefix string) (s *Server, held <-chan struct{}, release func()) {
 	t.Helper()
-	came, hold := make(chan struct{}, 1000), make(chan struct{})
-	release = sync.OnceFunc(func() { close(hold) })
+	arrived, released := make(chan struct{}, 1000), make(chan struct{})
+	release = sync.OnceFunc(func() { close(released) })
 	t.Cleanup(release)
 	return NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
 		if strings.HasPrefix(r.Header.Get("X-Request-Id"), prefix) {
-			came <- struct{}{}
-			<-hold
+			arrived <- struct{}{}
+			<-released
 		}
 		return Echo(c, r, body)
-	}), came, release
+	}), arrived, release
 }
--- a/internal/testutil/sockets.go
+++ b/internal/testutil/sockets.go
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// ClosedPort is an address that refuses connections for as long as the test runs: its socket is bound, so that no
-// other process gets the port, and does not listen.
+// ClosedPort returns an address that refuses connections for as long as the test runs: its socket is bound, so that no
+// other process gets the port, but does not listen.
 func ClosedPort(t *testing.T) string {
 	t.Helper()
 	_, address := BoundSocket(t)
 	return address
 }
 
-// BoundSocket binds a socket to a free port until the test ends.
+// BoundSocket returns a socket that is bound to a free loopback port until the test ends.
 func BoundSocket(t *testing.T) (fd int, address string) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -36,14 +36,14 @@
 	return fd, fmt.Sprintf("127.0.0.1:%d", name.(*syscall.SockaddrInet4).Port)
 }
 
-// UnreachableAddress returns an address at which no connection is ever established, as of a machine that is down.
+// UnreachableAddress returns an address to which no connection is ever established, as if the machine were down.
 func UnreachableAddress(t *testing.T) string {
 	t.Helper()
 	fd, addr := BoundSocket(t)
 	if err := syscall.Listen(fd, 0); err != nil {
 		t.Fatal(err)
 	}
-	for { // until the queue of those that nobody accepts is full
+	for { // until the queue of connections waiting to be accepted is full
 		c, err := net.DialTimeout("tcp", addr, 300*time.Millisecond)
 		if err != nil {
 			return addr
@@ -58,7 +58,7 @@
 	return ConnPairWithListener(t, func(ln net.Listener) net.Listener { return ln })
 }
 
-// ConnPairWithListener is ConnPair with the accepting listener wrapped.
+// ConnPairWithListener is like ConnPair, but accepts the connection from the listener that wrap returns.
 func ConnPairWithListener(t *testing.T, wrap func(net.Listener) net.Listener) (dialed, accepted net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -77,15 +77,16 @@
 	return dialed, accepted
 }
 
-// ExpectClosed waits for the other side to close a connection, and fails the test if more is read before.
+// ExpectClosed waits for the other side to close a connection, and fails the test if a byte is received before that or
+// the read times out.
 func ExpectClosed(t *testing.T, r io.Reader, what string) {
 	t.Helper()
 	n, err := r.Read(make([]byte, 1))
 	if n != 0 || err == nil {
-		t.Fatalf("%s: still open", what)
+		t.Fatalf("%s: received data, want the connection to be closed", what)
 	}
 	var netErr net.Error
 	if errors.As(err, &netErr) && netErr.Timeout() {
-		t.Fatalf("%s: %v", what, err)
+		t.Fatalf("%s: got %v, want the connection to be closed", what, err)
 	}
 }
--- a/internal/testutil/wait.go
+++ b/internal/testutil/wait.go
@@ -1,5 +1,6 @@
-// Package testutil has what the tests of several packages share: waiting with a limit, sockets, and stand-ins for
-// servers, clients and discovery's agent on loopback. What a test starts with it ends with the test.
+// Package testutil holds helpers that the tests of several packages share: waiting with a timeout, sockets, and
+// stand-ins for servers, clients and discovery's agent on loopback. Whatever a test starts through it is stopped when
+// the test ends.
 package testutil
 
 import (
@@ -8,29 +9,29 @@
 	"time"
 )
 
-// Timeout is how long a test waits for something; only a failing test waits so long.
+// Timeout is how long a test waits for something. Only a failing test waits that long.
 const Timeout = 30 * time.Second
 
-// Wait receives from a channel, and fails the test if nothing comes.
+// Wait receives a value from a channel, and fails the test if none is sent within Timeout.
 func Wait[T any](t *testing.T, c <-chan T, what string) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
 	case <-time.After(Timeout):
-		t.Fatalf("%s: nothing came", what)
+		t.Fatalf("%s: received nothing before the timeout", what)
 	}
 	return v
 }
 
-// Until polls a condition, and fails the test if it never holds.
+// Until polls a condition, and fails the test if it does not hold within Timeout.
 func Until(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Timeout); !ok(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("%s: not within %v", what, Timeout)
+	for deadline := time.Now().Add(Timeout); !ok(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("%s: the condition did not hold within %v", what, Timeout)
 		}
 	}
 }
 
-// DiscardLog returns a logger that writes nothing.
+// DiscardLog returns a logger that discards all records.
 func DiscardLog() *slog.Logger { return slog.New(slog.DiscardHandler) }
