--- a/internal/wire/corpus_test.go
+++ b/internal/wire/corpus_test.go
@@ -13,9 +13,9 @@
 	"basaltdrum/balancer"
 )
 
-var updateGolden = flag.Bool("update", false, "rewrite testdata/decoded.golden from the present decoder")
+var updateGolden = flag.Bool("update", false, "rewrite testdata/decoded.golden with the output of the current decoder")
 
-// fullSettings names every key that the module's settings are read from.
+// fullSettings has every key that package settings reads.
 const fullSettings = `{"balancers":12,"me":3.0,"zone":"north","localities":["north","east"],"tier":1,` +
 	`"blend":{"whole":0.7,"worst-class":0.3},"registry-mode":"on_request","tick-ms":2.5,` +
 	`"limits":{"cancelling":true,"max-attempts":4,"max-retry-after-ms":1500.5,"retry-after":true},` +
@@ -26,16 +26,16 @@
 	`{"name":"set","effect":"idempotency_key","key-scope":"cell"},` +
 	`{"name":"post","effect":"non_idempotent","key-scope":"odd"}],"unknown":{"key":[1]}}`
 
-const inInstance = "sync\t1\nabout\t7\n" // a batch begins, and its events are those of instance 7
+const inInstance = "sync\t1\nabout\t7\n" // starts a batch and selects instance 7
 
-// corpus holds an input for each message, each form of a field and each error of the decoder.
+// corpus holds at least one input for each message, each form of a value and each error of the decoder.
 var corpus = []struct{ name, input string }{
 	{"empty input", ""},
 	{"empty batches", "sync\t8412.25\neob\n\r\nsync\t8413\r\neob\r\n"},
 	{"two instances", "sync\t-5\nabout\t0\nring\tsweep\nabout\t5\nring\tr:1\neob\nsync\t6\nabout\t5\nring\tr:2\neob\n"},
 	{"hello", inInstance + "hello\t18446744073709551615\t" + fullSettings + "\neob\n"},
 	{"hello, negative seed, tab in the settings", inInstance + "hello\t-3\t{\"zone\":\t\"a\"}\neob\n"},
-	{"hello, counts that are none", inInstance +
+	{"hello, invalid counts", inInstance +
 		`hello	1	{"balancers":-1,"me":1.5,"tier":3e9,` +
 		`"limits":{"max-retry-after-ms":9},"lanes":[{"effect":"?"}]}` +
 		"\neob\n"},
@@ -60,48 +60,48 @@
 	{"event before any about", "sync\t1\nring\ta\n"},
 	{"event before any about of its batch", inInstance + "eob\nsync\t2\nhello\t1\t{}\n"},
 	{"unknown message", inInstance + "huh\t1\n"},
-	{"input ends after a batch began", "sync\t1\n"},
+	{"input ends after the start of a batch", "sync\t1\n"},
 	{"input ends inside a line", inInstance + "ring\ta"},
 	{"input ends inside the first line", "sync"},
 	{"sync without a time", "sync\n"},
-	{"sync, no time", "sync\tx\n"},
+	{"sync, malformed time", "sync\tx\n"},
 	{"sync, not a number", "sync\tNaN\n"},
 	{"sync, too large", "sync\t1e13\n"},
-	{"about without a number", "sync\t1\nabout\t-\n"},
-	{"about, no number", "sync\t1\nabout\t1.5\n"},
-	{"about, negative", "sync\t1\nabout\t-2\n"},
+	{"about without an instance", "sync\t1\nabout\t-\n"},
+	{"about, instance not an integer", "sync\t1\nabout\t1.5\n"},
+	{"about, negative instance", "sync\t1\nabout\t-2\n"},
 	{"hello without settings", inInstance + "hello\t5\n"},
-	{"hello, no seed", inInstance + "hello\tx\t{}\n"},
-	{"hello, settings that do not parse", inInstance + "hello\t5\t{bad\n"},
-	{"hello, settings of a wrong type", inInstance + `hello	5	{"tick-ms":"2"}` + "\n"},
-	{"list, no number", "sync\t1\nlist\tx\t1\n"},
+	{"hello, malformed seed", inInstance + "hello\tx\t{}\n"},
+	{"hello, malformed settings", inInstance + "hello\t5\t{bad\n"},
+	{"hello, setting of the wrong type", inInstance + `hello	5	{"tick-ms":"2"}` + "\n"},
+	{"list, malformed number", "sync\t1\nlist\tx\t1\n"},
 	{"list number out of range", "sync\t1\nlist\t16\t0\n"},
 	{"list length out of range", "sync\t1\nlist\t0\t-1\n"},
-	{"list is cut off", "sync\t1\nlist\t0\t2\nitem\ta\tz\tk\t4\t2\n"},
-	{"list is cut off inside a line", "sync\t1\nlist\t0\t2\nitem\ta\tz\tk\t4\t2\nitem"},
-	{"list holds another message", "sync\t1\nlist\t0\t2\nitem\ta\tz\tk\t4\t2\neob\n"},
+	{"list is truncated", "sync\t1\nlist\t0\t2\nitem\ta\tz\tk\t4\t2\n"},
+	{"list is truncated inside a line", "sync\t1\nlist\t0\t2\nitem\ta\tz\tk\t4\t2\nitem"},
+	{"list contains another message", "sync\t1\nlist\t0\t2\nitem\ta\tz\tk\t4\t2\neob\n"},
 	{"item without a cell", "sync\t1\nlist\t0\t1\nitem\ta\tb\n"},
-	{"item, no state", "sync\t1\nlist\t0\t1\nitem\ta\tz\tk\t4\t3\n"},
-	{"item, no size", "sync\t1\nlist\t0\t1\nitem\ta\tz\tk\t4\t2\t-1\n"},
-	{"item, no start time", "sync\t1\nlist\t0\t1\nitem\ta\tz\tk\t4\t2\t1\tx\n"},
-	{"announce, no mode", inInstance + "announce\t9\t0\t0\n"},
+	{"item, invalid state", "sync\t1\nlist\t0\t1\nitem\ta\tz\tk\t4\t3\n"},
+	{"item, invalid capacity", "sync\t1\nlist\t0\t1\nitem\ta\tz\tk\t4\t2\t-1\n"},
+	{"item, malformed start time", "sync\t1\nlist\t0\t1\nitem\ta\tz\tk\t4\t2\t1\tx\n"},
+	{"announce, invalid mode", inInstance + "announce\t9\t0\t0\n"},
 	{"announce without a mode", inInstance + "announce\n"},
-	{"announce, no list", inInstance + "announce\t1\t16\t0\n"},
-	{"announce, negative list", inInstance + "announce\t1\t-1\t0\n"},
+	{"announce, list number out of range", inInstance + "announce\t1\t16\t0\n"},
+	{"announce, negative list number", inInstance + "announce\t1\t-1\t0\n"},
 	{"job_in without a deadline", inInstance + "job_in\ta\n"},
 	{"job_in without a class", inInstance + "job_in\ta\t1\t-\t-\t0\n"},
-	{"job_in, no bits", inInstance + "job_in\ta\t1\t-\tget\tx\n"},
-	{"job_in, no effort", inInstance + "job_in\ta\t1\t-\tget\t1\t-\tx\n"},
-	{"outcome, no ending", inInstance + "outcome\tid\ts:1\t0\t0\t0\tlost\t-\n"},
-	{"outcome, no load report", inInstance + "outcome\tid\ts:1\t0\t0\t0\tsuccess\tbusy_reqs\n"},
-	{"outcome, attempt is no number", inInstance + "outcome\tid\ts:1\t0\t0\tx\tsuccess\t-\n"},
+	{"job_in, malformed bits", inInstance + "job_in\ta\t1\t-\tget\tx\n"},
+	{"job_in, malformed work", inInstance + "job_in\ta\t1\t-\tget\t1\t-\tx\n"},
+	{"outcome, unknown result", inInstance + "outcome\tid\ts:1\t0\t0\t0\tlost\t-\n"},
+	{"outcome, malformed load report", inInstance + "outcome\tid\ts:1\t0\t0\t0\tsuccess\tbusy_reqs\n"},
+	{"outcome, malformed attempt", inInstance + "outcome\tid\ts:1\t0\t0\tx\tsuccess\t-\n"},
 	{"ring without a token", inInstance + "ring\t\n"},
 	{"timed_out_client without an id", inInstance + "timed_out_client\n"},
 	{"flowing without an attempt", inInstance + "flowing\tid\ts:1\t9.25\n"},
 }
 
-// TestCorpusDecodesAsRecorded compares all messages and errors of the corpus with the recorded ones. The
-// records were first made by the decoder as it was before it was split into files.
+// TestCorpusDecodesAsRecorded guards against unintended changes of the decoder: it compares all messages and errors of
+// the corpus with the golden file, which was first recorded before the decoder was split into several files.
 func TestCorpusDecodesAsRecorded(t *testing.T) {
 	var got bytes.Buffer
 	for _, entry := range corpus {
@@ -127,13 +127,14 @@
 	gotLines, wantLines := strings.Split(got.String(), "\n"), strings.Split(string(want), "\n")
 	for i := range max(len(gotLines), len(wantLines)) {
 		if i >= len(gotLines) || i >= len(wantLines) || gotLines[i] != wantLines[i] {
-			t.Fatalf("line %d of %s differs from:\n%s", i+1, path, strings.Join(gotLines[min(i, len(gotLines)):], "\n"))
+			t.Fatalf("line %d of %s differs; got from there on:\n%s",
+				i+1, path, strings.Join(gotLines[min(i, len(gotLines)):], "\n"))
 		}
 	}
 }
 
-// describe writes what a message carries, in words and an order that stay when the module's names change or
-// its types get more fields.
+// describe formats a message with words and in an order of its own, so that the golden file stays valid when the
+// module's names change or its types get more fields.
 func describe(m Message) string {
 	event, values := describeEvent(m.Event)
 	return fmt.Sprintf("%v, instance %d, now %v, seed %d, settings %v, %s %v",
--- a/internal/wire/decoder.go
+++ b/internal/wire/decoder.go
@@ -12,29 +12,29 @@
 )
 
 const (
-	// listCount is how many endpoint lists the simulator numbers, from 0.
+	// listCount is the number of endpoint lists that events can refer to, by numbers from 0.
 	listCount = 16
-	// readBufferSize is in bytes. Batches run to megabytes, of lines that may be long as well.
-	readBufferSize = 1 << 20
+	// readBufferBytes is large because batches reach megabytes and may contain long lines.
+	readBufferBytes = 1 << 20
 )
 
 // Decoder reads messages one at a time. It keeps the state between lines: whether a batch has
-// begun, the instance that events are for, and the endpoint lists that events refer to by number.
+// started, the instance that events are for, and the endpoint lists that events refer to by number.
 type Decoder struct {
 	reader   *bufio.Reader
-	line     int // number of the line read last
+	line     int // number of the line read last, from 1
 	inBatch  bool
-	instance int
+	instance int // selected by the last about of the batch, or noInstance
 	lists    [listCount][]balancer.Endpoint
 }
 
 // NewDecoder returns a Decoder that reads r.
 func NewDecoder(r io.Reader) *Decoder {
-	return &Decoder{reader: bufio.NewReaderSize(r, readBufferSize), instance: noInstance}
+	return &Decoder{reader: bufio.NewReaderSize(r, readBufferBytes), instance: noInstance}
 }
 
 // Next returns the next message. It returns io.EOF when the input ends between two batches, and a *ParseError
-// for anything else that ends or breaks the input. A Decoder is of no use after an error.
+// for any other end of the input, for a read error and for invalid input. A Decoder must not be used after an error.
 func (d *Decoder) Next() (Message, error) {
 	for {
 		line, err := d.readLine()
@@ -42,7 +42,7 @@
 			return Message{}, io.EOF
 		}
 		if err != nil {
-			return Message{}, &ParseError{Line: d.line + 1, Err: truncation(err)}
+			return Message{}, &ParseError{Line: d.line + 1, Err: replaceEOF(err)}
 		}
 		if line == "" {
 			continue
@@ -57,8 +57,8 @@
 	}
 }
 
-// readLine returns the next line without its end. It returns io.EOF at the end of the input, and
-// io.ErrUnexpectedEOF for a last line that does not end.
+// readLine returns the next line without its line ending. It returns io.EOF at the end of the input, and
+// io.ErrUnexpectedEOF for a last line without a line ending.
 func (d *Decoder) readLine() (string, error) {
 	line, err := d.reader.ReadString('\n')
 	if errors.Is(err, io.EOF) && line != "" {
@@ -71,15 +71,15 @@
 	return strings.TrimRight(line, "\r\n"), nil
 }
 
-// truncation replaces the two errors that an end of the input has by the protocol's error.
-func truncation(err error) error {
+// replaceEOF returns ErrTruncated for the errors of readLine at the end of the input, and any other error unchanged.
+func replaceEOF(err error) error {
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		return ErrTruncated
 	}
 	return err
 }
 
-// decode decodes one line. Some lines only change the Decoder's state and do not complete a message.
+// decode decodes one line. Some lines only change the Decoder's state and complete no message.
 func (d *Decoder) decode(line string) (m Message, complete bool, err error) {
 	name, values, _ := strings.Cut(line, "\t")
 	f := newFields(d.line, name, values)
@@ -115,25 +115,26 @@
 	return m, complete, f.err
 }
 
-// checkOrder checks that a message may come here: in a batch, and after its instance was selected.
+// checkOrder returns an error for a message that is not allowed at this point: all but sync must be inside a batch,
+// and a message for an instance must follow an about that selects it.
 func (d *Decoder) checkOrder(name string) error {
 	switch {
 	case name == "sync" && d.inBatch:
 		return ErrNestedBatch
 	case name != "sync" && !d.inBatch:
-		return fmt.Errorf("%s %w", quote(name), ErrOutsideBatch)
+		return fmt.Errorf("%s %w", quoteName(name), ErrOutsideBatch)
 	}
 	switch name {
 	case "sync", "eob", "about", "list":
 		return nil
 	}
 	if d.instance == noInstance {
-		return fmt.Errorf("%s %w", quote(name), ErrNoInstance)
+		return fmt.Errorf("%s %w", quoteName(name), ErrNoInstance)
 	}
 	return nil
 }
 
-// decodeInstance decodes about INSTANCE.
+// decodeInstance decodes "about INSTANCE".
 func decodeInstance(f *fields) int {
 	instance := f.integer(0)
 	if instance < 0 {
@@ -142,18 +143,18 @@
 	return instance
 }
 
-// decodeStart decodes hello SEED SETTINGS. The settings are the rest of the line, tabs included.
-func decodeStart(f *fields, values string) (seed uint64, set balancer.Settings) {
+// decodeStart decodes "hello SEED SETTINGS". The settings are the rest of the line, including tabs.
+func decodeStart(f *fields, values string) (seed uint64, parsed balancer.Settings) {
 	const settingsPosition = 1
 	_, text, found := strings.Cut(values, "\t")
 	if !found {
 		f.fail(settingsPosition, ErrMissingValue)
-		return 0, set
+		return 0, parsed
 	}
 	seed = f.seed(0)
-	set, err := settings.Parse([]byte(text))
+	parsed, err := settings.Parse([]byte(text))
 	if err != nil {
 		f.failMessage(fmt.Errorf("hello: %w", err))
 	}
-	return seed, set
+	return seed, parsed
 }
--- a/internal/wire/decoder_test.go
+++ b/internal/wire/decoder_test.go
@@ -61,8 +61,7 @@
 	}
 }
 
-// badInputs are inputs that break the protocol. The error says where, by its fields and in its text, and can be
-// compared with the one that the row wants.
+// badInputs are inputs that break the protocol, each with the error that Next must return and with a part of its text.
 var badInputs = []struct {
 	name, input string
 	want        ParseError
@@ -135,34 +134,34 @@
 	},
 }
 
-func TestBadInputIsNamed(t *testing.T) {
+func TestBadInputIsReportedWithItsPlace(t *testing.T) {
 	for _, tt := range badInputs {
 		t.Run(tt.name, func(t *testing.T) {
 			_, err := decodeAll(t, tt.input)
 			var got *ParseError
 			if !errors.As(err, &got) {
-				t.Fatalf("got %v, want a *ParseError", err)
+				t.Fatalf("got error %v, want a *ParseError", err)
 			}
 			samePlace := got.Line == tt.want.Line && got.Message == tt.want.Message && got.Field == tt.want.Field
 			if !samePlace || !errors.Is(err, tt.want.Err) {
-				t.Errorf("got %+v, want %+v", *got, tt.want)
+				t.Errorf("got error %+v, want %+v", *got, tt.want)
 			}
 			if !strings.Contains(err.Error(), tt.wantText) {
-				t.Errorf("got %q, want %q in it", err, tt.wantText)
+				t.Errorf("got error %q, want it to contain %q", err, tt.wantText)
 			}
 		})
 	}
 }
 
-func TestBadSettingsAreNamed(t *testing.T) {
+func TestBadSettingsAreReported(t *testing.T) {
 	_, err := decodeAll(t, "sync\t1\nabout\t1\nhello\t5\t{bad\n")
 	var syntax *json.SyntaxError
 	if !errors.As(err, &syntax) || !strings.HasPrefix(err.Error(), "line 3: hello: settings: ") {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want a JSON syntax error in the settings on line 3", err)
 	}
 }
 
-func TestErrorOfTheReaderIsWrapped(t *testing.T) {
+func TestReaderErrorIsWrapped(t *testing.T) {
 	broken := errors.New("broken")
 	for name, input := range map[string]string{"in a batch": "sync\t1\n", "in a list": "sync\t1\nlist\t0\t1\n"} {
 		d := NewDecoder(io.MultiReader(strings.NewReader(input), iotest.ErrReader(broken)))
@@ -171,7 +170,7 @@
 		}
 		_, err := d.Next()
 		if !errors.Is(err, broken) || errors.Is(err, ErrTruncated) {
-			t.Errorf("%s: got %v", name, err)
+			t.Errorf("%s: got error %v, want the reader's error, not ErrTruncated", name, err)
 		}
 	}
 }
--- a/internal/wire/encoder.go
+++ b/internal/wire/encoder.go
@@ -9,11 +9,11 @@
 	"basaltdrum/balancer"
 )
 
-// Encoder writes replies. It keeps a reply until Flush, so that each is written completely or not at all.
+// Encoder writes replies. It buffers each until Flush, so that a reply is written completely or not at all.
 type Encoder struct {
 	writer   io.Writer
 	reply    []byte
-	instance int // that the actions added last are of
+	instance int // of the action added last, or noInstance at the start of a reply
 }
 
 // NewEncoder returns an Encoder that writes to w.
@@ -43,8 +43,8 @@
 	}
 }
 
-// Flush ends the reply and writes it with one call of the writer, whose error it returns. The next action
-// begins another reply.
+// Flush ends the reply and writes it in one call of the writer, whose error it wraps. The next action starts
+// another reply.
 func (e *Encoder) Flush() error {
 	e.addLine("yield")
 	_, err := e.writer.Write(e.reply)
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// addLine adds one line to the reply: a name and its values, with tabs between them.
+// addLine adds one line to the reply: a name and its values, separated by tabs.
 func (e *Encoder) addLine(name string, values ...string) {
 	e.reply = append(e.reply, name...)
 	for _, v := range values {
@@ -66,7 +66,7 @@
 	e.reply = append(e.reply, '\n')
 }
 
-// milliseconds writes a time in milliseconds, with as many decimals as it needs.
+// milliseconds formats a time in milliseconds, with as many decimals as necessary.
 func milliseconds(d time.Duration) string {
 	return strconv.FormatFloat(float64(d)/float64(time.Millisecond), 'f', -1, 64)
 }
--- a/internal/wire/encoder_test.go
+++ b/internal/wire/encoder_test.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// Each action is one line of the reply, under the line that names its instance.
-func TestRepliesAreEncodedByteForByte(t *testing.T) {
+// Each action is one line of the reply, below a line with its instance.
+func TestEncodeReplies(t *testing.T) {
 	var out bytes.Buffer
 	e := NewEncoder(&out)
 	reply := func(instance int, actions ...balancer.Action) {
@@ -58,27 +58,27 @@
 	}
 }
 
-// brokenWriter fails all writes and counts them.
-type brokenWriter struct {
+// failingWriter fails all writes and counts them.
+type failingWriter struct {
 	err   error
 	calls int
 }
 
-func (w *brokenWriter) Write([]byte) (int, error) {
+func (w *failingWriter) Write([]byte) (int, error) {
 	w.calls++
 	return 0, w.err
 }
 
-func TestReplyIsWrittenInOneCallWhoseErrorIsWrapped(t *testing.T) {
-	w := &brokenWriter{err: errors.New("broken")}
+func TestFlushWritesOnceAndWrapsTheError(t *testing.T) {
+	w := &failingWriter{err: errors.New("broken")}
 	e := NewEncoder(w)
 	for range 10_000 {
 		e.AddAction(1, balancer.Subscribe{})
 	}
 	if w.calls != 0 {
-		t.Errorf("%d writes before the end of the reply", w.calls)
+		t.Errorf("got %d writes before Flush, want none", w.calls)
 	}
 	if err := e.Flush(); !errors.Is(err, w.err) || w.calls != 1 {
-		t.Errorf("got %v after %d writes", err, w.calls)
+		t.Errorf("Flush returned %v after %d writes, want the writer's error after one", err, w.calls)
 	}
 }
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -8,8 +8,8 @@
 	"basaltdrum/internal/settings"
 )
 
-// decodeEvent decodes a message that carries an event for an instance. The comment of each function below
-// gives the message's values in their order.
+// decodeEvent decodes a message that carries an event for an instance. The comments of the functions below list the
+// values of each message in order.
 func (d *Decoder) decodeEvent(f *fields) balancer.Event {
 	switch f.message {
 	case "announce":
@@ -25,19 +25,19 @@
 	case "ring":
 		return balancer.Timer{Token: f.text(0)}
 	}
-	f.failMessage(fmt.Errorf("%w %s", ErrUnknownMessage, quote(f.message)))
+	f.failMessage(fmt.Errorf("%w %s", ErrUnknownMessage, quoteName(f.message)))
 	return nil
 }
 
 // The modes of an announce message.
 const (
-	modeChanges  = 0 // the list holds changed entries alone
+	modeChanges  = 0 // the list holds only the entries that have changed
 	modeComplete = 1
-	modeCached   = 2 // complete, but as the instance last had it before a restart
+	modeCached   = 2 // a complete list, as the instance last had it before a restart
 	modeFailed   = 3 // a subscription failed; there is no list
 )
 
-// decodeListUpdate decodes announce MODE LIST VERSION.
+// decodeListUpdate decodes "announce MODE LIST VERSION".
 func (d *Decoder) decodeListUpdate(f *fields) balancer.Event {
 	mode := f.integer(0)
 	switch mode {
@@ -58,24 +58,24 @@
 	}
 }
 
-// The bits of a request's state.
+// The bits of a job_in message's BITS.
 const (
-	bitCostHint    = 1 << 0 // the expected work is valid
-	bitClientRetry = 1 << 1 // the client marked the request as a retry
+	bitExpectedWork = 1 << 0 // WORK is valid
+	bitClientRetry  = 1 << 1 // the client marked the request as a retry
 )
 
-// decodeRequest decodes job_in ID DEADLINE ITEM CLASS BITS TENANT WORK. The deadline is a clock time.
+// decodeRequest decodes "job_in ID DEADLINE ITEM CLASS BITS TENANT WORK". The deadline is a clock time.
 func decodeRequest(f *fields) balancer.Event {
 	r := balancer.Request{ID: f.text(0), Deadline: f.time(1), Class: f.text(3)}
 	bits := f.optionalInteger(4)
 	r.Retry = bits&bitClientRetry != 0
-	if bits&bitCostHint != 0 {
+	if bits&bitExpectedWork != 0 {
 		r.ExpectedWork = f.optionalTime(6)
 	}
 	return r
 }
 
-// decodeOutcome decodes outcome ID SERVER LATENCY ANSWERED ATTEMPT RESULT LOAD.
+// decodeOutcome decodes "outcome ID SERVER LATENCY ANSWERED ATTEMPT RESULT LOAD".
 func decodeOutcome(f *fields) balancer.Event {
 	return balancer.AttemptEnded{
 		ID:       f.text(0),
@@ -88,7 +88,7 @@
 	}
 }
 
-// attemptResults holds the module's name of each result of an attempt.
+// attemptResults maps the simulator's names of attempt results to those of the module.
 var attemptResults = map[string]balancer.AttemptResult{
 	"success":     balancer.Success,
 	"failure":     balancer.ServerError,
@@ -108,11 +108,11 @@
 	return result
 }
 
-// notReported is the value of a part that a load report lacks.
+// notReported is the value of a LoadReport field for which the report has no pair.
 const notReported = -1
 
-// decodeLoad decodes a load report, of pairs NAME:VALUE with commas between them. It ignores names that it
-// does not know, and returns nil if there is no report.
+// decodeLoad decodes a load report: NAME:VALUE pairs, separated by commas. It ignores unknown names, and returns nil
+// if there is no report.
 func decodeLoad(f *fields, position int) *balancer.LoadReport {
 	text := f.optionalText(position)
 	if text == "" {
@@ -120,23 +120,23 @@
 	}
 	load := &balancer.LoadReport{InFlight: notReported, ServiceTime: notReported}
 	for pair := range strings.SplitSeq(text, ",") {
-		name, number, _ := strings.Cut(pair, ":")
-		v, ok := parseNumber(number)
+		name, value, _ := strings.Cut(pair, ":")
+		number, ok := parseNumber(value)
 		if !ok {
 			f.fail(position, invalidValue("is not a load report"))
 			return nil
 		}
 		switch name {
 		case "busy_reqs":
-			load.InFlight = v
+			load.InFlight = number
 		case "svc_ms":
-			load.ServiceTime = settings.Milliseconds(v)
+			load.ServiceTime = settings.Milliseconds(number)
 		}
 	}
 	return load
 }
 
-// decodeStreamStarted decodes flowing ID SERVER LATENCY ATTEMPT.
+// decodeStreamStarted decodes "flowing ID SERVER LATENCY ATTEMPT".
 func decodeStreamStarted(f *fields) balancer.Event {
 	return balancer.StreamStarted{ID: f.text(0), Attempt: f.integer(3)}
 }
--- a/internal/wire/example_test.go
+++ b/internal/wire/example_test.go
@@ -12,7 +12,7 @@
 	"basaltdrum/internal/wire"
 )
 
-// A batch that says that a client of instance 3 has departed, and a timer of the same instance.
+// The batch has two events for instance 3: the departure of a client and a timer.
 func ExampleDecoder() {
 	batch := "sync\t8412.25\nabout\t3\ntimed_out_client\tid-1\nring\tsweep\neob\n"
 	decoder := wire.NewDecoder(strings.NewReader(batch))
@@ -41,7 +41,7 @@
 	// batch end
 }
 
-// An error says where the input breaks the protocol.
+// The error says which value of which line is invalid.
 func ExampleParseError() {
 	_, err := wire.NewDecoder(strings.NewReader("sync\tnow\n")).Next()
 	var parseError *wire.ParseError
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// absent is how the wire writes a value that is not there.
+	// absent stands for a missing value on the wire.
 	absent = "-"
-	// largestNumber bounds the numbers that are taken, so that none overflows later. As a time in
-	// milliseconds it is some thirty years.
-	largestNumber = 1e12
+	// maxNumber bounds the magnitude of numbers, so that none overflows when it is converted. As a time in
+	// milliseconds it is about thirty years.
+	maxNumber = 1e12
 )
 
-// fields reads the values of one message by their position, from 0. It keeps the first error, so that a
-// message can be read as a whole and checked once.
+// fields reads the values of one message by their position, from 0. It keeps the first error, so that a caller can
+// decode a whole message and check for errors once.
 type fields struct {
 	line    int
 	message string
@@ -26,27 +26,27 @@
 	err     error // a *ParseError, or nil
 }
 
-// newFields splits the values of a message, which follow its name on the line of that number.
+// newFields splits the values that follow a message's name on its line. line is the number of that line.
 func newFields(line int, message, values string) *fields {
 	return &fields{line: line, message: message, values: strings.Split(values, "\t")}
 }
 
-// fail records what is wrong with the value at a position, unless an error was found before.
+// fail records an error in the value at a position, unless an earlier error is recorded.
 func (f *fields) fail(position int, cause error) {
 	if f.err == nil {
-		f.err = &ParseError{Line: f.line, Message: shorten(f.message), Field: position + 1, Err: cause}
+		f.err = &ParseError{Line: f.line, Message: truncateName(f.message), Field: position + 1, Err: cause}
 	}
 }
 
-// failMessage records what is wrong with the message as such, unless an error was found before. The text of
-// cause names the message.
+// failMessage records an error in the message as a whole, unless an earlier error is recorded. The text of cause
+// must name the message.
 func (f *fields) failMessage(cause error) {
 	if f.err == nil {
-		f.err = &ParseError{Line: f.line, Message: shorten(f.message), Err: cause}
+		f.err = &ParseError{Line: f.line, Message: truncateName(f.message), Err: cause}
 	}
 }
 
-// optionalText returns the value, or an empty text if it is absent.
+// optionalText returns the value, or an empty string if it is absent.
 func (f *fields) optionalText(position int) string {
 	if position >= len(f.values) || f.values[position] == absent {
 		return ""
@@ -78,7 +78,7 @@
 	return f.integer(position)
 }
 
-// seed reads an integer of 64 bits with or without a sign. A negative one stands for its two's complement.
+// seed reads a signed or unsigned 64-bit integer. A negative one stands for its two's complement.
 func (f *fields) seed(position int) uint64 {
 	s := f.text(position)
 	if v, err := strconv.ParseUint(s, 10, 64); err == nil {
@@ -109,8 +109,8 @@
 	return f.time(position)
 }
 
-// optionalCapacity reads the capacity of an endpoint against others. It returns 0, for not known, if the
-// value is absent.
+// optionalCapacity reads the relative capacity of an endpoint. It returns 0, for an unknown capacity, if the value
+// is absent.
 func (f *fields) optionalCapacity(position int) float64 {
 	s := f.optionalText(position)
 	if s == "" {
@@ -123,10 +123,10 @@
 	return v
 }
 
-// parseNumber reads a finite number that is not too large to calculate with.
+// parseNumber parses a number, and reports whether it is valid and at most maxNumber in magnitude.
 func parseNumber(s string) (v float64, ok bool) {
 	v, err := strconv.ParseFloat(s, 64)
-	if err != nil || math.IsNaN(v) || math.Abs(v) > largestNumber {
+	if err != nil || math.IsNaN(v) || math.Abs(v) > maxNumber {
 		return 0, false
 	}
 	return v, true
--- a/internal/wire/list.go
+++ b/internal/wire/list.go
@@ -10,8 +10,8 @@
 // errListNumber is the error of a number outside 0 to listCount-1.
 const errListNumber = invalidValue("is out of range for the number of a list")
 
-// readList decodes list NUMBER LENGTH and reads the items, one a line, that follow it. The list stays until
-// another of the same number replaces it.
+// readList decodes "list NUMBER LENGTH" and the items on the lines that follow it, one per line. The list is kept
+// until another one with the same number replaces it.
 func (d *Decoder) readList(f *fields) {
 	number, length := f.integer(0), f.integer(1)
 	if number < 0 || number >= listCount {
@@ -37,31 +37,31 @@
 	d.lists[number] = endpoints
 }
 
-// readItem reads the line of the item with that index, from 0.
+// readItem reads the line of the item with an index, from 0, in a list of the given length.
 func (d *Decoder) readItem(index, length int) *fields {
 	line, err := d.readLine()
 	if err != nil {
 		f := newFields(d.line+1, "list", "")
 		f.failMessage(fmt.Errorf("%w: it ends after %d of %d items: %w",
-			ErrIncompleteList, index, length, truncation(err)))
+			ErrIncompleteList, index, length, replaceEOF(err)))
 		return f
 	}
 	name, values, _ := strings.Cut(line, "\t")
 	f := newFields(d.line, name, values)
 	if name != "item" {
-		f.failMessage(fmt.Errorf("%w: want item %d of %d, got %s", ErrIncompleteList, index+1, length, quote(name)))
+		f.failMessage(fmt.Errorf("%w: want item %d of %d, got %s", ErrIncompleteList, index+1, length, quoteName(name)))
 	}
 	return f
 }
 
-// The states of an item.
+// The states of an endpoint in an item message.
 const (
 	stateDraining = 0
 	stateRemoved  = 1
 	stateReady    = 2
 )
 
-// decodeEndpoint decodes item ID ZONE KIND CELL STATE CAPACITY STARTED. The last is a clock time.
+// decodeEndpoint decodes "item ID ZONE KIND CELL STATE CAPACITY STARTED". The last value is a clock time.
 func decodeEndpoint(f *fields) balancer.Endpoint {
 	e := balancer.Endpoint{
 		ID:        f.text(0),
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -1,6 +1,6 @@
-// Package wire speaks the simulator's text protocol: a Decoder reads batches of events, and an Encoder writes
-// one reply for each batch. A message is a line of values separated by tabs, the first of which is its name.
-// Times on the wire are milliseconds with decimals. The package makes no decisions.
+// Package wire implements the simulator's text protocol: a Decoder reads batches of events, and an Encoder writes
+// one reply for each batch. A message is a line of tab-separated values, the first of which is its name. Times on
+// the wire are in milliseconds with decimals. The package only translates; it makes no balancing decisions.
 package wire
 
 import (
@@ -10,17 +10,17 @@
 	"basaltdrum/balancer"
 )
 
-// Kind says what a Message carries.
+// Kind is the kind of a Message.
 type Kind int
 
-// Message kinds, in the order in which a batch may bring them.
+// Message kinds. A batch starts with BatchStart and ends with BatchEnd; the others come between them.
 const (
-	BatchStart    Kind = iota // Now is set for the whole batch
+	BatchStart    Kind = iota // Now is set, for all events of the batch
 	InstanceStart             // an instance starts without any state; Seed and Settings are set
-	InstanceEvent             // Event is set
-	InstanceStop              // the instance was killed and loses its state
-	Ignored                   // a known message that the module has no use for
-	BatchEnd                  // a reply is due
+	InstanceEvent             // an event for an instance; Event is set
+	InstanceStop              // an instance was killed and loses its state
+	Ignored                   // a known message that the module does not use
+	BatchEnd                  // the batch is complete and must be replied to
 )
 
 var kindNames = [...]string{
@@ -32,7 +32,7 @@
 	BatchEnd:      "batch end",
 }
 
-// String names the kind in words.
+// String returns the name of the kind.
 func (k Kind) String() string {
 	if k < 0 || int(k) >= len(kindNames) {
 		return fmt.Sprintf("Kind(%d)", int(k))
@@ -40,13 +40,13 @@
 	return kindNames[k]
 }
 
-// noInstance is the Instance of messages before the first that selects one.
+// noInstance is the value of Message.Instance while no instance is selected.
 const noInstance = -1
 
-// Message is one decoded message. Kind says which of the other fields are set.
+// Message is one decoded message. Its Kind determines which of the other fields are set.
 type Message struct {
 	Kind Kind
-	// Instance is the instance selected last, or -1. The message is for it, unless it is a batch's start or end.
+	// Instance is the instance that the message is for. In a BatchStart or BatchEnd it is the one selected last, or -1.
 	Instance int
 	Now      time.Duration // clock time of all events of the batch
 	Seed     uint64
