--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings object, which the simulator sends to each instance and which a node
-// finds in its configuration file, into the settings of the balancer module.
+// Package settings parses the settings object, which the simulator sends to each instance and which a node
+// has in its configuration file, into the settings of the balancer module.
 package settings
 
 import (
@@ -11,10 +11,10 @@
 	"basaltdrum/balancer"
 )
 
-// Parse reads the settings object, in JSON. Times in it are milliseconds. Keys that it does not know are
-// ignored; an effect that it does not know is not idempotent, and a key scope that it does not know is the
-// narrowest. A count that is negative, too large or not an integer becomes -1, which balancer.New rejects
-// together with all else that is out of range. The error wraps that of encoding/json.
+// Parse parses the settings object, in JSON. Times in it are in milliseconds. Unknown keys are ignored; an
+// unknown effect counts as not idempotent, and an unknown key scope as the narrowest. A count that is negative,
+// too large or not an integer becomes -1, which balancer.New rejects together with all other values that are out
+// of range. The error wraps that of encoding/json.
 func Parse(text []byte) (balancer.Settings, error) {
 	var d document
 	if err := json.Unmarshal(text, &d); err != nil {
@@ -23,8 +23,8 @@
 	return d.settings(), nil
 }
 
-// Milliseconds converts a time in milliseconds, as the settings and the simulator write it, and rounds it to
-// the nanosecond.
+// Milliseconds converts a time in milliseconds, the unit of the settings and the simulator, and rounds it to
+// nanoseconds.
 func Milliseconds(ms float64) time.Duration {
 	return time.Duration(math.Round(ms * float64(time.Millisecond)))
 }
@@ -70,7 +70,7 @@
 	PriorityWeight   float64 `json:"worth"`
 }
 
-// registryModePoll is the registry mode in which the endpoint list comes only to who asks for it.
+// registryModePoll is the registry mode in which nodes have to poll for the endpoint list.
 const registryModePoll = "on_request"
 
 func (d *document) settings() balancer.Settings {
@@ -101,13 +101,13 @@
 	return s
 }
 
-// effects holds the effects that allow a repeat. The zero Effect, for all others, allows none.
+// effects holds the effects that allow a retry. Any other name maps to the zero Effect, which allows none.
 var effects = map[string]balancer.Effect{
 	"read_like":       balancer.Idempotent,
 	"idempotency_key": balancer.IdempotentByKey,
 }
 
-// scopes holds the scopes of idempotency keys. The zero Scope, for all others, is the narrowest.
+// scopes holds the scopes of idempotency keys. Any other name maps to the zero Scope, which is the narrowest.
 var scopes = map[string]balancer.Scope{
 	"all":  balancer.ScopeAll,
 	"zone": balancer.ScopeZone,
@@ -127,13 +127,14 @@
 	}
 }
 
-// outOfRange stands for a number that counts nothing. No count of the module's settings may be negative.
-const outOfRange = -1
+// invalidCount replaces a number that is not a valid count. balancer.New rejects it: no count in the module's
+// settings may be negative.
+const invalidCount = -1
 
-// count converts a number that counts something, written with or without decimals: 2 or 2.0.
+// count converts a JSON number to a count. It may have decimals, as in 2.0, if they are zero.
 func count(v float64) int {
-	if v != math.Trunc(v) || !(v >= 0 && v <= math.MaxInt32) { // NaN fails too
-		return outOfRange
+	if v != math.Trunc(v) || !(v >= 0 && v <= math.MaxInt32) { // rejects NaN, too
+		return invalidCount
 	}
 	return int(v)
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -14,10 +14,10 @@
 	s, err := Parse([]byte(`{"lanes":[{"name":"a","effect":"odd"},{"name":"b","effect":"read_like"}],"new":1,
 		"zone":"east","localities":["north","east"]}`))
 	if err != nil || s.Zone != "east" || s.ZoneCount != 2 {
-		t.Fatalf("got %+v, %v", s, err)
+		t.Fatalf("got %+v, %v; want the zone east of two zones", s, err)
 	}
 	if s.Classes[0].Effect != balancer.NonIdempotent || s.Classes[1].Effect != balancer.Idempotent {
-		t.Errorf("got the classes %+v", s.Classes)
+		t.Errorf("got the classes %+v, want a non-idempotent and an idempotent one", s.Classes)
 	}
 }
 
@@ -45,31 +45,32 @@
 	}
 }
 
-// Each case is a number that is no count: Validate names the setting.
+// None of these numbers is a count. Parse accepts them and Validate returns an error.
 func TestCountOutOfRangeIsRejectedByTheModule(t *testing.T) {
 	for _, text := range []string{"-1", "1.5", "3e9"} {
 		s, err := Parse([]byte(`{"me":` + text + `,"lanes":[{"name":"a","target-ms":1,"deadline-ms":1}]}`))
-		if err != nil || s.ReplicaIndex != outOfRange || s.Validate() == nil {
-			t.Errorf("%s: got %d, %v, and the settings are valid: %v", text, s.ReplicaIndex, err, s.Validate())
+		if err != nil || s.ReplicaIndex != invalidCount || s.Validate() == nil {
+			t.Errorf("%s: got %d, error %v, validation error %v; want -1 and only a validation error",
+				text, s.ReplicaIndex, err, s.Validate())
 		}
 	}
 }
 
-func TestRetryAfterIsNotAdvisedWhereItIsNotAllowed(t *testing.T) {
+func TestMaxRetryAfterIsZeroWhereRetryAfterIsNotAllowed(t *testing.T) {
 	s, err := Parse([]byte(`{"limits":{"max-retry-after-ms":9}}`))
 	if err != nil || s.MaxRetryAfter != 0 {
-		t.Errorf("got %v, %v", s.MaxRetryAfter, err)
+		t.Errorf("got %v, %v; want 0 and no error", s.MaxRetryAfter, err)
 	}
 }
 
-func TestErrorsWrapThoseOfJSON(t *testing.T) {
+func TestParseWrapsJSONErrors(t *testing.T) {
 	var syntax *json.SyntaxError
 	if _, err := Parse([]byte("{bad")); !errors.As(err, &syntax) {
-		t.Errorf("bad syntax: got %v", err)
+		t.Errorf("bad syntax: got %v, want a *json.SyntaxError", err)
 	}
 	var wrongType *json.UnmarshalTypeError
 	_, err := Parse([]byte(`{"limits":{"max-attempts":"4"}}`))
 	if !errors.As(err, &wrongType) || wrongType.Field != "limits.max-attempts" {
-		t.Errorf("wrong type: got %v", err)
+		t.Errorf("wrong type: got %v, want a *json.UnmarshalTypeError for limits.max-attempts", err)
 	}
 }
