--- a/internal/servermodel/degradation.go
+++ b/internal/servermodel/degradation.go
@@ -5,57 +5,57 @@
 	"time"
 )
 
-// never is later than all times of a simulation.
+// never is later than any time of a simulation.
 const never = time.Duration(math.MaxInt64)
 
-// notHolding says that the condition for a change of state does not hold.
-const notHolding = time.Duration(-1)
+// conditionNotMet is the value of degradation.conditionSince while the condition for a change of state is not met.
+const conditionNotMet = time.Duration(-1)
 
-// degradation is the state machine of a metastable failure: a server degrades after it was overloaded for a
-// while, and recovers only after it was nearly idle for a while.
+// degradation is the state machine of a metastable failure: a server degrades after it has been overloaded for a
+// while, and recovers only after it has been nearly idle for a while.
 type degradation struct {
-	settings *Settings
-	degraded bool
-	since    time.Duration // when the condition for the next change of state began to hold, or notHolding
+	settings       *Settings
+	degraded       bool
+	conditionSince time.Duration // since when the condition for the next change of state is met, or conditionNotMet
 }
 
-// observe takes note of how many calls are in flight from now on.
+// observe records the number of calls in flight from now on.
 func (d *degradation) observe(now time.Duration, inFlight int) {
 	if d.settings.DegradeAt == 0 {
 		return
 	}
 	switch {
-	case !d.conditionHolds(float64(inFlight)):
-		d.since = notHolding
-	case d.since == notHolding:
-		d.since = now
+	case !d.conditionMet(float64(inFlight)):
+		d.conditionSince = conditionNotMet
+	case d.conditionSince == conditionNotMet:
+		d.conditionSince = now
 	}
 }
 
-// conditionHolds says whether that many calls in flight lead to the next change of state, if they stay.
-func (d *degradation) conditionHolds(inFlight float64) bool {
+// conditionMet reports whether this number of calls in flight leads to the next change of state if it persists.
+func (d *degradation) conditionMet(inFlight float64) bool {
 	if d.degraded {
 		return inFlight <= d.settings.RecoverBelow*d.settings.DegradeAt
 	}
 	return inFlight >= d.settings.DegradeAt
 }
 
-// nextChange is when the state changes next if the condition for it persists.
+// nextChange returns when the state changes next if the condition for it persists, or never if it is not met.
 func (d *degradation) nextChange() time.Duration {
 	switch {
-	case d.since == notHolding:
+	case d.conditionSince == conditionNotMet:
 		return never
 	case d.degraded:
-		return d.since + d.settings.RecoverAfter
+		return d.conditionSince + d.settings.RecoverAfter
 	}
-	return d.since + d.settings.DegradeAfter
+	return d.conditionSince + d.settings.DegradeAfter
 }
 
-// changeIfDue changes the state if its time has come.
+// changeIfDue changes the state if the condition for it has been met for long enough.
 func (d *degradation) changeIfDue(now time.Duration, inFlight int) {
 	if d.nextChange() <= now {
 		d.degraded = !d.degraded
-		d.since = notHolding
+		d.conditionSince = conditionNotMet
 		d.observe(now, inFlight)
 	}
 }
--- a/internal/servermodel/server_test.go
+++ b/internal/servermodel/server_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// completeAll completes all calls and returns the time of the last completion.
+// completeAll completes all calls, and returns their ids and the time of the last completion.
 func completeAll(s *Server) (ids []int, last time.Duration) {
 	for at, found := s.NextCompletion(); found; at, found = s.NextCompletion() {
 		ids, last = append(ids, s.Complete(at)...), at
@@ -14,7 +14,7 @@
 	return ids, last
 }
 
-// checkNear checks a time against the one wanted, to the millisecond.
+// checkNear checks that a time is within a millisecond of the wanted one.
 func checkNear(t *testing.T, what string, got, want time.Duration) {
 	t.Helper()
 	if d := got - want; d < -time.Millisecond || d > time.Millisecond {
@@ -22,14 +22,14 @@
 	}
 }
 
-// Two calls on one core share it, and a blocked call takes no part of it.
+// Two calls on one core share it equally, and a blocked call uses none of it.
 func TestCallsShareTheCores(t *testing.T) {
 	s := New(Settings{Cores: 1, Speed: 2, ConcurrencyLimit: 4}, 0, false)
 	s.Offer(0, Call{ID: 1, Work: 200 * time.Millisecond})
 	s.Offer(0, Call{ID: 2, Work: 200 * time.Millisecond, OffCPU: time.Second})
 	ids, last := completeAll(s)
 	if !slices.Equal(ids, []int{1, 2}) {
-		t.Errorf("completed %v", ids)
+		t.Errorf("completed the calls %v, want 1 and 2 in this order", ids)
 	}
 	checkNear(t, "the last call ended", last, 1200*time.Millisecond)
 }
@@ -39,17 +39,17 @@
 	s := New(Settings{Cores: 2, Speed: 1, ConcurrencyLimit: 2, QueueLimit: 1}, 0, false)
 	for id, want := range []bool{true, true, true, false} {
 		if got := s.Offer(0, Call{ID: id, Work: 100 * time.Millisecond}); got != want {
-			t.Errorf("call %d accepted: %v, want %v", id, got, want)
+			t.Errorf("call %d: accepted is %v, want %v", id, got, want)
 		}
 	}
 	ids, last := completeAll(s)
 	if len(ids) != 3 {
-		t.Errorf("completed %v", ids)
+		t.Errorf("completed the calls %v, want three", ids)
 	}
 	checkNear(t, "the queued call ended", last, 200*time.Millisecond)
 }
 
-// A server in slow start has a share of its speed, and all of it after some calls.
+// A server in slow start runs at a fraction of its speed, and at full speed after SlowStartCalls calls.
 func TestSlowStartEndsAfterSomeCalls(t *testing.T) {
 	s := New(Settings{Cores: 1, Speed: 1, ConcurrencyLimit: 1, SlowStartFloor: 0.5, SlowStartCalls: 2}, 0, true)
 	now := time.Duration(0)
@@ -61,7 +61,8 @@
 	}
 }
 
-// A server that was overloaded for long enough stays slow, though it is not any more, until it was nearly idle.
+// A server that was overloaded for long enough stays slow after the overload ends, until it has been nearly idle for
+// long enough.
 func TestDegradedServerStaysSlowUntilItWasNearlyIdle(t *testing.T) {
 	s := New(Settings{
 		Cores: 4, Speed: 1, ConcurrencyLimit: 10, DegradeAt: 4, DegradeAfter: time.Second, DegradeFactor: 2,
--- a/internal/servermodel/settings.go
+++ b/internal/servermodel/settings.go
@@ -14,24 +14,25 @@
 
 import "time"
 
-// Settings describe a server. A zero value switches a mechanism off, except for the first three.
+// Settings describes a server. A zero value disables the mechanism of a field, except for the first three fields.
 type Settings struct {
 	Cores            int     // cores that calls share
 	Speed            float64 // work that one core does in a second, in seconds of work
-	ConcurrencyLimit int     // calls in work or blocked at once
-	QueueLimit       int     // calls that wait for one of those to end; more are rejected
+	ConcurrencyLimit int     // calls that may be running or blocked at once
+	QueueLimit       int     // calls that may wait for one of those to complete; further calls are rejected
 
-	// In slow start a server has the share SlowStartFloor of its speed at first, and more with each call that
-	// it completes, up to all of it after SlowStartCalls calls.
+	// In slow start a server first runs at the fraction SlowStartFloor of its speed. The fraction grows with each
+	// completed call, and reaches 1 after SlowStartCalls calls.
 	SlowStartFloor float64
 	SlowStartCalls int
 
-	// Each running call beyond Knee costs the share Contention of one core's speed, as with a shared lock.
+	// Each running call beyond Knee slows all calls down, as with a shared lock: with N of them, the work takes
+	// 1 + Contention*N/Cores times as long.
 	Knee       int
 	Contention float64
 
-	// A server that has DegradeAt calls or more in flight for DegradeAfter degrades: it is slower by the factor
-	// DegradeFactor until it has had at most the share RecoverBelow of DegradeAt in flight for RecoverAfter.
+	// A server that has had at least DegradeAt calls in flight for DegradeAfter degrades: it is slower by the factor
+	// DegradeFactor until it has had at most RecoverBelow*DegradeAt calls in flight for RecoverAfter.
 	DegradeAt     float64
 	DegradeAfter  time.Duration
 	DegradeFactor float64
--- a/internal/servermodel/trace_test.go
+++ b/internal/servermodel/trace_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestSeededRunsStayTheSame hashes all that a server shows over seeded runs. The hashes were taken before the
-// package was split into files.
+// TestSeededRunsStayTheSame guards against unintended changes of the model: it compares hashes of all that can be
+// observed in seeded runs with hashes from before the package was split into several files.
 func TestSeededRunsStayTheSame(t *testing.T) {
 	warm := Settings{
 		Cores: 2, Speed: 0.85, ConcurrencyLimit: 13, QueueLimit: 2, SlowStartFloor: 0.35, SlowStartCalls: 60,
@@ -35,14 +35,15 @@
 	}
 }
 
-// hashOfRun offers calls in bursts to a server and completes them at the times that it names.
+// hashOfRun offers calls in bursts to a server and completes them at the times of NextCompletion. It returns a hash of
+// all that can be observed, and how many times the server degraded or recovered.
 func hashOfRun(settings Settings, slowStart bool) (hash uint64, changes int) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	shown := fnv.New64a()
+	observed := fnv.New64a()
 	s := New(settings, 0, slowStart)
 	degraded := false
-	show := func(now time.Duration, what any) {
-		fmt.Fprintln(shown, now, what, s.InFlight(), s.Degraded(), s.SlowStartFraction())
+	record := func(now time.Duration, result any) {
+		fmt.Fprintln(observed, now, result, s.InFlight(), s.Degraded(), s.SlowStartFraction())
 		if s.Degraded() != degraded {
 			degraded = !degraded
 			changes++
@@ -56,13 +57,13 @@
 		}
 		now += time.Duration(rng.ExpFloat64() * float64(pause))
 		for at, found := s.NextCompletion(); found && at <= now; at, found = s.NextCompletion() {
-			show(at, s.Complete(at))
+			record(at, s.Complete(at))
 		}
 		call := Call{ID: id, Work: time.Duration(rng.ExpFloat64() * float64(30*time.Millisecond))}
 		if id%3 == 0 {
 			call.OffCPU = time.Duration(rng.ExpFloat64() * float64(20*time.Millisecond))
 		}
-		show(now, s.Offer(now, call))
+		record(now, s.Offer(now, call))
 	}
-	return shown.Sum64(), changes
+	return observed.Sum64(), changes
 }
