--- a/cmd/balancer-sim/main.go
+++ b/cmd/balancer-sim/main.go
@@ -1,6 +1,6 @@
 // Command balancer-sim runs Balancers inside the simulator: it reads batches of events from standard input
-// and writes one reply for each to standard output, in the protocol of package wire. It ends with exit code 0
-// when the input ends between two batches, and with 1 and a line on standard error when the input breaks the
+// and writes one reply for each to standard output, in the protocol of package wire. It exits with status 0 when
+// the input ends between two batches, and with status 1 and a line on standard error when the input breaks the
 // protocol, when settings are out of range, or when a reply cannot be written.
 package main
 
@@ -22,7 +22,7 @@
 	}
 }
 
-// run answers batches until the input ends. A reply is written completely or not at all.
+// run processes batches until the input ends. A reply is written completely or not at all.
 func run(in io.Reader, out io.Writer) error {
 	decoder := wire.NewDecoder(in)
 	h := host{encoder: wire.NewEncoder(out), balancers: map[int]*balancer.Balancer{}}
@@ -40,14 +40,14 @@
 	}
 }
 
-// host keeps one Balancer for each running instance. The instances share nothing but the clock of the batch.
+// host has a Balancer for each running instance. The instances share only the clock of the batch.
 type host struct {
 	encoder   *wire.Encoder
 	balancers map[int]*balancer.Balancer // by the number of the instance
 	now       time.Duration
 }
 
-// handle carries out one message. A message for an instance that is not running is ignored.
+// handle processes one message. An event for an instance that is not running is ignored.
 func (h *host) handle(m wire.Message) error {
 	switch m.Kind {
 	case wire.BatchStart:
