--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,18 +1,18 @@
 // Package examples holds a complete example configuration of a node, in config.json. docs/CONFIGURATION.md explains
-// its keys. The program quickstart, in the folder below, runs a node with it.
+// its keys. The program in the directory quickstart runs a node with it.
 package examples
 
 import (
-	_ "embed" // for the configuration
+	_ "embed" // for config.json
 	"strings"
 )
 
-// Config is the example configuration, as it stands in config.json.
+// Config is the example configuration: the contents of config.json.
 //
 //go:embed config.json
 var Config string
 
-// Addresses are the addresses that a configuration names.
+// Addresses holds the addresses in a configuration.
 type Addresses struct {
 	Listen    string    // where the node accepts clients' connections
 	Discovery string    // of the agent or the registry
@@ -28,7 +28,7 @@
 	}
 }
 
-// ConfigWith returns the example configuration with other addresses in it.
+// ConfigWith returns the example configuration with its addresses replaced.
 func ConfigWith(addresses Addresses) string {
 	example := ConfigAddresses()
 	replacements := []string{example.Listen, addresses.Listen, example.Discovery, addresses.Discovery}
--- a/examples/examples_test.go
+++ b/examples/examples_test.go
@@ -14,10 +14,10 @@
 		t.Fatal(err)
 	}
 	if config.Listen != ConfigAddresses().Listen || config.Discovery != ConfigAddresses().Discovery {
-		t.Errorf("got the addresses %s and %s", config.Listen, config.Discovery)
+		t.Errorf("got the addresses %s and %s, want those of ConfigAddresses", config.Listen, config.Discovery)
 	}
 	if len(config.Settings.Classes) != 3 || config.ConnectTimeout != 150*time.Millisecond {
-		t.Errorf("got %+v", config)
+		t.Errorf("got %+v, want three classes and a connect timeout of 150 ms", config)
 	}
 }
 
@@ -33,10 +33,10 @@
 	for i, address := range replaced.all() {
 		old := ConfigAddresses().all()[i]
 		if strings.Count(text, `"`+address+`"`) != 1 || strings.Count(Config, `"`+old+`"`) != 1 {
-			t.Errorf("%s and its replacement %s should each stand once", old, address)
+			t.Errorf("%s and its replacement %s must each occur once in their configurations", old, address)
 		}
 		if strings.Contains(text, `"`+old+`"`) {
-			t.Errorf("%s is still there", old)
+			t.Errorf("the new configuration still has the address %s", old)
 		}
 	}
 }
--- a/examples/quickstart/client.go
+++ b/examples/quickstart/client.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// requestClass is a class of requests as clients know it. The class is the first part of the path, and decides the
-// method; examples/config.json has the other properties.
+// requestClass holds the properties of a class of requests that clients need. The name of the class is the first part
+// of the path. The other properties of the class are in examples/config.json.
 type requestClass struct {
 	name     string
 	method   string
-	keyed    bool          // requests have an Idempotency-Key
-	deadline time.Duration // how long a client waits
+	keyed    bool          // requests have an Idempotency-Key header
+	deadline time.Duration // how long a client waits for the response
 }
 
 // The classes of examples/config.json.
@@ -28,26 +28,26 @@
 	classOrder = &requestClass{name: "order", method: http.MethodPost, deadline: 3 * time.Second}
 )
 
-// classMix is how the classes follow each other: six views and three favourites for each order.
+// classMix is the repeating sequence of classes that clients send: six views and three favourites for each order.
 var classMix = [...]*requestClass{
 	classView, classFavourite, classView, classView, classOrder,
 	classView, classFavourite, classView, classFavourite, classView,
 }
 
-// result is how a request ended, as its client saw it.
+// result is the result of a request, as its client saw it.
 type result struct {
 	class  *requestClass
 	id     string // of the request
 	sentAt time.Time
-	status int // of HTTP
+	status int // HTTP status code
 	body   string
-	err    error // there was no complete response
+	err    error // set if there was no complete response
 }
 
 // responseBody is the body of a server's response to a request.
 func responseBody(server, requestID string) string { return server + " " + requestID }
 
-// server returns the name of the server that made the response, if one did.
+// server returns the name of the server that served the request, or an empty string if none did.
 func (r result) server() string {
 	if r.status != http.StatusOK {
 		return ""
@@ -70,7 +70,7 @@
 // close closes the connections, all of which are idle.
 func (c *clients) close() { c.http.CloseIdleConnections() }
 
-// send sends one request and waits for its response. The number makes the request's id unique.
+// send sends one request and waits for its response. The number makes the id of the request unique.
 func (c *clients) send(ctx context.Context, class *requestClass, number int) result {
 	sent := result{class: class, id: fmt.Sprintf("request-%d", number), sentAt: time.Now()}
 	url := fmt.Sprintf("http://%s/%s/%d", c.address, class.name, number)
@@ -88,21 +88,21 @@
 	return sent
 }
 
-// do makes one call and reads the whole response.
+// do sends a prepared request and reads the whole response.
 func (c *clients) do(request *http.Request) (status int, body string, err error) {
 	response, err := c.http.Do(request)
 	if err != nil {
 		return 0, "", err
 	}
 	defer response.Body.Close()
-	read, err := io.ReadAll(response.Body)
-	return response.StatusCode, string(read), err
+	content, err := io.ReadAll(response.Body)
+	return response.StatusCode, string(content), err
 }
 
-// readyPollInterval is how often awaitReady asks.
+// readyPollInterval is the interval of awaitReady's readiness checks.
 const readyPollInterval = 10 * time.Millisecond
 
-// awaitReady waits until the node says that it may get traffic, which takes an endpoint list.
+// awaitReady waits until the node reports that it is ready for traffic, for which it needs an endpoint list.
 func (c *clients) awaitReady(ctx context.Context) error {
 	for {
 		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.address+"/health/ready", nil)
--- a/examples/quickstart/phases.go
+++ b/examples/quickstart/phases.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	clientCount      = 4   // clients that send at the same time, one request each
+	clientCount      = 4   // concurrent clients, each of which sends one request at a time
 	requestsPerPhase = 120 // by all clients together
 
 	// stopSendingWithin is how long a node may keep sending to a server that is listed as terminating.
@@ -18,29 +18,29 @@
 // phase is a part of the run.
 type phase struct {
 	name string
-	// change is what happens after a quarter of the requests, while the others are being sent. Nil: nothing.
+	// change is called after a quarter of the requests, while clients send the others. It may be nil.
 	change func()
-	// settle waits behind the last request until the change must be in force. Nil: at once.
+	// settle waits after the last request until the change must have taken effect. It may be nil.
 	settle func(context.Context) error
-	// mayLose says that a server crashes. An order that it may have begun is answered as failed, not repeated.
-	mayLose bool
+	// mayLoseOrders is set if a server crashes. An order that it may have started gets a failure response and no retry.
+	mayLoseOrders bool
 }
 
-// phaseResult is how the requests of a phase ended.
+// phaseResult holds the results of the requests of a phase.
 type phaseResult struct {
 	phase
 	results []result
 }
 
-// planPhases returns the phases in their order.
+// planPhases returns the phases in order.
 func planPhases(agent *agent, servers serverGroup) []phase {
 	var drainedAt time.Time
 	return []phase{
 		{name: "all three are in service"},
 		{
-			name:    "server-2 crashes, and stays in the list",
-			change:  servers[crashingServer].crash,
-			mayLose: true,
+			name:          "server-2 crashes, and stays in the list",
+			change:        servers[crashingServer].crash,
+			mayLoseOrders: true,
 		},
 		{
 			name:   "server-3 is listed as terminating",
@@ -54,7 +54,7 @@
 }
 
 // settleDrain waits until the node has been notified of the drain and the time to stop sending is over. From then on
-// each request that the server gets is one too many.
+// the server must not receive any request.
 func settleDrain(ctx context.Context, agent *agent, draining *server, drainedAt time.Time) error {
 	if err := agent.awaitConfirmed(ctx); err != nil {
 		return fmt.Errorf("the node did not ask for changes of the endpoint list: %w", err)
@@ -69,31 +69,31 @@
 	return nil
 }
 
-// playPhases has the clients send the requests of all phases. It returns the results of those that were played.
-func playPhases(ctx context.Context, balancer *runningNode, agent *agent, servers serverGroup) ([]phaseResult, error) {
+// runPhases has the clients send the requests of all phases. It returns the results of the phases that were run.
+func runPhases(ctx context.Context, balancer *runningNode, agent *agent, servers serverGroup) ([]phaseResult, error) {
 	clients := newClients(balancer.address())
 	defer clients.close()
 	if err := clients.awaitReady(ctx); err != nil {
 		return nil, err
 	}
-	var played []phaseResult
+	var completed []phaseResult
 	for i, p := range planPhases(agent, servers) {
-		played = append(played, phaseResult{phase: p, results: clients.play(ctx, p, i*requestsPerPhase)})
+		completed = append(completed, phaseResult{phase: p, results: clients.runPhase(ctx, p, i*requestsPerPhase)})
 		if ctx.Err() != nil {
-			return played, context.Cause(ctx)
+			return completed, context.Cause(ctx)
 		}
 		if p.settle == nil {
 			continue
 		}
 		if err := p.settle(ctx); err != nil {
-			return played, err
+			return completed, err
 		}
 	}
-	return played, nil
+	return completed, nil
 }
 
-// play sends the requests of a phase, by clientCount clients at the same time.
-func (c *clients) play(ctx context.Context, p phase, first int) []result {
+// runPhase sends the requests of a phase from clientCount concurrent clients. Their numbers start at first.
+func (c *clients) runPhase(ctx context.Context, p phase, first int) []result {
 	results := make([]result, requestsPerPhase)
 	next := make(chan int)
 	var sending sync.WaitGroup
--- a/examples/quickstart/registry.go
+++ b/examples/quickstart/registry.go
@@ -26,15 +26,16 @@
 	BootMS   int64   `json:"boot_ms"`
 }
 
-// endpointList is an answer of the agent: the whole list, or what changed since a version (here: nothing).
+// endpointList is a response of the agent: the whole list, or the changes since a version (here always none).
 type endpointList struct {
 	Version  int         `json:"rev"`
 	Complete bool        `json:"all"`
 	Entries  []listEntry `json:"targets"`
 }
 
-// agent is a stand-in for the registry's agent on the node's machine. The node keeps a watch open: a call with the
-// version that it has, which is answered when there is a newer one, or empty after the time that the call allows.
+// agent is a stand-in for the registry's agent on the node's machine. The node keeps a watch open: a request with the
+// version that the node has. The agent responds to it with a newer list as soon as there is one, or with no changes
+// after the hold time in the request.
 type agent struct {
 	address string
 	http    *httpServer
@@ -42,10 +43,10 @@
 	mu        sync.Mutex
 	list      endpointList
 	changed   chan struct{} // closed when the list changes
-	confirmed chan struct{} // closed when a node has asked for what is newer than the list
+	confirmed chan struct{} // closed when a node has sent a request with the version of the list
 }
 
-// startAgent serves a list of servers that are all in service.
+// startAgent starts an agent whose list has a server in service at each address.
 func startAgent(addresses [serverCount]string) (*agent, error) {
 	a := &agent{changed: make(chan struct{}), confirmed: make(chan struct{})}
 	a.list = endpointList{Version: 1, Complete: true}
@@ -63,10 +64,10 @@
 	return a, nil
 }
 
-// close ends the agent, and with it all watches.
+// close stops the agent and closes all watches.
 func (a *agent) close() { a.http.close() }
 
-// drain lists a server as terminating: it finishes what it has and wants nothing new.
+// drain lists a server as terminating: it finishes the requests that it has and must not get new ones.
 func (a *agent) drain(index int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -77,7 +78,7 @@
 	a.changed, a.confirmed = make(chan struct{}), make(chan struct{})
 }
 
-// awaitConfirmed waits until the node has the newest list. It shows that by its next call, which names the version.
+// awaitConfirmed waits until the node has the newest list, which the version in its next request shows.
 func (a *agent) awaitConfirmed(ctx context.Context) error {
 	a.mu.Lock()
 	confirmed := a.confirmed
@@ -90,19 +91,19 @@
 	}
 }
 
-// ServeHTTP answers one call for the list.
+// ServeHTTP responds to one request for the list.
 func (a *agent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	version, err := strconv.Atoi(query.Get("from"))
 	if err != nil {
-		version = -1 // the call has none: it asks for the whole list
+		version = -1 // no version: the request is for the whole list
 	}
 	holdMS, _ := strconv.Atoi(query.Get("hold_ms"))
 	list := a.newerThan(r.Context(), version, time.Duration(holdMS)*time.Millisecond)
-	_ = json.NewEncoder(w).Encode(list) // a node that has closed the connection needs no answer
+	_ = json.NewEncoder(w).Encode(list) // a node that has closed the connection needs no response
 }
 
-// newerThan returns the list once it is newer than a version, or an empty update after hold.
+// newerThan returns the list as soon as its version differs from the given one, or an empty update after hold.
 func (a *agent) newerThan(ctx context.Context, version int, hold time.Duration) endpointList {
 	a.mu.Lock()
 	list, changed := a.list, a.changed
@@ -126,7 +127,7 @@
 	return endpointList{Version: version, Entries: []listEntry{}}
 }
 
-// confirm notes that the node has the list. The caller holds mu.
+// confirm records that the node has the list. The caller must hold mu.
 func (a *agent) confirm() {
 	select {
 	case <-a.confirmed:
--- a/examples/quickstart/report.go
+++ b/examples/quickstart/report.go
@@ -6,10 +6,10 @@
 	"text/tabwriter"
 )
 
-// columnPadding is how many spaces stand between two columns of the report.
+// columnPadding is the number of spaces between two columns of the report.
 const columnPadding = 2
 
-// writeReport writes a table of who served what in each phase, and the node's traffic line.
+// writeReport writes a table of how many requests each server served in each phase, and the node's traffic line.
 func writeReport(out io.Writer, phases []phaseResult, trafficLine string) {
 	table := tabwriter.NewWriter(out, 0, 0, columnPadding, ' ', 0)
 	fmt.Fprint(table, "phase\trequests")
@@ -17,12 +17,12 @@
 		fmt.Fprintf(table, "\t%s", serverName(index))
 	}
 	fmt.Fprintln(table, "\tnot served")
-	for _, played := range phases {
+	for _, completed := range phases {
 		served := map[string]int{}
-		for _, ended := range played.results {
-			served[ended.server()]++
+		for _, outcome := range completed.results {
+			served[outcome.server()]++
 		}
-		fmt.Fprintf(table, "%s\t%d", played.name, len(played.results))
+		fmt.Fprintf(table, "%s\t%d", completed.name, len(completed.results))
 		for index := range serverCount {
 			fmt.Fprintf(table, "\t%d", served[serverName(index)])
 		}
--- a/examples/quickstart/server.go
+++ b/examples/quickstart/server.go
@@ -10,33 +10,33 @@
 	"basaltdrum/examples"
 )
 
-// anyPort has the kernel choose a free port of the loopback address.
+// anyPort is a loopback address for which the kernel chooses a free port.
 const anyPort = "127.0.0.1:0"
 
 // serviceTime is how long a stand-in server works on a request.
 const serviceTime = 2 * time.Millisecond
 
-// The servers that something happens to, by their index.
+// Indexes of the servers that do not stay in service.
 const (
 	crashingServer = 1
 	drainingServer = 2
 )
 
-// server is a stand-in for a server of the tier that the node balances. It answers each request with its own name and
-// the request's id.
+// server is a stand-in for a server of the tier that the node balances. It responds to each request with its own name
+// and the id of the request.
 type server struct {
-	name      string
-	address   string
-	http      *httpServer
-	stoppedAt time.Time    // after which no request that a client sends may be served here; zero: it is in service
-	drained   atomic.Bool  // from here on a request is one too many
-	late      atomic.Int64 // requests that came nevertheless
+	name         string
+	address      string
+	http         *httpServer
+	stoppedAt    time.Time    // no request sent after this time may be served here; zero while the server is in service
+	drained      atomic.Bool  // the server must not receive further requests
+	lateRequests atomic.Int64 // requests received although drained was set
 }
 
-// ServeHTTP works on one request.
+// ServeHTTP serves one request.
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if s.drained.Load() {
-		s.late.Add(1)
+		s.lateRequests.Add(1)
 	}
 	select {
 	case <-time.After(serviceTime):
@@ -45,16 +45,16 @@
 	}
 }
 
-// crash resets the server's connections and refuses new ones, as the death of its process does.
+// crash resets the server's connections and refuses new ones, like a crash of its process.
 func (s *server) crash() {
 	s.http.close()
 	s.stoppedAt = time.Now()
 }
 
-// serverCount is how many servers the tier has.
+// serverCount is the number of servers in the tier.
 const serverCount = len(examples.Addresses{}.Servers)
 
-// serverGroup is all servers of the tier.
+// serverGroup holds all servers of the tier.
 type serverGroup [serverCount]*server
 
 // serverName returns the name of a server by its index.
@@ -84,7 +84,7 @@
 	return addresses
 }
 
-// close ends all servers that were started.
+// close stops all servers that were started.
 func (g serverGroup) close() {
 	for _, s := range g {
 		if s != nil {
@@ -97,7 +97,7 @@
 type httpServer struct {
 	address string
 	server  *http.Server
-	ended   chan struct{}
+	stopped chan struct{} // closed when the goroutine has ended
 }
 
 // startHTTP serves on a free port until close.
@@ -107,17 +107,17 @@
 		return nil, err
 	}
 	s := &httpServer{
-		address: listener.Addr().String(), server: &http.Server{Handler: handler}, ended: make(chan struct{}),
+		address: listener.Addr().String(), server: &http.Server{Handler: handler}, stopped: make(chan struct{}),
 	}
 	go func() {
-		defer close(s.ended)
-		_ = s.server.Serve(listener) // it returns http.ErrServerClosed after close
+		defer close(s.stopped)
+		_ = s.server.Serve(listener) // returns http.ErrServerClosed after close
 	}()
 	return s, nil
 }
 
-// close ends all connections at once. It may be called twice.
+// close closes all connections and stops the server. It may be called twice.
 func (s *httpServer) close() {
 	_ = s.server.Close()
-	<-s.ended
+	<-s.stopped
 }
