--- a/cmd/balancer/clients_test.go
+++ b/cmd/balancer/clients_test.go
@@ -24,7 +24,7 @@
 	reader        *bufio.Reader
 }
 
-// get sends a request and reads the answer. An error says that the connection ended with no complete answer.
+// get sends a request and reads the response. An error means that the connection ended without a complete response.
 func (c *client) get(target string) (status int, body string, err error) {
 	if c.conn == nil {
 		if c.conn, err = net.Dial("tcp", c.address); err != nil {
@@ -33,7 +33,7 @@
 		c.reader = bufio.NewReader(c.conn)
 		c.dials++
 	}
-	c.conn.SetDeadline(time.Now().Add(2 * limit))
+	c.conn.SetDeadline(time.Now().Add(2 * waitTimeout))
 	c.sent++
 	fmt.Fprintf(c.conn, "GET %s HTTP/1.1\r\nHost: h\r\nX-Request-Id: %s-%d\r\nX-Deadline: 20\r\n\r\n",
 		target, c.name, c.sent)
@@ -55,13 +55,14 @@
 	}
 }
 
-// getOnce sends a request on a connection of its own. The error says that it was ended with no answer.
+// getOnce sends a request on a connection of its own. An error means that the connection ended without a complete
+// response; a timeout is not an error, but has status 0.
 func getOnce(address string) (status int, body string, err error) {
-	c := client{address: address, name: "good"}
+	c := client{address: address, name: "single"}
 	defer c.close()
 	status, body, err = c.get("/view/k")
 	if status == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
-		return 0, "no answer", nil
+		return 0, "response timed out", nil
 	}
 	return status, body, err
 }
@@ -74,13 +75,13 @@
 	return listEntry(name, strings.TrimPrefix(server.URL, "http://"))
 }
 
-// newNamingServer starts a server that answers with its name.
-func newNamingServer(t *testing.T, name string) string {
+// newNamedServer starts a server that responds with its name.
+func newNamedServer(t *testing.T, name string) string {
 	return newServer(t, name, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, name) })
 }
 
-// newHoldingServer starts a server that answers with the id of each request. It holds those whose path ends in
-// /slow until they are released, and reports their arrival.
+// newHoldingServer starts a server that responds with the id of each request. It holds requests whose path ends in
+// /slow until release is called, and reports their arrival on held.
 func newHoldingServer(t *testing.T) (entry string, held <-chan struct{}, release func()) {
 	t.Helper()
 	arrived, hold := make(chan struct{}, 1), make(chan struct{})
@@ -92,27 +93,33 @@
 		fmt.Fprint(w, "for ", r.Header.Get("X-Request-Id"))
 	})
 	release = sync.OnceFunc(func() { close(hold) })
-	t.Cleanup(release) // before the server closes, which waits for its requests
+	t.Cleanup(release) // before the server's cleanup, which waits for its requests
 	return entry, arrived, release
 }
 
-// idleClients are clients that hold connections: each connects, does what its kind does, and stays until the node
-// closes the connection; then it connects again.
+// idleClients are clients that hold connections. Each connects, sends what its kind sends, and waits until the node
+// closes the connection; then it connects again. The kinds are:
+//
+//   - no_request: sends nothing
+//   - partial_request: sends a part of a request
+//   - keep_alive: sends a request and keeps the connection after the response
+//   - mixed: each of the others in turn
 type idleClients struct {
 	address  string
 	kind     string
-	permits  chan struct{} // one for each connection to be made
+	permits  chan struct{} // one for each connection to be opened
 	stop     chan struct{}
 	wg       sync.WaitGroup
-	ended    atomic.Int64 // connections that the node has ended
-	inFlight atomic.Int64 // requests that are not answered
-	resting  atomic.Bool  // no request is sent any more
+	closed   atomic.Int64 // connections that the node has closed
+	inFlight atomic.Int64 // requests without a response
+
+	requestsStopped atomic.Bool // no more requests are sent
 
 	mu    sync.Mutex
 	conns map[net.Conn]struct{}
 }
 
-// connect is one connection of a client.
+// connect opens a connection and holds it until the node closes it. The kind of mixed clients depends on n.
 func (c *idleClients) connect(n int) {
 	nc, err := net.Dial("tcp", c.address)
 	if err != nil {
@@ -130,40 +137,41 @@
 	c.mu.Unlock()
 	kind := c.kind
 	if kind == "mixed" {
-		kind = []string{"silent", "partial", "resting"}[n%3]
+		kind = []string{"no_request", "partial_request", "keep_alive"}[n%3]
 	}
 	switch kind {
-	case "partial":
+	case "partial_request":
 		io.WriteString(nc, "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Req")
-	case "resting":
-		c.inFlight.Add(1) // before resting is read, so that nothing is sent once it is set and no request is counted
-		if !c.resting.Load() {
+	case "keep_alive":
+		// Counted before requestsStopped is read: once that is set and the count is 0, no request is sent.
+		c.inFlight.Add(1)
+		if !c.requestsStopped.Load() {
 			fmt.Fprintf(nc, "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: idle-%p-%d\r\nX-Deadline: 40\r\n\r\n",
 				nc, n)
 			nc.Read(make([]byte, 1))
 		}
 		c.inFlight.Add(-1)
 	}
-	io.Copy(io.Discard, nc) // until the node ends it
+	io.Copy(io.Discard, nc) // until the node closes the connection
 	c.mu.Lock()
 	delete(c.conns, nc)
 	c.mu.Unlock()
-	c.ended.Add(1)
+	c.closed.Add(1)
 }
 
-// Connections of idle clients: all at once at first, then one each time, and no more than so many in all.
+// Idle clients connect all at once at first, then one each reconnectInterval, and maxConnects times in total.
 const (
 	reconnectInterval = 2 * time.Millisecond
 	maxConnects       = 20_000
 )
 
-// newIdleClients has many idle clients connect at once, and connect again for as long as the test runs.
-func newIdleClients(t *testing.T, address, kind string, many int) *idleClients {
+// newIdleClients connects a number of idle clients at once. They reconnect until the test ends.
+func newIdleClients(t *testing.T, address, kind string, count int) *idleClients {
 	c := &idleClients{
-		address: address, kind: kind, permits: make(chan struct{}, many), stop: make(chan struct{}),
+		address: address, kind: kind, permits: make(chan struct{}, count), stop: make(chan struct{}),
 		conns: map[net.Conn]struct{}{},
 	}
-	for i := range many {
+	for i := range count {
 		c.permits <- struct{}{}
 		c.wg.Add(1)
 		go func() {
@@ -181,17 +189,17 @@
 	c.wg.Add(1)
 	go func() {
 		defer c.wg.Done()
-		again := time.NewTicker(reconnectInterval)
-		defer again.Stop()
-		for range maxConnects - many {
+		ticker := time.NewTicker(reconnectInterval)
+		defer ticker.Stop()
+		for range maxConnects - count {
 			select {
 			case <-c.stop:
 				return
-			case <-again.C:
+			case <-ticker.C:
 			}
 			select {
 			case c.permits <- struct{}{}:
-			default: // all are there
+			default: // enough permits are left
 			}
 		}
 	}()
@@ -207,12 +215,12 @@
 	return c
 }
 
-// openDescriptors is how many descriptors a process holds.
+// openDescriptors returns the number of descriptors that a process has open.
 func openDescriptors(t *testing.T, pid int) int {
 	t.Helper()
-	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
+	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return len(open)
+	return len(entries)
 }
--- a/cmd/balancer/helpers_test.go
+++ b/cmd/balancer/helpers_test.go
@@ -15,14 +15,15 @@
 	"time"
 )
 
-// limit is how long a test waits for something; only a failing test waits so long.
-const limit = 60 * time.Second
+// waitTimeout limits each wait of a test. Only a failing test reaches it.
+const waitTimeout = 60 * time.Second
 
+// settings is the settings object of a node's configuration.
 const settings = `{"lanes":[{"name":"view","effect":"read_like","target-ms":20000,"deadline-ms":40000}],
 	"limits":{"max-attempts":3,"conn-idle-ms":60000,"connect-timeout-ms":20000,"cancelling":true,
 	"retry-after":true,"max-retry-after-ms":2000},"tick-ms":5,"balancers":1,"registry-mode":"pushed"}`
 
-// program is what deploy/balancer.toml builds, made once for all tests, and the commands that it names.
+// program is the build of deploy/balancer.toml, made once for all tests, with the commands named there.
 var program = struct {
 	once          sync.Once
 	dir, run, sim string
@@ -36,10 +37,10 @@
 	os.Exit(code)
 }
 
-// build makes what deploy/balancer.toml builds. Tests write nothing to its folder.
+// build builds the commands that deploy/balancer.toml runs. Tests must not write to the build's folder.
 func build(t *testing.T) {
 	t.Helper()
-	readSources(t) // each test's result depends on them
+	readSources(t) // the result of each test depends on the sources
 	program.once.Do(func() {
 		deploy, err := os.ReadFile("../../deploy/balancer.toml")
 		if err != nil {
@@ -64,12 +65,12 @@
 		program.run, program.sim = run, sim
 	})
 	if program.run == "" {
-		t.Fatal("the program was not built")
+		t.Fatal("the program has not been built; see the first failed test")
 	}
 }
 
-// readSources lets go test know what the program is built from: the test's own binary contains little of that, and
-// a result cached from before a change would stand for the changed program.
+// readSources reads the program's sources, so that go test takes them as inputs of the test. The test binary contains
+// few of them, and a result cached before a change would be reported for the changed program.
 func readSources(t *testing.T) {
 	t.Helper()
 	err := filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
@@ -91,11 +92,11 @@
 // process is one run of the program.
 type process struct {
 	cmd   *exec.Cmd
-	ended chan struct{} // closed once it has ended
+	ended chan struct{} // closed once the process has ended
 
 	mu      sync.Mutex
 	log     bytes.Buffer
-	awaited int // bytes of the log that await is past
+	awaited int // length of the log up to the last text that await has found
 }
 
 func (p *process) Write(text []byte) (int, error) {
@@ -110,7 +111,7 @@
 	return p.log.String()
 }
 
-// await waits for a text in the log behind those that it waited for before.
+// await waits for a text in the log after the texts of earlier calls.
 func (p *process) await(t *testing.T, want string) {
 	t.Helper()
 	eventually(t, fmt.Sprintf("%q in the log", want), func() bool {
@@ -123,36 +124,36 @@
 		return true
 	})
 	if !strings.HasSuffix(p.logText()[:p.awaited], want) {
-		t.Fatalf("it ended without %q: %s", want, p.logText())
+		t.Fatalf("the process ended without %q in its log:\n%s", want, p.logText())
 	}
 }
 
-// end signals the process, if it runs, and waits until it has ended.
+// end sends a signal to the process, if it is running, and waits until it has ended.
 func (p *process) end(s syscall.Signal) {
 	p.cmd.Process.Signal(s)
 	<-p.ended
 }
 
-// alive says that the process has not ended.
+// alive reports whether the process has not ended.
 func (p *process) alive() bool {
 	return !isClosed(p.ended)
 }
 
-// address is where the process listens, once it does.
+// address waits until the process serves, and returns the address that it listens on.
 func (p *process) address(t *testing.T) string {
 	t.Helper()
-	var found []string
+	var match []string
 	eventually(t, "the program to serve", func() bool {
-		found = servingAt.FindStringSubmatch(p.logText())
-		return found != nil || !p.alive()
+		match = servingAt.FindStringSubmatch(p.logText())
+		return match != nil || !p.alive()
 	})
-	if found == nil {
-		t.Fatalf("it ended: %s", p.logText())
+	if match == nil {
+		t.Fatalf("the process ended before it served:\n%s", p.logText())
 	}
-	return found[1]
+	return match[1]
 }
 
-// reload replaces a process's configuration file as a whole, and sends SIGHUP.
+// reload replaces the process's configuration file atomically, and sends SIGHUP.
 func (p *process) reload(t *testing.T, config string) {
 	t.Helper()
 	path := strings.TrimPrefix(p.cmd.Env[len(p.cmd.Env)-1], "BALANCER_CONFIG=")
@@ -167,18 +168,18 @@
 	}
 }
 
-// launch runs the program with a configuration, and with a hard limit on descriptors unless sockets is 0.
+// launch starts the program with a configuration. Unless sockets is 0, it is the hard limit on open descriptors.
 func launch(t *testing.T, config string, sockets int) *process {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(config), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	text := program.run
+	command := program.run
 	if sockets > 0 {
-		text = fmt.Sprintf("ulimit -n %d; %s", sockets, text)
+		command = fmt.Sprintf("ulimit -n %d; %s", sockets, command)
 	}
-	p := &process{cmd: exec.Command("/bin/sh", "-c", text), ended: make(chan struct{})}
+	p := &process{cmd: exec.Command("/bin/sh", "-c", command), ended: make(chan struct{})}
 	p.cmd.Dir, p.cmd.Env = program.dir, append(os.Environ(), "BALANCER_CONFIG="+path)
 	p.cmd.Stdout, p.cmd.Stderr = p, p
 	if err := p.cmd.Start(); err != nil {
@@ -192,39 +193,42 @@
 	return p
 }
 
+// servingAt matches the log line of a node that serves, and its address.
 var servingAt = regexp.MustCompile(`msg=serving .*address=(\S+)`)
 
-// eventually polls a condition, and fails the test if it never holds.
-func eventually(t *testing.T, what string, holds func() bool) {
+// eventually polls a condition, and fails the test if it does not hold within waitTimeout.
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(limit); !holds(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
 
-// waitFor waits for a channel to be closed or to deliver, and fails the test if neither happens.
+// waitFor waits until a channel delivers a value or is closed, and fails the test if neither happens within
+// waitTimeout.
 func waitFor(t *testing.T, c <-chan struct{}, what string) {
 	t.Helper()
 	select {
 	case <-c:
-	case <-time.After(limit):
-		t.Fatalf("waited in vain for %s", what)
+	case <-time.After(waitTimeout):
+		t.Fatalf("timed out waiting for %s", what)
 	}
 }
 
-// listEntry is a server's entry in an endpoint list.
+// listEntry returns a server's entry in an endpoint list.
 func listEntry(uid, endpoint string) string {
 	return fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":"a","model":"m","pod_group":0,"state":"in_service",
 		"capacity_hint":1,"boot_ms":0}`, uid, endpoint)
 }
 
-// nodeConfig is a node's configuration; known is the entries of its cached list.
-func nodeConfig(listen, discovery, known, mode string, sockets int) string {
-	set := strings.Replace(settings, `"registry-mode":"pushed"`,
+// nodeConfig returns a node's configuration. cachedEntries are the entries of its cached list. mode is the discovery
+// mode: pushed or on_request.
+func nodeConfig(listen, discovery, cachedEntries, mode string, sockets int) string {
+	nodeSettings := strings.Replace(settings, `"registry-mode":"pushed"`,
 		fmt.Sprintf(`"rules":{"ask-within-ms":1000},"registry-mode":%q`, mode), 1)
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1,"memory_mb":192,"sockets":%d},"known":{"rev":1,"all":true,"targets":[%s]},"settings":%s}`,
-		listen, discovery, sockets, known, set)
+		listen, discovery, sockets, cachedEntries, nodeSettings)
 }
--- a/cmd/balancer/main.go
+++ b/cmd/balancer/main.go
@@ -25,7 +25,7 @@
 
 // run serves until SIGTERM or SIGINT, and then until the node has drained.
 func run() error {
-	// SIGHUP ends a program that does not catch it, so it is caught before anything else.
+	// SIGHUP terminates a process that does not handle it, so the handler is registered first.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	cfg, err := node.LoadConfig()
@@ -41,13 +41,13 @@
 		return err
 	}
 	log.Info("serving", "address", n.Addr())
-	running, ended := context.WithCancel(context.Background())
-	defer ended()
-	go reloadOnSignal(running, hangups, n, log) // also while the node drains
+	reloadCtx, stopReloads := context.WithCancel(context.Background())
+	defer stopReloads()
+	go reloadOnSignal(reloadCtx, hangups, n, log) // also while the node drains
 	return n.Run(ctx)
 }
 
-// reloadOnSignal reads the configuration again at each signal, until ctx ends.
+// reloadOnSignal reloads the configuration on each signal until ctx ends.
 func reloadOnSignal(ctx context.Context, signals <-chan os.Signal, n *node.Node, log *slog.Logger) {
 	for {
 		select {
--- a/cmd/balancer/main_test.go
+++ b/cmd/balancer/main_test.go
@@ -16,27 +16,28 @@
 	"time"
 )
 
+// TestSimStarts checks that the sim command of deploy/balancer.toml starts and completes an empty input block.
 func TestSimStarts(t *testing.T) {
 	build(t)
 	cmd := exec.Command("/bin/sh", "-c", program.sim)
 	cmd.Dir, cmd.Stdin = program.dir, strings.NewReader("sync\t1\neob\n")
 	out, err := cmd.CombinedOutput()
 	if err != nil || string(out) != "yield\n" {
-		t.Fatalf("%v, output %q", err, out)
+		t.Fatalf("got error %v, output %q; want output \"yield\\n\"", err, out)
 	}
 }
 
-// TestGracefulShutdownOnSIGTERM runs the real program: it serves a request, gets SIGTERM while another is in
-// flight, answers that one too, and exits with 0.
+// TestGracefulShutdownOnSIGTERM runs the real program and sends it SIGTERM after one request and during another. The
+// program must respond to both and exit with status 0.
 func TestGracefulShutdownOnSIGTERM(t *testing.T) {
 	build(t)
 	list, held, release := newHoldingServer(t)
-	d := newRegistry(t, 1, "", unresponsive)
-	p := launch(t, nodeConfig("127.0.0.1:0", d.addr, list, "pushed", 1024), 0)
+	r := newRegistry(t, 1, "", unresponsive)
+	p := launch(t, nodeConfig("127.0.0.1:0", r.addr, list, "pushed", 1024), 0)
 	address := p.address(t)
 	fast := client{address: address, name: "fast"}
 	if status, body, err := fast.get("/view/fast"); err != nil || status != http.StatusOK || body != "for fast-1" {
-		t.Fatalf("got %d %q, %v", status, body, err)
+		t.Fatalf("got %d %q, error %v; want 200 \"for fast-1\"", status, body, err)
 	}
 	idle := awaitReady(t, address)
 	response := getInBackground(address, "slow")
@@ -44,25 +45,25 @@
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := idle.Read(make([]byte, 1)); !errors.Is(err, io.EOF) { // it closes its idle connections
-		t.Fatalf("an idle connection after SIGTERM: %v", err)
+	if _, err := idle.Read(make([]byte, 1)); !errors.Is(err, io.EOF) { // the node closes its idle connections
+		t.Fatalf("read from an idle connection after SIGTERM: got error %v, want EOF", err)
 	}
 	release()
 	if got := <-response; got != "200 for slow-1 <nil>" {
-		t.Fatalf("the request in flight: %s", got)
+		t.Fatalf("request in flight: got %q, want 200 for slow-1 and no error", got)
 	}
 	<-p.ended
 	if state := p.cmd.ProcessState; !state.Success() {
-		t.Fatalf("it ends with %v: %s", state, p.logText())
+		t.Fatalf("the process ended with %v, want exit status 0; log:\n%s", state, p.logText())
 	}
 	if c, err := net.Dial("tcp", address); err == nil {
 		c.Close()
-		t.Fatal("still listening after its end")
+		t.Fatal("the address still accepts connections after the process has ended")
 	}
 }
 
-// awaitReady makes health checks until the node is ready, and returns the idle connection of the last one. An
-// unresponsive agent delays its readiness and does not prevent it.
+// awaitReady sends health checks until the node is ready, and returns the idle connection of the last one. An
+// unresponsive agent delays readiness but does not prevent it.
 func awaitReady(t *testing.T, address string) net.Conn {
 	t.Helper()
 	for {
@@ -71,11 +72,11 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(limit))
+		c.SetDeadline(time.Now().Add(waitTimeout))
 		fmt.Fprint(c, "GET /health/ready HTTP/1.1\r\nHost: h\r\n\r\n")
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
-			t.Fatalf("not ready: %v", err)
+			t.Fatalf("health check failed: %v", err)
 		}
 		io.Copy(io.Discard, resp.Body)
 		if resp.StatusCode == http.StatusOK {
@@ -85,8 +86,8 @@
 	}
 }
 
-// getInBackground has a client send a request that the server holds, and returns the channel of its result: the
-// status, the body and the error.
+// getInBackground sends a request that the server holds. The returned channel delivers the result as text: the status,
+// the body and the error.
 func getInBackground(address, name string) <-chan string {
 	result := make(chan string, 1)
 	go func() {
@@ -100,7 +101,7 @@
 func TestBadConfigExitsWithOneLine(t *testing.T) {
 	build(t)
 	dir := t.TempDir()
-	for name, text := range map[string]string{"missing": "", "cut": `{"listen":`, "empty": `{}`} {
+	for name, text := range map[string]string{"missing": "", "truncated": `{"listen":`, "empty": `{}`} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(dir, name)
 			if text != "" {
@@ -113,7 +114,7 @@
 			out, err := cmd.CombinedOutput()
 			if err == nil || !strings.HasPrefix(string(out), "balancer: config: ") ||
 				strings.Count(string(out), "\n") != 1 {
-				t.Errorf("%s: %v, output %q", name, err, out)
+				t.Errorf("%s: got error %v, output %q; want one line of a config error", name, err, out)
 			}
 		})
 	}
--- a/cmd/balancer/registry_test.go
+++ b/cmd/balancer/registry_test.go
@@ -12,49 +12,49 @@
 	"time"
 )
 
-// registryState is what discovery is like.
+// registryState is the state of the stand-in registry.
 type registryState int
 
-func (o registryState) String() string {
-	return [...]string{"available", "unresponsive", "refusing"}[o]
+func (s registryState) String() string {
+	return [...]string{"available", "unresponsive", "refusing"}[s]
 }
 
 const (
 	available    registryState = iota
-	unresponsive               // calls are accepted and never answered, not even after its return
-	refusing
+	unresponsive               // accepts polls and never responds to them, even once it is available again
+	refusing                   // refuses connections
 )
 
-// registry is discovery's stand-in. Its port stays its own while it refuses connections: the socket is bound all
-// the time.
+// registry is a stand-in for discovery. Its socket stays bound while it refuses connections, so that no other socket
+// gets its port.
 type registry struct {
 	addr string
 	fd   int
 
 	mu         sync.Mutex
-	server     *http.Server // nil while it refuses
+	server     *http.Server // nil while it refuses connections
 	state      registryState
 	version    int
 	list       string
-	calledFrom map[int]chan struct{} // closed when a call from that version comes, so that its list is in use
+	polledFrom map[int]chan struct{} // by version: closed on a poll from that version, as its list is then in use
 }
 
-// set changes discovery's list, and whether it answers.
-func (d *registry) set(t *testing.T, rev int, list string, down registryState) {
+// set changes the list, its version and the state.
+func (reg *registry) set(t *testing.T, version int, list string, state registryState) {
 	t.Helper()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.version, d.list, d.state = rev, list, down
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	reg.version, reg.list, reg.state = version, list, state
 	switch {
-	case down == refusing && d.server != nil:
-		syscall.Shutdown(d.fd, syscall.SHUT_RDWR) // it listens no more, and stays bound
-		d.server.Close()
-		d.server = nil
-	case down != refusing && d.server == nil:
-		if err := syscall.Listen(d.fd, 1024); err != nil {
+	case state == refusing && reg.server != nil:
+		syscall.Shutdown(reg.fd, syscall.SHUT_RDWR) // stops listening but stays bound
+		reg.server.Close()
+		reg.server = nil
+	case state != refusing && reg.server == nil:
+		if err := syscall.Listen(reg.fd, 1024); err != nil {
 			t.Fatal(err)
 		}
-		dup, err := syscall.Dup(d.fd)
+		dup, err := syscall.Dup(reg.fd)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -64,49 +64,50 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.server = &http.Server{Handler: d}
-		go d.server.Serve(ln)
+		reg.server = &http.Server{Handler: reg}
+		go reg.server.Serve(ln)
 	}
 }
 
-// fetched is closed once a node has received the list of a version, and calls for what is newer.
-func (d *registry) fetched(rev int) chan struct{} {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.calledFrom[rev] == nil {
-		d.calledFrom[rev] = make(chan struct{})
+// fetched returns a channel that is closed once a node has received the list of a version, that is, polls for changes
+// since that version.
+func (reg *registry) fetched(version int) chan struct{} {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	if reg.polledFrom[version] == nil {
+		reg.polledFrom[version] = make(chan struct{})
 	}
-	return d.calledFrom[rev]
+	return reg.polledFrom[version]
 }
 
-func (d *registry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (reg *registry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.Atoi(r.URL.Query().Get("from"))
 	if err != nil {
 		from = -1
 	}
-	fetched := d.fetched(from)
-	d.mu.Lock()
+	fetched := reg.fetched(from)
+	reg.mu.Lock()
 	if !isClosed(fetched) {
 		close(fetched)
 	}
-	down, rev, list := d.state, d.version, d.list
-	d.mu.Unlock()
+	state, version, list := reg.state, reg.version, reg.list
+	reg.mu.Unlock()
 	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
-	if down == available && from != rev {
-		fmt.Fprintf(w, `{"rev":%d,"all":true,"targets":[%s]}`, rev, list)
+	if state == available && from != version {
+		fmt.Fprintf(w, `{"rev":%d,"all":true,"targets":[%s]}`, version, list)
 		return
 	}
-	if down == available {
-		over := time.NewTimer(time.Duration(hold) * time.Millisecond)
-		defer over.Stop()
+	if state == available {
+		holdTimer := time.NewTimer(time.Duration(hold) * time.Millisecond)
+		defer holdTimer.Stop()
 		select {
 		case <-r.Context().Done():
-		case <-over.C:
-			d.mu.Lock()
-			down = d.state
-			d.mu.Unlock()
-			if down == available {
-				fmt.Fprintf(w, `{"rev":%d,"all":false,"targets":[]}`, rev)
+		case <-holdTimer.C:
+			reg.mu.Lock()
+			state = reg.state
+			reg.mu.Unlock()
+			if state == available {
+				fmt.Fprintf(w, `{"rev":%d,"all":false,"targets":[]}`, version)
 				return
 			}
 		}
@@ -114,42 +115,43 @@
 	<-r.Context().Done()
 }
 
-func newRegistry(t *testing.T, rev int, list string, down registryState) *registry {
+// newRegistry starts a registry on a port of its own.
+func newRegistry(t *testing.T, version int, list string, state registryState) *registry {
 	t.Helper()
-	// The kernel keeps a port for a socket that listens no more only if it was bound to that port by number.
-	bound := func(port int) (int, int, error) {
+	// The kernel keeps the port of a socket that stops listening only if the socket was bound to that port by number.
+	bindSocket := func(port int) (int, int, error) {
 		fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if err := syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
-			t.Fatal(err) // what is left of its connections must not keep it from listening again
+			t.Fatal(err) // leftovers of its connections must not prevent it from listening again
 		}
 		if err := syscall.Bind(fd, &syscall.SockaddrInet4{Port: port, Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 			syscall.Close(fd)
 			return 0, 0, err
 		}
-		at, err := syscall.Getsockname(fd)
+		address, err := syscall.Getsockname(fd)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return fd, at.(*syscall.SockaddrInet4).Port, nil
+		return fd, address.(*syscall.SockaddrInet4).Port, nil
 	}
 	var fd, port int
-	eventually(t, "a port", func() bool {
-		free, number, err := bound(0)
+	eventually(t, "a free port", func() bool {
+		probe, freePort, err := bindSocket(0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		syscall.Close(free)
-		fd, port, err = bound(number)
+		syscall.Close(probe)
+		fd, port, err = bindSocket(freePort)
 		return err == nil
 	})
-	d := &registry{fd: fd, addr: fmt.Sprintf("127.0.0.1:%d", port), calledFrom: map[int]chan struct{}{}}
-	d.set(t, rev, list, down)
+	reg := &registry{fd: fd, addr: fmt.Sprintf("127.0.0.1:%d", port), polledFrom: map[int]chan struct{}{}}
+	reg.set(t, version, list, state)
 	t.Cleanup(func() {
-		d.set(t, rev, list, refusing)
+		reg.set(t, version, list, refusing)
 		syscall.Close(fd)
 	})
-	return d
+	return reg
 }
--- a/cmd/balancer/reload_test.go
+++ b/cmd/balancer/reload_test.go
@@ -10,10 +10,10 @@
 	"testing"
 )
 
-// TestManySIGHUPsUnderLoad replaces the configuration many times in a row, without waiting for the node, under
-// load: a class comes and goes, deadlines change, discovery moves to and fro, and every fifth file is invalid. No
-// response is lost or wrong, the last file is in force in the end, and a request that is in flight when the node
-// gets SIGTERM, among further reloads, is answered.
+// TestManySIGHUPsUnderLoad replaces the configuration many times in a row under load, without waiting for the node. A
+// class is added and removed, deadlines change, discovery moves between two addresses, and every fifth file is invalid.
+// No response may be lost or wrong, the last file must be in force in the end, and a request that is in flight when the
+// node receives SIGTERM, followed by further reloads, must be answered.
 func TestManySIGHUPsUnderLoad(t *testing.T) {
 	build(t)
 	list, held, release := newHoldingServer(t)
@@ -24,11 +24,11 @@
 	for i := range 60 {
 		p.reload(t, configs.file(i))
 		if i%10 == 9 {
-			l.awaitAnswers(100)
+			l.awaitResponses(100)
 		}
 	}
 	p.reload(t, invalid(configs.valid(0, "")))
-	eventually(t, "the bad file to be named", func() bool {
+	eventually(t, "the invalid file to be rejected in the log", func() bool {
 		log := p.logText()
 		return strings.Contains(log, "the previous one stays in force") && strings.Contains(log, "LatencyObjective")
 	})
@@ -45,13 +45,13 @@
 	}
 	release()
 	if got := <-response; got != "200 for out-1 <nil>" {
-		t.Errorf("the request in flight: %s", got)
+		t.Errorf("request in flight: got %q, want 200 for out-1 and no error", got)
 	}
 	<-p.ended
 	if state := p.cmd.ProcessState; !state.Success() {
-		t.Errorf("it ends with %v: %s", state, p.logText())
+		t.Errorf("the process ended with %v, want exit status 0; log:\n%s", state, p.logText())
 	}
-	t.Logf("%d answers, and %d times in force", l.answered.Load(), strings.Count(p.logText(), "are in force"))
+	t.Logf("%d responses, %d times new settings", l.responses.Load(), strings.Count(p.logText(), "are in force"))
 }
 
 // checkClassesOfLastFile waits until the class that only the last file has is served, and checks that the class of
@@ -65,11 +65,11 @@
 		return err == nil && status == http.StatusOK
 	})
 	if status, _, err := c.get("/extra/k"); status != http.StatusNotFound {
-		t.Errorf("the class that was removed: %d, %v", status, err)
+		t.Errorf("request of the removed class: got %d, error %v; want 404", status, err)
 	}
 }
 
-// reloadConfigs makes the configuration files of a test, which differ in discovery, deadlines and classes.
+// reloadConfigs generates the configuration files of a test, which differ in discovery, deadlines and classes.
 type reloadConfigs struct {
 	list       string
 	registries []*registry
@@ -80,76 +80,77 @@
 	return reloadConfigs{list, []*registry{newRegistry(t, 5, list, available), newRegistry(t, 9, list, available)}}
 }
 
-// file is the file of a number: every other one has the class extra, and every fifth is invalid.
+// file returns file number i. Every other file has the class extra, and every fifth is invalid.
 func (r reloadConfigs) file(i int) string {
-	extra := ""
+	extraClass := ""
 	if i%2 == 0 {
-		extra = "extra"
+		extraClass = "extra"
 	}
-	text := r.valid(i, extra)
+	config := r.valid(i, extraClass)
 	if i%5 == 4 {
-		text = invalid(text)
+		config = invalid(config)
 	}
-	return text
+	return config
 }
 
-// valid is the valid file of a number, with one class more unless extra is empty.
-func (r reloadConfigs) valid(i int, extra string) string {
-	text := nodeConfig("127.0.0.1:0", r.registries[i%2].addr, r.list, "pushed", 256)
-	text = strings.Replace(text, `"deadline-ms":40000`, fmt.Sprintf(`"deadline-ms":%d`, 40000-i%3*1000), 1)
-	if extra != "" {
-		text = strings.Replace(text, `"lanes":[`, fmt.Sprintf(`"lanes":[{"name":%q,"effect":"read_like",
-			"target-ms":20000,"deadline-ms":40000},`, extra), 1)
-	}
-	return text
+// valid returns valid file number i. Unless extraClass is empty, the file has that class too.
+func (r reloadConfigs) valid(i int, extraClass string) string {
+	config := nodeConfig("127.0.0.1:0", r.registries[i%2].addr, r.list, "pushed", 256)
+	config = strings.Replace(config, `"deadline-ms":40000`, fmt.Sprintf(`"deadline-ms":%d`, 40000-i%3*1000), 1)
+	if extraClass != "" {
+		config = strings.Replace(config, `"lanes":[`, fmt.Sprintf(`"lanes":[{"name":%q,"effect":"read_like",
+			"target-ms":20000,"deadline-ms":40000},`, extraClass), 1)
+	}
+	return config
 }
 
-// invalid makes a file invalid by the latency objective of a class.
+// invalid returns a configuration with an invalid latency objective of a class.
 func invalid(config string) string {
 	return strings.Replace(config, `"target-ms":20000`, `"target-ms":-1`, 1)
 }
 
-// reloadLoad is clients that send requests until they are stopped.
+// reloadLoad is a set of clients that send requests until they are stopped.
 type reloadLoad struct {
-	t        *testing.T
-	address  string
-	stopped  atomic.Bool
-	answered atomic.Int64
-	running  sync.WaitGroup
+	t         *testing.T
+	address   string
+	stopped   atomic.Bool
+	responses atomic.Int64 // without those of sendExtra
+	clients   sync.WaitGroup
 }
 
-// startLoad has eight clients send requests of a class that stays, and one those of a class that comes and goes.
+// startLoad starts eight clients that send requests of a permanent class, and one that sends requests of a class that
+// is added and removed.
 func startLoad(t *testing.T, address string) *reloadLoad {
 	l := &reloadLoad{t: t, address: address}
 	t.Cleanup(l.stop)
 	for i := range 8 {
-		l.running.Add(1)
+		l.clients.Add(1)
 		go func() {
-			defer l.running.Done()
+			defer l.clients.Done()
 			l.send(fmt.Sprint("c", i))
 		}()
 	}
-	l.running.Add(1)
+	l.clients.Add(1)
 	go func() {
-		defer l.running.Done()
+		defer l.clients.Done()
 		l.sendExtra()
 	}()
 	return l
 }
 
-// awaitAnswers waits until the clients have got so many answers more, or one of them has failed the test.
-func (l *reloadLoad) awaitAnswers(more int64) {
+// awaitResponses waits until the clients have received more further responses, or one of them has failed the test.
+func (l *reloadLoad) awaitResponses(more int64) {
 	l.t.Helper()
-	before := l.answered.Load()
-	eventually(l.t, "answers under load", func() bool {
-		return l.answered.Load() >= before+more || l.t.Failed()
+	before := l.responses.Load()
+	eventually(l.t, "responses under load", func() bool {
+		return l.responses.Load() >= before+more || l.t.Failed()
 	})
 }
 
-// stop ends the clients.
+// stop stops the clients and waits for them.
 func (l *reloadLoad) stop() {
 	l.stopped.Store(true)
-	l.running.Wait()
+	l.clients.Wait()
 }
 
 func (l *reloadLoad) send(name string) {
@@ -157,33 +158,33 @@
 	for !l.stopped.Load() {
 		status, body, err := c.get("/view/k")
 		if err != nil || status != http.StatusOK || body != fmt.Sprintf("for %s-%d", name, c.sent) {
-			l.t.Errorf("client %s, request %d: %d %q, %v", name, c.sent, status, body, err)
+			l.t.Errorf("client %s, request %d: got %d %q, error %v; want 200", name, c.sent, status, body, err)
 			return
 		}
-		l.answered.Add(1)
+		l.responses.Add(1)
 	}
 }
 
-// sendExtra sends requests of a class that comes and goes: each is served or unknown, and nothing else.
+// sendExtra sends requests of a class that is added and removed. Each must be served or get status 404.
 func (l *reloadLoad) sendExtra() {
 	c := client{address: l.address, name: "extra"}
 	for !l.stopped.Load() {
 		status, body, err := c.get("/extra/k")
 		served := status == http.StatusOK && body == fmt.Sprint("for extra-", c.sent)
 		if err != nil || !served && status != http.StatusNotFound {
-			l.t.Errorf("class that comes and goes: %d %q, %v", status, body, err)
+			l.t.Errorf("request of class extra: got %d %q, error %v; want 200 or 404", status, body, err)
 			return
 		}
 	}
 }
 
-// TestSIGHUPUnderLoad replaces the file while requests are sent: an invalid one is logged and changes nothing, nor
-// does the same file once more, and a new one moves the node to the servers of another discovery. No request is
-// lost, and the client's connection stays open.
+// TestSIGHUPUnderLoad replaces the configuration file while requests are sent. An invalid file is logged and changes
+// nothing, an identical file changes nothing, and a new one moves the node to the servers of another registry. No
+// request may be lost, and the client's connection must stay open.
 func TestSIGHUPUnderLoad(t *testing.T) {
 	build(t)
-	old := newRegistry(t, 3, newNamingServer(t, "old"), available)
-	next := newRegistry(t, 3, newNamingServer(t, "next"), available)
+	old := newRegistry(t, 3, newNamedServer(t, "old"), available)
+	next := newRegistry(t, 3, newNamedServer(t, "next"), available)
 	config := nodeConfig("127.0.0.1:0", old.addr, "", "pushed", 256)
 	p := launch(t, config, 0)
 	c := client{address: p.address(t), name: "c"}
@@ -191,7 +192,7 @@
 	get := func() string {
 		status, body, err := c.get("/view/k")
 		if err != nil || status != http.StatusOK {
-			t.Fatalf("request %d: %d %q, %v", c.sent, status, body, err)
+			t.Fatalf("request %d: got %d %q, error %v; want 200", c.sent, status, body, err)
 		}
 		return body
 	}
@@ -203,17 +204,17 @@
 		p.await(t, reload.log)
 		for range 20 {
 			if body := get(); body != "old" {
-				t.Fatalf("served by %q", body)
+				t.Fatalf("request was served by %q, want \"old\"", body)
 			}
 		}
 	}
 	p.reload(t, strings.Replace(config, old.addr, next.addr, 1))
-	eventually(t, "the new discovery's server to get a request", func() bool { return get() == "next" })
+	eventually(t, "a response from the new registry's server", func() bool { return get() == "next" })
 	if c.dials != 1 {
-		t.Errorf("%d connections for one client, want 1", c.dials)
+		t.Errorf("the client opened %d connections, want 1", c.dials)
 	}
 	p.end(syscall.SIGTERM)
 	if state := p.cmd.ProcessState; !state.Success() {
-		t.Fatalf("it ends with %v: %s", state, p.logText())
+		t.Fatalf("the process ended with %v, want exit status 0; log:\n%s", state, p.logText())
 	}
 }
--- a/cmd/balancer/restart_test.go
+++ b/cmd/balancer/restart_test.go
@@ -12,37 +12,37 @@
 
 const (
 	fleetSize   = 20
-	readyWithin = 10 * time.Second // in which nine in ten of the restarted have to be ready
-	// healthCheckInterval is the time between two health checks of a node: it has no other way to tell.
+	readyWithin = 10 * time.Second // nine of ten restarted nodes must be ready within this time
+	// healthCheckInterval is the interval between health checks of a node, which reports readiness in no other way.
 	healthCheckInterval = 5 * time.Millisecond
 )
 
-// measureStart is how long this machine takes now to start and end as many processes of the program as a fleet
-// has, each of which finds no configuration.
+// measureStart measures how long this machine currently takes to start and end as many processes of the program as a
+// fleet has. The processes have no configuration.
 func measureStart(t *testing.T) time.Duration {
 	t.Helper()
-	begin := time.Now()
-	var all []*exec.Cmd
+	started := time.Now()
+	var commands []*exec.Cmd
 	for range fleetSize {
 		cmd := exec.Command("/bin/sh", "-c", program.run)
 		cmd.Dir, cmd.Env = program.dir, []string{}
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
-		all = append(all, cmd)
+		commands = append(commands, cmd)
 	}
-	for _, cmd := range all {
+	for _, cmd := range commands {
 		if cmd.Wait() == nil {
-			t.Error("it starts without a configuration")
+			t.Error("the program exited with status 0 without a configuration")
 		}
 	}
-	return time.Since(begin)
+	return time.Since(started)
 }
 
-// TestRestartedFleetIsReadyInTime kills and ends twenty nodes, and starts them again at their addresses, whatever
-// the state of discovery: nine in ten are ready within 10 s. What a busy machine takes to start as many processes
-// is measured beside and added, five times over, so that what counts is the program's own waiting; that is 1 s at
-// most (startupWait), so that a machine several times slower passes, too.
+// TestRestartedFleetIsReadyInTime ends twenty nodes, once by SIGKILL and once by SIGTERM, and restarts them at their
+// addresses in each state of discovery. Nine of ten must be ready within 10 s. Five times what this machine takes to
+// start as many processes is added, so that the time that the program itself waits decides. That is 1 s at most
+// (startupWait), so that the test passes on a machine several times slower.
 func TestRestartedFleetIsReadyInTime(t *testing.T) {
 	build(t)
 	for row, mode := range []string{"pushed", "on_request"} {
@@ -60,7 +60,7 @@
 	}
 }
 
-// fleet is a number of nodes that share a registry.
+// fleet is a set of nodes that share a registry.
 type fleet struct {
 	registry  *registry
 	mode      string // of discovery: pushed or on_request
@@ -89,7 +89,7 @@
 	return launch(t, nodeConfig(listen, f.registry.addr, f.list, f.mode, 256), 0)
 }
 
-// end signals all nodes and waits until they have ended.
+// end sends a signal to all nodes and waits until they have ended.
 func (f *fleet) end(signal syscall.Signal) {
 	for _, p := range f.nodes {
 		p.cmd.Process.Signal(signal)
@@ -99,15 +99,15 @@
 	}
 }
 
-// checkRestart starts the nodes again at their addresses, and checks that nine in ten are ready in time.
+// checkRestart starts the nodes again at their addresses, and checks that nine of ten are ready in time.
 func (f *fleet) checkRestart(t *testing.T, ended syscall.Signal) {
 	t.Helper()
 	allowed := readyWithin + 5*measureStart(t)
-	begin := time.Now()
+	started := time.Now()
 	durations := make(chan time.Duration, fleetSize)
 	for i, address := range f.addresses {
 		f.nodes[i] = f.launch(t, address)
-		go func() { durations <- readyAfter(address, begin, allowed) }()
+		go func() { durations <- readyAfter(address, started, allowed) }()
 	}
 	late, slowest := 0, time.Duration(0)
 	for range f.nodes {
@@ -119,21 +119,21 @@
 	}
 	for _, p := range f.nodes {
 		if !p.alive() {
-			t.Errorf("one ended: %s", p.logText())
+			t.Errorf("a restarted node ended; log:\n%s", p.logText())
 		}
 	}
 	if late > fleetSize/10 {
-		t.Errorf("after %v: %d of %d are not ready within %v", ended, late, fleetSize, allowed)
+		t.Errorf("after %v: %d of %d nodes not ready within %v, want a tenth at most", ended, late, fleetSize, allowed)
 	}
-	t.Logf("after %v: %d of %d in time, the last within %v", ended, fleetSize-late, fleetSize, slowest)
+	t.Logf("after %v: %d of %d nodes ready in time, the last after %v", ended, fleetSize-late, fleetSize, slowest)
 }
 
-// readyAfter is how long a node takes to become ready; more than allowed if it takes longer.
-func readyAfter(address string, begin time.Time, allowed time.Duration) time.Duration {
+// readyAfter returns the time from the start until a node is ready. It gives up once that exceeds allowed.
+func readyAfter(address string, started time.Time, allowed time.Duration) time.Duration {
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: allowed}
 	for {
 		resp, err := client.Get("http://" + address + "/health/ready")
-		elapsed := time.Since(begin)
+		elapsed := time.Since(started)
 		ready := false
 		if err == nil {
 			io.Copy(io.Discard, resp.Body)
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -10,41 +10,41 @@
 	"basaltdrum/internal/netdial"
 )
 
-// startupWait is how long a new process waits for the endpoint list before it is ready with a cached one.
+// startupWait is how long a new process waits for the endpoint list before it becomes ready with a cached one.
 const startupWait = time.Second
 
-// Config says where and how a Client follows the endpoint list.
+// Config specifies the address and the mode in which a Client follows the endpoint list.
 type Config struct {
 	Address string // address and port of the agent or the registry
 	Polled  bool   // the registry is polled; otherwise an agent pushes lists
 	Version int64  // of the cached list, or NoVersion. Only used where lists are polled
 }
 
-// Client follows the endpoint list of one address at a time. New makes one, and Run follows until its context ends.
+// Client follows the endpoint list of one address at a time. It polls while Run is running.
 //
-// The exported fields have defaults, and may be changed before Run.
+// New sets the exported fields to defaults, which may be changed before Run.
 type Client struct {
-	// Hold is how long the other side may withhold its response while nothing changes.
+	// Hold is the long-poll timeout: how long the server may withhold its response while nothing changes.
 	Hold time.Duration
-	// Grace is the time for a response beyond the hold, before the poll is abandoned.
+	// Grace is how long after Hold a response may arrive before the poll is canceled.
 	Grace time.Duration
-	// StartupWait is the time after which an agent that has not answered is reported as unresponsive.
+	// StartupWait is the time from the start of Run to the call of Handler.AgentUnresponsive.
 	StartupWait time.Duration
 	// Dial opens connections.
 	Dial netdial.Func
-	// After is time.After; it delays the poll after one that failed.
+	// After creates the timer that delays the poll after a failed one. The default is time.After.
 	After func(time.Duration) <-chan time.Time
 
 	handler         Handler
 	log             *slog.Logger
 	polled          bool
-	subscribeSignal chan struct{} // holds at most one subscription that runPolled has not taken up
+	subscribeSignal chan struct{} // buffers one subscription that runPolled has not served yet
 
 	mu      sync.Mutex
-	current *registryAddress // where the list is watched now
+	current *registryAddress // the address that is watched
 }
 
-// New returns a client that passes on lists to handler. Nothing is polled before Run.
+// New returns a client that passes lists to handler. Nothing is polled before Run.
 func New(cfg Config, handler Handler, log *slog.Logger) *Client {
 	c := &Client{
 		Hold:            pollHold,
@@ -60,8 +60,8 @@
 	version := cfg.Version
 	if !cfg.Polled {
 		c.Hold, c.Grace = pushHold, pushGrace
-		// What the agent has counts as known to this node from the first moment of the process, and the cached
-		// version may be that of another address. So the watch begins with the complete list.
+		// The agent's list counts as known to this node as soon as the process starts, and the cached version may
+		// belong to another address. So the first poll requests the complete list.
 		version = NoVersion
 	}
 	c.current = newRegistryAddress(cfg.Address, version, c.dial)
@@ -77,9 +77,9 @@
 	}
 }
 
-// SetAddress moves the watch to another address. Versions are specific to an address, so the watch begins with the
-// complete list there; the list that the node has remains in use until that arrives. The poll of the old address
-// ends, and the first one of the new address needs no Subscribe.
+// SetAddress moves the watch to another address. Versions are specific to an address, so the first poll there
+// requests the complete list; the node's current list remains in use until that arrives. The poll of the old address
+// is canceled, and the first poll of the new address needs no Subscribe.
 func (c *Client) SetAddress(addr string) {
 	c.mu.Lock()
 	old := c.current
@@ -89,7 +89,7 @@
 	}
 	c.current = newRegistryAddress(addr, NoVersion, c.dial)
 	c.mu.Unlock()
-	old.abandon()
+	old.cancel()
 	old.client.CloseIdleConnections()
 	c.Subscribe()
 }
@@ -98,11 +98,11 @@
 func (c *Client) Subscribe() {
 	select {
 	case c.subscribeSignal <- struct{}{}:
-	default: // a subscription is outstanding already
+	default: // a subscription is already pending
 	}
 }
 
-// CloseIdleConnections closes the connections to the present address that no poll uses.
+// CloseIdleConnections closes the connections to the current address that no poll uses.
 func (c *Client) CloseIdleConnections() { c.currentAddress().client.CloseIdleConnections() }
 
 func (c *Client) currentAddress() *registryAddress {
@@ -111,7 +111,7 @@
 	return c.current
 }
 
-// dial opens a connection by the Dial of the moment.
+// dial calls Dial as it is set when the connection is opened, which may be after New.
 func (c *Client) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	return c.Dial(ctx, network, address)
 }
--- a/internal/discovery/handler.go
+++ b/internal/discovery/handler.go
@@ -2,18 +2,19 @@
 
 import "basaltdrum/internal/endpointlist"
 
-// NoVersion stands for the version of the list where there is none: the first poll requests the complete list.
+// NoVersion is the version where there is no list: the next poll requests the complete list.
 const NoVersion int64 = -1
 
-// Handler receives what a Client learns. Its methods are called from the Client's goroutines.
+// Handler receives the updates and failures that a Client reports. Its methods are called from the Client's
+// goroutines.
 type Handler interface {
-	// ListReceived passes on a complete list, or the entries that have changed since the list before it.
+	// ListReceived delivers a complete list, or the entries that have changed since the previous list.
 	ListReceived(list endpointlist.List)
-	// ListConfirmed reports that the registry has answered and that nothing has changed.
+	// ListConfirmed reports that the registry has responded and that nothing has changed.
 	ListConfirmed()
-	// SubscriptionFailed reports that a poll has failed, where lists are polled. The next one needs a Subscribe.
+	// SubscriptionFailed reports that a poll has failed, where lists are polled. The next poll needs a Subscribe.
 	SubscriptionFailed()
-	// AgentUnresponsive reports that the agent has not answered within Client.StartupWait, where lists are pushed.
-	// It is called once, also if the agent answers at that very moment.
+	// AgentUnresponsive reports that Client.StartupWait has passed, where lists are pushed. It is called once, even if
+	// the agent has responded by then.
 	AgentUnresponsive()
 }
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -8,13 +8,13 @@
 	"basaltdrum/internal/testutil"
 )
 
-// report is a call of a Handler's method.
+// report records a call of a Handler method.
 type report struct {
 	kind reportKind
-	list endpointlist.List // if received
+	list endpointlist.List // of a call of ListReceived
 }
 
-// reportKind says which method was called.
+// reportKind is the Handler method that was called.
 type reportKind string
 
 const (
@@ -24,7 +24,7 @@
 	unresponsive reportKind = "unresponsive"
 )
 
-// recorder is a Handler that keeps the calls in order.
+// recorder is a Handler that records the calls in order.
 type recorder chan report
 
 func (r recorder) ListReceived(list endpointlist.List) { r <- report{received, list} }
@@ -41,22 +41,22 @@
 	return c, reports
 }
 
-// run runs a client until the test ends.
-func run(t *testing.T, c *Client) {
+// startClient runs a client until the test ends.
+func startClient(t *testing.T, c *Client) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(stopped)
 		c.Run(ctx)
 	}()
 	t.Cleanup(func() {
 		cancel()
-		testutil.Wait(t, ended, "the client's end")
+		testutil.Wait(t, stopped, "the client to stop")
 	})
 }
 
-// waitForEntries waits for a list to be reported, which must be the next report, and for its number of entries.
+// waitForEntries checks that the next report is a list with the given number of entries.
 func waitForEntries(t *testing.T, reports recorder, want int) {
 	t.Helper()
 	if got := testutil.Wait(t, reports, "the list"); got.kind != received || len(got.list.Entries) != want {
--- a/internal/discovery/listbody.go
+++ b/internal/discovery/listbody.go
@@ -7,14 +7,14 @@
 	"basaltdrum/internal/http1"
 )
 
-// maxListBytes is the longest endpoint list, in bytes. One of 3,200 endpoints that is indented has about 1 MB.
+// maxListBytes is the maximum size of an endpoint list. An indented list of 3,200 endpoints has about 1 MB.
 const maxListBytes = 4 << 20
 
-// listBody is the body of a registry response, of up to maxListBytes. It records why it could not be read to its
-// end, as the parser reports a truncated list like a malformed one.
+// listBody is the body of a registry response, limited to maxListBytes. It records a failed read, because the parser's
+// error does not distinguish a truncated list from a malformed one.
 type listBody struct {
 	http1.LimitedReader
-	err error
+	err error // of a failed read, other than io.EOF and http1.ErrTooLong
 }
 
 func newListBody(body io.Reader) *listBody {
--- a/internal/discovery/listbody_test.go
+++ b/internal/discovery/listbody_test.go
@@ -16,42 +16,42 @@
 // largestFleet is the number of servers of the longest list that a node must be able to hold.
 const largestFleet = 3200
 
-// Lists of the largest fleet are accepted, indented or not; beyond the limit they are rejected.
+// Lists of the largest fleet are accepted, indented or not. Longer ones than maxListBytes are rejected.
 func TestListsOfTheLargestFleetFit(t *testing.T) {
-	compact, one := testutil.LongList(largestFleet, "", false), testutil.LongList(1, "", false)
+	compact, single := testutil.LongList(largestFleet, "", false), testutil.LongList(1, "", false)
 	for _, row := range []struct {
 		name, text string
 		want       int // entries; 0: the list is rejected
 	}{
 		{"compact", compact, largestFleet},
 		{"indented", testutil.LongList(largestFleet, "", true), largestFleet},
-		{"of the most bytes", strings.Repeat(" ", maxListBytes-len(compact)) + compact, largestFleet},
-		{"of a byte too many", one + strings.Repeat(" ", maxListBytes+1-len(one)), 0},
-		{"endless", testutil.LongList(largestFleet, strings.Repeat("x", 2000), false), 0},
+		{"of the maximum size", strings.Repeat(" ", maxListBytes-len(compact)) + compact, largestFleet},
+		{"one byte too long", single + strings.Repeat(" ", maxListBytes+1-len(single)), 0},
+		{"far too long", testutil.LongList(largestFleet, strings.Repeat("x", 2000), false), 0},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
 			agent := testutil.NewRegistryAgent(t)
 			agent.Set(false, row.text)
 			c, reports := newClient(t, Config{Address: agent.Addr().String(), Version: NoVersion})
-			_, err := c.watchOnce(t.Context(), c.currentAddress(), false)
+			_, err := c.poll(t.Context(), c.currentAddress(), false)
 			entries := 0
 			if len(reports) > 0 {
 				entries = len((<-reports).list.Entries)
 			}
 			if (err == nil) != (row.want > 0) || entries != row.want {
-				t.Errorf("%d servers, %v, want %d", entries, err, row.want)
+				t.Errorf("got %d entries and error %v, want %d entries", entries, err, row.want)
 			}
 			if version := c.currentAddress().version; (version >= 0) != (row.want > 0) {
-				t.Errorf("version %d is kept", version)
+				t.Errorf("got version %d, want a version only if the list is accepted", version)
 			}
 		})
 	}
 }
 
-// A response whose connection breaks says nothing, so the watch resumes from the version before it; after one that is
-// complete and malformed, the complete list is requested.
-func TestOnlyAMalformedListIsReplacedByTheCompleteOne(t *testing.T) {
+// A response that a broken connection truncates gives no information, so the watch resumes from the previous version.
+// After a response that is complete but malformed, the complete list is requested.
+func TestMalformedListRequestsTheCompleteList(t *testing.T) {
 	const withLength = "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s"
 	for _, row := range []struct {
 		name, response string
@@ -60,7 +60,7 @@
 		{"broken", fmt.Sprintf(withLength, 90, `{"rev":8,"all":true,"targets":[`), 7},
 		{"broken after the list", fmt.Sprintf(withLength, 90, `{"rev":8,"all":true,"targets":[]}`), 7},
 		{"broken in a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20\r\n" + `{"rev":8,"all"`, 7},
-		{"cut", fmt.Sprintf(withLength, 31, `{"rev":8,"all":true,"targets":[`), NoVersion},
+		{"complete but malformed", fmt.Sprintf(withLength, 31, `{"rev":8,"all":true,"targets":[`), NoVersion},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
@@ -69,18 +69,18 @@
 				return false
 			})
 			c, reports := newClient(t, Config{Address: agent.Address(), Polled: true, Version: 7})
-			_, err := c.watchOnce(t.Context(), c.currentAddress(), false)
+			_, err := c.poll(t.Context(), c.currentAddress(), false)
 			if version := c.currentAddress().version; err == nil || version != row.want {
-				t.Errorf("%v; version %d is kept, want %d", err, version, row.want)
+				t.Errorf("got error %v and version %d, want an error and version %d", err, version, row.want)
 			}
 			if len(reports) > 0 {
-				t.Errorf("reported %+v", <-reports)
+				t.Errorf("got report %+v, want none", <-reports)
 			}
 		})
 	}
 }
 
-// The text of a list is not held in memory beside its entries: the allocation depends on what is kept of it.
+// The text of a list is not buffered as a whole: reading it allocates less than its length.
 func TestListsAreReadWithoutACopyOfTheText(t *testing.T) {
 	text := testutil.LongList(largestFleet, strings.Repeat("x", 1000), false)
 	var before, after runtime.MemStats
@@ -88,10 +88,10 @@
 	list, err := endpointlist.Read(newListBody(strings.NewReader(text)))
 	runtime.ReadMemStats(&after)
 	if err != nil || len(list.Entries) != largestFleet {
-		t.Fatalf("%d servers, %v", len(list.Entries), err)
+		t.Fatalf("got %d entries and error %v, want all entries", len(list.Entries), err)
 	}
 	if got := after.TotalAlloc - before.TotalAlloc; got > uint64(len(text)) {
-		t.Errorf("%d bytes were allocated for a list of %d", got, len(text))
+		t.Errorf("%d bytes were allocated, want at most the %d bytes of the list", got, len(text))
 	}
 }
 
--- a/internal/discovery/registryaddress.go
+++ b/internal/discovery/registryaddress.go
@@ -13,8 +13,8 @@
 	"basaltdrum/internal/netdial"
 )
 
-// Limits of the connections to an address of the registry. One that is never established occupies a slot until its
-// dial is abandoned.
+// Limits on the connections to an address of the registry. A connection that is never established occupies a slot
+// until its dial times out.
 const (
 	agentDialTimeout = 2 * agentCheckTimeout
 	maxAgentConns    = 8
@@ -24,11 +24,11 @@
 // only: its HTTP client and the version of the list.
 type registryAddress struct {
 	ctx     context.Context // ends when the watch moves to another address
-	abandon context.CancelFunc
+	cancel  context.CancelFunc
 	addr    string
 	client  *http.Client
 	dial    netdial.Func
-	version int64 // of the list received last, or NoVersion
+	version int64 // of the last list received, or NoVersion
 }
 
 func newRegistryAddress(addr string, version int64, dial netdial.Func) *registryAddress {
@@ -38,11 +38,11 @@
 		MaxConnsPerHost:    maxAgentConns,
 		DialContext:        a.connect,
 	}}
-	a.ctx, a.abandon = context.WithCancel(context.Background())
+	a.ctx, a.cancel = context.WithCancel(context.Background())
 	return a
 }
 
-// connect opens a connection within agentDialTimeout. That covers all dials if a local fault is retried.
+// connect opens a connection within agentDialTimeout, including the retries after a local fault.
 func (a *registryAddress) connect(ctx context.Context, network, address string) (nc net.Conn, err error) {
 	ctx, cancel := context.WithTimeout(ctx, agentDialTimeout)
 	defer cancel()
@@ -55,8 +55,8 @@
 	return nc, err
 }
 
-// get requests what is newer than a version, or the complete list for NoVersion. The response may be withheld for
-// up to hold while nothing is newer.
+// get requests the changes since a version, or the complete list for NoVersion. The registry may withhold its response
+// for up to hold while nothing has changed.
 func (a *registryAddress) get(ctx context.Context, from int64, hold time.Duration) (*http.Response, error) {
 	u := url.URL{Scheme: "http", Host: a.addr, Path: "/registry/instances"}
 	if from >= 0 {
@@ -76,8 +76,8 @@
 	return resp, nil
 }
 
-// checkAgent is a health check of the agent: it polls without a hold until a response arrives, which it reports, or
-// until ctx ends. It begins after a delay, in which a healthy agent responds to the watch beside it.
+// checkAgent is a health check of the agent: it polls without a hold until a response arrives or ctx ends, and reports
+// whether a response has arrived. It starts after a delay in which a healthy agent responds to the concurrent poll.
 func (a *registryAddress) checkAgent(ctx context.Context, from int64) bool {
 	monotime.Sleep(ctx, agentCheckTimeout)
 	for ctx.Err() == nil {
@@ -93,7 +93,7 @@
 	return false
 }
 
-// responds reports whether the head of a response without a hold arrives within agentCheckTimeout.
+// responds reports whether the response headers of a poll without a hold arrive within agentCheckTimeout.
 func (a *registryAddress) responds(ctx context.Context, from int64) bool {
 	ctx, cancel := context.WithTimeout(ctx, agentCheckTimeout)
 	defer cancel()
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -14,32 +14,32 @@
 
 // Durations of a watch.
 //
-// A poll that is lost must be replaced within NotifiedWithin. The worst case is shorter: from the moment when
-// discovery falls silent, the poll is abandoned after hold and grace; where lists are pushed, a dial and a response
-// head that never arrive cost agentCheckTimeout and retryInterval once more; where the registry is polled, the next
-// poll follows after retryInterval or a quarter of the poll interval from the settings (which is 6 s at most),
-// whichever is longer. TestLostCallIsMadeUpForInTime adds these up.
+// A lost poll must be replaced within NotificationDeadline. The worst case is shorter: once discovery has stopped
+// responding, the poll is canceled after hold and grace; where lists are pushed, a dial and response headers that
+// never arrive cost agentCheckTimeout and retryInterval once more; where the registry is polled, the next poll follows
+// after retryInterval or a quarter of the poll interval from the settings (which is 6 s at most), whichever is longer.
+// TestLostPollIsReplacedInTime adds these up.
 //
-// An agent that is silent does not respond even after it has returned, so a poll is abandoned shortly after its hold.
-// Where lists are pushed, what the agent receives when discovery returns counts as known to the node at once, and
-// draining endpoints must be avoided 250 ms later. So the hold is shorter than an outage: the outage is noticed
-// before it ends, and from then on the agent, which is local and responds at no cost, is checked several times
-// within those 250 ms.
+// An agent that became unresponsive during a poll does not respond to it even after it recovers, so a poll is canceled
+// shortly after its hold. Where lists are pushed, the list that the agent receives when discovery recovers counts as
+// known to the node at once, and draining endpoints must be avoided 250 ms later. So the hold is shorter than an
+// outage: the outage is detected before it ends, and from then on the agent, which is local and cheap to poll, is
+// checked several times within those 250 ms.
 const (
 	pushHold          = time.Second
 	pushGrace         = 250 * time.Millisecond
 	pollHold          = 2 * time.Second // longer, as the registry itself serves these polls
 	pollGrace         = 500 * time.Millisecond
-	agentCheckTimeout = 150 * time.Millisecond // for the head of a response that needs no hold
-	retryInterval     = 100 * time.Millisecond // from an immediate failure to the next poll
-	// watchInterval is the shortest time from the start of a poll to the start of the next. While a long list
-	// changes many times a second, several changes share a poll, which costs a node more than its content does. An
-	// open watch allows 200 ms without a poll, and changes must be in force 250 ms later.
-	watchInterval = 20 * time.Millisecond
+	agentCheckTimeout = 150 * time.Millisecond // for the response headers of a poll without a hold
+	retryInterval     = 100 * time.Millisecond // from a failed poll to the next one
+	// minPollInterval is the minimum time between the starts of two polls. While a long list changes many times a
+	// second, a poll returns several changes at once, since a poll costs a node more than the changes in it. A watch
+	// may be without a poll for 200 ms, and changes must be in force 250 ms later.
+	minPollInterval = 20 * time.Millisecond
 )
 
-// NotificationDeadline is the time after which a change counts as known to the node, whether it was received or not.
-// The delay of a subscription after one that failed must be a quarter of it at most.
+// NotificationDeadline is the time after which a change counts as known to the node, whether the node has received it
+// or not. The delay from a failed subscription to the next must be a quarter of it at most.
 const NotificationDeadline = 6 * time.Second
 
 // errStaleList reports an incremental update that is older than the list that the node has.
@@ -48,20 +48,20 @@
 // statusError is a response of the registry with a status other than 200.
 type statusError int
 
-func (e statusError) Error() string { return fmt.Sprintf("status %d", int(e)) }
+func (e statusError) Error() string { return fmt.Sprintf("unexpected status %d", int(e)) }
 
-// runPushed watches until ctx ends. Each poll follows the previous response within watchInterval, as a watch counts
-// as lost when the next poll is late.
+// runPushed polls until ctx ends. Each poll follows the previous response within minPollInterval, as a watch counts as
+// lost when the next poll is late.
 func (c *Client) runPushed(ctx context.Context) {
-	late := time.AfterFunc(c.StartupWait, c.handler.AgentUnresponsive)
-	defer late.Stop()
-	suspect := true // whether it is in doubt that the agent responds at all
+	startupTimer := time.AfterFunc(c.StartupWait, c.handler.AgentUnresponsive)
+	defer startupTimer.Stop()
+	suspect := true // whether the agent may be unresponsive
 	var watched *registryAddress
 	for ctx.Err() == nil {
 		address := c.currentAddress()
 		suspect = suspect || address != watched
 		watched = address
-		responds, err := c.watchOnce(ctx, address, suspect)
+		responds, err := c.poll(ctx, address, suspect)
 		switch {
 		case ctx.Err() != nil:
 			return
@@ -69,17 +69,17 @@
 			suspect = false
 			continue
 		case !suspect:
-			c.log.Warn("discovery does not answer, retrying", "error", err)
+			c.log.Warn("watch of the discovery agent failed, retrying", "error", err)
 			suspect = true
 		}
 		c.awaitRetry(ctx, address)
 	}
 }
 
-// runPolled serves subscriptions until ctx ends. A subscription is a series of watches until one fails, which is
-// reported once; the policy then subscribes anew after its own delay. That is a part of the configured poll interval
-// and may be close to 0, and a refused connection fails at once. So the next poll also waits for retryInterval, or
-// until the watch moves to another address.
+// runPolled serves subscriptions until ctx ends. A subscription is a series of polls that ends with the first failure,
+// which is reported; the policy then subscribes again after a delay of its own. That delay is a fraction of the
+// configured poll interval and may be close to 0, and a refused connection fails at once. So the next poll also waits
+// for retryInterval, or until the watch moves to another address.
 func (c *Client) runPolled(ctx context.Context) {
 	for {
 		select {
@@ -87,16 +87,17 @@
 			return
 		case <-c.subscribeSignal:
 		}
-		for c.pollOnce(ctx) {
+		for c.pollSubscribed(ctx) {
 		}
 	}
 }
 
-// pollOnce makes one poll, and reports whether another one follows without a new subscription. A poll that failed
-// by a local fault never reached the registry: the policy need not delay the next one, and is not notified.
-func (c *Client) pollOnce(ctx context.Context) (again bool) {
+// pollSubscribed sends one poll of a subscription, and reports whether another one follows without a new subscription.
+// A poll that failed because of a local fault never reached the registry: the policy need not delay the next one, and
+// is not notified.
+func (c *Client) pollSubscribed(ctx context.Context) (again bool) {
 	address := c.currentAddress()
-	_, err := c.watchOnce(ctx, address, false)
+	_, err := c.poll(ctx, address, false)
 	if err == nil || address.ctx.Err() != nil || ctx.Err() != nil {
 		return ctx.Err() == nil
 	}
@@ -118,11 +119,11 @@
 	}
 }
 
-// watchOnce makes one poll and passes on its result. A suspect agent is checked beside the poll: if the agent
-// responds to the check, the poll is known to be lost and is abandoned, and responds is true.
+// poll sends one poll and passes the result to the handler. During the poll, a suspect agent is also
+// health-checked: if it responds to the check, the poll is known to be lost and is canceled, and responds is true.
 //
-// A successful poll returns after watchInterval at the earliest, which paces consecutive polls.
-func (c *Client) watchOnce(
+// A successful poll returns after minPollInterval at the earliest, which paces consecutive polls.
+func (c *Client) poll(
 	ctx context.Context, address *registryAddress, suspect bool,
 ) (responds bool, err error) {
 	started := time.Now()
@@ -140,16 +141,16 @@
 		}()
 		defer func() { cancel(); responds = <-checked }()
 	}
-	if err := c.receive(ctx, address); err != nil {
+	if err := c.receiveList(ctx, address); err != nil {
 		return false, err
 	}
-	monotime.Sleep(ctx, watchInterval-time.Since(started))
+	monotime.Sleep(ctx, minPollInterval-time.Since(started))
 	return false, nil
 }
 
-// receive makes one poll, reads the list in its response and passes it on. After a malformed or stale list, the next
-// poll requests the complete list, as it is unknown which changes were missed.
-func (c *Client) receive(ctx context.Context, address *registryAddress) error {
+// receiveList sends one poll, reads the list in the response and passes it to the handler. After a malformed or stale
+// list, the next poll requests the complete list, as it is unknown which changes were missed.
+func (c *Client) receiveList(ctx context.Context, address *registryAddress) error {
 	resp, err := address.get(ctx, address.version, c.Hold)
 	if err != nil {
 		return err
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -12,9 +12,9 @@
 	"basaltdrum/internal/testutil"
 )
 
-// changingAgent answers each poll at once with a list that has one more server, up to a number of polls, and
-// withholds its response from then on. It reports the versions that it has sent.
-func changingAgent(t *testing.T, polls int) (address string, sent <-chan int) {
+// startChangingAgent starts an agent that responds to each poll at once with a list of one more server, up to a number
+// of polls, and withholds its response from then on. It reports the versions that it has sent.
+func startChangingAgent(t *testing.T, polls int) (address string, sent <-chan int) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -36,36 +36,36 @@
 	return ln.Addr().String(), versions
 }
 
-// Polls for a list that changes all the time are paced, and each change is still received.
-func TestCallsForAListInConstantChangeArePaced(t *testing.T) {
+// Polls for a list that changes continuously are paced, and each change is still received.
+func TestPollsOfAConstantlyChangingListArePaced(t *testing.T) {
 	const polls = 20
 	for _, polled := range []bool{false, true} {
 		t.Run(fmt.Sprint("polled=", polled), func(t *testing.T) {
 			t.Parallel()
-			address, sent := changingAgent(t, polls)
+			address, sent := startChangingAgent(t, polls)
 			c, reports := newClient(t, Config{Address: address, Polled: polled, Version: NoVersion})
 			c.Hold, c.StartupWait = 100*testutil.Timeout, 100*testutil.Timeout
-			begun := time.Now()
+			started := time.Now()
 			c.Subscribe()
-			run(t, c)
+			startClient(t, c)
 			for range polls {
 				testutil.Wait(t, sent, "a poll")
 			}
-			if took := time.Since(begun); took < (polls-1)*watchInterval {
-				t.Errorf("%d polls came within %v, want %v between two at least", polls, took, watchInterval)
+			if elapsed := time.Since(started); elapsed < (polls-1)*minPollInterval {
+				t.Errorf("%d polls arrived within %v, want at least %v between two", polls, elapsed, minPollInterval)
 			}
 			for i := range polls {
 				got, want := testutil.Wait(t, reports, "a change"), fmt.Sprint("s", i+1)
 				if got.kind != received || len(got.list.Entries) != 1 || got.list.Entries[0].ID != want {
-					t.Fatalf("report %d is %+v, want the change of %s", i, got, want)
+					t.Fatalf("report %d: got %+v, want the entry of %s", i, got, want)
 				}
 			}
 		})
 	}
 }
 
-// A watch that ends without changes is no list, which the module would take for a change: it only confirms the
-// list.
+// A poll that ends without changes only confirms the list. Reported as a list, it would count as a change for the
+// module.
 func TestWatchWithoutChangesOnlyConfirmsTheList(t *testing.T) {
 	agent := testutil.NewRegistryAgent(t)
 	c, reports := newClient(t, Config{Address: agent.Addr().String()})
@@ -79,7 +79,7 @@
 		{"a change", `{"rev":%d,"all":false,"targets":[` + entry + `]}`, received},
 	} {
 		agent.Set(false, row.text)
-		if _, err := c.watchOnce(t.Context(), c.currentAddress(), false); err != nil {
+		if _, err := c.poll(t.Context(), c.currentAddress(), false); err != nil {
 			t.Fatal(err)
 		}
 		if version := c.currentAddress().version; len(reports) != 1 || version != int64(agent.Version()) {
@@ -91,9 +91,9 @@
 	}
 }
 
-// localDialErrorClient is a client, with an agent that has a list of one entry, whose dials fail a number of times by
-// a fault of this machine. It reports the waits between its polls.
-func localDialErrorClient(t *testing.T, polled bool, failures int32) (recorder, <-chan time.Duration) {
+// startClientWithLocalFaults starts a client of an agent whose list has one entry. The client's first dials fail
+// because of a local fault. The returned channel delivers the waits between its polls.
+func startClientWithLocalFaults(t *testing.T, polled bool, failures int32) (recorder, <-chan time.Duration) {
 	t.Helper()
 	agent := testutil.NewRegistryAgent(t)
 	agent.Set(false, testutil.CompleteList(testutil.ListEntry("s1", "127.0.0.1:1", "in_service")))
@@ -112,47 +112,47 @@
 		return (&net.Dialer{}).DialContext(ctx, network, address)
 	}
 	c.Subscribe()
-	run(t, c)
+	startClient(t, c)
 	return reports, waits
 }
 
-// A local fault for a moment loses no watch event: the registry is dialled again at once.
+// A transient local fault does not delay the list: the dial is retried at once.
 func TestTransientLocalDialErrorDelaysNoPoll(t *testing.T) {
 	for _, polled := range []bool{false, true} {
 		t.Run(fmt.Sprint("polled=", polled), func(t *testing.T) {
 			t.Parallel()
-			reports, waits := localDialErrorClient(t, polled, 3)
+			reports, waits := startClientWithLocalFaults(t, polled, 3)
 			waitForEntries(t, reports, 1)
 			if len(waits) != 0 {
-				t.Errorf("waited for %v", <-waits)
+				t.Errorf("waited for %v before a poll, want no wait", <-waits)
 			}
 		})
 	}
 }
 
-// A local fault that lasts is not reported as a failure, after which the module would back off, and dials are not
-// repeated in a hot loop.
+// A persistent local fault is not reported as a failed subscription, after which the module would back off, and dials
+// are not repeated in a busy loop.
 func TestLocalDialErrorIsNoDiscoveryFailure(t *testing.T) {
 	for _, polled := range []bool{false, true} {
 		t.Run(fmt.Sprint("polled=", polled), func(t *testing.T) {
 			t.Parallel()
-			reports, waits := localDialErrorClient(t, polled, 1e6)
+			reports, waits := startClientWithLocalFaults(t, polled, 1e6)
 			for range 2 {
 				if wait := testutil.Wait(t, waits, "a wait"); wait != retryInterval {
-					t.Errorf("waits for %v, want %v", wait, retryInterval)
+					t.Errorf("waited for %v before a poll, want %v", wait, retryInterval)
 				}
 			}
 			if len(reports) != 0 {
-				t.Errorf("got %+v", <-reports)
+				t.Errorf("got report %+v, want none", <-reports)
 			}
 		})
 	}
 }
 
-// However a poll was lost, the next one is made early enough for its list to be known before it counts as notified.
-// Where lists are polled, the policy delays each poll by a quarter of NotifiedWithin at most
+// However a poll is lost, the next one is sent early enough that its list arrives before it counts as notified. Where
+// lists are polled, the policy delays each poll by a quarter of NotificationDeadline at most
 // (TestPollBackoffIsBoundedByTheNotificationTime).
-func TestLostCallIsMadeUpForInTime(t *testing.T) {
+func TestLostPollIsReplacedInTime(t *testing.T) {
 	const longestPolicyDelay = NotificationDeadline / 4
 	for _, row := range []struct {
 		name   string
@@ -164,10 +164,10 @@
 		{"polled, retried after the policy's longest delay", true, max(retryInterval, longestPolicyDelay)},
 	} {
 		c, _ := newClient(t, Config{Address: "127.0.0.1:1", Polled: row.polled, Version: NoVersion})
-		// The pace, the poll that is lost, the wait, a dial that never comes up and its wait, and the next poll.
-		worst := watchInterval + c.Hold + c.Grace + row.retry + agentDialTimeout + row.retry + agentCheckTimeout
+		// The interval, the lost poll, a wait, a dial that is never established, another wait, and the next poll.
+		worst := minPollInterval + c.Hold + c.Grace + row.retry + agentDialTimeout + row.retry + agentCheckTimeout
 		if worst >= NotificationDeadline {
-			t.Errorf("%s: %v, want less than %v", row.name, worst, NotificationDeadline)
+			t.Errorf("%s: replaced within %v, want less than %v", row.name, worst, NotificationDeadline)
 		}
 	}
 }
--- a/internal/endpointlist/boottime.go
+++ b/internal/endpointlist/boottime.go
@@ -15,7 +15,7 @@
 	// futureTolerance is how far in the future a start may lie and still count as now: boot_ms is rounded, and the
 	// clocks of machines differ slightly.
 	futureTolerance = 100 * time.Millisecond
-	// maxOffsets is the number of offsets between the two clocks that are stored, those seen last.
+	// maxOffsets is the number of offsets between the two clocks that are stored, the most recent ones.
 	maxOffsets = 16
 	// maxConvertibleBootMS is the latest boot_ms, in Unix milliseconds, whose sum with any clock time fits a
 	// time.Duration.
@@ -27,15 +27,15 @@
 // The wall clock may be set at any moment, also between the start of an endpoint and the list that announces it,
 // and boot_ms does not show which setting of the clock it was read under. So the offsets between the two clocks
 // that this process has observed are stored, a start is converted by each of them, and the latest result that is
-// not in the future holds. An endpoint that is taken for younger than it is receives less traffic for a while; one
-// that is taken for older may be overloaded during its slow start.
+// not in the future is used. An endpoint that is assumed to be younger than it is receives less traffic for a while;
+// one that is assumed to be older may be overloaded during its slow start.
 //
-// What the node itself knows bounds the result. No start lies in the future. And an entry whose boot_ms changes had
-// not restarted when the list was last known to be current (lists may be late; then the endpoint counts as younger
-// by that delay). An entry that the previous list does not have is not bounded so: the endpoint may have run
-// already, and may have been registered late or left out while it was unreachable.
+// Two facts bound the result. No start lies in the future. And an endpoint whose boot_ms changes had not restarted
+// when the list was last known to be current (if lists are late, the endpoint counts as younger by that delay). The
+// second bound does not apply to an entry that the previous list does not have: the endpoint may have been running
+// already, and may have been registered late or omitted while it was unreachable.
 //
-// It belongs to the goroutine of its Table.
+// It is used only by the goroutine of its Table.
 type bootClock struct {
 	clock     monotime.Clock
 	offsets   []time.Duration // clock time minus Unix time, in the order in which they were last seen
@@ -48,7 +48,7 @@
 	return b
 }
 
-// observe records the present offset between the two clocks.
+// observe records the current offset between the two clocks.
 func (b *bootClock) observe() {
 	offset := b.clock.Now() - b.clock.Unix()
 	b.offsets = slices.DeleteFunc(b.offsets, func(known time.Duration) bool {
@@ -60,14 +60,14 @@
 	}
 }
 
-// confirm records that discovery has answered, so that the node's list is current now.
+// confirm records that discovery has responded, so that the node's list is current now.
 func (b *bootClock) confirm() {
 	b.observe()
 	b.currentAt = b.clock.Now()
 }
 
-// startTime returns the clock time of the start that an entry announces; 0: long ago. previous is the entry with the
-// same uid in the node's list, if listed: while boot_ms remains the same, so does the result.
+// startTime returns the clock time of an endpoint's start at bootMS; 0: long ago. If listed is true, previous is the
+// entry with the same uid in the node's list. The result stays the same as long as boot_ms does.
 func (b *bootClock) startTime(bootMS float64, previous Entry, listed bool) time.Duration {
 	switch {
 	case listed && previous.BootMS == bootMS:
@@ -77,13 +77,13 @@
 	}
 	start := max(1, b.convert(bootMS))
 	if listed {
-		start = max(start, b.currentAt, previous.StartedAt+1) // + 1, as another instance has another start
+		start = max(start, b.currentAt, previous.StartedAt+1) // + 1, as another instance has a different start
 	}
 	return start
 }
 
-// convert returns the latest clock time that the offsets yield for a start and that is not in the future, or the
-// present one if there is none.
+// convert converts boot_ms by each of the offsets. It returns the latest clock time that is not in the future, or the
+// current one if there is none.
 func (b *bootClock) convert(bootMS float64) time.Duration {
 	now := b.clock.Now()
 	// Rounding to microseconds makes this exact; as a float64, nanoseconds since 1970 are not.
--- a/internal/endpointlist/boottime_test.go
+++ b/internal/endpointlist/boottime_test.go
@@ -8,7 +8,7 @@
 	"basaltdrum/internal/testutil"
 )
 
-// The number of observed offsets is bounded, however often the clock is stepped, and slewing the clock is no step.
+// The number of stored offsets is bounded however often the clock is stepped, and slewing the clock adds none.
 func TestClockOffsetsAreBounded(t *testing.T) {
 	machine := testutil.NewMachineClocks()
 	clock := newBootClock(monotime.Simulated(machine.Elapsed, machine.Unix))
@@ -18,13 +18,13 @@
 		clock.observe()
 	}
 	if len(clock.offsets) != 1 {
-		t.Errorf("a clock that is slewed has %d offsets", len(clock.offsets))
+		t.Errorf("%d offsets are stored for a slewed clock, want 1", len(clock.offsets))
 	}
 	for i := range 1000 {
 		machine.StepWallClock(time.Duration(i) * time.Second)
 		clock.observe()
 	}
 	if len(clock.offsets) != maxOffsets {
-		t.Errorf("%d offsets are kept, want %d", len(clock.offsets), maxOffsets)
+		t.Errorf("%d offsets are stored, want %d", len(clock.offsets), maxOffsets)
 	}
 }
--- a/internal/endpointlist/parser.go
+++ b/internal/endpointlist/parser.go
@@ -1,6 +1,7 @@
-// Package endpointlist has the endpoint list: as discovery sends it (List), with a parser, and as the node holds it
-// (Table), with the times at which endpoints started by the node's clock. It does no I/O of its own and starts no
-// goroutine. A List is not changed once it is handed on, but for the start times that Table.SetStartTimes fills in.
+// Package endpointlist implements the endpoint list: List is the list as discovery sends it, with a parser, and Table
+// is the list as the node stores it, with the start times of the endpoints by the node's clock. The package does no I/O
+// of its own and starts no goroutine. A parsed List does not change, except that Table.SetStartTimes sets the start
+// times of its entries.
 package endpointlist
 
 import (
@@ -29,7 +30,7 @@
 	BootMS            float64 // as listed: Unix time in milliseconds; 0: long ago
 }
 
-// Instance returns the process that the entry stands for.
+// Instance returns the process that the entry describes.
 func (e Entry) Instance() Instance { return Instance{e.ID, e.Address, e.BootMS} }
 
 // Instance is one process of an endpoint at one address. An endpoint that has restarted, or another
@@ -46,18 +47,18 @@
 	"terminated":  balancer.Removed,
 }
 
-// Limits of the figures in an entry. Larger ones are malformed.
+// Limits of the numbers in an entry. An entry with a larger number is malformed.
 const (
 	maxCapacity = 1e12 // capacity_hint, in the unit of the settings
 	maxBootMS   = 1e13 // boot_ms, Unix time in milliseconds
-	maxCell     = 1e9  // pod_group, by amount
+	maxCell     = 1e9  // pod_group, absolute value
 )
 
 var (
 	errNoUID         = errors.New("uid is empty")
 	errOutOfRange    = errors.New("capacity_hint, boot_ms or pod_group is out of range")
 	errNoVersion     = errors.New("rev or all is missing")
-	errTrailingBytes = errors.New("something follows its end")
+	errTrailingBytes = errors.New("unexpected data after its end")
 )
 
 // wireEntry is an entry of a list in its JSON form.
@@ -67,8 +68,8 @@
 	Zone     string  `json:"az"`
 	Cell     float64 `json:"pod_group"`
 	State    string  `json:"state"`
-	Size     float64 `json:"capacity_hint"`
-	Boot     float64 `json:"boot_ms"`
+	Capacity float64 `json:"capacity_hint"`
+	BootMS   float64 `json:"boot_ms"`
 }
 
 // toListEntry validates an entry and converts it. An endpoint that was removed needs no address.
@@ -82,19 +83,19 @@
 		return Entry{}, fmt.Errorf("unknown state %q", e.State)
 	case err != nil && state != balancer.Removed:
 		return Entry{}, err
-	case !inRange(e.Size, 0, maxCapacity), !inRange(e.Boot, 0, maxBootMS), !inRange(e.Cell, -maxCell, maxCell):
+	case !inRange(e.Capacity, 0, maxCapacity), !inRange(e.BootMS, 0, maxBootMS), !inRange(e.Cell, -maxCell, maxCell):
 		return Entry{}, errOutOfRange
 	}
-	return Entry{Address: e.Endpoint, BootMS: e.Boot, Endpoint: balancer.Endpoint{
-		ID: e.UID, Zone: e.Zone, Cell: int(e.Cell), State: state, Capacity: e.Size,
+	return Entry{Address: e.Endpoint, BootMS: e.BootMS, Endpoint: balancer.Endpoint{
+		ID: e.UID, Zone: e.Zone, Cell: int(e.Cell), State: state, Capacity: e.Capacity,
 	}}, nil
 }
 
-// inRange reports whether a figure is within limits.
+// inRange reports whether v is between least and most.
 func inRange(v, least, most float64) bool { return v >= least && v <= most }
 
 // listParser is a streaming parser of one list. It reads entry by entry, so that neither the text nor the entries
-// are in memory twice. Keys may have any order and any case, and the last of equal ones counts, as with
+// are in memory twice. Keys may have any order and any case, and the last of duplicate keys counts, as with
 // json.Unmarshal.
 type listParser struct {
 	decoder  *json.Decoder
@@ -107,8 +108,8 @@
 // Parse parses a list that is in memory.
 func Parse(text []byte) (List, error) { return Read(bytes.NewReader(text)) }
 
-// Read parses a list up to the end of its text. Nothing of a malformed one is returned: a part of a list would
-// look as if all other endpoints had been removed.
+// Read parses a list up to the end of its text. It returns no part of a malformed list, which would look as if all
+// other endpoints had been removed.
 func Read(text io.Reader) (List, error) {
 	p := listParser{decoder: json.NewDecoder(text)}
 	if err := p.parse(); err != nil {
@@ -120,7 +121,7 @@
 	return List{Version: *p.version, Complete: *p.complete, Entries: p.entries}, nil
 }
 
-// parse parses the object of the list, which must be all of the text.
+// parse parses the JSON object of the list, which must be the whole text.
 func (p *listParser) parse() error {
 	if err := p.expectDelim('{'); err != nil {
 		return err
@@ -174,7 +175,7 @@
 	case open == nil:
 		return nil
 	case open != json.Delim('['):
-		return fmt.Errorf("list: targets: got %v", open)
+		return fmt.Errorf("list: targets: got %v instead of an array", open)
 	}
 	for p.decoder.More() {
 		if err := p.parseEntry(); err != nil {
@@ -184,7 +185,7 @@
 	return p.expectDelim(']')
 }
 
-// parseEntry parses one entry and rejects one whose uid has occurred before.
+// parseEntry parses one entry and rejects a duplicate uid.
 func (p *listParser) parseEntry() error {
 	var wire wireEntry
 	if err := p.decoder.Decode(&wire); err != nil {
--- a/internal/endpointlist/parser_test.go
+++ b/internal/endpointlist/parser_test.go
@@ -10,34 +10,34 @@
 	"basaltdrum/internal/testutil"
 )
 
-// unmarshalList reads a list with json.Unmarshal, as the reference for the parser.
+// unmarshalList parses a list with json.Unmarshal, as a reference for the parser.
 func unmarshalList(text []byte) (List, error) {
-	var f struct {
+	var fields struct {
 		Rev     *int64      `json:"rev"`
 		All     *bool       `json:"all"`
 		Targets []wireEntry `json:"targets"`
 	}
-	if err := json.Unmarshal(text, &f); err != nil {
+	if err := json.Unmarshal(text, &fields); err != nil {
 		return List{}, err
 	}
-	if f.Rev == nil || f.All == nil {
+	if fields.Rev == nil || fields.All == nil {
 		return List{}, errors.New("rev or all is missing")
 	}
-	l := List{Version: *f.Rev, Complete: *f.All}
+	list := List{Version: *fields.Rev, Complete: *fields.All}
 	seen := map[string]bool{}
-	for _, e := range f.Targets {
-		t, err := e.toListEntry()
-		if err != nil || seen[t.ID] {
-			return List{}, fmt.Errorf("uid %q: %w", t.ID, err)
+	for _, wire := range fields.Targets {
+		entry, err := wire.toListEntry()
+		if err != nil || seen[entry.ID] {
+			return List{}, fmt.Errorf("uid %q: %w", entry.ID, err)
 		}
-		seen[t.ID] = true
-		l.Entries = append(l.Entries, t)
+		seen[entry.ID] = true
+		list.Entries = append(list.Entries, entry)
 	}
-	return l, nil
+	return list, nil
 }
 
-// The parser reads a list as json.Unmarshal does, and rejects it where that fails: in any form, truncated at any
-// byte, with any byte replaced.
+// The parser reads a list as json.Unmarshal does, and rejects what json.Unmarshal rejects. This holds for lists in any
+// form, truncated at any byte, and with any byte removed or replaced.
 func TestListParserAgreesWithUnmarshal(t *testing.T) {
 	s1, s2 := testutil.StartedListEntry("s1", 1_800_000_000_000), testutil.ListEntry("s2", "[::1]:80", "terminating")
 	removed := `{"uid":"s3","state":"terminated"}`
@@ -60,7 +60,7 @@
 		`{"rev" 3,"all":true}`,
 		`{"rev":3 "all":true}`, `{"rev":99999999999999999999,"all":true}`, `{"rev":3,"all":true,"targets":[{"uid":3}]}`,
 	}
-	same := func(text []byte) error {
+	compare := func(text []byte) error {
 		want, wantErr := unmarshalList(text)
 		got, err := Parse(text)
 		if (err == nil) != (wantErr == nil) || !reflect.DeepEqual(got, want) {
@@ -69,21 +69,21 @@
 		return err
 	}
 	for _, text := range malformed {
-		if same([]byte(text)) == nil {
-			t.Errorf("%s is accepted", text)
+		if compare([]byte(text)) == nil {
+			t.Errorf("%s was accepted, want an error", text)
 		}
 	}
 	for _, text := range valid {
-		if err := same([]byte(text)); err != nil {
-			t.Errorf("%s: %v", text, err)
+		if err := compare([]byte(text)); err != nil {
+			t.Errorf("%s was rejected: %v", text, err)
 		}
 		for i := range text {
-			same([]byte(text[:i]))
-			same([]byte(text[:i] + text[i+1:]))
+			compare([]byte(text[:i]))
+			compare([]byte(text[:i] + text[i+1:]))
 			for _, other := range []byte(" \x00{}[],:\"\\0ne\xff") {
 				changed := []byte(text)
 				changed[i] = other
-				same(changed)
+				compare(changed)
 			}
 		}
 	}
--- a/internal/endpointlist/table.go
+++ b/internal/endpointlist/table.go
@@ -7,11 +7,11 @@
 	"basaltdrum/internal/monotime"
 )
 
-// Table is the endpoint list as a node holds it: the newest entry of each endpoint, how many endpoints are ready, and
-// when each of them started by the node's clock. It belongs to one goroutine.
+// Table is the endpoint list as a node stores it: the newest entry of each endpoint, with its start time by the node's
+// clock, and the number of ready endpoints. It must be used by one goroutine only.
 type Table struct {
 	entries map[string]Entry // by endpoint id
-	ready   int              // how many of entries are ready
+	ready   int              // number of entries in state balancer.Ready
 	clock   *bootClock
 }
 
@@ -20,21 +20,21 @@
 	return &Table{entries: map[string]Entry{}, clock: newBootClock(c)}
 }
 
-// SetStartTimes sets the clock time of each entry's start, as it is when the list arrives. An entry that the table
-// holds already keeps the time that was worked out when its boot_ms was first seen.
+// SetStartTimes sets the start times of entries that have just arrived. An entry that the table already has keeps the
+// time that was computed when its boot_ms was first seen.
 func (t *Table) SetStartTimes(entries []Entry) {
 	t.clock.observe()
 	for i := range entries {
 		entry := &entries[i]
-		held, isHeld := t.entries[entry.ID]
-		entry.StartedAt = t.clock.startTime(entry.BootMS, held, isHeld)
+		previous, listed := t.entries[entry.ID]
+		entry.StartedAt = t.clock.startTime(entry.BootMS, previous, listed)
 	}
 }
 
 // Confirm records that the table is known to be current now.
 func (t *Table) Confirm() { t.clock.confirm() }
 
-// Apply applies a list, or changes to one, and returns its entries in the module's form.
+// Apply applies a complete list or changes to the list, and returns its entries as package balancer represents them.
 func (t *Table) Apply(update List) []balancer.Endpoint {
 	if update.Complete {
 		clear(t.entries)
@@ -48,9 +48,9 @@
 	return endpoints
 }
 
-// applyEntry replaces an endpoint's entry and keeps the count of ready endpoints.
+// applyEntry replaces an endpoint's entry and updates the number of ready endpoints.
 func (t *Table) applyEntry(entry Entry) {
-	if old, listed := t.entries[entry.ID]; listed && old.State == balancer.Ready {
+	if previous, listed := t.entries[entry.ID]; listed && previous.State == balancer.Ready {
 		t.ready--
 	}
 	if entry.State == balancer.Removed {
@@ -66,8 +66,8 @@
 // IsUnchangedBy reports whether applying a list would change nothing.
 func (t *Table) IsUnchangedBy(update List) bool {
 	for _, entry := range update.Entries {
-		held, isHeld := t.entries[entry.ID]
-		if isHeld && held != entry || !isHeld && entry.State != balancer.Removed {
+		previous, listed := t.entries[entry.ID]
+		if listed && previous != entry || !listed && entry.State != balancer.Removed {
 			return false
 		}
 	}
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -23,25 +23,25 @@
 	bodyTrailers
 )
 
-// bodyScanner follows the framing of one request's body (RFC 9112, sections 6 and 7). Its owner gives it the bytes
-// of a body of known length and of chunks by skip, and the lines between chunks by parseLine, as isLine says.
+// bodyScanner follows the framing of one request's body (RFC 9112, sections 6 and 7). isLine tells its owner what comes
+// next: content, that is, a body of known length or a chunk, is passed to skip, and a line between chunks to parseLine.
 type bodyScanner struct {
 	state     bodyState
-	remaining uint64 // bytes of the body or chunk that are still to come, or that trailers may still have
+	remaining uint64 // bytes left of the body or chunk, or allowed for the rest of the trailers
 }
 
-// beginLength begins a body of a length in bytes, which is more than none.
-func (b *bodyScanner) beginLength(length int64) {
+// startFixedLength starts a body of length bytes, which must not be 0.
+func (b *bodyScanner) startFixedLength(length int64) {
 	b.state, b.remaining = bodyOfLength, uint64(length)
 }
 
-// beginChunked begins a chunked body.
-func (b *bodyScanner) beginChunked() { b.state = bodyChunkSize }
+// startChunked starts a chunked body.
+func (b *bodyScanner) startChunked() { b.state = bodyChunkSize }
 
 // isLine reports whether the next bytes belong to a line, and not to the content.
 func (b *bodyScanner) isLine() bool { return b.state != bodyOfLength && b.state != bodyChunk }
 
-// skip skips bytes of the body or a chunk. It returns those behind it, and whether the body is complete.
+// skip skips the bytes of the body or chunk. It returns the bytes after it, and whether the body is complete.
 func (b *bodyScanner) skip(p []byte) (rest []byte, complete bool) {
 	n := min(b.remaining, uint64(len(p)))
 	if b.remaining -= n; b.remaining == 0 {
@@ -54,7 +54,7 @@
 	return p[n:], complete
 }
 
-// lineLimit returns how long the next line may be, in bytes, and the error if it is longer.
+// lineLimit returns the maximum length of the next line in bytes, and the error for a longer line.
 func (b *bodyScanner) lineLimit() (limit int, tooLong error) {
 	switch b.state {
 	case bodyChunkSize:
@@ -66,7 +66,7 @@
 	}
 }
 
-// parseLine parses a complete line, its end included, and reports whether the body is complete.
+// parseLine parses a complete line, including its line ending, and reports whether the body is complete.
 func (b *bodyScanner) parseLine(line []byte) (complete bool, err error) {
 	switch b.state {
 	case bodyChunkSize:
@@ -83,7 +83,7 @@
 }
 
 // parseChunkSize parses the line before a chunk (RFC 9112, section 7.1): hexadecimal digits only, followed by
-// the line's end or an extension, which is ignored.
+// the line ending or an extension, which is ignored.
 func (b *bodyScanner) parseChunkSize(line []byte) error {
 	line, hasEnd := bytes.CutSuffix(line, []byte("\r\n"))
 	digits, _, _ := bytes.Cut(line, []byte(";"))
@@ -98,8 +98,8 @@
 	return nil
 }
 
-// parseTrailerLine parses a line behind the last chunk, of which an empty one is the last. Trailer fields are
-// ignored.
+// parseTrailerLine parses a line after the last chunk and reports whether it is the last one, which is empty. Trailer
+// fields are ignored.
 func (b *bodyScanner) parseTrailerLine(line []byte) (last bool, err error) {
 	if !bytes.HasSuffix(line, []byte("\r\n")) {
 		return false, errTrailer
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -17,7 +17,7 @@
 // chunkedLength is the bodyLength of a chunked body, as in http.Request.ContentLength.
 const chunkedLength = -1
 
-// RequestHead is what the scanner knows about one request once its head is complete.
+// RequestHead describes one request whose head the scanner has parsed completely.
 type RequestHead struct {
 	FirstByte  time.Duration // clock time when its first byte was read
 	lineHash   uint64        // hash of the request line
@@ -42,16 +42,16 @@
 	fieldOther
 )
 
-// withoutLineEnd strips the end of a line in a head, which net/http accepts with or without CR.
+// withoutLineEnd strips the line ending of a line in a head, which net/http accepts with or without CR.
 func withoutLineEnd(line []byte) []byte {
 	return bytes.TrimSuffix(bytes.TrimSuffix(line, []byte("\n")), []byte("\r"))
 }
 
-// headScanner parses the head of one request, line by line (RFC 9112, sections 2 to 6): what the framing of its body
-// depends on, and no more.
+// headScanner parses the head of one request line by line (RFC 9112, sections 2 to 6). It parses only what the framing
+// of the body depends on.
 type headScanner struct {
 	current       RequestHead
-	inFields      bool // the request line is parsed
+	inFields      bool // the request line has been parsed
 	http10        bool
 	isPost        bool
 	hasLength     bool
@@ -59,13 +59,13 @@
 	previousField fieldKind // of the line before
 }
 
-// begin begins the head of another request, whose first byte was read at a clock time.
-func (h *headScanner) begin(at time.Duration) {
+// start starts the head of the next request, whose first byte was read at the given clock time.
+func (h *headScanner) start(at time.Duration) {
 	*h = headScanner{current: RequestHead{FirstByte: at}}
 }
 
-// lineLimit returns how much of the next line is buffered, in bytes, and the error if it is longer. Without an
-// error, the rest of the line is skipped.
+// lineLimit returns how many bytes of the next line are buffered, and the error for a longer line. If the error is nil,
+// the rest of a longer line is skipped.
 func (h *headScanner) lineLimit() (limit int, tooLong error) {
 	if !h.inFields {
 		return maxRequestLine, errRequestLine
@@ -73,8 +73,8 @@
 	return maxBufferedField, nil
 }
 
-// parseLine parses a complete line, of which the end may be skipped (truncated), and reports whether it is the one
-// that ends the head.
+// parseLine parses a complete line and reports whether it ends the head. If truncated is true, the end of the line was
+// skipped.
 func (h *headScanner) parseLine(line []byte, truncated bool) (complete bool, err error) {
 	line = withoutLineEnd(line)
 	switch {
@@ -152,7 +152,7 @@
 	return nil
 }
 
-// endHead checks how the fields of a complete head go together.
+// endHead checks that the framing fields of a complete head are consistent, and sets the length of a chunked body.
 func (h *headScanner) endHead() error {
 	switch {
 	case h.hasCoding && h.hasLength:
--- a/internal/http1/head_test.go
+++ b/internal/http1/head_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// What the framing of the body depends on is read from the lines of a head, and ambiguous lines are rejected.
+// The scanner reads the framing of the body from the lines of a head, and rejects ambiguous lines.
 func TestHeadScannerReadsTheFraming(t *testing.T) {
 	const post, post10 = "POST /a HTTP/1.1\r\n", "POST /a HTTP/1.0\r\n"
 	for _, row := range []struct {
@@ -33,13 +33,13 @@
 		},
 		{"a folded field", post + "X: a\r\n b\r\n\r\n", 0, nil},
 		{"a folded length", post + "Content-Length: 3\r\n 4\r\n\r\n", 0, errFoldedFraming},
-		{"a fold behind the request line", post + " a\r\n\r\n", 0, errFieldLine},
+		{"a fold after the request line", post + " a\r\n\r\n", 0, errFieldLine},
 		{"a field without a colon", post + "Host\r\n\r\n", 0, errFieldLine},
 		{"no version", "POST /a\r\n\r\n", 0, errRequestLine},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			var h headScanner
-			h.begin(time.Second)
+			h.start(time.Second)
 			var complete bool
 			var err error
 			for line := range strings.Lines(row.text) {
@@ -48,16 +48,16 @@
 				}
 			}
 			if !errors.Is(err, row.err) || err == nil && !complete {
-				t.Fatalf("complete: %v, error %v, want %v", complete, err, row.err)
+				t.Fatalf("got complete %v, error %v; want error %v", complete, err, row.err)
 			}
 			if err == nil && (h.current.bodyLength != row.length || h.current.FirstByte != time.Second) {
-				t.Errorf("%+v, want a length of %d", h.current, row.length)
+				t.Errorf("got %+v, want body length %d and first byte at 1s", h.current, row.length)
 			}
 		})
 	}
 }
 
-// A line whose end is skipped may be any field but one of the framing.
+// A line whose end is skipped may be any field except Content-Length and Transfer-Encoding.
 func TestHeadScannerRejectsTruncatedFraming(t *testing.T) {
 	for _, row := range []struct {
 		name string
@@ -72,23 +72,23 @@
 		t.Run(row.name, func(t *testing.T) {
 			h := headScanner{inFields: true}
 			if complete, err := h.parseLine([]byte(row.line), true); complete || !errors.Is(err, row.err) {
-				t.Errorf("complete: %v, error %v, want %v", complete, err, row.err)
+				t.Errorf("got complete %v, error %v; want false, %v", complete, err, row.err)
 			}
 		})
 	}
 }
 
-// Nothing of one head is left when the next one begins.
-func TestHeadScannerBeginsAnew(t *testing.T) {
+// The start of a head discards all state of the previous head.
+func TestHeadScannerStartResetsIt(t *testing.T) {
 	var h headScanner
-	h.begin(1)
+	h.start(1)
 	for _, line := range []string{"POST /a HTTP/1.0\r\n", "Content-Length: 3\r\n", "\r\n"} {
 		if _, err := h.parseLine([]byte(line), false); err != nil {
 			t.Fatal(err)
 		}
 	}
-	h.begin(2)
+	h.start(2)
 	if want := (headScanner{current: RequestHead{FirstByte: 2}}); h != want {
-		t.Errorf("%+v, want %+v", h, want)
+		t.Errorf("got %+v, want %+v", h, want)
 	}
 }
--- a/internal/http1/limitedreader.go
+++ b/internal/http1/limitedreader.go
@@ -1,9 +1,9 @@
-// Package http1 has what the node adds to net/http where messages of HTTP/1.1 are read: a scanner that follows the
-// framing of the requests on a connection, a reader that limits the length of a response, and the limits on both
-// sides' messages. Package downstream feeds the scanner and package upstream reads responses through the reader.
+// Package http1 complements net/http in reading HTTP/1.1 messages. It has a scanner that follows the framing of the
+// requests on a connection, a reader that limits the length of a response, and the limits on requests and responses.
+// Package downstream feeds the scanner, and package upstream reads responses through the reader.
 //
-// The package does no I/O of its own, starts no goroutine and has no lock: a scanner or reader is used by one
-// goroutine at a time, which its owner sees to.
+// The package does no I/O of its own, starts no goroutine and has no lock. The owner of a scanner or reader ensures
+// that only one goroutine at a time uses it.
 package http1
 
 import (
@@ -11,12 +11,12 @@
 	"io"
 )
 
-// ErrTooLong reports a response longer than permitted, be it by its head, by the interim responses before
-// it or by its body.
+// ErrTooLong reports a response that is longer than permitted, whether because of its head, its body or the interim
+// responses before it.
 var ErrTooLong = errors.New("the response is too long")
 
 // LimitedReader reads a limited number of bytes and then fails with ErrTooLong, unlike io.LimitedReader,
-// which then reports the end of the input. Its owner sets the limit anew for each response. It is needed because
+// which then reports the end of the input. Its owner sets Remaining again for each response. It is needed because
 // neither http.ReadResponse nor io.ReadAll has a limit of its own: one endless head would exhaust the memory.
 type LimitedReader struct {
 	io.Reader
--- a/internal/http1/scanner.go
+++ b/internal/http1/scanner.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Limits on what one downstream connection may make the scanner hold or skip; see head.go and body.go as well.
+// Limits on what the scanner stores or skips for one downstream connection; see also head.go and body.go.
 const (
 	maxPipelinedHeads = 2048 // more than the valid requests that fit in MaxHeaderBytes + MaxBodyBytes
 	maxBlankBytes     = 4    // bytes of CR and LF that net/http skips after a POST
 )
 
-// FramingError says why the framing of a request is ambiguous or malformed. Its text is sent to the client.
+// FramingError describes why the framing of a request is ambiguous or malformed. Its text is sent to the client.
 type FramingError string
 
 // Error returns the text that is sent to the client.
@@ -47,24 +47,24 @@
 // It is fed every byte as it is read from the kernel. The zero value is a scanner at a connection's start.
 //
 // It records what net/http does not report: when the first byte of each request was read, pipelined ones included,
-// and whether Content-Length came beside Transfer-Encoding, in which case net/http drops the former. It is at least
+// and whether a request has both Content-Length and Transfer-Encoding, where net/http drops the former. It is at least
 // as strict as net/http. What it rejects has to be answered with an error that closes the connection, so that no
-// request can be smuggled in the body of another. After an error it scans no more.
+// request can be smuggled in the body of another. After an error it stops scanning.
 //
-// It buffers one line at most, and a RequestHead for each pipelined request. It cuts the bytes into lines and
-// contents; headScanner parses the lines of heads, and bodyScanner those of bodies.
+// It buffers one line at most, and a RequestHead for each pipelined request. It splits the bytes into lines and
+// content; headScanner parses the lines of heads, and bodyScanner those of bodies.
 type RequestScanner struct {
 	position     requestPart
 	line         []byte // the current line so far
-	truncated    bool   // the field line is longer than the buffered part of it
+	truncated    bool   // the field line is longer than its buffered part
 	blankAllowed int    // bytes of CR and LF that may be skipped before the next request line
 
 	head headScanner // of the request that is being scanned
 	body bodyScanner
 
-	heads     []RequestHead // complete heads that net/http has not reached yet
+	heads     []RequestHead // complete heads that net/http has not read yet
 	err       error
-	errInBody bool // err is in the body of the last complete head, not in the head after it
+	errInBody bool // err is in the body that belongs to the last complete head, not in the next head
 }
 
 // Feed scans bytes that were read at the given clock time.
@@ -72,7 +72,7 @@
 	for len(p) > 0 && s.err == nil {
 		switch {
 		case s.position == betweenRequests:
-			p = s.beginRequest(p, at)
+			p = s.startRequest(p, at)
 		case s.position == inBody && !s.body.isLine():
 			p = s.skipContent(p)
 		default:
@@ -108,33 +108,34 @@
 	return nil
 }
 
-// MidRequest reports whether a request has begun and is not complete.
+// MidRequest reports whether a request has started and is not complete.
 func (s *RequestScanner) MidRequest() bool { return s.err == nil && s.position != betweenRequests }
 
-// HasPipelinedRequest reports whether a request has begun behind the complete body of the one that was taken last.
+// HasPipelinedRequest reports whether another request has started after the complete body of the request whose head
+// was taken last.
 func (s *RequestScanner) HasPipelinedRequest() bool {
 	return len(s.heads) > 0 || s.err == nil && s.position == inHead
 }
 
-// fail ends the scan. An error in a head comes before the head, one in a body behind it.
+// fail stops the scan. An error in a head keeps the head out of heads; an error in a body follows its complete head.
 func (s *RequestScanner) fail(err error) {
 	s.err = err
 	s.errInBody = s.position == inBody
 	s.line = nil
 }
 
-// beginRequest notes the first byte of a request, after the line ends that net/http skips behind a POST.
-func (s *RequestScanner) beginRequest(p []byte, at time.Duration) []byte {
+// startRequest starts a request at its first byte, after the line endings that net/http skips after a POST.
+func (s *RequestScanner) startRequest(p []byte, at time.Duration) []byte {
 	if s.blankAllowed > 0 && (p[0] == '\r' || p[0] == '\n') {
 		s.blankAllowed--
 		return p[1:]
 	}
 	s.position = inHead
-	s.head.begin(at)
+	s.head.start(at)
 	return p
 }
 
-// skipContent skips bytes of a body or a chunk, and returns those behind it.
+// skipContent skips the bytes of a body or a chunk, and returns the bytes after it.
 func (s *RequestScanner) skipContent(p []byte) []byte {
 	rest, complete := s.body.skip(p)
 	if complete {
@@ -144,7 +145,7 @@
 }
 
 // collectLine adds bytes to the current line, parses the line once it is complete, and returns the bytes
-// behind it.
+// after it.
 func (s *RequestScanner) collectLine(p []byte) []byte {
 	part, rest, complete := p, []byte(nil), false
 	if end := bytes.IndexByte(p, '\n'); end >= 0 {
@@ -164,13 +165,13 @@
 		s.line, s.truncated = s.line[:0], false
 	}
 	if s.position == betweenRequests {
-		s.line = nil // an idle connection holds no buffer
+		s.line = nil // an idle connection needs no buffer
 	}
 	return rest
 }
 
-// lineLimit returns how much of the current line is buffered, in bytes, and the error if it is longer. Without
-// an error, the rest of the line is skipped.
+// lineLimit returns how many bytes of the current line are buffered, and the error for a longer line. If the error is
+// nil, the rest of a longer line is skipped.
 func (s *RequestScanner) lineLimit() (limit int, tooLong error) {
 	if s.position == inHead {
 		return s.head.lineLimit()
@@ -194,7 +195,7 @@
 	}
 }
 
-// endHead queues a complete head, and begins its body.
+// endHead queues a complete head and starts its body.
 func (s *RequestScanner) endHead() error {
 	if len(s.heads) >= maxPipelinedHeads {
 		return errTooManyPipelined
@@ -204,17 +205,17 @@
 	switch {
 	case head.bodyLength == chunkedLength:
 		s.position = inBody
-		s.body.beginChunked()
+		s.body.startChunked()
 	case head.bodyLength > 0:
 		s.position = inBody
-		s.body.beginLength(head.bodyLength)
+		s.body.startFixedLength(head.bodyLength)
 	default:
 		s.endRequest()
 	}
 	return nil
 }
 
-// endRequest notes that a request is complete.
+// endRequest records that a request is complete.
 func (s *RequestScanner) endRequest() {
 	s.position, s.blankAllowed, s.line = betweenRequests, 0, nil
 	if s.head.isPost {
--- a/internal/http1/scanner_test.go
+++ b/internal/http1/scanner_test.go
@@ -11,21 +11,21 @@
 	"time"
 )
 
-// scanned is the result of a scanner fed some bytes in pieces of a size (0: all at once).
-func scanned(text string, size int) *RequestScanner {
+// scan returns a scanner that was fed a text in pieces of size bytes (0: all at once).
+func scan(text string, size int) *RequestScanner {
 	s := &RequestScanner{}
 	if size == 0 {
 		size = max(1, len(text))
 	}
-	for part := range slices.Chunk([]byte(text), size) {
-		s.Feed(part, 0)
+	for piece := range slices.Chunk([]byte(text), size) {
+		s.Feed(piece, 0)
 	}
 	return s
 }
 
-// readByHTTP reads requests as the server of net/http does, until one is invalid; an error in a body leaves its
-// head in the list.
-func readByHTTP(text string) (requests []*http.Request) {
+// readRequestsByHTTP reads requests as the server of net/http does, until one is invalid. A request whose body is
+// invalid is included.
+func readRequestsByHTTP(text string) (requests []*http.Request) {
 	br := bufio.NewReader(strings.NewReader(text))
 	for {
 		if len(requests) > 0 && requests[len(requests)-1].Method == http.MethodPost {
@@ -43,39 +43,39 @@
 	}
 }
 
-// checkScanner compares the scanner's results for the same bytes in pieces of several sizes, and with what
-// net/http reads where both continue.
+// checkScanner checks that the scanner's result does not depend on the size of the pieces, and that the scanner finds
+// the same requests as net/http, up to the first request that one of them rejects.
 func checkScanner(t *testing.T, text string) {
 	t.Helper()
-	want := scanned(text, 0)
+	want := scan(text, 0)
 	for _, size := range []int{1, 2, 3, 7, 64} {
-		got := scanned(text, size)
+		got := scan(text, size)
 		if !slices.Equal(got.heads, want.heads) || !errors.Is(got.err, want.err) || got.errInBody != want.errInBody ||
 			got.position != want.position || got.head != want.head || got.body != want.body {
-			t.Fatalf("in pieces of %d: %+v, at once: %+v", size, got, want)
+			t.Fatalf("in pieces of %d bytes: got %+v, want %+v as for all at once", size, got, want)
 		}
 	}
-	for _, r := range readByHTTP(text) {
+	for _, r := range readRequestsByHTTP(text) {
 		if len(want.heads) == 0 {
 			break
 		}
 		if _, err := want.TakeHead(r); err != nil {
-			t.Fatalf("net/http reads %s %s with length %d elsewhere: %v", r.Method, r.RequestURI, r.ContentLength, err)
+			t.Fatalf("net/http reads %s %s of length %d, scanner: %v", r.Method, r.RequestURI, r.ContentLength, err)
 		}
 	}
 }
 
-// chunkedPost is the head of a POST whose body comes in chunks.
+// chunkedPost is the head of a POST with a chunked body.
 const chunkedPost = "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// scannerTexts are streams of requests, and how many of them the scanner accepts.
+// scannerTexts are streams of requests, with the number of heads that the scanner accepts and its error.
 var scannerTexts = []struct {
 	name  string
 	text  string
 	heads int
 	err   error
 }{
-	{"nothing", "", 0, nil},
+	{"empty", "", 0, nil},
 	{"one request", "GET /a HTTP/1.1\r\nHost: h\r\n\r\n", 1, nil},
 	{"lines that end by LF", "GET /a HTTP/1.1\nHost: h\n\nGET /b HTTP/1.0\r\n\r\n", 2, nil},
 	{"folded fields", "GET /a HTTP/1.1\r\nX: a\r\n b\r\n\t\r\nY:\r\n\r\nGET /b HTTP/1.1\r\n\r\n", 2, nil},
@@ -84,24 +84,24 @@
 		"POST /a HTTP/1.1\r\ncontent-LENGTH: \t3 \r\n\r\nabcPOST /b HTTP/1.1\r\nContent-Length: 0\r\n\r\nG", 2, nil,
 	},
 	{
-		"the same length twice, and a blank line behind the POST",
+		"the same length twice, and a blank line after the POST",
 		"POST /a HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\na\r\n\r\nGET /b HTTP/1.1\r\n\r\n", 2, nil,
 	},
 	{
-		"too many line ends behind a POST",
+		"too many line endings after a POST",
 		"POST /a HTTP/1.1\r\nContent-Length: 1\r\n\r\na\r\n\r\n\r\nGET /b HTTP/1.1\r\n\r\n", 1, errRequestLine,
 	},
-	{"a blank line behind a GET", "GET /a HTTP/1.1\r\n\r\n\r\nGET /b HTTP/1.1\r\n\r\n", 1, errRequestLine},
+	{"a blank line after a GET", "GET /a HTTP/1.1\r\n\r\n\r\nGET /b HTTP/1.1\r\n\r\n", 1, errRequestLine},
 	{
 		"chunks with an extension and trailers",
 		"POST /a HTTP/1.1\r\nTransfer-Encoding: CHUNKED\r\n\r\n3;x\r\n\r\n0\r\n0\r\nA: b\r\n\r\n\r\n\r\n" +
 			"GET /b HTTP/1.1\r\n\r\n", 2, nil,
 	},
 	{
-		"no chunk, and a partial body behind",
+		"no chunk, followed by a partial body",
 		chunkedPost + "0\r\n\r\nPOST /b HTTP/1.1\r\nContent-Length: 2\r\n\r\na", 2, nil,
 	},
-	{"a blank behind a chunk's size", chunkedPost + "2 \r\nok\r\n0\r\n\r\n", 1, errChunkSize},
+	{"a space after a chunk's size", chunkedPost + "2 \r\nok\r\n0\r\n\r\n", 1, errChunkSize},
 	{"a chunk longer than its size", chunkedPost + "2\r\nok0\r\n\r\n", 1, errChunkEnd},
 	{"a trailer that ends by LF", chunkedPost + "0\r\nA: b\n\nGET /b HTTP/1.1\r\n\r\n", 1, errTrailer},
 	{
@@ -114,8 +114,8 @@
 	},
 	{"an unknown coding", "POST /a HTTP/1.1\r\nTransfer-Encoding: gzip\r\n\r\n", 0, errCoding},
 	{"a folded length", "POST /a HTTP/1.1\r\nContent-Length:\r\n 1\r\n\r\na", 0, errContentLength},
-	{"a length folded behind", "POST /a HTTP/1.1\r\nContent-Length: 1\r\n \r\n\r\na", 0, errFoldedFraming},
-	{"a fold behind the request line", "POST /a HTTP/1.1\r\n Content-Length: 1\r\n\r\na", 0, errFieldLine},
+	{"a length with a fold after it", "POST /a HTTP/1.1\r\nContent-Length: 1\r\n \r\n\r\na", 0, errFoldedFraming},
+	{"a fold after the request line", "POST /a HTTP/1.1\r\n Content-Length: 1\r\n\r\na", 0, errFieldLine},
 	{
 		"a length in a long line",
 		"POST /a HTTP/1.1\r\nContent-Length: 1" + strings.Repeat(" ", maxBufferedField) + "\r\n\r\na",
@@ -134,9 +134,9 @@
 	for _, c := range scannerTexts {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			s := scanned(c.text, 0)
+			s := scan(c.text, 0)
 			if len(s.heads) != c.heads || !errors.Is(s.err, c.err) {
-				t.Errorf("%d heads and %v, want %d and %v", len(s.heads), s.err, c.heads, c.err)
+				t.Errorf("got %d heads and error %v, want %d and %v", len(s.heads), s.err, c.heads, c.err)
 			}
 			checkScanner(t, c.text)
 		})
@@ -150,9 +150,9 @@
 	f.Fuzz(checkScanner)
 }
 
-// Each request's time starts with its own first byte: not with line ends before it, and not with the end of the
-// request before it.
-func TestScannerNotesTheFirstByteOfEachRequest(t *testing.T) {
+// The recorded time of each request is that of its own first byte, not of line endings before it or of the end of the
+// previous request.
+func TestScannerRecordsTheFirstByteOfEachRequest(t *testing.T) {
 	s := &RequestScanner{}
 	for i, part := range []string{
 		"P", "OST /a HTTP/1.1\r\nContent-Le", "ngth: 1\r\n\r", "\n", "a", "\r\n",
@@ -165,9 +165,9 @@
 		got = append(got, h.FirstByte)
 	}
 	if want := []time.Duration{1, 7, 7}; !slices.Equal(got, want) || s.err != nil {
-		t.Errorf("first bytes at %v, %v; want %v", got, s.err, want)
+		t.Errorf("got first bytes at %v and error %v, want %v and none", got, s.err, want)
 	}
 	if s.line != nil || s.MidRequest() {
-		t.Errorf("an idle connection holds %d bytes", cap(s.line))
+		t.Errorf("between requests, a buffer of %d bytes is held; want none, and no request in progress", cap(s.line))
 	}
 }
--- a/internal/monotime/clock.go
+++ b/internal/monotime/clock.go
@@ -1,5 +1,5 @@
-// Package monotime is the node's source of time: spans of monotonic time since the process's start, which setting
-// the machine's wall clock does not move. It starts no goroutine and holds no state besides the start.
+// Package monotime provides the node's clock. Clock times are monotonic and count from the start of the process, so
+// that setting the machine's wall clock does not change them. The package starts no goroutine and has no global state.
 package monotime
 
 import "time"
@@ -8,13 +8,13 @@
 // year before the process have positive start times.
 const processStart = 365 * 24 * time.Hour
 
-// Clock tells the time. Any number of goroutines may use it, and copies of it tell the same time.
+// Clock returns clock times. It is safe for concurrent use, and its copies return the same time.
 type Clock struct {
 	elapsed func() time.Duration
 	unix    func() time.Duration
 }
 
-// New returns a clock whose process has started now.
+// New returns a clock that takes the current moment as the start of the process.
 func New() Clock {
 	start := time.Now()
 	return Simulated(
@@ -29,10 +29,10 @@
 	return Clock{elapsed: elapsed, unix: unix}
 }
 
-// Now returns the present clock time. It never goes back.
+// Now returns the current clock time. It never decreases.
 func (c Clock) Now() time.Duration { return processStart + c.elapsed() }
 
-// Until returns the time that is left until a clock time; it is negative once that has passed.
+// Until returns the time left until a clock time. It is negative once that time has passed.
 func (c Clock) Until(at time.Duration) time.Duration { return at - c.Now() }
 
 // Unix returns Unix time by the machine's wall clock, which may be set at any moment.
--- a/internal/monotime/clock_test.go
+++ b/internal/monotime/clock_test.go
@@ -14,22 +14,22 @@
 	before := clock.Now()
 	unix -= 30 * time.Minute
 	if clock.Now() != before || clock.Unix() != 30*time.Minute {
-		t.Errorf("the clock moved by %v and shows the Unix time %v", clock.Now()-before, clock.Unix())
+		t.Errorf("clock moved by %v, Unix time is %v; want 0s and 30m0s", clock.Now()-before, clock.Unix())
 	}
 	elapsed += time.Minute
 	if got := clock.Until(before); got != -time.Minute {
-		t.Errorf("%v until a time a minute ago", got)
+		t.Errorf("Until returned %v for a time one minute ago, want -1m0s", got)
 	}
 }
 
-func TestTheClockMovesOnAndSleepEndsWithItsContext(t *testing.T) {
+func TestClockAdvancesAndSleepEndsWithItsContext(t *testing.T) {
 	clock := monotime.New()
 	before := clock.Now()
 	monotime.Sleep(t.Context(), time.Millisecond)
-	if passed := clock.Now() - before; passed < time.Millisecond {
-		t.Errorf("slept for %v", passed)
+	if elapsed := clock.Now() - before; elapsed < time.Millisecond {
+		t.Errorf("slept for %v, want at least 1ms", elapsed)
 	}
-	ended, cancel := context.WithCancel(t.Context())
+	canceled, cancel := context.WithCancel(t.Context())
 	cancel()
-	monotime.Sleep(ended, 24*time.Hour) // returns at once, or the test never ends
+	monotime.Sleep(canceled, 24*time.Hour) // returns at once, or the test times out
 }
--- a/internal/monotime/sleep.go
+++ b/internal/monotime/sleep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep returns after a duration or when ctx ends, whichever is first.
+// Sleep waits for a duration or until ctx ends, whichever comes first.
 func Sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/netdial/netdial.go
+++ b/internal/netdial/netdial.go
@@ -1,5 +1,5 @@
-// Package netdial tells faults of this machine from those of the other side when a connection can't be opened, and
-// dials again with backoff after the former. It starts no goroutine and holds no state.
+// Package netdial distinguishes faults of this machine from faults of the remote host when a connection cannot be
+// opened, and retries the dial with exponential backoff after a local fault. It starts no goroutine and has no state.
 package netdial
 
 import (
@@ -15,23 +15,23 @@
 // Func opens a connection, as net.Dialer.DialContext does.
 type Func func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Exponential backoff between dials that failed by a local fault. It is short, as a request waits for the
+// Exponential backoff between dials that fail because of a local fault. It is short, as a request waits for the
 // connection, and long enough not to spin while the fault lasts.
 const (
 	minRedialBackoff = 5 * time.Millisecond
 	maxRedialBackoff = 40 * time.Millisecond
 )
 
-// localErrors are the errors of socket and connect that concern this machine and not the one that is dialled.
-// All others, such as ECONNREFUSED, ECONNRESET, EHOSTUNREACH, ETIMEDOUT and a dial that times out, are attributed
-// to the other side.
+// localErrors are the errors of socket and connect that are caused by this machine and not by the remote host. All
+// others, such as ECONNREFUSED, ECONNRESET, EHOSTUNREACH, ETIMEDOUT and a dial that times out, are attributed to the
+// remote host.
 var localErrors = []error{
 	syscall.EMFILE,        // the process has no descriptor left
 	syscall.ENFILE,        // the machine has no descriptor left
 	syscall.ENOBUFS,       // the kernel has no buffer left
 	syscall.ENOMEM,        // the kernel has no memory left
 	syscall.EADDRNOTAVAIL, // no local port is free
-	syscall.EADDRINUSE,    // the local port was taken meanwhile
+	syscall.EADDRINUSE,    // the local port is in use
 	syscall.EAGAIN,        // no local port or routing entry is free
 	syscall.ENETUNREACH,   // the machine has no route, as while an interface is reconfigured
 	syscall.ENETDOWN,      // the machine's interface is down
@@ -50,23 +50,23 @@
 	return false
 }
 
-// WithBackoff dials until the dial succeeds or fails through the other side, or until mayWait denies the next
-// backoff or ctx ends. heldUp reports whether a local fault delayed or prevented the connection.
+// WithBackoff calls dial until it succeeds or fails because of the remote host, or until mayWait rejects the next
+// backoff or ctx ends. localFault reports whether a local fault delayed or prevented the connection.
 func WithBackoff(
 	ctx context.Context, mayWait func(time.Duration) bool, dial func() error,
-) (heldUp bool, err error) {
+) (localFault bool, err error) {
 	for backoff := minRedialBackoff; ; backoff = min(2*backoff, maxRedialBackoff) {
 		err = dial()
 		if !IsLocalError(err) {
-			return heldUp, err
+			return localFault, err
 		}
-		heldUp = true
+		localFault = true
 		if !mayWait(backoff) {
-			return heldUp, err
+			return localFault, err
 		}
 		monotime.Sleep(ctx, backoff)
 		if ctx.Err() != nil {
-			return heldUp, err
+			return localFault, err
 		}
 	}
 }
--- a/internal/socketpeek/socketpeek.go
+++ b/internal/socketpeek/socketpeek.go
@@ -1,6 +1,6 @@
-// Package socketpeek looks into a socket's receive buffer without reading from it (recv with MSG_PEEK). An idle
-// connection is checked so before its reuse, and a reader that waits so needs no buffer of its own. The package
-// starts no goroutine and holds no state.
+// Package socketpeek checks whether a socket is readable without reading from it (recv with MSG_PEEK). This is used to
+// check an idle connection before its reuse, and to wait for input without holding a read buffer. The package starts no
+// goroutine and has no state.
 package socketpeek
 
 import (
@@ -11,7 +11,7 @@
 // recvFunc receives from a socket, as syscall.Recvfrom does.
 type recvFunc func(fd int, p []byte, flags int) (int, syscall.Sockaddr, error)
 
-// RawConn returns the socket of a connection, or nil if it has none.
+// RawConn returns the raw connection of nc, or nil if it has none.
 func RawConn(nc net.Conn) syscall.RawConn {
 	sc, ok := nc.(syscall.Conn)
 	if !ok {
@@ -24,16 +24,16 @@
 	return raw
 }
 
-// IsFDReadable reports whether a socket has bytes that were not read yet, or its other side has closed, or it has
-// failed: in all three cases a read does not block.
-func IsFDReadable(fd uintptr) bool { return hasUnreadBy(syscall.Recvfrom, fd) }
+// IsFDReadable reports whether a socket has unread bytes, its peer has closed the connection, or it has failed: in all
+// three cases a read does not block.
+func IsFDReadable(fd uintptr) bool { return isReadableBy(syscall.Recvfrom, fd) }
 
-// hasUnreadBy is HasUnread with a given recv. An interrupted call is repeated, as it gives no information about
-// the socket: the runtime's poller is edge-triggered, so that what is missed here is not reported again.
+// isReadableBy is IsFDReadable with a given recv. An interrupted call is repeated, as it gives no information about
+// the socket: the runtime's poller is edge-triggered, so an event that is missed here is not reported again.
 //
-// A system call's error is compared as it is: with errors.Is this function would be too long to be inlined, and buf
-// would be allocated at each call, several times for a request.
-func hasUnreadBy(recv recvFunc, fd uintptr) bool {
+// The system call's error is compared without errors.Is, with which this function would be too long to be inlined, so
+// that buf would be allocated at each call, several times for a request.
+func isReadableBy(recv recvFunc, fd uintptr) bool {
 	var buf [1]byte
 	for {
 		_, _, err := recv(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -50,7 +50,8 @@
 	}
 }
 
-// IsReadable reports the same without waiting.
+// IsReadable reports, without waiting, whether a connection has bytes to read, has been closed by either side, or has
+// failed.
 func IsReadable(nc net.Conn) bool {
 	raw := RawConn(nc)
 	if raw == nil {
--- a/internal/socketpeek/socketpeek_test.go
+++ b/internal/socketpeek/socketpeek_test.go
@@ -8,22 +8,22 @@
 	"basaltdrum/internal/testutil"
 )
 
-// A peek that a signal interrupts is repeated until it has a result: the poller has reported readability before,
-// and does so only once.
+// A peek that a signal interrupts is repeated until it has a result, because the runtime's poller reports readability
+// only once.
 func TestInterruptedPeekIsRepeated(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		do   func(theirs net.Conn)
-		has  bool
+		name     string
+		do       func(peer net.Conn)
+		readable bool
 	}{
-		{"data", func(theirs net.Conn) { theirs.Write([]byte("x")) }, true},
-		{"a close", func(theirs net.Conn) { theirs.Close() }, true},
-		{"nothing", func(net.Conn) {}, false},
+		{"data", func(peer net.Conn) { peer.Write([]byte("x")) }, true},
+		{"a close", func(peer net.Conn) { peer.Close() }, true},
+		{"no event", func(net.Conn) {}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			theirs, ours := testutil.ConnPair(t)
-			if c.do(theirs); c.has {
-				testutil.Until(t, "it to arrive", func() bool { return IsReadable(ours) })
+			peer, conn := testutil.ConnPair(t)
+			if c.do(peer); c.readable {
+				testutil.Until(t, "the data or close to arrive", func() bool { return IsReadable(conn) })
 			}
 			interrupted := testutil.FailTimes(syscall.EINTR, 2)
 			recv := func(fd int, p []byte, flags int) (int, syscall.Sockaddr, error) {
@@ -32,23 +32,23 @@
 				}
 				return syscall.Recvfrom(fd, p, flags)
 			}
-			var has bool
-			err := RawConn(ours).Control(func(fd uintptr) { has = hasUnreadBy(recv, fd) })
-			if err != nil || has != c.has {
-				t.Errorf("something there: %v (%v), want %v", has, err, c.has)
+			var readable bool
+			err := RawConn(conn).Control(func(fd uintptr) { readable = isReadableBy(recv, fd) })
+			if err != nil || readable != c.readable {
+				t.Errorf("got readable %v, error %v; want %v", readable, err, c.readable)
 			}
 		})
 	}
 }
 
-// A peek is a part of every request, and allocates nothing.
+// A peek must not allocate, as there is one for every request.
 func TestPeekDoesNotAllocate(t *testing.T) {
-	_, ours := testutil.ConnPair(t)
+	_, conn := testutil.ConnPair(t)
 	var allocations float64
-	err := RawConn(ours).Control(func(fd uintptr) {
+	err := RawConn(conn).Control(func(fd uintptr) {
 		allocations = testing.AllocsPerRun(100, func() { IsFDReadable(fd) })
 	})
 	if err != nil || allocations != 0 {
-		t.Errorf("%v allocations (%v)", allocations, err)
+		t.Errorf("got %v allocations and error %v, want none", allocations, err)
 	}
 }
