--- a/cmd/balancer/clients_test.go
+++ b/cmd/balancer/clients_test.go
@@ -58,11 +58,11 @@
 // getOnce sends a request on a connection of its own. An error means that the connection ended without a complete
 // response; a timeout is not an error, but has status 0.
 func getOnce(address string) (status int, body string, err error) {
-	c := client{address: address, name: "single"}
+	c := client{address: address, name: "good"}
 	defer c.close()
 	status, body, err = c.get("/view/k")
 	if status == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
-		return 0, "response timed out", nil
+		return 0, "no response", nil
 	}
 	return status, body, err
 }
--- a/cmd/balancer/main_test.go
+++ b/cmd/balancer/main_test.go
@@ -101,7 +101,7 @@
 func TestBadConfigExitsWithOneLine(t *testing.T) {
 	build(t)
 	dir := t.TempDir()
-	for name, text := range map[string]string{"missing": "", "truncated": `{"listen":`, "empty": `{}`} {
+	for name, text := range map[string]string{"missing": "", "cut": `{"listen":`, "empty": `{}`} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(dir, name)
 			if text != "" {
--- a/cmd/balancer/registry_test.go
+++ b/cmd/balancer/registry_test.go
@@ -40,17 +40,17 @@
 }
 
 // set changes the list, its version and the state.
-func (reg *registry) set(t *testing.T, version int, list string, state registryState) {
+func (reg *registry) set(t *testing.T, rev int, list string, newState registryState) {
 	t.Helper()
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
-	reg.version, reg.list, reg.state = version, list, state
+	reg.version, reg.list, reg.state = rev, list, newState
 	switch {
-	case state == refusing && reg.server != nil:
+	case newState == refusing && reg.server != nil:
 		syscall.Shutdown(reg.fd, syscall.SHUT_RDWR) // stops listening but stays bound
 		reg.server.Close()
 		reg.server = nil
-	case state != refusing && reg.server == nil:
+	case newState != refusing && reg.server == nil:
 		if err := syscall.Listen(reg.fd, 1024); err != nil {
 			t.Fatal(err)
 		}
@@ -71,13 +71,13 @@
 
 // fetched returns a channel that is closed once a node has received the list of a version, that is, polls for changes
 // since that version.
-func (reg *registry) fetched(version int) chan struct{} {
+func (reg *registry) fetched(rev int) chan struct{} {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
-	if reg.polledFrom[version] == nil {
-		reg.polledFrom[version] = make(chan struct{})
+	if reg.polledFrom[rev] == nil {
+		reg.polledFrom[rev] = make(chan struct{})
 	}
-	return reg.polledFrom[version]
+	return reg.polledFrom[rev]
 }
 
 func (reg *registry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -90,24 +90,24 @@
 	if !isClosed(fetched) {
 		close(fetched)
 	}
-	state, version, list := reg.state, reg.version, reg.list
+	currentState, rev, list := reg.state, reg.version, reg.list
 	reg.mu.Unlock()
 	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
-	if state == available && from != version {
-		fmt.Fprintf(w, `{"rev":%d,"all":true,"targets":[%s]}`, version, list)
+	if currentState == available && from != rev {
+		fmt.Fprintf(w, `{"rev":%d,"all":true,"targets":[%s]}`, rev, list)
 		return
 	}
-	if state == available {
+	if currentState == available {
 		holdTimer := time.NewTimer(time.Duration(hold) * time.Millisecond)
 		defer holdTimer.Stop()
 		select {
 		case <-r.Context().Done():
 		case <-holdTimer.C:
 			reg.mu.Lock()
-			state = reg.state
+			currentState = reg.state
 			reg.mu.Unlock()
-			if state == available {
-				fmt.Fprintf(w, `{"rev":%d,"all":false,"targets":[]}`, version)
+			if currentState == available {
+				fmt.Fprintf(w, `{"rev":%d,"all":false,"targets":[]}`, rev)
 				return
 			}
 		}
@@ -116,7 +116,7 @@
 }
 
 // newRegistry starts a registry on a port of its own.
-func newRegistry(t *testing.T, version int, list string, state registryState) *registry {
+func newRegistry(t *testing.T, rev int, list string, state registryState) *registry {
 	t.Helper()
 	// The kernel keeps the port of a socket that stops listening only if the socket was bound to that port by number.
 	bindSocket := func(port int) (int, int, error) {
@@ -148,9 +148,9 @@
 		return err == nil
 	})
 	reg := &registry{fd: fd, addr: fmt.Sprintf("127.0.0.1:%d", port), polledFrom: map[int]chan struct{}{}}
-	reg.set(t, version, list, state)
+	reg.set(t, rev, list, state)
 	t.Cleanup(func() {
-		reg.set(t, version, list, refusing)
+		reg.set(t, rev, list, refusing)
 		syscall.Close(fd)
 	})
 	return reg
--- a/internal/discovery/listbody_test.go
+++ b/internal/discovery/listbody_test.go
@@ -27,7 +27,7 @@
 		{"indented", testutil.LongList(largestFleet, "", true), largestFleet},
 		{"of the maximum size", strings.Repeat(" ", maxListBytes-len(compact)) + compact, largestFleet},
 		{"one byte too long", single + strings.Repeat(" ", maxListBytes+1-len(single)), 0},
-		{"far too long", testutil.LongList(largestFleet, strings.Repeat("x", 2000), false), 0},
+		{"endless", testutil.LongList(largestFleet, strings.Repeat("x", 2000), false), 0},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
@@ -60,7 +60,7 @@
 		{"broken", fmt.Sprintf(withLength, 90, `{"rev":8,"all":true,"targets":[`), 7},
 		{"broken after the list", fmt.Sprintf(withLength, 90, `{"rev":8,"all":true,"targets":[]}`), 7},
 		{"broken in a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20\r\n" + `{"rev":8,"all"`, 7},
-		{"complete but malformed", fmt.Sprintf(withLength, 31, `{"rev":8,"all":true,"targets":[`), NoVersion},
+		{"cut", fmt.Sprintf(withLength, 31, `{"rev":8,"all":true,"targets":[`), NoVersion},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/endpointlist/parser.go
+++ b/internal/endpointlist/parser.go
@@ -63,13 +63,13 @@
 
 // wireEntry is an entry of a list in its JSON form.
 type wireEntry struct {
-	UID      string  `json:"uid"`
-	Endpoint string  `json:"endpoint"`
-	Zone     string  `json:"az"`
-	Cell     float64 `json:"pod_group"`
-	State    string  `json:"state"`
-	Capacity float64 `json:"capacity_hint"`
-	BootMS   float64 `json:"boot_ms"`
+	UID          string  `json:"uid"`
+	Endpoint     string  `json:"endpoint"`
+	Zone         string  `json:"az"`
+	Cell         float64 `json:"pod_group"`
+	State        string  `json:"state"`
+	CapacityHint float64 `json:"capacity_hint"`
+	BootTimeMS   float64 `json:"boot_ms"`
 }
 
 // toListEntry validates an entry and converts it. An endpoint that was removed needs no address.
@@ -83,11 +83,11 @@
 		return Entry{}, fmt.Errorf("unknown state %q", e.State)
 	case err != nil && state != balancer.Removed:
 		return Entry{}, err
-	case !inRange(e.Capacity, 0, maxCapacity), !inRange(e.BootMS, 0, maxBootMS), !inRange(e.Cell, -maxCell, maxCell):
+	case !inRange(e.CapacityHint, 0, maxCapacity), !inRange(e.BootTimeMS, 0, maxBootMS), !inRange(e.Cell, -maxCell, maxCell):
 		return Entry{}, errOutOfRange
 	}
-	return Entry{Address: e.Endpoint, BootMS: e.BootMS, Endpoint: balancer.Endpoint{
-		ID: e.UID, Zone: e.Zone, Cell: int(e.Cell), State: state, Capacity: e.Capacity,
+	return Entry{Address: e.Endpoint, BootMS: e.BootTimeMS, Endpoint: balancer.Endpoint{
+		ID: e.UID, Zone: e.Zone, Cell: int(e.Cell), State: state, Capacity: e.CapacityHint,
 	}}, nil
 }
 
--- a/internal/http1/body_test.go
+++ b/internal/http1/body_test.go
@@ -12,9 +12,9 @@
 		name, text, rest string
 		complete         bool
 	}{
-		{"a part of the body", "ab", "", false},
-		{"the whole body", "abc", "", true},
-		{"more than the body", "abcGET", "GET", true},
+		{"a part", "ab", "", false},
+		{"the whole", "abc", "", true},
+		{"more", "abcGET", "GET", true},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			var b bodyScanner
--- a/internal/http1/scanner_test.go
+++ b/internal/http1/scanner_test.go
@@ -75,7 +75,7 @@
 	heads int
 	err   error
 }{
-	{"empty", "", 0, nil},
+	{"nothing", "", 0, nil},
 	{"one request", "GET /a HTTP/1.1\r\nHost: h\r\n\r\n", 1, nil},
 	{"lines that end by LF", "GET /a HTTP/1.1\nHost: h\n\nGET /b HTTP/1.0\r\n\r\n", 2, nil},
 	{"folded fields", "GET /a HTTP/1.1\r\nX: a\r\n b\r\n\t\r\nY:\r\n\r\nGET /b HTTP/1.1\r\n\r\n", 2, nil},
--- a/internal/netdial/netdial_test.go
+++ b/internal/netdial/netdial_test.go
@@ -20,9 +20,9 @@
 		{"no descriptor left", testutil.DialError("socket", syscall.EMFILE), true},
 		{"no route", testutil.DialError("connect", syscall.ENETUNREACH), true},
 		{"refused", testutil.DialError("connect", syscall.ECONNREFUSED), false},
-		{"host unreachable", testutil.DialError("connect", syscall.EHOSTUNREACH), false},
+		{"host is unreachable", testutil.DialError("connect", syscall.EHOSTUNREACH), false},
 		{"timed out", os.ErrDeadlineExceeded, false},
-		{"no error", nil, false},
+		{"none", nil, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := IsLocalError(c.err); got != c.local {
--- a/internal/socketpeek/socketpeek_test.go
+++ b/internal/socketpeek/socketpeek_test.go
@@ -18,7 +18,7 @@
 	}{
 		{"data", func(peer net.Conn) { peer.Write([]byte("x")) }, true},
 		{"a close", func(peer net.Conn) { peer.Close() }, true},
-		{"no event", func(net.Conn) {}, false},
+		{"nothing", func(net.Conn) {}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			peer, conn := testutil.ConnPair(t)
