--- a/cmd/balancer/restart_test.go
+++ b/cmd/balancer/restart_test.go
@@ -17,9 +17,9 @@
 	healthCheckInterval = 5 * time.Millisecond
 )
 
-// measureStart measures how long this machine currently takes to start and end as many processes of the program as a
-// fleet has. The processes have no configuration.
-func measureStart(t *testing.T) time.Duration {
+// measureProcessStarts returns how long this machine currently takes to start and end as many processes of the program
+// as a fleet has. The processes have no configuration.
+func measureProcessStarts(t *testing.T) time.Duration {
 	t.Helper()
 	started := time.Now()
 	var commands []*exec.Cmd
@@ -102,7 +102,7 @@
 // checkRestart starts the nodes again at their addresses, and checks that nine of ten are ready in time.
 func (f *fleet) checkRestart(t *testing.T, ended syscall.Signal) {
 	t.Helper()
-	allowed := readyWithin + 5*measureStart(t)
+	allowed := readyWithin + 5*measureProcessStarts(t)
 	started := time.Now()
 	durations := make(chan time.Duration, fleetSize)
 	for i, address := range f.addresses {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// pollSubscribed sends one poll of a subscription, and reports whether another one follows without a new subscription.
+// pollSubscribed makes one poll of a subscription, and reports whether another one follows without a new subscription.
 // A poll that failed because of a local fault never reached the registry: the policy need not delay the next one, and
 // is not notified.
 func (c *Client) pollSubscribed(ctx context.Context) (again bool) {
@@ -119,7 +119,7 @@
 	}
 }
 
-// poll sends one poll and passes the result to the handler. During the poll, a suspect agent is also
+// poll sends one poll request and passes the result to the handler. During the poll, a suspect agent is also
 // health-checked: if it responds to the check, the poll is known to be lost and is canceled, and responds is true.
 //
 // A successful poll returns after minPollInterval at the earliest, which paces consecutive polls.
@@ -148,7 +148,7 @@
 	return false, nil
 }
 
-// receiveList sends one poll, reads the list in the response and passes it to the handler. After a malformed or stale
+// receiveList sends one poll request, reads the list in the response and passes it to the handler. After a malformed or stale
 // list, the next poll requests the complete list, as it is unknown which changes were missed.
 func (c *Client) receiveList(ctx context.Context, address *registryAddress) error {
 	resp, err := address.get(ctx, address.version, c.Hold)
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -56,7 +56,7 @@
 	isPost        bool
 	hasLength     bool
 	hasCoding     bool
-	previousField fieldKind // of the line before
+	previousField fieldKind // of the previous line
 }
 
 // start starts the head of the next request, whose first byte was read at the given clock time.
