--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -148,8 +148,8 @@
 	return false, nil
 }
 
-// receiveList sends one poll request, reads the list in the response and passes it to the handler. After a malformed or stale
-// list, the next poll requests the complete list, as it is unknown which changes were missed.
+// receiveList sends one poll request, reads the list in the response and passes it to the handler. After a malformed or
+// stale list, the next poll requests the complete list, as it is unknown which changes were missed.
 func (c *Client) receiveList(ctx context.Context, address *registryAddress) error {
 	resp, err := address.get(ctx, address.version, c.Hold)
 	if err != nil {
--- a/internal/endpointlist/parser.go
+++ b/internal/endpointlist/parser.go
@@ -83,7 +83,8 @@
 		return Entry{}, fmt.Errorf("unknown state %q", e.State)
 	case err != nil && state != balancer.Removed:
 		return Entry{}, err
-	case !inRange(e.CapacityHint, 0, maxCapacity), !inRange(e.BootTimeMS, 0, maxBootMS), !inRange(e.Cell, -maxCell, maxCell):
+	case !inRange(e.CapacityHint, 0, maxCapacity), !inRange(e.BootTimeMS, 0, maxBootMS),
+		!inRange(e.Cell, -maxCell, maxCell):
 		return Entry{}, errOutOfRange
 	}
 	return Entry{Address: e.Endpoint, BootMS: e.BootTimeMS, Endpoint: balancer.Endpoint{
