--- a/internal/downstream/budget.go
+++ b/internal/downstream/budget.go
@@ -1,29 +1,29 @@
 package downstream
 
-// Limits are what downstream connections are kept within.
+// Limits are the limits that Conns enforces on downstream connections.
 type Limits struct {
 	Descriptors     int   // for downstream and upstream connections together
-	UpstreamReserve int   // the part of Descriptors that is always left to upstream connections
+	UpstreamReserve int   // the part of Descriptors that is always reserved for upstream connections
 	RejectReserve   int   // descriptors beyond Descriptors, for connections whose requests are only read to be rejected
-	ReadAhead       int64 // bytes that the read-ahead buffers of all connections together may have
+	ReadAhead       int64 // the total size of the read-ahead buffers of all connections, in bytes
 	GracePeriods    GracePeriods
 }
 
 // descriptorBudget divides the process's descriptors between downstream and upstream connections, and counts the
-// downstream connections that matter for it. How many connections there are is told with each question. The caller
-// of its methods holds Conns.mu.
+// downstream connections that are active or being evicted. Its methods take the total numbers of connections as
+// arguments. The caller of its methods holds Conns.mu.
 type descriptorBudget struct {
 	limits   Limits
-	evicting int // connections that are being evicted and not closed yet
+	evicting int // connections that are being evicted and are not closed yet
 	active   int // connections with an open request
 }
 
-// replaceActivity counts that a connection's activity has changed.
-func (b *descriptorBudget) replaceActivity(before, after activity) {
-	if before.evicted {
+// countActivityChange updates the counts for a change of one connection's activity.
+func (b *descriptorBudget) countActivityChange(before, after activity) {
+	if before.evicting {
 		b.evicting--
 	}
-	if after.evicted {
+	if after.evicting {
 		b.evicting++
 	}
 	if before.phase == PhaseActive {
@@ -34,29 +34,31 @@
 	}
 }
 
-// upstreamShare is how many descriptors are kept for so many upstream connections.
+// upstreamShare returns how many descriptors are kept for upstream connections, given their number.
 func (b *descriptorBudget) upstreamShare(upstream int) int {
 	return max(b.limits.UpstreamReserve, upstream)
 }
 
-// excess is how many downstream connections there are beyond what upstream ones leave of the capacity, at least
-// half of it. Those being evicted do not count.
+// excess returns by how many the downstream connections exceed their limit, which is what upstream connections leave
+// of Descriptors, but at least half of it. Connections that are being evicted do not count. The result is negative
+// below the limit.
 func (b *descriptorBudget) excess(downstream, upstream int) int {
 	limit := max(b.limits.Descriptors/2, b.limits.Descriptors-b.upstreamShare(upstream))
 	return downstream - b.evicting - limit
 }
 
-// isShort reports whether an excess is so large that descriptors are about to run out.
-func (b *descriptorBudget) isShort(excess int) bool { return excess > b.limits.RejectReserve/2 }
+// isUnderPressure reports whether an excess is so large that descriptors are about to run out.
+func (b *descriptorBudget) isUnderPressure(excess int) bool { return excess > b.limits.RejectReserve/2 }
 
-// admitsRequest reports whether the open requests, one that was just counted included, hold no more than half of
-// the capacity.
+// admitsRequest reports whether the open requests, including the one that was just counted, hold no more than half of
+// Descriptors.
 func (b *descriptorBudget) admitsRequest() bool { return b.active <= b.limits.Descriptors/2 }
 
-// usable is how many descriptors connections may have, those included whose requests are only read to be rejected.
+// usable returns how many descriptors connections may have, including those whose requests are only read to be
+// rejected.
 func (b *descriptorBudget) usable() int { return b.limits.Descriptors + b.limits.RejectReserve }
 
-// upstreamAllowance is how many descriptors so many downstream connections leave for upstream ones.
+// upstreamAllowance returns how many descriptors the given number of downstream connections leaves for upstream ones.
 func (b *descriptorBudget) upstreamAllowance(downstream int) int { return b.usable() - downstream }
 
 // isExhausted reports whether one more downstream connection would take a descriptor that is kept for others.
--- a/internal/downstream/budget_test.go
+++ b/internal/downstream/budget_test.go
@@ -30,8 +30,8 @@
 		t.Run(row.name, func(t *testing.T) {
 			b := descriptorBudget{limits: limits, evicting: row.evicting}
 			excess := b.excess(row.downstream, row.upstream)
-			if excess != row.excess || b.isShort(excess) != row.short {
-				t.Errorf("excess %d, short: %v, want %d and %v", excess, b.isShort(excess), row.excess, row.short)
+			if excess != row.excess || b.isUnderPressure(excess) != row.short {
+				t.Errorf("excess %d, short: %v, want %d and %v", excess, b.isUnderPressure(excess), row.excess, row.short)
 			}
 			if got := b.isExhausted(row.downstream, row.upstream); got != row.exhausted {
 				t.Errorf("exhausted: %v, want %v", got, row.exhausted)
@@ -68,7 +68,7 @@
 // Open requests and evictions are counted once, from the change that begins them to the one that ends them.
 func TestDescriptorBudgetCountsActivities(t *testing.T) {
 	idle, active := activity{phase: PhaseIdle}, activity{phase: PhaseActive}
-	evicted := idle.whileEvicted()
+	evicted := idle.markedEvicting()
 	for _, row := range []struct {
 		name             string
 		before, after    activity
@@ -84,7 +84,7 @@
 		t.Run(row.name, func(t *testing.T) {
 			const some = 3
 			b := descriptorBudget{active: some, evicting: some}
-			b.replaceActivity(row.before, row.after)
+			b.countActivityChange(row.before, row.after)
 			if active, evicting := b.active-some, b.evicting-some; active != row.active || evicting != row.evicting {
 				t.Errorf("changed by %d and %d, want %d and %d", active, evicting, row.active, row.evicting)
 			}
--- a/internal/downstream/conn_test.go
+++ b/internal/downstream/conn_test.go
@@ -21,12 +21,12 @@
 			conn, client := connPair(t, newTestConns(testLimits(10), 0), 2*testutil.Timeout)
 			conn.SetReadDeadline(time.Now().Add(testutil.Timeout))
 			io.WriteString(client, row.first)
-			if text := make([]byte, len(row.first)); !readsAll(conn, text) {
+			if text := make([]byte, len(row.first)); !readFull(conn, text) {
 				t.Fatal("the first bytes are not read")
 			}
 			conn.SetReadDeadline(time.Now()) // as net/http set it before the first bytes came
 			io.WriteString(client, "rest")
-			if text := make([]byte, 4); !readsAll(conn, text) || string(text) != "rest" {
+			if text := make([]byte, 4); !readFull(conn, text) || string(text) != "rest" {
 				t.Error("the rest is not read")
 			}
 		})
--- a/internal/downstream/conns.go
+++ b/internal/downstream/conns.go
@@ -8,12 +8,12 @@
 	"basaltdrum/internal/monotime"
 )
 
-// Conns is the set of connections from clients, kept within its share of the process's file
-// descriptors. When there are too many, connections without an open request are evicted, those that are the
-// least useful first. A request is rejected only when open requests alone exceed the share.
+// Conns is the set of connections from clients. It keeps them within their share of the process's file descriptors.
+// When there are too many, connections without an open request are evicted, the least useful ones first. A request is
+// rejected only when open requests alone hold more than half of the descriptors.
 type Conns struct {
 	clock         monotime.Clock
-	upstreamCount func() int // how many upstream connections there are
+	upstreamCount func() int // returns the number of upstream connections
 
 	readAheadBudget readAheadBudget // not guarded by mu
 
@@ -23,10 +23,10 @@
 	counts Counts
 }
 
-// Counts count, for the log, what happened to connections.
+// Counts holds the numbers of connections that were accepted, evicted and so on, for the log.
 type Counts struct{ Accepted, AcceptFailed, Evicted, Rejected, ClosedUnread int }
 
-// NewConns returns an empty set. upstreamCount tells how many upstream connections there are; it is called
+// NewConns returns an empty set. upstreamCount returns the number of upstream connections; it is called
 // while the set's lock is held.
 func NewConns(clock monotime.Clock, limits Limits, upstreamCount func() int) *Conns {
 	s := &Conns{clock: clock, upstreamCount: upstreamCount, conns: map[*Conn]struct{}{}}
@@ -34,7 +34,7 @@
 	return s
 }
 
-// SetLimits puts limits into force, and evicts the connections that exceed them.
+// SetLimits changes the limits, and evicts connections that exceed them.
 func (s *Conns) SetLimits(limits Limits) {
 	s.readAheadBudget.limit.Store(limits.ReadAhead)
 	s.mu.Lock()
@@ -43,8 +43,8 @@
 	s.evictExcess()
 }
 
-// ConnStateChanged is the ConnState hook of the http.Server. Each change is an occasion to evict, as it may
-// have added a connection or made one evictable.
+// ConnStateChanged is the ConnState hook of the http.Server. It checks for an excess of connections after each change,
+// which may have added a connection or made one evictable.
 func (s *Conns) ConnStateChanged(nc net.Conn, state http.ConnState) {
 	c := nc.(*Conn)
 	s.mu.Lock()
@@ -55,7 +55,7 @@
 		s.conns[c] = struct{}{}
 		s.setPhase(c, PhaseNew)
 	case http.StateActive:
-		c.beginRequest()
+		c.startRequest()
 		s.setPhase(c, PhaseReading)
 	case http.StateIdle:
 		s.setPhase(c, PhaseIdle)
@@ -68,10 +68,10 @@
 	s.evictExcess()
 }
 
-// AdmitRequest notes that a connection's request is open, and reports whether it may go to the decision
-// module. It may not if open requests hold more than half of the capacity. An excess of connections is no
-// reason to reject: silent clients must not cost a well-behaved one its response. If this connection was
-// being evicted, another is evicted in its place.
+// AdmitRequest records that a connection's request is open, and reports whether it may be passed to the decision
+// module. It may not if open requests hold more than half of the descriptors. An excess of connections alone is no
+// reason to reject: clients that send nothing must not cost a well-behaved client its response. If this connection was
+// being evicted, another one is evicted in its place.
 func (s *Conns) AdmitRequest(c *Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,23 +84,23 @@
 	return true
 }
 
-// OverLimit reports whether there are more connections than the limit permits, not counting those being evicted.
+// OverLimit reports whether the number of connections exceeds the limit, not counting those being evicted.
 func (s *Conns) OverLimit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.excess() > 0
 }
 
-// UpstreamAllowance is how many descriptors downstream connections leave for upstream ones.
+// UpstreamAllowance returns how many descriptors downstream connections leave for upstream ones.
 func (s *Conns) UpstreamAllowance() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.budget.upstreamAllowance(len(s.conns))
 }
 
-// atHardLimit reports whether one more connection would take a descriptor that is reserved for others. Such a
-// connection is closed without reaching net/http and so without a call of ConnStateChanged, which is why
-// others are evicted here, for the next one.
+// atHardLimit reports whether one more connection would take a descriptor that is reserved for others, and counts the
+// connection if so. The caller closes such a connection before it reaches net/http, so ConnStateChanged is not called
+// for it. Other connections are evicted here instead, to make room for the next one.
 func (s *Conns) atHardLimit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,53 +112,52 @@
 	return true
 }
 
-// countFailedAccept counts a failed accept.
 func (s *Conns) countFailedAccept() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.AcceptFailed++
 }
 
-// setPhase notes what a connection does from now on, which ends an eviction that was begun. s.mu is held.
+// setPhase starts a new phase of a connection, which no longer counts as being evicted. The caller holds s.mu.
 func (s *Conns) setPhase(c *Conn, p Phase) {
 	s.setActivity(c, activity{phase: p, since: s.clock.Now()})
 }
 
-// setActivity replaces a connection's activity and counts the change. s.mu is held.
+// setActivity replaces a connection's activity and counts the change. The caller holds s.mu.
 func (s *Conns) setActivity(c *Conn, a activity) {
-	s.budget.replaceActivity(c.activity, a)
+	s.budget.countActivityChange(c.activity, a)
 	c.activity = a
 }
 
-// excess is how many connections there are beyond the limit, not counting those being evicted. s.mu is held.
+// excess returns by how many the connections exceed the limit, not counting those being evicted. The caller holds s.mu.
 func (s *Conns) excess() int { return s.budget.excess(len(s.conns), s.upstreamCount()) }
 
-// startLingering notes that net/http has written its last response and waits for the client to receive it.
+// startLingering records that net/http has written its last response and waits for the client to receive it.
 func (s *Conns) startLingering(c *Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, known := s.conns[c]; known {
+	if _, open := s.conns[c]; open {
 		s.setPhase(c, PhaseLingering)
 	}
 }
 
-// Count is how many connections there are.
+// Count returns the number of connections.
 func (s *Conns) Count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// ConnStatus is what one connection is doing at a moment.
+// ConnStatus is a snapshot of the state of one connection.
 type ConnStatus struct {
 	RemoteAddr     net.Addr
 	Phase          Phase
-	RequestStarted bool // bytes of a request were read that has no response yet
+	RequestStarted bool // bytes have been read of a request that has no response yet
 	Departure      Departure
-	ReadAhead      int // bytes that are buffered of what the client pipelined behind an open request
+	ReadAhead      int // number of buffered bytes that the client has pipelined after an open request
 }
 
-// Status returns what each connection is doing.
+// Status returns a snapshot of the state of each connection.
 func (s *Conns) Status() []ConnStatus {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,10 +168,10 @@
 	return all
 }
 
-// ReadAheadReserved is how many bytes are reserved for the read-ahead buffers of all connections.
+// ReadAheadReserved returns the number of bytes that are reserved for the read-ahead buffers of all connections.
 func (s *Conns) ReadAheadReserved() int64 { return s.readAheadBudget.reserved.Load() }
 
-// TakeCounts returns what happened to connections since the last call, and how many there are.
+// TakeCounts returns the counts since the last call, and the present number of connections.
 func (s *Conns) TakeCounts() (counts Counts, conns int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/downstream/departure.go
+++ b/internal/downstream/departure.go
@@ -10,14 +10,14 @@
 	"basaltdrum/internal/socketpeek"
 )
 
-// Departure is what the node knows about a client's leaving while its request is open. It only ever
-// increases during a request: of two observations, the greater holds.
+// Departure is how far a client is known to have departed while its request is open. It never decreases during a
+// request: of two observations, the greater one holds.
 type Departure int
 
 // The values of Departure, from the least to the greatest.
 const (
-	Present      Departure = iota // nothing was seen of a departure
-	Unobservable                  // the read-ahead buffer is full, so that a close behind it could not be seen
+	Present      Departure = iota // no sign of a departure
+	Unobservable                  // the read-ahead buffer is full, so a close after its bytes would not be seen
 	HalfClosed                    // a FIN was received; the client may still read the response
 	Disconnected                  // the connection was reset or has failed
 )
@@ -37,72 +37,72 @@
 	return fmt.Sprintf("Departure(%d)", int(d))
 }
 
-// departureWatch is what the watch of one connection's open request has found out: what is known of the client's
-// departure, and how far the watch is.
+// departureWatch is the state of the departure watch of a connection's open request: the client's departure as observed
+// so far, and the progress of the watch.
 //
-// The caller of its methods holds Conn.mu. The channels may be used without it: begin alone replaces them, which
-// happens before the watch and the handler of the request start.
+// The caller of its methods holds Conn.mu. The channels may be used without it: only start replaces them, before the
+// watch and the handler of the request start.
 type departureWatch struct {
-	known    Departure
-	caughtUp chan struct{} // closed once the watch has read all that had arrived
-	ended    chan struct{} // closed once the watch has ended
-	changed  chan struct{} // receives a value when known changes
+	departure Departure
+	caughtUp  chan struct{} // closed once the watch has read everything that had arrived
+	ended     chan struct{} // closed once the watch has ended
+	changed   chan struct{} // receives a value when departure changes
 }
 
-// begin begins the watch of another request. What is known of the client stays, but for a read-ahead buffer that was
-// full: it may have been emptied since.
-func (w *departureWatch) begin() {
+// start prepares the watch of the next request. The departure observed so far still holds, except Unobservable, as the
+// read-ahead buffer may have been emptied since.
+func (w *departureWatch) start() {
 	w.caughtUp, w.ended = make(chan struct{}), make(chan struct{})
 	if w.changed == nil {
 		w.changed = make(chan struct{}, 1)
 	}
-	if w.known == Unobservable {
-		w.known = Present
+	if w.departure == Unobservable {
+		w.departure = Present
 	}
 }
 
-// observe records an observation. If it exceeds what was known, changed receives a value.
+// observe records an observation. If it is greater than the departure so far, changed receives a value.
 func (w *departureWatch) observe(observed Departure) {
-	if observed <= w.known {
+	if observed <= w.departure {
 		return
 	}
-	w.known = observed
+	w.departure = observed
 	select {
 	case w.changed <- struct{}{}:
 	default:
 	}
 }
 
-// markCaughtUp notes that the watch has read all that had arrived, or as much as can be buffered.
+// markCaughtUp records that the watch has read everything that had arrived, or as much as can be buffered.
 func (w *departureWatch) markCaughtUp() {
 	if !isClosed(w.caughtUp) {
 		close(w.caughtUp)
 	}
 }
 
-// errReadAheadFull ends the departure watch when the client has pipelined more than may be buffered.
-var errReadAheadFull = errors.New("the read-ahead buffer is full")
+// errReadAheadFull reports that the client has pipelined more than may be buffered, which ends the departure watch.
+var errReadAheadFull = errors.New("read-ahead buffer is full")
 
-// watchForDeparture reads whatever the client pipelines behind an open request, since a FIN or RST can only
-// be seen once the bytes before it are read. It returns at the read deadline, on a reset, or when the
-// read-ahead buffer is full. After a FIN it goes on to wait for a reset.
+// watchForDeparture reads what the client pipelines after an open request, since a FIN or RST can only be seen once the
+// bytes before it have been read. It returns at the read deadline, on a reset, or when the read-ahead buffer is full.
+// After a FIN it continues to wait for a reset.
 func (c *Conn) watchForDeparture() error {
-	defer close(c.departure.ended)
+	defer close(c.watch.ended)
 	defer c.markCaughtUp()
 	for {
 		if err := c.awaitUnread(); err != nil {
-			c.noteRead(0, err)
+			c.recordReadResult(0, err)
 			return err
 		}
 		buffer := c.unusedReadAhead()
 		if buffer == nil {
-			c.noteDeparture(Unobservable)
+			c.recordDeparture(Unobservable)
 			return errReadAheadFull
 		}
 		n, err := c.Conn.Read(buffer)
 		c.scan(buffer[:n])
 		c.extendReadAhead(n)
-		c.noteRead(n, err)
+		c.recordReadResult(n, err)
 		switch {
 		case errors.Is(err, io.EOF):
 			c.markCaughtUp()
@@ -113,7 +113,7 @@
 	}
 }
 
-// unusedReadAhead returns the part of the read-ahead buffer to read into, or nil at a limit.
+// unusedReadAhead returns the part of the read-ahead buffer to read into, or nil if it is full and may not grow.
 func (c *Conn) unusedReadAhead() []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,8 +127,8 @@
 	c.readAhead.extend(n)
 }
 
-// awaitUnread waits until the kernel has received something from the client: bytes, a FIN or an RST. Before
-// it waits, it notes that everything received so far has been read.
+// awaitUnread waits until the kernel has received something from the client: bytes, a FIN or an RST. If there is
+// nothing unread yet, it first records that the watch has caught up.
 func (c *Conn) awaitUnread() error {
 	raw := socketpeek.RawConn(c.Conn)
 	if raw == nil {
@@ -143,8 +143,8 @@
 	})
 }
 
-// awaitReset waits, after the client's FIN, for a reset or the read deadline. It asks for the socket's error,
-// because a read would not wait but return the end of the stream at once.
+// awaitReset waits, after the client's FIN, for a reset or the read deadline. It checks the socket's error (SO_ERROR),
+// because a read would return the end of the stream at once instead of waiting.
 func (c *Conn) awaitReset() error {
 	raw := socketpeek.RawConn(c.Conn)
 	if raw == nil {
@@ -160,66 +160,67 @@
 		return err != nil
 	})
 	if err == nil {
-		c.noteDeparture(Disconnected)
+		c.recordDeparture(Disconnected)
 		err = socketErr
 	}
 	return err
 }
 
-// markCaughtUp notes that the watch has read everything that had arrived, or as much as can be buffered.
+// markCaughtUp records that the watch has read everything that had arrived, or as much as can be buffered.
 func (c *Conn) markCaughtUp() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.departure.markCaughtUp()
+	c.watch.markCaughtUp()
 }
 
-// AwaitCaughtUp waits until the watch has read everything that had arrived, and returns the departure known
-// then.
+// AwaitCaughtUp waits until the watch has read everything that had arrived, or as much as can be buffered, and returns
+// the departure observed by then.
 func (c *Conn) AwaitCaughtUp() Departure {
 	c.mu.Lock()
-	caughtUp := c.departure.caughtUp
+	caughtUp := c.watch.caughtUp
 	c.mu.Unlock()
 	<-caughtUp
 	return c.Departure()
 }
 
-// StopDepartureWatch ends the watch of an open request, which must have begun (see AwaitCaughtUp); bytes that arrive
-// from now on stay unread. It reports whether another request, or a part of one, was read behind this one.
-func (c *Conn) StopDepartureWatch() (another bool) {
+// StopDepartureWatch stops the watch of an open request, which must have started (see AwaitCaughtUp). Bytes that arrive
+// afterwards stay unread. It reports whether another request, or a part of one, was read after this one.
+func (c *Conn) StopDepartureWatch() (pipelined bool) {
 	c.Conn.SetReadDeadline(pastDeadline)
-	<-c.departure.ended
+	<-c.watch.ended
 	return c.HasPipelinedRequest()
 }
 
-// noteRead notes what the result of a read says about the client. Of the timeouts only
+// recordReadResult records what the result of a read shows about the client. Of the timeout errors, only
 // os.ErrDeadlineExceeded is the node's own deadline: ETIMEDOUT, for which Timeout() is true as well, means
 // that the connection has failed.
-func (c *Conn) noteRead(n int, err error) {
+func (c *Conn) recordReadResult(n int, err error) {
 	switch {
 	case n > 0:
 		c.mu.Lock()
-		c.noteBytes()
+		c.recordBytesRead()
 		c.mu.Unlock()
 	case errors.Is(err, io.EOF):
-		c.noteDeparture(HalfClosed)
+		c.recordDeparture(HalfClosed)
 	case err != nil && !errors.Is(err, os.ErrDeadlineExceeded):
-		c.noteDeparture(Disconnected)
+		c.recordDeparture(Disconnected)
 	}
 }
 
-// DepartureChanged returns a channel that receives a value when more is known of the client's departure.
-func (c *Conn) DepartureChanged() <-chan struct{} { return c.departure.changed }
+// DepartureChanged returns a channel that receives a value when the client's departure, as observed, increases.
+func (c *Conn) DepartureChanged() <-chan struct{} { return c.watch.changed }
 
-// noteDeparture records an observation. If it exceeds what was known, the handler of the open request is notified.
-func (c *Conn) noteDeparture(observed Departure) {
+// recordDeparture records an observation. If it is greater than the departure so far, the handler of the open request
+// is notified.
+func (c *Conn) recordDeparture(observed Departure) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.departure.observe(observed)
+	c.watch.observe(observed)
 }
 
-// Departure returns what is known of the client's departure since its request is open.
+// Departure returns the client's departure as observed so far.
 func (c *Conn) Departure() Departure {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.departure.known
+	return c.watch.departure
 }
--- a/internal/downstream/departure_test.go
+++ b/internal/downstream/departure_test.go
@@ -27,12 +27,12 @@
 		want      Departure
 	}{
 		{"half-close", 0, halfClosed, HalfClosed},
-		{"half-close behind pipelined bytes", 3 * readAheadStep, halfClosed, HalfClosed},
+		{"half-close behind pipelined bytes", 3 * minReadAheadBytes, halfClosed, HalfClosed},
 		{"close", 0, closed, Disconnected},
-		{"close behind pipelined bytes", 3 * readAheadStep, closed, Disconnected},
+		{"close behind pipelined bytes", 3 * minReadAheadBytes, closed, Disconnected},
 		{"reset", 0, reset, Disconnected},
-		{"reset behind pipelined bytes", 3 * readAheadStep, reset, Disconnected},
-		{"more than may be buffered", 2 * readAheadPerConn, nothing, Unobservable},
+		{"reset behind pipelined bytes", 3 * minReadAheadBytes, reset, Disconnected},
+		{"more than may be buffered", 2 * maxReadAheadBytes, nothing, Unobservable},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
@@ -51,7 +51,7 @@
 		t.Fatal("departed before the client did anything")
 	}
 	io.WriteString(client, strings.Repeat("x", pipelined))
-	if pipelined <= readAheadPerConn {
+	if pipelined <= maxReadAheadBytes {
 		buffered := func() bool { return conn.status().ReadAhead == pipelined }
 		testutil.Until(t, "the bytes to be read", buffered)
 	}
@@ -88,7 +88,7 @@
 		t.Errorf("departed: %v", conn.Departure())
 	}
 	conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
-	if text := make([]byte, len(next)); !readsAll(conn, text) || string(text) != next {
+	if text := make([]byte, len(next)); !readFull(conn, text) || string(text) != next {
 		t.Errorf("read %q", text)
 	}
 }
@@ -128,18 +128,18 @@
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			var w departureWatch
-			w.begin()
+			w.start()
 			w.observe(row.first)
 			select {
 			case <-w.changed:
 			default:
 			}
 			w.observe(row.second)
-			if reported := len(w.changed) > 0; reported != row.reported || w.known != row.known {
-				t.Errorf("%v, reported: %v, want %v and %v", w.known, reported, row.known, row.reported)
+			if reported := len(w.changed) > 0; reported != row.reported || w.departure != row.known {
+				t.Errorf("%v, reported: %v, want %v and %v", w.departure, reported, row.known, row.reported)
 			}
-			if w.begin(); w.known != row.nextTime {
-				t.Errorf("%v as the next request begins, want %v", w.known, row.nextTime)
+			if w.start(); w.departure != row.nextTime {
+				t.Errorf("%v as the next request begins, want %v", w.departure, row.nextTime)
 			}
 		})
 	}
@@ -148,7 +148,7 @@
 // Each request has a watch of its own to wait for; a change that its handler has not received stays to be received.
 func TestDepartureWatchBeginsAnew(t *testing.T) {
 	var w departureWatch
-	w.begin()
+	w.start()
 	w.markCaughtUp()
 	w.markCaughtUp() // as a watch that ends after it has caught up
 	if !isClosed(w.caughtUp) {
@@ -157,7 +157,7 @@
 	close(w.ended)
 	w.observe(HalfClosed)
 	w.observe(Disconnected)
-	w.begin()
+	w.start()
 	if isClosed(w.caughtUp) || isClosed(w.ended) {
 		t.Error("the next request's watch has caught up or ended before it began")
 	}
--- a/internal/downstream/doc.go
+++ b/internal/downstream/doc.go
@@ -1,35 +1,36 @@
-// Package downstream has the node's side of its clients' connections, between net/http's server and the sockets. It
-// knows neither the node nor its configuration.
+// Package downstream implements the client side of the node: the connections from clients, between net/http's server
+// and the sockets. It does not depend on the node or its configuration.
 //
-// # What it owns
+// # Types
 //
-//   - Listener accepts connections, retries a failed accept, and can be drained without the loss of a request.
+//   - Listener accepts connections, retries a failed accept, and can be drained without losing a request.
 //   - Conn is one connection. It follows the framing of requests (package http1), watches for the client's departure
 //     while a request is open (Departure), buffers what the client pipelines meanwhile (read-ahead), and limits the
 //     time for reading a request.
-//   - Conns is the set of all connections. It keeps them within their share of the process's descriptors: when there
-//     are too many, it evicts those without an open request.
+//   - Conns is the set of all connections. It keeps them within their share of the process's file descriptors: when
+//     there are too many, it evicts connections without an open request.
 //
-// # Who calls it
+// # Callers
 //
-// The front end of package node. It gives net/http's server the Listener, and Conns.ConnStateChanged and NewContext as
-// hooks. The server reads and writes through Conn; the front end's handler gets the Conn of its request by FromContext.
-// Package node supplies the clock, the limits, the time-outs and the count of upstream connections.
+// The front end of package node passes the Listener to net/http's server, and installs Conns.ConnStateChanged and
+// NewContext as its hooks. The server reads and writes through Conn; the front end's handler gets the Conn of its
+// request from FromContext. Package node supplies the clock, the limits, the timeouts and the number of upstream
+// connections.
 //
 // # Goroutines
 //
-// The package starts none. Accept runs in the server's goroutine; a Conn is used by the goroutine that the server has
-// for it, and by the one in which the server reads in the background while a request is open: this is the departure
-// watch. Both end when the connection is closed.
+// The package starts no goroutine. Accept runs in the server's goroutine. A Conn is used by the goroutine that the
+// server runs for it, and by the one in which the server reads in the background while a request is open: this read is
+// the departure watch. Both goroutines end when the connection is closed.
 //
 // # Locks
 //
-// Conns.mu guards the set, its counts, the budget of descriptors (descriptorBudget) and what each connection is doing
-// (activity); Conn.mu guards the rest of a connection's state, with its read-ahead buffer (readAheadBuffer) and what
-// is known of its client's departure (departureWatch). These types have no lock of their own: their comments say which
-// one the caller holds.
+// Conns.mu guards the set, its counts, the budget of descriptors (descriptorBudget) and the activity of each
+// connection (activity). Conn.mu guards the rest of a connection's state, including its read-ahead buffer
+// (readAheadBuffer) and the departure watch of its open request (departureWatch). These types have no lock of their
+// own: their comments name the lock that the caller holds.
 //
-// Conns.mu is taken before Conn.mu, never while Conn.mu is held. The function that counts upstream connections is
-// called while Conns.mu is held: the upstream pool's lock is taken behind it, and the pool asks for UpstreamAllowance
-// before it takes its own lock. Memory for read-ahead is counted by an atomic (readAheadBudget).
+// Conns.mu is locked before Conn.mu, never while Conn.mu is held. The function that counts upstream connections is
+// called while Conns.mu is held, and locks the upstream pool. The pool therefore calls UpstreamAllowance before it
+// takes its own lock. The memory for read-ahead is counted atomically (readAheadBudget).
 package downstream
--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -6,16 +6,15 @@
 	"time"
 )
 
-// GracePeriods are how long a connection without an open request is exempt from eviction, for each of the
-// states that it may be in.
+// GracePeriods holds how long a connection without an open request is exempt from eviction, for each state that it may
+// be in.
 type GracePeriods struct{ Lingering, New, PartialRequest, Idle time.Duration }
 
-// pressureDivisor shortens the grace periods while descriptors are about to run out.
-const pressureDivisor = 5
+// pressureGraceDivisor divides the grace periods while descriptors are about to run out.
+const pressureGraceDivisor = 5
 
-// DefaultGracePeriods follow from how well-behaved clients use a connection: they send a request as soon as
-// they have connected, and in one piece. A connection that has just become idle may already have its next
-// request on the way.
+// DefaultGracePeriods returns the grace periods that suit well-behaved clients: they send a request as soon as they
+// have connected, and send it without a pause. After a response, the next request may already be in transit.
 func DefaultGracePeriods() GracePeriods {
 	return GracePeriods{
 		Lingering: 50 * time.Millisecond, New: 100 * time.Millisecond, PartialRequest: time.Second,
@@ -29,27 +28,27 @@
 const (
 	notEvictable       evictionRank = iota // a request is open
 	rankLingering                          // the last response is written
-	rankPartialRequest                     // a part of a request has come, and the rest has not
-	rankNew                                // nothing has come yet
-	rankIdle                               // all that came is answered
+	rankPartialRequest                     // only a part of a request has been read
+	rankNew                                // nothing has been read yet
+	rankIdle                               // all requests are answered
 )
 
-// activity is what a connection is doing, since when, and whether it is being evicted. The caller of its methods
-// holds Conns.mu.
+// activity is the phase of a connection, its start, and whether the connection is being evicted. The caller of its
+// methods holds Conns.mu.
 type activity struct {
-	phase   Phase
-	since   time.Duration // clock time when the phase began
-	evicted bool          // being evicted, and counted in descriptorBudget.evicting
+	phase    Phase
+	since    time.Duration // clock time when the phase began
+	evicting bool          // being evicted, and counted in descriptorBudget.evicting
 }
 
-// whileEvicted is the same activity of a connection that is being evicted.
-func (a activity) whileEvicted() activity {
-	a.evicted = true
+// markedEvicting returns the activity with the connection marked as being evicted.
+func (a activity) markedEvicting() activity {
+	a.evicting = true
 	return a
 }
 
-// rank is the rank of the connection, whatever its age. hasRequestBytes tells whether bytes of a request were read
-// that has no response yet; it takes Conn.mu, and is called only where the rank depends on it.
+// rank returns the eviction rank of the connection, regardless of its age. hasRequestBytes reports whether bytes have
+// been read of a request that has no response yet. It locks Conn.mu, and is called only if the rank depends on it.
 func (a activity) rank(hasRequestBytes func() bool) evictionRank {
 	switch {
 	case a.phase == PhaseLingering:
@@ -65,8 +64,8 @@
 	}
 }
 
-// of returns how long a connection of a rank is exempt from eviction.
-func (g GracePeriods) of(rank evictionRank) time.Duration {
+// forRank returns the grace period of connections of the given rank.
+func (g GracePeriods) forRank(rank evictionRank) time.Duration {
 	switch rank {
 	case rankLingering:
 		return g.Lingering
@@ -79,64 +78,64 @@
 	}
 }
 
-// isEvictable reports whether a connection of a rank has outlived its grace period, which a divisor shortens.
+// isEvictable reports whether the grace period of a connection, divided by divisor, is over. rank is its rank.
 func (a activity) isEvictable(rank evictionRank, now time.Duration, grace GracePeriods, divisor time.Duration) bool {
-	return rank != notEvictable && (now-a.since)*divisor >= grace.of(rank)
+	return rank != notEvictable && (now-a.since)*divisor >= grace.forRank(rank)
 }
 
-// isQuiet reports whether the connection waits for a request, of which nothing has come for as long as a client that
-// has just connected may take. hasRequestBytes is as for rank.
-func (a activity) isQuiet(now time.Duration, grace GracePeriods, hasRequestBytes func() bool) bool {
+// isIdle reports whether the connection waits for a request. A new connection counts as idle once its grace period is
+// over, if nothing has been read from it. hasRequestBytes is the same as for rank.
+func (a activity) isIdle(now time.Duration, grace GracePeriods, hasRequestBytes func() bool) bool {
 	return a.phase == PhaseIdle || a.phase == PhaseNew && !hasRequestBytes() && now-a.since >= grace.New
 }
 
-// evictable is a connection whose grace period is over.
-type evictable struct {
+// evictionCandidate is a connection that may be evicted, as its grace period is over.
+type evictionCandidate struct {
 	conn *Conn
 	rank evictionRank
 }
 
-// evictExcess evicts connections without an open request while there are too many: by rank, and among equals
-// the one that has been in its phase for longest. Connections within their grace period are exempt, because a
-// client retries a request that crosses a close only once. (While there are too many, each response closes
-// its connection as well, which no request can cross.) s.mu is held.
+// evictExcess evicts connections without an open request while there are too many, in the order of their ranks, and
+// within a rank those first that have been in their phase the longest. Connections within their grace period are
+// exempt, because a client retries a request that crosses a close only once. (While there are too many, each response
+// also closes its connection, and no request can cross that close.) The caller holds s.mu.
 func (s *Conns) evictExcess() {
 	if s.excess() <= 0 {
 		return
 	}
-	for _, candidate := range s.evictableConns() {
+	for _, candidate := range s.evictionCandidates() {
 		if s.evict(candidate.conn); s.excess() <= 0 {
 			return
 		}
 	}
 }
 
-// evictableConns returns the connections that may be evicted, in the order of eviction. s.mu is held.
-func (s *Conns) evictableConns() []evictable {
+// evictionCandidates returns the connections that may be evicted, in the order of eviction. The caller holds s.mu.
+func (s *Conns) evictionCandidates() []evictionCandidate {
 	now, divisor := s.clock.Now(), time.Duration(1)
-	if s.budget.isShort(s.excess()) {
-		divisor = pressureDivisor
+	if s.budget.isUnderPressure(s.excess()) {
+		divisor = pressureGraceDivisor
 	}
-	var found []evictable
+	var candidates []evictionCandidate
 	for c := range s.conns {
-		if c.activity.evicted {
+		if c.activity.evicting {
 			continue
 		}
 		rank := c.activity.rank(c.hasRequestBytes)
 		if c.activity.isEvictable(rank, now, s.budget.limits.GracePeriods, divisor) {
-			found = append(found, evictable{c, rank})
+			candidates = append(candidates, evictionCandidate{c, rank})
 		}
 	}
-	slices.SortFunc(found, func(a, b evictable) int {
+	slices.SortFunc(candidates, func(a, b evictionCandidate) int {
 		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.conn.activity.since, b.conn.activity.since))
 	})
-	return found
+	return candidates
 }
 
-// evict begins to evict a connection, unless a request has begun or arrived on it meanwhile, and counts it as
-// being evicted. s.mu is held.
+// evict starts to evict a connection, unless a request has started or arrived on it meanwhile, and counts it as
+// being evicted. The caller holds s.mu.
 func (s *Conns) evict(c *Conn) {
-	if c.activity.evicted {
+	if c.activity.evicting {
 		return
 	}
 	evicting := true
@@ -146,22 +145,22 @@
 	case c.activity.phase == PhaseReading || c.activity.phase == PhaseNew && c.hasRequestBytes():
 		evicting = c.abortRead()
 	default:
-		evicting = c.evictIfQuiet()
+		evicting = c.evictUnlessRequestStarted()
 	}
 	if evicting {
-		s.setActivity(c, c.activity.whileEvicted())
+		s.setActivity(c, c.activity.markedEvicting())
 		s.counts.Evicted++
 	}
 }
 
-// EvictIdle evicts idle connections and those on which nothing has arrived for a while; a client that has
-// just connected has its request on the way. It returns how many connections of all kinds are left.
+// EvictIdle evicts idle connections, and new ones on which nothing has arrived during their grace period: the request
+// of a client that has just connected is in transit. It returns the number of all connections that are left.
 func (s *Conns) EvictIdle() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock.Now()
 	for c := range s.conns {
-		if c.activity.isQuiet(now, s.budget.limits.GracePeriods, c.hasRequestBytes) {
+		if c.activity.isIdle(now, s.budget.limits.GracePeriods, c.hasRequestBytes) {
 			s.evict(c)
 		}
 	}
--- a/internal/downstream/eviction_test.go
+++ b/internal/downstream/eviction_test.go
@@ -38,19 +38,19 @@
 	sendByte(t, client, conn) // the next request's first byte
 	conns.ConnStateChanged(conn, http.StateIdle)
 	conns.ConnStateChanged(other, http.StateNew) // one too many
-	if conn.activity.evicted || !conns.OverLimit() {
+	if conn.activity.evicting || !conns.OverLimit() {
 		t.Fatal("a connection with a request on it was evicted")
 	}
 	sendByte(t, client, conn)
 	sendByte(t, conn, client)
 	conns.budget.limits.GracePeriods.Idle = testutil.Timeout
 	conns.ConnStateChanged(conn, http.StateIdle)
-	if conn.activity.evicted || !conns.OverLimit() {
+	if conn.activity.evicting || !conns.OverLimit() {
 		t.Fatal("a connection idle for a moment only was evicted")
 	}
 	conns.budget.limits.GracePeriods.Idle = 0
 	conns.ConnStateChanged(other, http.StateActive)
-	if !conn.activity.evicted || conns.OverLimit() {
+	if !conn.activity.evicting || conns.OverLimit() {
 		t.Fatal("the idle connection was not evicted")
 	}
 	conn.SetReadDeadline(time.Time{}) // net/http does so after it has reported that the connection is idle
@@ -71,14 +71,14 @@
 	conns.ConnStateChanged(conn, http.StateIdle)
 	io.WriteString(client, "GET")
 	testutil.Until(t, "the bytes to arrive", func() bool { return socketpeek.IsReadable(conn.Conn) })
-	if conns.EvictIdle(); conn.activity.evicted {
+	if conns.EvictIdle(); conn.activity.evicting {
 		t.Error("evicted with a request on it")
 	}
-	if text := make([]byte, 3); !readsAll(conn, text) || string(text) != "GET" {
+	if text := make([]byte, 3); !readFull(conn, text) || string(text) != "GET" {
 		t.Errorf("read %q", text)
 	}
 	conn.Write([]byte("response"))
-	if conns.EvictIdle(); !conn.activity.evicted {
+	if conns.EvictIdle(); !conn.activity.evicting {
 		t.Error("not evicted once it is answered")
 	}
 }
@@ -91,7 +91,7 @@
 	conns := newTestConns(limits, 2)
 	conn, client := connPair(t, conns, 0)
 	io.WriteString(client, "GET")
-	if text := make([]byte, 3); !readsAll(conn, text) {
+	if text := make([]byte, 3); !readFull(conn, text) {
 		t.Fatal("the first part is not read")
 	}
 	io.WriteString(client, " /v")
@@ -99,14 +99,14 @@
 	conns.ConnStateChanged(conn, http.StateNew) // one too many
 	silent, _ := net.Pipe()
 	conns.ConnStateChanged(newConn(silent, conns, 0), http.StateNew)
-	if conn.activity.evicted {
+	if conn.activity.evicting {
 		t.Error("aborted with the rest of a request unread")
 	}
-	if text := make([]byte, 3); !readsAll(conn, text) || string(text) != " /v" {
+	if text := make([]byte, 3); !readFull(conn, text) || string(text) != " /v" {
 		t.Errorf("read %q", text)
 	}
 	conns.ConnStateChanged(newConn(silent, conns, 0), http.StateNew)
-	if !conn.activity.evicted {
+	if !conn.activity.evicting {
 		t.Error("not aborted once all is read")
 	}
 }
@@ -121,11 +121,11 @@
 	conn := newConn(ours, conns, 0)
 	conns.budget.limits.GracePeriods.New = testutil.Timeout
 	conns.ConnStateChanged(conn, http.StateNew)
-	if conns.EvictIdle() != 1 || conn.activity.evicted {
+	if conns.EvictIdle() != 1 || conn.activity.evicting {
 		t.Error("evicted at once")
 	}
 	conns.budget.limits.GracePeriods.New = 0
-	if conns.EvictIdle(); !conn.activity.evicted {
+	if conns.EvictIdle(); !conn.activity.evicting {
 		t.Error("never evicted")
 	}
 }
@@ -155,7 +155,7 @@
 			if rank != row.rank {
 				t.Fatalf("rank %d, want %d", rank, row.rank)
 			}
-			if got := grace.of(rank); rank != notEvictable && got != row.grace {
+			if got := grace.forRank(rank); rank != notEvictable && got != row.grace {
 				t.Errorf("a grace period of %d, want %d", got, row.grace)
 			}
 		})
@@ -175,9 +175,9 @@
 	}{
 		{"within the grace period", rankIdle, period - 1, 1, false},
 		{"at its end", rankIdle, period, 1, true},
-		{"within the shortened grace period", rankIdle, period/pressureDivisor - 1, pressureDivisor, false},
-		{"at the shortened end", rankIdle, period / pressureDivisor, pressureDivisor, true},
-		{"request open", notEvictable, time.Hour, pressureDivisor, false},
+		{"within the shortened grace period", rankIdle, period/pressureGraceDivisor - 1, pressureGraceDivisor, false},
+		{"at the shortened end", rankIdle, period / pressureGraceDivisor, pressureGraceDivisor, true},
+		{"request open", notEvictable, time.Hour, pressureGraceDivisor, false},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			const since = time.Minute
@@ -210,7 +210,7 @@
 		{"last response written", PhaseLingering, nothing, time.Hour, false},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			quiet := activity{phase: row.phase}.isQuiet(row.age, grace, func() bool { return row.requestBegun })
+			quiet := activity{phase: row.phase}.isIdle(row.age, grace, func() bool { return row.requestBegun })
 			if quiet != row.want {
 				t.Errorf("quiet: %v, want %v", quiet, row.want)
 			}
--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -32,8 +32,8 @@
 	return accepted.(*Conn), theirs
 }
 
-// readsAll reports whether p could be filled.
-func readsAll(r io.Reader, p []byte) bool {
+// readFull reports whether p could be filled.
+func readFull(r io.Reader, p []byte) bool {
 	_, err := io.ReadFull(r, p)
 	return err == nil
 }
--- a/internal/downstream/phase.go
+++ b/internal/downstream/phase.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// Phase is the phase of a connection's life cycle, from the first request to the close.
+// Phase is the phase of a connection's life cycle, from the accept to the close.
 type Phase int
 
 // The phases of a connection.
 const (
 	PhaseNew       Phase = iota // no request has been read yet
-	PhaseReading                // a request's head is read, its body may not be
+	PhaseReading                // a request's head has been read, and its body may not have been
 	PhaseActive                 // a request is open: it waits for its response
-	PhaseIdle                   // the response is written, and no other request has begun
-	PhaseLingering              // the last response is written; what still arrives is discarded
+	PhaseIdle                   // the response is written, and the head of the next request has not been read
+	PhaseLingering              // the last response is written; bytes that still arrive are discarded
 )
 
 // String returns the phase's name for logs and errors.
--- a/internal/downstream/readahead.go
+++ b/internal/downstream/readahead.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// readAheadStep is the smallest read-ahead buffer, in bytes; it doubles as it fills.
-	readAheadStep = 4 << 10
+	// minReadAheadBytes is the initial size of a read-ahead buffer, which doubles whenever it is full.
+	minReadAheadBytes = 4 << 10
 
-	// readAheadPerConn bounds the read-ahead buffer of one connection, in bytes: the longest request allowed.
-	readAheadPerConn = http1.MaxHeaderBytes + http1.MaxBodyBytes
+	// maxReadAheadBytes limits the read-ahead buffer of one connection: it holds the longest request allowed.
+	maxReadAheadBytes = http1.MaxHeaderBytes + http1.MaxBodyBytes
 )
 
-// readAheadBudget is the memory that the read-ahead buffers of all connections share. It needs no lock.
+// readAheadBudget limits the memory of the read-ahead buffers of all connections. It needs no lock.
 type readAheadBudget struct {
-	limit    atomic.Int64 // bytes that all buffers together may have
-	reserved atomic.Int64 // bytes that they have reserved
+	limit    atomic.Int64 // bytes that all buffers together may reserve
+	reserved atomic.Int64 // bytes that all buffers together have reserved
 }
 
-// reserve reserves n bytes, or releases them if n is negative. It reports false, and reserves nothing, if the
-// limit would be exceeded.
+// reserve reserves n bytes, or releases -n bytes if n is negative. It returns false and reserves nothing if the limit
+// would be exceeded.
 func (b *readAheadBudget) reserve(n int) bool {
 	if b.reserved.Add(int64(n)) > b.limit.Load() && n > 0 {
 		b.reserved.Add(int64(-n))
@@ -30,24 +30,24 @@
 	return true
 }
 
-// readAheadBuffer has the bytes that a client has pipelined behind its open request. The departure watch reads them,
-// so that a close or reset behind them is seen, and net/http is given them once the request is answered.
+// readAheadBuffer holds the bytes that a client has pipelined after its open request. The departure watch reads them
+// in order to see a close or reset that follows them. They are passed to net/http once the request is answered.
 //
-// The caller holds the Conn.mu of the connection, except while it reads into the slice that unused has returned.
+// The caller holds the connection's Conn.mu, except while it reads into the slice that unused has returned.
 type readAheadBuffer struct {
 	budget   *readAheadBudget
 	bytes    []byte
-	reserved int // bytes of the budget that are reserved for this buffer
+	reserved int // bytes that are reserved from the budget for this buffer
 }
 
-// size is how many bytes are buffered.
+// size returns the number of buffered bytes.
 func (b *readAheadBuffer) size() int { return len(b.bytes) }
 
-// unused returns the unused part of the buffer, which it grows when it is full. It returns nil at the limit of
-// this buffer or of the budget.
+// unused returns the unused part of the buffer, and grows the buffer if it is full. It returns nil if the buffer or the
+// budget has reached its limit.
 func (b *readAheadBuffer) unused() []byte {
 	if used := len(b.bytes); used == cap(b.bytes) {
-		size := min(max(readAheadStep, 2*used), readAheadPerConn)
+		size := min(max(minReadAheadBytes, 2*used), maxReadAheadBytes)
 		if used >= size || !b.budget.reserve(size-b.reserved) {
 			return nil
 		}
@@ -64,7 +64,7 @@
 	}
 }
 
-// take moves buffered bytes into p and returns how many.
+// take moves buffered bytes into p and returns their number.
 func (b *readAheadBuffer) take(p []byte) int {
 	n := copy(p, b.bytes)
 	if b.bytes = b.bytes[n:]; len(b.bytes) == 0 {
@@ -73,7 +73,7 @@
 	return n
 }
 
-// release drops the buffered bytes and the reservation.
+// release discards the buffered bytes and gives their memory back to the budget.
 func (b *readAheadBuffer) release() {
 	b.budget.reserve(-b.reserved)
 	b.bytes, b.reserved = nil, 0
--- a/internal/downstream/readahead_test.go
+++ b/internal/downstream/readahead_test.go
@@ -28,13 +28,13 @@
 		fits           bool
 		size, reserved int
 	}{
-		{"one byte", 1 << 20, 1, true, 1, readAheadStep},
-		{"one step", 1 << 20, readAheadStep, true, readAheadStep, readAheadStep},
-		{"one byte more than a step", 1 << 20, readAheadStep + 1, true, readAheadStep + 1, 2 * readAheadStep},
-		{"the longest request", 1 << 20, readAheadPerConn, true, readAheadPerConn, readAheadPerConn},
-		{"more than the longest request", 1 << 20, readAheadPerConn + 1, false, readAheadPerConn, readAheadPerConn},
-		{"no budget for a first step", readAheadStep - 1, 1, false, 0, 0},
-		{"no budget for a second step", 2*readAheadStep - 1, readAheadStep + 1, false, readAheadStep, readAheadStep},
+		{"one byte", 1 << 20, 1, true, 1, minReadAheadBytes},
+		{"one step", 1 << 20, minReadAheadBytes, true, minReadAheadBytes, minReadAheadBytes},
+		{"one byte more than a step", 1 << 20, minReadAheadBytes + 1, true, minReadAheadBytes + 1, 2 * minReadAheadBytes},
+		{"the longest request", 1 << 20, maxReadAheadBytes, true, maxReadAheadBytes, maxReadAheadBytes},
+		{"more than the longest request", 1 << 20, maxReadAheadBytes + 1, false, maxReadAheadBytes, maxReadAheadBytes},
+		{"no budget for a first step", minReadAheadBytes - 1, 1, false, 0, 0},
+		{"no budget for a second step", 2*minReadAheadBytes - 1, minReadAheadBytes + 1, false, minReadAheadBytes, minReadAheadBytes},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			budget := &readAheadBudget{}
@@ -56,12 +56,12 @@
 // Bytes are taken in the order in which they came, and the last one takes the reservation along.
 func TestReadAheadBufferIsTakenInOrder(t *testing.T) {
 	budget := &readAheadBudget{}
-	budget.limit.Store(readAheadStep)
+	budget.limit.Store(minReadAheadBytes)
 	b := readAheadBuffer{budget: budget}
 	fill(&b, []byte("abc"))
 	var taken []byte
 	for p := make([]byte, 2); b.size() > 0; {
-		if budget.reserved.Load() != readAheadStep {
+		if budget.reserved.Load() != minReadAheadBytes {
 			t.Errorf("%d bytes are reserved while %d are buffered", budget.reserved.Load(), b.size())
 		}
 		taken = append(taken, p[:b.take(p)]...)
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -12,46 +12,47 @@
 )
 
 var (
-	// errAttemptObsolete reports that an attempt became pointless or harmful before it was begun.
-	errAttemptObsolete = errors.New("the attempt is obsolete")
-	// errConnUnusable reports that a request could not be begun on an open connection.
-	errConnUnusable = errors.New("the connection is unusable")
+	// errAttemptObsolete reports that an attempt became useless or harmful before it started.
+	errAttemptObsolete = errors.New("attempt is obsolete")
+	// errConnUnusable reports that a request could not be started on an open connection.
+	errConnUnusable = errors.New("connection is unusable")
 )
 
-// Limits of the time that is left for an attempt.
+// Bounds of the remaining time of an attempt.
 const (
-	minRemainingTime = time.Millisecond     // an attempt with less time left is not begun
-	transitAllowance = 5 * time.Millisecond // subtracted for the ways from the client and to the endpoint
+	minRemainingTime = time.Millisecond     // an attempt with less time left is not started
+	transitAllowance = 5 * time.Millisecond // subtracted for the transit from the client and to the endpoint
 )
 
-// Attempt is one attempt to have a request served by one endpoint: the first one, or a retry. Its maker sets the
-// exported fields, which do not change once Pool.Do has it.
+// Attempt is one attempt to get a response to a request from one endpoint: the first attempt, or a retry. The caller of
+// Pool.Do sets the exported fields, and does not change them afterwards.
 type Attempt struct {
 	Request  *Request
 	Instance endpointlist.Instance // of the endpoint
 	Deadline time.Duration         // clock time at which the attempt is given up
-	NotAfter time.Duration         // clock time after which endpoints no longer discard a repeat; 0: no limit
+	NotAfter time.Duration         // clock time after which endpoints no longer discard duplicates; 0: no limit
 
-	begun  bool // a byte of it may have been written. Guarded by Request.mu
-	heldUp bool // a local fault delayed its connection. Used by the goroutine of Pool.Do alone
+	writeStarted bool // a byte of it may have been written; guarded by Request.mu
+	heldUp       bool // a local fault delayed its connection; used only by the goroutine of Pool.Do
 }
 
 // WriteStarted reports whether a byte of the attempt may have been written.
 func (a *Attempt) WriteStarted() bool {
 	a.Request.mu.Lock()
 	defer a.Request.mu.Unlock()
-	return a.begun
+	return a.writeStarted
 }
 
-// mayBegin reports whether the attempt may begin at a clock time: before its deadline, and while endpoints discard
-// repeats.
-func (a *Attempt) mayBegin(at time.Duration) bool {
+// mayStart reports whether the attempt may start at a clock time: before its deadline, and while endpoints discard
+// duplicates.
+func (a *Attempt) mayStart(at time.Duration) bool {
 	return at < a.Deadline && (a.NotAfter == 0 || at < a.NotAfter)
 }
 
-// remainingTime returns the time that an endpoint has for the attempt, or 0 if the time is over. That is the time
-// until the deadline by the node's clock, less an allowance for the time in transit, as the clock shows neither
-// when the client sent the request nor when the endpoint will read it. Of a short time the greater part remains.
+// remainingTime returns the time that an endpoint has for the attempt, or 0 if less than minRemainingTime is left. It
+// is the time until the deadline on the node's clock, less an allowance for the time in transit, since that clock shows
+// neither when the client sent the request nor when the endpoint will read it. The allowance is at most a quarter of
+// the time left.
 func (a *Attempt) remainingTime(now time.Duration) time.Duration {
 	left := a.Deadline - now
 	left -= min(transitAllowance, left/4)
@@ -61,17 +62,17 @@
 	return left
 }
 
-// Outcome is how an attempt ended.
+// Outcome is the outcome of an attempt.
 type Outcome struct {
 	Result      balancer.AttemptResult
-	EndedAt     time.Duration // clock time; of a response, when its last byte was read
-	Body        []byte        // of a successful response
-	ContentType string        // of a successful response; empty: the endpoint sent none
+	EndedAt     time.Duration // clock time; for a response, when its last byte was read
+	Body        []byte        // body of a successful response
+	ContentType string        // Content-Type of a successful response; empty if the endpoint sent none
 	HeldUp      bool          // a fault of this machine delayed or prevented the connection
 }
 
-// Do carries out an attempt and returns its outcome. By then its connection is closed, or idle again. The end of ctx
-// cancels the attempt.
+// Do makes an attempt and returns its outcome. When it returns, the connection of the attempt is closed or idle again.
+// The end of ctx cancels the attempt.
 func (p *Pool) Do(ctx context.Context, a *Attempt) Outcome {
 	outcome := p.roundTrip(ctx, a)
 	outcome.HeldUp = a.heldUp
@@ -81,7 +82,8 @@
 	return outcome
 }
 
-// roundTrip connects, writes the request and awaits its response, until the attempt's deadline or the end of callerCtx.
+// roundTrip connects, writes the request and waits for its response, until the attempt's deadline or the end of
+// callerCtx.
 func (p *Pool) roundTrip(callerCtx context.Context, a *Attempt) Outcome {
 	ctx, cancel := context.WithTimeout(callerCtx, p.clock.Until(a.Deadline))
 	defer cancel()
@@ -91,12 +93,12 @@
 	}
 	c, waiter, err := p.acquire(ctx, a)
 	if err != nil {
-		return Outcome{Result: resultNotBegun(callerCtx, err)}
+		return Outcome{Result: resultOfAcquireError(callerCtx, err)}
 	}
-	// At the deadline or at a cancellation the connection is closed, which ends the wait for the reply.
+	// At the deadline or on cancellation the connection is closed, which ends the wait for the response.
 	stop := context.AfterFunc(ctx, func() { p.abandon(c, waiter) })
 	defer stop()
-	// The remaining time is filled in last, so that no wait for a connection or a lock makes it too long.
+	// The remaining time is filled in last, so that it includes no wait for a connection or a lock.
 	if !writeDeadlineValue(encoded.deadlineValue, a.remainingTime(p.clock.Now())) {
 		p.abandon(c, waiter)
 		return Outcome{Result: balancer.NotSent}
@@ -105,19 +107,19 @@
 	if writeErr != nil {
 		p.abandon(c, waiter)
 	} else {
-		p.noteWritten(c)
+		p.recordWritten(c)
 	}
-	reply := <-waiter
-	// The system reports a reset only once, to the write or to the read. So after a failed write, what the
-	// reader took for an orderly close may have been a reset.
-	if reply.err == nil && (writeErr == nil || !reply.endedByClose) {
-		return reply.Outcome
+	response := <-waiter
+	// The kernel reports a reset only once, to the write or to the read. So after a failed write, an apparently orderly
+	// close may have been a reset.
+	if response.err == nil && (writeErr == nil || !response.endedByClose) {
+		return response.Outcome
 	}
 	return Outcome{Result: resultWithoutResponse(callerCtx, ctx, written == len(encoded.text))}
 }
 
 // acquire returns a connection on which the first byte of the attempt's request may be written next, and the
-// channel that receives the reply. An idle connection that turns out to be closed is replaced by another one.
+// channel that receives the response. An idle connection that turns out to be unusable is replaced by another one.
 func (p *Pool) acquire(ctx context.Context, a *Attempt) (*conn, chan exchangeResult, error) {
 	for {
 		waiter := make(chan exchangeResult, 1)
@@ -125,7 +127,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		permission := p.beginWrite(ctx, c, waiter, a)
+		permission := p.startWrite(ctx, c, waiter, a)
 		switch {
 		case permission == mayWrite:
 			return c, waiter, nil
@@ -137,9 +139,9 @@
 	}
 }
 
-// resultNotBegun returns the result of an attempt that failed to acquire a connection. Local faults are no
-// evidence against the endpoint.
-func resultNotBegun(callerCtx context.Context, err error) balancer.AttemptResult {
+// resultOfAcquireError returns the result of an attempt that failed to acquire a connection. Local faults do not count
+// against the endpoint.
+func resultOfAcquireError(callerCtx context.Context, err error) balancer.AttemptResult {
 	switch {
 	case errors.Is(err, errNoDescriptor), netdial.IsLocalError(err):
 		return balancer.NotSent
@@ -151,14 +153,14 @@
 	return balancer.ConnectFailed
 }
 
-// resultWithoutResponse returns the result of an attempt that was begun and has no usable response. ctx is callerCtx,
-// ended by the attempt's deadline as well.
+// resultWithoutResponse returns the result of an attempt that was started and has no usable response. ctx is derived
+// from callerCtx and also ends at the attempt's deadline. written reports whether the whole request was written.
 func resultWithoutResponse(callerCtx, ctx context.Context, written bool) balancer.AttemptResult {
 	switch {
 	case errors.Is(callerCtx.Err(), context.Canceled):
 		return balancer.Cancelled
 	case !written:
-		// An endpoint starts on a request at its last byte, which it never received: a retry is harmless.
+		// An endpoint runs a request only once it has received the last byte, which was not sent: a retry is safe.
 		return balancer.ConnectFailed
 	case ctx.Err() != nil:
 		return balancer.TimedOut
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -46,15 +46,15 @@
 	}{
 		{"idle", func(*conn) {}, false, true},
 		{"reserved", func(c *conn) { c.reserve(waiter) }, false, false},
-		{"begun", func(c *conn) { c.reserve(waiter); c.begin() }, true, false},
-		{"written", func(c *conn) { c.reserve(waiter); c.begin(); c.written() }, true, false},
-		{"answered before it is written", func(c *conn) { c.reserve(waiter); c.begin(); c.end() }, false, true},
-		{"answered", func(c *conn) { c.reserve(waiter); c.begin(); c.written(); c.end() }, false, true},
+		{"begun", func(c *conn) { c.reserve(waiter); c.markWriting() }, true, false},
+		{"written", func(c *conn) { c.reserve(waiter); c.markWriting(); c.markWritten() }, true, false},
+		{"answered before it is written", func(c *conn) { c.reserve(waiter); c.markWriting(); c.endExchange() }, false, true},
+		{"answered", func(c *conn) { c.reserve(waiter); c.markWriting(); c.markWritten(); c.endExchange() }, false, true},
 		{"reserved again", func(c *conn) {
 			c.reserve(waiter)
-			c.begin()
-			c.written()
-			c.end()
+			c.markWriting()
+			c.markWritten()
+			c.endExchange()
 			c.reserve(waiter)
 		}, false, false},
 	} {
@@ -64,7 +64,7 @@
 			if got := connection.expectsResponse(); got != c.expects {
 				t.Errorf("a response is expected: %v, want %v", got, c.expects)
 			}
-			if got := connection.written(); got != c.ended {
+			if got := connection.markWritten(); got != c.ended {
 				t.Errorf("the exchange has ended: %v, want %v", got, c.ended)
 			}
 		})
@@ -76,10 +76,10 @@
 	waiter := make(chan exchangeResult, 1)
 	c := &conn{}
 	c.reserve(waiter)
-	if got := c.end(); got != waiter {
+	if got := c.endExchange(); got != waiter {
 		t.Errorf("the first end returned %v, want %v", got, waiter)
 	}
-	if got := c.end(); got != nil {
+	if got := c.endExchange(); got != nil {
 		t.Errorf("the second end returned %v", got)
 	}
 }
@@ -88,7 +88,7 @@
 func TestShutClosesOnce(t *testing.T) {
 	nc, _ := net.Pipe()
 	c := &conn{Conn: nc}
-	if first, second := c.shut(), c.shut(); !first || second {
+	if first, second := c.closeOnce(), c.closeOnce(); !first || second {
 		t.Errorf("it was open: %v and then %v, want true and false", first, second)
 	}
 	if _, err := nc.Read(make([]byte, 1)); !errors.Is(err, io.ErrClosedPipe) {
--- a/internal/upstream/connect.go
+++ b/internal/upstream/connect.go
@@ -9,12 +9,12 @@
 	"basaltdrum/internal/netdial"
 )
 
-// connect takes a reusable idle connection, or opens a new one, which fresh reports. A local fault is retried
-// with backoff for as long as the attempt may begin.
+// connect returns a reusable idle connection or a new one; fresh reports whether it is new. After a local fault it
+// retries with backoff for as long as the attempt may start.
 func (p *Pool) connect(
 	ctx context.Context, a *Attempt, waiter chan exchangeResult,
 ) (c *conn, fresh bool, err error) {
-	mayWait := func(wait time.Duration) bool { return p.mayBeginIn(a, wait) }
+	mayWait := func(wait time.Duration) bool { return p.mayStartAfter(a, wait) }
 	heldUp, err := netdial.WithBackoff(ctx, mayWait, func() error {
 		c, fresh, err = p.connectOnce(ctx, a.Instance, waiter)
 		return err
@@ -23,32 +23,32 @@
 	return c, fresh, err
 }
 
-// connectOnce is connect with at most one dial.
+// connectOnce does the same as connect, with at most one dial.
 func (p *Pool) connectOnce(
-	ctx context.Context, to endpointlist.Instance, waiter chan exchangeResult,
+	ctx context.Context, instance endpointlist.Instance, waiter chan exchangeResult,
 ) (c *conn, fresh bool, err error) {
-	c, err = p.takeIdle(to, waiter)
+	c, err = p.takeIdle(instance, waiter)
 	if c != nil || err != nil {
 		return c, false, err
 	}
-	nc, err := p.Dial(ctx, "tcp", to.Address)
+	nc, err := p.Dial(ctx, "tcp", instance.Address)
 	if err != nil {
 		p.releaseDescriptor()
-		return nil, true, fmt.Errorf("connect to %s: %w", to.UID, err)
+		return nil, true, fmt.Errorf("connect to %s: %w", instance.UID, err)
 	}
-	return p.startReader(nc, to, waiter), true, nil
+	return p.startReader(nc, instance, waiter), true, nil
 }
 
-// releaseDescriptor gives back the descriptor that takeIdle has reserved for a connection that could not be opened.
+// releaseDescriptor releases the descriptor that takeIdle has reserved for a connection that could not be opened.
 func (p *Pool) releaseDescriptor() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open--
 }
 
-// mayBeginIn reports whether an attempt has time left after a wait, and its endpoint is still ready.
-func (p *Pool) mayBeginIn(a *Attempt, wait time.Duration) bool {
+// mayStartAfter reports whether an attempt has time left after a wait, and its endpoint is still ready.
+func (p *Pool) mayStartAfter(a *Attempt, wait time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return a.mayBegin(p.clock.Now()+wait) && p.endpoints.isReady(a.Instance)
+	return a.mayStart(p.clock.Now()+wait) && p.endpoints.isReady(a.Instance)
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -10,9 +10,9 @@
 	"basaltdrum/internal/socketpeek"
 )
 
-// startReader returns a new connection with its first attempt registered, if it has one, and starts its reader.
-func (p *Pool) startReader(nc net.Conn, to endpointlist.Instance, waiter chan exchangeResult) *conn {
-	c := newConn(nc, to, waiter)
+// startReader returns a new connection, with its first attempt registered if there is one, and starts its reader.
+func (p *Pool) startReader(nc net.Conn, instance endpointlist.Instance, waiter chan exchangeResult) *conn {
+	c := newConn(nc, instance, waiter)
 	go p.readLoop(c)
 	return c
 }
@@ -24,59 +24,60 @@
 }
 
 // readNext waits until bytes arrive or the connection ends, reads one response and passes it to the attempt that
-// awaits it. It reports whether the connection remains open. Until a request is being written, it leaves what
-// arrives in the kernel's buffer, where beginWrite detects it.
+// waits for it. It reports whether the connection remains open. Until a request is being written, it leaves bytes that
+// arrive in the kernel's buffer, where startWrite detects them.
 func (p *Pool) readNext(c *conn) bool {
 	socketpeek.AwaitReadable(c.Conn)
 	p.mu.Lock()
 	stage, expected := c.stage, c.expectsResponse()
 	p.mu.Unlock()
-	reply, reusable := exchangeResult{err: fmt.Errorf("%w (request %v)", errUnsolicited, stage)}, false
+	response, reusable := exchangeResult{err: fmt.Errorf("%w (request %v)", errUnsolicited, stage)}, false
 	if expected {
-		reply, reusable = c.readResponse(p.clock)
+		response, reusable = c.readResponse(p.clock)
 	}
-	waiter, reusable := p.endExchange(c, reply.EndedAt, reusable)
+	waiter, reusable := p.endExchange(c, response.EndedAt, reusable)
 	if waiter != nil {
-		waiter <- reply
+		waiter <- response
 	}
 	return reusable
 }
 
-// endExchange ends the exchange on a connection once its response is read, and returns the waiting attempt, or nil
-// if it has been abandoned meanwhile. It closes the connection unless that is reusable.
+// endExchange ends the exchange on a connection once its response has been read, and returns the waiter of its attempt,
+// or nil if the attempt has been abandoned meanwhile. It closes the connection if it is not reusable or was abandoned,
+// and reports whether it is still open.
 func (p *Pool) endExchange(c *conn, endedAt time.Duration, reusable bool) (chan exchangeResult, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	waiter := c.end()
+	waiter := c.endExchange()
 	if waiter == nil || !reusable {
 		p.closeConn(c)
 		return waiter, false
 	}
 	c.setIdle(endedAt, endedAt+p.timeouts.reuseDelay(p.ReuseDelay))
-	// A response that arrives early must not admit another request before this one is written.
+	// After a response that arrives early, no other request may use the connection until this one is written.
 	if c.stage == stageWritten {
 		p.putIdle(c)
 	}
 	return waiter, true
 }
 
-// noteWritten records that a request is completely written, and makes the connection idle if its response has
-// been read already.
-func (p *Pool) noteWritten(c *conn) {
+// recordWritten records that all of a request has been written, and makes the connection idle if its response has
+// already been read.
+func (p *Pool) recordWritten(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if ended := c.written(); ended && !c.closed {
+	if ended := c.markWritten(); ended && !c.closed {
 		p.putIdle(c)
 	}
 }
 
-// abandon closes a connection whose attempt has ended without a response. Once the reply has arrived it does
+// abandon closes a connection whose attempt has ended without a response. Once the response has arrived it does
 // nothing, as the connection may carry another attempt by then.
 func (p *Pool) abandon(c *conn, waiter chan exchangeResult) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.waiter == waiter {
-		c.end()
+		c.endExchange()
 		p.closeConn(c)
 		waiter <- exchangeResult{err: context.Canceled}
 	}
--- a/internal/upstream/idle.go
+++ b/internal/upstream/idle.go
@@ -7,32 +7,32 @@
 	"basaltdrum/internal/endpointlist"
 )
 
-// idleConns are the connections of a pool that carry no request, by the instance that each leads to and in the order
-// in which they became idle. It neither opens nor closes connections. The caller holds Pool.mu.
+// idleConns holds the idle connections of a pool by the instance to which they are open, in the order in which they
+// became idle. It neither opens nor closes connections. The caller holds Pool.mu.
 //
-// An instance whose last idle connection was taken keeps its empty list, as that connection usually comes back. The
-// list is deleted when a connection to the instance is removed.
+// An instance whose last idle connection was taken keeps its empty list, as that connection is usually put back. An
+// empty list is deleted when a connection to the instance is removed.
 type idleConns map[endpointlist.Instance][]*conn
 
-// put adds a connection as the one that became idle last.
+// put adds a connection that has just become idle.
 func (i idleConns) put(c *conn) {
 	i[c.instance] = append(i[c.instance], c)
 }
 
-// take removes and returns the connection to an instance that became idle last and may carry a request now. It
-// returns nil if there is none.
-func (i idleConns) take(to endpointlist.Instance, now time.Duration) *conn {
-	conns := i[to]
+// take removes and returns the connection to an instance that became idle last, among those that may carry a request
+// now. It returns nil if there is none.
+func (i idleConns) take(instance endpointlist.Instance, now time.Duration) *conn {
+	conns := i[instance]
 	for index, c := range slices.Backward(conns) {
 		if now >= c.reusableAt {
-			i[to] = slices.Delete(conns, index, index+1)
+			i[instance] = slices.Delete(conns, index, index+1)
 			return c
 		}
 	}
 	return nil
 }
 
-// remove removes a connection that is closed, whether it was idle or in use.
+// remove removes a closed connection, whether it was idle or in use.
 func (i idleConns) remove(c *conn) {
 	conns := i[c.instance]
 	if index := slices.Index(conns, c); index >= 0 {
@@ -44,15 +44,15 @@
 }
 
 // newest returns the connection to an instance that became idle last, or nil if none is idle.
-func (i idleConns) newest(to endpointlist.Instance) *conn {
-	conns := i[to]
+func (i idleConns) newest(instance endpointlist.Instance) *conn {
+	conns := i[instance]
 	if len(conns) == 0 {
 		return nil
 	}
 	return conns[len(conns)-1]
 }
 
-// longestIdle returns the connection that has been idle for longest, or nil if none is idle.
+// longestIdle returns the connection that has been idle the longest, or nil if none is idle.
 func (i idleConns) longestIdle() *conn {
 	var oldest *conn
 	for _, conns := range i {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -13,38 +13,39 @@
 )
 
 // DefaultReuseDelay is how long a connection stays unused after a response before it may carry another request. A
-// duplicate of the response may arrive some milliseconds late, and nothing in it distinguishes it from the
-// response to the next request: that request's client would receive the body of another. A duplicate that
-// arrives during the delay closes the connection instead. The delay equals the slack of the protocol's limits;
-// a duplicate that arrives even later cannot be distinguished from a response. The cost is additional connections to an
-// endpoint: as many as requests of this node end there during the delay.
+// duplicate of the response may arrive some milliseconds late, and nothing distinguishes it from the response to the
+// next request: the client of that request would receive the body of another one. A duplicate that arrives during the
+// delay closes the connection instead. The delay equals the tolerance of the protocol's limits; a duplicate that
+// arrives even later cannot be distinguished from a response. The cost is additional connections to an endpoint: as
+// many as the node's requests that end there during the delay.
 const DefaultReuseDelay = 50 * time.Millisecond
 
-// errNoDescriptor reports that the node has no file descriptor left for a connection. No endpoint is at fault.
+// errNoDescriptor reports that the node has no file descriptor left for a connection. It does not count against the
+// endpoint.
 var errNoDescriptor = errors.New("no file descriptor left for an upstream connection")
 
-// Pool is a pool of persistent HTTP/1.1 connections to the endpoints, and carries out attempts over
-// them. Among the idle connections to an endpoint it prefers the one used last (LIFO), so that surplus
-// connections expire. http.Transport does not fit: it retries some requests by itself, and it does not report
-// whether the last byte of a request was written.
+// Pool is a pool of persistent HTTP/1.1 connections to the endpoints, and makes attempts over them. Among the idle
+// connections to an endpoint it prefers the one used last (LIFO), so that surplus connections expire. It does not use
+// http.Transport, which retries some requests by itself and does not report whether the last byte of a request was
+// written.
 //
-// The exported fields may be changed before the first attempt, and not later.
+// The exported fields must not be changed after the first attempt has started.
 type Pool struct {
 	Dial       netdial.Func  // opens connections; NewPool sets a dialer with the connect timeout
-	Allowance  func() int    // the limit that others leave at the moment; it may call Connections
-	ReuseDelay time.Duration // see DefaultReuseDelay; at most a part of the idle timeout is used
+	Allowance  func() int    // the current limit of connections, in addition to maxConns; it may call Connections
+	ReuseDelay time.Duration // see DefaultReuseDelay; limited to a fraction of the idle timeout
 
 	clock    monotime.Clock
 	maxConns int // limit of connections that are open or being opened
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the fields below
 	timeouts  Timeouts
 	idle      idleConns // the connections that carry no request
 	open      int       // connections that are open or being opened
 	endpoints endpointTable
 }
 
-// NewPool returns a pool without connections and endpoints, which opens no more than maxConns connections.
+// NewPool returns a pool without connections and endpoints, which holds at most maxConns connections.
 func NewPool(clock monotime.Clock, maxConns int, timeouts Timeouts) *Pool {
 	p := &Pool{
 		Allowance:  func() int { return maxConns },
@@ -62,14 +63,14 @@
 	return p
 }
 
-// SetTimeouts changes the timeouts. Dials in progress keep the timeout that they began with.
+// SetTimeouts changes the timeouts. Dials in progress keep the timeout with which they started.
 func (p *Pool) SetTimeouts(timeouts Timeouts) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.timeouts = timeouts
 }
 
-// Timeouts returns the timeouts in force.
+// Timeouts returns the current timeouts.
 func (p *Pool) Timeouts() Timeouts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,15 +92,15 @@
 	return p.open
 }
 
-// Stats are the numbers of what a pool holds.
+// Stats holds the numbers of a pool's connections and endpoints.
 type Stats struct {
 	Open          int // connections that are open or being opened
-	Idle          int // of these, the connections that carry no request
-	IdleInstances int // instances of endpoints that idle connections are kept for
-	Endpoints     int // that are listed, in whatever state
+	Idle          int // open connections that carry no request
+	IdleInstances int // endpoint instances with a list of idle connections, which may be empty
+	Endpoints     int // listed endpoints, in any state
 }
 
-// Stats returns the present numbers.
+// Stats returns the current numbers.
 func (p *Pool) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -108,15 +109,16 @@
 	}
 }
 
-// takeIdle returns the reusable idle connection to an instance that was used last, and registers waiter for its
-// next response. It returns nil once a descriptor is reserved for a new connection; at the limit, the connection
-// that has been idle for longest is closed for it.
-func (p *Pool) takeIdle(to endpointlist.Instance, waiter chan exchangeResult) (*conn, error) {
-	// The allowance is read before locking: the downstream side counts upstream connections while it holds its lock.
+// takeIdle returns the reusable idle connection to an instance that was used last, and registers waiter for its next
+// response. If there is none, it returns nil after it has reserved a descriptor for a new connection; at the limit, it
+// closes the connection that has been idle the longest to make room.
+func (p *Pool) takeIdle(instance endpointlist.Instance, waiter chan exchangeResult) (*conn, error) {
+	// Allowance is called before mu is locked, because the downstream side counts upstream connections while it holds
+	// its own lock.
 	limit := min(p.maxConns, p.Allowance())
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c := p.idle.take(to, p.clock.Now()); c != nil {
+	if c := p.idle.take(instance, p.clock.Now()); c != nil {
 		c.reserve(waiter)
 		return c, nil
 	}
@@ -131,8 +133,8 @@
 	return nil, nil
 }
 
-// putIdle keeps a connection for further attempts if the instance that it leads to is still ready, and closes it
-// otherwise. The caller holds mu.
+// putIdle keeps a connection for further attempts if its instance is still ready, and closes it otherwise. The caller
+// holds mu.
 func (p *Pool) putIdle(c *conn) {
 	if !p.endpoints.isReady(c.instance) {
 		p.closeConn(c)
@@ -143,7 +145,7 @@
 
 // closeConn closes a connection and removes it from the pool. The caller holds mu.
 func (p *Pool) closeConn(c *conn) {
-	if !c.shut() {
+	if !c.closeOnce() {
 		return
 	}
 	p.open--
@@ -151,13 +153,13 @@
 }
 
 // closeIdle closes the idle connections to an instance. The caller holds mu.
-func (p *Pool) closeIdle(to endpointlist.Instance) {
-	for c := p.idle.newest(to); c != nil; c = p.idle.newest(to) {
+func (p *Pool) closeIdle(instance endpointlist.Instance) {
+	for c := p.idle.newest(instance); c != nil; c = p.idle.newest(instance) {
 		p.closeConn(c)
 	}
 }
 
-// CloseExpired closes connections whose idle timeout has passed, until ctx ends.
+// CloseExpired periodically closes connections whose idle timeout has passed, until ctx ends.
 func (p *Pool) CloseExpired(ctx context.Context) {
 	for {
 		if monotime.Sleep(ctx, p.Timeouts().sweepInterval()); ctx.Err() != nil {
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -18,19 +18,19 @@
 const maxResponseOverhead = 16 << 10
 
 var (
-	// errIncompleteResponse reports a response that is not complete, or that cannot be known to be.
-	errIncompleteResponse = errors.New("the response is incomplete")
+	// errIncompleteResponse reports a response that is incomplete, or whose completeness cannot be determined.
+	errIncompleteResponse = errors.New("response is incomplete")
 	// errUnexpectedTransferCoding reports a transfer coding in a response that predates HTTP/1.1.
-	errUnexpectedTransferCoding = errors.New("a transfer coding in a response older than HTTP/1.1")
+	errUnexpectedTransferCoding = errors.New("response older than HTTP/1.1 has a Transfer-Encoding")
 )
 
-// bodyFraming is what marks the end of a response's body (RFC 9112, section 6.3).
+// bodyFraming is the way in which the end of a response's body is determined (RFC 9112, section 6.3).
 type bodyFraming int
 
 const (
-	framedByLength bodyFraming = iota // a Content-Length, or the last chunk
-	framedByClose                     // the end of the connection: a FIN; a reset does not count
-	framingTooLong                    // a Content-Length beyond http1.MaxBodyBytes
+	framedByLength bodyFraming = iota // Content-Length or the last chunk
+	framedByClose                     // a FIN; a reset does not complete the body
+	framingTooLong                    // Content-Length is greater than http1.MaxBodyBytes
 )
 
 func (f bodyFraming) String() string {
@@ -55,13 +55,13 @@
 	return framedByClose
 }
 
-// readResponse reads one response, whose end it times by clock, and reports whether the connection is reusable.
+// readResponse reads one response, records the clock time of its end, and reports whether the connection is reusable.
 //
 // Only a complete 200 is a success, and only a complete response proves that a request never ran. A response
-// without a length ends with the connection; the body is read to that end for a 200 alone, as it makes no other
-// response conclusive. Bytes that follow a response do not invalidate it, but the connection is not reusable then,
+// without a length ends with the connection; its body is read to that end only for a 200, because no other response
+// becomes conclusive by it. Bytes that follow a response do not invalidate it, but make the connection not reusable,
 // as they could not be distinguished from the next response.
-func (c *conn) readResponse(clock monotime.Clock) (reply exchangeResult, reusable bool) {
+func (c *conn) readResponse(clock monotime.Clock) (response exchangeResult, reusable bool) {
 	c.limited.Remaining = maxResponseOverhead
 	resp, err := readHead(c.reader)
 	if err != nil {
@@ -70,19 +70,19 @@
 	framing := framingOf(resp)
 	body, err := readBody(c.limited, resp, framing)
 	if err != nil && resp.StatusCode == http.StatusOK {
-		err = fmt.Errorf("%w: read its body, which ends by %v: %w", errIncompleteResponse, framing, err)
+		err = fmt.Errorf("%w: read body delimited by %v: %w", errIncompleteResponse, framing, err)
 		return exchangeResult{err: err}, false
 	}
 	complete := framing == framedByLength && err == nil
-	reply.EndedAt, reply.endedByClose = clock.Now(), framing == framedByClose
-	reply.Result = resultOf(resp, complete)
-	if reply.Result == balancer.Success {
-		reply.Body, reply.ContentType = body, resp.Header.Get("Content-Type")
+	response.EndedAt, response.endedByClose = clock.Now(), framing == framedByClose
+	response.Result = resultOf(resp, complete)
+	if response.Result == balancer.Success {
+		response.Body, response.ContentType = body, resp.Header.Get("Content-Type")
 	}
-	return reply, complete && !resp.Close && c.reader.Buffered() == 0
+	return response, complete && !resp.Close && c.reader.Buffered() == 0
 }
 
-// resultOf returns the result that a response stands for. A 200 has been read to its end.
+// resultOf returns the attempt result of a response. The caller has read a 200 to its end.
 func resultOf(resp *http.Response, complete bool) balancer.AttemptResult {
 	switch {
 	case resp.StatusCode == http.StatusOK:
@@ -99,33 +99,34 @@
 		resp.Header.Get("X-Not-Run") == "1"
 }
 
-// readHead reads the head of the final response, past interim (1xx) responses.
+// readHead reads the head of the final response and skips interim (1xx) responses before it.
 func readHead(reader *bufio.Reader) (*http.Response, error) {
-	for old := false; ; {
-		head, isOld, err := asHTTP11(reader)
+	for predates11 := false; ; {
+		head, headPredates11, err := asHTTP11(reader)
 		if err != nil {
 			return nil, err
 		}
-		reader, old = head, old || isOld
+		reader, predates11 = head, predates11 || headPredates11
 		resp, err := http.ReadResponse(reader, nil)
 		switch {
 		case err != nil:
 			return nil, err
-		case old && len(resp.TransferEncoding) > 0:
+		case predates11 && len(resp.TransferEncoding) > 0:
 			return nil, errUnexpectedTransferCoding
 		case resp.StatusCode >= http.StatusOK:
-			resp.Close = resp.Close || old
+			resp.Close = resp.Close || predates11
 			return resp, nil
 		}
 	}
 }
 
-// asHTTP11 returns a reader of a head whose version is HTTP/1.1, and reports whether it was an older one.
+// asHTTP11 returns a reader of a response head in which an older version is replaced by HTTP/1.1, and reports whether
+// it was replaced.
 //
 // http.ReadResponse ignores and removes a Transfer-Encoding in a response older than HTTP/1.1, and would then
 // return the framing of the chunks as the body. Such a response is faulty (RFC 9112, section 6.1). To make the
-// field visible, the head is parsed as if it were of HTTP/1.1.
-func asHTTP11(reader *bufio.Reader) (head *bufio.Reader, old bool, err error) {
+// field visible, the head is parsed as an HTTP/1.1 head.
+func asHTTP11(reader *bufio.Reader) (head *bufio.Reader, predates11 bool, err error) {
 	const http11 = "HTTP/1.1"
 	version, err := reader.Peek(len(http11))
 	if err != nil {
@@ -141,8 +142,8 @@
 	return bufio.NewReader(io.MultiReader(strings.NewReader(http11), reader)), true, nil
 }
 
-// readBody reads a body to its end, and fails if it has more than http1.MaxBodyBytes. It leaves a body alone that is
-// declared longer, and one that ends with the connection unless the status is 200.
+// readBody reads a body to its end, and fails if it is longer than http1.MaxBodyBytes. It does not read a body whose
+// declared length is greater, nor one that ends with the connection unless the status is 200.
 func readBody(limited *http1.LimitedReader, resp *http.Response, framing bodyFraming) ([]byte, error) {
 	switch {
 	case framing == framingTooLong:
--- a/internal/upstream/timeouts.go
+++ b/internal/upstream/timeouts.go
@@ -4,30 +4,30 @@
 
 // Fractions of the configured idle timeout of connections.
 const (
-	reuseDelayDivisor    = 4  // the reuse delay is at most this part of the idle timeout
-	idleMarginDivisor    = 10 // the node closes an idle connection earlier than the endpoint by this part
-	sweepIntervalDivisor = 20 // idle connections are checked for expiry at this part of the idle timeout
+	reuseDelayDivisor    = 4  // the reuse delay is at most a quarter of the idle timeout
+	idleMarginDivisor    = 10 // the node closes an idle connection a tenth of the timeout before the endpoint does
+	sweepIntervalDivisor = 20 // idle connections are checked for expiry every twentieth of the node's own idle limit
 )
 
-// minSweepInterval is the shortest time between two checks of the idle connections for expiry.
+// minSweepInterval is the minimum time between two checks of the idle connections for expiry.
 const minSweepInterval = time.Millisecond
 
-// Timeouts are what a pool is told of an endpoint's connections.
+// Timeouts holds the timeouts of connections to endpoints.
 type Timeouts struct {
-	Connect time.Duration // for a connection to come up
+	Connect time.Duration // for the connection establishment
 	Idle    time.Duration // after which an endpoint closes an idle connection
 }
 
-// idleLimit returns how long the node keeps a connection idle. It closes it shortly before the endpoint does.
-// Otherwise a request could cross the endpoint's close on the way and end in a reset.
+// idleLimit returns how long the node keeps a connection idle. The node closes it shortly before the endpoint does, as
+// a request that crosses the endpoint's close in transit could end in a reset.
 func (t Timeouts) idleLimit() time.Duration {
 	return t.Idle - t.Idle/idleMarginDivisor
 }
 
-// reuseDelay returns how long a connection stays unused after a response: as long as wanted, but no longer than a
-// part of the idle timeout.
-func (t Timeouts) reuseDelay(wanted time.Duration) time.Duration {
-	return min(wanted, t.Idle/reuseDelayDivisor)
+// reuseDelay returns how long a connection stays unused after a response: the configured delay, but no longer than a
+// quarter of the idle timeout.
+func (t Timeouts) reuseDelay(configured time.Duration) time.Duration {
+	return min(configured, t.Idle/reuseDelayDivisor)
 }
 
 // sweepInterval returns the time between two checks of the idle connections for expiry.
--- a/internal/upstream/writepermission.go
+++ b/internal/upstream/writepermission.go
@@ -7,13 +7,13 @@
 	"basaltdrum/internal/socketpeek"
 )
 
-// writePermission is whether the first byte of a request may be written.
+// writePermission is the decision whether the first byte of a request may be written.
 type writePermission int
 
 const (
 	mayWrite        writePermission = iota
-	useAnotherConn                  // not on this connection, or not now: the attempt's context has ended
-	attemptObsolete                 // not at all: the attempt became pointless or harmful while it waited
+	useAnotherConn                  // not on this connection, or the attempt's context has ended
+	attemptObsolete                 // not at all: the attempt became useless or harmful while it waited
 )
 
 func (w writePermission) String() string {
@@ -28,14 +28,14 @@
 	return fmt.Sprintf("writePermission(%d)", int(w))
 }
 
-// beginWrite decides whether the first byte of a request is written next, and notes the attempt as begun if so.
+// startWrite decides whether the first byte of a request is written next, and if so records the attempt as started.
 //
-// The list, the client and the clock may have changed while the connection was opened, so they are checked here:
-// no attempt is begun at an endpoint that drains, was removed or has restarted, for a client that has departed, or
-// once endpoints no longer discard repeats. The connection itself is kept for other attempts then. But if the
+// The endpoint list, the client and the time are checked here because they may have changed while the connection was
+// opened: no attempt starts at an endpoint that drains, was removed or has restarted, for a client that has departed,
+// or once endpoints no longer discard duplicates. In these cases the connection is kept for other attempts. But if the
 // endpoint has closed the connection or has sent bytes, which cannot be a response to this request, the connection
 // is closed, and the attempt may use another one.
-func (p *Pool) beginWrite(
+func (p *Pool) startWrite(
 	ctx context.Context, c *conn, waiter chan exchangeResult, a *Attempt,
 ) writePermission {
 	p.mu.Lock()
@@ -44,14 +44,14 @@
 		return useAnotherConn
 	}
 	now := p.clock.Now()
-	overdue := !a.mayBegin(now) || a.remainingTime(now) == 0
+	tooLate := !a.mayStart(now) || a.remainingTime(now) == 0
 	switch {
 	case socketpeek.IsReadable(c.Conn):
-		c.end()
+		c.endExchange()
 		p.closeConn(c)
 		return useAnotherConn
-	case ctx.Err() != nil || overdue || !p.endpoints.isReady(c.instance) || !a.Request.beginAttempt(a):
-		c.end()
+	case ctx.Err() != nil || tooLate || !p.endpoints.isReady(c.instance) || !a.Request.startWrite(a):
+		c.endExchange()
 		c.setIdle(now, now)
 		p.putIdle(c)
 		if ctx.Err() != nil {
@@ -59,6 +59,6 @@
 		}
 		return attemptObsolete
 	}
-	c.begin()
+	c.markWriting()
 	return mayWrite
 }
