--- a/internal/downstream/budget_test.go
+++ b/internal/downstream/budget_test.go
@@ -2,17 +2,17 @@
 
 import "testing"
 
-// Downstream connections have what upstream ones leave of the capacity, but at least half of it; upstream ones have
-// what downstream ones leave of all descriptors.
+// Downstream connections may use the descriptors that upstream ones leave, but at least half of them. Upstream
+// connections may use all that downstream ones leave.
 func TestDescriptorBudgetDividesTheCapacity(t *testing.T) {
 	limits := Limits{Descriptors: 100, UpstreamReserve: 20, RejectReserve: 10}
 	for _, row := range []struct {
-		name                 string
-		downstream, upstream int // connections
-		evicting             int
-		excess               int
-		short, exhausted     bool
-		upstreamAllowance    int
+		name                     string
+		downstream, upstream     int // connections
+		evicting                 int
+		excess                   int
+		underPressure, exhausted bool
+		upstreamAllowance        int
 	}{
 		{"no connection", 0, 0, 0, -80, false, false, 110},
 		{"at the limit", 80, 0, 0, 0, false, false, 30},
@@ -30,20 +30,21 @@
 		t.Run(row.name, func(t *testing.T) {
 			b := descriptorBudget{limits: limits, evicting: row.evicting}
 			excess := b.excess(row.downstream, row.upstream)
-			if excess != row.excess || b.isUnderPressure(excess) != row.short {
-				t.Errorf("excess %d, short: %v, want %d and %v", excess, b.isUnderPressure(excess), row.excess, row.short)
+			if excess != row.excess || b.isUnderPressure(excess) != row.underPressure {
+				t.Errorf("excess %d, under pressure: %v; want %d, %v",
+					excess, b.isUnderPressure(excess), row.excess, row.underPressure)
 			}
 			if got := b.isExhausted(row.downstream, row.upstream); got != row.exhausted {
 				t.Errorf("exhausted: %v, want %v", got, row.exhausted)
 			}
 			if got := b.upstreamAllowance(row.downstream); got != row.upstreamAllowance {
-				t.Errorf("%d for upstream connections, want %d", got, row.upstreamAllowance)
+				t.Errorf("allowance for upstream connections: %d, want %d", got, row.upstreamAllowance)
 			}
 		})
 	}
 }
 
-// A request is admitted while open requests, its own included, hold at most half of the capacity.
+// A request is admitted while the open requests, including itself, hold at most half of the descriptors.
 func TestDescriptorBudgetAdmitsRequests(t *testing.T) {
 	for _, row := range []struct {
 		name                string
@@ -51,10 +52,10 @@
 		want                bool
 	}{
 		{"the only request", 10, 1, true},
-		{"half of the capacity", 10, 5, true},
+		{"half of the descriptors", 10, 5, true},
 		{"more than half", 10, 6, false},
-		{"half of an odd capacity, rounded down", 11, 5, true},
-		{"more than half of an odd capacity", 11, 6, false},
+		{"half of an odd number, rounded down", 11, 5, true},
+		{"more than half of an odd number", 11, 6, false},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			b := descriptorBudget{limits: Limits{Descriptors: row.descriptors}, active: row.active}
@@ -65,28 +66,29 @@
 	}
 }
 
-// Open requests and evictions are counted once, from the change that begins them to the one that ends them.
+// Open requests and evictions are counted once, from the change that starts them to the one that ends them.
 func TestDescriptorBudgetCountsActivities(t *testing.T) {
 	idle, active := activity{phase: PhaseIdle}, activity{phase: PhaseActive}
-	evicted := idle.markedEvicting()
+	beingEvicted := idle.markedEvicting()
 	for _, row := range []struct {
 		name             string
 		before, after    activity
 		active, evicting int // the changes of the counts
 	}{
-		{"a request is open", idle, active, 1, 0},
+		{"a request is opened", idle, active, 1, 0},
 		{"still open", active, active, 0, 0},
 		{"answered", active, idle, -1, 0},
-		{"evicted", idle, evicted, 0, 1},
-		{"closed after the eviction", evicted, activity{phase: PhaseLingering}, 0, -1},
-		{"a request came in spite of the eviction", evicted, active, 1, -1},
+		{"evicted", idle, beingEvicted, 0, 1},
+		{"closed after the eviction", beingEvicted, activity{phase: PhaseLingering}, 0, -1},
+		{"a request arrives despite the eviction", beingEvicted, active, 1, -1},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			const some = 3
-			b := descriptorBudget{active: some, evicting: some}
+			const base = 3
+			b := descriptorBudget{active: base, evicting: base}
 			b.countActivityChange(row.before, row.after)
-			if active, evicting := b.active-some, b.evicting-some; active != row.active || evicting != row.evicting {
-				t.Errorf("changed by %d and %d, want %d and %d", active, evicting, row.active, row.evicting)
+			if active, evicting := b.active-base, b.evicting-base; active != row.active || evicting != row.evicting {
+				t.Errorf("active changed by %d, evicting by %d; want %d, %d",
+					active, evicting, row.active, row.evicting)
 			}
 		})
 	}
--- a/internal/downstream/conn_test.go
+++ b/internal/downstream/conn_test.go
@@ -8,10 +8,10 @@
 	"basaltdrum/internal/testutil"
 )
 
-// A request whose first bytes arrive just before its connection would have timed out, idle or new, has as much
-// time for the rest as any request.
-func TestRequestBegunBeforeATimeoutIsReadToItsEnd(t *testing.T) {
-	for _, row := range []struct{ name, first string }{
+// A request whose first bytes arrive just before the timeout of an idle or new connection has as much time for the rest
+// as any other request.
+func TestRequestStartedBeforeTimeoutIsReadToItsEnd(t *testing.T) {
+	for _, row := range []struct{ name, firstBytes string }{
 		{"one byte", "G"},
 		{"three bytes", "GET"},
 		{"a partial head", "GET /view/k HTTP/1.1\r\nHo"},
@@ -20,14 +20,14 @@
 		t.Run(row.name, func(t *testing.T) {
 			conn, client := connPair(t, newTestConns(testLimits(10), 0), 2*testutil.Timeout)
 			conn.SetReadDeadline(time.Now().Add(testutil.Timeout))
-			io.WriteString(client, row.first)
-			if text := make([]byte, len(row.first)); !readFull(conn, text) {
-				t.Fatal("the first bytes are not read")
+			io.WriteString(client, row.firstBytes)
+			if text := make([]byte, len(row.firstBytes)); !readFull(conn, text) {
+				t.Fatal("the first bytes of the request could not be read")
 			}
-			conn.SetReadDeadline(time.Now()) // as net/http set it before the first bytes came
+			conn.SetReadDeadline(time.Now()) // the deadline that net/http set before the first bytes arrived
 			io.WriteString(client, "rest")
 			if text := make([]byte, 4); !readFull(conn, text) || string(text) != "rest" {
-				t.Error("the rest is not read")
+				t.Errorf("read %q as the rest of the request, want %q", text, "rest")
 			}
 		})
 	}
--- a/internal/downstream/departure_test.go
+++ b/internal/downstream/departure_test.go
@@ -10,10 +10,10 @@
 	"basaltdrum/internal/testutil"
 )
 
-// The watch finds out that a client departs, whatever it has pipelined before, unless that is more than is buffered.
-// After the end of the stream, an interim response tells a client that still reads from one that has closed.
-func TestWatchFindsDepartures(t *testing.T) {
-	nothing := func(*net.TCPConn) {}
+// The watch detects a client's departure, whatever the client has pipelined before, unless that is more than is
+// buffered. After a FIN, an interim response distinguishes a client that still reads from one that has closed.
+func TestWatchDetectsDepartures(t *testing.T) {
+	stayConnected := func(*net.TCPConn) {}
 	closed := func(client *net.TCPConn) { client.Close() }
 	halfClosed := func(client *net.TCPConn) { client.CloseWrite() }
 	reset := func(client *net.TCPConn) {
@@ -27,12 +27,12 @@
 		want      Departure
 	}{
 		{"half-close", 0, halfClosed, HalfClosed},
-		{"half-close behind pipelined bytes", 3 * minReadAheadBytes, halfClosed, HalfClosed},
+		{"half-close after pipelined bytes", 3 * minReadAheadBytes, halfClosed, HalfClosed},
 		{"close", 0, closed, Disconnected},
-		{"close behind pipelined bytes", 3 * minReadAheadBytes, closed, Disconnected},
+		{"close after pipelined bytes", 3 * minReadAheadBytes, closed, Disconnected},
 		{"reset", 0, reset, Disconnected},
-		{"reset behind pipelined bytes", 3 * minReadAheadBytes, reset, Disconnected},
-		{"more than may be buffered", 2 * maxReadAheadBytes, nothing, Unobservable},
+		{"reset after pipelined bytes", 3 * minReadAheadBytes, reset, Disconnected},
+		{"more than may be buffered", 2 * maxReadAheadBytes, stayConnected, Unobservable},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
@@ -41,19 +41,19 @@
 	}
 }
 
-// checkDeparture has a client pipeline a number of bytes and depart, and checks what the watch finds.
+// checkDeparture makes a client pipeline a number of bytes and depart, and checks what the watch observes.
 func checkDeparture(t *testing.T, pipelined int, depart func(client *net.TCPConn), want Departure) {
 	t.Helper()
 	conns := newTestConns(testLimits(10), 0)
 	conn, client := connPair(t, conns, 0)
 	watchEnded := watch(conns, conn)
 	if conn.AwaitCaughtUp() != Present {
-		t.Fatal("departed before the client did anything")
+		t.Fatalf("departure before the client did anything: %v, want %v", conn.Departure(), Present)
 	}
 	io.WriteString(client, strings.Repeat("x", pipelined))
 	if pipelined <= maxReadAheadBytes {
 		buffered := func() bool { return conn.status().ReadAhead == pipelined }
-		testutil.Until(t, "the bytes to be read", buffered)
+		testutil.Until(t, "reading the pipelined bytes", buffered)
 	}
 	depart(client.(*net.TCPConn))
 	testutil.Wait(t, conn.DepartureChanged(), "the departure")
@@ -64,36 +64,36 @@
 	conn.StopDepartureWatch()
 	testutil.Wait(t, watchEnded, "the end of the watch")
 	if conn.Departure() != want {
-		t.Errorf("%v after the watch, want %v", conn.Departure(), want)
+		t.Errorf("departure after the watch: %v, want %v", conn.Departure(), want)
 	}
 	conns.ConnStateChanged(conn, http.StateClosed)
 	if reserved := conns.ReadAheadReserved(); reserved != 0 {
-		t.Errorf("%d bytes are reserved for a connection that is closed", reserved)
+		t.Errorf("%d bytes are reserved for a closed connection, want 0", reserved)
 	}
 }
 
-// A watch that is ended reports nothing about its client, and what was pipelined is read as the next request.
-func TestEndedWatchKeepsPipelinedBytes(t *testing.T) {
+// Stopping a watch records no departure, and the pipelined bytes are read as the next request.
+func TestStoppedWatchKeepsPipelinedBytes(t *testing.T) {
 	conns := newTestConns(testLimits(10), 0)
 	conn, client := connPair(t, conns, 0)
 	watchEnded := watch(conns, conn)
 	next := testutil.RequestText("next")
 	io.WriteString(client, next)
-	testutil.Until(t, "the bytes to be read", func() bool { return conn.status().ReadAhead == len(next) })
+	testutil.Until(t, "reading the pipelined bytes", func() bool { return conn.status().ReadAhead == len(next) })
 	if !conn.StopDepartureWatch() {
-		t.Error("the pipelined request was not read")
+		t.Error("StopDepartureWatch reports no pipelined request, want one")
 	}
 	testutil.Wait(t, watchEnded, "the end of the watch")
 	if conn.Departure() != Present {
-		t.Errorf("departed: %v", conn.Departure())
+		t.Errorf("departure after the watch: %v, want %v", conn.Departure(), Present)
 	}
 	conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"))
 	if text := make([]byte, len(next)); !readFull(conn, text) || string(text) != next {
-		t.Errorf("read %q", text)
+		t.Errorf("read %q after the response, want %q", text, next)
 	}
 }
 
-// watch opens a request on a connection and watches for its client's departure, as net/http does. The channel
+// watch opens a request on a connection and starts the watch for its client's departure, as net/http does. The channel
 // receives a value when the watch has ended.
 func watch(conns *Conns, conn *Conn) <-chan struct{} {
 	conns.ConnStateChanged(conn, http.StateNew)
@@ -107,16 +107,16 @@
 	return ended
 }
 
-// Of two observations the greater holds, and only a greater one is reported. The next request begins with what is
-// known, but for a buffer that was full.
+// Of two observations the greater one holds, and only an increase is reported. The next request starts with the
+// departure observed so far, unless it is Unobservable.
 func TestDepartureWatchKeepsTheGreatestObservation(t *testing.T) {
 	for _, row := range []struct {
-		name            string
-		first, second   Departure
-		reported        bool // the second one
-		known, nextTime Departure
+		name                   string
+		first, second          Departure
+		reported               bool // whether the second one is
+		departure, nextRequest Departure
 	}{
-		{"nothing seen", Present, Present, false, Present, Present},
+		{"no sign of a departure", Present, Present, false, Present, Present},
 		{"half-closed", Present, HalfClosed, true, HalfClosed, HalfClosed},
 		{"disconnected", Present, Disconnected, true, Disconnected, Disconnected},
 		{"buffer full", Present, Unobservable, true, Unobservable, Present},
@@ -135,33 +135,34 @@
 			default:
 			}
 			w.observe(row.second)
-			if reported := len(w.changed) > 0; reported != row.reported || w.departure != row.known {
-				t.Errorf("%v, reported: %v, want %v and %v", w.departure, reported, row.known, row.reported)
+			if reported := len(w.changed) > 0; reported != row.reported || w.departure != row.departure {
+				t.Errorf("departure %v, reported: %v; want %v, %v", w.departure, reported, row.departure, row.reported)
 			}
-			if w.start(); w.departure != row.nextTime {
-				t.Errorf("%v as the next request begins, want %v", w.departure, row.nextTime)
+			if w.start(); w.departure != row.nextRequest {
+				t.Errorf("departure at the start of the next request: %v, want %v", w.departure, row.nextRequest)
 			}
 		})
 	}
 }
 
-// Each request has a watch of its own to wait for; a change that its handler has not received stays to be received.
-func TestDepartureWatchBeginsAnew(t *testing.T) {
+// Each request has its own watch to wait for. A change that the handler of the previous request has not received is
+// kept for the next one.
+func TestDepartureWatchStartsForEachRequest(t *testing.T) {
 	var w departureWatch
 	w.start()
 	w.markCaughtUp()
-	w.markCaughtUp() // as a watch that ends after it has caught up
+	w.markCaughtUp() // a watch marks itself caught up again when it ends
 	if !isClosed(w.caughtUp) {
-		t.Error("not caught up")
+		t.Error("caughtUp is not closed after markCaughtUp")
 	}
 	close(w.ended)
 	w.observe(HalfClosed)
 	w.observe(Disconnected)
 	w.start()
 	if isClosed(w.caughtUp) || isClosed(w.ended) {
-		t.Error("the next request's watch has caught up or ended before it began")
+		t.Error("the watch of the next request has caught up or ended before it started")
 	}
 	if len(w.changed) != 1 {
-		t.Errorf("%d changes to be received, want 1", len(w.changed))
+		t.Errorf("%d changes are pending, want 1", len(w.changed))
 	}
 }
--- a/internal/downstream/eviction_test.go
+++ b/internal/downstream/eviction_test.go
@@ -13,7 +13,7 @@
 	"basaltdrum/internal/testutil"
 )
 
-// sendByte has one end of a connection write a byte and the other one read it.
+// sendByte writes a byte on one end of a connection and reads it on the other end.
 func sendByte(t *testing.T, from, to net.Conn) {
 	t.Helper()
 	to.SetReadDeadline(time.Now().Add(testutil.Timeout))
@@ -25,9 +25,10 @@
 	}
 }
 
-// A connection is evicted only while it waits for a request: not once a request has been read that net/http has
-// not reported yet, nor once the first byte of the next request was read early, after a response.
-func TestEvictionSparesARequestBegun(t *testing.T) {
+// A connection is evicted only while it waits for a request. It is not evicted once bytes of a request have been read
+// that net/http has not reported yet, nor once net/http has read the first byte of the next request before it reports
+// StateIdle.
+func TestConnectionWithStartedRequestIsNotEvicted(t *testing.T) {
 	conns := newTestConns(testLimits(2), 1)
 	conn, client := connPair(t, conns, 0)
 	other, _ := connPair(t, conns, 0)
@@ -37,25 +38,25 @@
 	sendByte(t, conn, client) // its response
 	sendByte(t, client, conn) // the next request's first byte
 	conns.ConnStateChanged(conn, http.StateIdle)
-	conns.ConnStateChanged(other, http.StateNew) // one too many
+	conns.ConnStateChanged(other, http.StateNew) // exceeds the limit by one
 	if conn.activity.evicting || !conns.OverLimit() {
-		t.Fatal("a connection with a request on it was evicted")
+		t.Fatal("a connection with a started request was evicted")
 	}
 	sendByte(t, client, conn)
 	sendByte(t, conn, client)
 	conns.budget.limits.GracePeriods.Idle = testutil.Timeout
 	conns.ConnStateChanged(conn, http.StateIdle)
 	if conn.activity.evicting || !conns.OverLimit() {
-		t.Fatal("a connection idle for a moment only was evicted")
+		t.Fatal("an idle connection was evicted within its grace period")
 	}
 	conns.budget.limits.GracePeriods.Idle = 0
 	conns.ConnStateChanged(other, http.StateActive)
 	if !conn.activity.evicting || conns.OverLimit() {
-		t.Fatal("the idle connection was not evicted")
+		t.Fatal("the idle connection was not evicted after its grace period")
 	}
-	conn.SetReadDeadline(time.Time{}) // net/http does so after it has reported that the connection is idle
+	conn.SetReadDeadline(time.Time{}) // net/http does so after it has reported StateIdle
 	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the wait for a request ended by %v", err)
+		t.Errorf("the wait for a request ended with error %v, want %v", err, os.ErrDeadlineExceeded)
 	}
 	conns.ConnStateChanged(conn, http.StateClosed)
 	if conns.budget.evicting != 0 || len(conns.conns) != 1 {
@@ -63,106 +64,107 @@
 	}
 }
 
-// A request that is unread in the kernel counts as begun: a close would reset the connection.
-func TestEvictionSparesUnreadBytes(t *testing.T) {
+// A request whose bytes are unread in the kernel counts as started: a close would reset the connection.
+func TestConnectionWithUnreadBytesIsNotEvicted(t *testing.T) {
 	conns := newTestConns(testLimits(2), 1)
 	conn, client := connPair(t, conns, 0)
 	conns.ConnStateChanged(conn, http.StateNew)
 	conns.ConnStateChanged(conn, http.StateIdle)
 	io.WriteString(client, "GET")
-	testutil.Until(t, "the bytes to arrive", func() bool { return socketpeek.IsReadable(conn.Conn) })
+	testutil.Until(t, "arrival of the bytes", func() bool { return socketpeek.IsReadable(conn.Conn) })
 	if conns.EvictIdle(); conn.activity.evicting {
-		t.Error("evicted with a request on it")
+		t.Error("a connection with unread bytes was evicted")
 	}
 	if text := make([]byte, 3); !readFull(conn, text) || string(text) != "GET" {
-		t.Errorf("read %q", text)
+		t.Errorf("read %q, want %q", text, "GET")
 	}
 	conn.Write([]byte("response"))
 	if conns.EvictIdle(); !conn.activity.evicting {
-		t.Error("not evicted once it is answered")
+		t.Error("the connection was not evicted once the request was answered")
 	}
 }
 
-// The rest of a request that is unread in the kernel protects the connection, though the first part arrived so
-// long ago that the read would be aborted.
-func TestReadAbortSparesUnreadBytes(t *testing.T) {
+// Unread bytes in the kernel, which may be the rest of a request, prevent the abort of a read whose grace period is
+// over.
+func TestReadIsNotAbortedWhileBytesAreUnread(t *testing.T) {
 	limits := testLimits(2)
 	limits.GracePeriods.PartialRequest = 0
 	conns := newTestConns(limits, 2)
 	conn, client := connPair(t, conns, 0)
 	io.WriteString(client, "GET")
 	if text := make([]byte, 3); !readFull(conn, text) {
-		t.Fatal("the first part is not read")
+		t.Fatal("the first part of the request could not be read")
 	}
 	io.WriteString(client, " /v")
-	testutil.Until(t, "the rest to arrive", func() bool { return socketpeek.IsReadable(conn.Conn) })
-	conns.ConnStateChanged(conn, http.StateNew) // one too many
-	silent, _ := net.Pipe()
-	conns.ConnStateChanged(newConn(silent, conns, 0), http.StateNew)
+	testutil.Until(t, "arrival of the rest", func() bool { return socketpeek.IsReadable(conn.Conn) })
+	conns.ConnStateChanged(conn, http.StateNew) // exceeds the limit by one
+	unresponsive, _ := net.Pipe()
+	conns.ConnStateChanged(newConn(unresponsive, conns, 0), http.StateNew)
 	if conn.activity.evicting {
-		t.Error("aborted with the rest of a request unread")
+		t.Error("the read was aborted while the rest of the request was unread")
 	}
 	if text := make([]byte, 3); !readFull(conn, text) || string(text) != " /v" {
-		t.Errorf("read %q", text)
+		t.Errorf("read %q, want %q", text, " /v")
 	}
-	conns.ConnStateChanged(newConn(silent, conns, 0), http.StateNew)
+	conns.ConnStateChanged(newConn(unresponsive, conns, 0), http.StateNew)
 	if !conn.activity.evicting {
-		t.Error("not aborted once all is read")
+		t.Error("the read was not aborted once no bytes were unread")
 	}
 }
 
-// A client whose connection was accepted a moment ago has its request on the way: the connection is not evicted
-// unread.
-func TestNewConnectionIsReadWhileDraining(t *testing.T) {
-	ours, theirs := net.Pipe()
-	defer theirs.Close()
-	defer ours.Close()
+// The request of a client that has just connected may be in transit: its connection is not evicted within the grace
+// period.
+func TestNewConnectionHasGracePeriodWhileDraining(t *testing.T) {
+	serverEnd, clientEnd := net.Pipe()
+	defer clientEnd.Close()
+	defer serverEnd.Close()
 	conns := newTestConns(testLimits(10), 0)
-	conn := newConn(ours, conns, 0)
+	conn := newConn(serverEnd, conns, 0)
 	conns.budget.limits.GracePeriods.New = testutil.Timeout
 	conns.ConnStateChanged(conn, http.StateNew)
 	if conns.EvictIdle() != 1 || conn.activity.evicting {
-		t.Error("evicted at once")
+		t.Error("a new connection was evicted within its grace period")
 	}
 	conns.budget.limits.GracePeriods.New = 0
 	if conns.EvictIdle(); !conn.activity.evicting {
-		t.Error("never evicted")
+		t.Error("the connection was not evicted after its grace period")
 	}
 }
 
-// What is least useful is evicted first, and an open request never; each kind has its own grace period.
+// The least useful connections are evicted first, and one with an open request never. Each rank has its own grace
+// period.
 func TestEvictionRankAndGracePeriod(t *testing.T) {
-	const begun, nothing = true, false
+	const started, none = true, false
 	grace := GracePeriods{Lingering: 1, PartialRequest: 2, New: 3, Idle: 4}
 	for _, row := range []struct {
-		name         string
-		phase        Phase
-		requestBegun bool
-		rank         evictionRank
-		grace        time.Duration
+		name           string
+		phase          Phase
+		requestStarted bool
+		rank           evictionRank
+		grace          time.Duration
 	}{
-		{"last response written", PhaseLingering, nothing, rankLingering, 1},
-		{"last response written, more has come", PhaseLingering, begun, rankLingering, 1},
-		{"head read", PhaseReading, begun, rankPartialRequest, 2},
-		{"connected, first bytes read", PhaseNew, begun, rankPartialRequest, 2},
-		{"answered, first bytes of the next request read", PhaseIdle, begun, rankPartialRequest, 2},
-		{"connected", PhaseNew, nothing, rankNew, 3},
-		{"answered", PhaseIdle, nothing, rankIdle, 4},
-		{"waits for its response", PhaseActive, begun, notEvictable, 0},
+		{"last response written", PhaseLingering, none, rankLingering, 1},
+		{"last response written, more bytes read", PhaseLingering, started, rankLingering, 1},
+		{"head read", PhaseReading, started, rankPartialRequest, 2},
+		{"connected, first bytes read", PhaseNew, started, rankPartialRequest, 2},
+		{"answered, first bytes of the next request read", PhaseIdle, started, rankPartialRequest, 2},
+		{"connected", PhaseNew, none, rankNew, 3},
+		{"answered", PhaseIdle, none, rankIdle, 4},
+		{"waits for its response", PhaseActive, started, notEvictable, 0},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			rank := activity{phase: row.phase}.rank(func() bool { return row.requestBegun })
+			rank := activity{phase: row.phase}.rank(func() bool { return row.requestStarted })
 			if rank != row.rank {
 				t.Fatalf("rank %d, want %d", rank, row.rank)
 			}
 			if got := grace.forRank(rank); rank != notEvictable && got != row.grace {
-				t.Errorf("a grace period of %d, want %d", got, row.grace)
+				t.Errorf("grace period %d, want %d", got, row.grace)
 			}
 		})
 	}
 }
 
-// A connection is exempt until its grace period is over, which comes sooner under pressure.
+// A connection is exempt from eviction until its grace period is over, which is shorter under pressure.
 func TestConnectionsAreExemptWithinTheirGracePeriod(t *testing.T) {
 	const period = 100 * time.Millisecond
 	grace := GracePeriods{Lingering: period, PartialRequest: period, New: period, Idle: period}
@@ -174,9 +176,9 @@
 		want    bool
 	}{
 		{"within the grace period", rankIdle, period - 1, 1, false},
-		{"at its end", rankIdle, period, 1, true},
-		{"within the shortened grace period", rankIdle, period/pressureGraceDivisor - 1, pressureGraceDivisor, false},
-		{"at the shortened end", rankIdle, period / pressureGraceDivisor, pressureGraceDivisor, true},
+		{"at the end of the grace period", rankIdle, period, 1, true},
+		{"within the shortened period", rankIdle, period/pressureGraceDivisor - 1, pressureGraceDivisor, false},
+		{"at the end of the shortened period", rankIdle, period / pressureGraceDivisor, pressureGraceDivisor, true},
 		{"request open", notEvictable, time.Hour, pressureGraceDivisor, false},
 	} {
 		t.Run(row.name, func(t *testing.T) {
@@ -189,30 +191,30 @@
 	}
 }
 
-// While the node drains, what waits for a request is quiet, but a client that has just connected is not yet.
-func TestQuietConnections(t *testing.T) {
-	const begun, nothing = true, false
+// While the node drains, connections that wait for a request are idle, except new ones within their grace period.
+func TestIdleConnections(t *testing.T) {
+	const started, none = true, false
 	grace := GracePeriods{New: 100 * time.Millisecond}
 	for _, row := range []struct {
-		name         string
-		phase        Phase
-		requestBegun bool
-		age          time.Duration
-		want         bool
+		name           string
+		phase          Phase
+		requestStarted bool
+		age            time.Duration
+		want           bool
 	}{
-		{"answered", PhaseIdle, nothing, 0, true},
-		{"answered, first bytes of the next request read", PhaseIdle, begun, 0, true}, // evict looks at the bytes
-		{"connected a moment ago", PhaseNew, nothing, grace.New - 1, false},
-		{"connected, nothing has come", PhaseNew, nothing, grace.New, true},
-		{"connected, first bytes read", PhaseNew, begun, time.Hour, false},
-		{"head read", PhaseReading, begun, time.Hour, false},
-		{"waits for its response", PhaseActive, begun, time.Hour, false},
-		{"last response written", PhaseLingering, nothing, time.Hour, false},
+		{"answered", PhaseIdle, none, 0, true},
+		{"answered, first bytes of the next request read", PhaseIdle, started, 0, true}, // evict checks the bytes
+		{"connected, within the grace period", PhaseNew, none, grace.New - 1, false},
+		{"connected, nothing read", PhaseNew, none, grace.New, true},
+		{"connected, first bytes read", PhaseNew, started, time.Hour, false},
+		{"head read", PhaseReading, started, time.Hour, false},
+		{"waits for its response", PhaseActive, started, time.Hour, false},
+		{"last response written", PhaseLingering, none, time.Hour, false},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			quiet := activity{phase: row.phase}.isIdle(row.age, grace, func() bool { return row.requestBegun })
-			if quiet != row.want {
-				t.Errorf("quiet: %v, want %v", quiet, row.want)
+			idle := activity{phase: row.phase}.isIdle(row.age, grace, func() bool { return row.requestStarted })
+			if idle != row.want {
+				t.Errorf("idle: %v, want %v", idle, row.want)
 			}
 		})
 	}
--- a/internal/downstream/listener_test.go
+++ b/internal/downstream/listener_test.go
@@ -12,7 +12,7 @@
 	"basaltdrum/internal/testutil"
 )
 
-// Failed accepts are counted for the traffic line, and logged at a bounded rate.
+// Failed accepts are counted for the log line about traffic, and logged at a limited rate.
 func TestFailedAcceptsAreCountedAndLoggedAtABoundedRate(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -30,21 +30,21 @@
 		t.Fatal(err)
 	}
 	defer client.Close()
-	begin := time.Now()
+	start := time.Now()
 	conn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	conn.Close()
-	most := 1 + int(time.Since(begin)/acceptLogInterval)
-	if lines := bytes.Count(log.Bytes(), []byte("\n")); lines < 1 || lines > most {
-		t.Errorf("%d lines, want 1 to %d:\n%s", lines, most, log.String())
+	maxLines := 1 + int(time.Since(start)/acceptLogInterval)
+	if lines := bytes.Count(log.Bytes(), []byte("\n")); lines < 1 || lines > maxLines {
+		t.Errorf("%d log lines, want 1 to %d:\n%s", lines, maxLines, log.String())
 	}
 	if counts, _ := conns.TakeCounts(); counts.AcceptFailed != failures {
-		t.Errorf("%d failures counted, want %d", counts.AcceptFailed, failures)
+		t.Errorf("%d failed accepts counted, want %d", counts.AcceptFailed, failures)
 	}
 	listener.Close()
 	if _, err := listener.Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("after the close: %v", err)
+		t.Errorf("Accept after the close: error %v, want %v", err, net.ErrClosed)
 	}
 }
--- a/internal/downstream/phase_test.go
+++ b/internal/downstream/phase_test.go
@@ -2,8 +2,7 @@
 
 import "testing"
 
-// Logs and errors show a connection's phase and a client's departure by name, and a value that has none by
-// its type and number.
+// String returns the name of a phase or a departure, and the type and number of a value without a name.
 func TestPhasesAndDeparturesPrintTheirNames(t *testing.T) {
 	for want, value := range map[string]interface{ String() string }{
 		"new":           PhaseNew,
--- a/internal/downstream/readahead_test.go
+++ b/internal/downstream/readahead_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// fill has a buffer take in bytes as the departure watch does, and reports whether all fit.
+// fill adds bytes to a buffer as the departure watch does, and reports whether all of them fit.
 func fill(b *readAheadBuffer, p []byte) bool {
 	for len(p) > 0 {
 		unused := b.unused()
@@ -19,22 +19,29 @@
 	return true
 }
 
-// A buffer grows by doubling, within its own limit and the budget's, and reserves what it has allocated.
+// A buffer doubles when it is full, within its own limit and that of the budget, and reserves the memory that it has
+// allocated.
 func TestReadAheadBufferGrowsWithinItsLimits(t *testing.T) {
 	for _, row := range []struct {
 		name           string
 		limit          int64 // of the budget, in bytes
-		bytes          int   // that are offered
+		bytes          int   // number of bytes that are added
 		fits           bool
 		size, reserved int
 	}{
 		{"one byte", 1 << 20, 1, true, 1, minReadAheadBytes},
-		{"one step", 1 << 20, minReadAheadBytes, true, minReadAheadBytes, minReadAheadBytes},
-		{"one byte more than a step", 1 << 20, minReadAheadBytes + 1, true, minReadAheadBytes + 1, 2 * minReadAheadBytes},
+		{"the initial size", 1 << 20, minReadAheadBytes, true, minReadAheadBytes, minReadAheadBytes},
+		{
+			"one byte more than the initial size", 1 << 20, minReadAheadBytes + 1,
+			true, minReadAheadBytes + 1, 2 * minReadAheadBytes,
+		},
 		{"the longest request", 1 << 20, maxReadAheadBytes, true, maxReadAheadBytes, maxReadAheadBytes},
 		{"more than the longest request", 1 << 20, maxReadAheadBytes + 1, false, maxReadAheadBytes, maxReadAheadBytes},
-		{"no budget for a first step", minReadAheadBytes - 1, 1, false, 0, 0},
-		{"no budget for a second step", 2*minReadAheadBytes - 1, minReadAheadBytes + 1, false, minReadAheadBytes, minReadAheadBytes},
+		{"no budget for the initial size", minReadAheadBytes - 1, 1, false, 0, 0},
+		{
+			"no budget to grow", 2*minReadAheadBytes - 1, minReadAheadBytes + 1,
+			false, minReadAheadBytes, minReadAheadBytes,
+		},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			budget := &readAheadBudget{}
@@ -44,16 +51,17 @@
 				t.Errorf("fits: %v, want %v", fits, row.fits)
 			}
 			if reserved := int(budget.reserved.Load()); b.size() != row.size || reserved != row.reserved {
-				t.Errorf("%d bytes, %d reserved, want %d and %d", b.size(), reserved, row.size, row.reserved)
+				t.Errorf("%d bytes buffered, %d reserved; want %d, %d", b.size(), reserved, row.size, row.reserved)
 			}
 			if b.release(); b.size() != 0 || budget.reserved.Load() != 0 {
-				t.Errorf("%d bytes, %d reserved after the release", b.size(), budget.reserved.Load())
+				t.Errorf("after the release: %d bytes buffered, %d reserved; want 0, 0",
+					b.size(), budget.reserved.Load())
 			}
 		})
 	}
 }
 
-// Bytes are taken in the order in which they came, and the last one takes the reservation along.
+// Bytes are taken in the order of their arrival. The reservation is released with the last one.
 func TestReadAheadBufferIsTakenInOrder(t *testing.T) {
 	budget := &readAheadBudget{}
 	budget.limit.Store(minReadAheadBytes)
@@ -62,17 +70,18 @@
 	var taken []byte
 	for p := make([]byte, 2); b.size() > 0; {
 		if budget.reserved.Load() != minReadAheadBytes {
-			t.Errorf("%d bytes are reserved while %d are buffered", budget.reserved.Load(), b.size())
+			t.Errorf("%d bytes are reserved while %d are buffered, want %d",
+				budget.reserved.Load(), b.size(), minReadAheadBytes)
 		}
 		taken = append(taken, p[:b.take(p)]...)
 	}
 	if !slices.Equal(taken, []byte("abc")) || budget.reserved.Load() != 0 {
-		t.Errorf("took %q, %d bytes are still reserved", taken, budget.reserved.Load())
+		t.Errorf("took %q, %d bytes still reserved; want %q, none", taken, budget.reserved.Load(), "abc")
 	}
 	if b.unused() == nil {
-		t.Fatal("no room in an empty buffer")
+		t.Fatal("an empty buffer has no unused part")
 	}
 	if b.extend(0); budget.reserved.Load() != 0 {
-		t.Error("an empty buffer keeps its reservation")
+		t.Errorf("%d bytes are reserved for an empty buffer, want 0", budget.reserved.Load())
 	}
 }
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -25,7 +25,7 @@
 	checkOutcome(t, pool, outcome, balancer.ConnectFailed, 0)
 }
 
-// A machine that is down never completes a connection: the dial times out.
+// A connection to a machine that is down is never established: the dial times out.
 func TestDialTimeoutIsConnectFailed(t *testing.T) {
 	address := testutil.UnreachableAddress(t)
 	pool := newTestPool(10)
@@ -34,20 +34,20 @@
 	checkOutcome(t, pool, outcome, balancer.ConnectFailed, 0)
 }
 
-// partialWriteConn breaks before the last byte of a write.
+// partialWriteConn closes the connection before the last byte of a write, which fails.
 type partialWriteConn struct{ net.Conn }
 
 func (c partialWriteConn) Write(p []byte) (int, error) {
 	n, _ := c.Conn.Write(p[:len(p)-1])
 	c.Conn.Close()
-	return n, errors.New("broken")
+	return n, errors.New("connection closed before the last byte")
 }
 
 func (c partialWriteConn) SyscallConn() (syscall.RawConn, error) {
 	return c.Conn.(syscall.Conn).SyscallConn()
 }
 
-func TestBreakBeforeTheLastByteIsConnectFailed(t *testing.T) {
+func TestWriteErrorBeforeLastByteIsConnectFailed(t *testing.T) {
 	server := testutil.NewServer(t, testutil.Echo)
 	nc, err := net.Dial("tcp", server.Address())
 	if err != nil {
@@ -58,59 +58,59 @@
 	outcome := newTestAttempt(t, pool, server.Address()).do(t)
 	checkOutcome(t, pool, outcome, balancer.ConnectFailed, 0)
 	if server.RequestCount() != 0 {
-		t.Error("the server received the request")
+		t.Errorf("the server received %d requests, want 0", server.RequestCount())
 	}
 }
 
-// Bytes that arrived before a request was written are no response to it, and a close that the connection's reader
-// has not seen yet, as on a busy core, is detected before the write: another connection is used.
-func TestUnsolicitedBytesOrACloseDisqualifyAnIdleConnection(t *testing.T) {
-	for _, c := range []struct {
-		name   string
-		arrive func(other net.Conn)
+// Bytes that arrived before a request was written are not its response. A close is detected before the write even if
+// the connection's reader has not seen it yet, for example on a busy core. In both cases another connection is used.
+func TestIdleConnectionIsNotReusedAfterUnsolicitedBytesOrClose(t *testing.T) {
+	for _, test := range []struct {
+		name  string
+		cause func(serverEnd net.Conn)
 	}{
-		{"a close", func(other net.Conn) { other.Close() }},
-		{"an unsolicited response", func(other net.Conn) {
-			io.WriteString(other, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale")
+		{"a close", func(serverEnd net.Conn) { serverEnd.Close() }},
+		{"an unsolicited response", func(serverEnd net.Conn) {
+			io.WriteString(serverEnd, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstale")
 		}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			server := testutil.NewServer(t, testutil.Echo)
-			nc, other := testutil.ConnPair(t)
+			nc, serverEnd := testutil.ConnPair(t)
 			if socketpeek.IsReadable(nc) {
-				t.Fatal("a silent open connection has unread bytes or is closed")
+				t.Fatal("an open connection on which nothing was sent is readable")
 			}
 			pool := newTestPool(10)
 			instance := addEndpoint(pool, server.Address())
 			pool.open = 1
 			pool.idle.put(&conn{Conn: nc, instance: instance}) // with no reader
-			c.arrive(other)
-			testutil.Until(t, "it to arrive", func() bool { return socketpeek.IsReadable(nc) })
+			test.cause(serverEnd)
+			testutil.Until(t, "the arrival", func() bool { return socketpeek.IsReadable(nc) })
 			outcome := newTestAttempt(t, pool, server.Address()).do(t)
 			checkOutcome(t, pool, outcome, balancer.Success, 1)
 			if string(outcome.Body) != "for id" {
-				t.Errorf("the body is %q", outcome.Body)
+				t.Errorf("the body is %q, want %q", outcome.Body, "for id")
 			}
 		})
 	}
 }
 
-// A new connection on which the server sends or closes before the request is not used: the attempt ends, and does
-// not dial again without end.
+// A new connection that the server closes, or on which it sends bytes, before the request is written is not used. The
+// attempt ends, and does not dial repeatedly.
 func TestConnectionClosedBeforeTheRequestIsNotWritten(t *testing.T) {
-	nc, other := testutil.ConnPair(t)
-	other.Close()
-	testutil.Until(t, "the close to arrive", func() bool { return socketpeek.IsReadable(nc) })
+	nc, serverEnd := testutil.ConnPair(t)
+	serverEnd.Close()
+	testutil.Until(t, "arrival of the close", func() bool { return socketpeek.IsReadable(nc) })
 	pool := newTestPool(10)
 	waiter := make(chan exchangeResult, 1)
 	pool.open = 1
 	a := newTestAttempt(t, pool, "127.0.0.1:1")
 	c := pool.startReader(nc, a.Instance, waiter)
 	if permission := pool.startWrite(a.ctx, c, waiter, &a.Attempt); permission != useAnotherConn {
-		t.Errorf("on a closed connection: %v", permission)
+		t.Errorf("permission on a closed connection: %v, want %v", permission, useAnotherConn)
 	}
 	if n := pool.Connections(); n != 0 {
-		t.Errorf("%d connections are open", n)
+		t.Errorf("%d connections are open, want 0", n)
 	}
 }
 
@@ -132,22 +132,22 @@
 				go func() { <-received; a.cancel() }()
 			}
 			checkOutcome(t, pool, a.do(t), want, 0)
-			testutil.Wait(t, closed, "the close")
+			testutil.Wait(t, closed, "the close of the connection")
 		})
 	}
 }
 
-// What makes an attempt obsolete while its connection is being established is noticed before its first byte.
-func TestObsoleteAttemptIsNotBegunAfterTheDial(t *testing.T) {
+// An attempt that becomes obsolete while its connection is established does not write its first byte.
+func TestObsoleteAttemptIsNotStartedAfterTheDial(t *testing.T) {
 	updateEntry := func(a *testAttempt, change func(*endpointlist.Entry)) {
 		entry := readyEntry(a.Instance.Address)
 		change(&entry)
 		a.pool.UpdateEndpoints([]endpointlist.Entry{entry}, false)
 	}
-	for _, c := range []struct {
-		name   string
-		during func(*testAttempt)
-		want   balancer.AttemptResult
+	for _, test := range []struct {
+		name       string
+		duringDial func(*testAttempt)
+		want       balancer.AttemptResult
 	}{
 		{"the endpoint drains", func(a *testAttempt) {
 			updateEntry(a, func(e *endpointlist.Entry) { e.State = balancer.Draining })
@@ -166,15 +166,17 @@
 		}, balancer.NotSent},
 		{"the client departs", func(a *testAttempt) { a.Request.MarkDeparted() }, balancer.NotSent},
 		{"the attempt is cancelled", func(a *testAttempt) { a.cancel() }, balancer.Cancelled},
-		{"repeats are no longer discarded", func(a *testAttempt) { a.NotAfter = a.pool.clock.Now() }, balancer.NotSent},
-		{"its time is over", func(a *testAttempt) { a.Deadline = a.pool.clock.Now() }, balancer.NotSent},
+		{"duplicates are no longer discarded", func(a *testAttempt) {
+			a.NotAfter = a.pool.clock.Now()
+		}, balancer.NotSent},
+		{"the deadline has passed", func(a *testAttempt) { a.Deadline = a.pool.clock.Now() }, balancer.NotSent},
 	} {
-		t.Run(c.name, func(t *testing.T) { testObsoleteAttempt(t, c.during, c.want) })
+		t.Run(test.name, func(t *testing.T) { testObsoleteAttempt(t, test.duringDial, test.want) })
 	}
 }
 
-// testObsoleteAttempt makes an attempt, lets something happen while it connects, and checks that nothing is written.
-func testObsoleteAttempt(t *testing.T, during func(*testAttempt), want balancer.AttemptResult) {
+// testObsoleteAttempt makes an attempt, calls duringDial while it connects, and checks that nothing is written.
+func testObsoleteAttempt(t *testing.T, duringDial func(*testAttempt), want balancer.AttemptResult) {
 	address, received := newRecordingServer(t)
 	pool := newTestPool(10)
 	dials := testutil.NewHoldingDialer()
@@ -182,17 +184,17 @@
 	a := newTestAttempt(t, pool, address)
 	outcome := a.start()
 	testutil.Wait(t, dials.Dialed, "the connection")
-	during(a)
+	duringDial(a)
 	close(dials.Release)
 	if got := testutil.Wait(t, outcome, "the outcome"); got.Result != want {
 		t.Errorf("the result is %v, want %v", got.Result, want)
 	}
 	pool.UpdateEndpoints(nil, true) // closes the connection if it was kept
-	if text := testutil.Wait(t, received, "the close"); text != "" {
-		t.Errorf("the server received %q", text)
+	if text := testutil.Wait(t, received, "the bytes received until the close"); text != "" {
+		t.Errorf("the server received %q, want nothing", text)
 	}
 	if n := pool.Connections(); n != 0 {
-		t.Errorf("%d connections are open", n)
+		t.Errorf("%d connections are open, want 0", n)
 	}
 }
 
@@ -201,7 +203,7 @@
 
 func (c shortReadConn) Read(p []byte) (int, error) { return c.TCPConn.Read(p[:min(1, len(p))]) }
 
-// dialShort opens connections that read one byte at a time, and whose system takes few bytes with each write.
+// dialShort opens connections that read one byte at a time, and whose socket buffer takes few bytes with each write.
 func dialShort(ctx context.Context, network, address string) (net.Conn, error) {
 	nc, err := (&net.Dialer{}).DialContext(ctx, network, address)
 	if err != nil {
@@ -211,20 +213,20 @@
 	return shortReadConn{tcp}, tcp.SetWriteBuffer(1)
 }
 
-// However few bytes a read or write moves, requests and responses arrive complete and unchanged.
+// Requests and responses arrive complete and unchanged, however few bytes each read or write transfers.
 func TestShortReadsAndWritesLoseNothing(t *testing.T) {
 	long := strings.Repeat("\x00\r\n0\r\n", http1.MaxBodyBytes/8)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, head string
 		keepOpen   bool
 	}{
 		{"length", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(long)), true},
 		{"close", "HTTP/1.1 200 OK\r\n\r\n", false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			server := testutil.NewServer(t, func(conn net.Conn, _ *http.Request, body string) bool {
-				io.WriteString(conn, c.head+body)
-				return c.keepOpen
+				io.WriteString(conn, test.head+body)
+				return test.keepOpen
 			})
 			pool := newTestPool(10)
 			pool.Dial = dialShort
@@ -232,7 +234,8 @@
 			a.Request.Body = []byte(long)
 			outcome := a.do(t)
 			if outcome.Result != balancer.Success || string(outcome.Body) != long {
-				t.Errorf("%v, a body of %d bytes, want %d", outcome.Result, len(outcome.Body), len(long))
+				t.Errorf("result %v with a body of %d bytes, want %v with the %d bytes sent",
+					outcome.Result, len(outcome.Body), balancer.Success, len(long))
 			}
 		})
 	}
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// The states of an exchange are named in errors, and a value without a name shows its number.
+// String returns the names that errors show, and the type and number of a value without a name.
 func TestExchangeStatesHaveNames(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		value fmt.Stringer
 		want  string
 	}{
@@ -27,29 +27,38 @@
 		{framingTooLong, "length beyond the limit"},
 		{bodyFraming(9), "bodyFraming(9)"},
 	} {
-		t.Run(c.want, func(t *testing.T) {
-			if got := c.value.String(); got != c.want {
-				t.Errorf("got %q, want %q", got, c.want)
+		t.Run(test.want, func(t *testing.T) {
+			if got := test.value.String(); got != test.want {
+				t.Errorf("got %q, want %q", got, test.want)
 			}
 		})
 	}
 }
 
-// What arrives can be a response only from the first byte of a request until its exchange ends.
+// Bytes that arrive can be a response only from the first byte of a request until its exchange ends.
 func TestExchangeOfAConnection(t *testing.T) {
 	waiter := make(chan exchangeResult, 1)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name    string
 		steps   func(*conn)
-		expects bool
-		ended   bool // what written reports then
+		expects bool // what expectsResponse reports after the steps
+		ended   bool // what markWritten reports then
 	}{
 		{"idle", func(*conn) {}, false, true},
 		{"reserved", func(c *conn) { c.reserve(waiter) }, false, false},
-		{"begun", func(c *conn) { c.reserve(waiter); c.markWriting() }, true, false},
+		{"started", func(c *conn) { c.reserve(waiter); c.markWriting() }, true, false},
 		{"written", func(c *conn) { c.reserve(waiter); c.markWriting(); c.markWritten() }, true, false},
-		{"answered before it is written", func(c *conn) { c.reserve(waiter); c.markWriting(); c.endExchange() }, false, true},
-		{"answered", func(c *conn) { c.reserve(waiter); c.markWriting(); c.markWritten(); c.endExchange() }, false, true},
+		{"answered before it is written", func(c *conn) {
+			c.reserve(waiter)
+			c.markWriting()
+			c.endExchange()
+		}, false, true},
+		{"answered", func(c *conn) {
+			c.reserve(waiter)
+			c.markWriting()
+			c.markWritten()
+			c.endExchange()
+		}, false, true},
 		{"reserved again", func(c *conn) {
 			c.reserve(waiter)
 			c.markWriting()
@@ -58,40 +67,40 @@
 			c.reserve(waiter)
 		}, false, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			connection := &conn{}
-			c.steps(connection)
-			if got := connection.expectsResponse(); got != c.expects {
-				t.Errorf("a response is expected: %v, want %v", got, c.expects)
+			test.steps(connection)
+			if got := connection.expectsResponse(); got != test.expects {
+				t.Errorf("expectsResponse: %v, want %v", got, test.expects)
 			}
-			if got := connection.markWritten(); got != c.ended {
-				t.Errorf("the exchange has ended: %v, want %v", got, c.ended)
+			if got := connection.markWritten(); got != test.ended {
+				t.Errorf("markWritten: %v, want %v", got, test.ended)
 			}
 		})
 	}
 }
 
-// The first end of an exchange returns the waiter of its attempt, a later one none.
-func TestEndReturnsTheWaiterOnce(t *testing.T) {
+// Only the first call of endExchange returns the waiter of the attempt.
+func TestEndExchangeReturnsTheWaiterOnce(t *testing.T) {
 	waiter := make(chan exchangeResult, 1)
 	c := &conn{}
 	c.reserve(waiter)
 	if got := c.endExchange(); got != waiter {
-		t.Errorf("the first end returned %v, want %v", got, waiter)
+		t.Errorf("the first call returned %v, want %v", got, waiter)
 	}
 	if got := c.endExchange(); got != nil {
-		t.Errorf("the second end returned %v", got)
+		t.Errorf("the second call returned %v, want nil", got)
 	}
 }
 
-// A connection is closed once, however often it is shut.
-func TestShutClosesOnce(t *testing.T) {
+// A connection is closed once, however often closeOnce is called.
+func TestCloseOnce(t *testing.T) {
 	nc, _ := net.Pipe()
 	c := &conn{Conn: nc}
 	if first, second := c.closeOnce(), c.closeOnce(); !first || second {
-		t.Errorf("it was open: %v and then %v, want true and false", first, second)
+		t.Errorf("closeOnce reported an open connection: %v, then %v; want true, false", first, second)
 	}
 	if _, err := nc.Read(make([]byte, 1)); !errors.Is(err, io.ErrClosedPipe) {
-		t.Errorf("reading returned %v, want a closed connection", err)
+		t.Errorf("reading returned error %v, want %v", err, io.ErrClosedPipe)
 	}
 }
--- a/internal/upstream/encode_test.go
+++ b/internal/upstream/encode_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// A forwarded deadline is never rounded up.
+// The forwarded deadline is never rounded up.
 func TestForwardedDeadlineIsNotRoundedUp(t *testing.T) {
 	for _, remaining := range []time.Duration{
 		time.Millisecond, 1999 * time.Microsecond, 480 * time.Millisecond,
@@ -16,11 +16,11 @@
 		t.Run(remaining.String(), func(t *testing.T) {
 			value := []byte(strings.Repeat("0", deadlineValueWidth))
 			if !writeDeadlineValue(value, remaining) {
-				t.Error("it is not forwarded")
+				t.Error("the deadline is not forwarded")
 			}
 			seconds, err := strconv.ParseFloat(string(value), 64)
 			if lost := remaining.Seconds() - seconds; err != nil || lost < 0 || lost > 0.0010001 {
-				t.Errorf("it is forwarded as %q", value)
+				t.Errorf("%v is forwarded as %q, want the same or less by at most 1 ms", remaining, value)
 			}
 		})
 	}
@@ -34,7 +34,7 @@
 			a := newTestAttempt(t, pool, "127.0.0.1:1")
 			a.Deadline = pool.clock.Now() + left
 			if remaining := a.remainingTime(pool.clock.Now()); remaining != 0 || writeDeadlineValue(nil, remaining) {
-				t.Errorf("%v is forwarded", remaining)
+				t.Errorf("a remaining time of %v is forwarded, want none", remaining)
 			}
 		})
 	}
--- a/internal/upstream/endpoints_test.go
+++ b/internal/upstream/endpoints_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// instancesOf returns the instances of ready endpoints with uids, of their first start.
+// instancesOf returns the initial instances of ready endpoints with the given uids.
 func instancesOf(ids ...string) []endpointlist.Instance {
 	var instances []endpointlist.Instance
 	for _, id := range ids {
@@ -25,13 +25,13 @@
 	return instances
 }
 
-// tableUpdate is a row of TestEndpointTableAppliesUpdates: an update of a list of the ready endpoints a and b.
+// tableUpdate is a case of TestEndpointTableAppliesUpdates: an update of a list of the ready endpoints a and b.
 type tableUpdate struct {
 	name     string
 	entries  []endpointlist.Entry
 	complete bool
-	unready  []endpointlist.Instance // that apply reports
-	ready    []endpointlist.Instance // of the first instances of a, b and c, afterwards
+	unready  []endpointlist.Instance // reported by apply
+	ready    []endpointlist.Instance // of the initial instances of a, b and c, after the update
 	listed   []string
 }
 
@@ -84,20 +84,20 @@
 }
 
 func TestEndpointTableAppliesUpdates(t *testing.T) {
-	for _, c := range tableUpdates() {
-		t.Run(c.name, func(t *testing.T) {
+	for _, test := range tableUpdates() {
+		t.Run(test.name, func(t *testing.T) {
 			table := endpointTable{}
 			first := []endpointlist.Entry{newEntry("a", balancer.Ready, 0), newEntry("b", balancer.Ready, 0)}
 			table.apply(first, true, func(instance endpointlist.Instance) {
-				t.Errorf("%v of an empty table", instance)
+				t.Errorf("apply reports %v as unready for an empty table", instance)
 			})
 			var unready []endpointlist.Instance
-			table.apply(c.entries, c.complete, func(instance endpointlist.Instance) {
+			table.apply(test.entries, test.complete, func(instance endpointlist.Instance) {
 				unready = append(unready, instance)
 			})
 			slices.SortFunc(unready, func(a, b endpointlist.Instance) int { return int(a.UID[0]) - int(b.UID[0]) })
-			if !slices.Equal(unready, c.unready) {
-				t.Errorf("unready are %v, want %v", unready, c.unready)
+			if !slices.Equal(unready, test.unready) {
+				t.Errorf("unready instances %v, want %v", unready, test.unready)
 			}
 			var ready []endpointlist.Instance
 			for _, instance := range instancesOf("a", "b", "c") {
@@ -105,11 +105,11 @@
 					ready = append(ready, instance)
 				}
 			}
-			if !slices.Equal(ready, c.ready) {
-				t.Errorf("ready are %v, want %v", ready, c.ready)
+			if !slices.Equal(ready, test.ready) {
+				t.Errorf("ready instances %v, want %v", ready, test.ready)
 			}
-			if listed := slices.Sorted(maps.Keys(table)); !slices.Equal(listed, c.listed) {
-				t.Errorf("listed are %v, want %v", listed, c.listed)
+			if listed := slices.Sorted(maps.Keys(table)); !slices.Equal(listed, test.listed) {
+				t.Errorf("listed endpoints %v, want %v", listed, test.listed)
 			}
 		})
 	}
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -13,7 +13,7 @@
 	"basaltdrum/internal/testutil"
 )
 
-// testTimeouts are those of a test that does not wait for them.
+// testTimeouts are the timeouts for tests that do not wait for them.
 var testTimeouts = Timeouts{Connect: testutil.Timeout, Idle: time.Minute}
 
 // newTestPool returns a pool that reuses connections without a delay.
@@ -23,12 +23,12 @@
 	return pool
 }
 
-// readyEntry is a ready endpoint whose uid is its address.
+// readyEntry returns the list entry of a ready endpoint whose uid is its address.
 func readyEntry(address string) endpointlist.Entry {
 	return endpointlist.Entry{Endpoint: balancer.Endpoint{ID: address, State: balancer.Ready}, Address: address}
 }
 
-// addEndpoint adds a ready endpoint to the pool's list.
+// addEndpoint adds a ready endpoint to the pool's list and returns its instance.
 func addEndpoint(pool *Pool, address string) endpointlist.Instance {
 	entry := readyEntry(address)
 	pool.UpdateEndpoints([]endpointlist.Entry{entry}, false)
@@ -43,7 +43,7 @@
 	cancel context.CancelFunc
 }
 
-// newTestAttempt returns an attempt at a ready endpoint with plenty of time.
+// newTestAttempt returns an attempt at a ready endpoint with a deadline that a passing test does not reach.
 func newTestAttempt(t *testing.T, pool *Pool, address string) *testAttempt {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -58,28 +58,29 @@
 	}
 }
 
-// start begins the attempt and returns the channel that receives its outcome.
+// start makes the attempt in another goroutine, and returns the channel that receives its outcome.
 func (a *testAttempt) start() <-chan Outcome {
 	outcome := make(chan Outcome, 1)
 	go func() { outcome <- a.pool.Do(a.ctx, &a.Attempt) }()
 	return outcome
 }
 
-// do makes the attempt, which must end within the limit of a test.
+// do makes the attempt and returns its outcome. It fails the test if the attempt does not end within testutil.Timeout.
 func (a *testAttempt) do(t *testing.T) Outcome {
 	t.Helper()
 	return testutil.Wait(t, a.start(), "the outcome of the attempt")
 }
 
-// adopt puts a connection among the idle ones, with a reader.
-func (p *Pool) adopt(nc net.Conn, to endpointlist.Instance) {
+// adopt adds a connection to the idle ones and starts its reader.
+func (p *Pool) adopt(nc net.Conn, instance endpointlist.Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open++
-	p.idle.put(p.startReader(nc, to, nil))
+	p.idle.put(p.startReader(nc, instance, nil))
 }
 
-// newRecordingServer accepts one connection, and reports all that came on it once the connection is closed.
+// newRecordingServer starts a server that accepts one connection and, once it is closed, sends all bytes that it has
+// received to the channel.
 func newRecordingServer(t *testing.T) (address string, received <-chan string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -100,13 +101,13 @@
 	return listener.Addr().String(), texts
 }
 
-// checkOutcome compares the result of an attempt and the number of connections that it leaves open.
-func checkOutcome(t *testing.T, pool *Pool, got Outcome, want balancer.AttemptResult, open int) {
+// checkOutcome checks the result of an attempt and the number of connections that it leaves open.
+func checkOutcome(t *testing.T, pool *Pool, got Outcome, want balancer.AttemptResult, wantOpen int) {
 	t.Helper()
 	if got.Result != want {
 		t.Errorf("the result is %v, want %v", got.Result, want)
 	}
-	if n := pool.Connections(); n != open {
-		t.Errorf("%d connections are open, want %d", n, open)
+	if n := pool.Connections(); n != wantOpen {
+		t.Errorf("%d connections are open, want %d", n, wantOpen)
 	}
 }
--- a/internal/upstream/response_test.go
+++ b/internal/upstream/response_test.go
@@ -14,25 +14,25 @@
 	"basaltdrum/internal/testutil"
 )
 
-// responseCase is a response of a server, or a lack of one.
+// responseCase is a response of a server, or a missing one, and the expected outcome.
 type responseCase struct {
-	name, response string // the response without "HTTP/1.1 ", unless the table says otherwise
+	name, response string // the response without the prefix "HTTP/1.1 ", unless the table says otherwise
 	end            connectionEnd
 	want           balancer.AttemptResult
-	body           string // of a success
+	body           string // of a successful response
 	reusable       bool   // the connection stays in the pool
 }
 
-// connectionEnd is what happens to a connection behind a response.
+// connectionEnd is what happens to a connection after a response.
 type connectionEnd int
 
 const (
 	staysOpen        connectionEnd = iota
-	serverCloses                   // at once
-	serverResets                   // at once
-	nodeCloses                     // the server waits for it
-	deadlinePasses                 // the same, by the attempt's deadline
-	attemptCancelled               // the same, by the cancellation of the attempt
+	serverCloses                   // immediately
+	serverResets                   // immediately
+	nodeCloses                     // the server waits for the close
+	deadlinePasses                 // the node closes at the attempt's deadline
+	attemptCancelled               // the node closes on cancellation of the attempt
 )
 
 const (
@@ -45,7 +45,7 @@
 	longestHead = "HTTP/1.1 200 OK\r\nX-Pad: " + strings.Repeat("p", maxResponseOverhead-28) + "\r\n\r\n"
 )
 
-// servedResponses are successes, each with the body "ok".
+// servedResponses are successful responses, each with the body "ok".
 var servedResponses = []responseCase{
 	{name: "served", response: "200 OK\r\nContent-Length: 2\r\n\r\nok", want: balancer.Success, reusable: true},
 	{
@@ -64,7 +64,7 @@
 		want:     balancer.Success, reusable: true,
 	},
 	{
-		name:     "served, with bytes behind",
+		name:     "served, with bytes after it",
 		response: "200 OK\r\nContent-Length: 2\r\n\r\nok\xff\x00noise\r\n\r\n",
 		want:     balancer.Success, end: nodeCloses,
 	},
@@ -86,7 +86,7 @@
 	},
 }
 
-// errorResponses are rejections and errors of the server.
+// errorResponses are rejections and server errors.
 var errorResponses = []responseCase{
 	{
 		name:     "error",
@@ -145,7 +145,7 @@
 	},
 }
 
-// lostResponses are none: they are truncated, too long or malformed.
+// lostResponses are not valid responses: they are truncated, too long or malformed.
 var lostResponses = []responseCase{
 	{name: "reset", end: serverResets, want: balancer.ConnectionLost},
 	{name: "truncated head", response: "200 OK\r\nContent-Le", want: balancer.ConnectionLost, end: serverCloses},
@@ -212,7 +212,7 @@
 	{name: "not HTTP", response: "what?\r\n\r\n", want: balancer.ConnectionLost, end: nodeCloses},
 }
 
-// unframedSuccesses are complete responses without a length. Their text is complete here.
+// unframedSuccesses are complete responses without a length. Their text includes the HTTP version.
 var unframedSuccesses = []responseCase{
 	{name: "closed", response: unframedResponse, end: serverCloses, want: balancer.Success, body: "ok"},
 	{
@@ -239,7 +239,7 @@
 	},
 }
 
-// unframedFailures are other responses without a length, or with a malformed one. Their text is complete here.
+// unframedFailures are other responses without a length, or with a malformed one. Their text includes the HTTP version.
 var unframedFailures = []responseCase{
 	{
 		name: "closed, too long", response: unframedResponse + longestBody,
@@ -297,50 +297,50 @@
 	},
 }
 
-// Each response, or lack of one, has its attempt result, and leaves the connection in the pool or closes it.
+// Each response, or missing one, yields its attempt result, and leaves the connection in the pool or closes it.
 func TestAttemptResults(t *testing.T) {
-	for _, c := range slices.Concat(servedResponses, errorResponses, lostResponses) {
-		t.Run(c.name, func(t *testing.T) {
-			if c.response != "" {
-				c.response = "HTTP/1.1 " + c.response
+	for _, test := range slices.Concat(servedResponses, errorResponses, lostResponses) {
+		t.Run(test.name, func(t *testing.T) {
+			if test.response != "" {
+				test.response = "HTTP/1.1 " + test.response
 			}
-			if c.want == balancer.Success {
-				c.body = "ok"
+			if test.want == balancer.Success {
+				test.body = "ok"
 			}
-			testResponse(t, c)
+			testResponse(t, test)
 		})
 	}
 }
 
-// The end of the connection completes a response without a length only if the server closed it: a reset, the
-// node's own close and a body that is too long do not. Its connection is never reused.
+// The end of the connection completes a response without a length only if the server closed the connection: a reset,
+// the node's own close and a body that is too long do not complete it. Such a connection is never reused.
 func TestResponsesWithoutALength(t *testing.T) {
 	if len(longestHead) != maxResponseOverhead {
 		t.Fatalf("the longest head has %d bytes, want %d", len(longestHead), maxResponseOverhead)
 	}
-	for _, c := range slices.Concat(unframedSuccesses, unframedFailures) {
-		t.Run(c.name, func(t *testing.T) { testResponse(t, c) })
+	for _, test := range slices.Concat(unframedSuccesses, unframedFailures) {
+		t.Run(test.name, func(t *testing.T) { testResponse(t, test) })
 	}
 }
 
-// testResponse makes an attempt at a server that responds as a row says.
-func testResponse(t *testing.T, c responseCase) {
+// testResponse makes an attempt at a server that responds as the case says, and checks the outcome.
+func testResponse(t *testing.T, test responseCase) {
 	responded := make(chan struct{})
 	server := testutil.NewServer(t, func(conn net.Conn, _ *http.Request, _ string) bool {
-		io.WriteString(conn, c.response)
+		io.WriteString(conn, test.response)
 		close(responded)
-		switch c.end {
+		switch test.end {
 		case staysOpen, serverCloses:
 		case serverResets:
 			conn.(*net.TCPConn).SetLinger(0)
 		default:
 			io.Copy(io.Discard, conn)
 		}
-		return c.end == staysOpen
+		return test.end == staysOpen
 	})
 	pool := newTestPool(10)
 	a := newTestAttempt(t, pool, server.Address())
-	switch c.end {
+	switch test.end {
 	case deadlinePasses:
 		a.Deadline = pool.clock.Now() + 200*time.Millisecond
 	case attemptCancelled:
@@ -348,14 +348,15 @@
 	default:
 	}
 	outcome := a.do(t)
-	if outcome.Result != c.want || string(outcome.Body) != c.body {
-		t.Errorf("%v, a body of %d bytes; want %v, %d bytes", outcome.Result, len(outcome.Body), c.want, len(c.body))
+	if outcome.Result != test.want || string(outcome.Body) != test.body {
+		t.Errorf("result %v with a body of %d bytes, want %v with %d bytes",
+			outcome.Result, len(outcome.Body), test.want, len(test.body))
 	}
-	stats, idle := pool.Stats(), 0
-	if c.reusable {
-		idle = 1
+	stats, wantIdle := pool.Stats(), 0
+	if test.reusable {
+		wantIdle = 1
 	}
-	if stats.Open != idle || stats.Idle != idle || stats.IdleInstances != idle {
-		t.Errorf("the pool has %+v, want %d idle connections and no others", stats, idle)
+	if stats.Open != wantIdle || stats.Idle != wantIdle || stats.IdleInstances != wantIdle {
+		t.Errorf("the pool has %+v, want %d idle connections and no others", stats, wantIdle)
 	}
 }
