--- a/internal/upstream/reset_test.go
+++ b/internal/upstream/reset_test.go
@@ -76,7 +76,7 @@
 			server.Close()
 			testutil.Until(t, "arrival of the reset", func() bool { return tcpClosed(nc) })
 		},
-		lastWrite:      make(chan struct{}),
+		lastWrite: make(chan struct{}),
 		awaitReaderEnd: func() {
 			testutil.Until(t, "end of the reader", func() bool { return pool.Connections() == 0 })
 		},
