--- a/internal/downstream/budget.go
+++ b/internal/downstream/budget.go
@@ -20,10 +20,10 @@
 
 // countActivityChange updates the counts for a change of one connection's activity.
 func (b *descriptorBudget) countActivityChange(before, after activity) {
-	if before.evicting {
+	if before.beingEvicted {
 		b.evicting--
 	}
-	if after.evicting {
+	if after.beingEvicted {
 		b.evicting++
 	}
 	if before.phase == PhaseActive {
--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -36,14 +36,14 @@
 // activity is the phase of a connection, its start, and whether the connection is being evicted. The caller of its
 // methods holds Conns.mu.
 type activity struct {
-	phase    Phase
-	since    time.Duration // clock time when the phase began
-	evicting bool          // being evicted, and counted in descriptorBudget.evicting
+	phase        Phase
+	since        time.Duration // clock time when the phase started
+	beingEvicted bool          // being evicted, and counted in descriptorBudget.evicting
 }
 
 // markedEvicting returns the activity with the connection marked as being evicted.
 func (a activity) markedEvicting() activity {
-	a.evicting = true
+	a.beingEvicted = true
 	return a
 }
 
@@ -118,7 +118,7 @@
 	}
 	var candidates []evictionCandidate
 	for c := range s.conns {
-		if c.activity.evicting {
+		if c.activity.beingEvicted {
 			continue
 		}
 		rank := c.activity.rank(c.hasRequestBytes)
@@ -135,7 +135,7 @@
 // evict starts to evict a connection, unless a request has started or arrived on it meanwhile, and counts it as
 // being evicted. The caller holds s.mu.
 func (s *Conns) evict(c *Conn) {
-	if c.activity.evicting {
+	if c.activity.beingEvicted {
 		return
 	}
 	evicting := true
--- a/internal/downstream/eviction_test.go
+++ b/internal/downstream/eviction_test.go
@@ -39,19 +39,19 @@
 	sendByte(t, client, conn) // the next request's first byte
 	conns.ConnStateChanged(conn, http.StateIdle)
 	conns.ConnStateChanged(other, http.StateNew) // exceeds the limit by one
-	if conn.activity.evicting || !conns.OverLimit() {
+	if conn.activity.beingEvicted || !conns.OverLimit() {
 		t.Fatal("a connection with a started request was evicted")
 	}
 	sendByte(t, client, conn)
 	sendByte(t, conn, client)
 	conns.budget.limits.GracePeriods.Idle = testutil.Timeout
 	conns.ConnStateChanged(conn, http.StateIdle)
-	if conn.activity.evicting || !conns.OverLimit() {
+	if conn.activity.beingEvicted || !conns.OverLimit() {
 		t.Fatal("an idle connection was evicted within its grace period")
 	}
 	conns.budget.limits.GracePeriods.Idle = 0
 	conns.ConnStateChanged(other, http.StateActive)
-	if !conn.activity.evicting || conns.OverLimit() {
+	if !conn.activity.beingEvicted || conns.OverLimit() {
 		t.Fatal("the idle connection was not evicted after its grace period")
 	}
 	conn.SetReadDeadline(time.Time{}) // net/http does so after it has reported StateIdle
@@ -72,14 +72,14 @@
 	conns.ConnStateChanged(conn, http.StateIdle)
 	io.WriteString(client, "GET")
 	testutil.Until(t, "arrival of the bytes", func() bool { return socketpeek.IsReadable(conn.Conn) })
-	if conns.EvictIdle(); conn.activity.evicting {
+	if conns.EvictIdle(); conn.activity.beingEvicted {
 		t.Error("a connection with unread bytes was evicted")
 	}
 	if text := make([]byte, 3); !readFull(conn, text) || string(text) != "GET" {
 		t.Errorf("read %q, want %q", text, "GET")
 	}
 	conn.Write([]byte("response"))
-	if conns.EvictIdle(); !conn.activity.evicting {
+	if conns.EvictIdle(); !conn.activity.beingEvicted {
 		t.Error("the connection was not evicted once the request was answered")
 	}
 }
@@ -100,14 +100,14 @@
 	conns.ConnStateChanged(conn, http.StateNew) // exceeds the limit by one
 	unresponsive, _ := net.Pipe()
 	conns.ConnStateChanged(newConn(unresponsive, conns, 0), http.StateNew)
-	if conn.activity.evicting {
+	if conn.activity.beingEvicted {
 		t.Error("the read was aborted while the rest of the request was unread")
 	}
 	if text := make([]byte, 3); !readFull(conn, text) || string(text) != " /v" {
 		t.Errorf("read %q, want %q", text, " /v")
 	}
 	conns.ConnStateChanged(newConn(unresponsive, conns, 0), http.StateNew)
-	if !conn.activity.evicting {
+	if !conn.activity.beingEvicted {
 		t.Error("the read was not aborted once no bytes were unread")
 	}
 }
@@ -122,11 +122,11 @@
 	conn := newConn(serverEnd, conns, 0)
 	conns.budget.limits.GracePeriods.New = testutil.Timeout
 	conns.ConnStateChanged(conn, http.StateNew)
-	if conns.EvictIdle() != 1 || conn.activity.evicting {
+	if conns.EvictIdle() != 1 || conn.activity.beingEvicted {
 		t.Error("a new connection was evicted within its grace period")
 	}
 	conns.budget.limits.GracePeriods.New = 0
-	if conns.EvictIdle(); !conn.activity.evicting {
+	if conns.EvictIdle(); !conn.activity.beingEvicted {
 		t.Error("the connection was not evicted after its grace period")
 	}
 }
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -127,7 +127,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		permission := p.startWrite(ctx, c, waiter, a)
+		permission := p.grantWrite(ctx, c, waiter, a)
 		switch {
 		case permission == mayWrite:
 			return c, waiter, nil
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -106,7 +106,7 @@
 	pool.open = 1
 	a := newTestAttempt(t, pool, "127.0.0.1:1")
 	c := pool.startReader(nc, a.Instance, waiter)
-	if permission := pool.startWrite(a.ctx, c, waiter, &a.Attempt); permission != useAnotherConn {
+	if permission := pool.grantWrite(a.ctx, c, waiter, &a.Attempt); permission != useAnotherConn {
 		t.Errorf("permission on a closed connection: %v, want %v", permission, useAnotherConn)
 	}
 	if n := pool.Connections(); n != 0 {
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -19,7 +19,7 @@
 // A goroutine reads it for as long as it is open, so that an idle connection is removed from the pool as soon as the
 // endpoint closes it.
 //
-// An exchange is a sequence of calls of reserve, markWriting, markWritten and endExchange; a response may arrive, and
+// An exchange is a sequence of calls of reserve, markWriting, markWritten and release; a response may arrive, and
 // end the exchange, before the request is written. The caller of its methods holds Pool.mu, except for readResponse,
 // which only the goroutine that reads the connection calls.
 type conn struct {
@@ -98,8 +98,8 @@
 	return c.waiter != nil && c.stage != stageIdle
 }
 
-// endExchange ends the exchange, and returns the waiter of its attempt, or nil if the attempt has been abandoned.
-func (c *conn) endExchange() chan exchangeResult {
+// release ends the exchange, and returns the waiter of its attempt, or nil if the attempt has been abandoned.
+func (c *conn) release() chan exchangeResult {
 	waiter := c.waiter
 	c.waiter = nil
 	return waiter
--- a/internal/upstream/conn_test.go
+++ b/internal/upstream/conn_test.go
@@ -51,19 +51,19 @@
 		{"answered before it is written", func(c *conn) {
 			c.reserve(waiter)
 			c.markWriting()
-			c.endExchange()
+			c.release()
 		}, false, true},
 		{"answered", func(c *conn) {
 			c.reserve(waiter)
 			c.markWriting()
 			c.markWritten()
-			c.endExchange()
+			c.release()
 		}, false, true},
 		{"reserved again", func(c *conn) {
 			c.reserve(waiter)
 			c.markWriting()
 			c.markWritten()
-			c.endExchange()
+			c.release()
 			c.reserve(waiter)
 		}, false, false},
 	} {
@@ -80,15 +80,15 @@
 	}
 }
 
-// Only the first call of endExchange returns the waiter of the attempt.
-func TestEndExchangeReturnsTheWaiterOnce(t *testing.T) {
+// Only the first call of release returns the waiter of the attempt.
+func TestReleaseReturnsTheWaiterOnce(t *testing.T) {
 	waiter := make(chan exchangeResult, 1)
 	c := &conn{}
 	c.reserve(waiter)
-	if got := c.endExchange(); got != waiter {
+	if got := c.release(); got != waiter {
 		t.Errorf("the first call returned %v, want %v", got, waiter)
 	}
-	if got := c.endExchange(); got != nil {
+	if got := c.release(); got != nil {
 		t.Errorf("the second call returned %v, want nil", got)
 	}
 }
--- a/internal/upstream/connect_test.go
+++ b/internal/upstream/connect_test.go
@@ -17,41 +17,41 @@
 
 // dialFailure is a case of TestFailedDials.
 type dialFailure struct {
-	name     string
-	err      error
-	failures int32                          // number of dials that fail
-	during   func(*testing.T, *testAttempt) // called after the first failure, unless nil
-	want     balancer.AttemptResult
-	heldUp   bool
+	name        string
+	err         error
+	failedDials int32                          // number of dials that fail
+	during      func(*testing.T, *testAttempt) // called after the first failure, unless nil
+	want        balancer.AttemptResult
+	heldUp      bool
 }
 
 // localDialFailures returns the failures that are faults of this machine.
 func localDialFailures() []dialFailure {
 	local := testutil.DialError("socket", syscall.EMFILE)
 	return []dialFailure{
-		{name: "twice", err: local, failures: 2, want: balancer.Success, heldUp: true},
+		{name: "for two dials", err: local, failedDials: 2, want: balancer.Success, heldUp: true},
 		{
-			name: "until the deadline", err: local, failures: alwaysFail,
+			name: "until the deadline", err: local, failedDials: alwaysFail,
 			during: func(_ *testing.T, a *testAttempt) { a.Deadline = a.pool.clock.Now() + 150*time.Millisecond },
 			want:   balancer.NotSent, heldUp: true,
 		},
 		{
-			name: "until duplicates are no longer discarded", err: local, failures: alwaysFail,
+			name: "until duplicates are no longer discarded", err: local, failedDials: alwaysFail,
 			during: func(_ *testing.T, a *testAttempt) { a.NotAfter = a.pool.clock.Now() + 150*time.Millisecond },
 			want:   balancer.NotSent, heldUp: true,
 		},
 		{
-			name: "until the endpoint is removed", err: local, failures: alwaysFail,
+			name: "until the endpoint is removed", err: local, failedDials: alwaysFail,
 			during: func(_ *testing.T, a *testAttempt) { a.pool.UpdateEndpoints(nil, true) },
 			want:   balancer.NotSent, heldUp: true,
 		},
 		{
-			name: "until the attempt is cancelled", err: local, failures: alwaysFail,
+			name: "until the attempt is cancelled", err: local, failedDials: alwaysFail,
 			during: func(_ *testing.T, a *testAttempt) { a.cancel() },
 			want:   balancer.NotSent, heldUp: true,
 		},
 		{
-			name: "until a connection is idle", err: local, failures: alwaysFail,
+			name: "until a connection is idle", err: local, failedDials: alwaysFail,
 			during: func(t *testing.T, a *testAttempt) {
 				nc, err := net.Dial("tcp", a.Instance.Address)
 				if err != nil {
@@ -75,7 +75,7 @@
 		{name: "the connect timeout", err: &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}},
 	}
 	for i := range failures {
-		failures[i].failures, failures[i].want = alwaysFail, balancer.ConnectFailed
+		failures[i].failedDials, failures[i].want = alwaysFail, balancer.ConnectFailed
 	}
 	return failures
 }
@@ -96,7 +96,7 @@
 	server := testutil.NewServer(t, testutil.Echo)
 	pool := newTestPool(10)
 	a := newTestAttempt(t, pool, server.Address())
-	failing := &testutil.FailingDialer{Err: test.err, Failures: test.failures}
+	failing := &testutil.FailingDialer{Err: test.err, Failures: test.failedDials}
 	pool.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 		nc, err := failing.Dial(ctx, network, address)
 		if test.during != nil && failing.Dials.Load() == 1 {
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -25,7 +25,7 @@
 
 // readNext waits until bytes arrive or the connection ends, reads one response and passes it to the attempt that
 // waits for it. It reports whether the connection remains open. Until a request is being written, it leaves bytes that
-// arrive in the kernel's buffer, where startWrite detects them.
+// arrive in the kernel's buffer, where grantWrite detects them.
 func (p *Pool) readNext(c *conn) bool {
 	socketpeek.AwaitReadable(c.Conn)
 	p.mu.Lock()
@@ -48,7 +48,7 @@
 func (p *Pool) endExchange(c *conn, endedAt time.Duration, reusable bool) (chan exchangeResult, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	waiter := c.endExchange()
+	waiter := c.release()
 	if waiter == nil || !reusable {
 		p.closeConn(c)
 		return waiter, false
@@ -77,7 +77,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if c.waiter == waiter {
-		c.endExchange()
+		c.release()
 		p.closeConn(c)
 		waiter <- exchangeResult{err: context.Canceled}
 	}
--- a/internal/upstream/writepermission.go
+++ b/internal/upstream/writepermission.go
@@ -28,14 +28,14 @@
 	return fmt.Sprintf("writePermission(%d)", int(w))
 }
 
-// startWrite decides whether the first byte of a request is written next, and if so records the attempt as started.
+// grantWrite decides whether the first byte of a request is written next, and if so records the attempt as started.
 //
 // The endpoint list, the client and the time are checked here because they may have changed while the connection was
 // opened: no attempt starts at an endpoint that drains, was removed or has restarted, for a client that has departed,
 // or once endpoints no longer discard duplicates. In these cases the connection is kept for other attempts. But if the
 // endpoint has closed the connection or has sent bytes, which cannot be a response to this request, the connection
 // is closed, and the attempt may use another one.
-func (p *Pool) startWrite(
+func (p *Pool) grantWrite(
 	ctx context.Context, c *conn, waiter chan exchangeResult, a *Attempt,
 ) writePermission {
 	p.mu.Lock()
@@ -47,11 +47,11 @@
 	tooLate := !a.mayStart(now) || a.remainingTime(now) == 0
 	switch {
 	case socketpeek.IsReadable(c.Conn):
-		c.endExchange()
+		c.release()
 		p.closeConn(c)
 		return useAnotherConn
 	case ctx.Err() != nil || tooLate || !p.endpoints.isReady(c.instance) || !a.Request.startWrite(a):
-		c.endExchange()
+		c.release()
 		c.setIdle(now, now)
 		p.putIdle(c)
 		if ctx.Err() != nil {
