--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -38,7 +38,7 @@
 type activity struct {
 	phase        Phase
 	since        time.Duration // clock time when the phase started
-	beingEvicted bool          // being evicted, and counted in descriptorBudget.evicting
+	beingEvicted bool          // counted in descriptorBudget.evicting
 }
 
 // markedEvicting returns the activity with the connection marked as being evicted.
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -24,8 +24,8 @@
 }
 
 // readNext waits until bytes arrive or the connection ends, reads one response and passes it to the attempt that
-// waits for it. It reports whether the connection remains open. Until a request is being written, it leaves bytes that
-// arrive in the kernel's buffer, where grantWrite detects them.
+// waits for it. It reports whether the connection remains open. Until a request is being written, bytes that arrive
+// stay in the kernel's buffer, where grantWrite detects them.
 func (p *Pool) readNext(c *conn) bool {
 	socketpeek.AwaitReadable(c.Conn)
 	p.mu.Lock()
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -29,7 +29,7 @@
 
 const (
 	framedByLength bodyFraming = iota // Content-Length or the last chunk
-	framedByClose                     // a FIN; a reset does not complete the body
+	framedByClose                     // the end of the connection by a FIN; a reset does not count
 	framingTooLong                    // Content-Length is greater than http1.MaxBodyBytes
 )
 
