--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,11 +1,11 @@
-// Package balancer decides where a load balancer sends each request, when it retries and when it answers
-// without one. It does no I/O: the host feeds events to a Balancer and carries out the actions that it
-// returns.
+// Package balancer decides to which endpoint each request is sent, when it is retried and when it is rejected
+// or failed without a response from an endpoint. It does no I/O: the host passes events to a Balancer and
+// carries out the actions that it returns.
 //
-// A Balancer belongs to one goroutine. Its only clock is the time given to Handle, which must never go back,
-// and its only randomness is the seed given to New, so the same events always give the same actions.
-// Balancers share nothing. Memory is held for each request until it is answered and its attempts have ended,
-// and for each endpoint until it has left the list and its attempts have ended.
+// A Balancer must be used by one goroutine only. Its only clock is the time passed to Handle, which must not
+// decrease, and its only randomness is the seed passed to New, so the same events always give the same
+// actions. Balancers share no state. Memory is held for each request until it is answered and its attempts
+// have ended, and for each endpoint until it has left the list and its attempts have ended.
 package balancer
 
 import (
@@ -17,33 +17,33 @@
 	"basaltdrum/balancer/internal/subscription"
 )
 
-// subscriptionToken is the token of the timer after which the host is asked to subscribe.
+// subscriptionToken is the token of the timer that triggers the next Subscribe.
 const subscriptionToken = "list"
 
-// seedStream is the second half of the random generator's seed.
+// seedStream is the second word of the random generator's seed.
 const seedStream = 0x51a7e
 
-// Balancer decides for one replica. See the package comment for its contract. It holds the requests and
-// passes what happens to them to the mechanisms, each of which is a package below internal that names its
-// source.
+// Balancer makes the decisions of one replica; the package comment states its contract. It holds the requests
+// and reports what happens to them to the mechanisms. Each mechanism is a package under internal, whose
+// package comment names the published work that it follows.
 type Balancer struct {
 	settings     Settings
 	rng          *rand.Rand
 	now          time.Duration
-	actions      []Action // of the event that is being handled
+	actions      []Action // of the event being handled
 	shuttingDown bool
 
 	subscription subscription.Backoff
 	endpoints    endpointSelector
 
 	classes     classTable
-	requests    map[string]*request // by id: not answered, or with attempts in flight
+	requests    map[string]*request // by ID: not answered yet, or with attempts in flight
 	queue       requestQueue
 	retryBudget retrybudget.Budget
 	admission   admission.Limiter
 }
 
-// New returns a Balancer that knows no endpoints yet. The error is a *SettingError.
+// New returns a Balancer with an empty endpoint list. A non-nil error is a *SettingError.
 func New(settings Settings, seed uint64) (*Balancer, error) {
 	if err := settings.Validate(); err != nil {
 		return nil, err
@@ -59,7 +59,7 @@
 	return b, nil
 }
 
-// Handle takes one event at the clock time now and returns what to do, in order.
+// Handle processes one event at the clock time now and returns the actions to carry out, in order.
 func (b *Balancer) Handle(now time.Duration, e Event) []Action {
 	b.now = max(b.now, now)
 	b.actions = nil
@@ -88,8 +88,8 @@
 
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-// handleTimer passes a timer to what asked for it. A host may round a time down, so a timer can come a little
-// early: nothing relies on its being late enough, and a review that finds nothing due asks for another.
+// handleTimer passes an expired timer to the component that requested it. A host may round times down, so a
+// timer can fire slightly early: every handler checks whether it is due and otherwise requests another timer.
 func (b *Balancer) handleTimer(e Timer) {
 	if e.Token == subscriptionToken {
 		b.subscribeIfDue()
@@ -99,7 +99,7 @@
 }
 
 // updateEndpoints applies an update of the endpoint list. A list from the host's cache may be out of date, so
-// a subscription is still wanted.
+// a Subscribe is still needed after it.
 func (b *Balancer) updateEndpoints(e EndpointUpdate) {
 	if e.Complete {
 		b.endpoints.Replace(e.Endpoints)
@@ -115,7 +115,7 @@
 	b.dispatchQueued()
 }
 
-// scheduleSubscribe plans a Subscribe where endpoint updates come only after one.
+// scheduleSubscribe schedules a Subscribe if the host has to poll discovery.
 func (b *Balancer) scheduleSubscribe() {
 	if b.settings.PollDiscovery {
 		at := b.subscription.Schedule(b.now, b.settings.PollWithin, b.rng.Float64())
@@ -123,20 +123,20 @@
 	}
 }
 
-// retrySubscribe plans another Subscribe after one has failed or the subscription has ended.
+// retrySubscribe schedules another Subscribe after one has failed or the subscription has ended.
 func (b *Balancer) retrySubscribe() {
 	b.subscription.Fail()
 	b.scheduleSubscribe()
 }
 
-// subscribeIfDue sends the planned Subscribe.
+// subscribeIfDue emits the scheduled Subscribe once it is due.
 func (b *Balancer) subscribeIfDue() {
 	if b.subscription.TakeIfDue(b.now, b.settings.Tick) {
 		b.emit(Subscribe{})
 	}
 }
 
-// applySettings puts settings in force.
+// applySettings applies settings that have been validated.
 func (b *Balancer) applySettings(settings Settings) {
 	b.settings = settings
 	b.classes = newClassTable(settings.Classes, b.classes)
@@ -144,14 +144,14 @@
 	b.endpoints.configure(&settings)
 }
 
-// reconfigure replaces the settings by new ones. Requests keep the class that they were accepted with, so
-// what their clients were promised stays; the endpoints' health, slow start and counts do not depend on
-// settings. The requests in the queue are looked at again.
+// reconfigure replaces the settings. Requests keep the class that they were accepted with, so guarantees
+// given to their clients still hold. The endpoints' health, slow start and counters do not depend on
+// settings. The queued requests are evaluated again.
 func (b *Balancer) reconfigure(settings Settings) {
 	if settings.Validate() != nil {
 		return
 	}
-	settings.PollDiscovery = b.settings.PollDiscovery // the host subscribes, or not, as long as it runs
+	settings.PollDiscovery = b.settings.PollDiscovery // the host's way of discovery is fixed for its lifetime
 	b.applySettings(settings)
 	b.endpoints.forgetClasses(b.classes.hasFailureRate)
 	for _, req := range b.queue.all() {
--- a/balancer/classes.go
+++ b/balancer/classes.go
@@ -1,4 +1,4 @@
-// The classes of requests: settings, and statistics that outlive them.
+// Request classes: their settings, and their statistics, which are kept when settings change.
 
 package balancer
 
@@ -12,16 +12,16 @@
 	"basaltdrum/balancer/internal/outlier"
 )
 
-// class is a class as the settings had it when its requests were accepted, with its statistics, which outlive
-// those settings.
+// class is a request class with the settings that were in force when its requests were accepted. Its
+// statistics are shared with the same class under later settings.
 type class struct {
 	Class
 	*classStats
-	failureRates outlier.ClassRates // that its results count for: its own, and that of all classes together
+	failureRates outlier.ClassRates // of the class itself and of all classes together
 	admission    admission.Class
 }
 
-// classStats is what was observed of a class.
+// classStats holds the statistics of a class.
 type classStats struct {
 	latency     latency.Estimator
 	failureRate outlier.ClassRate
@@ -29,13 +29,12 @@
 	timeout     clienttimeout.Estimator
 }
 
-// newClassStats returns the statistics of a class of which nothing was observed yet.
+// newClassStats returns the initial statistics of a class.
 func newClassStats(c Class) *classStats {
 	return &classStats{latency: latency.NewEstimator(c.LatencyObjective)}
 }
 
-// newClass returns a class with its settings and its statistics, and the failure rate of all classes
-// together.
+// newClass returns a class with its settings and statistics. total is the failure rate over all classes.
 func newClass(c Class, stats *classStats, total *outlier.ClassRate) *class {
 	return &class{
 		Class: c, classStats: stats, failureRates: outlier.ClassRates{&stats.failureRate, total},
@@ -46,13 +45,13 @@
 	}
 }
 
-// classTable is the classes of the settings in force.
+// classTable holds the classes of the current settings.
 type classTable struct {
 	byName  map[string]*class
-	ordered []*class // as in the settings, then the unknown class
+	ordered []*class // in the order of the settings, then the unknown class
 }
 
-// newClassTable returns the classes of new settings. One that was in the old settings keeps its statistics.
+// newClassTable returns the classes of new settings. A class that the old table has keeps its statistics.
 func newClassTable(classes []Class, old classTable) classTable {
 	unknown := unknownClass(classes)
 	stats := old.statsOf(unknown)
@@ -69,20 +68,20 @@
 	t.ordered = append(t.ordered, c)
 }
 
-// statsOf returns the statistics that a class keeps under new settings, or new ones.
+// statsOf returns the existing statistics of the class of this name, or new ones.
 func (t *classTable) statsOf(c Class) *classStats {
-	was := t.byName[c.Name]
-	if was == nil {
+	existing := t.byName[c.Name]
+	if existing == nil {
 		return newClassStats(c)
 	}
-	if was.Deadline != c.Deadline {
-		was.timeout.Reset() // the usual timeout was a share of the deadline
+	if existing.Deadline != c.Deadline {
+		existing.timeout.Reset() // the usual timeout was a share of the old deadline
 	}
-	return was.classStats
+	return existing.classStats
 }
 
-// unknownClass returns the class of requests whose class is not in the settings: not idempotent, and
-// otherwise like the class with the longest deadline.
+// unknownClass returns the class for requests that name no configured class: not idempotent, and otherwise
+// like the class with the longest deadline.
 func unknownClass(classes []Class) Class {
 	longest := slices.MaxFunc(classes, func(a, b Class) int { return cmp.Compare(a.Deadline, b.Deadline) })
 	return Class{
@@ -92,10 +91,10 @@
 	}
 }
 
-// unknown returns the unknown class. Its failure rate is that of all classes together.
+// unknown returns the unknown class, whose failure rate is the rate over all classes.
 func (t *classTable) unknown() *class { return t.ordered[len(t.ordered)-1] }
 
-// get returns the class of this name, or the unknown one.
+// get returns the class of this name, or the unknown class.
 func (t *classTable) get(name string) *class {
 	if c := t.byName[name]; c != nil {
 		return c
@@ -103,12 +102,12 @@
 	return t.unknown()
 }
 
-// hasFailureRate says whether the failure rate is that of a class of the table.
+// hasFailureRate reports whether the failure rate belongs to a class of the table.
 func (t *classTable) hasFailureRate(rate *outlier.ClassRate) bool {
 	return slices.ContainsFunc(t.ordered, func(c *class) bool { return &c.failureRate == rate })
 }
 
-// priorities returns the ranking of the classes for load shedding.
+// priorities returns the classes and weights that determine priorities in load shedding.
 func (t *classTable) priorities(settings *Settings) admission.Priorities {
 	priorities := admission.Priorities{
 		TotalWeight: settings.TotalWeight, WorstClassWeight: settings.WorstClassWeight,
--- a/balancer/endpointselector.go
+++ b/balancer/endpointselector.go
@@ -11,8 +11,8 @@
 	"basaltdrum/balancer/internal/unresponsive"
 )
 
-// endpointSelector is the endpoint list, with what the attempts at all endpoints together have shown. It
-// chooses the endpoint of each attempt (selection.go) and passes the attempt's result to the mechanisms.
+// endpointSelector holds the endpoint list and the state shared by all endpoints. It chooses the endpoint of
+// each attempt (selection.go) and reports the attempt's result to the mechanisms.
 type endpointSelector struct {
 	endpoints.List
 	rng          *rand.Rand
@@ -25,8 +25,7 @@
 	return endpointSelector{List: endpoints.NewList(), rng: rng, outliers: outlier.NewDetector()}
 }
 
-// configure puts settings in force. The subset is made anew only if this replica's position among the
-// replicas has changed.
+// configure applies settings. The subset is rebuilt only if this replica's placement has changed.
 func (s *endpointSelector) configure(settings *Settings) {
 	s.Configure(endpoints.Placement{
 		Zone: settings.Zone, ZoneCount: settings.ZoneCount,
@@ -38,15 +37,15 @@
 	})
 }
 
-// forgetClasses discards the endpoints' failure rates of classes that are not known any more. An attempt that
-// is still in flight may bring one back.
+// forgetClasses discards the endpoints' failure rates of classes that are no longer known. An attempt still
+// in flight may add one again.
 func (s *endpointSelector) forgetClasses(known func(*outlier.ClassRate) bool) {
 	for ep := range s.Known() {
 		ep.Health.RetainClasses(known)
 	}
 }
 
-// nextCheck returns when the queue is to be looked at again for the token buckets of slow start.
+// nextCheck returns when the queue must be checked again because slow-start tokens may have become available.
 func (s *endpointSelector) nextCheck(now time.Duration) time.Duration {
 	if ep := s.Youngest(); ep != nil {
 		return s.slowStart.NextCheck(&ep.SlowStart, now)
@@ -59,32 +58,32 @@
 	s.slowStart.ObserveRequest(now, work)
 }
 
-// startAttempt records that an attempt of a request is sent to an endpoint.
+// startAttempt records that an attempt is sent to its endpoint.
 func (s *endpointSelector) startAttempt(now time.Duration, a *attempt) {
-	s.slowStart.TakeTokens(&a.endpoint.SlowStart, now, a.request.work)
+	s.slowStart.TakeTokens(&a.endpoint.SlowStart, now, a.request.expectedWork)
 	a.endpoint.Attempts.StartAttempt(now, &a.request.class.latency)
 }
 
-// suspects says that an endpoint seems not to respond.
+// suspects reports whether an endpoint appears unresponsive.
 func (s *endpointSelector) suspects(now time.Duration, ep *endpoints.Endpoint) bool {
 	return s.unresponsive.Suspects(&ep.Attempts, now)
 }
 
-// end records that an attempt has ended, and its result unless the host itself held it up.
-func (s *endpointSelector) end(now time.Duration, a *attempt, result AttemptResult, heldUp bool) {
+// endAttempt records that an attempt has ended, and its result unless the host itself delayed the attempt.
+func (s *endpointSelector) endAttempt(now time.Duration, a *attempt, result AttemptResult, heldUp bool) {
 	a.endpoint.Attempts.EndAttempt(a.sent, &a.request.class.latency)
 	if !heldUp {
-		s.observe(now, a, result)
+		s.observeResult(now, a, result)
 	}
 	s.RemoveIfUnused(a.endpoint)
 }
 
-// observe records what the end of an attempt shows: the latency of its class, and the endpoint's health and
-// latency relative to the others.
-func (s *endpointSelector) observe(now time.Duration, a *attempt, result AttemptResult) {
+// observeResult updates the statistics that the result of an attempt affects: the latency of its class, and
+// the endpoint's health and relative latency.
+func (s *endpointSelector) observeResult(now time.Duration, a *attempt, result AttemptResult) {
 	ep, c := a.endpoint, a.request.class
-	latency := max(1, float64(now-a.sent)) // a coarse clock may show none, which has no logarithm
-	s.observeRate(now, a, result)
+	latency := max(1, float64(now-a.sent)) // a coarse clock may measure 0, which has no logarithm
+	s.updateFailureRates(now, a, result)
 	slow := c.latency.IsSlow(latency)
 	switch result {
 	case Success:
@@ -111,24 +110,24 @@
 	s.outliers.ObserveSuccess(&ep.Health)
 }
 
-// observeRate records a result that shows the success rate of the endpoint and of the class.
-func (s *endpointSelector) observeRate(now time.Duration, a *attempt, result AttemptResult) {
+// updateFailureRates records a result that counts in the failure rates of the endpoint and the class.
+func (s *endpointSelector) updateFailureRates(now time.Duration, a *attempt, result AttemptResult) {
 	c := a.request.class
 	switch result {
 	case Success, ServerError, TimedOut:
 		a.endpoint.Health.UpdateFailureRates(c.failureRates, result != Success, now, c.latency.Mean())
-	default: // shows nothing of it
+	default: // tells nothing about the endpoint's success rate
 	}
 }
 
-// observeSuccess records what any good answer shows.
+// observeSuccess updates the statistics that every successful response affects.
 func (s *endpointSelector) observeSuccess(now time.Duration, ep *endpoints.Endpoint) {
 	s.unresponsive.ObserveSuccess(&ep.Attempts, now)
 	ep.Rejections.ObserveSuccess()
 	s.slowStart.ObserveResponse(&ep.SlowStart, now, s.slowStartCounts(now), ep.InSubset())
 }
 
-// slowStartCounts counts the endpoints for slow start.
+// slowStartCounts counts the endpoints for the slow-start limiter.
 func (s *endpointSelector) slowStartCounts(now time.Duration) slowstart.EndpointCounts {
 	subset, size := s.Subset()
 	counts := slowstart.EndpointCounts{Ready: s.ReadyCount(), SubsetSize: size}
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -7,7 +7,7 @@
 	"basaltdrum/balancer/internal/endpoints"
 )
 
-// EndpointState is what discovery says of an endpoint.
+// EndpointState is the state of an endpoint as reported by discovery.
 type EndpointState = endpoints.State
 
 // Endpoint states.
@@ -22,24 +22,24 @@
 //	ID, Zone  string
 //	Cell      int
 //	State     EndpointState
-//	Capacity  float64       // against other endpoints, as listed; 0: unknown
+//	Capacity  float64       // relative to the other endpoints, as listed; 0: unknown
 //	StartedAt time.Duration // clock time of its last start; 0: long ago
 type Endpoint = endpoints.Entry
 
-// AttemptResult says how an attempt ended.
+// AttemptResult is the way in which an attempt ended.
 type AttemptResult int
 
-// Attempt results. Rejected, ConnectFailed and NotSent prove that the attempt never ran.
+// Attempt results. Rejected, ConnectFailed and NotSent prove that the attempt did not run.
 const (
 	Success            AttemptResult = iota
-	ServerError                      // the endpoint answered with an error; the request may have run
-	Rejected                         // the endpoint says that it did not run the request
-	TimedOut                         // no answer came within the attempt's time
-	ConnectFailed                    // no connection, or it broke before the request was written completely
-	ConnectionLost                   // it broke later, or the answer was not complete
-	Cancelled                        // called off by a Cancel
-	NotSent                          // the host did not begin it
-	attemptResultCount               // how many there are
+	ServerError                      // the endpoint responded with an error; the request may have run
+	Rejected                         // the endpoint reported that it did not run the request
+	TimedOut                         // no response came within the attempt's timeout
+	ConnectFailed                    // no connection, or it failed before the request was written completely
+	ConnectionLost                   // the connection failed later, or the response was incomplete
+	Cancelled                        // cancelled by a Cancel
+	NotSent                          // the host did not start the attempt
+	attemptResultCount               // number of results
 )
 
 var attemptResultNames = [attemptResultCount]string{
@@ -47,7 +47,7 @@
 	"connection lost", "cancelled", "not sent",
 }
 
-// String returns the result in words.
+// String returns the name of the result.
 func (r AttemptResult) String() string {
 	if r < 0 || r >= attemptResultCount {
 		return fmt.Sprintf("AttemptResult(%d)", int(r))
@@ -55,59 +55,58 @@
 	return attemptResultNames[r]
 }
 
-// LoadReport is an endpoint's own report, late and noisy. Absent values are negative.
+// LoadReport is an endpoint's own load report, which is delayed and noisy. Absent values are negative.
 type LoadReport struct {
-	InFlight    float64       // requests that it holds
-	ServiceTime time.Duration // recent service time without queueing
+	InFlight    float64       // requests in flight at the endpoint
+	ServiceTime time.Duration // recent service time, without queueing
 }
 
-// Event is something that happened: one of the types below.
+// Event is an input of Handle: one of the types below.
 type Event interface{ event() }
 
 type (
-	// EndpointUpdate brings the endpoint list, or changes of it.
+	// EndpointUpdate carries the endpoint list or changes to it.
 	EndpointUpdate struct {
-		Complete  bool // the complete list: an endpoint that it does not name is removed
-		Cached    bool // as the host knew it before a restart, possibly out of date
+		Complete  bool // the complete list: endpoints that are not in it are removed
+		Cached    bool // from the host's cache of before a restart, possibly out of date
 		Endpoints []Endpoint
 	}
-	// SubscriptionFailed says that a Subscribe failed or that the subscription ended.
+	// SubscriptionFailed reports that a Subscribe failed or that the subscription ended.
 	SubscriptionFailed struct{}
-	// Request is a client's request; the Balancer owes it one final answer by Deadline.
+	// Request is a client's request. The Balancer must have it answered exactly once, by Deadline.
 	Request struct {
 		ID           string
 		Class        string
-		FirstByte    time.Duration // clock time of its first byte, from which its client counts; 0: now
+		FirstByte    time.Duration // clock time of its first byte, where its client's timeout starts; 0: now
 		Deadline     time.Duration // clock time
 		ExpectedWork time.Duration // by the client's hint; 0: unknown
 		Retry        bool          // the client marked it as a retry
 	}
-	// AttemptEnded tells the result of one attempt.
+	// AttemptEnded reports the result of one attempt.
 	AttemptEnded struct {
 		ID       string
 		Attempt  int
 		Endpoint string
 		Result   AttemptResult
 		Latency  time.Duration
-		Answered bool // the request has its final answer
-		HeldUp   bool // a fault of the host delayed it: result and latency say nothing of the endpoint
+		Answered bool // the client has the final response of the request
+		HeldUp   bool // delayed by a fault of the host: Result and Latency tell nothing about the endpoint
 		Load     *LoadReport
 	}
-	// StreamStarted says that a streamed answer has begun: the attempt is the client's from here on.
+	// StreamStarted reports that a streamed response has started. From then on the attempt is not replaced.
 	StreamStarted struct {
 		ID      string
 		Attempt int
 	}
-	// ClientGone says that the client left; nothing more is owed.
+	// ClientGone reports that the client has disconnected and needs no response.
 	ClientGone struct{ ID string }
-	// Shutdown says that the host ends: every request is answered now, and any that still comes at once.
+	// Shutdown reports that the host stops: pending requests and any that still arrive are answered at once.
 	Shutdown struct{}
-	// Reconfigure brings new settings, in force from then on; settings that can't be used change nothing.
-	// A request already accepted keeps its class as it was, with its deadline and its window for repeats.
-	// A class of the same name keeps what was learned of it, and so do endpoints. PollDiscovery stays as
-	// it was.
+	// Reconfigure replaces the settings; invalid settings change nothing. Requests already accepted keep
+	// their class as it was, with its deadline and deduplication window. The statistics of a class are kept
+	// under the same name, and so are those of the endpoints. PollDiscovery keeps its value.
 	Reconfigure struct{ Settings Settings }
-	// Timer is a SetTimer that is due.
+	// Timer reports that the timer requested by a SetTimer has fired.
 	Timer struct{ Token string }
 )
 
@@ -121,7 +120,7 @@
 func (Reconfigure) event()        {}
 func (Timer) event()              {}
 
-// Action is something that the host must do, in the order given: one of the types below.
+// Action is an instruction to the host: one of the types below. Actions are carried out in order.
 type Action interface{ action() }
 
 type (
@@ -129,26 +128,26 @@
 	Send struct {
 		ID, Endpoint string
 		Timeout      time.Duration // after which the attempt ends as TimedOut
-		NotAfter     time.Duration // clock time after which it must not begin and is NotSent; 0: none
+		NotAfter     time.Duration // clock time after which it must not start and ends as NotSent; 0: none
 	}
-	// Cancel calls off an attempt; its AttemptEnded still comes.
+	// Cancel cancels an attempt; its AttemptEnded still follows.
 	Cancel struct {
 		ID      string
 		Attempt int
 	}
-	// Reject is a final answer that promises that a retry does no harm.
+	// Reject is a final response which guarantees that a retry is harmless.
 	Reject struct {
 		ID         string
-		RetryAfter time.Duration // advice to the client; 0: none
+		RetryAfter time.Duration // delay proposed to the client; 0: none
 	}
-	// Fail is a final answer that promises nothing.
+	// Fail is a final response without a guarantee.
 	Fail struct{ ID string }
-	// SetTimer asks for a Timer with this token at the clock time At.
+	// SetTimer requests a Timer with this token at the clock time At.
 	SetTimer struct {
 		At    time.Duration
 		Token string
 	}
-	// Subscribe asks discovery for the endpoint list and its changes.
+	// Subscribe requests the endpoint list and its changes from discovery.
 	Subscribe struct{}
 )
 
--- a/balancer/internal/admission/admission_test.go
+++ b/balancer/internal/admission/admission_test.go
@@ -13,7 +13,7 @@
 	meanLatency = 40 * time.Millisecond // without overload
 )
 
-// newClass returns a class that is known to answer in meanLatency without overload.
+// newClass returns a class whose responses are known to take meanLatency without overload.
 func newClass() *Class {
 	estimator := latency.NewEstimator(objective)
 	for range 100 {
@@ -22,27 +22,27 @@
 	return &Class{Objective: objective, PriorityWeight: 1, Latency: &estimator, Traffic: &Traffic{}}
 }
 
-// observeSuccesses records answers that take a share of the latency target while the limit is used up.
-func observeSuccesses(l *Limiter, class *Class, answers int, share, endpointsPerReplica float64) {
-	for range answers {
+// observeSuccesses records responses whose latency is a share of the target, while the limit is used up.
+func observeSuccesses(l *Limiter, class *Class, responses int, share, endpointsPerReplica float64) {
+	for range responses {
 		l.inFlight = int(l.limit)
-		l.ObserveSuccess(class, share*class.target(0), endpointsPerReplica)
+		l.ObserveSuccess(class, share*class.latencyTarget(0), endpointsPerReplica)
 	}
 }
 
-// A new limit begins at its floor, and each good answer opens it by one request, for as long as it is used
-// up; a few rejections end that.
+// A new limit starts at its minimum, and each fast response raises it by one request as long as it is used
+// up. A few rejections end this growth.
 func TestNewLimitGrowsUntilEndpointsReject(t *testing.T) {
 	const endpointsPerReplica, least = 5, 5 * minLimitPerEndpoint
 	var limiter Limiter
 	limiter.Initialize(endpointsPerReplica)
 	if limiter.Limit() != least {
-		t.Fatalf("a new limit is %.1f, want its floor, %.1f", limiter.Limit(), least)
+		t.Fatalf("new limit: got %.1f, want the minimum of %.1f", limiter.Limit(), least)
 	}
 	class := newClass()
 	observeSuccesses(&limiter, class, 20, 0.8, endpointsPerReplica)
 	if limiter.Limit() != least+20 {
-		t.Errorf("20 good answers opened the limit to %.1f, want %.1f", limiter.Limit(), least+20)
+		t.Errorf("limit after 20 fast responses: got %.1f, want %.1f", limiter.Limit(), least+20)
 	}
 	for i := range 8 {
 		limiter.inFlight = int(limiter.limit)
@@ -51,15 +51,16 @@
 	rejected := limiter.Limit()
 	observeSuccesses(&limiter, class, 20, 0.8, endpointsPerReplica)
 	if limiter.Limit() > rejected+5 {
-		t.Errorf("after rejections 20 good answers opened the limit from %.1f to %.1f", rejected, limiter.Limit())
+		t.Errorf("20 fast responses after rejections: the limit rose from %.1f to %.1f, want a rise of at most 5",
+			rejected, limiter.Limit())
 	}
 }
 
-// The limit follows the ratio of latencies to their target. While much is shed some endpoints are overloaded
-// for certain, so the limit must shrink at lower latencies; but answers as fast as those of idle endpoints
-// must open it however much is shed, or load shedding sustains itself.
+// The limit follows the ratio of latencies to their target. While much load is shed, some endpoints are
+// certainly overloaded, so the limit must fall at lower latencies. But responses as fast as those of idle
+// endpoints must raise it however much is shed, or load shedding would sustain itself.
 func TestLimitFollowsLatency(t *testing.T) {
-	nearTarget := func(c *Class) float64 { return 0.95 * c.target(0) }
+	nearTarget := func(c *Class) float64 { return 0.95 * c.latencyTarget(0) }
 	idle := func(c *Class) float64 { return 1.05 * c.Latency.Base() }
 	for _, c := range []struct {
 		name    string
@@ -69,12 +70,12 @@
 	}{
 		{"a little under the target", 0, nearTarget, true},
 		{"a little under the target while much is shed", 0.8, nearTarget, false},
-		{"twice the target", 0, func(c *Class) float64 { return 2 * c.target(0) }, false},
+		{"twice the target", 0, func(c *Class) float64 { return 2 * c.latencyTarget(0) }, false},
 		{"idle endpoints while all is shed", 1, idle, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			const before = 100.0
-			limiter := Limiter{limit: before, meanInFlight: before, shed: c.shed}
+			limiter := Limiter{limit: before, meanInFlight: before, shedShare: c.shed}
 			class := newClass()
 			for range 50 {
 				limiter.inFlight = int(limiter.limit)
@@ -87,8 +88,8 @@
 	}
 }
 
-// The part of the limit that is not in use is lost at once when endpoints reject requests: else all replicas
-// fill it together. One decrease a round of answers takes a fixed part at least.
+// When endpoints reject requests, the unused part of the limit is removed at once; otherwise all replicas
+// would use it together. Each round of responses can remove at least a fixed share.
 func TestRejectionsCutTheUnusedLimit(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -107,14 +108,15 @@
 				limiter.ObserveRejection(time.Duration(i)*c.pause, newClass(), 5)
 			}
 			if limiter.Limit() < c.least || limiter.Limit() > c.most {
-				t.Errorf("the limit is %.1f, want %v to %v", limiter.Limit(), c.least, c.most)
+				t.Errorf("limit: got %.1f, want %v to %v", limiter.Limit(), c.least, c.most)
 			}
 		})
 	}
 }
 
-// With hundreds of replicas the floor is one request or less: a failure never takes the limit below either.
-func TestLimitStaysAboveItsFloor(t *testing.T) {
+// With hundreds of replicas the minimum is one request or less: failures never take the limit below it or
+// below 1.
+func TestLimitStaysAboveItsMinimum(t *testing.T) {
 	for _, c := range []struct {
 		name                string
 		endpointsPerReplica float64
@@ -129,19 +131,19 @@
 				limiter.ObserveFailure(c.endpointsPerReplica)
 			}
 			if limiter.Limit() != c.want {
-				t.Errorf("the limit is %v, want %v", limiter.Limit(), c.want)
+				t.Errorf("limit: got %v, want %v", limiter.Limit(), c.want)
 			}
 		})
 	}
 }
 
-// Retries by clients prolong an overload: they get only half of the limit. While load is shed, a class of a
-// high priority may use more than the limit, and one of a low priority half of it.
+// Retries by clients prolong an overload, so they get only half of the limit. While load is shed, a class of
+// high priority may use more than the limit, and one of low priority only half of it.
 func TestRetriesLeaveHalfOfTheLimit(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		inFlight     int
-		weight, shed float64 // weight against another class of weight one
+		weight, shed float64 // priority weight, the other class having weight 1
 		first, retry bool
 	}{
 		{"idle", 0, 1, 0, true, true},
@@ -155,13 +157,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			class := classWith(c.weight, 10, 5)
-			limiter := Limiter{limit: 10, inFlight: c.inFlight, shed: c.shed}
+			limiter := Limiter{limit: 10, inFlight: c.inFlight, shedShare: c.shed}
 			limiter.Configure(Priorities{TotalWeight: 1, Classes: []*Class{class, classWith(1, 10, 5)}})
 			if got := limiter.Admits(class, false); got != c.first {
-				t.Errorf("a first attempt is admitted: %v, want %v", got, c.first)
+				t.Errorf("first attempt admitted: got %v, want %v", got, c.first)
 			}
 			if got := limiter.Admits(class, true); got != c.retry {
-				t.Errorf("a retry is admitted: %v, want %v", got, c.retry)
+				t.Errorf("retry admitted: got %v, want %v", got, c.retry)
 			}
 		})
 	}
@@ -177,7 +179,7 @@
 	}
 	limiter.StartAttempt()
 	if limiter.InFlight() != 1 || limiter.MeanInFlight() < 1.4 || limiter.MeanInFlight() > 1.6 {
-		t.Errorf("%d in flight, %.2f on average; want 1 and about 1.5", limiter.InFlight(), limiter.MeanInFlight())
+		t.Errorf("got %d in flight and a mean of %.2f, want 1 and about 1.5", limiter.InFlight(), limiter.MeanInFlight())
 	}
 }
 
@@ -188,7 +190,7 @@
 		limiter.ObserveAdmitted()
 	}
 	if got := limiter.ShedShare(); got < 0.45 || got > 0.55 {
-		t.Errorf("half of the requests are shed: a share of %.2f", got)
+		t.Errorf("shed share: got %.2f, want about 0.5", got)
 	}
 }
 
@@ -205,8 +207,8 @@
 	fmt.Println("in flight:", limiter.InFlight())
 	limiter.EndAttempt()
 	limiter.ObserveSuccess(&class, float64(50*time.Millisecond), 1)
-	fmt.Println("limit after a fast answer:", limiter.Limit())
+	fmt.Println("limit after a fast response:", limiter.Limit())
 	// Output:
 	// in flight: 5
-	// limit after a fast answer: 6
+	// limit after a fast response: 6
 }
--- a/balancer/internal/admission/priority.go
+++ b/balancer/internal/admission/priority.go
@@ -8,75 +8,75 @@
 
 // Constants of the priorities.
 const (
-	countDecay    = 0.99 // factor of the counts of arrivals and answers at each request
-	minLimitShare = 0.5  // part of the limit that any class may use, so that none starves
+	countDecay    = 0.99 // factor that each request applies to the counts of arrivals and responses
+	minLimitShare = 0.5  // share of the limit that every class may use, so that none starves
 	maxLimitShare = 2.0
-	leastSum      = 1e-9 // keeps a division from one by zero
+	minDivisor    = 1e-9 // avoids a division by zero
 )
 
-// Class is a class of requests, as far as admission depends on it.
+// Class holds the properties of a request class that admission depends on.
 type Class struct {
-	Objective      time.Duration // latency within which an answer has its full worth
+	Objective      time.Duration // a response within it earns the full PriorityWeight
 	PriorityWeight float64
-	LateValue      float64 // share of PriorityWeight that an answer after the objective earns
+	LateValue      float64 // share of PriorityWeight earned by a response after Objective
 	Latency        *latency.Estimator
-	Traffic        *Traffic // the same for a class under new settings
+	Traffic        *Traffic // kept when the settings of the class change
 }
 
-// Traffic is counts of a class, which decay with each request.
+// Traffic holds the counts of a class, which decay with each request.
 type Traffic struct {
 	arrivals float64
-	served   float64 // answers within the latency objective
+	onTime   float64 // responses within the latency objective
 }
 
-// ObserveOnTime counts an answer within the latency objective.
-func (t *Traffic) ObserveOnTime() { t.served++ }
+// ObserveOnTime counts a response within the latency objective.
+func (t *Traffic) ObserveOnTime() { t.onTime++ }
 
-// Priorities ranks the classes of the settings in force.
+// Priorities holds the classes and weights of the current settings, from which priorities are computed.
 type Priorities struct {
-	TotalWeight      float64  // how much the sum over all classes counts when load is shed
-	WorstClassWeight float64  // how much the class served worst counts when load is shed
-	Classes          []*Class // all that there are
+	TotalWeight      float64  // weight of the sum over all classes in load shedding
+	WorstClassWeight float64  // weight of the worst-served class in load shedding
+	Classes          []*Class // all classes
 }
 
 // observeArrival counts a request of a class.
 func (p *Priorities) observeArrival(c *Class) {
 	for _, class := range p.Classes {
 		class.Traffic.arrivals *= countDecay
-		class.Traffic.served *= countDecay
+		class.Traffic.onTime *= countDecay
 	}
 	c.Traffic.arrivals++
 }
 
-// limitShare returns the part of the concurrency limit that a request may use, by its priority against the
-// others': the more load is shed, the more capacity is kept for the highest priority. The queue alone keeps a
-// request too short a time for that, since at a replica of little traffic seldom two wait at once. No class
-// loses more than half of the limit, so that none starves.
+// limitShare returns the share of the concurrency limit that a request may use, by its priority relative to
+// the other classes: the more load is shed, the more capacity is reserved for the highest priority. The queue
+// alone can't do that, as it holds a request only for a short time and, at a replica with little traffic,
+// seldom holds two at once. No class loses more than half of the limit, so that none starves.
 func (p *Priorities) limitShare(c *Class, retry bool, shed float64) float64 {
 	var sum, arrivals float64
 	for _, class := range p.Classes {
-		sum += class.Traffic.arrivals * p.of(class, false)
+		sum += class.Traffic.arrivals * p.priority(class, false)
 		arrivals += class.Traffic.arrivals
 	}
-	share := 1 + shed*(p.of(c, retry)*arrivals/max(sum, leastSum)-1)
+	share := 1 + shed*(p.priority(c, retry)*arrivals/max(sum, minDivisor)-1)
 	return min(maxLimitShare, max(minLimitShare, share))
 }
 
-// of returns what an answer in a class is worth for the time it takes, so that what is worth most is shed
-// least; the class that is served worst counts extra, so that none starves. The latency objective of a
-// client's retry runs from its first attempt and is mostly used up.
-func (p *Priorities) of(c *Class, retry bool) float64 {
+// priority returns the value of a response of the class per unit of time that it takes, so that the most
+// valuable requests are shed least. The worst-served class gets extra weight, so that none starves. The
+// latency objective of a retry by a client runs from its first attempt and is mostly used up.
+func (p *Priorities) priority(c *Class, retry bool) float64 {
 	var total float64
 	worst := c
 	for _, class := range p.Classes {
 		total += class.PriorityWeight * class.Traffic.arrivals
-		if class.Traffic.arrivals > 1 && class.isServedWorseThan(worst) {
+		if class.Traffic.arrivals > 1 && class.hasLowerOnTimeShare(worst) {
 			worst = class
 		}
 	}
-	value := p.TotalWeight * c.PriorityWeight / max(total, leastSum)
+	value := p.TotalWeight * c.PriorityWeight / max(total, minDivisor)
 	if worst == c {
-		value += p.WorstClassWeight / max(c.Traffic.arrivals, leastSum)
+		value += p.WorstClassWeight / max(c.Traffic.arrivals, minDivisor)
 	}
 	if retry {
 		value *= c.LateValue
@@ -84,7 +84,7 @@
 	return value / c.Latency.Mean()
 }
 
-// isServedWorseThan says that a smaller share of the class's requests is served in time.
-func (c *Class) isServedWorseThan(other *Class) bool {
-	return c.Traffic.served*other.Traffic.arrivals < other.Traffic.served*c.Traffic.arrivals
+// hasLowerOnTimeShare reports whether a smaller share of the class's requests is answered in time.
+func (c *Class) hasLowerOnTimeShare(other *Class) bool {
+	return c.Traffic.onTime*other.Traffic.arrivals < other.Traffic.onTime*c.Traffic.arrivals
 }
--- a/balancer/internal/admission/priority_test.go
+++ b/balancer/internal/admission/priority_test.go
@@ -4,16 +4,17 @@
 	"testing"
 )
 
-// classWith returns a class of equal latency with a weight and counts.
+// classWith returns a class with this weight and these counts; all classes have the same latency.
 func classWith(weight, arrivals, served float64) *Class {
 	class := newClass()
 	class.PriorityWeight = weight
-	class.Traffic = &Traffic{arrivals: arrivals, served: served}
+	class.Traffic = &Traffic{arrivals: arrivals, onTime: served}
 	return class
 }
 
-// In overload the lowest priority weight is rejected first, also where too few requests are queued to choose
-// among; with nothing shed every class may fill the limit, and no class loses more than half of it.
+// In overload the class with the lowest priority weight is rejected first, even if too few requests are
+// queued to choose among. With nothing shed every class may use the whole limit, and no class loses more than
+// half of it.
 func TestLimitIsSharedByPriorityWeight(t *testing.T) {
 	low, middle, high := classWith(1, 10, 5), classWith(2, 10, 5), classWith(12, 10, 5)
 	priorities := Priorities{TotalWeight: 0.6, Classes: []*Class{low, middle, high}}
@@ -32,13 +33,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := priorities.limitShare(c.class, false, c.shed); got < c.least || got > c.most {
-				t.Errorf("a share of %.2f, want %v to %v", got, c.least, c.most)
+				t.Errorf("limit share: got %.2f, want %v to %v", got, c.least, c.most)
 			}
 		})
 	}
 }
 
-func TestPriorityFollowsWorthAndLatency(t *testing.T) {
+func TestPriorityFollowsValueAndLatency(t *testing.T) {
 	usual := classWith(1, 10, 5)
 	slow := classWith(1, 10, 5)
 	for range 200 {
@@ -53,21 +54,21 @@
 		higher, lower *Class
 		retryOfTheLow bool
 	}{
-		{"an answer that takes less time", usual, slow, false},
-		{"the class that is served worst", worst, usual, false},
+		{"a response that takes less time", usual, slow, false},
+		{"the worst-served class", worst, usual, false},
 		{"a first attempt against a retry", late, late, true},
-		{"a retry without any worth", usual, usual, true},
+		{"a retry without any value", usual, usual, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			high, low := priorities.of(c.higher, false), priorities.of(c.lower, c.retryOfTheLow)
+			high, low := priorities.priority(c.higher, false), priorities.priority(c.lower, c.retryOfTheLow)
 			if high <= low {
-				t.Errorf("priority %v, want more than %v", high, low)
+				t.Errorf("priority: got %v, want more than %v", high, low)
 			}
 		})
 	}
 }
 
-// Counts decay with each request of any class.
+// The counts of all classes decay with each request of any class.
 func TestArrivalsDecay(t *testing.T) {
 	first, second := classWith(1, 0, 0), classWith(1, 0, 0)
 	priorities := Priorities{Classes: []*Class{first, second}}
@@ -76,13 +77,14 @@
 	for range 1000 {
 		priorities.observeArrival(second)
 	}
-	if first.Traffic.arrivals > 0.001 || first.Traffic.served > 0.001 {
-		t.Errorf("%v arrivals and %v answers are left of one", first.Traffic.arrivals, first.Traffic.served)
+	if first.Traffic.arrivals > 0.001 || first.Traffic.onTime > 0.001 {
+		t.Errorf("after 1,000 requests of another class: got %v arrivals and %v responses, want at most 0.001",
+			first.Traffic.arrivals, first.Traffic.onTime)
 	}
 	if got := second.Traffic.arrivals; got < 99 || got > 101 {
-		t.Errorf("%v arrivals in a row count as %.1f, want about 100", 1000, got)
+		t.Errorf("count after %v arrivals: got %.1f, want about 100", 1000, got)
 	}
 	if share := priorities.limitShare(first, false, 0); share != 1 {
-		t.Errorf("a share of %v with nothing shed", share)
+		t.Errorf("limit share with nothing shed: got %v, want 1", share)
 	}
 }
--- a/balancer/internal/clienttimeout/clienttimeout.go
+++ b/balancer/internal/clienttimeout/clienttimeout.go
@@ -1,24 +1,25 @@
-// Package clienttimeout finds the timeout that most clients of a class use.
+// Package clienttimeout estimates the timeout that most clients of a class use.
 //
-// It is a majority vote (Boyer and Moore), so that no unusual client decides it for all. A request with
-// another timeout has what earlier attempts of its client have left: it is a retry that is not marked as one.
+// It takes a majority vote (the Boyer–Moore algorithm), so that a client with an unusual timeout does not
+// change the estimate. A request with another timeout has the time that earlier attempts of its client left:
+// it is a retry that is not marked as one.
 package clienttimeout
 
 import "math"
 
 // Constants of the vote.
 const (
-	tolerance = 0.05 // share by which timeouts may differ and count as the same
-	maxVotes  = 50   // most votes for one timeout
+	tolerance = 0.05 // relative difference up to which timeouts count as equal
+	maxVotes  = 50   // limit on the votes for the current timeout
 )
 
-// Estimator is the timeout that most attempts of a class's clients have.
+// Estimator estimates the timeout that most clients of a class use. The zero value is ready to use.
 type Estimator struct {
-	value float64 // in ns
-	votes int     // for it, less those against it
+	value float64 // in nanoseconds
+	votes int     // votes for value minus votes against it
 }
 
-// Observe records a timeout, in nanoseconds, and says whether it is the usual one.
+// Observe records a timeout in nanoseconds and reports whether it equals the usual one.
 func (u *Estimator) Observe(timeout float64) bool {
 	switch {
 	case math.Abs(timeout-u.value) <= tolerance*u.value:
@@ -32,5 +33,5 @@
 	return true
 }
 
-// Reset discards the votes: the next timeout becomes the usual one unless it is like the last.
+// Reset discards the votes: the next timeout becomes the usual one, unless it equals the current one.
 func (u *Estimator) Reset() { u.votes = 0 }
--- a/balancer/internal/clienttimeout/clienttimeout_test.go
+++ b/balancer/internal/clienttimeout/clienttimeout_test.go
@@ -5,35 +5,35 @@
 	"testing"
 )
 
-// The usual timeout is the majority's: few others don't replace it, and it is replaced once its votes are
-// used up.
-func TestUsualTimeoutIsTheMajoritys(t *testing.T) {
+// The usual timeout is that of the majority: it stays while others are few, and is replaced once its votes
+// are used up.
+func TestMajorityDecidesTheUsualTimeout(t *testing.T) {
 	var usual Estimator
 	for i, c := range []struct {
 		timeout float64
 		isUsual bool
 		value   float64
 	}{
-		{1000, true, 1000}, // the first is taken
-		{1040, true, 1000}, // the same, within the tolerance
-		{500, false, 1000}, // one vote against it
-		{500, false, 1000}, // and another, which uses them up
-		{500, true, 500},   // the next is taken
+		{1000, true, 1000}, // the first is adopted
+		{1040, true, 1000}, // equal within the tolerance
+		{500, false, 1000}, // one vote against
+		{500, false, 1000}, // another vote against, which uses up the votes
+		{500, true, 500},   // the next is adopted
 		{1000, false, 500},
 	} {
 		if got := usual.Observe(c.timeout); got != c.isUsual || usual.value != c.value {
-			t.Errorf("vote %d: usual %v, the usual timeout is %v; want %v, %v", i, got, usual.value, c.isUsual, c.value)
+			t.Errorf("timeout %d: got usual %v and a usual timeout of %v, want %v and %v", i, got, usual.value, c.isUsual, c.value)
 		}
 	}
 	for range 2 * maxVotes {
 		usual.Observe(500)
 	}
 	if usual.votes > maxVotes {
-		t.Errorf("%d votes, at most %d are wanted", usual.votes, maxVotes)
+		t.Errorf("got %d votes, want at most %d", usual.votes, maxVotes)
 	}
 }
 
-// After a reset the next timeout is the usual one, however many votes another had.
+// After a reset the next timeout becomes the usual one, however many votes the previous one had.
 func TestResetDiscardsTheVotes(t *testing.T) {
 	var usual Estimator
 	for range maxVotes {
@@ -41,7 +41,7 @@
 	}
 	usual.Reset()
 	if !usual.Observe(500) || usual.Observe(1000) {
-		t.Errorf("after a reset and a vote for 500 the usual timeout is %v", usual.value)
+		t.Errorf("usual timeout after a reset and a vote for 500: got %v, want 500", usual.value)
 	}
 }
 
--- a/balancer/internal/endpoints/endpoints.go
+++ b/balancer/internal/endpoints/endpoints.go
@@ -1,8 +1,9 @@
-// Package endpoints holds the endpoint list, and the part of it that one replica sends to.
+// Package endpoints holds the endpoint list and the subset of it that one replica sends to.
 //
-// The ready endpoints are kept in an order that all replicas share, and cut into two groups for the pick.
-// Each replica draws from a subset of each group: deterministic subsetting (SRE book, "Load Balancing in the
-// Datacenter"). An endpoint carries the records that the mechanisms keep of it; no one but they opens them.
+// The ready endpoints are kept in an order that all replicas share and are divided into two groups, from
+// which the endpoint of an attempt is chosen. Each replica uses a subset of each group: deterministic
+// subsetting (SRE book, "Load Balancing in the Datacenter"). An endpoint carries the records of the
+// mechanisms; only the mechanism that owns a record reads and updates it.
 package endpoints
 
 import (
@@ -17,7 +18,7 @@
 	"basaltdrum/balancer/internal/unresponsive"
 )
 
-// State is what discovery says of an endpoint.
+// State is the state of an endpoint as reported by discovery.
 type State int
 
 // Endpoint states.
@@ -33,7 +34,7 @@
 	Zone      string
 	Cell      int
 	State     State
-	Capacity  float64       // against other endpoints, as listed; 0: unknown
+	Capacity  float64       // relative to the other endpoints, as listed; 0: unknown
 	StartedAt time.Duration // clock time of its last start; 0: long ago
 }
 
@@ -41,26 +42,26 @@
 type Endpoint struct {
 	Entry
 	listed   bool
-	inSubset bool // marked when the subset was made; an endpoint keeps the mark when it leaves the list
+	inSubset bool // set when the subset is built and kept when the endpoint leaves the list
 
 	Attempts   unresponsive.Record // this replica's attempts in flight
 	Latency    latency.Relative
 	Health     outlier.Record
 	Rejections rejection.Record
 	SlowStart  slowstart.Record
-	Excluded   bool // for its health, from the pick for the request at hand
+	Excluded   bool // for health reasons, from the selection for the current request
 }
 
-// isReady says that the endpoint is listed and may be sent requests.
+// isReady reports whether the endpoint is listed and may be sent requests.
 func (ep *Endpoint) isReady() bool { return ep.listed && ep.State == Ready }
 
-// InSubset says that this replica has the endpoint in its subset.
+// InSubset reports whether the endpoint is in this replica's subset.
 func (ep *Endpoint) InSubset() bool { return ep.listed && ep.inSubset }
 
-// List is the endpoint list with the groups and the subset.
+// List is the endpoint list with its groups and this replica's subset.
 type List struct {
 	placement Placement
-	byID      map[string]*Endpoint // listed, or with attempts in flight
+	byID      map[string]*Endpoint // by ID: listed, or with attempts in flight
 	ready     readySet
 	subset    subset
 }
@@ -68,7 +69,7 @@
 // NewList returns an empty list.
 func NewList() List { return List{byID: map[string]*Endpoint{}} }
 
-// Configure puts a placement in force. The subset is made anew only if it has changed.
+// Configure sets the placement. The subset is rebuilt only if the placement has changed.
 func (l *List) Configure(placement Placement) {
 	if placement != l.placement {
 		l.placement = placement
@@ -77,66 +78,66 @@
 	}
 }
 
-// ReadyCount returns how many endpoints may be sent requests.
+// ReadyCount returns the number of endpoints that may be sent requests.
 func (l *List) ReadyCount() int { return l.ready.len() }
 
-// PerReplica returns how many ready endpoints there are for each replica.
+// PerReplica returns the number of ready endpoints for each replica.
 func (l *List) PerReplica() float64 {
-	return l.placement.perReplica(l.ready.len())
+	return l.placement.endpointsPerReplica(l.ready.len())
 }
 
 // Groups returns all ready endpoints.
 func (l *List) Groups() Groups { return l.subset.all }
 
-// Subset returns the endpoints that this replica sends to first, and how many it was made for.
+// Subset returns the endpoints that this replica prefers, and the size that the subset was built for.
 func (l *List) Subset() (groups Groups, size int) { return l.subset.own, l.subset.size }
 
-// ResizeSubset makes the subset anew where its size no longer fits, and says whether it did. meanInFlight is
-// how many attempts this replica has in flight on average.
+// ResizeSubset rebuilds the subset if its size no longer fits, and reports whether it did. meanInFlight is
+// the mean number of attempts that this replica has in flight.
 func (l *List) ResizeSubset(meanInFlight float64) bool {
 	return l.subset.resize(&l.ready, &l.placement, meanInFlight)
 }
 
-// Youngest returns the ready endpoint that was started last; nil: there is none.
+// Youngest returns the ready endpoint that started last, or nil if there is none.
 func (l *List) Youngest() *Endpoint { return l.ready.youngest() }
 
-// Known iterates over the endpoints that are listed or have attempts in flight, in any order.
+// Known iterates over the endpoints that are listed or have attempts in flight, in no particular order.
 func (l *List) Known() iter.Seq[*Endpoint] { return maps.Values(l.byID) }
 
-// ApplyChanges applies the changed entries of the endpoint list, one by one.
+// ApplyChanges applies changed entries of the endpoint list in order.
 func (l *List) ApplyChanges(entries []Entry) {
 	for _, entry := range entries {
-		l.change(entry)
+		l.applyChange(entry)
 	}
-	for _, entry := range entries { // at the end, as an endpoint may be named twice
+	for _, entry := range entries { // after all changes, as an endpoint may occur twice
 		if ep := l.byID[entry.ID]; ep != nil {
 			l.RemoveIfUnused(ep)
 		}
 	}
-	l.subset.cut(l.ready.all)
+	l.subset.setGroups(l.ready.all)
 }
 
-// change applies a changed entry, and moves its endpoint in the set of ready ones where it has to.
-func (l *List) change(entry Entry) {
+// applyChange applies a changed entry, and updates the set of ready endpoints if it is affected.
+func (l *List) applyChange(entry Entry) {
 	ep := l.byID[entry.ID]
 	wasReady := ep != nil && ep.isReady()
-	stays := wasReady && ep.State == entry.State && ep.Zone == entry.Zone && ep.StartedAt == entry.StartedAt
-	if wasReady && !stays {
+	inPlace := wasReady && ep.State == entry.State && ep.Zone == entry.Zone && ep.StartedAt == entry.StartedAt
+	if wasReady && !inPlace {
 		l.ready.remove(ep)
 	}
-	ep = l.update(entry)
-	if ep.isReady() && !stays {
+	ep = l.updateEntry(entry)
+	if ep.isReady() && !inPlace {
 		l.ready.insert(ep)
 	}
 }
 
-// Replace applies a complete endpoint list: an endpoint that it does not name is removed.
+// Replace applies a complete endpoint list: endpoints that it does not contain are removed.
 func (l *List) Replace(entries []Entry) {
 	for _, ep := range l.byID {
 		ep.listed = false
 	}
 	for _, entry := range entries {
-		l.update(entry)
+		l.updateEntry(entry)
 	}
 	ready := make([]*Endpoint, 0, len(entries))
 	for _, entry := range entries {
@@ -148,11 +149,12 @@
 	for _, ep := range l.byID {
 		l.RemoveIfUnused(ep)
 	}
-	l.subset.cut(l.ready.all)
+	l.subset.setGroups(l.ready.all)
 }
 
-// update replaces an entry of the endpoint list. After a restart nothing is known of the endpoint.
-func (l *List) update(entry Entry) *Endpoint {
+// updateEntry adds or replaces an entry of the endpoint list. A restart of the endpoint discards its records,
+// except for its attempts in flight.
+func (l *List) updateEntry(entry Entry) *Endpoint {
 	ep := l.byID[entry.ID]
 	if ep == nil {
 		ep = &Endpoint{SlowStart: slowstart.NewRecord(entry.StartedAt)}
@@ -167,7 +169,7 @@
 	return ep
 }
 
-// RemoveIfUnused drops an endpoint that has left the list once no attempt at it is in flight.
+// RemoveIfUnused removes an endpoint that has left the list and has no attempt in flight.
 func (l *List) RemoveIfUnused(ep *Endpoint) {
 	if !ep.listed && ep.Attempts.InFlight() == 0 && l.byID[ep.ID] == ep {
 		delete(l.byID, ep.ID)
--- a/balancer/internal/endpoints/endpoints_test.go
+++ b/balancer/internal/endpoints/endpoints_test.go
@@ -13,15 +13,15 @@
 	"basaltdrum/balancer/internal/latency"
 )
 
-// listUpdate is a complete list or changes of it.
+// listUpdate is a complete list or a set of changes.
 type listUpdate struct {
 	complete bool
 	entries  []Entry
 }
 
-// listReference builds groups and subsets from scratch for each list, in the plain way: sort all ready
-// endpoints, divide them in two, take the own zone's endpoints and then the others', each from the replica's
-// position on.
+// listReference builds the groups and subsets of each list from scratch, by the simplest method: sort all
+// ready endpoints, divide them into two groups, and take first the endpoints of the own zone and then the
+// others, each starting at the replica's position.
 type listReference struct {
 	listed    map[string]Entry
 	placement Placement
@@ -48,8 +48,8 @@
 	return ready
 }
 
-// groups returns the ready endpoints' ids cut in two, and the subsets of a replica whose subset has this
-// size.
+// groups returns the IDs of the ready endpoints in two groups, and the parts of the groups in a subset of
+// this size.
 func (l *listReference) groups(size int) (groups, subsets [2][]string) {
 	ready := l.ready()
 	cut := int(math.Ceil(leftShare * float64(len(ready))))
@@ -82,7 +82,7 @@
 	sent     time.Duration
 }
 
-// randomListRun plays random steps at a list and compares it with the reference.
+// randomListRun applies random events to a list and compares it with the reference after each.
 type randomListRun struct {
 	*testing.T
 	rng     *rand.Rand
@@ -105,7 +105,7 @@
 	}
 }
 
-// randomEntry changes an endpoint in one way, or leaves it as it is.
+// randomEntry returns an entry that changes an endpoint in one way, or not at all.
 func (r *randomListRun) randomEntry() Entry {
 	entry := r.randomListed()
 	switch r.rng.IntN(8) {
@@ -125,7 +125,7 @@
 	return entry
 }
 
-// randomUpdate is a change of few entries, some of which name an endpoint twice, or a complete list in any
+// randomUpdate returns a few changes, which may contain an endpoint twice, or a complete list in random
 // order.
 func (r *randomListRun) randomUpdate() listUpdate {
 	update := listUpdate{complete: r.rng.IntN(12) == 0}
@@ -155,7 +155,7 @@
 	placement := r.ref.placement
 	switch r.rng.IntN(3) {
 	case 0:
-		placement.Zone = fmt.Sprint("z", r.rng.IntN(4)) // one of them has no endpoint
+		placement.Zone = fmt.Sprint("z", r.rng.IntN(4)) // the last zone has no endpoints
 	case 1:
 		placement.Index = r.rng.IntN(100)
 	case 2:
@@ -164,7 +164,7 @@
 	return placement
 }
 
-// step plays one event.
+// step applies one random event.
 func (r *randomListRun) step() {
 	r.now += time.Duration(r.rng.IntN(300)) * time.Millisecond
 	switch n := r.rng.IntN(10); {
@@ -194,7 +194,7 @@
 	}
 }
 
-// send begins an attempt at an endpoint of the subset.
+// send starts an attempt at an endpoint of the subset.
 func (r *randomListRun) send() {
 	r.list.ResizeSubset(float64(len(r.open)))
 	subset, _ := r.list.Subset()
@@ -210,7 +210,7 @@
 	want, subsets := r.ref.groups(size)
 	r.same("left group", endpointIDs(r.list.Groups().Left), want[0])
 	r.same("right group", endpointIDs(r.list.Groups().Right), want[1])
-	if size > 0 { // else the next request has the subset made anew
+	if size > 0 { // otherwise the next request rebuilds the subset
 		r.same("left part of the subset", endpointIDs(groups.Left), subsets[0])
 		r.same("right part of the subset", endpointIDs(groups.Right), subsets[1])
 		var marked []string
@@ -225,7 +225,7 @@
 	r.checkYoungest()
 }
 
-// checkKnown compares the endpoints that are known with those that are listed or have attempts in flight.
+// checkKnown compares the known endpoints with those that are listed or have attempts in flight.
 func (r *randomListRun) checkKnown() {
 	known := slices.Collect(maps.Keys(r.ref.listed))
 	for id, ep := range r.list.byID {
@@ -239,7 +239,7 @@
 	r.same("known endpoints", slices.Sorted(maps.Keys(r.list.byID)), slices.Sorted(slices.Values(known)))
 }
 
-// checkYoungest compares the start of the youngest ready endpoint.
+// checkYoungest compares the start time of the youngest ready endpoint.
 func (r *randomListRun) checkYoungest() {
 	ready, youngest := r.ref.ready(), r.list.Youngest()
 	if len(ready) == 0 || youngest == nil {
@@ -272,8 +272,8 @@
 	r.Fatalf("step %d: %s: got %v, want %v; last events: %q", len(r.history), what, got, want, last)
 }
 
-// However a list changes, groups, subsets and marks are what the plain construction makes of it.
-func TestListChangesFollowThePlainConstruction(t *testing.T) {
+// Whatever the changes to a list, its groups, subsets and marks equal those built from scratch.
+func TestChangedListEqualsRebuiltList(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			placement := Placement{Zone: "z1", ZoneCount: 3, Replicas: 9, Index: 4}
@@ -290,7 +290,7 @@
 	}
 }
 
-// After a restart only the attempts in flight to an endpoint are known; after any other change all is.
+// A restart discards all records of an endpoint but its attempts in flight; other changes keep all records.
 func TestRestartDiscardsTheRecords(t *testing.T) {
 	class := latency.NewEstimator(time.Second)
 	for _, c := range []struct {
@@ -310,10 +310,11 @@
 			ep.Attempts.StartAttempt(time.Second, &class)
 			list.ApplyChanges([]Entry{c.change})
 			if list.byID["s00"] != ep || ep.Attempts.InFlight() != 1 || ep.Entry != c.change {
-				t.Errorf("%+v with %d attempts in flight, want one", ep.Entry, ep.Attempts.InFlight())
+				t.Errorf("after the change: got %+v with %d attempts in flight, want the changed entry with 1", ep.Entry,
+					ep.Attempts.InFlight())
 			}
 			if kept := ep.Latency.Speed() != 1; kept != c.kept {
-				t.Errorf("the latency is kept: %v, want %v", kept, c.kept)
+				t.Errorf("latency kept: got %v, want %v", kept, c.kept)
 			}
 		})
 	}
--- a/balancer/internal/endpoints/helpers_test.go
+++ b/balancer/internal/endpoints/helpers_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// testEntries returns the entries of n ready endpoints of one zone.
+// testEntries returns n ready endpoints of one zone.
 func testEntries(n int) (entries []Entry) {
 	for i := range n {
 		entries = append(entries, Entry{ID: fmt.Sprintf("s%02d", i), Zone: "z", Cell: i % 2})
@@ -10,7 +10,7 @@
 	return entries
 }
 
-// zonedEntries returns the entries of n ready endpoints of two zones, each in both groups.
+// zonedEntries returns n ready endpoints of two zones, which are spread over both groups.
 func zonedEntries(n int) []Entry {
 	entries := testEntries(n)
 	for i := range entries {
@@ -19,7 +19,7 @@
 	return entries
 }
 
-// newTestList returns the list of a replica.
+// newTestList returns a list with this placement and these entries.
 func newTestList(placement Placement, entries []Entry) List {
 	list := NewList()
 	list.Configure(placement)
--- a/balancer/internal/endpoints/readyset.go
+++ b/balancer/internal/endpoints/readyset.go
@@ -6,15 +6,15 @@
 	"strings"
 )
 
-// readySet holds the ready endpoints sorted by id, an order that all replicas share. It holds the same
-// endpoints a second time, sorted as well, in two lists: those of this replica's own zone and the others.
-// A change of one endpoint costs a few binary searches and moves of pointers, however many there are.
+// readySet holds the ready endpoints sorted by ID, an order that all replicas share. It also holds them in
+// two sorted lists, one of this replica's own zone and one of the other zones. A change of one endpoint costs
+// a few binary searches and pointer moves, however many endpoints there are.
 type readySet struct {
-	all    []*Endpoint
-	byZone zoneSplit
-	zone   string      // this replica's own
-	subset []*Endpoint // those marked as in the subset
-	newest *Endpoint   // the one started last; nil: not known at present
+	all            []*Endpoint
+	byZone         zoneSplit
+	zone           string      // this replica's own zone
+	subset         []*Endpoint // endpoints marked as in the subset
+	cachedYoungest *Endpoint   // the endpoint that started last; nil: must be searched for
 }
 
 // zoneSplit is a list of endpoints in two parts: those of this replica's own zone, and the others.
@@ -24,7 +24,7 @@
 
 func (s *readySet) len() int { return len(s.all) }
 
-// list returns that part of the split that an endpoint of the zone belongs to.
+// list returns the part of the split that endpoints of the zone belong to.
 func (s *readySet) list(zone string) *[]*Endpoint {
 	if zone == s.zone {
 		return &s.byZone.own
@@ -39,30 +39,30 @@
 	if ep.inSubset {
 		s.subset = append(s.subset, ep)
 	}
-	if s.newest != nil && ep.StartedAt > s.newest.StartedAt {
-		s.newest = ep
+	if s.cachedYoungest != nil && ep.StartedAt > s.cachedYoungest.StartedAt {
+		s.cachedYoungest = ep
 	}
 }
 
-// remove takes out an endpoint that is in the set. Its id, zone and start must still be those that it was
+// remove removes an endpoint that is in the set. Its ID, zone and start time must be those that it was
 // inserted with.
 func (s *readySet) remove(ep *Endpoint) {
 	removeByID(&s.all, ep)
 	removeByID(s.list(ep.Zone), ep)
 	if ep.inSubset {
-		s.subset = slices.DeleteFunc(s.subset, func(o *Endpoint) bool { return o == ep })
+		s.subset = slices.DeleteFunc(s.subset, func(other *Endpoint) bool { return other == ep })
 	}
-	if s.newest == ep {
-		s.newest = nil
+	if s.cachedYoungest == ep {
+		s.cachedYoungest = nil
 	}
 }
 
-// replace makes the set hold these endpoints, given in any order; one may be given more than once.
+// replace sets the contents to these endpoints, which may be in any order and contain duplicates.
 func (s *readySet) replace(endpoints []*Endpoint) {
-	slices.SortFunc(endpoints, func(ep, o *Endpoint) int { return strings.Compare(ep.ID, o.ID) })
+	slices.SortFunc(endpoints, func(ep, other *Endpoint) int { return strings.Compare(ep.ID, other.ID) })
 	s.all = slices.Compact(endpoints)
 	s.splitZones()
-	s.newest, s.subset = nil, nil
+	s.cachedYoungest, s.subset = nil, nil
 	for _, ep := range s.all {
 		if ep.inSubset {
 			s.subset = append(s.subset, ep)
@@ -70,7 +70,7 @@
 	}
 }
 
-// setZone makes a zone this replica's own.
+// setZone sets this replica's own zone.
 func (s *readySet) setZone(zone string) {
 	if zone != s.zone {
 		s.zone = zone
@@ -78,7 +78,7 @@
 	}
 }
 
-// splitZones splits the endpoints by zone from scratch.
+// splitZones rebuilds the split by zone.
 func (s *readySet) splitZones() {
 	s.byZone = zoneSplit{}
 	for _, ep := range s.all {
@@ -87,19 +87,19 @@
 	}
 }
 
-// split splits the first endpoints, as many as cut says, and the rest by zone.
-func (s *readySet) split(cut int) (first, rest zoneSplit) {
-	if cut == len(s.all) {
+// split splits the first count endpoints, and the rest, by zone.
+func (s *readySet) split(count int) (first, rest zoneSplit) {
+	if count == len(s.all) {
 		return s.byZone, zoneSplit{}
 	}
-	id := s.all[cut].ID
+	id := s.all[count].ID
 	own, _ := searchByID(s.byZone.own, id)
 	others, _ := searchByID(s.byZone.others, id)
 	return zoneSplit{s.byZone.own[:own], s.byZone.others[:others]},
 		zoneSplit{s.byZone.own[own:], s.byZone.others[others:]}
 }
 
-// markSubset marks the endpoints of the subset, and no others of the set.
+// markSubset marks the endpoints of the subset, and no others.
 func (s *readySet) markSubset(subset Groups) {
 	for _, ep := range s.subset {
 		ep.inSubset = false
@@ -110,14 +110,14 @@
 	}
 }
 
-// youngest returns the endpoint that was started last, which has warmed up least; nil: there is none.
+// youngest returns the endpoint that started last, which has warmed up least, or nil if there is none.
 func (s *readySet) youngest() *Endpoint {
-	if s.newest == nil && len(s.all) > 0 {
-		s.newest = slices.MaxFunc(s.all, func(ep, o *Endpoint) int {
-			return cmp.Compare(ep.StartedAt, o.StartedAt)
+	if s.cachedYoungest == nil && len(s.all) > 0 {
+		s.cachedYoungest = slices.MaxFunc(s.all, func(ep, other *Endpoint) int {
+			return cmp.Compare(ep.StartedAt, other.StartedAt)
 		})
 	}
-	return s.newest
+	return s.cachedYoungest
 }
 
 func searchByID(list []*Endpoint, id string) (at int, found bool) {
--- a/balancer/internal/endpoints/subset_test.go
+++ b/balancer/internal/endpoints/subset_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Replicas order the endpoints alike, whatever order their lists came in.
+// Replicas order the endpoints alike, whatever the order of the entries that they receive.
 func TestReplicasOrderEndpointsAlike(t *testing.T) {
 	entries := testEntries(7)
 	complete, changed := NewList(), NewList()
@@ -15,11 +15,11 @@
 		changed.ApplyChanges([]Entry{entry})
 	}
 	if got, want := endpointIDs(changed.ready.all), endpointIDs(complete.ready.all); !slices.Equal(got, want) {
-		t.Errorf("by changes %v, by a complete list %v", got, want)
+		t.Errorf("order after single changes: got %v, want %v as after a complete list", got, want)
 	}
 }
 
-// coverage counts in how many subsets each endpoint is, of many replicas with one list.
+// coverage counts the subsets that each endpoint is in, over many replicas with the same list.
 type coverage map[string]int
 
 func (c coverage) add(groups Groups) {
@@ -28,7 +28,7 @@
 	}
 }
 
-// bounds returns the counts of the endpoints that are in the fewest and in the most subsets.
+// bounds returns the smallest and the largest count of the endpoints.
 func (c coverage) bounds(entries []Entry) (least, most int) {
 	least = c[entries[0].ID]
 	for _, entry := range entries {
@@ -37,7 +37,7 @@
 	return least, most
 }
 
-// The subsets of many replicas cover each group evenly, and a busy replica takes a larger one.
+// The subsets of many replicas cover each group evenly, and a busy replica uses a larger subset.
 func TestSubsetsCoverTheGroupsEvenly(t *testing.T) {
 	const replicas = 60
 	entries, count := testEntries(40), coverage{}
@@ -47,20 +47,20 @@
 		groups, idle := list.Subset()
 		count.add(groups)
 		if idle >= 20 {
-			t.Fatalf("an idle replica's subset has %d endpoints", idle)
+			t.Fatalf("size of an idle replica's subset: got %d, want less than 20", idle)
 		}
 		list.ResizeSubset(8)
 		if _, busy := list.Subset(); busy < 12 {
-			t.Fatalf("a busy replica's subset has %d endpoints", busy)
+			t.Fatalf("size of a busy replica's subset: got %d, want at least 12", busy)
 		}
 	}
 	if least, most := count.bounds(entries); least < 4 || most-least > 3 {
-		t.Errorf("endpoints are in %d to %d subsets", least, most)
+		t.Errorf("subsets per endpoint: got %d to %d, want at least 4 and a difference of at most 3", least, most)
 	}
 }
 
-// The subsets of a zone's replicas cover its endpoints evenly, however the replicas are numbered, and include
-// the other zone when they are larger than their own.
+// The subsets of a zone's replicas cover its endpoints evenly, however the replicas are numbered. Subsets
+// that are larger than the zone include endpoints of the other zone.
 func TestSubsetsPreferTheirZoneAndCoverItEvenly(t *testing.T) {
 	const replicas = 60
 	for _, c := range []struct {
@@ -80,24 +80,24 @@
 				count.add(groups)
 				for _, ep := range slices.Concat(groups.Left, groups.Right) {
 					if ep.Zone != placement.Zone {
-						t.Fatalf("replica %d in %s has %s of %s in a subset of %d", i, placement.Zone,
-							ep.ID, ep.Zone, size)
+						t.Fatalf("replica %d in %s has %s of %s in a subset of %d, want only its own zone", i,
+							placement.Zone, ep.ID, ep.Zone, size)
 					}
 				}
 				list.ResizeSubset(100)
 				if groups, _ := list.Subset(); len(groups.Left)+len(groups.Right) != 40 {
-					t.Fatalf("a replica's largest subset has %d and %d endpoints", len(groups.Left),
+					t.Fatalf("largest subset: got %d and %d endpoints, want 40 in total", len(groups.Left),
 						len(groups.Right))
 				}
 			}
 			if least, most := count.bounds(entries); least < 4 || most-least > 4 {
-				t.Errorf("endpoints are in %d to %d subsets", least, most)
+				t.Errorf("subsets per endpoint: got %d to %d, want at least 4 and a difference of at most 4", least, most)
 			}
 		})
 	}
 }
 
-// A subset is made anew when it is too small, or much too large, or when the placement has changed.
+// A subset is rebuilt if it is too small or much too large, or if the placement has changed.
 func TestSubsetIsResizedRarely(t *testing.T) {
 	placement := Placement{Replicas: 20}
 	list := newTestList(placement, testEntries(40))
@@ -118,7 +118,7 @@
 		placement.Index = step.index
 		list.Configure(placement)
 		if got := list.ResizeSubset(step.meanInFlight); got != step.want {
-			t.Errorf("%s: made anew %v, want %v", step.name, got, step.want)
+			t.Errorf("%s: rebuilt: got %v, want %v", step.name, got, step.want)
 		}
 	}
 }
--- a/balancer/internal/latency/latency_test.go
+++ b/balancer/internal/latency/latency_test.go
@@ -12,7 +12,7 @@
 	usual     = float64(40 * time.Millisecond)
 )
 
-// observeAll records a number of equal latencies.
+// observeAll records the same latency a number of times, and returns the result of the last Observe.
 func observeAll(e *Estimator, latency float64, samples int) (reliable bool) {
 	for range samples {
 		reliable = e.Observe(latency)
@@ -29,53 +29,53 @@
 	}{
 		{"no sample: a quarter of the objective", 0, false, float64(objective) / 4, float64(objective) / 4},
 		{"the first sample replaces the guess", 1, false, usual, usual},
-		{"seven samples are too few", baseSamples - 1, false, usual, usual},
-		{"eight samples are enough", baseSamples, true, usual, usual},
+		{"seven samples are too few", minSamples - 1, false, usual, usual},
+		{"eight samples are enough", minSamples, true, usual, usual},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := NewEstimator(objective)
 			if got := observeAll(&e, usual, c.samples); got != c.reliable {
-				t.Errorf("reliable %v, want %v", got, c.reliable)
+				t.Errorf("enough samples: got %v, want %v", got, c.reliable)
 			}
 			if got := e.Mean(); got < c.leastMean || got > c.mostMean {
-				t.Errorf("mean %v, want %v to %v", got, c.leastMean, c.mostMean)
+				t.Errorf("mean: got %v, want %v to %v", got, c.leastMean, c.mostMean)
 			}
 		})
 	}
 }
 
-// The deviation shrinks with equal samples, and a latency is slow from three deviations above the mean.
+// A latency is typical up to two deviations above the mean, and slow above three.
 func TestSlowIsThreeDeviationsAboveTheMean(t *testing.T) {
 	e := Estimator{mean: usual, deviation: usual / 4, samples: 100}
 	if got, want := e.SlowThreshold(), time.Duration(usual*1.75); got != want {
-		t.Errorf("slow from %v, want %v", got, want)
+		t.Errorf("slow threshold: got %v, want %v", got, want)
 	}
 	if got, want := e.TypicalMax(), time.Duration(usual*1.5); got != want {
-		t.Errorf("usual up to %v, want %v", got, want)
+		t.Errorf("typical maximum: got %v, want %v", got, want)
 	}
 	for latency, want := range map[float64]bool{usual: false, usual * 1.75: false, usual * 1.76: true} {
 		if got := e.IsSlow(latency); got != want {
-			t.Errorf("a latency of %v is slow: %v, want %v", latency, got, want)
+			t.Errorf("IsSlow(%v): got %v, want %v", latency, got, want)
 		}
 	}
 }
 
-// Base latency falls fast when the mean falls, and rises slowly when load slows answers down.
+// The base latency follows a falling mean quickly, and a mean that rises under load slowly.
 func TestBaseFollowsTheLowestLoad(t *testing.T) {
 	for _, c := range []struct {
 		name                string
 		latency             float64
 		leastBase, mostBase float64
 	}{
-		{"answers slow down", 4 * usual, usual, 1.2 * usual},
-		{"answers get faster", usual / 4, usual / 4, usual / 2},
+		{"responses slow down", 4 * usual, usual, 1.2 * usual},
+		{"responses get faster", usual / 4, usual / 4, usual / 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := NewEstimator(objective)
 			observeAll(&e, usual, 100)
 			observeAll(&e, c.latency, 100)
 			if got := e.Base(); got < c.leastBase || got > c.mostBase {
-				t.Errorf("base %v, want %v to %v", got, c.leastBase, c.mostBase)
+				t.Errorf("base latency: got %v, want %v to %v", got, c.leastBase, c.mostBase)
 			}
 		})
 	}
@@ -101,7 +101,7 @@
 				r.Observe(c.ratio)
 			}
 			if got := r.Speed(); math.Abs(got-c.want) > 0.001 {
-				t.Errorf("speed %v, want %v", got, c.want)
+				t.Errorf("speed: got %v, want %v", got, c.want)
 			}
 		})
 	}
--- a/balancer/internal/outlier/outlier.go
+++ b/balancer/internal/outlier/outlier.go
@@ -1,8 +1,9 @@
-// Package outlier detects endpoints that fail more than the others, as in Envoy's outlier detection.
+// Package outlier detects endpoints that fail more often than the others, like Envoy's outlier detection.
 //
-// It has two parts. Consecutive failures eject an endpoint for a while that doubles each time, and trials by
-// single requests follow (Envoy's consecutive errors and base ejection time). The success rate of an endpoint
-// against that of all endpoints lowers the share of requests that it is eligible for (Envoy's success rate).
+// It has two parts. A run of consecutive failures ejects an endpoint for a time that doubles with each
+// ejection. After it, single requests probe the endpoint (Envoy's consecutive errors and base ejection time).
+// The success rate of an endpoint, compared with that of all endpoints, lowers the share of requests that the
+// endpoint may receive (Envoy's success rate).
 package outlier
 
 import (
@@ -13,67 +14,67 @@
 
 // Constants of ejection.
 const (
-	badShareWeight    = 0.06 // weight of a new result in the share of bad results (about 16 results)
-	luckProbability   = 0.08 // probability from which a run of failures counts as chance
-	baseEjection      = 12   // mean latencies that a first ejection lasts
-	maxEjectionLevel  = 5    // doublings of an ejection
-	recoverySuccesses = 3    // consecutive successes that take one doubling back
-	firstBadShare     = 0.02 // share of bad results that is assumed at first
-	minBadShare       = 0.01 // and the least that is ever assumed
+	failureShareWeight   = 0.06 // weight of a new result in the share of failures (about 16 results)
+	minChanceProbability = 0.08 // probability from which a run of failures is taken for chance
+	baseEjection         = 12   // length of a first ejection, in mean latencies
+	maxEjectionDoublings = 5    // limit on the doublings of the length
+	recoverySuccesses    = 3    // consecutive successes that undo one doubling
+	initialFailureShare  = 0.02 // share of failures assumed initially
+	minFailureShare      = 0.01 // smallest share of failures assumed
 )
 
-// Detector is what is known of all endpoints together.
+// Detector holds the state shared by all endpoints.
 type Detector struct {
-	badShare float64 // share of bad results, slow answers among them, of all attempts: a moving average
+	failureShare float64 // moving average over all attempts; slow responses count as failures
 }
 
-// NewDetector returns a Detector that has seen no result.
-func NewDetector() Detector { return Detector{badShare: firstBadShare} }
+// NewDetector returns a Detector without observations.
+func NewDetector() Detector { return Detector{failureShare: initialFailureShare} }
 
-// ObserveSuccess records a good result of an endpoint.
+// ObserveSuccess records a successful attempt at an endpoint.
 func (d *Detector) ObserveSuccess(r *Record) {
 	r.success()
-	d.badShare = max(minBadShare, d.badShare-badShareWeight*d.badShare)
+	d.failureShare = max(minFailureShare, d.failureShare-failureShareWeight*d.failureShare)
 }
 
-// ObserveFailure records a bad result of an endpoint, a slow answer included, and ejects the endpoint when a
-// run of them is no chance. meanLatency is that of the request's class, in nanoseconds.
+// ObserveFailure records a failed attempt or a slow response, and ejects the endpoint if a run of them is
+// unlikely to be chance. meanLatency is the mean latency of the request's class, in nanoseconds.
 func (d *Detector) ObserveFailure(r *Record, now time.Duration, meanLatency float64) {
 	r.failure()
-	if d.unlikely(r.consecutiveFailures) {
+	if d.isUnlikelyByChance(r.consecutiveFailures) {
 		r.eject(now, time.Duration(baseEjection*meanLatency))
 	}
-	d.badShare += badShareWeight * (1 - d.badShare)
+	d.failureShare += failureShareWeight * (1 - d.failureShare)
 }
 
-// unlikely says that so many consecutive failures of one endpoint are no chance. A fault that strikes
-// everywhere comes from the tier below or from the load; ejecting for it would leave no endpoint. So a run
-// counts only if the share of bad results of all endpoints makes it unlikely.
-func (d *Detector) unlikely(consecutive int) bool {
-	return math.Pow(d.badShare, float64(consecutive)) < luckProbability
+// isUnlikelyByChance reports whether a run of consecutive failures of one endpoint is unlikely to be chance,
+// given the share of failures of all endpoints. A fault that affects all of them comes from the tier below or
+// from the load, and ejections for it would leave no endpoint.
+func (d *Detector) isUnlikelyByChance(consecutive int) bool {
+	return math.Pow(d.failureShare, float64(consecutive)) < minChanceProbability
 }
 
-// Record is what an endpoint's recent results say of its health.
+// Record holds the recent results of an endpoint.
 type Record struct {
 	consecutiveFailures  int
 	consecutiveSuccesses int
-	level                int // doublings of the next ejection
-	until                time.Duration
+	doublings            int // of the length of the next ejection
+	ejectedUntil         time.Duration
 	failures             failureRates
 }
 
-// IsEjected says that the endpoint is ejected now.
-func (r *Record) IsEjected(now time.Duration) bool { return now < r.until }
+// IsEjected reports whether the endpoint is currently ejected.
+func (r *Record) IsEjected(now time.Duration) bool { return now < r.ejectedUntil }
 
-// OnTrial says that the endpoint was ejected and has had no success since.
-func (r *Record) OnTrial() bool { return r.level > 0 && r.consecutiveSuccesses == 0 }
+// OnTrial reports whether the endpoint has been ejected and has had no success since.
+func (r *Record) OnTrial() bool { return r.doublings > 0 && r.consecutiveSuccesses == 0 }
 
 // CompareFailures orders records by their consecutive failures, the most first.
 func (r *Record) CompareFailures(other *Record) int {
 	return other.consecutiveFailures - r.consecutiveFailures
 }
 
-// UpdateFailureRates records that an attempt at the endpoint failed or did not, for the success rates.
+// UpdateFailureRates records in the failure rates of the classes whether an attempt at the endpoint failed.
 func (r *Record) UpdateFailureRates(classes ClassRates, failed bool, now time.Duration, meanLatency float64) {
 	if r.failures == nil {
 		r.failures = failureRates{}
@@ -87,15 +88,15 @@
 	return r.failures.eligibility(classes, now, meanLatency)
 }
 
-// RetainClasses discards the failure rates of the classes that are not known any more.
+// RetainClasses discards the failure rates of all classes that are not known.
 func (r *Record) RetainClasses(known func(*ClassRate) bool) {
 	maps.DeleteFunc(r.failures, func(class *ClassRate, _ failureRate) bool { return !known(class) })
 }
 
 func (r *Record) success() {
 	r.consecutiveFailures = 0
-	if r.consecutiveSuccesses++; r.consecutiveSuccesses >= recoverySuccesses && r.level > 0 {
-		r.level, r.consecutiveSuccesses = r.level-1, 1
+	if r.consecutiveSuccesses++; r.consecutiveSuccesses >= recoverySuccesses && r.doublings > 0 {
+		r.doublings, r.consecutiveSuccesses = r.doublings-1, 1
 	}
 }
 
@@ -104,10 +105,10 @@
 	r.consecutiveSuccesses = 0
 }
 
-// eject begins an ejection, unless one is in force. Its length doubles while the trials after it fail.
+// eject starts an ejection unless one is in force. Each ejection is twice as long as the last, up to a limit.
 func (r *Record) eject(now, base time.Duration) {
-	if now >= r.until {
-		r.until = now + base<<r.level
-		r.level = min(r.level+1, maxEjectionLevel)
+	if now >= r.ejectedUntil {
+		r.ejectedUntil = now + base<<r.doublings
+		r.doublings = min(r.doublings+1, maxEjectionDoublings)
 	}
 }
--- a/balancer/internal/outlier/outlier_test.go
+++ b/balancer/internal/outlier/outlier_test.go
@@ -11,25 +11,25 @@
 
 const firstEjection = baseEjection * 10 * time.Millisecond
 
-// fail records bad results of one endpoint at one time.
+// fail records a number of failures of one endpoint at the same time.
 func fail(d *Detector, r *Record, now time.Duration, results int) {
 	for range results {
 		d.ObserveFailure(r, now, meanLatency)
 	}
 }
 
-// succeed records good results of one endpoint.
+// succeed records a number of successes of one endpoint.
 func succeed(d *Detector, r *Record, results int) {
 	for range results {
 		d.ObserveSuccess(r)
 	}
 }
 
-// A run of failures ejects an endpoint unless failures are common among all endpoints.
-func TestRunOfFailuresEjectsUnlessItIsChance(t *testing.T) {
+// A run of failures ejects an endpoint unless failures are common at all endpoints.
+func TestRunOfFailuresEjectsUnlessFailuresAreCommon(t *testing.T) {
 	for _, c := range []struct {
 		name          string
-		otherFailures int // of other endpoints, just before
+		otherFailures int // failures of other endpoints, just before
 		run           int
 		want          bool
 	}{
@@ -46,24 +46,24 @@
 			var record Record
 			fail(&detector, &record, 0, c.run)
 			if got := record.IsEjected(0); got != c.want {
-				t.Errorf("ejected %v, want %v", got, c.want)
+				t.Errorf("ejected: got %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// An ejection doubles with each failed trial, up to a bound, and successes take the doublings back.
+// The length of an ejection doubles with each failed trial, up to a limit, and successes undo the doublings.
 func TestEjectionDoublesWithEachFailedTrial(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		ejections int // before
-		successes int // after them
+		ejections int // earlier ejections
+		successes int // successes after them
 		want      time.Duration
 	}{
 		{"the first", 0, 0, firstEjection},
 		{"the second", 1, 0, 2 * firstEjection},
 		{"the third", 2, 0, 4 * firstEjection},
-		{"the tenth", 9, 0, firstEjection << maxEjectionLevel},
+		{"the tenth", 9, 0, firstEjection << maxEjectionDoublings},
 		{"two successes take nothing back", 1, recoverySuccesses - 1, 2 * firstEjection},
 		{"three successes take one doubling back", 1, recoverySuccesses, firstEjection},
 		{"five successes take two doublings back", 2, recoverySuccesses + 2, firstEjection},
@@ -73,14 +73,14 @@
 			var record Record
 			now := time.Duration(0)
 			for range c.ejections {
-				fresh := NewDetector() // one failure is enough for it
+				fresh := NewDetector() // ejects on a single failure
 				fail(&fresh, &record, now, 1)
-				now = record.until
+				now = record.ejectedUntil
 			}
 			succeed(&detector, &record, c.successes)
 			fail(&detector, &record, now, 1)
 			if !record.IsEjected(now+c.want-1) || record.IsEjected(now+c.want) {
-				t.Errorf("ejected for %v, want %v", record.until-now, c.want)
+				t.Errorf("length of the ejection: got %v, want %v", record.ejectedUntil-now, c.want)
 			}
 		})
 	}
@@ -91,31 +91,31 @@
 	detector := NewDetector()
 	var record Record
 	if record.OnTrial() {
-		t.Error("a new endpoint is on trial")
+		t.Error("a new endpoint is on trial, want it not to be")
 	}
 	fail(&detector, &record, 0, 1)
 	if !record.OnTrial() {
-		t.Error("an ejected endpoint is not on trial")
+		t.Error("an ejected endpoint is not on trial, want it to be")
 	}
 	if succeed(&detector, &record, 1); record.OnTrial() {
-		t.Error("an endpoint with a success is on trial")
+		t.Error("an endpoint is on trial after a success, want it not to be")
 	}
 }
 
-func TestCompareWorstPutsTheLongestRunFirst(t *testing.T) {
+func TestCompareFailuresPutsTheLongestRunFirst(t *testing.T) {
 	worse, better := Record{consecutiveFailures: 3}, Record{consecutiveFailures: 1}
 	if worse.CompareFailures(&better) >= 0 || better.CompareFailures(&worse) <= 0 ||
 		worse.CompareFailures(&worse) != 0 {
-		t.Error("records are not ordered by their runs of failures")
+		t.Error("records are not ordered by consecutive failures, want the most first")
 	}
 }
 
-// An endpoint is eligible in full as long as its success rate is near that of all endpoints.
+// An endpoint is fully eligible as long as its success rate is close to that of all endpoints.
 func TestEligibilityFollowsTheSuccessRate(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		here        int // failures at the endpoint, after as many successes at another
-		elsewhere   int // failures at another endpoint
+		here        int // failures of the endpoint, each followed by successes of another one
+		elsewhere   int // failures of another endpoint
 		after       time.Duration
 		least, most float64
 	}{
@@ -132,7 +132,7 @@
 			var endpoint, other Record
 			for i := range c.here {
 				endpoint.UpdateFailureRates(classes, true, 0, meanLatency)
-				for range 20 { // other endpoints serve meanwhile
+				for range 20 { // meanwhile, another endpoint serves requests
 					other.UpdateFailureRates(classes, c.elsewhere > i, 0, meanLatency)
 				}
 			}
@@ -140,13 +140,14 @@
 				other.UpdateFailureRates(classes, true, 0, meanLatency)
 			}
 			if got := endpoint.Eligibility(classes, c.after, meanLatency); got < c.least || got > c.most {
-				t.Errorf("eligible with %.3f, want %v to %v", got, c.least, c.most)
+				t.Errorf("eligibility: got %.3f, want %v to %v", got, c.least, c.most)
 			}
 		})
 	}
 }
 
-// An endpoint that fails one class alone is an outlier for it, though most of its results are good.
+// An endpoint that fails requests of one class only is an outlier for that class, although it succeeds
+// mostly.
 func TestFailuresOfOneClassCountForIt(t *testing.T) {
 	var reads, writes, total ClassRate
 	var endpoint Record
@@ -161,30 +162,30 @@
 		}
 	}
 	if got := endpoint.Eligibility(ClassRates{&writes, &total}, 0, meanLatency); got > 0.1 {
-		t.Errorf("eligible for the failing class with %.3f", got)
+		t.Errorf("eligibility for the failing class: got %.3f, want at most 0.1", got)
 	}
 	if got := endpoint.Eligibility(ClassRates{&reads, &total}, 0, meanLatency); got < 1 {
-		t.Errorf("eligible for the other class with %.3f", got)
+		t.Errorf("eligibility for the other class: got %.3f, want 1", got)
 	}
 }
 
-func TestForgetDiscardsRatesOfUnknownClasses(t *testing.T) {
+func TestRetainClassesDiscardsRatesOfUnknownClasses(t *testing.T) {
 	var known, removed, total ClassRate
 	var endpoint Record
 	endpoint.UpdateFailureRates(ClassRates{&known, &total}, true, 0, meanLatency)
 	endpoint.UpdateFailureRates(ClassRates{&removed, &total}, true, 0, meanLatency)
 	endpoint.RetainClasses(func(class *ClassRate) bool { return class != &removed })
 	if _, found := endpoint.failures[&removed]; found || len(endpoint.failures) != 2 {
-		t.Errorf("%d rates are left, want those of the known class and of all", len(endpoint.failures))
+		t.Errorf("got %d failure rates, want 2: of the known class and of all classes", len(endpoint.failures))
 	}
 }
 
-// A rate falls to a third in its decay time.
+// A failure rate falls by a factor of e within its decay time.
 func TestRateDecaysWithTime(t *testing.T) {
-	rate := failureRate{share: 0.9, at: time.Second}
-	now := time.Second + time.Duration(failureDecay*meanLatency)
-	if got, want := rate.after(now, meanLatency), 0.9/math.E; math.Abs(got-want) > 1e-9 {
-		t.Errorf("%v counts after the decay time, want %v", got, want)
+	rate := failureRate{share: 0.9, updatedAt: time.Second}
+	now := time.Second + time.Duration(failureDecayLatencies*meanLatency)
+	if got, want := rate.decayed(now, meanLatency), 0.9/math.E; math.Abs(got-want) > 1e-9 {
+		t.Errorf("rate after the decay time: got %v, want %v", got, want)
 	}
 }
 
--- a/balancer/internal/outlier/successrate.go
+++ b/balancer/internal/outlier/successrate.go
@@ -7,65 +7,68 @@
 
 // Constants of the success rate.
 const (
-	classRateWeight = 0.06 // weight of a new result in the failure rate of a class (about 16 results)
-	failureWeight   = 0.15 // weight of a new result in an endpoint's failure rate for a class
-	failureDecay    = 36   // mean latencies in which a failure rate falls to a third without new results
-	failureMargin   = 0.8  // ratio of success rates down to which an endpoint is no outlier
-	failurePower    = 3.0  // power of that ratio, below the margin, that an endpoint is eligible with
+	classRateWeight       = 0.06 // weight of a new result in the failure rate of a class (about 16 results)
+	failureWeight         = 0.15 // weight of a new result in an endpoint's failure rate for a class
+	failureDecayLatencies = 36   // mean latencies in which a rate falls by a factor of e without new results
+	minSuccessRatio       = 0.8  // ratio of success rates from which an endpoint is not an outlier
+	eligibilityExponent   = 3.0  // exponent applied to that ratio, below the minimum, for the eligibility
 )
 
-// ClassRate is the share of the attempts of one class that fail, over all endpoints. Its address is the key
-// of the endpoints' rates for the class.
+// ClassRate is the failure rate of a class over all endpoints. Its address identifies the class in the
+// failure rates of the endpoints.
 type ClassRate struct{ share float64 }
 
 // Share returns the share of attempts that fail.
 func (c *ClassRate) Share() float64 { return c.share }
 
-// ClassRates are the rates that a result counts for: that of the request's class, and that of all classes.
+// ClassRates holds the rates that a result counts in: the rate of the request's class, and that of all
+// classes.
 type ClassRates [2]*ClassRate
 
-// failureRate is a share of attempts that failed. It is the less certain the longer ago it was observed.
+// failureRate is a share of failed attempts. Its significance decays with its age.
 type failureRate struct {
-	share float64
-	at    time.Duration
+	share     float64
+	updatedAt time.Duration
 }
 
-// after returns how much of the rate counts now, when answers take meanLatency nanoseconds.
-func (f failureRate) after(now time.Duration, meanLatency float64) float64 {
-	return f.share * math.Exp(-float64(now-f.at)/(failureDecay*meanLatency))
+// decayed returns the rate after its decay until now. meanLatency is in nanoseconds.
+func (f failureRate) decayed(now time.Duration, meanLatency float64) float64 {
+	return f.share * math.Exp(-float64(now-f.updatedAt)/(failureDecayLatencies*meanLatency))
 }
 
-// failureRates are an endpoint's failure rates, for each class that was sent to it and for all together.
+// failureRates holds the failure rates of an endpoint, for each class sent to it and for all classes
+// together.
 type failureRates map[*ClassRate]failureRate
 
-// observe records that an attempt at the endpoint failed or did not.
+// observe records whether an attempt at the endpoint failed.
 func (f failureRates) observe(classes ClassRates, failed bool, now time.Duration, meanLatency float64) {
 	result := 0.0
 	if failed {
 		result = 1
 	}
 	for _, class := range classes {
-		share := f[class].after(now, meanLatency)
+		share := f[class].decayed(now, meanLatency)
 		f[class] = failureRate{share + failureWeight*(result-share), now}
 		class.share += classRateWeight * (result - class.share)
 	}
 }
 
 // eligibility returns the probability with which the endpoint may be sent a request of the class now, by its
-// success rate against that of all endpoints. One that fails at once, in part or in one class only, has few
-// requests in flight and wins the pick, and its successes end each run of failures; one that lets most
-// attempts time out keeps its part of the concurrency limit. Where all fail alike none is an outlier, so this
-// exclusion needs no cap. It hurts where a few failures by chance are all that is known.
+// success rate relative to that of all endpoints. The other mechanisms miss such endpoints: one that fails
+// fast, for some requests or one class only, has few attempts in flight and so attracts requests, while its
+// successes end each run of failures; one that lets most attempts time out keeps its part of the concurrency
+// limit. If all endpoints fail alike, none is an outlier, so this exclusion needs no cap. It is a
+// disadvantage if all that is known of an endpoint is a few chance failures.
 func (f failureRates) eligibility(classes ClassRates, now time.Duration, meanLatency float64) float64 {
-	if len(f) == 0 { // no result is known, as for most endpoints of a long list
+	if len(f) == 0 { // no results yet, as for most endpoints of a long list
 		return 1
 	}
 	ratio := 1.0
 	for _, class := range classes {
-		ratio = min(ratio, (1-f[class].after(now, meanLatency))/(1-class.share))
+		ratio = min(ratio, (1-f[class].decayed(now, meanLatency))/(1-class.share))
 	}
-	if ratio < failureMargin {
-		return math.Pow(ratio/failureMargin, failurePower)
+	if ratio < minSuccessRatio {
+		return math.Pow(ratio/minSuccessRatio, eligibilityExponent)
 	}
 	return 1
 }
--- a/balancer/internal/rejection/rejection.go
+++ b/balancer/internal/rejection/rejection.go
@@ -1,8 +1,9 @@
-// Package rejection limits what is sent to an endpoint that has rejected a request.
+// Package rejection limits the requests in flight to an endpoint that has rejected a request.
 //
-// An endpoint that rejects a request has shown its capacity, and is sent no more than that until a randomized
-// exponential backoff is over. Its queue is full, or its connections are, which other replicas hold idle;
-// rejections come at once and keep its count in flight low, so a pick by that count would favour it.
+// A rejection shows the capacity of an endpoint: it is sent no more than that until a randomized exponential
+// backoff is over. Its queue is full, or other replicas hold all its connections, if only idle ones. As
+// rejections return at once, the endpoint has few requests in flight, and a choice by that number would favor
+// it.
 package rejection
 
 import (
@@ -12,33 +13,33 @@
 
 // Constants of the backoff.
 const (
-	baseWait     = 12 // mean latencies that the first wait lasts, on average
-	maxDoublings = 5  // of the wait
+	baseBackoff  = 12 // mean length of the first backoff, in mean latencies of the class
+	maxDoublings = 5  // limit on the doublings of the backoff
 	minJitter    = 0.5
 )
 
-// Record is what an endpoint's rejections say of its capacity.
+// Record holds the capacity of an endpoint as shown by its rejections.
 type Record struct {
-	limit       int           // requests in flight to it when it rejected one more
-	until       time.Duration // how long that limit is in force
-	consecutive int
+	limit        int           // requests in flight when the endpoint rejected one more
+	limitedUntil time.Duration // end of the backoff, until which limit applies
+	consecutive  int
 }
 
-// Observe records a rejection while so many requests were in flight to the endpoint. meanLatency is in
-// nanoseconds; jitter, from 0 up to 1, is drawn by the caller.
+// Observe records a rejection by an endpoint with inFlight other requests in flight. meanLatency is in
+// nanoseconds; jitter is a random number in [0, 1).
 func (r *Record) Observe(now time.Duration, meanLatency, jitter float64, inFlight int) {
-	wait := time.Duration((minJitter + jitter) * baseWait * meanLatency)
+	wait := time.Duration((minJitter + jitter) * baseBackoff * meanLatency)
 	r.limit = inFlight
-	r.until = now + wait<<r.consecutive
+	r.limitedUntil = now + wait<<r.consecutive
 	r.consecutive = min(r.consecutive+1, maxDoublings)
 }
 
-// ObserveSuccess records that the endpoint has served a request: the next backoff starts at its first value.
+// ObserveSuccess records a success of the endpoint, which resets the length of the next backoff.
 func (r *Record) ObserveSuccess() { r.consecutive = 0 }
 
-// Limit returns the count of requests in flight from which the endpoint is passed over.
+// Limit returns the number of requests in flight at which the endpoint is skipped.
 func (r *Record) Limit(now time.Duration) int {
-	if now < r.until {
+	if now < r.limitedUntil {
 		return r.limit
 	}
 	return math.MaxInt
--- a/balancer/internal/rejection/rejection_test.go
+++ b/balancer/internal/rejection/rejection_test.go
@@ -9,12 +9,12 @@
 
 const meanLatency = float64(10 * time.Millisecond)
 
-// The wait doubles with each rejection in a row, up to a bound, and begins anew after a success.
-func TestLimitIsInForceForADoublingWait(t *testing.T) {
+// The backoff doubles with each consecutive rejection, up to a limit, and starts again after a success.
+func TestLimitAppliesForADoublingBackoff(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		rejections int
-		success    bool // before the last rejection
+		success    bool // just before the last rejection
 		jitter     float64
 		want       time.Duration
 	}{
@@ -35,10 +35,10 @@
 				record.Observe(now, meanLatency, c.jitter, inFlight)
 			}
 			if got := record.Limit(now + c.want - 1); got != inFlight {
-				t.Errorf("just before the end of the wait the limit is %d, want %d", got, inFlight)
+				t.Errorf("limit just before the end of the backoff: got %d, want %d", got, inFlight)
 			}
 			if got := record.Limit(now + c.want); got != math.MaxInt {
-				t.Errorf("after the wait the limit is %d, want none", got)
+				t.Errorf("limit after the backoff: got %d, want none", got)
 			}
 		})
 	}
--- a/balancer/internal/retrybudget/retrybudget_test.go
+++ b/balancer/internal/retrybudget/retrybudget_test.go
@@ -9,15 +9,15 @@
 	for _, c := range []struct {
 		name      string
 		successes int
-		spent     float64 // in retries of full cost, before the successes
-		affords   float64
+		spent     float64 // cost withdrawn before the successes
+		allows    float64
 		refuses   float64
 	}{
-		{"a new budget pays for half of the most", 0, 0, maxTokens / 2, maxTokens/2 + 0.01},
-		{"an empty budget pays for no retry", 0, maxTokens / 2, NotSentCost, NeverRanCost},
-		{"one success pays for a retry of what never ran", 1, maxTokens / 2, NeverRanCost, FullCost},
-		{"seven successes pay for a full retry", 7, maxTokens / 2, FullCost, 2 * FullCost},
-		{"savings are bounded", 1000, 0, maxTokens, maxTokens + 0.01},
+		{"a new budget is half full", 0, 0, maxTokens / 2, maxTokens/2 + 0.01},
+		{"an empty budget allows only free retries", 0, maxTokens / 2, NotSentCost, NeverRanCost},
+		{"one success allows a retry of an attempt that did not run", 1, maxTokens / 2, NeverRanCost, FullCost},
+		{"seven successes allow a retry at full cost", 7, maxTokens / 2, FullCost, 2 * FullCost},
+		{"the capacity limits the budget", 1000, 0, maxTokens, maxTokens + 0.01},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			budget := New()
@@ -25,11 +25,11 @@
 			for range c.successes {
 				budget.Deposit()
 			}
-			if !budget.CanWithdraw(c.affords) {
-				t.Errorf("%v tokens do not pay for %v", budget.tokens, c.affords)
+			if !budget.CanWithdraw(c.allows) {
+				t.Errorf("a budget of %v tokens refuses a cost of %v, want it to be allowed", budget.tokens, c.allows)
 			}
 			if budget.CanWithdraw(c.refuses) {
-				t.Errorf("%v tokens pay for %v", budget.tokens, c.refuses)
+				t.Errorf("a budget of %v tokens allows a cost of %v, want it to be refused", budget.tokens, c.refuses)
 			}
 		})
 	}
@@ -38,7 +38,7 @@
 func Example() {
 	budget := New()
 	retries := 0
-	for range 100 { // failures without a single success
+	for range 100 { // failures only
 		if budget.CanWithdraw(FullCost) {
 			budget.Withdraw(FullCost)
 			retries++
--- a/balancer/internal/slowstart/arrivals.go
+++ b/balancer/internal/slowstart/arrivals.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// averageWeight is the least weight of a new sample in averages (about 16 samples).
+// averageWeight is the minimum weight of a new sample in averages (about 16 samples).
 const averageWeight = 0.06
 
-// arrivalInterval is the time between requests: an exponentially weighted average.
-type arrivalInterval struct{ mean, last time.Duration }
+// arrivalInterval is the time between requests, an exponentially weighted moving average.
+type arrivalInterval struct{ mean, lastArrival time.Duration }
 
-// observe records that a request arrived. An interval counts as longest at most.
+// observe records the arrival of a request. Longer intervals than longest count as longest.
 func (a *arrivalInterval) observe(now, longest time.Duration) {
-	interval := min(now-a.last, longest)
+	interval := min(now-a.lastArrival, longest)
 	a.mean += time.Duration(averageWeight * float64(interval-a.mean))
-	a.last = now
+	a.lastArrival = now
 }
 
-// workEstimate is the mean of the work that clients expect of their requests, in ns.
+// workEstimate is the mean work that clients expect of their requests, in nanoseconds.
 type workEstimate struct {
 	mean  float64
-	hints float64 // how many requests had one
+	hints float64 // number of requests with a hint
 }
 
 func (w *workEstimate) observe(work float64) {
--- a/balancer/internal/slowstart/capacity.go
+++ b/balancer/internal/slowstart/capacity.go
@@ -5,38 +5,40 @@
 	"time"
 )
 
-// peakMemory is how many times as long as the current rate of answers the best one is remembered.
-const peakMemory = 8.0
+// peakMemoryRatio is the ratio of the decay time of the peak rate to that of the current rate.
+const peakMemoryRatio = 8.0
 
-// capacityEstimate is how many good answers a second endpoints give to this replica, for each unit of their
-// capacity share. Each replica's estimate is its own part of what the endpoints answer to all replicas, so
-// limits derived from it add up over the fleet, though no replica knows the others' traffic.
+// capacityEstimate estimates the successful responses per second that this replica gets from the endpoints,
+// per unit of their capacity share. The estimate of each replica is its own part of the responses to all
+// replicas, so limits derived from it add up over the fleet, although no replica knows the traffic of the
+// others.
 type capacityEstimate struct {
-	answers float64 // decayed; each counts one over the capacity share of those that may have given it
-	seconds float64 // in which such an answer may have come, decayed alike
-	peak    float64 // answers a second at the best time, decayed more slowly
-	at      time.Duration
+	responses       float64 // decayed; each counts 1 / capacity of the endpoints that may have sent it
+	observedSeconds float64 // time in which such responses could arrive, in seconds, with the same decay
+	peak            float64 // highest rate, in responses per second, with a slower decay
+	updatedAt       time.Duration
 }
 
-// rate returns the answers a second at the best recent time, once a window of seconds or more was observed:
-// endpoints that are overloaded while others warm up slow down, and answer less than they could.
+// rate returns the highest recent rate in responses per second, computed over at least a window of this many
+// seconds. The highest one counts because endpoints that are overloaded while others warm up slow down, and
+// respond less often than they could.
 func (c *capacityEstimate) rate(window float64) float64 {
-	c.peak = max(c.peak, c.answers/max(c.seconds, window))
+	c.peak = max(c.peak, c.responses/max(c.observedSeconds, window))
 	return c.peak
 }
 
-// observe decays the estimate up to now, over a time in seconds. An answer, if one has come, was given by one
-// of the endpoints of the subset whose capacity shares sum up to capacity.
-func (c *capacityEstimate) observe(now time.Duration, over, capacity float64, answered bool) {
-	if capacity > 0 && c.at > 0 {
-		elapsed := (now - c.at).Seconds()
-		keep := math.Exp(-elapsed / over)
-		c.peak *= math.Exp(-elapsed / (peakMemory * over))
-		c.answers *= keep
-		c.seconds = c.seconds*keep + over*(1-keep)
+// observe applies the decay until now. memory is the decay time in seconds. If responded is set, one of the
+// endpoints of the subset, whose capacity shares add up to capacity, has sent a response.
+func (c *capacityEstimate) observe(now time.Duration, memory, capacity float64, responded bool) {
+	if capacity > 0 && c.updatedAt > 0 {
+		elapsed := (now - c.updatedAt).Seconds()
+		decay := math.Exp(-elapsed / memory)
+		c.peak *= math.Exp(-elapsed / (peakMemoryRatio * memory))
+		c.responses *= decay
+		c.observedSeconds = c.observedSeconds*decay + memory*(1-decay)
 	}
-	c.at = now
-	if capacity > 0 && answered {
-		c.answers += 1 / capacity
+	c.updatedAt = now
+	if capacity > 0 && responded {
+		c.responses += 1 / capacity
 	}
 }
--- a/balancer/internal/slowstart/helpers_test.go
+++ b/balancer/internal/slowstart/helpers_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// startedAt is when the endpoints of the tests that warm up were started.
+// startedAt is the start time of the endpoints that are warming up.
 const startedAt = time.Minute
 
-// testSettings has slow start over twenty seconds, from half of the capacity on, and an overload limit.
+// testSettings has a slow start of 20 seconds from half of the capacity, and an overload limit.
 func testSettings() Settings {
 	return Settings{
 		Floor: 0.5, Duration: 20 * time.Second, Replicas: 1, OverloadMultiple: 2, OverloadWindow: time.Second,
@@ -22,7 +22,7 @@
 	return &limiter
 }
 
-// countsOf counts a list of endpoints, all of them in the subset.
+// countsOf counts the endpoints of a list, all of which are in the subset.
 func countsOf(l *Limiter, now time.Duration, records ...Record) EndpointCounts {
 	counts := EndpointCounts{Ready: len(records), SubsetSize: len(records)}
 	for i := range records {
@@ -31,5 +31,5 @@
 	return counts
 }
 
-// newRand returns a random source that is the same each time.
+// newRand returns a random source with a fixed seed.
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
--- a/balancer/internal/slowstart/overload_test.go
+++ b/balancer/internal/slowstart/overload_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// chernoffMean is the largest mean with which a count goes over a limit with a chance of exp(-rarity) at
-// most, by Chernoff's bound, found by bisection.
+// chernoffMean returns the largest mean at which a count exceeds a limit with a probability of at most
+// exp(-overloadExponent) by the Chernoff bound. It searches by bisection.
 func chernoffMean(limit float64) float64 {
 	low, high := 0.0, limit
 	for range 60 {
 		mean := (low + high) / 2
-		if limit-mean-limit*math.Log(limit/mean) <= -overloadRarity {
+		if limit-mean-limit*math.Log(limit/mean) <= -overloadExponent {
 			low = mean
 		} else {
 			high = mean
@@ -21,22 +21,23 @@
 	return low
 }
 
-// allowedMean is what a single replica sends an endpoint in slow start in a window, where the settings allow
-// it n.
+// allowedMean returns the mean number of requests per window that a single replica sends to an endpoint in
+// slow start, if the settings allow it n.
 func allowedMean(n float64) float64 {
 	limiter := newLimiter()
 	memory := limiter.capacityMemory()
-	limiter.warm = capacityEstimate{answers: n * memory, seconds: memory, at: startedAt} // n a second at a warm one
-	// It has half of its capacity, of which the settings allow twice as much.
+	// A warm endpoint answers n requests per second.
+	limiter.warm = capacityEstimate{responses: n * memory, observedSeconds: memory, updatedAt: startedAt}
+	// It has half of its capacity, and the settings allow twice its current capacity.
 	record := NewRecord(startedAt)
 	limiter.UpdateRates(startedAt, countsOf(limiter, startedAt, record, NewRecord(0)))
 	limiter.HasTokens(&record, startedAt, true, newRand())
 	return record.bucket.rate * limiter.settings.OverloadWindow.Seconds()
 }
 
-// An endpoint in slow start is sent all that the limit allows on average: by the wider rule where the
-// settings allow it less than 30 requests in a window. Just under 30 the limit is the one at 30, and it never
-// shrinks.
+// On average an endpoint in slow start is sent all that the limit allows, with the wider margin if the
+// settings allow less than 30 requests in a window. Just below 30 the limit equals the one at 30, and it
+// never falls as more is allowed.
 func TestRateFollowsTheOverloadLimit(t *testing.T) {
 	narrow := func(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
 	before := 0.0
@@ -48,10 +49,10 @@
 		t.Run(fmt.Sprint(n, " allowed"), func(t *testing.T) {
 			got, want := allowedMean(n), chernoffMean(limit)
 			if math.Abs(got-want) > 0.01*want {
-				t.Errorf("the endpoint is sent %.3f in a window on average, want %.3f", got, want)
+				t.Errorf("mean number of requests in a window: got %.3f, want %.3f", got, want)
 			}
 			if got < before*0.9999 {
-				t.Errorf("the endpoint is sent %.3f, less than the %.3f with a smaller n", got, before)
+				t.Errorf("mean number of requests in a window: got %.3f, want at least the %.3f of a smaller n", got, before)
 			}
 			before = got
 		})
--- a/balancer/internal/slowstart/slowstart.go
+++ b/balancer/internal/slowstart/slowstart.go
@@ -1,10 +1,9 @@
-// Package slowstart limits what is sent to endpoints that have just started (as in Envoy and NGINX).
+// Package slowstart limits the requests sent to endpoints that have just started (as in Envoy and NGINX).
 //
-// Such an endpoint has only a part of its capacity, and is sent only as much. Where an endpoint that warms up
-// must not be overloaded even for a short time, token buckets limit what all replicas together send it, as
-// none sees what the others send: each replica fills its bucket at its own part of the rate that all may have
-// together. The rate is derived from an estimate of the endpoints' capacity and from a bound on the arrivals
-// in a window.
+// Such an endpoint has only part of its capacity and is sent only that share of requests. If an endpoint that
+// is warming up must not be overloaded even briefly, token buckets limit what all replicas together send it.
+// No replica sees what the others send, so each fills its bucket at its own part of the total rate. That rate
+// is derived from an estimate of the endpoints' capacity and from a bound on the arrivals in a window.
 package slowstart
 
 import (
@@ -13,63 +12,63 @@
 	"time"
 )
 
-// lightWorkRatio is how many times its share of the mean expected work a request may be expected to take, to
-// be sent to an endpoint that warms up.
+// lightWorkRatio bounds the expected work of a request that is sent to an endpoint that is warming up, as a
+// multiple of the mean expected work times the endpoint's capacity share.
 const lightWorkRatio = 6.0
 
 // Constants of the token buckets.
 const (
-	outsideSubsetRate = 0.1  // requests in a window from all replicas without the endpoint in their subsets
-	unusedIntervals   = 2.0  // mean intervals between requests, beside a part of a window, that tokens last
-	windowParts       = 4    // that part of a window; the queue looks for new tokens twice in it
-	leastInterval     = 1e-9 // seconds between requests, at least
+	outsideSubsetRate      = 0.1  // requests per window from all replicas whose subsets lack the endpoint
+	tokenLifetimeIntervals = 2.0  // added to a part of a window, in mean intervals between requests
+	windowParts            = 4    // parts of a window; the queue checks for new tokens twice in each
+	minInterval            = 1e-9 // minimum time between requests, in seconds
 )
 
-// Settings of slow start.
+// Settings configures a Limiter.
 type Settings struct {
-	Floor    float64       // share of its capacity that an endpoint has at its start, at least
-	Duration time.Duration // time after its start when it has all of it
-	Replicas int           // that send to the same endpoints
+	Floor    float64       // share of its capacity that an endpoint has when it starts, at least
+	Duration time.Duration // time from an endpoint's start to its full capacity
+	Replicas int           // number of replicas that send to the same endpoints
 
-	// An endpoint fails for good when all replicas together send it more than OverloadMultiple times its
-	// present capacity for as long as OverloadWindow. 0: there is no such limit.
+	// An endpoint fails permanently when all replicas together send it more than OverloadMultiple times its
+	// current capacity for the length of OverloadWindow. 0: there is no such limit.
 	OverloadMultiple float64
 	OverloadWindow   time.Duration
 }
 
-// Limiter is what is known of all endpoints together.
+// Limiter holds the state shared by all endpoints.
 type Limiter struct {
-	settings  Settings
-	warm      capacityEstimate // of endpoints that have all of their capacity
-	warmingUp capacityEstimate // of the others
-	basis     fillBasis
-	arrivals  arrivalInterval
-	work      workEstimate
+	settings   Settings
+	warm       capacityEstimate // of endpoints at full capacity
+	warmingUp  capacityEstimate // of endpoints that are warming up
+	rateInputs rateInputs
+	arrivals   arrivalInterval
+	work       workEstimate
 }
 
-// fillBasis is what the rates of all token buckets are computed from at one time.
-type fillBasis struct {
-	round       int // counts the times that it was brought up to date
-	at          time.Duration
-	known       bool
-	perEndpoint float64 // good answers a second to this replica that a warm endpoint is capable of
-	replicas    float64 // that have an endpoint in their subsets
+// rateInputs holds the values from which the fill rates of all token buckets are computed at one time.
+type rateInputs struct {
+	generation          int // incremented with each update
+	computedAt          time.Duration
+	valid               bool
+	endpointRate        float64 // responses per second to this replica that a warm endpoint can give
+	replicasPerEndpoint float64 // replicas that have an endpoint in their subsets, on average
 }
 
-// Record is what is known of one endpoint.
+// Record holds the slow-start state of one endpoint.
 type Record struct {
-	startedAt time.Duration // 0: long ago
+	startedAt time.Duration // clock time; 0: long ago
 	bucket    tokenBucket
 }
 
-// NewRecord returns the record of an endpoint that was started at a clock time; 0: long ago.
+// NewRecord returns the record of an endpoint that started at this clock time; 0: long ago.
 func NewRecord(startedAt time.Duration) Record { return Record{startedAt: startedAt} }
 
-// EndpointCounts is what the limiter needs to know of the endpoint list.
+// EndpointCounts describes the endpoint list to the limiter.
 type EndpointCounts struct {
 	Ready      int
-	SubsetSize int     // endpoints that this replica sends to
-	warm       float64 // endpoints of the subset that have all of their capacity
+	SubsetSize int     // endpoints in this replica's subset
+	warm       float64 // endpoints of the subset at full capacity
 	warmingUp  float64 // sum of the capacity shares of the others
 }
 
@@ -82,14 +81,14 @@
 	}
 }
 
-// Configure puts settings in force.
+// Configure applies settings.
 func (l *Limiter) Configure(settings Settings) {
 	l.settings = settings
 	l.ObserveSubsetChange()
 }
 
-// ObserveRequest records that a request has arrived, and the work in nanoseconds that its client expects of
-// it; 0: unknown.
+// ObserveRequest records the arrival of a request and the work that its client expects of it, in nanoseconds;
+// 0: unknown.
 func (l *Limiter) ObserveRequest(now time.Duration, work float64) {
 	if work > 0 {
 		l.work.observe(work)
@@ -97,7 +96,7 @@
 	l.arrivals.observe(now, l.settings.Duration)
 }
 
-// CapacityShare returns the share of its capacity that an endpoint has at least.
+// CapacityShare returns the share of its full capacity that an endpoint has at least.
 func (l *Limiter) CapacityShare(r *Record, now time.Duration) float64 {
 	age := now - r.startedAt
 	if r.startedAt <= 0 || age >= l.settings.Duration {
@@ -107,13 +106,13 @@
 	return l.settings.Floor + (1-l.settings.Floor)*grown
 }
 
-// IsWarm says that an endpoint has all of its capacity.
+// IsWarm reports whether an endpoint has its full capacity.
 func (l *Limiter) IsWarm(r *Record, now time.Duration) bool { return l.CapacityShare(r, now) == 1 }
 
-// AdmitsWork says whether a request may be sent to an endpoint that has a share of its capacity. Where the
-// work is hinted, the endpoint's share is made of the lighter requests: a heavy one takes such an endpoint
-// many times as long and is late, so that the most expensive answers are lost, while a light one is
-// answered in time. Without hints (0) a random draw thins the requests to the share.
+// AdmitsWork reports whether a request may be sent to an endpoint with this capacity share. If the expected
+// work is known, the endpoint gets its share in lighter requests: a heavy request takes many times as long
+// there and is late, so that the most expensive responses would be lost, while a light one is answered in
+// time. If it is unknown (0), a random draw admits this share of the requests.
 func (l *Limiter) AdmitsWork(share, work float64, rng *rand.Rand) bool {
 	if work > 0 {
 		return work <= lightWorkRatio*share*l.work.mean
@@ -121,8 +120,8 @@
 	return rng.Float64() < share
 }
 
-// NextCheck returns when the queue is to be looked at again, since tokens grow with time alone. youngest is
-// the endpoint that was started last; nil: there is none.
+// NextCheck returns when the queue must be checked again, as only time adds tokens. youngest is the endpoint
+// that started last, or nil if there is none.
 func (l *Limiter) NextCheck(youngest *Record, now time.Duration) time.Duration {
 	if youngest != nil && l.hasOverloadLimit() && !l.IsWarm(youngest, now) {
 		return now + l.settings.OverloadWindow/(2*windowParts)
@@ -130,88 +129,91 @@
 	return math.MaxInt64
 }
 
-// ObserveResponse records a good answer of an endpoint; inSubset says that this replica has it in its subset.
+// ObserveResponse records a successful response. inSubset is set if the endpoint is in this replica's subset.
 func (l *Limiter) ObserveResponse(r *Record, now time.Duration, counts EndpointCounts, inSubset bool) {
 	l.observeCapacity(now, counts, inSubset, l.IsWarm(r, now))
 }
 
-// observeCapacity records the time and, where answered says so, a good answer of a warm endpoint or of
-// another. The answers of warm endpoints say most, as the others answer no more than they are sent. Where the
-// subset has no warm one, the estimate of warm ones stays, and that of the others counts if it is higher.
-func (l *Limiter) observeCapacity(now time.Duration, counts EndpointCounts, answered, warm bool) {
-	over := l.capacityMemory()
-	l.warm.observe(now, over, counts.warm, answered && warm)
-	l.warmingUp.observe(now, over, counts.warmingUp, answered && !warm)
+// observeCapacity updates the capacity estimates. If responded is set, a successful response has come from a
+// warm endpoint or from one that is warming up. The responses of warm endpoints tell most, as the others
+// respond only to the few requests that they are sent. While the subset has no warm endpoint, the estimate
+// for warm ones is kept, and the other estimate is used if it is higher.
+func (l *Limiter) observeCapacity(now time.Duration, counts EndpointCounts, responded, warm bool) {
+	memory := l.capacityMemory()
+	l.warm.observe(now, memory, counts.warm, responded && warm)
+	l.warmingUp.observe(now, memory, counts.warmingUp, responded && !warm)
 }
 
-// capacityMemory returns how many seconds the estimate goes back: half of the time of a slow start is long
-// enough for a replica of little traffic, and short enough to follow the load.
+// capacityMemory returns the decay time of the estimates in seconds. Half of the slow-start duration is long
+// enough for a replica with little traffic, and short enough to follow the load.
 func (l *Limiter) capacityMemory() float64 {
 	return (l.settings.Duration/2 + l.settings.OverloadWindow).Seconds()
 }
 
-// hasOverloadLimit says that the settings tell what overloads an endpoint in slow start.
+// hasOverloadLimit reports whether the settings limit the load of an endpoint in slow start.
 func (l *Limiter) hasOverloadLimit() bool {
 	return l.settings.OverloadMultiple > 0 && l.settings.OverloadWindow > 0
 }
 
-// ObserveSubsetChange records that this replica sends to other endpoints than before.
-func (l *Limiter) ObserveSubsetChange() { l.basis.known = false }
+// ObserveSubsetChange records that this replica's subset has changed.
+func (l *Limiter) ObserveSubsetChange() { l.rateInputs.valid = false }
 
-// NeedsRateUpdate says that UpdateCounts is due before HasTokens.
+// NeedsRateUpdate reports whether UpdateRates must be called before HasTokens.
 func (l *Limiter) NeedsRateUpdate(now time.Duration) bool {
-	return l.hasOverloadLimit() && !(l.basis.known && l.basis.at == now)
+	return l.hasOverloadLimit() && !(l.rateInputs.valid && l.rateInputs.computedAt == now)
 }
 
-// UpdateRates brings the limits up to now. The replicas that have an endpoint in their subsets are taken to
-// have subsets as large as this one's. A replica that has seen no warm endpoint assumes that those of its
-// subset, once warm, answer all that it sends.
+// UpdateRates updates the inputs of the fill rates. The other replicas that have an endpoint in their subsets
+// are assumed to have subsets of the same size as this one's. A replica that has seen no warm endpoint
+// assumes that the endpoints of its subset, once warm, respond to all requests that it sends.
 func (l *Limiter) UpdateRates(now time.Duration, counts EndpointCounts) {
 	l.observeCapacity(now, counts, false, false)
 	window := l.settings.OverloadWindow.Seconds()
-	interval := max(l.arrivals.mean.Seconds(), leastInterval)
-	sent := 1 / interval / float64(max(1, counts.SubsetSize)) * (1 - l.warm.seconds/l.capacityMemory())
+	interval := max(l.arrivals.mean.Seconds(), minInterval)
+	sent := 1 / interval / float64(max(1, counts.SubsetSize)) *
+		(1 - l.warm.observedSeconds/l.capacityMemory())
 	ready := float64(max(1, counts.Ready))
-	l.basis = fillBasis{
-		round: l.basis.round + 1, at: now, known: true,
-		perEndpoint: max(l.warm.rate(window), l.warmingUp.rate(window), sent),
-		replicas:    max(1, float64(l.settings.Replicas)*float64(counts.SubsetSize)/ready),
+	l.rateInputs = rateInputs{
+		generation: l.rateInputs.generation + 1, computedAt: now, valid: true,
+		endpointRate:        max(l.warm.rate(window), l.warmingUp.rate(window), sent),
+		replicasPerEndpoint: max(1, float64(l.settings.Replicas)*float64(counts.SubsetSize)/ready),
 	}
 }
 
-// HasTokens says that an endpoint in slow start may be sent a request now, as far as all replicas together
-// must not overload it. inSubset says that this replica has it in its subset.
+// HasTokens reports whether the limit on the load from all replicas together allows this replica to send a
+// request now to an endpoint in slow start. inSubset is set if the endpoint is in this replica's subset.
 func (l *Limiter) HasTokens(r *Record, now time.Duration, inSubset bool, rng *rand.Rand) bool {
 	if !l.hasOverloadLimit() {
 		return true
 	}
-	r.bucket.updateRate(l.basis.round, func() float64 { return l.fillRate(r, now, inSubset) })
+	r.bucket.updateRate(l.rateInputs.generation, func() float64 { return l.fillRate(r, now, inSubset) })
 	interval := l.arrivals.mean.Seconds()
-	lasts := l.settings.OverloadWindow.Seconds()/windowParts + unusedIntervals*interval
-	return r.bucket.hasTokens(now, lasts, rng)
+	lifetime := l.settings.OverloadWindow.Seconds()/windowParts + tokenLifetimeIntervals*interval
+	return r.bucket.hasTokens(now, lifetime, rng)
 }
 
-// TakeTokens takes a request from the token bucket of an endpoint in slow start. work is in nanoseconds, as
-// its client expects it; 0: unknown.
+// TakeTokens takes the tokens of a request from the bucket of an endpoint in slow start. work is the work
+// that its client expects, in nanoseconds; 0: unknown.
 func (l *Limiter) TakeTokens(r *Record, now time.Duration, work float64) {
 	switch {
 	case !l.hasOverloadLimit() || l.IsWarm(r, now):
 	case work > 0:
-		r.bucket.spend(work / l.work.mean)
+		r.bucket.take(work / l.work.mean)
 	default:
-		r.bucket.spend(1)
+		r.bucket.take(1)
 	}
 }
 
-// fillRate returns this replica's part of what all may send the endpoint, in requests of mean work a second.
+// fillRate returns this replica's part of the total rate allowed for the endpoint, in requests of mean work
+// per second.
 func (l *Limiter) fillRate(r *Record, now time.Duration, inSubset bool) float64 {
 	window := l.settings.OverloadWindow.Seconds()
-	replicas, most := float64(max(1, l.settings.Replicas)), outsideSubsetRate
+	replicas, requests := float64(max(1, l.settings.Replicas)), outsideSubsetRate
 	if inSubset {
-		replicas = l.basis.replicas
+		replicas = l.rateInputs.replicasPerEndpoint
 		share := l.CapacityShare(r, now)
-		allowed := l.settings.OverloadMultiple * share * l.basis.perEndpoint * replicas * window
-		most = max(most, safeMean(overloadLimit(allowed)))
+		allowed := l.settings.OverloadMultiple * share * l.rateInputs.endpointRate * replicas * window
+		requests = max(requests, safeMean(overloadLimit(allowed)))
 	}
-	return most / replicas / window
+	return requests / replicas / window
 }
--- a/balancer/internal/slowstart/slowstart_test.go
+++ b/balancer/internal/slowstart/slowstart_test.go
@@ -26,21 +26,22 @@
 			limiter, record := newLimiter(), NewRecord(c.startedAt)
 			now := c.startedAt + c.age
 			if got := limiter.CapacityShare(&record, now); math.Abs(got-c.want) > 0.0002 {
-				t.Errorf("a share of %v, want %v", got, c.want)
+				t.Errorf("capacity share: got %v, want %v", got, c.want)
 			}
 			if got := limiter.IsWarm(&record, now); got != (c.want == 1) {
-				t.Errorf("warm: %v", got)
+				t.Errorf("IsWarm: got %v, want true only at the full capacity", got)
 			}
 		})
 	}
 }
 
-// The light requests make up an endpoint's share of the work; without hints a draw thins the requests.
+// An endpoint's share of the work is made up of light requests; without hints, a random draw admits its
+// share.
 func TestLightWorkIsAdmitted(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		share, work float64 // the mean is 100
-		least, most float64 // share of admitted requests
+		least, most float64 // share of the requests that are admitted
 	}{
 		{"light", 0.5, 30, 1, 1},
 		{"at the limit", 0.5, 300, 1, 1},
@@ -58,13 +59,13 @@
 				}
 			}
 			if got := float64(admitted) / requests; got < c.least || got > c.most {
-				t.Errorf("%.2f of the requests are admitted, want %v to %v", got, c.least, c.most)
+				t.Errorf("share of admitted requests: got %.2f, want %v to %v", got, c.least, c.most)
 			}
 		})
 	}
 }
 
-// The queue is looked at again as long as an endpoint warms up under an overload limit.
+// The queue is checked periodically while an endpoint is warming up under an overload limit.
 func TestNextCheckWaitsForTokens(t *testing.T) {
 	young, old := NewRecord(startedAt), NewRecord(0)
 	unlimited := testSettings()
@@ -84,7 +85,7 @@
 			var limiter Limiter
 			limiter.Configure(c.settings)
 			if got := limiter.NextCheck(c.youngest, startedAt); got != c.want {
-				t.Errorf("at %v, want %v", got, c.want)
+				t.Errorf("next check: got %v, want %v", got, c.want)
 			}
 		})
 	}
@@ -96,11 +97,11 @@
 		limiter.ObserveRequest(time.Duration(i+1)*100*time.Millisecond, 0)
 	}
 	if got := limiter.arrivals.mean; got < 99*time.Millisecond || got > 101*time.Millisecond {
-		t.Errorf("an interval of %v, want 100 ms", got)
+		t.Errorf("mean interval: got %v, want 100 ms", got)
 	}
 	limiter.ObserveRequest(time.Hour, 0)
 	if got := limiter.arrivals.mean; got > 2*time.Second {
-		t.Errorf("after a pause of an hour an interval of %v, as if it were longer than a slow start", got)
+		t.Errorf("mean interval after a pause of one hour: got %v, want at most 2 s", got)
 	}
 }
 
--- a/balancer/internal/slowstart/tokenbucket.go
+++ b/balancer/internal/slowstart/tokenbucket.go
@@ -5,39 +5,40 @@
 	"time"
 )
 
-// tokenBucket is what a replica may still send to an endpoint in slow start, in requests of mean work. It
-// begins with a random debt, or all replicas would send their first request at once. Tokens that are not used
-// soon are lost, or they would be used by all at once when traffic rises.
+// tokenBucket holds the tokens that this replica may still spend on an endpoint in slow start; one token pays
+// for a request of mean work. It starts with a random debt, so that the replicas do not all send their first
+// request at once. Unused tokens expire soon; otherwise all replicas would use them at once when traffic
+// rises.
 type tokenBucket struct {
-	tokens float64
-	at     time.Duration // when it was last filled; 0: never
-	rate   float64       // in tokens a second, by the fill basis of this round
-	round  int
+	tokens     float64
+	filledAt   time.Duration // when it was last filled; 0: never
+	rate       float64       // in tokens per second, computed from the rate inputs of this generation
+	generation int
 }
 
-// fill adds the tokens since the last time, up to capacity.
+// fill adds the tokens since the last fill, up to the capacity.
 func (t *tokenBucket) fill(now time.Duration, capacity float64) {
-	t.tokens = min(capacity, t.tokens+t.rate*(now-t.at).Seconds())
-	t.at = now
+	t.tokens = min(capacity, t.tokens+t.rate*(now-t.filledAt).Seconds())
+	t.filledAt = now
 }
 
-// hasTokens fills the bucket and says whether a request may be taken from it. Tokens that are not used last
-// so many seconds.
-func (t *tokenBucket) hasTokens(now time.Duration, lasts float64, rng *rand.Rand) bool {
-	if t.at == 0 {
-		t.tokens, t.at = -rng.Float64(), now
+// hasTokens fills the bucket and reports whether a request may be sent. Unused tokens are kept for lifetime,
+// in seconds.
+func (t *tokenBucket) hasTokens(now time.Duration, lifetime float64, rng *rand.Rand) bool {
+	if t.filledAt == 0 {
+		t.tokens, t.filledAt = -rng.Float64(), now
 	}
-	t.fill(now, t.rate*lasts)
+	t.fill(now, t.rate*lifetime)
 	return t.tokens >= 0
 }
 
-// updateRate computes the rate, once for each round of the fill basis: it is asked for many times for one
+// updateRate computes the rate once per generation of the rate inputs, as it is needed many times for one
 // request.
 func (t *tokenBucket) updateRate(round int, rate func() float64) {
-	if t.round != round {
-		t.rate, t.round = rate(), round
+	if t.generation != round {
+		t.rate, t.generation = rate(), round
 	}
 }
 
-// spend takes requests of mean work from the bucket.
-func (t *tokenBucket) spend(requests float64) { t.tokens -= requests }
+// take removes the tokens of a request, whose cost is in requests of mean work.
+func (t *tokenBucket) take(requests float64) { t.tokens -= requests }
--- a/balancer/internal/slowstart/tokenbucket_test.go
+++ b/balancer/internal/slowstart/tokenbucket_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// A bucket fills with time, up to what is not lost unused, and each request takes its work from it.
-func TestBucketFillsAndIsSpent(t *testing.T) {
-	bucket := tokenBucket{tokens: -1, at: time.Second, rate: 2}
+// A bucket fills with time, up to its capacity.
+func TestBucketFillsUpToItsCapacity(t *testing.T) {
+	bucket := tokenBucket{tokens: -1, filledAt: time.Second, rate: 2}
 	for _, step := range []struct {
 		name     string
 		now      time.Duration
@@ -21,20 +21,21 @@
 		{"the capacity shrinks", time.Minute, 1, 1},
 	} {
 		if bucket.fill(step.now, step.capacity); bucket.tokens != step.want {
-			t.Errorf("%s: %v tokens, want %v", step.name, bucket.tokens, step.want)
+			t.Errorf("%s: got %v tokens, want %v", step.name, bucket.tokens, step.want)
 		}
 	}
 }
 
-// An endpoint is sent requests at the rate of its bucket, however often it is asked for. The requests make
-// this replica assume 50 a second for each of two endpoints; at twice the present capacity, from a half on,
-// these are 50 in a window at first, of which the bound for one replica leaves about half and for ten more.
+// An endpoint is sent requests at the rate of its bucket, however often HasTokens is called. From the
+// arrivals, this replica assumes 50 requests per second for each of two endpoints. At twice the current
+// capacity, which starts at one half, 50 requests are allowed in the first windows. The overload bound leaves
+// about half of them for one replica, and more for ten.
 func TestTokensLimitTheRequestsInAWindow(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		inSubset    bool
 		replicas    int
-		least, most int // requests in ten seconds
+		least, most int // requests sent in ten seconds
 	}{
 		{"outside of the subset", false, 1, 1, 2},
 		{"outside of the subsets of many", false, 100, 0, 1},
@@ -59,7 +60,7 @@
 				}
 			}
 			if sent < c.least || sent > c.most {
-				t.Errorf("%d of 1,000 requests sent, want %d to %d", sent, c.least, c.most)
+				t.Errorf("got %d of 1,000 requests sent, want %d to %d", sent, c.least, c.most)
 			}
 		})
 	}
@@ -81,14 +82,14 @@
 			limiter, record := newLimiter(), NewRecord(c.startedAt)
 			limiter.ObserveRequest(time.Second, 100)
 			if limiter.TakeTokens(&record, startedAt, c.work); record.bucket.tokens != -c.want {
-				t.Errorf("a request costs %v, want %v", -record.bucket.tokens, c.want)
+				t.Errorf("cost of a request: got %v tokens, want %v", -record.bucket.tokens, c.want)
 			}
 		})
 	}
 }
 
-// Counts are needed once for each time, and anew when the subset or the settings have changed.
-func TestCountsAreNeededOnceForEachTime(t *testing.T) {
+// The rates are updated once for each clock time, and again when the subset or the settings change.
+func TestRateUpdateIsNeededOnceForEachTime(t *testing.T) {
 	limiter, now := newLimiter(), startedAt
 	for _, step := range []struct {
 		name   string
@@ -103,18 +104,18 @@
 		{"after new settings without a limit", func() { limiter.Configure(Settings{}) }, false},
 	} {
 		if step.change(); limiter.NeedsRateUpdate(now) != step.want {
-			t.Errorf("%s: needed %v, want %v", step.name, !step.want, step.want)
+			t.Errorf("%s: update needed: got %v, want %v", step.name, !step.want, step.want)
 		}
 	}
 }
 
-// Answers are counted for the capacity of those that may have given them, and the best rate is kept for a
-// while.
-func TestCapacityIsEstimatedFromAnswers(t *testing.T) {
+// Responses count relative to the capacity of the endpoints that may have sent them, and the peak rate is
+// kept for a while.
+func TestCapacityIsEstimatedFromResponses(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		endpoints   []Record
-		least, most float64 // answers a second of a warm endpoint
+		least, most float64 // responses per second of a warm endpoint
 	}{
 		{"a warm endpoint", []Record{NewRecord(0)}, 9, 10.5},
 		{"two warm endpoints", []Record{NewRecord(0), NewRecord(0)}, 4.5, 5.25},
@@ -122,19 +123,19 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			limiter := newLimiter()
-			answers := 0
+			responses := 0
 			for now := startedAt; now < startedAt+5*time.Second; now += 100 * time.Millisecond {
 				counts := countsOf(limiter, now, c.endpoints...)
-				limiter.ObserveResponse(&c.endpoints[answers%len(c.endpoints)], now, counts, true)
-				answers++
+				limiter.ObserveResponse(&c.endpoints[responses%len(c.endpoints)], now, counts, true)
+				responses++
 			}
 			best := max(limiter.warm.rate(1), limiter.warmingUp.rate(1))
 			if best < c.least || best > c.most {
-				t.Errorf("%.2f answers a second, want %v to %v", best, c.least, c.most)
+				t.Errorf("got %.2f responses per second, want %v to %v", best, c.least, c.most)
 			}
 			limiter.ObserveResponse(&c.endpoints[0], startedAt+10*time.Second, EndpointCounts{}, false)
 			if later := max(limiter.warm.rate(1), limiter.warmingUp.rate(1)); math.Abs(later-best) > 1e-9 {
-				t.Errorf("%.2f answers a second once the subset is empty, were %.2f", later, best)
+				t.Errorf("after the subset became empty: got %.2f responses per second, want %.2f as before", later, best)
 			}
 		})
 	}
--- a/balancer/internal/subscription/subscription.go
+++ b/balancer/internal/subscription/subscription.go
@@ -1,4 +1,4 @@
-// Package subscription decides when to subscribe to the endpoint list, where the host has to ask for it.
+// Package subscription schedules subscriptions to the endpoint list for hosts that have to poll discovery.
 //
 // A failed subscription is retried with exponential backoff and full jitter (AWS Architecture Blog,
 // "Exponential Backoff And Jitter").
@@ -8,35 +8,35 @@
 
 // Constants of the backoff.
 const (
-	attemptsInTime = 4 // waits of the longest backoff that fit into the allowed time, so that two attempts do
-	maxDoublings   = 4 // of the backoff, from its first value to its longest
+	backoffDivisor = 4 // divisor of the allowed time that gives the longest backoff, so that two attempts fit
+	maxDoublings   = 4 // of the backoff, from its initial to its longest value
 )
 
 // Backoff is the state of the subscription.
 type Backoff struct {
-	failures    int           // in a row
-	subscribeAt time.Duration // when to subscribe next; 0: not planned
+	failures    int           // consecutive failures
+	subscribeAt time.Duration // clock time of the next subscription; 0: not scheduled
 }
 
 // Fail records that subscribing failed or that the subscription ended.
 func (b *Backoff) Fail() { b.failures++ }
 
-// Succeed records that an endpoint list has come.
+// Succeed records that an endpoint list has arrived.
 func (b *Backoff) Succeed() { b.failures = 0 }
 
-// Schedule plans the next subscription and returns its time. within is the longest time without a
-// subscription that is allowed. The jitter, from 0 up to 1, keeps replicas that start or lose their
-// subscription together from overloading discovery. The wait doubles with each failure but leaves time for
-// two attempts before the replica counts as notified of a change that it has not received.
+// Schedule schedules the next subscription and returns its time. within is the longest time allowed without a
+// subscription. jitter, a random number in [0, 1), keeps replicas that start or lose their subscription at
+// the same time from overloading discovery. The wait doubles with each failure, but leaves time for two
+// attempts before the replica is considered notified of a change that it has not received.
 func (b *Backoff) Schedule(now, within time.Duration, jitter float64) time.Duration {
-	longest := within / attemptsInTime
+	longest := within / backoffDivisor
 	wait := min(longest, longest>>maxDoublings<<min(b.failures, maxDoublings))
 	b.subscribeAt = now + time.Duration(jitter*float64(wait)) + 1
 	return b.subscribeAt
 }
 
-// TakeIfDue says whether the planned subscription is due, and if so removes it from the plan. tick is the
-// resolution of the host's timers, which may fire early by as much.
+// TakeIfDue reports whether the scheduled subscription is due, and if so clears it. tick is the resolution of
+// the host's timers, which may fire early by that much.
 func (b *Backoff) TakeIfDue(now, tick time.Duration) bool {
 	if b.subscribeAt == 0 || now+tick < b.subscribeAt {
 		return false
--- a/balancer/internal/subscription/subscription_test.go
+++ b/balancer/internal/subscription/subscription_test.go
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// The longest wait doubles with each failure, up to a fourth of the time without a subscription that is
-// allowed.
+// The longest wait doubles with each failure, up to a quarter of the time allowed without a subscription.
 func TestSubscribeBackoffDoubles(t *testing.T) {
 	const pollWithin = 64 * time.Second
 	for _, c := range []struct {
@@ -29,7 +28,7 @@
 				want := time.Minute + time.Duration(jitter*float64(c.longest)) + 1
 				got := backoff.Schedule(time.Minute, pollWithin, jitter)
 				if got != want || backoff.subscribeAt != want {
-					t.Errorf("with a jitter of %v: at %v, planned %v, want %v", jitter, got,
+					t.Errorf("with jitter %v: got %v, scheduled at %v, want %v", jitter, got,
 						backoff.subscribeAt, want)
 				}
 			}
@@ -37,7 +36,7 @@
 	}
 }
 
-// A planned subscription is due once, from a tick before its time.
+// A scheduled subscription is due once, from one tick before its time.
 func TestSubscribeIsDueOnce(t *testing.T) {
 	const tick = 2 * time.Millisecond
 	backoff := Backoff{subscribeAt: time.Second}
@@ -51,12 +50,12 @@
 		{"again", 2 * time.Second, false},
 	} {
 		if got := backoff.TakeIfDue(c.now, tick); got != c.want {
-			t.Errorf("%s: due %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: due: got %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// A list that has come resets the backoff.
+// The arrival of an endpoint list resets the backoff.
 func TestSuccessResetsTheBackoff(t *testing.T) {
 	const pollWithin = 64 * time.Second
 	var fresh, recovered Backoff
@@ -64,14 +63,14 @@
 	recovered.Fail()
 	recovered.Succeed()
 	if got, want := recovered.Schedule(0, pollWithin, 1), fresh.Schedule(0, pollWithin, 1); got != want {
-		t.Errorf("planned at %v after a success, want %v", got, want)
+		t.Errorf("next subscription after a success: got %v, want %v", got, want)
 	}
 }
 
 func Example() {
 	var backoff Backoff
 	for range 3 {
-		at := backoff.Schedule(0, 64*time.Second, 0.5) // the jitter is half of the wait each time
+		at := backoff.Schedule(0, 64*time.Second, 0.5) // a jitter of half of the wait
 		fmt.Println("subscribe at", at.Round(time.Millisecond))
 		backoff.Fail()
 	}
--- a/balancer/internal/unresponsive/unresponsive.go
+++ b/balancer/internal/unresponsive/unresponsive.go
@@ -1,8 +1,8 @@
-// Package unresponsive suspects endpoints that hang, by comparison with the others, long before a timeout.
+// Package unresponsive detects endpoints that hang, by comparison with the others, long before a timeout.
 //
 // It is a failure detector (Chandra and Toueg, "Unreliable Failure Detectors for Reliable Distributed
-// Systems") whose heartbeats are the answers to requests: a machine that hangs, pauses or has lost its
-// network shows nothing else until its attempts time out.
+// Systems") that uses the responses to requests as heartbeats: a machine that hangs, pauses or has lost its
+// network shows no other sign until its attempts time out.
 package unresponsive
 
 import (
@@ -12,12 +12,12 @@
 	"basaltdrum/balancer/internal/latency"
 )
 
-// Detector is what is known of all endpoints together.
+// Detector holds the state shared by all endpoints.
 type Detector struct{ lastSuccess time.Duration }
 
-// Record is what is known of one endpoint.
+// Record holds the state of one endpoint.
 type Record struct {
-	attempts    []attempt // in flight, in order of sending
+	attempts    []attempt // in flight, in the order of sending
 	lastSuccess time.Duration
 }
 
@@ -33,26 +33,26 @@
 }
 
 // EndAttempt records that an attempt has ended. Attempts of one class that were sent at the same time are
-// alike.
+// interchangeable.
 func (r *Record) EndAttempt(sent time.Duration, class *latency.Estimator) {
 	if at := slices.Index(r.attempts, attempt{sent, class}); at >= 0 {
 		r.attempts = slices.Delete(r.attempts, at, at+1)
 	}
 }
 
-// InFlight returns how many attempts are in flight.
+// InFlight returns the number of attempts in flight.
 func (r *Record) InFlight() int { return len(r.attempts) }
 
-// ObserveSuccess records that an endpoint has answered a request.
+// ObserveSuccess records a successful response of an endpoint.
 func (d *Detector) ObserveSuccess(r *Record, now time.Duration) {
 	d.lastSuccess, r.lastSuccess = now, now
 }
 
-// AfterRestart returns the record of the endpoint once it has restarted: only its attempts are known.
+// AfterRestart returns the record after a restart of the endpoint, which keeps only the attempts in flight.
 func (r *Record) AfterRestart() Record { return Record{attempts: r.attempts} }
 
-// Suspects says that an old attempt at the endpoint is unanswered while the endpoint has answered no later
-// one and another endpoint has.
+// Suspects reports whether the endpoint appears unresponsive: its oldest attempt takes longer than usual for
+// its class, and in the meantime another endpoint has responded but this one has not.
 func (d *Detector) Suspects(r *Record, now time.Duration) bool {
 	if len(r.attempts) == 0 {
 		return false
--- a/balancer/internal/unresponsive/unresponsive_test.go
+++ b/balancer/internal/unresponsive/unresponsive_test.go
@@ -8,19 +8,19 @@
 	"basaltdrum/balancer/internal/latency"
 )
 
-// newClass returns the latency of a class that answers in 100 ms at most.
+// newClass returns the latency estimate of a class whose responses take less than 100 ms.
 func newClass() *latency.Estimator {
 	class := latency.NewEstimator(160 * time.Millisecond) // mean 40 ms, deviation 20 ms
 	return &class
 }
 
-func TestSuspicionNeedsAnAnswerOfAnother(t *testing.T) {
+func TestSuspicionNeedsAResponseOfAnotherEndpoint(t *testing.T) {
 	const sent, now = time.Second, 1200 * time.Millisecond
 	for _, c := range []struct {
 		name        string
 		sent        time.Duration
-		otherAnswer time.Duration // when another endpoint answered last
-		ownAnswer   time.Duration // when this one did; 0: never
+		otherAnswer time.Duration // time of the last response of another endpoint
+		ownAnswer   time.Duration // time of the last response of this endpoint; 0: none
 		want        bool
 	}{
 		{"another has answered since", sent, now, 0, true},
@@ -39,13 +39,13 @@
 			}
 			detector.ObserveSuccess(&other, c.otherAnswer)
 			if got := detector.Suspects(&record, now); got != c.want {
-				t.Errorf("suspected %v, want %v", got, c.want)
+				t.Errorf("suspected: got %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// The count follows attempts that begin and end in any order; an attempt that is not known changes nothing.
+// InFlight follows attempts that start and end in any order; the end of an unknown attempt changes nothing.
 func TestInFlightCountsAttempts(t *testing.T) {
 	class, other := newClass(), newClass()
 	var record Record
@@ -58,12 +58,12 @@
 		want  int
 	}{{2, class, 2}, {2, class, 2}, {1, other, 2}, {2, other, 1}, {1, class, 0}, {1, class, 0}} {
 		if record.EndAttempt(ended.sent, ended.class); record.InFlight() != ended.want {
-			t.Errorf("after end %d: %d in flight, want %d", i, record.InFlight(), ended.want)
+			t.Errorf("after end %d: got %d in flight, want %d", i, record.InFlight(), ended.want)
 		}
 	}
 }
 
-// The attempts at an endpoint outlive its restart, its answers don't.
+// A restart of an endpoint keeps its attempts in flight, but not its responses.
 func TestRestartKeepsAttempts(t *testing.T) {
 	const now = time.Minute
 	var detector Detector
@@ -72,11 +72,11 @@
 	detector.ObserveSuccess(&record, now)
 	detector.ObserveSuccess(&other, now)
 	if detector.Suspects(&record, now) {
-		t.Error("suspected though it has just answered")
+		t.Error("an endpoint that has just responded is suspected, want it not to be")
 	}
 	record = record.AfterRestart()
 	if record.InFlight() != 1 || !detector.Suspects(&record, now) {
-		t.Errorf("after a restart %d attempts are in flight, want 1 that makes it suspect", record.InFlight())
+		t.Errorf("after a restart: got %d attempts in flight, want 1, and the endpoint suspected for it", record.InFlight())
 	}
 }
 
--- a/balancer/queue.go
+++ b/balancer/queue.go
@@ -5,10 +5,10 @@
 // requestQueue holds the requests that wait for capacity, in order of arrival.
 type requestQueue struct{ waiting []*request }
 
-// len returns how many requests wait.
+// len returns the number of waiting requests.
 func (q *requestQueue) len() int { return len(q.waiting) }
 
-// add adds a request, unless it waits already.
+// add adds a request unless it is already queued.
 func (q *requestQueue) add(req *request) {
 	if !req.queued {
 		req.queued = true
@@ -16,17 +16,17 @@
 	}
 }
 
-// remove removes a request, if it waits.
+// remove removes a request if it is queued.
 func (q *requestQueue) remove(req *request) {
 	req.queued = false
 	q.waiting = slices.DeleteFunc(q.waiting, func(queued *request) bool { return queued == req })
 }
 
-// all returns the requests that wait, in a slice of its own.
+// all returns a copy of the queue.
 func (q *requestQueue) all() []*request { return slices.Clone(q.waiting) }
 
-// highestPriority returns the request with the highest priority; of equal ones the youngest, which has
-// the most time left.
+// highestPriority returns the request with the highest priority, and among equals the one that arrived last,
+// which has the most time left.
 func (q *requestQueue) highestPriority(priority func(*request) float64) *request {
 	best := q.waiting[0]
 	for _, req := range q.waiting[1:] {
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -8,63 +8,63 @@
 	"basaltdrum/balancer/internal/retrybudget"
 )
 
-// hangingShare is the share of a class's attempts that may fail before attempts get only half of the time
-// that is left.
-const hangingShare = 0.05
+// halfTimeoutFailureRate is the failure rate of a class above which its attempts get only half of the
+// remaining time.
+const halfTimeoutFailureRate = 0.05
 
 // request is an accepted request, kept until it is answered and its attempts have ended.
 type request struct {
-	id        string
-	class     *class
-	arrived   time.Duration // when the client's first attempt arrived, as far as it is known
-	deadline  time.Duration
-	work      float64 // that the client expects, in ns; 0: unknown
-	attempts  []*attempt
-	inFlight  int  // attempts that have not ended
-	isRetry   bool // the client's, by its mark or its timeout
-	queued    bool
-	answered  bool
-	streaming bool
-	timerAt   time.Duration // when its timer is due
-}
-
-// attempt is one send of a request.
+	id           string
+	class        *class
+	arrived      time.Duration // arrival of the client's first attempt, as far as known
+	deadline     time.Duration
+	expectedWork float64 // hint of the client, in ns; 0: unknown
+	attempts     []*attempt
+	inFlight     int  // attempts that have not ended
+	isRetry      bool // retry by the client, as marked or as inferred from its timeout
+	queued       bool
+	answered     bool
+	streaming    bool
+	timerDue     time.Duration // clock time of its pending timer; 0: none
+}
+
+// attempt is one send of a request to an endpoint.
 type attempt struct {
 	request  *request
 	endpoint *endpoints.Endpoint
 	number   int // from 0
 	sent     time.Duration
-	zone     string // of the endpoint at that time
+	zone     string // zone of the endpoint when the attempt was sent
 	cell     int
 	ended    bool
-	neverRan bool // proved never to have run
-	notSent  bool // nor to have reached an endpoint
+	neverRan bool // known not to have run
+	notSent  bool // known not to have reached an endpoint
 }
 
 // newRequest returns a request that arrives now.
 func newRequest(now time.Duration, e Request, class *class) *request {
 	return &request{
 		id: e.ID, class: class, arrived: now, deadline: e.Deadline, isRetry: e.Retry,
-		work: max(0, float64(e.ExpectedWork)),
+		expectedWork: max(0, float64(e.ExpectedWork)),
 	}
 }
 
-// inferFirstAttempt finds when the client's first attempt began. Most attempts of a class have the same
-// timeout, a share of its deadline. One with another timeout has all that earlier attempts left: less than
-// the share, or more where it is the last. This would hurt the clients in the minority if those of one class
-// used different timeouts. A timeout runs from the first byte (0: now), so that a request that is written
-// slowly does not look unusual.
+// inferFirstAttempt estimates when the client's first attempt started. Most attempts of a class use the same
+// timeout, a share of the class's deadline. An attempt with another timeout is a retry that has the time left
+// by earlier attempts: less than the usual timeout, or more if it is the last. If the clients of a class used
+// different timeouts, this would treat those in the minority unfairly. A timeout is measured from the first
+// byte (0: now), so that a request that is written slowly does not appear to have an unusual one.
 func (req *request) inferFirstAttempt(now, firstByte time.Duration) {
-	began := now
+	started := now
 	if firstByte > 0 {
-		began = min(now, firstByte)
+		started = min(now, firstByte)
 	}
 	c := req.class
-	if c.timeout.Observe(float64(req.deadline - began)) {
+	if c.timeout.Observe(float64(req.deadline - started)) {
 		return
 	}
 	req.arrived = min(now, req.deadline-c.Deadline)
-	req.isRetry = req.isRetry || began-req.arrived > c.LatencyObjective/2
+	req.isRetry = req.isRetry || started-req.arrived > c.LatencyObjective/2
 }
 
 // startAttempt adds an attempt that is sent to an endpoint now.
@@ -85,7 +85,7 @@
 	a.request.inFlight--
 }
 
-// inFlightAttempt returns the attempt with this number, or nil if there is none in flight.
+// inFlightAttempt returns the attempt with this number, or nil if it is not in flight.
 func (req *request) inFlightAttempt(number int) *attempt {
 	if number < 0 || number >= len(req.attempts) || req.attempts[number].ended {
 		return nil
@@ -93,25 +93,26 @@
 	return req.attempts[number]
 }
 
-// isOver says that the request is answered and that its attempts have ended.
-func (req *request) isOver() bool { return req.answered && req.inFlight == 0 }
+// isComplete reports whether the request is answered and all its attempts have ended.
+func (req *request) isComplete() bool { return req.answered && req.inFlight == 0 }
 
-// hasFailed says that the request is unanswered and that its attempts have ended.
-func (req *request) hasFailed() bool { return !req.answered && req.inFlight == 0 }
+// allAttemptsFailed reports whether the request is not answered although all its attempts have ended.
+func (req *request) allAttemptsFailed() bool { return !req.answered && req.inFlight == 0 }
 
-// mayHaveRun says that some attempt may have run.
+// mayHaveRun reports whether any attempt may have run.
 func (req *request) mayHaveRun() bool {
 	return slices.ContainsFunc(req.attempts, func(a *attempt) bool { return !a.neverRan })
 }
 
-// harmlessToRetry says that a retry by the client does no harm, whatever endpoint it comes to.
+// harmlessToRetry reports whether a retry by the client is harmless, whichever endpoint receives it.
 func (req *request) harmlessToRetry() bool {
 	effect, scope := req.class.Effect, req.class.Scope
 	harmful := effect == NonIdempotent || effect == IdempotentByKey && scope != ScopeAll
 	return !harmful || !req.mayHaveRun()
 }
 
-// mayRetry says whether the effect of the request's class and the limit on attempts allow one more attempt.
+// mayRetry reports whether the effect of the request's class and the limit on attempts allow one more
+// attempt.
 func (req *request) mayRetry(now time.Duration, settings *Settings) bool {
 	if req.answered || req.streaming || len(req.attempts) >= max(1, settings.MaxAttempts) {
 		return false
@@ -122,8 +123,8 @@
 	return req.class.Effect != NonIdempotent || !req.mayHaveRun()
 }
 
-// retryCost returns what a retry costs, by the last attempt: the less that can have asked of an endpoint, the
-// cheaper it is.
+// retryCost returns the retry budget that a retry consumes. It is lower the less load the last attempt can
+// have put on an endpoint.
 func (req *request) retryCost() float64 {
 	last := req.attempts[len(req.attempts)-1]
 	switch {
@@ -135,13 +136,13 @@
 	return retrybudget.FullCost
 }
 
-// tried says that the request has been sent to the endpoint before.
-func (req *request) tried(ep *endpoints.Endpoint) bool {
+// wasSentTo reports whether an earlier attempt was sent to the endpoint.
+func (req *request) wasSentTo(ep *endpoints.Endpoint) bool {
 	return slices.ContainsFunc(req.attempts, func(a *attempt) bool { return a.endpoint == ep })
 }
 
-// inDedupScope says that the endpoint discards the repeat of a request with an idempotency key that may have
-// run.
+// inDedupScope reports whether the endpoint discards repeats of all attempts that may have run, for a request
+// with an idempotency key; it is true for every other request.
 func (req *request) inDedupScope(ep *endpoints.Endpoint) bool {
 	if req.class.Effect != IdempotentByKey {
 		return true
@@ -152,35 +153,36 @@
 	})
 }
 
-// dedupDeadline returns the time when the endpoints stop discarding the repeats of what may have run. 0: no
-// attempt may have run, or the class has no idempotency keys. It is checked before the send here and, as a
-// connection may be established late, once more by the host.
+// dedupDeadline returns the time at which endpoints stop discarding repeats of an attempt that may have run.
+// 0: no attempt may have run, or the class has no idempotency keys. It is checked here before the send and,
+// as a connection may take time to establish, once more by the host.
 func (req *request) dedupDeadline(tick time.Duration) (until time.Duration) {
 	for _, a := range req.attempts {
-		end := a.sent + req.class.DedupWindow - 2*tick
-		if req.class.Effect == IdempotentByKey && !a.neverRan && (until == 0 || end < until) {
-			until = max(end, 1)
+		windowEnd := a.sent + req.class.DedupWindow - 2*tick
+		if req.class.Effect == IdempotentByKey && !a.neverRan && (until == 0 || windowEnd < until) {
+			until = max(windowEnd, 1)
 		}
 	}
 	return until
 }
 
-// attemptTimeout returns how long an attempt is waited for. An endpoint that lets a request hang takes all
-// the time that is left. Where that happens, an idempotent request that may be retried gives an attempt half
-// of it, if nearly all answers come within that. This hurts requests that take long by themselves; in the
-// first tier the work already done further down would be lost with the attempt.
-func (req *request) attemptTimeout(now time.Duration, settings *Settings, retryIsPaid bool) time.Duration {
+// attemptTimeout returns the timeout of the next attempt. An endpoint that hangs uses up all the remaining
+// time. When such failures occur, an idempotent request that may be retried therefore gets half of the
+// remaining time per attempt, if nearly all responses arrive within that. This is a disadvantage for requests
+// that are slow by nature; in the first tier, the work already done by the tiers below would be lost with the
+// attempt.
+func (req *request) attemptTimeout(now time.Duration, settings *Settings, retryInBudget bool) time.Duration {
 	c, left := req.class, req.responseDeadline(settings)-now
-	retryLikely := c.Effect == Idempotent && len(req.attempts) < settings.MaxAttempts && retryIsPaid
-	if retryLikely && settings.Tier > 0 && c.failureRate.Share() > hangingShare &&
+	retryLikely := c.Effect == Idempotent && len(req.attempts) < settings.MaxAttempts && retryInBudget
+	if retryLikely && settings.Tier > 0 && c.failureRate.Share() > halfTimeoutFailureRate &&
 		left/2 > c.latency.SlowThreshold() {
 		return left / 2
 	}
 	return left
 }
 
-// responseDeadline returns the time from which an answer is worth nothing: work that continues after it takes
-// capacity from answers that come in time. Below the first tier only the deadline is known.
+// responseDeadline returns the time from which a response has no value: work that continues after it takes
+// capacity from responses that are in time. Below the first tier only the request's deadline is known.
 func (req *request) responseDeadline(settings *Settings) time.Duration {
 	if settings.Tier > 0 || req.class.LateValue > 0 || req.isRetry {
 		return req.deadline
@@ -188,9 +190,9 @@
 	return min(req.deadline, req.arrived+req.class.LatencyObjective-2*settings.Tick)
 }
 
-// queueDeadline returns the time up to which it makes sense to keep a request in the queue: until its answer
-// may well miss the latency objective, since late answers take capacity from those in time. With no endpoint
-// at all a late answer is the best there can be, so then almost until the deadline.
+// queueDeadline returns the time until which the request may stay in the queue: until its response would
+// probably miss the latency objective, since late responses take capacity from those in time. If no endpoint
+// is ready, a late response is the best possible outcome, so the request may wait almost until its deadline.
 func (req *request) queueDeadline(settings *Settings, endpointsReady int) time.Duration {
 	last := req.deadline - 2*settings.Tick
 	if endpointsReady == 0 {
@@ -201,19 +203,19 @@
 	return min(last, req.arrived+slack)
 }
 
-// needsTimer says whether the request needs a timer at this time, and records it. It needs none if one is due
-// by then already.
-func (req *request) needsTimer(now, at time.Duration) bool {
-	if req.timerAt > now && req.timerAt <= at {
+// scheduleTimer records a timer at this time and reports whether the host must be asked for it. It is not
+// needed if another timer of the request is due earlier.
+func (req *request) scheduleTimer(now, at time.Duration) bool {
+	if req.timerDue > now && req.timerDue <= at {
 		return false
 	}
-	req.timerAt = at
+	req.timerDue = at
 	return true
 }
 
-// endTimer records that the request's timer has fired.
-func (req *request) endTimer(now, tick time.Duration) {
-	if now+tick >= req.timerAt {
-		req.timerAt = 0
+// clearTimer records that the request's timer has fired.
+func (req *request) clearTimer(now, tick time.Duration) {
+	if now+tick >= req.timerDue {
+		req.timerDue = 0
 	}
 }
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -1,4 +1,4 @@
-// The life cycle of a request: accepted, queued or sent, attempts ended, retried, answered, forgotten.
+// The life cycle of a request: accepted, queued or sent, retried, answered and removed.
 
 package balancer
 
@@ -12,29 +12,29 @@
 	"basaltdrum/balancer/internal/retrybudget"
 )
 
-// requestTokenPrefix stands before a request's id in the token of its timer.
+// requestTokenPrefix is the prefix of a request's timer token, before its ID.
 const requestTokenPrefix = "r:"
 
-// accept takes a new request.
+// accept handles a new request.
 func (b *Balancer) accept(e Request) {
 	if b.requests[e.ID] != nil {
 		return
 	}
 	req := newRequest(b.now, e, b.classes.get(e.Class))
 	b.requests[e.ID] = req
-	b.endpoints.observeRequest(b.now, req.work)
+	b.endpoints.observeRequest(b.now, req.expectedWork)
 	if b.settings.Tier == 0 {
 		req.inferFirstAttempt(b.now, e.FirstByte)
 	}
 	b.admission.ObserveArrival(&req.class.admission)
 	if b.shuttingDown {
-		b.answer(req)
+		b.rejectOrFail(req)
 		return
 	}
 	b.dispatch(req)
 }
 
-// dispatch sends a request, or queues it while no endpoint may take it.
+// dispatch sends a request, or queues it if no endpoint may receive it now.
 func (b *Balancer) dispatch(req *request) {
 	if !b.atCapacity(req) {
 		if ep := b.chooseEndpoint(req); ep != nil {
@@ -45,9 +45,9 @@
 	b.enqueue(req)
 }
 
-// atCapacity says that this request can't be sent now: no endpoint is ready, or as many requests are in
-// flight as the tiers below answer in time. Only the first tier limits them: a request rejected further down
-// wastes the work done above it.
+// atCapacity reports whether the request can't be sent now because no endpoint is ready or because the
+// concurrency limit is reached: as many requests are in flight as the tiers below answer in time. Only the
+// first tier limits concurrency, as a request rejected further down wastes the work done above it.
 func (b *Balancer) atCapacity(req *request) bool {
 	if b.endpoints.ReadyCount() == 0 {
 		return true
@@ -59,7 +59,7 @@
 	return b.admission.Priority(&req.class.admission, req.isRetry)
 }
 
-// chooseEndpoint picks an endpoint for the next attempt of a request; nil: none is eligible.
+// chooseEndpoint chooses the endpoint of a request's next attempt, or returns nil if none is eligible.
 func (b *Balancer) chooseEndpoint(req *request) *endpoints.Endpoint {
 	return b.endpoints.choose(b.now, req, load{
 		inFlight: b.admission.InFlight(), meanInFlight: b.admission.MeanInFlight(),
@@ -82,7 +82,7 @@
 	}
 }
 
-// send begins the next attempt of a request.
+// send starts the next attempt of a request.
 func (b *Balancer) send(req *request, ep *endpoints.Endpoint) {
 	notAfter := req.dedupDeadline(b.settings.Tick)
 	a := req.startAttempt(b.now, ep)
@@ -96,39 +96,39 @@
 	b.emit(Send{ID: req.id, Endpoint: ep.ID, Timeout: max(timeout, b.settings.Tick), NotAfter: notAfter})
 }
 
-// enqueue keeps a request in the queue as long as that makes sense. Its timer makes sure that it is answered.
+// enqueue queues a request until its queue deadline. A timer ensures that it is answered by then.
 func (b *Balancer) enqueue(req *request) {
 	deadline := req.queueDeadline(&b.settings, b.endpoints.ReadyCount())
 	if b.now >= deadline {
-		b.answer(req)
+		b.rejectOrFail(req)
 		return
 	}
 	b.queue.add(req)
 	b.setTimer(req, min(deadline, b.endpoints.nextCheck(b.now)))
 }
 
-// setTimer asks for a review of a request, unless one is due by then already.
+// setTimer requests a timer for a request, unless one is due by then already.
 func (b *Balancer) setTimer(req *request, at time.Duration) {
 	at = max(at, b.now+1)
-	if req.needsTimer(b.now, at) {
+	if req.scheduleTimer(b.now, at) {
 		b.emit(SetTimer{At: at, Token: requestTokenPrefix + req.id})
 	}
 }
 
-// reviewQueued looks again at a request, by the token of its timer, and then at the queue.
+// reviewQueued checks the request whose timer has fired, and then the rest of the queue.
 func (b *Balancer) reviewQueued(token string) {
 	req := b.requests[strings.TrimPrefix(token, requestTokenPrefix)]
 	if req == nil {
 		return
 	}
-	req.endTimer(b.now, b.settings.Tick)
+	req.clearTimer(b.now, b.settings.Tick)
 	if req.queued {
 		b.enqueue(req)
 		b.dispatchQueued()
 	}
 }
 
-// endAttempt handles the result of an attempt. Where the host itself delayed it, it shows nothing.
+// endAttempt handles the end of an attempt. Nothing is learned from an attempt that the host itself delayed.
 func (b *Balancer) endAttempt(e AttemptEnded) {
 	req := b.requests[e.ID]
 	if req == nil {
@@ -145,28 +145,28 @@
 			req.class.traffic.ObserveOnTime()
 		}
 		b.finish(req)
-	case req.hasFailed():
-		b.retryOrAnswer(req)
+	case req.allAttemptsFailed():
+		b.retryOrReject(req)
 	}
-	b.forget(req)
+	b.removeIfComplete(req)
 	b.dispatchQueued()
 }
 
-// recordAttemptEnd takes an attempt off the counts and lets the mechanisms learn from it.
+// recordAttemptEnd updates the counters and reports the result of the attempt to the mechanisms.
 func (b *Balancer) recordAttemptEnd(a *attempt, e AttemptEnded) {
 	a.end(e.Result)
 	b.admission.EndAttempt()
-	// The waits of an unresponsive endpoint say nothing of how loaded the others are.
+	// Waiting for an unresponsive endpoint tells nothing about the load of the others.
 	if !e.HeldUp && !b.endpoints.suspects(b.now, a.endpoint) {
 		b.adjustLimit(a, e.Result)
 	}
 	if !e.HeldUp && e.Result == Success {
 		b.retryBudget.Deposit()
 	}
-	b.endpoints.end(b.now, a, e.Result, e.HeldUp)
+	b.endpoints.endAttempt(b.now, a, e.Result, e.HeldUp)
 }
 
-// adjustLimit moves the concurrency limit of the first tier by the result of an attempt.
+// adjustLimit adjusts the concurrency limit of the first tier by the result of an attempt.
 func (b *Balancer) adjustLimit(a *attempt, result AttemptResult) {
 	if b.settings.Tier > 0 {
 		return
@@ -179,14 +179,14 @@
 		b.admission.ObserveFailure(b.endpoints.PerReplica())
 	case Rejected:
 		b.admission.ObserveRejection(b.now, class, b.endpoints.PerReplica())
-	default: // shows nothing of the load
+	default: // tells nothing about the load
 	}
 }
 
-// retryOrAnswer decides what follows when a request has no attempt in flight: a retry, if it is allowed, paid
-// for, likely to be answered in time and an endpoint is eligible; else the final answer. Requests are never
-// hedged: a second attempt begins only when the first one has ended.
-func (b *Balancer) retryOrAnswer(req *request) {
+// retryOrReject continues a request that has no attempt in flight. It retries if that is allowed, within the
+// retry budget and likely to be answered in time, and if an endpoint is eligible; otherwise it rejects or
+// fails the request. Requests are never hedged: an attempt starts only when the previous one has ended.
+func (b *Balancer) retryOrReject(req *request) {
 	left := float64(req.responseDeadline(&b.settings) - b.now)
 	cost := req.retryCost()
 	if req.mayRetry(b.now, &b.settings) && b.retryBudget.CanWithdraw(cost) &&
@@ -197,12 +197,12 @@
 			return
 		}
 	}
-	b.answer(req)
+	b.rejectOrFail(req)
 }
 
-// answer gives the final answer: a rejection where the rules let it promise that a retry does no harm, else a
-// failure.
-func (b *Balancer) answer(req *request) {
+// rejectOrFail answers a request without a response from an endpoint: with a rejection if a retry by the
+// client is known to be harmless, otherwise with a failure.
+func (b *Balancer) rejectOrFail(req *request) {
 	if req.answered || req.streaming {
 		return
 	}
@@ -210,9 +210,9 @@
 		b.admission.ObserveShed()
 	}
 	if req.harmlessToRetry() {
-		// A client that waits long comes back when its latency objective is mostly used up, and its
-		// late answer takes capacity from one in time; the concurrency limit, not the clients' absence, holds
-		// the load off.
+		// RetryAfter is kept short: a client that waits long returns when most of its latency objective is
+		// used up, and its late response takes capacity from one in time. The load is held off by the
+		// concurrency limit, not by waiting clients.
 		b.emit(Reject{ID: req.id, RetryAfter: min(b.settings.MaxRetryAfter, b.settings.Tick)})
 	} else {
 		b.emit(Fail{ID: req.id})
@@ -220,21 +220,21 @@
 	b.finish(req)
 }
 
-// startStream records that the answer has begun: the attempt is the client's from here on.
+// startStream records that the response has started. From then on the attempt is not retried or replaced.
 func (b *Balancer) startStream(e StreamStarted) {
 	if req := b.requests[e.ID]; req != nil {
 		req.streaming = true
 	}
 }
 
-// abandon ends a request whose client has left.
+// abandon ends a request whose client has disconnected.
 func (b *Balancer) abandon(e ClientGone) {
 	if req := b.requests[e.ID]; req != nil {
 		b.finish(req)
 	}
 }
 
-// shutdown answers all requests, in an order that is the same each time.
+// shutdown answers all requests, sorted by ID so that the order is deterministic.
 func (b *Balancer) shutdown() {
 	b.shuttingDown = true
 	var unanswered []*request
@@ -245,11 +245,11 @@
 	}
 	slices.SortFunc(unanswered, func(p, q *request) int { return cmp.Compare(p.id, q.id) })
 	for _, req := range unanswered {
-		b.answer(req)
+		b.rejectOrFail(req)
 	}
 }
 
-// finish ends a request and cancels its attempts in flight.
+// finish marks a request as answered and cancels its attempts in flight.
 func (b *Balancer) finish(req *request) {
 	if req.answered {
 		return
@@ -261,12 +261,12 @@
 			b.emit(Cancel{ID: req.id, Attempt: a.number})
 		}
 	}
-	b.forget(req)
+	b.removeIfComplete(req)
 }
 
-// forget drops a request once it is answered and its attempts have ended.
-func (b *Balancer) forget(req *request) {
-	if req.isOver() {
+// removeIfComplete removes a request once it is answered and all its attempts have ended.
+func (b *Balancer) removeIfComplete(req *request) {
+	if req.isComplete() {
 		delete(b.requests, req.id)
 	}
 }
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -1,6 +1,6 @@
-// The choice of an endpoint for an attempt: which endpoints are eligible, and the pick of one of two.
+// Selection of an endpoint for an attempt: which endpoints are eligible, and the choice between two of them.
 //
-// Unhealthy endpoints are excluded up to a share of the list (as by Envoy's max_ejection_percent). The pick
+// Unhealthy endpoints are excluded up to a share of the list (like Envoy's max_ejection_percent). The choice
 // is d-left hashing (Vöcking, "How Asymmetry Helps Load Balancing"; Mitzenmacher and Vöcking, "The
 // Asymptotics of Selecting the Shortest of Two, Improved").
 
@@ -15,54 +15,55 @@
 )
 
 const (
-	// maxExcludedShare is the share of the list that may be excluded for its health; beyond that, only the
-	// worst are.
+	// maxExcludedShare is the share of the list that may be excluded for health reasons; beyond it, only the
+	// least healthy endpoints are excluded.
 	maxExcludedShare = 0.2
-	// maxCapacity is the listed capacity that counts: with an infinite weight no draw would take any
+	// maxCapacity caps the listed capacity: with an infinite weight, no weighted draw would select any
 	// endpoint.
 	maxCapacity = 1e6
 )
 
-// load is what is known of this replica's load.
+// load describes this replica's current load.
 type load struct {
 	inFlight     int     // attempts in flight
-	meanInFlight float64 // on average
-	shedShare    float64 // share of requests that are answered without an attempt
+	meanInFlight float64 // moving average of inFlight
+	shedShare    float64 // share of requests that are rejected or failed without an attempt
 }
 
 // selection is the choice of an endpoint for one attempt of a request.
 type selection struct {
 	*endpointSelector
-	now   time.Duration
-	req   *request
-	load  load
-	limit int // attempts in flight to one endpoint from which it is passed over
+	now           time.Duration
+	req           *request
+	load          load
+	inFlightLimit int // attempts in flight at which an endpoint is skipped
 }
 
-// candidates are endpoints to choose from, and how strictly.
+// candidates are endpoints to choose from, and the rules that apply.
 type candidates struct {
 	groups          endpoints.Groups
 	excludeOutliers bool
-	// warmingUp allows that all of them are warming up, and that a first attempt goes to an idle one without
-	// the draw of slow start. Else a subset that is warming up as a whole would take the requests of an
-	// endpoint that is not, while the rest of the list isn't.
-	warmingUp bool
+	// allowWarmingUp allows a choice among endpoints that are all warming up, and allows a first attempt to
+	// go to an idle one without the random admission of slow start. Without this rule, a subset that is
+	// warming up as a whole would take the requests meant for an endpoint that is not, while the rest of the
+	// list is warm.
+	allowWarmingUp bool
 }
 
-// choose picks an endpoint from the replica's subset and, when none there is eligible, from all; outliers
-// come last. It returns nil when no endpoint is eligible.
+// choose returns an endpoint from the replica's subset or, if none there is eligible, from the whole list;
+// outliers come last. It returns nil if no endpoint is eligible.
 func (s *endpointSelector) choose(now time.Duration, req *request, load load) *endpoints.Endpoint {
 	if s.ResizeSubset(load.meanInFlight) {
 		s.slowStart.ObserveSubsetChange()
 	}
 	subset, size := s.Subset()
-	// Random draws meet the same few endpoints twice now and then, and what several replicas send there
-	// together overloads them: hence the limit.
+	// Random choices of several replicas now and then hit the same few endpoints and together overload them:
+	// the limit prevents that.
 	choice := selection{s, now, req, load, 1 + load.inFlight/max(1, size)}
 	for _, from := range []candidates{
 		{groups: subset, excludeOutliers: true},
-		{groups: s.Groups(), excludeOutliers: true, warmingUp: true},
-		{groups: s.Groups(), warmingUp: true},
+		{groups: s.Groups(), excludeOutliers: true, allowWarmingUp: true},
+		{groups: s.Groups(), allowWarmingUp: true},
 	} {
 		if ep := choice.chooseFrom(from); ep != nil {
 			return ep
@@ -71,8 +72,9 @@
 	return nil
 }
 
-// chooseFrom picks among the candidates that a request may be sent to: in its scope, not tried by it, healthy
-// and, as long as that leaves any, below the limits on what is in flight to one endpoint.
+// chooseFrom chooses among the candidates that may receive the request: in its deduplication scope, not used
+// by its earlier attempts, healthy and, if any such remain, below the limits on attempts in flight per
+// endpoint.
 func (s *selection) chooseFrom(from candidates) *endpoints.Endpoint {
 	s.excludeUnhealthy(from)
 	unlimited := func(*endpoints.Endpoint) int { return math.MaxInt }
@@ -80,20 +82,21 @@
 		left, idleLeft := s.eligible(from.groups.Left, limit)
 		right, idleRight := s.eligible(from.groups.Right, limit)
 		admitted := append(left, right...)
-		if from.warmingUp && len(admitted) > 0 || slices.ContainsFunc(admitted, s.isWarm) {
+		if from.allowWarmingUp && len(admitted) > 0 || slices.ContainsFunc(admitted, s.isWarm) {
 			return s.pick(left, right)
 		}
-		if from.warmingUp && len(idleLeft)+len(idleRight) > 0 {
+		if from.allowWarmingUp && len(idleLeft)+len(idleRight) > 0 {
 			return s.pick(idleLeft, idleRight)
 		}
 	}
 	return nil
 }
 
-// excludeUnhealthy marks the candidates that are excluded for their health. When many seem unhealthy to one
-// replica, the fault is more likely its own or the tier below's, and the few others would take all the load.
-// So only the worst are excluded, up to a share of the list, and fewer the more load is shed: in overload
-// every endpoint is needed, and timeouts show load rather than ill health.
+// excludeUnhealthy marks the candidates that are excluded for health reasons. When many endpoints appear
+// unhealthy to one replica, the fault is more likely its own or that of the tier below, and the few others
+// would receive all the load. So only the least healthy are excluded, up to a share of the list, and fewer
+// the more load is shed: in overload every endpoint is needed, and timeouts indicate load rather than poor
+// health.
 func (s *selection) excludeUnhealthy(from candidates) {
 	var unhealthy []*endpoints.Endpoint
 	for _, ep := range slices.Concat(from.groups.Left, from.groups.Right) {
@@ -103,28 +106,29 @@
 			unhealthy = append(unhealthy, ep)
 		}
 	}
-	most := int(maxExcludedShare * (1 - s.load.shedShare) * float64(s.ReadyCount()))
-	if len(unhealthy) <= most {
+	maxExcluded := int(maxExcludedShare * (1 - s.load.shedShare) * float64(s.ReadyCount()))
+	if len(unhealthy) <= maxExcluded {
 		return
 	}
 	slices.SortStableFunc(unhealthy, func(ep, other *endpoints.Endpoint) int {
 		return ep.Health.CompareFailures(&other.Health)
 	})
-	for _, ep := range unhealthy[most:] {
+	for _, ep := range unhealthy[maxExcluded:] {
 		ep.Excluded = false
 	}
 }
 
-// isOutlier says, by a random draw, that an endpoint should not be sent a class now, by its success rate.
+// isOutlier decides by a random draw, weighted by its success rate, whether to exclude an endpoint for the
+// class.
 func (s *selection) isOutlier(ep *endpoints.Endpoint) bool {
 	c := s.req.class
 	eligibility := ep.Health.Eligibility(c.failureRates, s.now, c.latency.Mean())
 	return eligibility < 1 && s.rng.Float64() >= eligibility
 }
 
-// isUnhealthy says that the request should not be sent to an endpoint now for its health. After an ejection
-// one idempotent request at a time tries the endpoint: a bad one must not fail a request that can't be
-// retried, nor many at once.
+// isUnhealthy reports whether the endpoint's health rules out sending it the request now. After an ejection,
+// one idempotent request at a time probes the endpoint: a bad endpoint must not fail a request that can't be
+// retried, nor several at once.
 func (s *selection) isUnhealthy(ep *endpoints.Endpoint) bool {
 	if ep.Health.IsEjected(s.now) || s.suspects(s.now, ep) {
 		return true
@@ -132,14 +136,15 @@
 	return ep.Health.OnTrial() && (s.req.class.Effect == NonIdempotent || ep.Attempts.InFlight() > 0)
 }
 
-// eligible returns the endpoints of a group that the request may be sent to, and the idle ones that only the
-// draw of slow start keeps out.
+// eligible returns the endpoints of a group that may receive the request, and the idle ones that only the
+// random admission of slow start excludes.
 func (s *selection) eligible(
 	group []*endpoints.Endpoint, limit func(*endpoints.Endpoint) int,
 ) (admitted, idle []*endpoints.Endpoint) {
 	for _, ep := range group {
 		switch {
-		case ep.Excluded || ep.Attempts.InFlight() >= limit(ep) || !s.req.inDedupScope(ep) || s.req.tried(ep):
+		case ep.Excluded || ep.Attempts.InFlight() >= limit(ep) ||
+			!s.req.inDedupScope(ep) || s.req.wasSentTo(ep):
 		case s.admitsInSlowStart(ep):
 			admitted = append(admitted, ep)
 		case ep.Attempts.InFlight() == 0 && len(s.req.attempts) == 0 && s.hasTokens(ep):
@@ -149,19 +154,19 @@
 	return admitted, idle
 }
 
-// endpointLimit is the count of requests in flight from which an endpoint is passed over.
+// endpointLimit returns the number of attempts in flight at which an endpoint is skipped.
 func (s *selection) endpointLimit(ep *endpoints.Endpoint) int {
-	return min(s.rejectionLimit(ep), s.limit)
+	return min(s.rejectionLimit(ep), s.inFlightLimit)
 }
 
-// rejectionLimit is the count of requests in flight from which an endpoint is passed over because it rejected
-// one more a while ago. It is not unhealthy, so the cap on the exclusion of unhealthy endpoints does not
-// apply.
+// rejectionLimit returns the number of attempts in flight at which an endpoint is skipped because it recently
+// rejected a request at that load. Such an endpoint is not unhealthy, so the cap on the exclusion of
+// unhealthy endpoints does not apply.
 func (s *selection) rejectionLimit(ep *endpoints.Endpoint) int { return ep.Rejections.Limit(s.now) }
 
-// admitsInSlowStart says whether the request may be sent to an endpoint as far as slow start goes. One that
-// warms up takes one request of this replica at a time, within its token bucket, and its share of the work of
-// a warm one.
+// admitsInSlowStart reports whether slow start allows sending the request to an endpoint. An endpoint that is
+// warming up takes one request of this replica at a time, within its token bucket, and only its share of the
+// work that a warm one takes.
 func (s *selection) admitsInSlowStart(ep *endpoints.Endpoint) bool {
 	share := s.slowStart.CapacityShare(&ep.SlowStart, s.now)
 	switch {
@@ -170,14 +175,14 @@
 	case ep.Attempts.InFlight() > 0 || !s.hasTokens(ep):
 		return false
 	}
-	return s.slowStart.AdmitsWork(share, s.req.work, s.rng)
+	return s.slowStart.AdmitsWork(share, s.req.expectedWork, s.rng)
 }
 
 func (s *selection) isWarm(ep *endpoints.Endpoint) bool {
 	return s.slowStart.IsWarm(&ep.SlowStart, s.now)
 }
 
-// hasTokens says that an endpoint in slow start may be sent a request now.
+// hasTokens reports whether the token bucket of an endpoint in slow start allows a request now.
 func (s *selection) hasTokens(ep *endpoints.Endpoint) bool {
 	if s.slowStart.NeedsRateUpdate(s.now) {
 		s.slowStart.UpdateRates(s.now, s.slowStartCounts(s.now))
@@ -185,9 +190,10 @@
 	return s.slowStart.HasTokens(&ep.SlowStart, s.now, ep.InSubset(), s.rng)
 }
 
-// pick draws one endpoint from each group, and the one with fewer requests in flight wins. Equal counts above
-// zero go left; at zero the side is drawn by the groups' weights. Draws go by weight, which is equal as long
-// as nothing distinguishes the endpoints. An empty group leaves the pick to the other.
+// pick draws one endpoint from each group and returns the one with fewer attempts in flight. Equal counts
+// above zero go to the left group; at zero the group is drawn by total weight. Draws within a group are
+// weighted too, with equal weights as long as nothing distinguishes the endpoints. If one group is empty, the
+// draw from the other is returned.
 func (s *endpointSelector) pick(left, right []*endpoints.Endpoint) *endpoints.Endpoint {
 	first, firstWeight := s.draw(left)
 	second, secondWeight := s.draw(right)
@@ -202,7 +208,8 @@
 	return second
 }
 
-// draw draws one endpoint of a group by weight (reservoir sampling), and returns the weight of the group.
+// draw draws one endpoint of a group by weight (reservoir sampling) and returns the total weight of the
+// group.
 func (s *endpointSelector) draw(group []*endpoints.Endpoint) (drawn *endpoints.Endpoint, total float64) {
 	for _, ep := range group {
 		weight := weightOf(ep)
@@ -214,10 +221,10 @@
 	return drawn, total
 }
 
-// weightOf returns what an endpoint can carry against the others: its listed capacity, corrected by its
-// relative latency. Equal draws among unequal endpoints overload the slow ones at loads that all together
-// could carry, and one replica's counts are too small to show it. One replica's samples are few, too, but the
-// errors of many replicas cancel out.
+// weightOf returns the relative capacity of an endpoint: its listed capacity, corrected by its relative
+// latency. Equal draws among unequal endpoints would overload the slow ones at a total load that all together
+// could serve, and the attempts in flight of a single replica are too few to show it. A single replica's
+// latency samples are few, too, but the errors of many replicas cancel out.
 func weightOf(ep *endpoints.Endpoint) float64 {
 	weight := ep.Latency.Speed()
 	if ep.Capacity > 0 {
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// Effect says what happens when a request runs more than once.
+// Effect describes what happens when a request runs more than once.
 type Effect int
 
-// Effects. The zero value is the one that permits least.
+// Effects. The zero value allows the least.
 const (
 	NonIdempotent   Effect = iota // must never run twice
-	IdempotentByKey               // the endpoints of one scope discard repeats of a key for a while
+	IdempotentByKey               // the endpoints of a Scope discard repeats of a key within DedupWindow
 	Idempotent                    // may run any number of times
 )
 
-// Scope names the endpoints that discard the repeats of a request with an idempotency key.
+// Scope is the set of endpoints that discard repeats of a request with an idempotency key.
 type Scope int
 
-// Scopes, from the narrowest.
+// Scopes, from the narrowest to the widest.
 const (
 	ScopeCell Scope = iota
 	ScopeZone
@@ -33,43 +33,44 @@
 	Effect           Effect
 	Scope            Scope         // for IdempotentByKey
 	DedupWindow      time.Duration // for IdempotentByKey: how long repeats are discarded, from the first send
-	LatencyObjective time.Duration // an answer within it earns all of PriorityWeight
-	Deadline         time.Duration // how long a client waits over all its attempts
-	LateValue        float64       // share of PriorityWeight that an answer after LatencyObjective earns
+	LatencyObjective time.Duration // a response within it earns the full PriorityWeight
+	Deadline         time.Duration // how long a client waits in total, over all its attempts
+	LateValue        float64       // share of PriorityWeight earned by a response after LatencyObjective
 	PriorityWeight   float64
 }
 
-// Settings hold until the Balancer is given others by Reconfigure.
+// Settings configure a Balancer; Reconfigure replaces them.
 type Settings struct {
 	Classes          []Class
-	Replicas         int     // balancers that place requests on this tier
-	ReplicaIndex     int     // this balancer's number among them, from 0
-	Tier             int     // the tier sent to; 0 is the one that clients call
-	Zone             string  // this balancer's zone
-	ZoneCount        int     // how many zones there are
-	TotalWeight      float64 // how much the sum over all classes counts when load is shed
-	WorstClassWeight float64 // how much the class served worst counts when load is shed
-
-	MaxAttempts   int           // of one request
-	AllowCancel   bool          // attempts may be called off
-	PollDiscovery bool          // endpoint updates come only after a Subscribe
-	PollWithin    time.Duration // with PollDiscovery: the longest time without a Subscribe that is allowed
+	Replicas         int     // balancer replicas that send requests to this tier
+	ReplicaIndex     int     // this replica's index, from 0
+	Tier             int     // tier that requests are sent to; 0 is the one that clients call
+	Zone             string  // this replica's zone
+	ZoneCount        int     // number of zones
+	TotalWeight      float64 // weight of the sum over all classes in load shedding
+	WorstClassWeight float64 // weight of the worst-served class in load shedding
+
+	MaxAttempts   int           // per request
+	AllowCancel   bool          // whether the host can cancel attempts
+	PollDiscovery bool          // whether endpoint updates come only after a Subscribe
+	PollWithin    time.Duration // with PollDiscovery: longest time allowed without a Subscribe
 	Tick          time.Duration // resolution of the host's timers
-	MaxRetryAfter time.Duration // longest Retry-After that clients heed; 0: they take none
+	MaxRetryAfter time.Duration // longest Retry-After that clients honor; 0: they ignore it
 
-	SlowStartFloor    float64       // share of its capacity that an endpoint has at its start, at least
-	SlowStartDuration time.Duration // time after its start when it has all of it
+	SlowStartFloor    float64       // share of its capacity that an endpoint has when it starts, at least
+	SlowStartDuration time.Duration // time from an endpoint's start to its full capacity
 
-	// An endpoint in slow start fails for good when all replicas together send it more than OverloadMultiple
-	// times its present capacity for as long as OverloadWindow. 0: there is no such limit.
+	// An endpoint in slow start fails permanently when all replicas together send it more than
+	// OverloadMultiple times its current capacity for the length of OverloadWindow. 0: there is no such
+	// limit.
 	OverloadMultiple float64
 	OverloadWindow   time.Duration
 }
 
-// SettingError says which setting can't be used, by its name in Settings.
+// SettingError reports a setting that is invalid.
 type SettingError struct {
-	Field string // such as Classes[1].Deadline
-	Class string // the class that it belongs to, if any
+	Field string // its name in Settings, such as Classes[1].Deadline
+	Class string // name of the class that the setting belongs to, if any
 	Err   error
 }
 
@@ -90,7 +91,7 @@
 // Unwrap returns the reason.
 func (e *SettingError) Unwrap() error { return e.Err }
 
-// Validate returns a *SettingError for the first setting that can't be used, or nil.
+// Validate returns a *SettingError for the first invalid setting, or nil.
 func (s Settings) Validate() error {
 	if len(s.Classes) == 0 {
 		return &SettingError{Field: "Classes", Err: ErrMissing}
@@ -108,14 +109,14 @@
 		seen[class.Name] = true
 	}
 	for _, setting := range s.ranges() {
-		if !(setting.value >= 0 && setting.value <= setting.most) { // NaN fails too
+		if !(setting.value >= 0 && setting.value <= setting.max) { // also rejects NaN
 			return &SettingError{Field: setting.name, Err: fmt.Errorf("%w: %v", ErrOutOfRange, setting.value)}
 		}
 	}
 	return nil
 }
 
-// validate returns the name of the first field that can't be used, and the reason.
+// validate returns the name of the first invalid field and the reason, or a nil reason.
 func (c Class) validate() (field string, reason error) {
 	switch {
 	case c.Name == "":
@@ -134,13 +135,13 @@
 	return "", nil
 }
 
-// settingRange is the value of a setting, which must lie between 0 and most.
+// settingRange holds the value of a setting, which must lie between 0 and max.
 type settingRange struct {
-	name        string
-	value, most float64
+	name       string
+	value, max float64
 }
 
-// maxZones bounds ZoneCount, by which places among the replicas are multiplied.
+// maxZones bounds ZoneCount, which multiplies replica indexes when subsets are positioned.
 const maxZones = 1000
 
 func (s Settings) ranges() []settingRange {
