--- a/balancer/internal/admission/admission.go
+++ b/balancer/internal/admission/admission.go
@@ -16,7 +16,7 @@
 const (
 	averageWeight        = 0.06 // weight of a new sample in averages (about 16 samples)
 	minLimitPerEndpoint  = 5.0  // always admitted, for each endpoint of this replica's share
-	limitGain            = 0.25 // step of the limit per response, for a latency one target above or below the target
+	limitGain            = 0.25 // step of the limit per response, for a latency one target off the target
 	maxLimitRatio        = 2    // of the limit to the mean requests in flight; the limit stops growing there
 	overloadRatio        = 1.33 // mean ratio of latencies to targets from which endpoints are overloaded
 	maxLatencyRatio      = 2.0  // cap on the ratio of a slow response, and the ratio of any failure
--- a/balancer/internal/admission/admission_test.go
+++ b/balancer/internal/admission/admission_test.go
@@ -179,7 +179,8 @@
 	}
 	limiter.StartAttempt()
 	if limiter.InFlight() != 1 || limiter.MeanInFlight() < 1.4 || limiter.MeanInFlight() > 1.6 {
-		t.Errorf("got %d in flight and a mean of %.2f, want 1 and about 1.5", limiter.InFlight(), limiter.MeanInFlight())
+		t.Errorf("got %d in flight and a mean of %.2f, want 1 and about 1.5", limiter.InFlight(),
+			limiter.MeanInFlight())
 	}
 }
 
--- a/balancer/internal/clienttimeout/clienttimeout_test.go
+++ b/balancer/internal/clienttimeout/clienttimeout_test.go
@@ -22,7 +22,8 @@
 		{1000, false, 500},
 	} {
 		if got := usual.Observe(c.timeout); got != c.isUsual || usual.value != c.value {
-			t.Errorf("timeout %d: got usual %v and a usual timeout of %v, want %v and %v", i, got, usual.value, c.isUsual, c.value)
+			t.Errorf("timeout %d: got usual %v and a usual timeout of %v, want %v and %v", i, got,
+				usual.value, c.isUsual, c.value)
 		}
 	}
 	for range 2 * maxVotes {
--- a/balancer/internal/endpoints/endpoints_test.go
+++ b/balancer/internal/endpoints/endpoints_test.go
@@ -310,8 +310,8 @@
 			ep.Attempts.StartAttempt(time.Second, &class)
 			list.ApplyChanges([]Entry{c.change})
 			if list.byID["s00"] != ep || ep.Attempts.InFlight() != 1 || ep.Entry != c.change {
-				t.Errorf("after the change: got %+v with %d attempts in flight, want the changed entry with 1", ep.Entry,
-					ep.Attempts.InFlight())
+				t.Errorf("after the change: got %+v with %d attempts in flight, want the changed entry with 1",
+					ep.Entry, ep.Attempts.InFlight())
 			}
 			if kept := ep.Latency.Speed() != 1; kept != c.kept {
 				t.Errorf("latency kept: got %v, want %v", kept, c.kept)
--- a/balancer/internal/endpoints/subset_test.go
+++ b/balancer/internal/endpoints/subset_test.go
@@ -91,7 +91,8 @@
 				}
 			}
 			if least, most := count.bounds(entries); least < 4 || most-least > 4 {
-				t.Errorf("subsets per endpoint: got %d to %d, want at least 4 and a difference of at most 4", least, most)
+				t.Errorf("subsets per endpoint: got %d to %d, want at least 4 and a difference of at most 4",
+					least, most)
 			}
 		})
 	}
--- a/balancer/internal/slowstart/overload_test.go
+++ b/balancer/internal/slowstart/overload_test.go
@@ -52,7 +52,8 @@
 				t.Errorf("mean number of requests in a window: got %.3f, want %.3f", got, want)
 			}
 			if got < before*0.9999 {
-				t.Errorf("mean number of requests in a window: got %.3f, want at least the %.3f of a smaller n", got, before)
+				t.Errorf("mean number of requests in a window: got %.3f, want at least the %.3f of a smaller n",
+					got, before)
 			}
 			before = got
 		})
--- a/balancer/internal/slowstart/tokenbucket_test.go
+++ b/balancer/internal/slowstart/tokenbucket_test.go
@@ -135,7 +135,8 @@
 			}
 			limiter.ObserveResponse(&c.endpoints[0], startedAt+10*time.Second, EndpointCounts{}, false)
 			if later := max(limiter.warm.rate(1), limiter.warmingUp.rate(1)); math.Abs(later-best) > 1e-9 {
-				t.Errorf("after the subset became empty: got %.2f responses per second, want %.2f as before", later, best)
+				t.Errorf("after the subset became empty: got %.2f responses per second, want %.2f as before",
+					later, best)
 			}
 		})
 	}
--- a/balancer/internal/unresponsive/unresponsive_test.go
+++ b/balancer/internal/unresponsive/unresponsive_test.go
@@ -76,7 +76,8 @@
 	}
 	record = record.AfterRestart()
 	if record.InFlight() != 1 || !detector.Suspects(&record, now) {
-		t.Errorf("after a restart: got %d attempts in flight, want 1, and the endpoint suspected for it", record.InFlight())
+		t.Errorf("after a restart: got %d attempts in flight, want 1, and the endpoint suspected for it",
+			record.InFlight())
 	}
 }
 
