--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -89,7 +89,8 @@
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
 // handleTimer passes an expired timer to the component that requested it. A host may round times down, so a
-// timer can fire slightly early: every handler checks whether it is due and otherwise requests another timer.
+// timer can fire slightly early: no handler relies on its time having been reached, and a queue review that
+// finds nothing due requests another timer.
 func (b *Balancer) handleTimer(e Timer) {
 	if e.Token == subscriptionToken {
 		b.subscribeIfDue()
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -89,7 +89,7 @@
 		Endpoint string
 		Result   AttemptResult
 		Latency  time.Duration
-		Answered bool // the client has the final response of the request
+		Answered bool // the request has its final response
 		HeldUp   bool // delayed by a fault of the host: Result and Latency tell nothing about the endpoint
 		Load     *LoadReport
 	}
--- a/balancer/internal/admission/admission.go
+++ b/balancer/internal/admission/admission.go
@@ -16,8 +16,8 @@
 const (
 	averageWeight        = 0.06 // weight of a new sample in averages (about 16 samples)
 	minLimitPerEndpoint  = 5.0  // always admitted, for each endpoint of this replica's share
-	limitGain            = 0.25 // step of the limit per response, for a latency one target off the target
-	maxLimitRatio        = 2    // of the limit to the mean requests in flight; the limit stops growing there
+	limitGain            = 0.25 // requests per response, multiplied by 1 - latency/target
+	maxLimitRatio        = 2    // of the limit to the mean requests in flight, up to which the limit grows
 	overloadRatio        = 1.33 // mean ratio of latencies to targets from which endpoints are overloaded
 	maxLatencyRatio      = 2.0  // cap on the ratio of a slow response, and the ratio of any failure
 	minRejectionDecrease = 0.2  // share of the limit that a rejection takes, at least
@@ -29,7 +29,7 @@
 // Constants of the latency target: ratios.
 const (
 	targetToGeometricMean = 0.75 // of the target to the geometric mean of base latency and latency objective
-	minTargetToBase       = 1.35 // minimum of the target to the base latency
+	minTargetToBase       = 1.35 // of the target to the base latency, at least
 	maxTargetReduction    = 0.3  // share by which the target is lowered when all load is shed
 )
 
@@ -42,7 +42,7 @@
 
 	limit            float64       // 0: not initialized
 	initialGrowth    bool          // the limit grows by whole requests until endpoints appear overloaded
-	meanLatencyRatio float64       // mean ratio of latencies to their targets
+	meanLatencyRatio float64       // moving average of the ratios of latencies to their targets
 	nextDecrease     time.Duration // earliest time of the next decrease after a rejection
 }
 
--- a/balancer/internal/admission/admission_test.go
+++ b/balancer/internal/admission/admission_test.go
@@ -63,10 +63,10 @@
 	nearTarget := func(c *Class) float64 { return 0.95 * c.latencyTarget(0) }
 	idle := func(c *Class) float64 { return 1.05 * c.Latency.Base() }
 	for _, c := range []struct {
-		name    string
-		shed    float64
-		latency func(*Class) float64
-		grows   bool
+		name      string
+		shedShare float64
+		latency   func(*Class) float64
+		grows     bool
 	}{
 		{"a little under the target", 0, nearTarget, true},
 		{"a little under the target while much is shed", 0.8, nearTarget, false},
@@ -75,7 +75,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			const before = 100.0
-			limiter := Limiter{limit: before, meanInFlight: before, shedShare: c.shed}
+			limiter := Limiter{limit: before, meanInFlight: before, shedShare: c.shedShare}
 			class := newClass()
 			for range 50 {
 				limiter.inFlight = int(limiter.limit)
@@ -141,10 +141,10 @@
 // high priority may use more than the limit, and one of low priority only half of it.
 func TestRetriesLeaveHalfOfTheLimit(t *testing.T) {
 	for _, c := range []struct {
-		name         string
-		inFlight     int
-		weight, shed float64 // priority weight, the other class having weight 1
-		first, retry bool
+		name              string
+		inFlight          int
+		weight, shedShare float64 // priority weight, the other class having weight 1
+		first, retry      bool
 	}{
 		{"idle", 0, 1, 0, true, true},
 		{"half used", 5, 1, 0, true, false},
@@ -157,7 +157,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			class := classWith(c.weight, 10, 5)
-			limiter := Limiter{limit: 10, inFlight: c.inFlight, shedShare: c.shed}
+			limiter := Limiter{limit: 10, inFlight: c.inFlight, shedShare: c.shedShare}
 			limiter.Configure(Priorities{TotalWeight: 1, Classes: []*Class{class, classWith(1, 10, 5)}})
 			if got := limiter.Admits(class, false); got != c.first {
 				t.Errorf("first attempt admitted: got %v, want %v", got, c.first)
--- a/balancer/internal/admission/priority_test.go
+++ b/balancer/internal/admission/priority_test.go
@@ -5,10 +5,10 @@
 )
 
 // classWith returns a class with this weight and these counts; all classes have the same latency.
-func classWith(weight, arrivals, served float64) *Class {
+func classWith(weight, arrivals, onTime float64) *Class {
 	class := newClass()
 	class.PriorityWeight = weight
-	class.Traffic = &Traffic{arrivals: arrivals, onTime: served}
+	class.Traffic = &Traffic{arrivals: arrivals, onTime: onTime}
 	return class
 }
 
--- a/balancer/internal/clienttimeout/clienttimeout.go
+++ b/balancer/internal/clienttimeout/clienttimeout.go
@@ -20,18 +20,18 @@
 }
 
 // Observe records a timeout in nanoseconds and reports whether it equals the usual one.
-func (u *Estimator) Observe(timeout float64) bool {
+func (e *Estimator) Observe(timeout float64) bool {
 	switch {
-	case math.Abs(timeout-u.value) <= tolerance*u.value:
-		u.votes = min(u.votes+1, maxVotes)
-	case u.votes == 0:
-		u.value, u.votes = timeout, 1
+	case math.Abs(timeout-e.value) <= tolerance*e.value:
+		e.votes = min(e.votes+1, maxVotes)
+	case e.votes == 0:
+		e.value, e.votes = timeout, 1
 	default:
-		u.votes--
+		e.votes--
 		return false
 	}
 	return true
 }
 
 // Reset discards the votes: the next timeout becomes the usual one, unless it equals the current one.
-func (u *Estimator) Reset() { u.votes = 0 }
+func (e *Estimator) Reset() { e.votes = 0 }
--- a/balancer/internal/clienttimeout/clienttimeout_test.go
+++ b/balancer/internal/clienttimeout/clienttimeout_test.go
@@ -8,7 +8,7 @@
 // The usual timeout is that of the majority: it stays while others are few, and is replaced once its votes
 // are used up.
 func TestMajorityDecidesTheUsualTimeout(t *testing.T) {
-	var usual Estimator
+	var estimator Estimator
 	for i, c := range []struct {
 		timeout float64
 		isUsual bool
@@ -21,35 +21,35 @@
 		{500, true, 500},   // the next is adopted
 		{1000, false, 500},
 	} {
-		if got := usual.Observe(c.timeout); got != c.isUsual || usual.value != c.value {
+		if got := estimator.Observe(c.timeout); got != c.isUsual || estimator.value != c.value {
 			t.Errorf("timeout %d: got usual %v and a usual timeout of %v, want %v and %v", i, got,
-				usual.value, c.isUsual, c.value)
+				estimator.value, c.isUsual, c.value)
 		}
 	}
 	for range 2 * maxVotes {
-		usual.Observe(500)
+		estimator.Observe(500)
 	}
-	if usual.votes > maxVotes {
-		t.Errorf("got %d votes, want at most %d", usual.votes, maxVotes)
+	if estimator.votes > maxVotes {
+		t.Errorf("got %d votes, want at most %d", estimator.votes, maxVotes)
 	}
 }
 
 // After a reset the next timeout becomes the usual one, however many votes the previous one had.
 func TestResetDiscardsTheVotes(t *testing.T) {
-	var usual Estimator
+	var estimator Estimator
 	for range maxVotes {
-		usual.Observe(1000)
+		estimator.Observe(1000)
 	}
-	usual.Reset()
-	if !usual.Observe(500) || usual.Observe(1000) {
-		t.Errorf("usual timeout after a reset and a vote for 500: got %v, want 500", usual.value)
+	estimator.Reset()
+	if !estimator.Observe(500) || estimator.Observe(1000) {
+		t.Errorf("usual timeout after a reset and a vote for 500: got %v, want 500", estimator.value)
 	}
 }
 
 func Example() {
-	var usual Estimator
+	var estimator Estimator
 	for _, timeout := range []float64{1500, 1490, 900, 1510} {
-		fmt.Println(timeout, usual.Observe(timeout))
+		fmt.Println(timeout, estimator.Observe(timeout))
 	}
 	// Output:
 	// 1500 true
--- a/balancer/internal/endpoints/endpoints_test.go
+++ b/balancer/internal/endpoints/endpoints_test.go
@@ -85,19 +85,19 @@
 // randomListRun applies random events to a list and compares it with the reference after each.
 type randomListRun struct {
 	*testing.T
-	rng     *rand.Rand
-	list    List
-	ref     listReference
-	now     time.Duration
-	class   latency.Estimator
-	open    []sentAttempt
-	history []string
+	rng       *rand.Rand
+	list      List
+	reference listReference
+	now       time.Duration
+	class     latency.Estimator
+	inFlight  []sentAttempt
+	history   []string
 }
 
 func (r *randomListRun) randomListed() Entry {
-	if len(r.ref.listed) > 0 && r.rng.IntN(4) > 0 {
-		known := slices.Sorted(maps.Keys(r.ref.listed))
-		return r.ref.listed[known[r.rng.IntN(len(known))]]
+	if len(r.reference.listed) > 0 && r.rng.IntN(4) > 0 {
+		known := slices.Sorted(maps.Keys(r.reference.listed))
+		return r.reference.listed[known[r.rng.IntN(len(known))]]
 	}
 	return Entry{
 		ID: fmt.Sprintf("s%02d", r.rng.IntN(60)), Zone: fmt.Sprint("z", r.rng.IntN(3)), Capacity: 1,
@@ -130,7 +130,7 @@
 func (r *randomListRun) randomUpdate() listUpdate {
 	update := listUpdate{complete: r.rng.IntN(12) == 0}
 	if update.complete {
-		for _, entry := range r.ref.listed {
+		for _, entry := range r.reference.listed {
 			if r.rng.IntN(8) > 0 {
 				update.entries = append(update.entries, entry)
 			}
@@ -152,7 +152,7 @@
 }
 
 func (r *randomListRun) randomPlacement() Placement {
-	placement := r.ref.placement
+	placement := r.reference.placement
 	switch r.rng.IntN(3) {
 	case 0:
 		placement.Zone = fmt.Sprint("z", r.rng.IntN(4)) // the last zone has no endpoints
@@ -171,55 +171,56 @@
 	case n < 5:
 		update := r.randomUpdate()
 		r.record("update %+v", update)
-		r.ref.apply(update)
+		r.reference.apply(update)
 		if update.complete {
 			r.list.Replace(update.entries)
 		} else {
 			r.list.ApplyChanges(update.entries)
 		}
 	case n < 6:
-		r.ref.placement = r.randomPlacement()
-		r.record("placement %+v", r.ref.placement)
-		r.list.Configure(r.ref.placement)
-	case n < 8 || len(r.open) == 0:
-		r.record("attempt with %d in flight", len(r.open))
+		r.reference.placement = r.randomPlacement()
+		r.record("placement %+v", r.reference.placement)
+		r.list.Configure(r.reference.placement)
+	case n < 8 || len(r.inFlight) == 0:
+		r.record("attempt with %d in flight", len(r.inFlight))
 		r.send()
 	default:
-		i := r.rng.IntN(len(r.open))
+		i := r.rng.IntN(len(r.inFlight))
 		r.record("end of attempt %d", i)
-		ended := r.open[i]
+		ended := r.inFlight[i]
 		ended.endpoint.Attempts.EndAttempt(ended.sent, &r.class)
 		r.list.RemoveIfUnused(ended.endpoint)
-		r.open = slices.Delete(r.open, i, i+1)
+		r.inFlight = slices.Delete(r.inFlight, i, i+1)
 	}
 }
 
 // send starts an attempt at an endpoint of the subset.
 func (r *randomListRun) send() {
-	r.list.ResizeSubset(float64(len(r.open)))
+	r.list.ResizeSubset(float64(len(r.inFlight)))
 	subset, _ := r.list.Subset()
 	if endpoints := slices.Concat(subset.Left, subset.Right); len(endpoints) > 0 {
 		ep := endpoints[r.rng.IntN(len(endpoints))]
 		ep.Attempts.StartAttempt(r.now, &r.class)
-		r.open = append(r.open, sentAttempt{ep, r.now})
+		r.inFlight = append(r.inFlight, sentAttempt{ep, r.now})
 	}
 }
 
 func (r *randomListRun) check() {
 	groups, size := r.list.Subset()
-	want, subsets := r.ref.groups(size)
-	r.same("left group", endpointIDs(r.list.Groups().Left), want[0])
-	r.same("right group", endpointIDs(r.list.Groups().Right), want[1])
+	want, subsets := r.reference.groups(size)
+	r.requireEqual("left group", endpointIDs(r.list.Groups().Left), want[0])
+	r.requireEqual("right group", endpointIDs(r.list.Groups().Right), want[1])
 	if size > 0 { // otherwise the next request rebuilds the subset
-		r.same("left part of the subset", endpointIDs(groups.Left), subsets[0])
-		r.same("right part of the subset", endpointIDs(groups.Right), subsets[1])
+		r.requireEqual("left part of the subset", endpointIDs(groups.Left), subsets[0])
+		r.requireEqual("right part of the subset", endpointIDs(groups.Right), subsets[1])
 		var marked []string
 		for _, ep := range r.list.ready.all {
 			if ep.InSubset() {
 				marked = append(marked, ep.ID)
 			}
 		}
-		r.same("marked as in the subset", marked, slices.Sorted(slices.Values(slices.Concat(subsets[0], subsets[1]))))
+		r.requireEqual("marked as in the subset", marked,
+			slices.Sorted(slices.Values(slices.Concat(subsets[0], subsets[1]))))
 	}
 	r.checkKnown()
 	r.checkYoungest()
@@ -227,21 +228,21 @@
 
 // checkKnown compares the known endpoints with those that are listed or have attempts in flight.
 func (r *randomListRun) checkKnown() {
-	known := slices.Collect(maps.Keys(r.ref.listed))
+	known := slices.Collect(maps.Keys(r.reference.listed))
 	for id, ep := range r.list.byID {
-		if ep.listed && ep.Entry != r.ref.listed[id] {
-			r.fail("entry", ep.Entry, r.ref.listed[id])
+		if ep.listed && ep.Entry != r.reference.listed[id] {
+			r.fail("entry", ep.Entry, r.reference.listed[id])
 		}
 		if !ep.listed && ep.Attempts.InFlight() > 0 {
 			known = append(known, id)
 		}
 	}
-	r.same("known endpoints", slices.Sorted(maps.Keys(r.list.byID)), slices.Sorted(slices.Values(known)))
+	r.requireEqual("known endpoints", slices.Sorted(maps.Keys(r.list.byID)), slices.Sorted(slices.Values(known)))
 }
 
 // checkYoungest compares the start time of the youngest ready endpoint.
 func (r *randomListRun) checkYoungest() {
-	ready, youngest := r.ref.ready(), r.list.Youngest()
+	ready, youngest := r.reference.ready(), r.list.Youngest()
 	if len(ready) == 0 || youngest == nil {
 		if len(ready) > 0 || youngest != nil {
 			r.fail("youngest", youngest, ready)
@@ -260,7 +261,7 @@
 	r.history = append(r.history, fmt.Sprintf("%v ", r.now)+fmt.Sprintf(format, args...))
 }
 
-func (r *randomListRun) same(what string, got, want []string) {
+func (r *randomListRun) requireEqual(what string, got, want []string) {
 	if !slices.Equal(got, want) {
 		r.fail(what, got, want)
 	}
@@ -279,7 +280,7 @@
 			placement := Placement{Zone: "z1", ZoneCount: 3, Replicas: 9, Index: 4}
 			r := randomListRun{
 				T: t, rng: rand.New(rand.NewPCG(seed, 5)), now: time.Hour, list: NewList(),
-				ref: listReference{map[string]Entry{}, placement},
+				reference: listReference{map[string]Entry{}, placement},
 			}
 			r.list.Configure(placement)
 			for range 400 {
--- a/balancer/internal/latency/latency.go
+++ b/balancer/internal/latency/latency.go
@@ -35,8 +35,8 @@
 
 // NewEstimator returns an estimator with an initial estimate derived from the latency objective of the class.
 func NewEstimator(objective time.Duration) Estimator {
-	first := float64(objective)
-	return Estimator{mean: first / 4, deviation: first / 8, base: first / 4}
+	nanoseconds := float64(objective)
+	return Estimator{mean: nanoseconds / 4, deviation: nanoseconds / 8, base: nanoseconds / 4}
 }
 
 // Observe records the latency of a success, and reports whether there are enough samples to call a latency
--- a/balancer/internal/latency/latency_test.go
+++ b/balancer/internal/latency/latency_test.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	objective = 400 * time.Millisecond
-	usual     = float64(40 * time.Millisecond)
+	objective   = 400 * time.Millisecond
+	meanLatency = float64(40 * time.Millisecond)
 )
 
 // observeAll records the same latency a number of times, and returns the result of the last Observe.
@@ -28,13 +28,13 @@
 		leastMean, mostMean float64
 	}{
 		{"no sample: a quarter of the objective", 0, false, float64(objective) / 4, float64(objective) / 4},
-		{"the first sample replaces the guess", 1, false, usual, usual},
-		{"seven samples are too few", minSamples - 1, false, usual, usual},
-		{"eight samples are enough", minSamples, true, usual, usual},
+		{"the first sample replaces the guess", 1, false, meanLatency, meanLatency},
+		{"seven samples are too few", minSamples - 1, false, meanLatency, meanLatency},
+		{"eight samples are enough", minSamples, true, meanLatency, meanLatency},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := NewEstimator(objective)
-			if got := observeAll(&e, usual, c.samples); got != c.reliable {
+			if got := observeAll(&e, meanLatency, c.samples); got != c.reliable {
 				t.Errorf("enough samples: got %v, want %v", got, c.reliable)
 			}
 			if got := e.Mean(); got < c.leastMean || got > c.mostMean {
@@ -46,14 +46,16 @@
 
 // A latency is typical up to two deviations above the mean, and slow above three.
 func TestSlowIsThreeDeviationsAboveTheMean(t *testing.T) {
-	e := Estimator{mean: usual, deviation: usual / 4, samples: 100}
-	if got, want := e.SlowThreshold(), time.Duration(usual*1.75); got != want {
+	e := Estimator{mean: meanLatency, deviation: meanLatency / 4, samples: 100}
+	if got, want := e.SlowThreshold(), time.Duration(meanLatency*1.75); got != want {
 		t.Errorf("slow threshold: got %v, want %v", got, want)
 	}
-	if got, want := e.TypicalMax(), time.Duration(usual*1.5); got != want {
+	if got, want := e.TypicalMax(), time.Duration(meanLatency*1.5); got != want {
 		t.Errorf("typical maximum: got %v, want %v", got, want)
 	}
-	for latency, want := range map[float64]bool{usual: false, usual * 1.75: false, usual * 1.76: true} {
+	for latency, want := range map[float64]bool{
+		meanLatency: false, meanLatency * 1.75: false, meanLatency * 1.76: true,
+	} {
 		if got := e.IsSlow(latency); got != want {
 			t.Errorf("IsSlow(%v): got %v, want %v", latency, got, want)
 		}
@@ -67,12 +69,12 @@
 		latency             float64
 		leastBase, mostBase float64
 	}{
-		{"responses slow down", 4 * usual, usual, 1.2 * usual},
-		{"responses get faster", usual / 4, usual / 4, usual / 2},
+		{"responses slow down", 4 * meanLatency, meanLatency, 1.2 * meanLatency},
+		{"responses get faster", meanLatency / 4, meanLatency / 4, meanLatency / 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := NewEstimator(objective)
-			observeAll(&e, usual, 100)
+			observeAll(&e, meanLatency, 100)
 			observeAll(&e, c.latency, 100)
 			if got := e.Base(); got < c.leastBase || got > c.mostBase {
 				t.Errorf("base latency: got %v, want %v to %v", got, c.leastBase, c.mostBase)
--- a/balancer/internal/outlier/outlier.go
+++ b/balancer/internal/outlier/outlier.go
@@ -105,7 +105,8 @@
 	r.consecutiveSuccesses = 0
 }
 
-// eject starts an ejection unless one is in force. Each ejection is twice as long as the last, up to a limit.
+// eject starts an ejection unless one is in force. Each ejection after a failed trial is twice as long as the
+// last, up to a limit.
 func (r *Record) eject(now, base time.Duration) {
 	if now >= r.ejectedUntil {
 		r.ejectedUntil = now + base<<r.doublings
--- a/balancer/internal/slowstart/overload.go
+++ b/balancer/internal/slowstart/overload.go
@@ -18,8 +18,8 @@
 // drops at 30, from 49 to 43, and the estimate may be slightly low. So just below 30 the limit is capped at
 // its value at 30, and it never falls as n grows.
 func overloadLimit(n float64) float64 {
-	wide := max(n, narrowMarginCount)
-	return min(n+3*math.Sqrt(n)+3, wide+2*math.Sqrt(wide)+2)
+	clamped := max(n, narrowMarginCount)
+	return min(n+3*math.Sqrt(n)+3, clamped+2*math.Sqrt(clamped)+2)
 }
 
 // safeMean returns how many requests of mean work may arrive per window on average so that hardly any window
--- a/balancer/internal/slowstart/slowstart.go
+++ b/balancer/internal/slowstart/slowstart.go
@@ -18,10 +18,12 @@
 
 // Constants of the token buckets.
 const (
-	outsideSubsetRate      = 0.1  // requests per window from all replicas whose subsets lack the endpoint
-	tokenLifetimeIntervals = 2.0  // added to a part of a window, in mean intervals between requests
-	windowParts            = 4    // parts of a window; the queue checks for new tokens twice in each
-	minInterval            = 1e-9 // minimum time between requests, in seconds
+	outsideSubsetRate = 0.1  // requests per window from all replicas whose subsets lack the endpoint
+	minInterval       = 1e-9 // minimum time between requests, in seconds
+	// Unused tokens are kept for one part of a window plus tokenLifetimeIntervals mean intervals between
+	// requests. The queue checks for new tokens twice in each part.
+	windowParts            = 4
+	tokenLifetimeIntervals = 2.0
 )
 
 // Settings configures a Limiter.
@@ -41,13 +43,13 @@
 	settings   Settings
 	warm       capacityEstimate // of endpoints at full capacity
 	warmingUp  capacityEstimate // of endpoints that are warming up
-	rateInputs rateInputs
+	rateInputs fillRateInputs
 	arrivals   arrivalInterval
 	work       workEstimate
 }
 
-// rateInputs holds the values from which the fill rates of all token buckets are computed at one time.
-type rateInputs struct {
+// fillRateInputs holds the values from which the fill rates of all token buckets are computed at one time.
+type fillRateInputs struct {
 	generation          int // incremented with each update
 	computedAt          time.Duration
 	valid               bool
@@ -173,7 +175,7 @@
 	sent := 1 / interval / float64(max(1, counts.SubsetSize)) *
 		(1 - l.warm.observedSeconds/l.capacityMemory())
 	ready := float64(max(1, counts.Ready))
-	l.rateInputs = rateInputs{
+	l.rateInputs = fillRateInputs{
 		generation: l.rateInputs.generation + 1, computedAt: now, valid: true,
 		endpointRate:        max(l.warm.rate(window), l.warmingUp.rate(window), sent),
 		replicasPerEndpoint: max(1, float64(l.settings.Replicas)*float64(counts.SubsetSize)/ready),
--- a/balancer/internal/slowstart/tokenbucket.go
+++ b/balancer/internal/slowstart/tokenbucket.go
@@ -34,9 +34,9 @@
 
 // updateRate computes the rate once per generation of the rate inputs, as it is needed many times for one
 // request.
-func (t *tokenBucket) updateRate(round int, rate func() float64) {
-	if t.generation != round {
-		t.rate, t.generation = rate(), round
+func (t *tokenBucket) updateRate(generation int, rate func() float64) {
+	if t.generation != generation {
+		t.rate, t.generation = rate(), generation
 	}
 }
 
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -111,8 +111,8 @@
 	return !harmful || !req.mayHaveRun()
 }
 
-// mayRetry reports whether the effect of the request's class and the limit on attempts allow one more
-// attempt.
+// mayRetry reports whether the effect of the request's class, its deduplication window and the limit on
+// attempts allow one more attempt.
 func (req *request) mayRetry(now time.Duration, settings *Settings) bool {
 	if req.answered || req.streaming || len(req.attempts) >= max(1, settings.MaxAttempts) {
 		return false
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -44,9 +44,8 @@
 	groups          endpoints.Groups
 	excludeOutliers bool
 	// allowWarmingUp allows a choice among endpoints that are all warming up, and allows a first attempt to
-	// go to an idle one without the random admission of slow start. Without this rule, a subset that is
-	// warming up as a whole would take the requests meant for an endpoint that is not, while the rest of the
-	// list is warm.
+	// go to an idle one without the random admission of slow start. It is not set for the subset: one that
+	// is warming up as a whole would take the requests that the warm endpoints of the list should get.
 	allowWarmingUp bool
 }
 
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -109,7 +109,7 @@
 		seen[class.Name] = true
 	}
 	for _, setting := range s.ranges() {
-		if !(setting.value >= 0 && setting.value <= setting.max) { // also rejects NaN
+		if !(setting.value >= 0 && setting.value <= setting.upperBound) { // also rejects NaN
 			return &SettingError{Field: setting.name, Err: fmt.Errorf("%w: %v", ErrOutOfRange, setting.value)}
 		}
 	}
@@ -135,10 +135,10 @@
 	return "", nil
 }
 
-// settingRange holds the value of a setting, which must lie between 0 and max.
+// settingRange holds the value of a setting, which must lie between 0 and upperBound.
 type settingRange struct {
-	name       string
-	value, max float64
+	name              string
+	value, upperBound float64
 }
 
 // maxZones bounds ZoneCount, which multiplies replica indexes when subsets are positioned.
