--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -24,8 +24,8 @@
 const seedStream = 0x51a7e
 
 // Balancer makes the decisions of one replica; the package comment states its contract. It holds the requests
-// and reports what happens to them to the mechanisms. Each mechanism is a package under internal, whose
-// package comment names the published work that it follows.
+// and combines mechanisms such as admission control, outlier detection and slow start. Each mechanism is a
+// package under internal, whose package comment names the published work that it follows.
 type Balancer struct {
 	settings     Settings
 	rng          *rand.Rand
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -68,12 +68,12 @@
 	// EndpointUpdate carries the endpoint list or changes to it.
 	EndpointUpdate struct {
 		Complete  bool // the complete list: endpoints that are not in it are removed
-		Cached    bool // from the host's cache of before a restart, possibly out of date
+		Cached    bool // loaded from the host's cache after a restart, possibly out of date
 		Endpoints []Endpoint
 	}
 	// SubscriptionFailed reports that a Subscribe failed or that the subscription ended.
 	SubscriptionFailed struct{}
-	// Request is a client's request. The Balancer must have it answered exactly once, by Deadline.
+	// Request is a client's request. The Balancer ensures that it gets one final response, by Deadline.
 	Request struct {
 		ID           string
 		Class        string
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -88,7 +88,7 @@
 			out := 0
 			choice := selection{
 				endpointSelector: &b.endpoints, now: b.now, req: &request{class: b.classes.byName["get"]},
-				load: load{shedShare: b.admission.ShedShare()},
+				load: replicaLoad{shedShare: b.admission.ShedShare()},
 			}
 			choice.excludeUnhealthy(candidates{groups: b.endpoints.Groups(), excludeOutliers: true})
 			for _, s := range allReady(b) {
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -61,7 +61,7 @@
 
 // chooseEndpoint chooses the endpoint of a request's next attempt, or returns nil if none is eligible.
 func (b *Balancer) chooseEndpoint(req *request) *endpoints.Endpoint {
-	return b.endpoints.choose(b.now, req, load{
+	return b.endpoints.choose(b.now, req, replicaLoad{
 		inFlight: b.admission.InFlight(), meanInFlight: b.admission.MeanInFlight(),
 		shedShare: b.admission.ShedShare(),
 	})
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -23,8 +23,8 @@
 	maxCapacity = 1e6
 )
 
-// load describes this replica's current load.
-type load struct {
+// replicaLoad describes this replica's current load.
+type replicaLoad struct {
 	inFlight     int     // attempts in flight
 	meanInFlight float64 // moving average of inFlight
 	shedShare    float64 // share of requests that are rejected or failed without an attempt
@@ -35,7 +35,7 @@
 	*endpointSelector
 	now           time.Duration
 	req           *request
-	load          load
+	load          replicaLoad
 	inFlightLimit int // attempts in flight at which an endpoint is skipped
 }
 
@@ -51,7 +51,7 @@
 
 // choose returns an endpoint from the replica's subset or, if none there is eligible, from the whole list;
 // outliers come last. It returns nil if no endpoint is eligible.
-func (s *endpointSelector) choose(now time.Duration, req *request, load load) *endpoints.Endpoint {
+func (s *endpointSelector) choose(now time.Duration, req *request, load replicaLoad) *endpoints.Endpoint {
 	if s.ResizeSubset(load.meanInFlight) {
 		s.slowStart.ObserveSubsetChange()
 	}
