--- a/balancer/internal/endpoints/endpoints_test.go
+++ b/balancer/internal/endpoints/endpoints_test.go
@@ -13,15 +13,15 @@
 	"basaltdrum/balancer/internal/latency"
 )
 
-// listUpdate is a complete list or changes of it.
+// listUpdate is a complete list or a set of changes.
 type listUpdate struct {
 	complete bool
 	entries  []Entry
 }
 
-// listReference builds groups and subsets from scratch for each list, in the plain way: sort all ready
-// endpoints, divide them in two, take the own zone's endpoints and then the others', each from the replica's
-// position on.
+// listReference builds the groups and subsets of each list from scratch, by the simplest method: sort all
+// ready endpoints, divide them into two groups, and take first the endpoints of the own zone and then the
+// others, each starting at the replica's position.
 type listReference struct {
 	listed    map[string]Entry
 	placement Placement
@@ -48,8 +48,8 @@
 	return ready
 }
 
-// groups returns the ready endpoints' ids cut in two, and the subsets of a replica whose subset has this
-// size.
+// groups returns the IDs of the ready endpoints in two groups, and the parts of the groups in a subset of
+// this size.
 func (l *listReference) groups(size int) (groups, subsets [2][]string) {
 	ready := l.ready()
 	cut := int(math.Ceil(leftShare * float64(len(ready))))
@@ -82,22 +82,22 @@
 	sent     time.Duration
 }
 
-// randomListRun plays random steps at a list and compares it with the reference.
+// randomListRun applies random events to a list and compares it with the reference after each.
 type randomListRun struct {
 	*testing.T
-	rng     *rand.Rand
-	list    List
-	ref     listReference
-	now     time.Duration
-	class   latency.Estimator
-	open    []sentAttempt
-	history []string
+	rng       *rand.Rand
+	list      List
+	reference listReference
+	now       time.Duration
+	class     latency.Estimator
+	inFlight  []sentAttempt
+	history   []string
 }
 
 func (r *randomListRun) randomListed() Entry {
-	if len(r.ref.listed) > 0 && r.rng.IntN(4) > 0 {
-		known := slices.Sorted(maps.Keys(r.ref.listed))
-		return r.ref.listed[known[r.rng.IntN(len(known))]]
+	if len(r.reference.listed) > 0 && r.rng.IntN(4) > 0 {
+		known := slices.Sorted(maps.Keys(r.reference.listed))
+		return r.reference.listed[known[r.rng.IntN(len(known))]]
 	}
 	return Entry{
 		ID: fmt.Sprintf("s%02d", r.rng.IntN(60)), Zone: fmt.Sprint("z", r.rng.IntN(3)), Capacity: 1,
@@ -105,7 +105,7 @@
 	}
 }
 
-// randomEntry changes an endpoint in one way, or leaves it as it is.
+// randomEntry returns an entry that changes an endpoint in one way, or not at all.
 func (r *randomListRun) randomEntry() Entry {
 	entry := r.randomListed()
 	switch r.rng.IntN(8) {
@@ -125,12 +125,12 @@
 	return entry
 }
 
-// randomUpdate is a change of few entries, some of which name an endpoint twice, or a complete list in any
+// randomUpdate returns a few changes, which may contain an endpoint twice, or a complete list in random
 // order.
 func (r *randomListRun) randomUpdate() listUpdate {
 	update := listUpdate{complete: r.rng.IntN(12) == 0}
 	if update.complete {
-		for _, entry := range r.ref.listed {
+		for _, entry := range r.reference.listed {
 			if r.rng.IntN(8) > 0 {
 				update.entries = append(update.entries, entry)
 			}
@@ -152,10 +152,10 @@
 }
 
 func (r *randomListRun) randomPlacement() Placement {
-	placement := r.ref.placement
+	placement := r.reference.placement
 	switch r.rng.IntN(3) {
 	case 0:
-		placement.Zone = fmt.Sprint("z", r.rng.IntN(4)) // one of them has no endpoint
+		placement.Zone = fmt.Sprint("z", r.rng.IntN(4)) // the last zone has no endpoints
 	case 1:
 		placement.Index = r.rng.IntN(100)
 	case 2:
@@ -164,84 +164,85 @@
 	return placement
 }
 
-// step plays one event.
+// step applies one random event.
 func (r *randomListRun) step() {
 	r.now += time.Duration(r.rng.IntN(300)) * time.Millisecond
 	switch n := r.rng.IntN(10); {
 	case n < 5:
 		update := r.randomUpdate()
 		r.record("update %+v", update)
-		r.ref.apply(update)
+		r.reference.apply(update)
 		if update.complete {
 			r.list.Replace(update.entries)
 		} else {
 			r.list.ApplyChanges(update.entries)
 		}
 	case n < 6:
-		r.ref.placement = r.randomPlacement()
-		r.record("placement %+v", r.ref.placement)
-		r.list.Configure(r.ref.placement)
-	case n < 8 || len(r.open) == 0:
-		r.record("attempt with %d in flight", len(r.open))
+		r.reference.placement = r.randomPlacement()
+		r.record("placement %+v", r.reference.placement)
+		r.list.Configure(r.reference.placement)
+	case n < 8 || len(r.inFlight) == 0:
+		r.record("attempt with %d in flight", len(r.inFlight))
 		r.send()
 	default:
-		i := r.rng.IntN(len(r.open))
+		i := r.rng.IntN(len(r.inFlight))
 		r.record("end of attempt %d", i)
-		ended := r.open[i]
+		ended := r.inFlight[i]
 		ended.endpoint.Attempts.EndAttempt(ended.sent, &r.class)
 		r.list.RemoveIfUnused(ended.endpoint)
-		r.open = slices.Delete(r.open, i, i+1)
+		r.inFlight = slices.Delete(r.inFlight, i, i+1)
 	}
 }
 
-// send begins an attempt at an endpoint of the subset.
+// send starts an attempt at an endpoint of the subset.
 func (r *randomListRun) send() {
-	r.list.ResizeSubset(float64(len(r.open)))
+	r.list.ResizeSubset(float64(len(r.inFlight)))
 	subset, _ := r.list.Subset()
 	if endpoints := slices.Concat(subset.Left, subset.Right); len(endpoints) > 0 {
 		ep := endpoints[r.rng.IntN(len(endpoints))]
 		ep.Attempts.StartAttempt(r.now, &r.class)
-		r.open = append(r.open, sentAttempt{ep, r.now})
+		r.inFlight = append(r.inFlight, sentAttempt{ep, r.now})
 	}
 }
 
 func (r *randomListRun) check() {
 	groups, size := r.list.Subset()
-	want, subsets := r.ref.groups(size)
-	r.same("left group", endpointIDs(r.list.Groups().Left), want[0])
-	r.same("right group", endpointIDs(r.list.Groups().Right), want[1])
-	if size > 0 { // else the next request has the subset made anew
-		r.same("left part of the subset", endpointIDs(groups.Left), subsets[0])
-		r.same("right part of the subset", endpointIDs(groups.Right), subsets[1])
+	want, subsets := r.reference.groups(size)
+	r.requireEqual("left group", endpointIDs(r.list.Groups().Left), want[0])
+	r.requireEqual("right group", endpointIDs(r.list.Groups().Right), want[1])
+	if size > 0 { // otherwise the next request rebuilds the subset
+		r.requireEqual("left part of the subset", endpointIDs(groups.Left), subsets[0])
+		r.requireEqual("right part of the subset", endpointIDs(groups.Right), subsets[1])
 		var marked []string
 		for _, ep := range r.list.ready.all {
 			if ep.InSubset() {
 				marked = append(marked, ep.ID)
 			}
 		}
-		r.same("marked as in the subset", marked, slices.Sorted(slices.Values(slices.Concat(subsets[0], subsets[1]))))
+		r.requireEqual("marked as in the subset", marked,
+			slices.Sorted(slices.Values(slices.Concat(subsets[0], subsets[1]))))
 	}
 	r.checkKnown()
 	r.checkYoungest()
 }
 
-// checkKnown compares the endpoints that are known with those that are listed or have attempts in flight.
+// checkKnown compares the known endpoints with those that are listed or have attempts in flight.
 func (r *randomListRun) checkKnown() {
-	known := slices.Collect(maps.Keys(r.ref.listed))
+	known := slices.Collect(maps.Keys(r.reference.listed))
 	for id, ep := range r.list.byID {
-		if ep.listed && ep.Entry != r.ref.listed[id] {
-			r.fail("entry", ep.Entry, r.ref.listed[id])
+		if ep.listed && ep.Entry != r.reference.listed[id] {
+			r.fail("entry", ep.Entry, r.reference.listed[id])
 		}
 		if !ep.listed && ep.Attempts.InFlight() > 0 {
 			known = append(known, id)
 		}
 	}
-	r.same("known endpoints", slices.Sorted(maps.Keys(r.list.byID)), slices.Sorted(slices.Values(known)))
+	r.requireEqual("known endpoints", slices.Sorted(maps.Keys(r.list.byID)), slices.Sorted(slices.Values(known)))
 }
 
-// checkYoungest compares the start of the youngest ready endpoint.
+// checkYoungest compares the start time of the youngest ready endpoint.
 func (r *randomListRun) checkYoungest() {
-	ready, youngest := r.ref.ready(), r.list.Youngest()
+	ready, youngest := r.reference.ready(), r.list.Youngest()
 	if len(ready) == 0 || youngest == nil {
 		if len(ready) > 0 || youngest != nil {
 			r.fail("youngest", youngest, ready)
@@ -260,7 +261,7 @@
 	r.history = append(r.history, fmt.Sprintf("%v ", r.now)+fmt.Sprintf(format, args...))
 }
 
-func (r *randomListRun) same(what string, got, want []string) {
+func (r *randomListRun) requireEqual(what string, got, want []string) {
 	if !slices.Equal(got, want) {
 		r.fail(what, got, want)
 	}
@@ -272,14 +273,14 @@
 	r.Fatalf("step %d: %s: got %v, want %v; last events: %q", len(r.history), what, got, want, last)
 }
 
-// However a list changes, groups, subsets and marks are what the plain construction makes of it.
-func TestListChangesFollowThePlainConstruction(t *testing.T) {
+// Whatever the changes to a list, its groups, subsets and marks equal those built from scratch.
+func TestChangedListEqualsRebuiltList(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			placement := Placement{Zone: "z1", ZoneCount: 3, Replicas: 9, Index: 4}
 			r := randomListRun{
 				T: t, rng: rand.New(rand.NewPCG(seed, 5)), now: time.Hour, list: NewList(),
-				ref: listReference{map[string]Entry{}, placement},
+				reference: listReference{map[string]Entry{}, placement},
 			}
 			r.list.Configure(placement)
 			for range 400 {
@@ -290,7 +291,7 @@
 	}
 }
 
-// After a restart only the attempts in flight to an endpoint are known; after any other change all is.
+// A restart discards all records of an endpoint but its attempts in flight; other changes keep all records.
 func TestRestartDiscardsTheRecords(t *testing.T) {
 	class := latency.NewEstimator(time.Second)
 	for _, c := range []struct {
@@ -310,10 +311,11 @@
 			ep.Attempts.StartAttempt(time.Second, &class)
 			list.ApplyChanges([]Entry{c.change})
 			if list.byID["s00"] != ep || ep.Attempts.InFlight() != 1 || ep.Entry != c.change {
-				t.Errorf("%+v with %d attempts in flight, want one", ep.Entry, ep.Attempts.InFlight())
+				t.Errorf("after the change: got %+v with %d attempts in flight, want the changed entry with 1",
+					ep.Entry, ep.Attempts.InFlight())
 			}
 			if kept := ep.Latency.Speed() != 1; kept != c.kept {
-				t.Errorf("the latency is kept: %v, want %v", kept, c.kept)
+				t.Errorf("latency kept: got %v, want %v", kept, c.kept)
 			}
 		})
 	}
