--- a/internal/node/brokenconn_test.go
+++ b/internal/node/brokenconn_test.go
@@ -45,7 +45,7 @@
 		return false
 	})
 	var dials testutil.HoldingDialer
-	conns := breakableConns{cause: cause, accepted: make(chan *breakableConn, 2)}
+	conns := breakableListener{cause: cause, accepted: make(chan *breakableConn, 2)}
 	cfg := configWithServers(s)
 	for i := range cfg.Settings.Classes { // no attempt times out before the test fails
 		class := &cfg.Settings.Classes[i]
@@ -65,7 +65,7 @@
 		testutil.Wait(t, got, "the attempt")
 	}
 	conn := testutil.Wait(t, conns.accepted, "the downstream connection")
-	conn.breakNow()
+	conn.breakConn()
 	if stays {
 		testutil.Wait(t, conn.watchEnded, "the end of the watch")
 		close(dials.Release)
--- a/internal/node/chunked_test.go
+++ b/internal/node/chunked_test.go
@@ -22,11 +22,11 @@
 // framingServer answers with the framing of a request and a hash of its body.
 func framingServer(t *testing.T) *testutil.Server {
 	return testutil.NewServer(t, func(c net.Conn, r *http.Request, body string) bool {
-		return testutil.RespondOK(c, framed(r.Method, r.ContentLength, body, r.TransferEncoding, r.Trailer))
+		return testutil.RespondOK(c, describeFraming(r.Method, r.ContentLength, body, r.TransferEncoding, r.Trailer))
 	})
 }
 
-func framed(method string, length int64, body string, coding []string, trailer http.Header) string {
+func describeFraming(method string, length int64, body string, coding []string, trailer http.Header) string {
 	return fmt.Sprintf("%s %d %x %v %v", method, length, sha256.Sum256([]byte(body)), coding, trailer)
 }
 
@@ -59,11 +59,11 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			want := framed("POST", int64(len(c.body)), c.body, nil, nil)
+			want := describeFraming("POST", int64(len(c.body)), c.body, nil, nil)
 			one := dial(t, n)
 			go io.WriteString(one, chunkedHead("complete-"+c.name)+c.chunks+testutil.RequestText("behind-"+c.name))
 			one.Expect(t, 200, want)
-			one.Expect(t, 200, framed("GET", 0, "", nil, nil))
+			one.Expect(t, 200, describeFraming("GET", 0, "", nil, nil))
 			expect := dial(t, n)
 			head := strings.TrimSuffix(chunkedHead("expect-"+c.name), "\r\n")
 			io.WriteString(expect, head+"Expect: 100-continue\r\n\r\n")
@@ -77,7 +77,7 @@
 	c := dial(t, n)
 	io.WriteString(c, "GET /view/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: get\r\nX-Deadline: 60\r\n"+
 		"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n")
-	c.Expect(t, 200, framed("GET", 0, "", nil, nil))
+	c.Expect(t, 200, describeFraming("GET", 0, "", nil, nil))
 }
 
 // Parts of requests whose framing is broken.
@@ -88,13 +88,13 @@
 	hiddenRequest = testutil.RequestText("hidden")
 )
 
-// framingError is a request whose framing is broken, and the status of its response.
-type framingError struct {
+// malformedRequest is a request whose framing is broken, and the status of its response.
+type malformedRequest struct {
 	name, text string
 	status     int
 }
 
-var framingErrors = []framingError{
+var malformedRequests = []malformedRequest{
 	{"a length before the coding", badHead + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
 	{"a length behind the coding", badHead + "transfer-encoding: Chunked\r\ncontent-length: 5\r\n\r\n0\r\n\r\n", 400},
 	{
@@ -165,7 +165,7 @@
 	t.Parallel()
 	s := framingServer(t)
 	n, _ := startNode(t, configWithServers(s), nil)
-	for _, c := range framingErrors {
+	for _, c := range malformedRequests {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			alone := dial(t, n)
@@ -174,7 +174,7 @@
 			testutil.ExpectClosed(t, alone.Reader, "a connection whose framing is broken")
 			behind := dial(t, n)
 			go io.WriteString(behind, testutil.RequestText("good-"+c.name)+c.text+hiddenRequest)
-			behind.Expect(t, 200, framed("GET", 0, "", nil, nil))
+			behind.Expect(t, 200, describeFraming("GET", 0, "", nil, nil))
 			behind.Expect(t, c.status, "")
 			testutil.ExpectClosed(t, behind.Reader, "a connection whose framing is broken")
 		})
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -56,13 +56,13 @@
 // Unwrap returns the reason.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
-// unreadable is a ConfigError for a field whose value can't be read.
-func unreadable(field string, err error) error {
+// newFieldError is a ConfigError for a field whose value can't be read.
+func newFieldError(field string, err error) error {
 	return &ConfigError{Field: field, Err: fmt.Errorf("%s: %w", field, err)}
 }
 
-// outOfRange is a ConfigError for a field whose value is too small or too large.
-func outOfRange(field string, value float64) error {
+// newRangeError is a ConfigError for a field whose value is too small or too large.
+func newRangeError(field string, value float64) error {
 	return &ConfigError{Field: field, Err: fmt.Errorf("%s %w: %v", field, balancer.ErrOutOfRange, value)}
 }
 
@@ -135,14 +135,14 @@
 		return s, balancer.Settings{}, &ConfigError{Field: "settings", Err: errors.New("settings are missing")}
 	}
 	if err := json.Unmarshal(text, &s); err != nil {
-		return s, balancer.Settings{}, unreadable("settings", err)
+		return s, balancer.Settings{}, newFieldError("settings", err)
 	}
 	set, err := settings.Parse(text)
 	if err != nil {
 		return s, set, &ConfigError{Field: "settings", Err: err} // it begins with "settings"
 	}
 	if err := set.Validate(); err != nil {
-		return s, set, unreadable("settings", err)
+		return s, set, newFieldError("settings", err)
 	}
 	return s, set, nil
 }
@@ -154,17 +154,17 @@
 		{"discovery", f.Discovery},
 	} {
 		if _, err := netip.ParseAddrPort(a.address); err != nil {
-			return 0, unreadable(a.field, err)
+			return 0, newFieldError(a.field, err)
 		}
 	}
 	if seed, err = strconv.ParseUint(f.Seed, seedBase, seedBits); err != nil {
-		return 0, unreadable("seed", err)
+		return 0, newFieldError("seed", err)
 	}
 	if !(f.Limits.MemoryMB >= minMemoryMB && f.Limits.MemoryMB <= maxMemoryMB) {
-		return 0, outOfRange("limits.memory_mb", f.Limits.MemoryMB)
+		return 0, newRangeError("limits.memory_mb", f.Limits.MemoryMB)
 	}
 	if !(f.Limits.Sockets >= minSockets && f.Limits.Sockets <= maxSockets) {
-		return 0, outOfRange("limits.sockets", f.Limits.Sockets)
+		return 0, newRangeError("limits.sockets", f.Limits.Sockets)
 	}
 	return seed, nil
 }
@@ -179,7 +179,7 @@
 		{"settings.limits.connect-timeout-ms", s.Limits.ConnectTimeout},
 	} {
 		if !(t.ms > 0 && t.ms <= maxTimeoutMS) {
-			return outOfRange(t.field, t.ms)
+			return newRangeError(t.field, t.ms)
 		}
 	}
 	return nil
--- a/internal/node/config_error_test.go
+++ b/internal/node/config_error_test.go
@@ -22,7 +22,7 @@
 		{"module", `"max-attempts":4`, `"max-attempts":4.5`, "settings", balancer.ErrOutOfRange},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			_, err := ParseConfig(goodConfigWith(t, row.part, row.by))
+			_, err := ParseConfig(validConfigWith(t, row.part, row.by))
 			var bad *ConfigError
 			if !errors.As(err, &bad) || bad.Field != row.field {
 				t.Fatalf("got %v, want an error in %s", err, row.field)
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -8,24 +8,24 @@
 	"basaltdrum/internal/testutil"
 )
 
-const goodConfig = `{"name":"n3","listen":"127.0.0.1:7070","discovery":"127.0.0.1:8500",
+const validConfig = `{"name":"n3","listen":"127.0.0.1:7070","discovery":"127.0.0.1:8500",
 	"seed":"fc1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
 	"known":{"rev":41,"all":true,"targets":[]},
 	"settings":{"lanes":[{"name":"view","effect":"read_like","target-ms":500,"deadline-ms":900}],
 	"limits":{"conn-idle-ms":60000.0,"connect-timeout-ms":250.0,"max-attempts":4},"zone":"chavara","tick-ms":5}}`
 
-// goodConfigWith is goodConfig with a part replaced, which must be there.
-func goodConfigWith(t *testing.T, part, by string) []byte {
+// validConfigWith is goodConfig with a part replaced, which must be there.
+func validConfigWith(t *testing.T, part, by string) []byte {
 	t.Helper()
-	text := strings.Replace(goodConfig, part, by, 1)
-	if text == goodConfig {
+	text := strings.Replace(validConfig, part, by, 1)
+	if text == validConfig {
 		t.Fatalf("%s is not in the configuration, or replaced by itself", part)
 	}
 	return []byte(text)
 }
 
 func TestConfig(t *testing.T) {
-	c, err := ParseConfig([]byte(goodConfig))
+	c, err := ParseConfig([]byte(validConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,7 +61,7 @@
 		{"an unknown key", `"settings":{`, `"something":{},"settings":{`},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			cfg, err := ParseConfig(goodConfigWith(t, row.part, row.by))
+			cfg, err := ParseConfig(validConfigWith(t, row.part, row.by))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -94,7 +94,7 @@
 		{"no object", `{"name":"n3"`, `"name":"n3"`, "config"},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			_, err := ParseConfig(goodConfigWith(t, row.part, row.by))
+			_, err := ParseConfig(validConfigWith(t, row.part, row.by))
 			if err == nil || !strings.Contains(err.Error(), row.field) || strings.Contains(err.Error(), "\n") {
 				t.Errorf("got %v, want an error in %s", err, row.field)
 			}
--- a/internal/node/deadlineheader_test.go
+++ b/internal/node/deadlineheader_test.go
@@ -16,9 +16,9 @@
 // it.
 const delay = 400 * time.Millisecond
 
-// holdUp waits and returns for how long: no more than the node, which was running before and after, must subtract.
+// sleepDelay waits and returns for how long: no more than the node, which was running before and after, must subtract.
 // Time that passes is what these tests are about, so they sleep.
-func holdUp() time.Duration {
+func sleepDelay() time.Duration {
 	begin := time.Now()
 	time.Sleep(delay)
 	return time.Since(begin)
@@ -76,7 +76,7 @@
 				conns := n.frontend.conns.Status()
 				return len(conns) == 1 && conns[0].RequestStarted
 			})
-			passed := holdUp()
+			passed := sleepDelay()
 			io.WriteString(client, c.rest)
 			checkForwardedDeadline(t, testutil.Wait(t, deadlines, "the request"), passed)
 			client.Expect(t, http.StatusOK, "for r")
@@ -101,7 +101,7 @@
 	testutil.Until(t, "the one behind to be read", func() bool {
 		return readAheadBytes(n) == len(testutil.RequestText("behind"))
 	})
-	passed := holdUp()
+	passed := sleepDelay()
 	close(release)
 	checkForwardedDeadline(t, testutil.Wait(t, deadlines, "the pipelined request"), passed)
 	client.Expect(t, http.StatusOK, "for first")
@@ -132,7 +132,7 @@
 	n, _ := startNode(t, fullValueConfig(server), func(n *Node) { dials = holdDials(n) })
 	dial(t, n).SendGet("r")
 	testutil.Wait(t, dials.Dialed, "the connection")
-	passed := holdUp()
+	passed := sleepDelay()
 	close(dials.Release)
 	checkForwardedDeadline(t, testutil.Wait(t, deadlines, "the request"), passed)
 }
@@ -146,14 +146,14 @@
 			if err != nil {
 				return nil, err
 			}
-			return gatedConn{nc.(*net.TCPConn), gatedConns{reads: newGate(0), peeks: peeks}}, nil
+			return gatedConn{nc.(*net.TCPConn), gatedConnListener{reads: newGate(0), peeks: peeks}}, nil
 		}
 	})
 	dial(t, n).SendGet("r")
 	for range 2 {
 		testutil.Wait(t, peeks.arrived, "a peek")
 	}
-	passed := holdUp()
+	passed := sleepDelay()
 	close(peeks.release)
 	checkForwardedDeadline(t, testutil.Wait(t, deadlines, "the request"), passed)
 }
@@ -161,7 +161,7 @@
 func testDeadlineOfARetry(t *testing.T) {
 	firstAttempt, deadlines := newGate(1), make(chan string, 10)
 	handle := func(c net.Conn, r *http.Request, body string) bool {
-		isFirst := firstAttempt.first.Load() > 0
+		isFirst := firstAttempt.remaining.Load() > 0
 		firstAttempt.pass()
 		if isFirst {
 			io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
@@ -173,7 +173,7 @@
 	n, _ := startNode(t, fullValueConfig(testutil.NewServer(t, handle), testutil.NewServer(t, handle)), nil)
 	dial(t, n).SendGet("r")
 	testutil.Wait(t, firstAttempt.arrived, "the first attempt")
-	passed := holdUp()
+	passed := sleepDelay()
 	close(firstAttempt.release)
 	checkForwardedDeadline(t, testutil.Wait(t, deadlines, "the retry"), passed)
 }
--- a/internal/node/departure_test.go
+++ b/internal/node/departure_test.go
@@ -137,7 +137,7 @@
 	server  *testutil.Server
 	node    *Node
 	dials   testutil.HoldingDialer
-	conns   breakableConns
+	conns   breakableListener
 	got     chan struct{} // an attempt has arrived at the server, which answers it once answer is closed
 	answer  chan struct{}
 	stopped chan struct{} // the event loop has stopped, until resume is closed
@@ -147,7 +147,7 @@
 func newPipelinedDeparture(where string, ahead int, how string, mayCancel bool) *pipelinedDeparture {
 	return &pipelinedDeparture{
 		where: where, how: how, ahead: ahead, mayCancel: mayCancel,
-		conns: breakableConns{cause: syscall.ETIMEDOUT, accepted: make(chan *breakableConn, 2)},
+		conns: breakableListener{cause: syscall.ETIMEDOUT, accepted: make(chan *breakableConn, 2)},
 		got:   make(chan struct{}, 1), answer: make(chan struct{}),
 		stopped: make(chan struct{}), resume: make(chan struct{}),
 	}
@@ -272,7 +272,7 @@
 func (d *pipelinedDeparture) depart(t *testing.T, c *testutil.Client) {
 	switch d.how {
 	case "break":
-		testutil.Wait(t, d.conns.accepted, "the downstream connection").breakNow()
+		testutil.Wait(t, d.conns.accepted, "the downstream connection").breakConn()
 	case "reset":
 		c.Conn.(*net.TCPConn).SetLinger(0)
 		c.Close()
@@ -356,7 +356,7 @@
 	s := testutil.NewServer(t, testutil.Echo)
 	reads, looks := newGate(2), newGate(2)
 	n, _ := startNode(t, configWithServers(s), func(n *Node) {
-		n.listener = gatedConns{n.listener.(*net.TCPListener), reads, looks}
+		n.listener = gatedConnListener{n.listener.(*net.TCPListener), reads, looks}
 	})
 	c, other := dial(t, n), dial(t, n)
 	for range 2 {
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -13,10 +13,10 @@
 // drainPollInterval is how often a drainer checks whether its connections are closed.
 const drainPollInterval = 20 * time.Millisecond
 
-// finalAnswerChecks is how many checks of its connections a draining node still makes once it has had everything
+// finalResponseChecks is how many checks of its connections a draining node still makes once it has had everything
 // answered, also past its limit. Checks are counted, not time, because no answer is written while the node is held up:
 // it may be held up for finalAnswerMargin, and then has killMargin left, of which the checks take three fifths.
-const finalAnswerChecks = 3
+const finalResponseChecks = 3
 
 // drainSchedule is the timetable of a graceful shutdown, each entry being a span since its beginning.
 type drainSchedule struct {
@@ -37,8 +37,8 @@
 	post  func(Event)
 
 	// Set by run, and read by the front end.
-	begun   atomic.Bool // the health check says that the node is not ready
-	closing atomic.Bool // each response closes its connection
+	started   atomic.Bool // the health check says that the node is not ready
+	closeAfterResponse atomic.Bool // each response closes its connection
 }
 
 // run drains the connections of a listener, whose server has stopped accepting once served is closed. It returns nil
@@ -48,14 +48,14 @@
 ) error {
 	begin := d.clock.Now()
 	passed := func(at time.Duration) bool { return d.clock.Now()-begin >= at }
-	d.begun.Store(true)
+	d.started.Store(true)
 	monotime.Sleep(ctx, schedule.stopAccepting)
 	ln.DrainQueue()
 	defer func() { _ = ln.Close() }() // the process ends, and its listener with it
 	for ctx.Err() == nil && !passed(schedule.closeConns) && (!isClosed(served) || d.conns.Count() > 0) {
 		monotime.Sleep(ctx, drainPollInterval)
 	}
-	d.closing.Store(true)
+	d.closeAfterResponse.Store(true)
 	return d.awaitClosed(ctx, ln, served, func() bool { return passed(schedule.answerAll) })
 }
 
@@ -75,7 +75,7 @@
 			_ = ln.Close() // it is still open only if every accept fails, and needs no answer
 			d.post(shutdownDeadline{})
 			checks = 1
-		case checks >= finalAnswerChecks && ctx.Err() != nil:
+		case checks >= finalResponseChecks && ctx.Err() != nil:
 			return fmt.Errorf("connections are left open: %d, by phase %v: %w", left, countByPhase(d.conns), ctx.Err())
 		case checks > 0:
 			checks++
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -22,7 +22,7 @@
 				cfg.Settings.Classes[i].Deadline = deadline * time.Millisecond / time.Duration(i+1)
 				cfg.Settings.Classes[i].LatencyObjective = max(1, cfg.Settings.Classes[i].Deadline/part)
 			}
-			e, most := drainScheduleOf(cfg), drainLimit(cfg)
+			e, most := newDrainSchedule(cfg), drainLimit(cfg)
 			kill := min(deadline*time.Millisecond, 3*time.Second) + 700*time.Millisecond
 			inOrder := e.stopAccepting <= e.closeConns && e.closeConns < e.answerAll &&
 				e.answerAll < most && most < kill
@@ -160,7 +160,7 @@
 	testutil.Wait(t, got, "the attempt")
 	end := make(chan error, 1)
 	go func() { end <- stop() }()
-	testutil.Until(t, "it to drain", n.frontend.drain.begun.Load)
+	testutil.Until(t, "it to drain", n.frontend.drain.started.Load)
 	for _, moved := range []string{"127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:2"} { // SIGHUP while it ends
 		cfg := n.cfg
 		cfg.Discovery = moved
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -21,7 +21,7 @@
 func NewRequestEvent(id, class string, now, deadline time.Duration) (Event, <-chan Response) {
 	r := &request{
 		Request: upstream.Request{ID: id}, class: class, receivedAt: now, deadline: deadline,
-		revision: firstRevision, response: make(chan Response, 1),
+		revision: initialRevision, response: make(chan Response, 1),
 	}
 	return requestReceived{r}, r.response
 }
@@ -29,7 +29,7 @@
 // clientDeparted reports that the client of a waiting request has closed its connection, or may have.
 type clientDeparted struct {
 	request    *request
-	how        downstream.Departure
+	departure        downstream.Departure
 	at         time.Duration // clock time when it was seen
 	retryAfter time.Duration // for the answer, should the request be rejected
 }
@@ -57,7 +57,7 @@
 type settingsChanged struct {
 	settings balancer.Settings
 	rules    *requestRules
-	inForce  func(at time.Duration)
+	onApplied  func(at time.Duration)
 }
 
 // shutdownDeadline reports that the time for draining is over: every request that still waits is answered now.
--- a/internal/node/faultyconns_test.go
+++ b/internal/node/faultyconns_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// breakableConns are downstream connections that a test breaks while the node waits on them.
-type breakableConns struct {
+// breakableListener are downstream connections that a test breaks while the node waits on them.
+type breakableListener struct {
 	*net.TCPListener
 	cause    error
 	accepted chan *breakableConn
 }
 
-func (l breakableConns) Accept() (net.Conn, error) {
+func (l breakableListener) Accept() (net.Conn, error) {
 	nc, err := l.AcceptTCP()
 	if err != nil {
 		return nil, err
@@ -37,8 +37,8 @@
 	watchEnded chan struct{} // gets one when a wait for something to read has ended
 }
 
-// breakNow ends the wait for readability as the kernel does when the connection breaks.
-func (c *breakableConn) breakNow() {
+// breakConn ends the wait for readability as the kernel does when the connection breaks.
+func (c *breakableConn) breakConn() {
 	if !errors.Is(c.cause, os.ErrDeadlineExceeded) {
 		close(c.broken)
 	}
@@ -57,34 +57,34 @@
 
 func (c *breakableConn) SyscallConn() (syscall.RawConn, error) {
 	raw, err := c.TCPConn.SyscallConn()
-	return breakableRaw{raw, c}, err
+	return breakableRawConn{raw, c}, err
 }
 
-type breakableRaw struct {
+type breakableRawConn struct {
 	syscall.RawConn
-	of *breakableConn
+	conn *breakableConn
 }
 
 // Read ends without an error once the connection is broken: it is readable, and the read returns the error.
-func (r breakableRaw) Read(ready func(uintptr) bool) error {
+func (r breakableRawConn) Read(ready func(uintptr) bool) error {
 	err := r.RawConn.Read(ready)
 	select {
-	case r.of.watchEnded <- struct{}{}:
+	case r.conn.watchEnded <- struct{}{}:
 	default:
 	}
-	if isClosed(r.of.broken) {
+	if isClosed(r.conn.broken) {
 		return nil
 	}
 	return err
 }
 
-// gatedConns delays the node's reads of downstream connections and its peeks at them.
-type gatedConns struct {
+// gatedConnListener delays the node's reads of downstream connections and its peeks at them.
+type gatedConnListener struct {
 	*net.TCPListener
 	reads, peeks *gate
 }
 
-func (l gatedConns) Accept() (net.Conn, error) {
+func (l gatedConnListener) Accept() (net.Conn, error) {
 	c, err := l.AcceptTCP()
 	if err != nil {
 		return nil, err
@@ -94,12 +94,12 @@
 
 // gate delays the first that pass, until it is opened.
 type gate struct {
-	first            atomic.Int32
+	remaining            atomic.Int32
 	arrived, release chan struct{}
 }
 
 func (g *gate) pass() {
-	if g.first.Add(-1) >= 0 {
+	if g.remaining.Add(-1) >= 0 {
 		g.arrived <- struct{}{}
 		<-g.release
 	}
@@ -107,21 +107,21 @@
 
 func newGate(first int32) *gate {
 	g := &gate{arrived: make(chan struct{}, first), release: make(chan struct{})}
-	g.first.Store(first)
+	g.remaining.Store(first)
 	return g
 }
 
 type gatedConn struct {
 	*net.TCPConn
-	of gatedConns
+	listener gatedConnListener
 }
 
 func (c gatedConn) Read(p []byte) (int, error) {
-	c.of.reads.pass()
+	c.listener.reads.pass()
 	return c.TCPConn.Read(p)
 }
 
 func (c gatedConn) SyscallConn() (syscall.RawConn, error) {
-	c.of.peeks.pass()
+	c.listener.peeks.pass()
 	return c.TCPConn.SyscallConn()
 }
--- a/internal/node/frontend.go
+++ b/internal/node/frontend.go
@@ -60,7 +60,7 @@
 	case r.Method != http.MethodGet && r.Method != http.MethodHead || r.ContentLength != 0:
 		http.Error(w, "only GET is served", http.StatusMethodNotAllowed)
 		return
-	case f.drain.begun.Load():
+	case f.drain.started.Load():
 	case !f.ready():
 		w.Header().Del("Connection")
 	default:
@@ -123,7 +123,7 @@
 		}
 		notified = how
 		begun := c.MarkDeparted()
-		f.post(clientDeparted{request: c, how: how, at: f.clock.Now(), retryAfter: f.rules.Load().retryAfter})
+		f.post(clientDeparted{request: c, departure: how, at: f.clock.Now(), retryAfter: f.rules.Load().retryAfter})
 		switch {
 		case how == downstream.Disconnected:
 			return Response{}, false
@@ -138,7 +138,7 @@
 // would then get no response.
 func (f *frontend) writeResponse(w http.ResponseWriter, conn *downstream.Conn, response Response) {
 	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
-	if (f.conns.OverLimit() || f.drain.closing.Load()) && !conn.StopDepartureWatch() {
+	if (f.conns.OverLimit() || f.drain.closeAfterResponse.Load()) && !conn.StopDepartureWatch() {
 		w.Header().Set("Connection", "close")
 	}
 	response.write(w)
@@ -181,7 +181,7 @@
 	case err != nil:
 		return errBodyIncomplete
 	case len(c.Body) > 0 && c.Method == http.MethodGet:
-		return errBodyOfGet
+		return errGetWithBody
 	}
 	return nil
 }
--- a/internal/node/heldupdrain_test.go
+++ b/internal/node/heldupdrain_test.go
@@ -71,7 +71,7 @@
 	c := dial(t, n)
 	c.Send("POST", "/note/k", "open", "x", "60")
 	testutil.Wait(t, got, "the attempt")
-	n.frontend.drain.closing.Store(true)
+	n.frontend.drain.closeAfterResponse.Store(true)
 	return n, c
 }
 
@@ -117,7 +117,7 @@
 	if err := d.run(t, n); !errors.Is(err, context.DeadlineExceeded) || d.orders != 1 {
 		t.Errorf("error %v, after %d orders to answer all", err, d.orders)
 	}
-	if spent, left := finalAnswerChecks*drainPollInterval, killMargin; spent >= left {
+	if spent, left := finalResponseChecks*drainPollInterval, killMargin; spent >= left {
 		t.Errorf("the last checks take %v of the %v before the kill", spent, left)
 	}
 }
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -56,7 +56,7 @@
 // withLongObjectives keeps the attempts of a configuration from timing out while a test waits for something else
 // to end them.
 func withLongObjectives(cfg Config) Config {
-	return with(cfg, func(classes []balancer.Class) []balancer.Class {
+	return withClasses(cfg, func(classes []balancer.Class) []balancer.Class {
 		for i := range classes {
 			classes[i].LatencyObjective = 2 * testutil.Timeout
 		}
@@ -64,8 +64,8 @@
 	})
 }
 
-// with is a configuration with other classes.
-func with(cfg Config, change func(classes []balancer.Class) []balancer.Class) Config {
+// withClasses is a configuration withClasses other classes.
+func withClasses(cfg Config, change func(classes []balancer.Class) []balancer.Class) Config {
 	cfg.Settings.Classes = change(slices.Clone(cfg.Settings.Classes))
 	return cfg
 }
@@ -139,8 +139,8 @@
 	return func() time.Duration { return time.Duration(total.Load()) }
 }
 
-// parsedList is the endpoint list that a text contains.
-func parsedList(t testing.TB, text string) endpointlist.List {
+// parseList is the endpoint list that a text contains.
+func parseList(t testing.TB, text string) endpointlist.List {
 	t.Helper()
 	l, err := endpointlist.Parse([]byte(text))
 	if err != nil {
@@ -152,7 +152,7 @@
 // listOf is an endpoint list, complete or of changes.
 func listOf(t testing.TB, complete bool, entries ...string) endpointlist.List {
 	t.Helper()
-	return parsedList(t, fmt.Sprintf(`{"rev":9,"all":%v,"targets":[%s]}`, complete, strings.Join(entries, ",")))
+	return parseList(t, fmt.Sprintf(`{"rev":9,"all":%v,"targets":[%s]}`, complete, strings.Join(entries, ",")))
 }
 
 // readAheadBytes is how many bytes are buffered of clients whose requests have no response yet.
--- a/internal/node/listener_test.go
+++ b/internal/node/listener_test.go
@@ -57,7 +57,7 @@
 				n.drainSchedule = drainSchedule{closeConns: time.Millisecond, answerAll: testutil.Timeout}
 				n.drainLimit = 2 * testutil.Timeout
 				n.listener = testutil.FailingListener{TCPListener: n.listener.(*net.TCPListener), Fail: func() error {
-					if !n.frontend.drain.begun.Load() {
+					if !n.frontend.drain.started.Load() {
 						return nil
 					}
 					select {
--- a/internal/node/lists_test.go
+++ b/internal/node/lists_test.go
@@ -18,7 +18,7 @@
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			l := newSimulatedLoop(b, true)
 			pool := upstream.NewPool(l.clock, 10, upstream.Timeouts{Connect: testutil.Timeout, Idle: time.Minute})
-			all := parsedList(b, testutil.LongList(servers, "", false))
+			all := parseList(b, testutil.LongList(servers, "", false))
 			l.endpoints.SetStartTimes(all.Entries)
 			l.endpoints.Apply(all)
 			pool.UpdateEndpoints(all.Entries, true)
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -13,8 +13,8 @@
 	"basaltdrum/internal/upstream"
 )
 
-// eventQueueLength is how many events may wait for the loop before post blocks.
-const eventQueueLength = 1024
+// eventQueueCapacity is how many events may wait for the loop before post blocks.
+const eventQueueCapacity = 1024
 
 // Loop is the node's event loop: a single goroutine that feeds events to the decision module and carries out the
 // actions that the module returns (the reactor pattern). It alone touches the Balancer and all fields that are
@@ -39,7 +39,7 @@
 
 	endpoints  *endpointlist.Table
 	cachedList endpointlist.List // as the node last had it; dropped once listKnown
-	listKnown  bool              // a list has been applied: discovery's, or the cached one in its place
+	listApplied  bool              // a list has been applied: discovery's, or the cached one in its place
 }
 
 // LoopHooks are the functions by which a Loop carries out what the module decides. The loop's goroutine calls them, and
@@ -61,14 +61,14 @@
 		return nil, err
 	}
 	l := newLoop(module, clock, log)
-	l.rules.Store(newRequestRules(firstRevision, set))
+	l.rules.Store(newRequestRules(initialRevision, set))
 	l.listsPushed = !set.PollDiscovery
 	return l, nil
 }
 
 func newLoop(b *balancer.Balancer, c monotime.Clock, log *slog.Logger) *Loop {
 	return &Loop{
-		clock: c, balancer: b, events: make(chan Event, eventQueueLength),
+		clock: c, balancer: b, events: make(chan Event, eventQueueCapacity),
 		pending: map[string]*pendingRequest{}, endpoints: endpointlist.NewTable(c),
 		traffic: trafficLog{log: log, connectionStats: func() []any { return nil }},
 	}
@@ -100,7 +100,7 @@
 func (l *Loop) Run(ctx context.Context) {
 	wakeUp := time.NewTimer(time.Hour)
 	defer wakeUp.Stop()
-	trafficTicker := time.NewTicker(statsInterval)
+	trafficTicker := time.NewTicker(trafficLogInterval)
 	defer trafficTicker.Stop()
 	defer l.logTraffic()
 	for {
@@ -129,15 +129,15 @@
 		if !due {
 			return
 		}
-		l.decide(now, balancer.Timer{Token: token})
+		l.passToModule(now, balancer.Timer{Token: token})
 	}
 }
 
 // logTraffic writes the traffic line.
 func (l *Loop) logTraffic() { l.traffic.write(len(l.pending)) }
 
-// noteLag measures how long after it happened an event is handled.
-func (l *Loop) noteLag(at time.Duration) { l.traffic.noteLag(-l.clock.Until(at)) }
+// recordLag measures how long after it happened an event is handled.
+func (l *Loop) recordLag(at time.Duration) { l.traffic.recordLag(-l.clock.Until(at)) }
 
 // handleEvent handles one event.
 func (l *Loop) handleEvent(e Event) {
@@ -149,9 +149,9 @@
 	case attemptEnded:
 		l.endAttempt(e.attempt, e.result)
 	case settingsChanged:
-		l.decide(l.clock.Now(), balancer.Reconfigure{Settings: e.settings})
+		l.passToModule(l.clock.Now(), balancer.Reconfigure{Settings: e.settings})
 		l.rules.Store(e.rules)
-		e.inForce(l.clock.Now())
+		e.onApplied(l.clock.Now())
 	case shutdownDeadline:
 		l.answerAll()
 	case listReceived:
@@ -162,7 +162,7 @@
 	case listConfirmed:
 		l.endpoints.Confirm()
 	case subscriptionFailed:
-		l.decide(l.clock.Now(), balancer.SubscriptionFailed{})
+		l.passToModule(l.clock.Now(), balancer.SubscriptionFailed{})
 	case discoveryUnresponsive:
 		l.useCachedList()
 	}
@@ -172,7 +172,7 @@
 // list is binding from the first moment of the process. So until that list has come, or discovery counts as
 // unresponsive, no request is sent by the cached list, and the module queues what clients send.
 func (l *Loop) useCachedList() {
-	if !l.listKnown {
+	if !l.listApplied {
 		l.applyList(l.cachedList, true)
 	}
 }
@@ -182,7 +182,7 @@
 // passed on: the module treats every list as a change and selects its subset anew, which would move requests
 // and open connections without need.
 func (l *Loop) applyList(update endpointlist.List, cached bool) {
-	l.listKnown, l.cachedList = true, endpointlist.List{}
+	l.listApplied, l.cachedList = true, endpointlist.List{}
 	l.endpoints.SetStartTimes(update.Entries)
 	if !cached {
 		defer l.endpoints.Confirm()
@@ -192,14 +192,14 @@
 	}
 	e := balancer.EndpointUpdate{Complete: update.Complete, Cached: cached, Endpoints: l.endpoints.Apply(update)}
 	l.hooks.UpdateEndpoints(update.Entries, update.Complete)
-	l.decide(l.clock.Now(), e)
+	l.passToModule(l.clock.Now(), e)
 	l.ready.Store(l.endpoints.HasReady())
 }
 
 // handleRequest passes a request to the module, as of the time when it was received rather than when the loop
 // came to it.
 func (l *Loop) handleRequest(r *request) {
-	l.noteLag(r.receivedAt)
+	l.recordLag(r.receivedAt)
 	if l.pending[r.ID] != nil {
 		// The module ignores a request with an id that is pending, so nothing else would answer this one.
 		r.response <- Response{Kind: ResponseDuplicateID}
@@ -207,14 +207,14 @@
 	}
 	// The front end checked the request by the rules of that moment; the module only knows the present ones.
 	if rules := l.rules.Load(); r.revision != rules.revision {
-		if invalid := rules.validate(r); invalid != nil {
+		if invalid := rules.validateClass(r); invalid != nil {
 			r.response <- Response{Kind: ResponseInvalid, reason: invalid}
 			return
 		}
 	}
 	l.traffic.Requests++
 	l.pending[r.ID] = &pendingRequest{request: r}
-	l.decide(r.receivedAt, balancer.Request{
+	l.passToModule(r.receivedAt, balancer.Request{
 		ID: r.ID, Class: r.class, FirstByte: r.firstByte, Deadline: r.deadline, ExpectedWork: r.expectedWork,
 	})
 }
@@ -223,18 +223,18 @@
 // of it once. A client that has only closed its sending side may still read the answer of an
 // attempt that has begun, so such an attempt continues until the client is known to have disconnected.
 func (l *Loop) handleDeparture(e clientDeparted) {
-	l.noteLag(e.at)
+	l.recordLag(e.at)
 	p := l.pending[e.request.ID]
 	if p == nil || p.request != e.request || p.answered {
 		return
 	}
-	if first := p.depart(e.how, e.retryAfter); first {
+	if first := p.recordDeparture(e.departure, e.retryAfter); first {
 		l.traffic.Departed++
-		l.decide(e.at, balancer.ClientGone{ID: e.request.ID})
+		l.passToModule(e.at, balancer.ClientGone{ID: e.request.ID})
 	}
-	if e.how == downstream.Disconnected {
+	if e.departure == downstream.Disconnected {
 		p.abandon()
-		l.forget(p)
+		l.removeIfDone(p)
 		return
 	}
 	l.answerDeparted(p)
@@ -244,57 +244,57 @@
 // client reads.
 func (l *Loop) answerDeparted(p *pendingRequest) {
 	if !p.answered && !p.canBeServed() {
-		l.finish(p, p.departedResponse())
+		l.respondUnserved(p, p.departedResponse())
 	}
 }
 
 // answerAll answers every request that is not answered, at the end of draining. To the module, the requests of
 // departed clients are answered already, so it returns no action for them.
 func (l *Loop) answerAll() {
-	l.decide(l.clock.Now(), balancer.Shutdown{})
+	l.passToModule(l.clock.Now(), balancer.Shutdown{})
 	for _, p := range l.pending {
 		if p.hasDeparted() {
-			l.finish(p, p.departedResponse())
+			l.respondUnserved(p, p.departedResponse())
 		}
 	}
 }
 
 // endAttempt passes the outcome of an attempt to the module. The first success answers the request.
 func (l *Loop) endAttempt(a *Attempt, outcome upstream.Outcome) {
-	l.noteLag(outcome.EndedAt)
-	l.traffic.Results[outcome.Result]++
+	l.recordLag(outcome.EndedAt)
+	l.traffic.AttemptResults[outcome.Result]++
 	p := l.pending[a.request.ID]
 	p.endAttempt(a, outcome.Result)
 	if outcome.Result == balancer.Success && !p.answered {
 		l.traffic.Served++
 		p.answer(Response{Kind: ResponseServed, body: outcome.Body, contentType: outcome.ContentType})
 	}
-	l.decide(outcome.EndedAt, balancer.AttemptEnded{
+	l.passToModule(outcome.EndedAt, balancer.AttemptEnded{
 		ID: a.request.ID, Attempt: a.number, Endpoint: a.Instance.UID, Result: outcome.Result,
 		Latency: outcome.EndedAt - a.sentAt, Answered: p.answered, HeldUp: outcome.HeldUp,
 	})
 	if p.hasDeparted() {
 		l.answerDeparted(p)
 	}
-	l.forget(p)
+	l.removeIfDone(p)
 }
 
-// decide gives the module an event and carries out the actions that it returns. The module's time must not go
+// passToModule gives the module an event and carries out the actions that it returns. The module's time must not go
 // back, so an event that happened before the last one counts as simultaneous with it.
-func (l *Loop) decide(at time.Duration, e balancer.Event) {
+func (l *Loop) passToModule(at time.Duration, e balancer.Event) {
 	l.now = max(l.now, at)
 	for _, action := range l.balancer.Handle(l.now, e) {
 		switch action := action.(type) {
 		case balancer.Send:
-			l.send(action)
+			l.startAttempt(action)
 		case balancer.Cancel:
 			if p := l.pending[action.ID]; p != nil {
 				p.cancelAttempt(action.Attempt)
 			}
 		case balancer.Reject:
-			l.finish(l.pending[action.ID], Response{Kind: ResponseRejected, retryAfter: action.RetryAfter})
+			l.respondUnserved(l.pending[action.ID], Response{Kind: ResponseRejected, retryAfter: action.RetryAfter})
 		case balancer.Fail:
-			l.finish(l.pending[action.ID], Response{Kind: ResponseFailed})
+			l.respondUnserved(l.pending[action.ID], Response{Kind: ResponseFailed})
 		case balancer.SetTimer:
 			l.timers.set(action.At, action.Token)
 		case balancer.Subscribe:
@@ -303,8 +303,8 @@
 	}
 }
 
-// send starts the attempt that the module has decided on.
-func (l *Loop) send(s balancer.Send) {
+// startAttempt starts the attempt that the module has decided on.
+func (l *Loop) startAttempt(s balancer.Send) {
 	p := l.pending[s.ID]
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &Attempt{
@@ -315,23 +315,23 @@
 		ctx: ctx, cancel: cancel, request: p.request, number: len(p.attempts), sentAt: l.now,
 	}
 	p.addAttempt(a)
-	l.traffic.Sends++
+	l.traffic.AttemptsStarted++
 	l.hooks.StartAttempt(a)
 }
 
-// finish answers a request, unless it is answered or unknown, without an endpoint's answer.
-func (l *Loop) finish(p *pendingRequest, final Response) {
+// respondUnserved answers a request, unless it is answered or unknown, without an endpoint's answer.
+func (l *Loop) respondUnserved(p *pendingRequest, final Response) {
 	if p == nil || p.answered {
 		return
 	}
-	l.traffic.noteUnserved(final.Kind)
+	l.traffic.countUnserved(final.Kind)
 	p.answer(final)
-	l.forget(p)
+	l.removeIfDone(p)
 }
 
-// forget drops a request that is over.
-func (l *Loop) forget(p *pendingRequest) {
-	if p.isOver() {
+// removeIfDone drops a request that is over.
+func (l *Loop) removeIfDone(p *pendingRequest) {
+	if p.isDone() {
 		delete(l.pending, p.request.ID)
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -42,8 +42,8 @@
 	drainLimit    time.Duration
 }
 
-// firstRevision is the revision of the configuration that a node starts with.
-const firstRevision = 1
+// initialRevision is the revision of the configuration that a node starts with.
+const initialRevision = 1
 
 // LimitResources keeps the process within one core and within its memory.
 func LimitResources(cfg Config) {
@@ -61,7 +61,7 @@
 	n := &Node{
 		loop: l, log: log,
 		upstream: upstream.NewPool(clock, (cfg.Sockets-reservedDescriptors)/2, upstreamTimeouts(cfg)),
-		cfg:      cfg, revision: firstRevision, drainSchedule: drainScheduleOf(cfg), drainLimit: drainLimit(cfg),
+		cfg:      cfg, revision: initialRevision, drainSchedule: newDrainSchedule(cfg), drainLimit: drainLimit(cfg),
 	}
 	conns := downstream.NewConns(clock, downstreamLimits(cfg), n.upstream.Connections)
 	n.upstream.Allowance = conns.UpstreamAllowance
--- a/internal/node/pendingrequest.go
+++ b/internal/node/pendingrequest.go
@@ -15,7 +15,7 @@
 	attempts   []*Attempt // all that were started, by their number
 	inFlight   int        // attempts that have not ended
 	answered   bool
-	departed   downstream.Departure // anything but Present: the module was notified that the client has departed
+	departure   downstream.Departure // anything but Present: the module was notified that the client has departed
 	retryAfter time.Duration        // for the answer, should the request be rejected after its client has departed
 	mayHaveRun bool                 // an attempt that has ended may have been executed by its endpoint
 }
@@ -44,8 +44,8 @@
 		return
 	}
 	a := p.attempts[number]
-	a.outlivesHalfClose = p.departed == downstream.HalfClosed && a.WriteStarted()
-	if !a.outlivesHalfClose {
+	a.cancelDeferred = p.departure == downstream.HalfClosed && a.WriteStarted()
+	if !a.cancelDeferred {
 		a.cancel()
 	}
 }
@@ -54,41 +54,41 @@
 func (p *pendingRequest) answer(final Response) {
 	p.answered = true
 	p.request.response <- final
-	p.cancelOutlivingAttempts()
+	p.cancelDeferredAttempts()
 }
 
 // abandon ends a request that no client is left to read an answer of.
 func (p *pendingRequest) abandon() {
 	p.answered = true
-	p.cancelOutlivingAttempts()
+	p.cancelDeferredAttempts()
 }
 
-// cancelOutlivingAttempts cancels the attempts that went on for a client that had closed its sending side.
-func (p *pendingRequest) cancelOutlivingAttempts() {
+// cancelDeferredAttempts cancels the attempts that went on for a client that had closed its sending side.
+func (p *pendingRequest) cancelDeferredAttempts() {
 	for _, a := range p.attempts {
-		if a.outlivesHalfClose {
+		if a.cancelDeferred {
 			a.cancel()
 		}
 	}
 }
 
-// depart records that the client has departed, and reports whether this is the first time.
-func (p *pendingRequest) depart(how downstream.Departure, retryAfter time.Duration) (first bool) {
-	first = p.departed == downstream.Present
-	p.departed, p.retryAfter = how, retryAfter
+// recordDeparture records that the client has departed, and reports whether this is the first time.
+func (p *pendingRequest) recordDeparture(how downstream.Departure, retryAfter time.Duration) (first bool) {
+	first = p.departure == downstream.Present
+	p.departure, p.retryAfter = how, retryAfter
 	return first
 }
 
 // hasDeparted reports whether the client has departed.
-func (p *pendingRequest) hasDeparted() bool { return p.departed != downstream.Present }
+func (p *pendingRequest) hasDeparted() bool { return p.departure != downstream.Present }
 
 // canBeServed reports whether an attempt that has begun may still bring an answer that a departed client reads.
 func (p *pendingRequest) canBeServed() bool {
-	return p.departed == downstream.HalfClosed && p.hasBegunAttempt()
+	return p.departure == downstream.HalfClosed && p.hasWriteStarted()
 }
 
-// hasBegunAttempt reports whether a byte of an attempt that is in flight may have been written.
-func (p *pendingRequest) hasBegunAttempt() bool {
+// hasWriteStarted reports whether a byte of an attempt that is in flight may have been written.
+func (p *pendingRequest) hasWriteStarted() bool {
 	for _, a := range p.attempts {
 		if !a.ended && a.WriteStarted() {
 			return true
@@ -100,12 +100,12 @@
 // departedResponse returns the final response to a departed client, which the module leaves out for one that has
 // departed: a rejection, unless an attempt may have been executed.
 func (p *pendingRequest) departedResponse() Response {
-	if p.mayHaveRun || p.hasBegunAttempt() {
+	if p.mayHaveRun || p.hasWriteStarted() {
 		return Response{Kind: ResponseFailed}
 	}
 	return Response{Kind: ResponseRejected, retryAfter: p.retryAfter}
 }
 
-// isOver reports whether the request is answered and has no attempt in flight. The module forgets a request by the
+// isDone reports whether the request is answered and has no attempt in flight. The module forgets a request by the
 // same rule.
-func (p *pendingRequest) isOver() bool { return p.answered && p.inFlight == 0 }
+func (p *pendingRequest) isDone() bool { return p.answered && p.inFlight == 0 }
--- a/internal/node/pendingrequest_test.go
+++ b/internal/node/pendingrequest_test.go
@@ -28,19 +28,19 @@
 	p := newPendingRequest(2)
 	p.endAttempt(p.attempts[0], balancer.ConnectFailed)
 	p.answer(Response{Kind: ResponseFailed})
-	if p.isOver() {
+	if p.isDone() {
 		t.Error("over with an attempt in flight")
 	}
 	p.endAttempt(p.attempts[1], balancer.NotSent)
-	if !p.isOver() || (<-p.request.response).Kind != ResponseFailed {
+	if !p.isDone() || (<-p.request.response).Kind != ResponseFailed {
 		t.Error("not over, though it is answered and its attempts have ended")
 	}
 	p = newPendingRequest(1)
 	p.endAttempt(p.attempts[0], balancer.NotSent)
-	if p.isOver() {
+	if p.isDone() {
 		t.Error("over before it is answered")
 	}
-	if p.abandon(); !p.isOver() || len(p.request.response) > 0 {
+	if p.abandon(); !p.isDone() || len(p.request.response) > 0 {
 		t.Error("not over, or answered, though no client is left")
 	}
 }
@@ -48,7 +48,7 @@
 // An attempt that has not begun is cancelled for any client, and one that there is not is ignored.
 func TestAttemptNotBegunIsCancelled(t *testing.T) {
 	p := newPendingRequest(1)
-	p.depart(downstream.HalfClosed, 0)
+	p.recordDeparture(downstream.HalfClosed, 0)
 	p.cancelAttempt(1)
 	if p.attempts[0].ctx.Err() != nil {
 		t.Error("another attempt was cancelled")
@@ -61,7 +61,7 @@
 // A client that has departed before an attempt has begun is rejected, with the Retry-After of its departure.
 func TestDepartedClientIsRejectedIfNothingBegan(t *testing.T) {
 	p := newPendingRequest(1)
-	if !p.depart(downstream.HalfClosed, time.Second) || p.depart(downstream.Disconnected, 2*time.Second) {
+	if !p.recordDeparture(downstream.HalfClosed, time.Second) || p.recordDeparture(downstream.Disconnected, 2*time.Second) {
 		t.Error("the first of two departures is not the first")
 	}
 	if p.canBeServed() {
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -39,7 +39,7 @@
 	log := n.log.With("revision", n.revision, "changed", changed)
 	log.Info("configuration reloaded", "discovery", cfg.Discovery)
 	since := n.loop.clock.Now()
-	n.cfg, n.drainSchedule, n.drainLimit = cfg, drainScheduleOf(cfg), drainLimit(cfg)
+	n.cfg, n.drainSchedule, n.drainLimit = cfg, newDrainSchedule(cfg), drainLimit(cfg)
 	n.upstream.SetTimeouts(upstreamTimeouts(cfg))
 	n.discovery.SetAddress(cfg.Discovery)
 	if sameSettings {
@@ -47,7 +47,7 @@
 	}
 	set := moduleSettings(cfg)
 	inForce := func(at time.Duration) { log.Info("new settings are in force", "after", at-since) }
-	n.loop.post(settingsChanged{settings: set, rules: newRequestRules(n.revision, set), inForce: inForce})
+	n.loop.post(settingsChanged{settings: set, rules: newRequestRules(n.revision, set), onApplied: inForce})
 }
 
 // withoutRestartChanges returns a configuration in which all that needs a restart is as it was, and logs a warning
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -98,7 +98,7 @@
 	c := dial(t, n)
 	c.Send(row.method, target, "before", body, "60")
 	first := awaitArrival(t, "before", one, two)
-	reload(t, n, with(cfg, row.change))
+	reload(t, n, withClasses(cfg, row.change))
 	first.succeed <- false
 	attempts := 1
 	if row.retried {
@@ -143,7 +143,7 @@
 	s := testutil.NewServer(t, testutil.Echo)
 	cfg := testConfig(testutil.CompleteList(inService("s1", s)))
 	n, _ := startNode(t, cfg, nil)
-	more := with(cfg, func(l []balancer.Class) []balancer.Class {
+	more := withClasses(cfg, func(l []balancer.Class) []balancer.Class {
 		return append(l, balancer.Class{
 			Name: "extra", Effect: balancer.Idempotent,
 			LatencyObjective: testutil.Timeout, Deadline: 2 * testutil.Timeout,
@@ -189,10 +189,10 @@
 			defer resume()
 			n.loop.post(settingsChanged{
 				settings: moduleSettings(cfg), rules: newRequestRules(1, cfg.Settings),
-				inForce: func(time.Duration) { close(held); <-release },
+				onApplied: func(time.Duration) { close(held); <-release },
 			})
 			testutil.Wait(t, held, "the loop to be held")
-			n.Reload(with(cfg, row.change))
+			n.Reload(withClasses(cfg, row.change))
 			c := dial(t, n)
 			c.Send("POST", "/note/k", "crossing", "body", "60")
 			testutil.Until(t, "the request to be on its way to the module", func() bool {
@@ -236,7 +236,7 @@
 // The names that a reload logs are those of what differs.
 func TestChangesNamesWhatDiffers(t *testing.T) {
 	cfg := testConfig(testutil.CompleteList())
-	other := with(cfg, func(l []balancer.Class) []balancer.Class {
+	other := withClasses(cfg, func(l []balancer.Class) []balancer.Class {
 		l[0].LatencyObjective++
 		return append(l[:2], balancer.Class{Name: "extra"})
 	})
--- a/internal/node/request.go
+++ b/internal/node/request.go
@@ -30,7 +30,7 @@
 	number            int           // of the attempt within its request, from 0
 	sentAt            time.Duration // clock time
 	ended             bool          // its result has been passed on
-	outlivesHalfClose bool          // a cancellation waits until the client is known to have disconnected
+	cancelDeferred bool          // a cancellation waits until the client is known to have disconnected
 }
 
 // Done returns a channel that is closed when the attempt is cancelled.
--- a/internal/node/requestvalidation.go
+++ b/internal/node/requestvalidation.go
@@ -27,34 +27,34 @@
 type requestError struct {
 	status int // of HTTP
 	reason string
-	ofBody bool // the body is in error: the connection is closed, whatever was read behind it
+	inBody bool // the body is in error: the connection is closed, whatever was read behind it
 }
 
-func headError(status int, reason string) *requestError {
+func newHeadError(status int, reason string) *requestError {
 	return &requestError{status: status, reason: reason}
 }
 
-func bodyError(status int, reason string) *requestError {
-	return &requestError{status: status, reason: reason, ofBody: true}
+func newBodyError(status int, reason string) *requestError {
+	return &requestError{status: status, reason: reason, inBody: true}
 }
 
 func (e *requestError) Error() string { return e.reason }
 
 // Errors of requests whose framing is sound (see http1.FramingError) and which are invalid nevertheless.
 var (
-	errMethodNotServed   = headError(http.StatusMethodNotAllowed, "only GET and POST are served")
-	errMethodOfClass     = headError(http.StatusMethodNotAllowed, "the class is not asked for by this method")
-	errUnknownClass      = headError(http.StatusNotFound, "the path names no class")
-	errMalformedKey      = headError(http.StatusBadRequest, "Idempotency-Key is empty or comes twice")
-	errKeyOfClass        = headError(http.StatusBadRequest, "Idempotency-Key does not fit the class")
-	errRequestID         = headError(http.StatusBadRequest, "X-Request-Id is missing, too long, or comes twice")
-	errDeadlineMissing   = headError(http.StatusBadRequest, "X-Deadline is missing or comes twice")
-	errDeadlineMalformed = headError(http.StatusBadRequest, "X-Deadline is no plain number")
-	errDeadlineRange     = headError(http.StatusBadRequest, "X-Deadline is no number or out of range")
-	errDeadlineOfClass   = headError(http.StatusBadRequest, "X-Deadline is far beyond the class's")
-	errBodyTooLong       = bodyError(http.StatusRequestEntityTooLarge, "the body is too long")
-	errBodyIncomplete    = bodyError(http.StatusBadRequest, "the body is not complete")
-	errBodyOfGet         = bodyError(http.StatusBadRequest, "GET has no body")
+	errMethodUnsupported   = newHeadError(http.StatusMethodNotAllowed, "only GET and POST are served")
+	errMethodMismatchesClass     = newHeadError(http.StatusMethodNotAllowed, "the class is not asked for by this method")
+	errUnknownClass      = newHeadError(http.StatusNotFound, "the path names no class")
+	errMalformedKey      = newHeadError(http.StatusBadRequest, "Idempotency-Key is empty or comes twice")
+	errKeyMismatchesClass        = newHeadError(http.StatusBadRequest, "Idempotency-Key does not fit the class")
+	errInvalidRequestID         = newHeadError(http.StatusBadRequest, "X-Request-Id is missing, too long, or comes twice")
+	errDeadlineMissing   = newHeadError(http.StatusBadRequest, "X-Deadline is missing or comes twice")
+	errDeadlineMalformed = newHeadError(http.StatusBadRequest, "X-Deadline is no plain number")
+	errDeadlineOutOfRange     = newHeadError(http.StatusBadRequest, "X-Deadline is no number or out of range")
+	errDeadlineExceedsClass   = newHeadError(http.StatusBadRequest, "X-Deadline is far beyond the class's")
+	errBodyTooLong       = newBodyError(http.StatusRequestEntityTooLarge, "the body is too long")
+	errBodyIncomplete    = newBodyError(http.StatusBadRequest, "the body is not complete")
+	errGetWithBody         = newBodyError(http.StatusBadRequest, "GET has no body")
 )
 
 // requestRules are the part of one revision of the settings that requests are checked against.
@@ -75,16 +75,16 @@
 	return r
 }
 
-// validate checks a request against the class that it names, and notes the revision that it was checked by.
-func (r *requestRules) validate(c *request) *requestError {
+// validateClass checks a request against the class that it names, and notes the revision that it was checked by.
+func (r *requestRules) validateClass(c *request) *requestError {
 	class, known := r.classes[c.class]
 	switch {
 	case !known:
 		return errUnknownClass
 	case (class.Effect == balancer.Idempotent) != (c.Method == http.MethodGet):
-		return errMethodOfClass
+		return errMethodMismatchesClass
 	case (c.IdempotencyKey != "") != (class.Effect == balancer.IdempotentByKey):
-		return errKeyOfClass
+		return errKeyMismatchesClass
 	}
 	c.revision = r.revision
 	return nil
@@ -97,22 +97,22 @@
 	if err := c.readClass(httpRequest); err != nil {
 		return err
 	}
-	if err := r.validate(c); err != nil {
+	if err := r.validateClass(c); err != nil {
 		return err
 	}
 	if c.ID == "" || len(c.ID) > maxRequestIDBytes || len(httpRequest.Header["X-Request-Id"]) > 1 {
-		return errRequestID
+		return errInvalidRequestID
 	}
 	wait, err := parseDeadline(httpRequest.Header["X-Deadline"])
 	switch {
 	case err != nil:
 		return err
 	case wait > maxDeadlineFactor*r.classes[c.class].Deadline:
-		return errDeadlineOfClass
+		return errDeadlineExceedsClass
 	case httpRequest.ContentLength > http1.MaxBodyBytes:
 		return errBodyTooLong
 	case httpRequest.ContentLength > 0 && c.Method == http.MethodGet:
-		return errBodyOfGet
+		return errGetWithBody
 	}
 	c.deadline, c.expectedWork = wait, parseWorkHint(httpRequest.Header.Get("X-Cost-Hint"))
 	return nil
@@ -125,7 +125,7 @@
 	keys := len(r.Header["Idempotency-Key"])
 	switch {
 	case c.Method != http.MethodGet && c.Method != http.MethodPost:
-		return errMethodNotServed
+		return errMethodUnsupported
 	case !strings.HasPrefix(path, "/"):
 		return errUnknownClass
 	case keys > 1 || keys == 1 && c.IdempotencyKey == "":
@@ -145,7 +145,7 @@
 	}
 	seconds, err := strconv.ParseFloat(values[0], 64)
 	if err != nil || !(seconds > 0 && seconds <= maxDeadline.Seconds()) {
-		return 0, errDeadlineRange
+		return 0, errDeadlineOutOfRange
 	}
 	return time.Duration(math.Round(seconds * 1e9)), nil
 }
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -83,7 +83,7 @@
 // pipelined requests were read behind it, which would then get no response.
 func writeInvalidRequest(w http.ResponseWriter, conn *downstream.Conn, err error) {
 	var invalid *requestError
-	sound := errors.As(err, &invalid) && !invalid.ofBody
+	sound := errors.As(err, &invalid) && !invalid.inBody
 	if sound && conn.HasPipelinedRequest() {
 		http.NewResponseController(w).SetReadDeadline(time.Time{}) // the deadline was for reading the request
 		w.Header().Del("Connection")
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -249,7 +249,7 @@
 				}
 				testutil.Until(t, "all to be read", func() bool { return reads.complete(c.LocalAddr().String()) == 3 })
 				if why == "the node ends" {
-					n.frontend.drain.closing.Store(true)
+					n.frontend.drain.closeAfterResponse.Store(true)
 				} else {
 					limits := downstreamLimits(n.cfg)
 					limits.Descriptors, limits.UpstreamReserve = 1, 1
--- a/internal/node/traffic_test.go
+++ b/internal/node/traffic_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	defer n.listener.Close()
-	n.loop.traffic.Events = 1 // a line without events is left out
+	n.loop.traffic.LagSamples = 1 // a line without events is left out
 	n.loop.logTraffic()
 	_, figures, found := strings.Cut(log.String(), "msg=traffic ")
 	if !found {
--- a/internal/node/trafficlog.go
+++ b/internal/node/trafficlog.go
@@ -7,11 +7,11 @@
 	"basaltdrum/balancer"
 )
 
-// statsInterval is the time between two traffic lines in the log.
-const statsInterval = 10 * time.Second
+// trafficLogInterval is the time between two traffic lines in the log.
+const trafficLogInterval = 10 * time.Second
 
-// resultCount is how many values balancer.AttemptResult has.
-const resultCount = 8
+// attemptResultCount is how many values balancer.AttemptResult has.
+const attemptResultCount = 8
 
 // trafficCounts are the figures of the traffic line, counted since the line before.
 type trafficCounts struct {
@@ -20,22 +20,22 @@
 	Rejected int // answered 503
 	Failed   int // answered 502
 	Departed int // whose client has closed its connection, or may have
-	Sends    int // attempts started
-	Results  [resultCount]int
-	LagMax   time.Duration // longest time from an event to its handling
-	LagSum   time.Duration // over all events
-	Events   int           // that the lag was measured of
+	AttemptsStarted    int // attempts started
+	AttemptResults  [attemptResultCount]int
+	MaxLag   time.Duration // longest time from an event to its handling
+	TotalLag   time.Duration // over all events
+	LagSamples   int           // that the lag was measured of
 }
 
-// noteLag counts the time from an event to its handling.
-func (c *trafficCounts) noteLag(lag time.Duration) {
-	c.LagMax = max(c.LagMax, lag)
-	c.LagSum += lag
-	c.Events++
+// recordLag counts the time from an event to its handling.
+func (c *trafficCounts) recordLag(lag time.Duration) {
+	c.MaxLag = max(c.MaxLag, lag)
+	c.TotalLag += lag
+	c.LagSamples++
 }
 
-// noteUnserved counts a request that was answered without an endpoint's answer.
-func (c *trafficCounts) noteUnserved(kind ResponseKind) {
+// countUnserved counts a request that was answered without an endpoint's answer.
+func (c *trafficCounts) countUnserved(kind ResponseKind) {
 	if kind == ResponseRejected {
 		c.Rejected++
 	} else {
@@ -54,17 +54,17 @@
 func (t *trafficLog) write(pending int) {
 	counts := t.trafficCounts
 	t.trafficCounts = trafficCounts{}
-	if counts.Events == 0 {
+	if counts.LagSamples == 0 {
 		return
 	}
-	results := counts.Results
+	results := counts.AttemptResults
 	t.log.With(t.connectionStats()...).Info("traffic",
 		slog.Group("requests", "received", counts.Requests, "served", counts.Served, "rejected", counts.Rejected,
 			"failed", counts.Failed, "departed", counts.Departed, "pending", pending),
-		slog.Group("attempts", "started", counts.Sends, "success", results[balancer.Success],
+		slog.Group("attempts", "started", counts.AttemptsStarted, "success", results[balancer.Success],
 			"server_error", results[balancer.ServerError], "rejected", results[balancer.Rejected],
 			"timed_out", results[balancer.TimedOut], "connect_failed", results[balancer.ConnectFailed],
 			"connection_lost", results[balancer.ConnectionLost], "cancelled", results[balancer.Cancelled],
 			"not_sent", results[balancer.NotSent]),
-		slog.Group("lag", "max", counts.LagMax, "mean", counts.LagSum/time.Duration(counts.Events)))
+		slog.Group("lag", "max", counts.MaxLag, "mean", counts.TotalLag/time.Duration(counts.LagSamples)))
 }
