--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -16,57 +16,57 @@
 // configVariable is the environment variable that names the configuration file.
 const configVariable = "BALANCER_CONFIG"
 
-// Config is the configuration of a node. LoadConfig and ParseConfig return checked ones.
+// Config is the configuration of a node. LoadConfig and ParseConfig return validated configurations only.
 type Config struct {
-	Name       string          // of the node, for its log
-	Zone       string          // where the node runs
-	Listen     string          // address and port for clients' connections
-	Discovery  string          // address and port of the agent or the registry
-	Seed       uint64          // of the module's random draws
-	MemoryMB   int             // limit of the process's memory, in megabytes
-	Sockets    int             // limit of the process's descriptors
-	CachedList json.RawMessage // the endpoint list as the node last had it; it may be old
-
-	Settings       balancer.Settings // of the module
-	ConnIdle       time.Duration     // after which an endpoint closes an idle connection
-	ConnectTimeout time.Duration     // for a connection to an endpoint to come up
+	Name       string          // identifies the node in its log
+	Zone       string          // zone that the node runs in
+	Listen     string          // address and port that clients connect to
+	Discovery  string          // address and port of the discovery agent or registry
+	Seed       uint64          // seeds the decision module's random numbers
+	MemoryMB   int             // memory limit of the process, in megabytes
+	Sockets    int             // file descriptor limit of the process
+	CachedList json.RawMessage // last endpoint list that the node had; it may be outdated
+
+	Settings       balancer.Settings // settings of the decision module
+	ConnIdle       time.Duration     // how long endpoints keep an idle connection open
+	ConnectTimeout time.Duration     // limit for establishing a connection to an endpoint
 }
 
-// Limits of the configuration's values.
+// Limits and formats of configuration values.
 const (
-	minSockets   = 64 // descriptors: the node's own, and a few connections on each side
+	minSockets   = 64 // covers the reserved descriptors and a few connections on each side
 	maxSockets   = 1 << 20
 	minMemoryMB  = 16
 	maxMemoryMB  = 1 << 20
-	maxTimeoutMS = 1e9 // milliseconds, of conn-idle-ms and connect-timeout-ms
-	seedBase     = 16  // the seed is written in hexadecimal
+	maxTimeoutMS = 1e9 // milliseconds; for conn-idle-ms and connect-timeout-ms
+	seedBase     = 16  // the seed is a hexadecimal number
 	seedBits     = 64
 )
 
-// ConfigError says which field of the configuration can't be used. Errors in the module's settings wrap a
-// *balancer.SettingError as well.
+// ConfigError reports an invalid field of the configuration. For invalid settings of the decision module it also wraps
+// a *balancer.SettingError.
 type ConfigError struct {
-	Field string // by its path in the file, such as limits.sockets
-	Err   error  // the reason, which names the field too
+	Field string // path in the file, such as limits.sockets
+	Err   error  // the reason; its text names the field as well
 }
 
-// Error names the field and the reason.
+// Error returns a message that names the field and the reason.
 func (e *ConfigError) Error() string { return "config: " + e.Err.Error() }
 
-// Unwrap returns the reason.
+// Unwrap returns Err.
 func (e *ConfigError) Unwrap() error { return e.Err }
 
-// newFieldError is a ConfigError for a field whose value can't be read.
+// newFieldError returns a ConfigError for a field whose value cannot be parsed or is invalid.
 func newFieldError(field string, err error) error {
 	return &ConfigError{Field: field, Err: fmt.Errorf("%s: %w", field, err)}
 }
 
-// newRangeError is a ConfigError for a field whose value is too small or too large.
+// newRangeError returns a ConfigError for a field whose value is too small or too large.
 func newRangeError(field string, value float64) error {
 	return &ConfigError{Field: field, Err: fmt.Errorf("%s %w: %v", field, balancer.ErrOutOfRange, value)}
 }
 
-// configFile mirrors the configuration file.
+// configFile is the JSON form of the configuration file.
 type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -80,7 +80,8 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// settingsFile mirrors the settings that the node needs besides the module's.
+// settingsFile is the JSON form of the settings that the node itself uses. The decision module's settings share the
+// same JSON object.
 type settingsFile struct {
 	Zone   string `json:"zone"`
 	Limits struct {
@@ -89,7 +90,7 @@
 	} `json:"limits"`
 }
 
-// LoadConfig reads and checks the file that the environment variable BALANCER_CONFIG names.
+// LoadConfig reads and validates the file that the environment variable BALANCER_CONFIG names.
 func LoadConfig() (Config, error) {
 	path := os.Getenv(configVariable)
 	if path == "" {
@@ -102,59 +103,62 @@
 	return ParseConfig(text)
 }
 
-// ParseConfig reads and checks a configuration file. The error is a *ConfigError for the first field that can't be
-// used, unless the file as a whole can't be read.
+// ParseConfig parses and validates a configuration file. The error is a *ConfigError for the first invalid field,
+// unless the text cannot be decoded at all.
 func ParseConfig(text []byte) (Config, error) {
-	var f configFile
-	if err := json.Unmarshal(text, &f); err != nil {
+	var file configFile
+	if err := json.Unmarshal(text, &file); err != nil {
 		return Config{}, fmt.Errorf("config: %w", err)
 	}
-	s, set, err := parseSettings(f.Settings)
+	nodeSettings, balancerSettings, err := parseSettings(file.Settings)
 	if err != nil {
 		return Config{}, err
 	}
-	seed, err := f.validate()
+	seed, err := file.validate()
 	if err != nil {
 		return Config{}, err
 	}
-	if err := s.validate(); err != nil {
+	if err := nodeSettings.validate(); err != nil {
 		return Config{}, err
 	}
 	return Config{
-		Name: f.Name, Zone: s.Zone, Listen: f.Listen, Discovery: f.Discovery, Seed: seed,
-		MemoryMB: int(f.Limits.MemoryMB), Sockets: int(f.Limits.Sockets), CachedList: f.Known, Settings: set,
-		ConnIdle:       settings.Milliseconds(s.Limits.ConnIdle),
-		ConnectTimeout: settings.Milliseconds(s.Limits.ConnectTimeout),
+		Name: file.Name, Zone: nodeSettings.Zone, Listen: file.Listen, Discovery: file.Discovery, Seed: seed,
+		MemoryMB: int(file.Limits.MemoryMB), Sockets: int(file.Limits.Sockets),
+		CachedList: file.Known, Settings: balancerSettings,
+		ConnIdle:       settings.Milliseconds(nodeSettings.Limits.ConnIdle),
+		ConnectTimeout: settings.Milliseconds(nodeSettings.Limits.ConnectTimeout),
 	}, nil
 }
 
-// parseSettings reads the settings object twice: for the node and for the module, which checks its own part.
+// parseSettings decodes the settings object twice: into the settings of the node, which the caller validates, and into
+// those of the decision module, which are validated here.
 func parseSettings(text json.RawMessage) (settingsFile, balancer.Settings, error) {
-	var s settingsFile
+	var own settingsFile
 	if len(text) == 0 {
-		return s, balancer.Settings{}, &ConfigError{Field: "settings", Err: errors.New("settings are missing")}
+		return own, balancer.Settings{}, &ConfigError{Field: "settings", Err: errors.New("settings are missing")}
 	}
-	if err := json.Unmarshal(text, &s); err != nil {
-		return s, balancer.Settings{}, newFieldError("settings", err)
+	if err := json.Unmarshal(text, &own); err != nil {
+		return own, balancer.Settings{}, newFieldError("settings", err)
 	}
-	set, err := settings.Parse(text)
+	balancerSettings, err := settings.Parse(text)
 	if err != nil {
-		return s, set, &ConfigError{Field: "settings", Err: err} // it begins with "settings"
+		// The message of err starts with "settings".
+		return own, balancerSettings, &ConfigError{Field: "settings", Err: err}
 	}
-	if err := set.Validate(); err != nil {
-		return s, set, newFieldError("settings", err)
+	if err := balancerSettings.Validate(); err != nil {
+		return own, balancerSettings, newFieldError("settings", err)
 	}
-	return s, set, nil
+	return own, balancerSettings, nil
 }
 
-// validate checks the fields outside the settings, and returns the seed, which is written in hexadecimal.
+// validate checks the fields outside the settings, and returns the parsed seed.
 func (f *configFile) validate() (seed uint64, err error) {
-	for _, a := range []struct{ field, address string }{
+	for _, entry := range []struct{ field, address string }{
 		{"listen", f.Listen},
 		{"discovery", f.Discovery},
 	} {
-		if _, err := netip.ParseAddrPort(a.address); err != nil {
-			return 0, newFieldError(a.field, err)
+		if _, err := netip.ParseAddrPort(entry.address); err != nil {
+			return 0, newFieldError(entry.field, err)
 		}
 	}
 	if seed, err = strconv.ParseUint(f.Seed, seedBase, seedBits); err != nil {
@@ -169,17 +173,17 @@
 	return seed, nil
 }
 
-// validate checks the settings that only the node uses.
+// validate checks the settings that the node itself uses.
 func (s *settingsFile) validate() error {
-	for _, t := range []struct {
+	for _, timeout := range []struct {
 		field string
 		ms    float64
 	}{
 		{"settings.limits.conn-idle-ms", s.Limits.ConnIdle},
 		{"settings.limits.connect-timeout-ms", s.Limits.ConnectTimeout},
 	} {
-		if !(t.ms > 0 && t.ms <= maxTimeoutMS) {
-			return newRangeError(t.field, t.ms)
+		if !(timeout.ms > 0 && timeout.ms <= maxTimeoutMS) {
+			return newRangeError(timeout.field, timeout.ms)
 		}
 	}
 	return nil
--- a/internal/node/discoveryhandler.go
+++ b/internal/node/discoveryhandler.go
@@ -2,19 +2,19 @@
 
 import "basaltdrum/internal/endpointlist"
 
-// DiscoveryHandler posts what discovery reports as events to the loop. It implements discovery.Handler.
+// DiscoveryHandler implements discovery.Handler: it posts each notification of discovery as an event to the loop.
 type DiscoveryHandler struct {
 	Post func(Event) // queues an event for the loop
 }
 
-// ListReceived posts a list, or changes to it.
+// ListReceived posts a complete endpoint list, or changes to it.
 func (h DiscoveryHandler) ListReceived(list endpointlist.List) { h.Post(listReceived{list: list}) }
 
-// ListConfirmed posts that nothing has changed.
+// ListConfirmed posts that the endpoint list has not changed.
 func (h DiscoveryHandler) ListConfirmed() { h.Post(listConfirmed{}) }
 
-// SubscriptionFailed posts that a poll has failed.
+// SubscriptionFailed posts that a poll of discovery has failed.
 func (h DiscoveryHandler) SubscriptionFailed() { h.Post(subscriptionFailed{}) }
 
-// AgentUnresponsive posts that the agent has not answered.
+// AgentUnresponsive posts that discovery has not answered since the start of the process.
 func (h DiscoveryHandler) AgentUnresponsive() { h.Post(discoveryUnresponsive{}) }
--- a/internal/node/drainschedule.go
+++ b/internal/node/drainschedule.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// How a node is ended, as the protocol has it: new connections may come for 400 ms after the signal, and the node
-// is killed no sooner than the longest deadline of a class, or killDeadlineCap if that is less, and killDelay
-// later.
+// Times of a shutdown. The deployment's protocol defines how a node is stopped: new connections may arrive for 400 ms
+// after the signal, and the node is not killed before the longest deadline of a class (at most killDeadlineCap) plus
+// killDelay have passed.
 const (
-	// acceptPeriod is how long a draining node accepts connections: those 400 ms, and twice the tolerance that the
-	// protocol's times have.
+	// acceptPeriod is how long a draining node accepts connections: these 400 ms plus twice the tolerance of the
+	// protocol's times.
 	acceptPeriod = 500 * time.Millisecond
-	// lateRequestPeriod is how long clients are served on after that, at least, so that the requests on the connections
-	// that came last are received.
-	lateRequestPeriod        = 100 * time.Millisecond
-	killDeadlineCap = 3 * time.Second
-	killDelay          = 700 * time.Millisecond
-	killMargin         = 100 * time.Millisecond // from the drain limit to the kill; a held-up node uses it
-	finalResponseMargin  = 150 * time.Millisecond // from the final answers to the drain limit
+	// lateRequestPeriod is the minimum time after that for which open connections are served, so that the requests on
+	// the last accepted connections are received.
+	lateRequestPeriod   = 100 * time.Millisecond
+	killDeadlineCap     = 3 * time.Second
+	killDelay           = 700 * time.Millisecond
+	killMargin          = 100 * time.Millisecond // from the drain limit to the kill; reserve for a stall of the process
+	finalResponseMargin = 150 * time.Millisecond // from the final responses to the drain limit
 )
 
-// drainLimit is how long the node may take to drain.
+// drainLimit returns how long the node may take to drain.
 func drainLimit(cfg Config) time.Duration {
 	var longest time.Duration
 	for _, class := range cfg.Settings.Classes {
@@ -27,10 +27,10 @@
 	return min(longest, killDeadlineCap) + killDelay - killMargin
 }
 
-// newDrainSchedule works out the steps of draining. The node keeps its clients' connections until it must close
-// them for most answers, which take less than half of their latency objective, to come in time: a client whose
-// connection is closed sooner might find no other node yet. Where deadlines are so short that there is no time
-// for all of that, the final answers have priority.
+// newDrainSchedule returns the schedule of draining for a configuration. Client connections stay open as long as
+// possible, because a client whose connection is closed early may not find another node yet. The connections are closed
+// half a latency objective before the final responses, so that most requests, which take less than that, complete in
+// time. If the deadlines are too short for all steps, the final responses have priority.
 func newDrainSchedule(cfg Config) drainSchedule {
 	var objective time.Duration
 	for _, class := range cfg.Settings.Classes {
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -9,29 +9,30 @@
 	"basaltdrum/internal/upstream"
 )
 
-// Event is a message to the loop from another goroutine: one of the types of this file. String names it for logs and
-// for messages of tests.
+// Event is a message from another goroutine to the loop. The types in this file implement it. String returns its name
+// for logs and test messages.
 type Event interface{ String() string }
 
-// requestReceived carries a complete request that the front end has checked.
+// requestReceived carries a complete request that the front end has validated.
 type requestReceived struct{ request *request }
 
-// NewRequestEvent returns the event of a request that came on no connection, and the channel that receives its one
-// response. now and deadline are clock times, of the call and until which its maker waits.
+// NewRequestEvent returns the event for a request that did not arrive on a client connection, and the channel that
+// receives its only response. now and deadline are clock times: the time of the request, and the time until which the
+// caller waits for the response.
 func NewRequestEvent(id, class string, now, deadline time.Duration) (Event, <-chan Response) {
-	r := &request{
+	req := &request{
 		Request: upstream.Request{ID: id}, class: class, receivedAt: now, deadline: deadline,
 		revision: initialRevision, response: make(chan Response, 1),
 	}
-	return requestReceived{r}, r.response
+	return requestReceived{req}, req.response
 }
 
-// clientDeparted reports that the client of a waiting request has closed its connection, or may have.
+// clientDeparted reports that the client of a waiting request has closed its connection or may have closed it.
 type clientDeparted struct {
 	request    *request
-	departure        downstream.Departure
-	at         time.Duration // clock time when it was seen
-	retryAfter time.Duration // for the answer, should the request be rejected
+	departure  downstream.Departure
+	at         time.Duration // clock time when it was detected
+	retryAfter time.Duration // Retry-After of the response if the request is rejected
 }
 
 // attemptEnded carries the outcome of an attempt. It is posted once for each attempt that was started.
@@ -40,27 +41,27 @@
 	result  upstream.Outcome
 }
 
-// listReceived carries an endpoint list, or the changes to it, from discovery.
+// listReceived carries a complete endpoint list, or changes to it, from discovery.
 type listReceived struct{ list endpointlist.List }
 
-// listConfirmed reports that discovery has answered and that nothing has changed.
+// listConfirmed reports that discovery has answered and the list has not changed.
 type listConfirmed struct{}
 
 // subscriptionFailed reports that a poll of discovery has failed.
 type subscriptionFailed struct{}
 
-// discoveryUnresponsive reports that discovery has not answered since the start of the process, so that the
-// cached list has to do.
+// discoveryUnresponsive reports that discovery has not answered since the start of the process, so that the cached list
+// has to be used.
 type discoveryUnresponsive struct{}
 
-// settingsChanged carries new settings. The loop calls inForce once the module has them.
+// settingsChanged carries new settings. The loop calls onApplied once the decision module has them.
 type settingsChanged struct {
-	settings balancer.Settings
-	rules    *requestRules
-	onApplied  func(at time.Duration)
+	settings  balancer.Settings
+	rules     *requestRules
+	onApplied func(at time.Duration)
 }
 
-// shutdownDeadline reports that the time for draining is over: every request that still waits is answered now.
+// shutdownDeadline reports that the time for draining is over: every request that is still pending is answered now.
 type shutdownDeadline struct{}
 
 func (requestReceived) String() string       { return "request received" }
--- a/internal/node/faultyconns_test.go
+++ b/internal/node/faultyconns_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// breakableListener are downstream connections that a test breaks while the node waits on them.
+// breakableListener accepts downstream connections that a test can break while the node waits for them.
 type breakableListener struct {
 	*net.TCPListener
-	cause    error
+	cause    error // the error of reads from a broken connection
 	accepted chan *breakableConn
 }
 
@@ -24,20 +24,21 @@
 	c := &breakableConn{nc, l.cause, make(chan struct{}), make(chan struct{}, 1)}
 	select {
 	case l.accepted <- c:
-	default: // the test breaks the first ones only
+	default: // the test only breaks the first ones
 	}
 	return c, nil
 }
 
-// breakableConn fails its reads with cause once it is broken; a deadline that passes is a cause of its own.
+// breakableConn is a connection whose reads fail with cause once it is broken. If cause is os.ErrDeadlineExceeded, its
+// read deadline passes instead.
 type breakableConn struct {
 	*net.TCPConn
 	cause      error
 	broken     chan struct{}
-	watchEnded chan struct{} // gets one when a wait for something to read has ended
+	watchEnded chan struct{} // receives a value when a wait for readability has ended
 }
 
-// breakConn ends the wait for readability as the kernel does when the connection breaks.
+// breakConn ends the wait for readability as the kernel does when a connection breaks.
 func (c *breakableConn) breakConn() {
 	if !errors.Is(c.cause, os.ErrDeadlineExceeded) {
 		close(c.broken)
@@ -49,7 +50,8 @@
 	if !isClosed(c.broken) {
 		n, err = c.TCPConn.Read(p)
 	}
-	if n == 0 && isClosed(c.broken) { // maybe while it read: breakNow's deadline is not the node's
+	// The connection may have broken during the read. The deadline that ended the read is then that of breakConn.
+	if n == 0 && isClosed(c.broken) {
 		err = &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: os.NewSyscallError("read", c.cause)}
 	}
 	return n, err
@@ -65,7 +67,7 @@
 	conn *breakableConn
 }
 
-// Read ends without an error once the connection is broken: it is readable, and the read returns the error.
+// Read returns nil once the connection is broken: a broken connection is readable, and the read returns its error.
 func (r breakableRawConn) Read(ready func(uintptr) bool) error {
 	err := r.RawConn.Read(ready)
 	select {
@@ -78,7 +80,7 @@
 	return err
 }
 
-// gatedConnListener delays the node's reads of downstream connections and its peeks at them.
+// gatedConnListener accepts downstream connections on which a test delays the reads and peeks of the node.
 type gatedConnListener struct {
 	*net.TCPListener
 	reads, peeks *gate
@@ -92,12 +94,13 @@
 	return gatedConn{c, l}, nil
 }
 
-// gate delays the first that pass, until it is opened.
+// gate blocks the first calls of pass until release is closed. Each call that blocks is reported on arrived.
 type gate struct {
-	remaining            atomic.Int32
+	remaining        atomic.Int32 // number of calls of pass that are still to block
 	arrived, release chan struct{}
 }
 
+// pass blocks until the gate is released, if it is one of the first calls.
 func (g *gate) pass() {
 	if g.remaining.Add(-1) >= 0 {
 		g.arrived <- struct{}{}
@@ -105,9 +108,10 @@
 	}
 }
 
-func newGate(first int32) *gate {
-	g := &gate{arrived: make(chan struct{}, first), release: make(chan struct{})}
-	g.remaining.Store(first)
+// newGate returns a gate that blocks a number of calls.
+func newGate(blocked int32) *gate {
+	g := &gate{arrived: make(chan struct{}, blocked), release: make(chan struct{})}
+	g.remaining.Store(blocked)
 	return g
 }
 
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -18,14 +18,14 @@
 	"basaltdrum/internal/testutil"
 )
 
-// readAheadPerConn is how many bytes a client may pipeline behind an open request.
+// readAheadPerConn is the number of bytes that a client may pipeline after a request that has no response yet.
 const readAheadPerConn = http1.MaxHeaderBytes + http1.MaxBodyBytes
 
-// testConfig is a deployment with a class of each effect and long limits.
+// testConfig returns a configuration with a class of each effect and long limits. known is the cached endpoint list.
 func testConfig(known string) Config {
-	class := func(name string, e balancer.Effect) balancer.Class {
+	class := func(name string, effect balancer.Effect) balancer.Class {
 		return balancer.Class{
-			Name: name, Effect: e, Scope: balancer.ScopeAll, DedupWindow: testutil.Timeout,
+			Name: name, Effect: effect, Scope: balancer.ScopeAll, DedupWindow: testutil.Timeout,
 			LatencyObjective: testutil.Timeout, Deadline: 2 * testutil.Timeout, PriorityWeight: 1,
 		}
 	}
@@ -44,7 +44,7 @@
 	}
 }
 
-// configWithServers lists servers as s1, s2 and so on.
+// configWithServers returns testConfig with a cached list of servers, whose UIDs are s1, s2 and so on.
 func configWithServers(servers ...*testutil.Server) Config {
 	var entries []string
 	for i, server := range servers {
@@ -53,8 +53,8 @@
 	return testConfig(testutil.CompleteList(entries...))
 }
 
-// withLongObjectives keeps the attempts of a configuration from timing out while a test waits for something else
-// to end them.
+// withLongObjectives returns a configuration whose attempts do not time out while a test waits for something else to
+// end them.
 func withLongObjectives(cfg Config) Config {
 	return withClasses(cfg, func(classes []balancer.Class) []balancer.Class {
 		for i := range classes {
@@ -64,42 +64,42 @@
 	})
 }
 
-// withClasses is a configuration withClasses other classes.
+// withClasses returns a configuration with changed classes.
 func withClasses(cfg Config, change func(classes []balancer.Class) []balancer.Class) Config {
 	cfg.Settings.Classes = change(slices.Clone(cfg.Settings.Classes))
 	return cfg
 }
 
-// startNode runs a node until the test ends, or until the returned function is called. That drains the node as its
-// configuration has it; the end of the test doesn't wait for that, and has it answer what is left at once.
+// startNode runs a node until the test ends or the returned function is called. The function drains the node by its
+// drain schedule. At the end of the test, the node answers all pending requests at once instead.
 func startNode(t *testing.T, cfg Config, change func(*Node)) (n *Node, stop func() error) {
 	t.Helper()
 	n, err := New(cfg, testutil.DiscardLog())
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.discovery.StartupWait = 0 // the known list will do, where a test has no agent
+	n.discovery.StartupWait = 0 // without an agent, the cached list is used at once
 	if change != nil {
 		change(n)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	end := make(chan error, 1)
-	go func() { end <- n.Run(ctx) }()
+	runErr := make(chan error, 1)
+	go func() { runErr <- n.Run(ctx) }()
 	var once sync.Once
 	stop = func() (err error) {
-		once.Do(func() { cancel(); err = testutil.Wait(t, end, "the node's end") })
+		once.Do(func() { cancel(); err = testutil.Wait(t, runErr, "the end of Run") })
 		return err
 	}
 	t.Cleanup(func() {
 		n.mu.Lock()
-		n.drainSchedule, n.drainLimit = drainSchedule{}, testutil.Timeout // the test is over: nobody has to be served
+		n.drainSchedule, n.drainLimit = drainSchedule{}, testutil.Timeout // no request has to be served any more
 		n.mu.Unlock()
 		stop()
 	})
 	return n, stop
 }
 
-// isReady makes a readiness check of a node.
+// isReady sends a readiness check to a node and reports whether the node is ready.
 func isReady(t *testing.T, n *Node) bool {
 	t.Helper()
 	c := dial(t, n)
@@ -109,28 +109,28 @@
 	return r.StatusCode == http.StatusOK
 }
 
-// reload reloads a node's configuration, and waits until it is in force.
+// reload reloads the configuration of a node, and waits until the settings are in force.
 func reload(t *testing.T, n *Node, cfg Config) {
 	t.Helper()
 	n.Reload(cfg)
 	n.mu.Lock()
 	revision := n.revision
 	n.mu.Unlock()
-	testutil.Until(t, "the new settings", func() bool { return n.loop.rules.Load().revision == revision })
+	testutil.Until(t, "the new settings in force", func() bool { return n.loop.rules.Load().revision == revision })
 }
 
-// watchStalls adds up, until the test ends, how late timers of the test's process are, where that is more than
-// usual. Time that the machine takes from the process is no fault of the node.
-func watchStalls(t *testing.T, usual time.Duration) (sum func() time.Duration) {
-	const step = 5 * time.Millisecond
+// watchStalls measures stalls of the test process until the test ends. It returns a function for the sum of the delays
+// of a periodic timer that exceed tolerance. Tests allow for these stalls, which the machine causes and not the node.
+func watchStalls(t *testing.T, tolerance time.Duration) (sum func() time.Duration) {
+	const interval = 5 * time.Millisecond
 	var total atomic.Int64
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for t.Context().Err() == nil {
-			begin := time.Now()
-			time.Sleep(step)
-			if late := time.Since(begin) - step; late > usual {
+			start := time.Now()
+			time.Sleep(interval)
+			if late := time.Since(start) - interval; late > tolerance {
 				total.Add(int64(late))
 			}
 		}
@@ -139,23 +139,23 @@
 	return func() time.Duration { return time.Duration(total.Load()) }
 }
 
-// parseList is the endpoint list that a text contains.
+// parseList parses an endpoint list.
 func parseList(t testing.TB, text string) endpointlist.List {
 	t.Helper()
-	l, err := endpointlist.Parse([]byte(text))
+	list, err := endpointlist.Parse([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return l
+	return list
 }
 
-// listOf is an endpoint list, complete or of changes.
+// listOf returns a complete endpoint list or a list of changes.
 func listOf(t testing.TB, complete bool, entries ...string) endpointlist.List {
 	t.Helper()
 	return parseList(t, fmt.Sprintf(`{"rev":9,"all":%v,"targets":[%s]}`, complete, strings.Join(entries, ",")))
 }
 
-// readAheadBytes is how many bytes are buffered of clients whose requests have no response yet.
+// readAheadBytes returns the number of bytes that are buffered from clients whose requests have no response yet.
 func readAheadBytes(n *Node) (sum int) {
 	for _, conn := range n.frontend.conns.Status() {
 		sum += conn.ReadAhead
@@ -163,7 +163,7 @@
 	return sum
 }
 
-// untilIdle waits for a connection to be idle, which it becomes a little after the response.
+// untilIdle waits until a connection is idle, which it becomes shortly after the response.
 func untilIdle(t *testing.T, n *Node) {
 	t.Helper()
 	testutil.Until(t, "a connection to be idle", func() bool {
@@ -171,28 +171,29 @@
 	})
 }
 
-// untilActive waits for a number of requests to be with the module.
-func untilActive(t *testing.T, n *Node, many int) {
+// untilActive waits until the module has a number of requests.
+func untilActive(t *testing.T, n *Node, count int) {
 	t.Helper()
-	testutil.Until(t, "the requests to be with the module", func() bool {
-		return countByPhase(n.frontend.conns)[downstream.PhaseActive] == many
+	testutil.Until(t, "the module to have the requests", func() bool {
+		return countByPhase(n.frontend.conns)[downstream.PhaseActive] == count
 	})
 }
 
-// holdDials has a node's connections to endpoints held back once they are established.
+// holdDials makes the dials of a node to endpoints return only when the test releases them.
 func holdDials(n *Node) testutil.HoldingDialer {
 	dials := testutil.NewHoldingDialer()
 	n.upstream.Dial = dials.Dial
 	return dials
 }
 
-// listRecorder records the entries of the lists that a node's loop applies. Once it has one, the upstream pool has it.
+// listRecorder records the entries of the lists that the loop of a node applies. An entry is recorded after the
+// upstream pool has received it.
 type listRecorder struct {
 	mu      sync.Mutex
-	entries map[string]endpointlist.Entry // by uid; endpoints that are removed stay, with that state
+	entries map[string]endpointlist.Entry // by UID; removed endpoints are kept with their last entry
 }
 
-// record is a change for startNode: it has the recorder see the lists from the start of the node on.
+// record installs the recorder in a node. It is passed to startNode, so that no list is missed.
 func (r *listRecorder) record(n *Node) {
 	r.entries = map[string]endpointlist.Entry{}
 	update := n.loop.hooks.UpdateEndpoints
@@ -206,7 +207,7 @@
 	}
 }
 
-// until waits until an endpoint's entry was applied in a form that a test waits for.
+// until waits until an entry of an endpoint was applied for which wanted returns true.
 func (r *listRecorder) until(t *testing.T, uid string, wanted func(endpointlist.Entry) bool) {
 	t.Helper()
 	testutil.Until(t, "the entry of "+uid+" to be applied", func() bool {
@@ -217,7 +218,7 @@
 	})
 }
 
-// untilListed waits until an endpoint was in a list.
+// untilListed waits until a list with an endpoint was applied.
 func (r *listRecorder) untilListed(t *testing.T, uid string) {
 	t.Helper()
 	r.until(t, uid, func(endpointlist.Entry) bool { return true })
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -13,13 +13,13 @@
 	"basaltdrum/internal/upstream"
 )
 
-// eventQueueCapacity is how many events may wait for the loop before post blocks.
+// eventQueueCapacity is the number of events that may wait for the loop before post blocks.
 const eventQueueCapacity = 1024
 
-// Loop is the node's event loop: a single goroutine that feeds events to the decision module and carries out the
-// actions that the module returns (the reactor pattern). It alone touches the Balancer and all fields that are
-// not marked otherwise. It never blocks on I/O: answers go to buffered channels, and each attempt runs in a
-// goroutine of its own.
+// Loop is the node's event loop (reactor pattern): a single goroutine passes events to the decision module and carries
+// out the actions that the module returns. Only this goroutine uses the Balancer and the fields whose comment does not
+// name other users. It never blocks on I/O: responses go to buffered channels, and each attempt runs in its own
+// goroutine.
 type Loop struct {
 	clock       monotime.Clock
 	balancer    *balancer.Balancer
@@ -27,58 +27,58 @@
 	hooks       LoopHooks
 	listsPushed bool // discovery pushes lists; otherwise they are polled
 
-	// rules are those of the settings that the module has. Other goroutines read them; once the loop runs, it
-	// alone sets them.
+	// rules are derived from the settings that the module has. Any goroutine may read them; once the loop runs, only
+	// its goroutine sets them.
 	rules atomic.Pointer[requestRules]
-	ready atomic.Bool // whether a listed endpoint is ready; read by the front end
+	ready atomic.Bool // a listed endpoint is ready; read by the front end
 
-	now     time.Duration              // clock time of the latest event that the module was given; it never goes back
-	pending map[string]*pendingRequest // by the request's id
+	now     time.Duration              // clock time of the last event passed to the module; never decreases
+	pending map[string]*pendingRequest // by request ID
 	timers  timerQueue
 	traffic trafficLog
 
-	endpoints  *endpointlist.Table
-	cachedList endpointlist.List // as the node last had it; dropped once listKnown
-	listApplied  bool              // a list has been applied: discovery's, or the cached one in its place
+	endpoints   *endpointlist.Table
+	cachedList  endpointlist.List // last list that the node had before its start; dropped once listApplied
+	listApplied bool              // a list from discovery or the cached list has been applied
 }
 
-// LoopHooks are the functions by which a Loop carries out what the module decides. The loop's goroutine calls them, and
+// LoopHooks holds the functions with which a Loop carries out the module's decisions. The loop's goroutine calls them;
 // they must not block.
 type LoopHooks struct {
-	// StartAttempt starts an attempt. Its outcome is due as an event; see Attempt.Ended.
+	// StartAttempt starts an attempt. When the attempt ends, Attempt.EndedEvent must be posted to the loop.
 	StartAttempt func(*Attempt)
-	// UpdateEndpoints is called with the entries of a list that changes something, before the module has them.
+	// UpdateEndpoints is called with the entries of each list that changes the endpoints, before the module gets them.
 	UpdateEndpoints func(entries []endpointlist.Entry, complete bool)
-	// Subscribe starts a poll of discovery, where lists are polled.
+	// Subscribe starts a poll of discovery. It is called only if lists are polled.
 	Subscribe func()
 }
 
-// NewLoop returns the loop of a node with a configuration. It needs hooks and a list to begin with before it runs.
+// NewLoop returns the event loop of a node. SetHooks and SetCachedList must be called before Run.
 func NewLoop(cfg Config, clock monotime.Clock, log *slog.Logger) (*Loop, error) {
-	set := moduleSettings(cfg)
-	module, err := balancer.New(set, cfg.Seed)
+	settings := moduleSettings(cfg)
+	module, err := balancer.New(settings, cfg.Seed)
 	if err != nil {
 		return nil, err
 	}
 	l := newLoop(module, clock, log)
-	l.rules.Store(newRequestRules(initialRevision, set))
-	l.listsPushed = !set.PollDiscovery
+	l.rules.Store(newRequestRules(initialRevision, settings))
+	l.listsPushed = !settings.PollDiscovery
 	return l, nil
 }
 
-func newLoop(b *balancer.Balancer, c monotime.Clock, log *slog.Logger) *Loop {
+func newLoop(module *balancer.Balancer, clock monotime.Clock, log *slog.Logger) *Loop {
 	return &Loop{
-		clock: c, balancer: b, events: make(chan Event, eventQueueCapacity),
-		pending: map[string]*pendingRequest{}, endpoints: endpointlist.NewTable(c),
+		clock: clock, balancer: module, events: make(chan Event, eventQueueCapacity),
+		pending: map[string]*pendingRequest{}, endpoints: endpointlist.NewTable(clock),
 		traffic: trafficLog{log: log, connectionStats: func() []any { return nil }},
 	}
 }
 
-// SetHooks sets the functions that the loop calls. It is called before Run.
+// SetHooks sets the functions that the loop calls. It must be called before Run.
 func (l *Loop) SetHooks(hooks LoopHooks) { l.hooks = hooks }
 
-// SetCachedList has the loop begin with the list that the node last had. Where lists are polled it is in use at once,
-// and the module subscribes for a newer one. It is called before Run, after SetHooks.
+// SetCachedList sets the last endpoint list that the node had before its start. If lists are polled, the loop applies
+// it at once and the module subscribes to a newer one. It must be called before Run and after SetHooks.
 func (l *Loop) SetCachedList(cached endpointlist.List) {
 	l.cachedList = cached
 	if !l.listsPushed {
@@ -86,8 +86,8 @@
 	}
 }
 
-// Queue returns the queue of the loop's events. Sending to it blocks while it is full, and for good once Run has
-// returned.
+// Queue returns the event queue of the loop. Sending blocks while the queue is full. Once Run has returned, nothing
+// receives from it.
 func (l *Loop) Queue() chan<- Event { return l.events }
 
 // Ready reports whether a listed endpoint is ready.
@@ -120,8 +120,8 @@
 	}
 }
 
-// fireTimers passes the timers that are due to the module. It reads the clock anew before each, since the
-// events before it take time too.
+// fireTimers passes the timers that are due to the module. It reads the clock again before each timer, because handling
+// the previous one takes time.
 func (l *Loop) fireTimers() {
 	for {
 		now := l.clock.Now()
@@ -136,7 +136,7 @@
 // logTraffic writes the traffic line.
 func (l *Loop) logTraffic() { l.traffic.write(len(l.pending)) }
 
-// recordLag measures how long after it happened an event is handled.
+// recordLag records the time from an event, which happened at a clock time, to its handling.
 func (l *Loop) recordLag(at time.Duration) { l.traffic.recordLag(-l.clock.Until(at)) }
 
 // handleEvent handles one event.
@@ -156,7 +156,7 @@
 		l.answerAll()
 	case listReceived:
 		if !e.list.Complete {
-			l.useCachedList() // it holds what these changes are changes to
+			l.useCachedList() // the changes are relative to it
 		}
 		l.applyList(e.list, false)
 	case listConfirmed:
@@ -168,19 +168,19 @@
 	}
 }
 
-// useCachedList starts with the list that the node last had, unless a newer one has been applied. The agent's
-// list is binding from the first moment of the process. So until that list has come, or discovery counts as
-// unresponsive, no request is sent by the cached list, and the module queues what clients send.
+// useCachedList applies the cached list, unless a list has been applied already. The list of the agent is binding from
+// the start of the process: where lists are pushed, the cached list is not used until the agent's list has arrived or
+// discovery is considered unresponsive, and the module queues requests until then.
 func (l *Loop) useCachedList() {
 	if !l.listApplied {
 		l.applyList(l.cachedList, true)
 	}
 }
 
-// applyList applies a list, or changes to it, and passes it to the upstream pool and to the module. Where
-// lists are pushed, one that changes nothing, as it comes after discovery has moved to another address, is not
-// passed on: the module treats every list as a change and selects its subset anew, which would move requests
-// and open connections without need.
+// applyList applies a complete list or changes to it, and passes it to the upstream pool and to the module. If lists
+// are pushed, a list that changes nothing is not passed on; one arrives when discovery has moved to another address.
+// The module treats every list as a change and selects its subset again, which would move requests to other endpoints
+// and open connections unnecessarily.
 func (l *Loop) applyList(update endpointlist.List, cached bool) {
 	l.listApplied, l.cachedList = true, endpointlist.List{}
 	l.endpoints.SetStartTimes(update.Entries)
@@ -196,32 +196,32 @@
 	l.ready.Store(l.endpoints.HasReady())
 }
 
-// handleRequest passes a request to the module, as of the time when it was received rather than when the loop
-// came to it.
-func (l *Loop) handleRequest(r *request) {
-	l.recordLag(r.receivedAt)
-	if l.pending[r.ID] != nil {
-		// The module ignores a request with an id that is pending, so nothing else would answer this one.
-		r.response <- Response{Kind: ResponseDuplicateID}
+// handleRequest passes a request to the module. The event time is the time when the request was received, not when the
+// loop handles it.
+func (l *Loop) handleRequest(req *request) {
+	l.recordLag(req.receivedAt)
+	if l.pending[req.ID] != nil {
+		// The module ignores a request whose ID is pending, so nothing else would answer this one.
+		req.response <- Response{Kind: ResponseDuplicateID}
 		return
 	}
-	// The front end checked the request by the rules of that moment; the module only knows the present ones.
-	if rules := l.rules.Load(); r.revision != rules.revision {
-		if invalid := rules.validateClass(r); invalid != nil {
-			r.response <- Response{Kind: ResponseInvalid, reason: invalid}
+	// The front end validated the request against the rules at that time; the module knows only the current settings.
+	if rules := l.rules.Load(); req.revision != rules.revision {
+		if invalid := rules.validateClass(req); invalid != nil {
+			req.response <- Response{Kind: ResponseInvalid, reason: invalid}
 			return
 		}
 	}
 	l.traffic.Requests++
-	l.pending[r.ID] = &pendingRequest{request: r}
-	l.passToModule(r.receivedAt, balancer.Request{
-		ID: r.ID, Class: r.class, FirstByte: r.firstByte, Deadline: r.deadline, ExpectedWork: r.expectedWork,
+	l.pending[req.ID] = &pendingRequest{request: req}
+	l.passToModule(req.receivedAt, balancer.Request{
+		ID: req.ID, Class: req.class, FirstByte: req.firstByte, Deadline: req.deadline, ExpectedWork: req.expectedWork,
 	})
 }
 
-// handleDeparture stops retries for a client that has closed its connection, or may have; the module is notified
-// of it once. A client that has only closed its sending side may still read the answer of an
-// attempt that has begun, so such an attempt continues until the client is known to have disconnected.
+// handleDeparture stops retries for a client that has closed its connection or may have closed it. The module is told
+// once per request. A half-closed client may still read the response of an attempt that may have been written, so such
+// an attempt continues until the client is known to have disconnected.
 func (l *Loop) handleDeparture(e clientDeparted) {
 	l.recordLag(e.at)
 	p := l.pending[e.request.ID]
@@ -240,16 +240,16 @@
 	l.answerDeparted(p)
 }
 
-// answerDeparted answers the request of a departed client, unless an attempt may still bring an answer that the
-// client reads.
+// answerDeparted answers the request of a departed client, unless an attempt may still bring a response that the client
+// reads.
 func (l *Loop) answerDeparted(p *pendingRequest) {
 	if !p.answered && !p.canBeServed() {
 		l.respondUnserved(p, p.departedResponse())
 	}
 }
 
-// answerAll answers every request that is not answered, at the end of draining. To the module, the requests of
-// departed clients are answered already, so it returns no action for them.
+// answerAll answers every pending request at the end of draining. The module considers the requests of departed clients
+// answered and returns no actions for them, so they are answered here.
 func (l *Loop) answerAll() {
 	l.passToModule(l.clock.Now(), balancer.Shutdown{})
 	for _, p := range l.pending {
@@ -279,8 +279,8 @@
 	l.removeIfDone(p)
 }
 
-// passToModule gives the module an event and carries out the actions that it returns. The module's time must not go
-// back, so an event that happened before the last one counts as simultaneous with it.
+// passToModule passes an event to the module and carries out the actions that the module returns. The module's time
+// must not decrease, so an event that happened before the last one is given the time of the last one.
 func (l *Loop) passToModule(at time.Duration, e balancer.Event) {
 	l.now = max(l.now, at)
 	for _, action := range l.balancer.Handle(l.now, e) {
@@ -303,14 +303,14 @@
 	}
 }
 
-// startAttempt starts the attempt that the module has decided on.
-func (l *Loop) startAttempt(s balancer.Send) {
-	p := l.pending[s.ID]
+// startAttempt starts an attempt that the module has decided on.
+func (l *Loop) startAttempt(send balancer.Send) {
+	p := l.pending[send.ID]
 	ctx, cancel := context.WithCancel(context.Background())
 	a := &Attempt{
 		Attempt: upstream.Attempt{
-			Request: &p.request.Request, Instance: l.endpoints.Instance(s.Endpoint),
-			Deadline: min(l.now+s.Timeout, p.request.deadline), NotAfter: s.NotAfter,
+			Request: &p.request.Request, Instance: l.endpoints.Instance(send.Endpoint),
+			Deadline: min(l.now+send.Timeout, p.request.deadline), NotAfter: send.NotAfter,
 		},
 		ctx: ctx, cancel: cancel, request: p.request, number: len(p.attempts), sentAt: l.now,
 	}
@@ -319,7 +319,7 @@
 	l.hooks.StartAttempt(a)
 }
 
-// respondUnserved answers a request, unless it is answered or unknown, without an endpoint's answer.
+// respondUnserved answers a request without the response of an endpoint. It does nothing if p is nil or answered.
 func (l *Loop) respondUnserved(p *pendingRequest, final Response) {
 	if p == nil || p.answered {
 		return
@@ -329,7 +329,7 @@
 	l.removeIfDone(p)
 }
 
-// removeIfDone drops a request that is over.
+// removeIfDone removes a request from the pending ones if it is done.
 func (l *Loop) removeIfDone(p *pendingRequest) {
 	if p.isDone() {
 		delete(l.pending, p.request.ID)
--- a/internal/node/pendingrequest.go
+++ b/internal/node/pendingrequest.go
@@ -7,20 +7,20 @@
 	"basaltdrum/internal/downstream"
 )
 
-// pendingRequest is a request that is not answered, or has attempts in flight. It follows what its attempts and its
-// client do: which attempts are in flight, whether one may have run, whether the client has departed, and whether the
-// request is answered, which happens once. It belongs to the goroutine of the loop.
+// pendingRequest is a request that is not answered or has attempts in flight. It tracks which attempts are in flight,
+// whether one may have been executed, whether the client has departed, and whether the request is answered, which
+// happens once. Only the loop's goroutine uses it.
 type pendingRequest struct {
 	request    *request
-	attempts   []*Attempt // all that were started, by their number
-	inFlight   int        // attempts that have not ended
+	attempts   []*Attempt // all attempts that were started, indexed by their number
+	inFlight   int        // number of attempts that have not ended
 	answered   bool
-	departure   downstream.Departure // anything but Present: the module was notified that the client has departed
-	retryAfter time.Duration        // for the answer, should the request be rejected after its client has departed
-	mayHaveRun bool                 // an attempt that has ended may have been executed by its endpoint
+	departure  downstream.Departure // if not Present, the module was told that the client has departed
+	retryAfter time.Duration        // Retry-After of the response if the request is rejected later
+	mayHaveRun bool                 // an endpoint may have executed an attempt that has ended
 }
 
-// addAttempt records that an attempt is started.
+// addAttempt records that an attempt was started.
 func (p *pendingRequest) addAttempt(a *Attempt) {
 	p.attempts = append(p.attempts, a)
 	p.inFlight++
@@ -37,8 +37,8 @@
 	}
 }
 
-// cancelAttempt cancels an attempt, unless the client may still read what the attempt brings: then it continues until
-// the request is answered.
+// cancelAttempt cancels an attempt. If the client has half-closed its connection and may still read the response of the
+// attempt, the cancellation is deferred until the request is answered or the client has disconnected.
 func (p *pendingRequest) cancelAttempt(number int) {
 	if number >= len(p.attempts) {
 		return
@@ -50,20 +50,20 @@
 	}
 }
 
-// answer hands the final response to the goroutine that waits for it.
+// answer sends the final response to the goroutine that waits for it.
 func (p *pendingRequest) answer(final Response) {
 	p.answered = true
 	p.request.response <- final
 	p.cancelDeferredAttempts()
 }
 
-// abandon ends a request that no client is left to read an answer of.
+// abandon marks a request as answered without a response, because its client has disconnected.
 func (p *pendingRequest) abandon() {
 	p.answered = true
 	p.cancelDeferredAttempts()
 }
 
-// cancelDeferredAttempts cancels the attempts that went on for a client that had closed its sending side.
+// cancelDeferredAttempts cancels the attempts whose cancellation was deferred for a half-closed client.
 func (p *pendingRequest) cancelDeferredAttempts() {
 	for _, a := range p.attempts {
 		if a.cancelDeferred {
@@ -72,22 +72,22 @@
 	}
 }
 
-// recordDeparture records that the client has departed, and reports whether this is the first time.
-func (p *pendingRequest) recordDeparture(how downstream.Departure, retryAfter time.Duration) (first bool) {
+// recordDeparture records that the client has departed, and reports whether this is its first departure event.
+func (p *pendingRequest) recordDeparture(departure downstream.Departure, retryAfter time.Duration) (first bool) {
 	first = p.departure == downstream.Present
-	p.departure, p.retryAfter = how, retryAfter
+	p.departure, p.retryAfter = departure, retryAfter
 	return first
 }
 
 // hasDeparted reports whether the client has departed.
 func (p *pendingRequest) hasDeparted() bool { return p.departure != downstream.Present }
 
-// canBeServed reports whether an attempt that has begun may still bring an answer that a departed client reads.
+// canBeServed reports whether an attempt in flight may still bring a response that a departed client reads.
 func (p *pendingRequest) canBeServed() bool {
 	return p.departure == downstream.HalfClosed && p.hasWriteStarted()
 }
 
-// hasWriteStarted reports whether a byte of an attempt that is in flight may have been written.
+// hasWriteStarted reports whether a byte of an attempt in flight may have been written.
 func (p *pendingRequest) hasWriteStarted() bool {
 	for _, a := range p.attempts {
 		if !a.ended && a.WriteStarted() {
@@ -97,8 +97,8 @@
 	return false
 }
 
-// departedResponse returns the final response to a departed client, which the module leaves out for one that has
-// departed: a rejection, unless an attempt may have been executed.
+// departedResponse returns the final response to a departed client: a rejection, unless an endpoint may have executed
+// an attempt. The module decides no response for a departed client.
 func (p *pendingRequest) departedResponse() Response {
 	if p.mayHaveRun || p.hasWriteStarted() {
 		return Response{Kind: ResponseFailed}
@@ -106,6 +106,6 @@
 	return Response{Kind: ResponseRejected, retryAfter: p.retryAfter}
 }
 
-// isDone reports whether the request is answered and has no attempt in flight. The module forgets a request by the
-// same rule.
+// isDone reports whether the request is answered and has no attempt in flight. The module drops requests by the same
+// rule.
 func (p *pendingRequest) isDone() bool { return p.answered && p.inFlight == 0 }
--- a/internal/node/pendingrequest_test.go
+++ b/internal/node/pendingrequest_test.go
@@ -61,7 +61,8 @@
 // A client that has departed before an attempt has begun is rejected, with the Retry-After of its departure.
 func TestDepartedClientIsRejectedIfNothingBegan(t *testing.T) {
 	p := newPendingRequest(1)
-	if !p.recordDeparture(downstream.HalfClosed, time.Second) || p.recordDeparture(downstream.Disconnected, 2*time.Second) {
+	if !p.recordDeparture(downstream.HalfClosed, time.Second) ||
+		p.recordDeparture(downstream.Disconnected, 2*time.Second) {
 		t.Error("the first of two departures is not the first")
 	}
 	if p.canBeServed() {
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -11,13 +11,13 @@
 	"basaltdrum/internal/upstream"
 )
 
-// moduleSettings returns the settings in the form that the module gets. It paces its polls of discovery by parts
-// of PollWithin; a change counts as notified after discovery.NotifiedWithin, so no poll may be put off longer than
+// moduleSettings returns the settings as passed to the module. The module derives its polling intervals from
+// PollWithin. A change counts as notified after discovery.NotificationDeadline, so no poll may be delayed longer than
 // that.
 func moduleSettings(cfg Config) balancer.Settings {
-	set := cfg.Settings
-	set.PollWithin = min(set.PollWithin, discovery.NotificationDeadline)
-	return set
+	settings := cfg.Settings
+	settings.PollWithin = min(settings.PollWithin, discovery.NotificationDeadline)
+	return settings
 }
 
 // upstreamTimeouts returns the part of a configuration that the upstream pool needs.
@@ -25,35 +25,37 @@
 	return upstream.Timeouts{Connect: cfg.ConnectTimeout, Idle: cfg.ConnIdle}
 }
 
-// Reload puts a configuration into force in a running node: all that the module, the checks on requests, the
-// upstream connections and discovery go by. Requests that were received before keep their deadlines, and what was
-// learned about endpoints is kept. A change that needs a restart is logged and left out. Reload returns before the
-// module has the new settings; the log says when they are in force.
+// Reload applies a configuration to a running node: to the module, the validation of requests, the upstream connections
+// and discovery. Requests received before keep their deadlines, and the state learned about endpoints is kept. Changes
+// that need a restart are logged and ignored. Reload returns before the module has the new settings; a log line reports
+// when they are in force.
 func (n *Node) Reload(cfg Config) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	cfg = n.withoutRestartChanges(cfg)
-	cfg.CachedList = nil // it only counts at the start
+	cfg.CachedList = nil // used only at the start
 	changed, sameSettings := changedNames(n.cfg, cfg), reflect.DeepEqual(n.cfg.Settings, cfg.Settings)
 	n.revision++
 	log := n.log.With("revision", n.revision, "changed", changed)
 	log.Info("configuration reloaded", "discovery", cfg.Discovery)
-	since := n.loop.clock.Now()
+	reloadedAt := n.loop.clock.Now()
 	n.cfg, n.drainSchedule, n.drainLimit = cfg, newDrainSchedule(cfg), drainLimit(cfg)
 	n.upstream.SetTimeouts(upstreamTimeouts(cfg))
 	n.discovery.SetAddress(cfg.Discovery)
 	if sameSettings {
 		return
 	}
-	set := moduleSettings(cfg)
-	inForce := func(at time.Duration) { log.Info("new settings are in force", "after", at-since) }
-	n.loop.post(settingsChanged{settings: set, rules: newRequestRules(n.revision, set), onApplied: inForce})
+	settings := moduleSettings(cfg)
+	logInForce := func(at time.Duration) { log.Info("new settings are in force", "after", at-reloadedAt) }
+	n.loop.post(settingsChanged{
+		settings: settings, rules: newRequestRules(n.revision, settings), onApplied: logInForce,
+	})
 }
 
-// withoutRestartChanges returns a configuration in which all that needs a restart is as it was, and logs a warning
-// for each such change. The caller holds mu.
+// withoutRestartChanges returns cfg with the current values of the fields that need a restart to change, and logs a
+// warning for each of them that differs. n.mu must be held.
 func (n *Node) withoutRestartChanges(cfg Config) Config {
-	for _, f := range []struct {
+	for _, field := range []struct {
 		name    string
 		changed bool
 	}{
@@ -61,8 +63,8 @@
 		{"limits", cfg.Sockets != n.cfg.Sockets || cfg.MemoryMB != n.cfg.MemoryMB},
 		{"settings.registry-mode", cfg.Settings.PollDiscovery != n.cfg.Settings.PollDiscovery},
 	} {
-		if f.changed {
-			n.log.Warn("configuration change needs a restart", "field", f.name)
+		if field.changed {
+			n.log.Warn("configuration change needs a restart", "field", field.name)
 		}
 	}
 	cfg.Listen, cfg.Sockets, cfg.MemoryMB = n.cfg.Listen, n.cfg.Sockets, n.cfg.MemoryMB
@@ -70,22 +72,23 @@
 	return cfg
 }
 
-// changedNames names, for the log, what differs between two configurations of all that comes into force at once.
-func changedNames(old, cfg Config) []string {
-	names := changedSettings(old.Settings, cfg.Settings)
-	names = append(names, changedClasses(old.Settings.Classes, cfg.Settings.Classes)...)
-	if old.ConnIdle != cfg.ConnIdle || old.ConnectTimeout != cfg.ConnectTimeout {
+// changedNames returns the names, for the log, of the parts in which two configurations differ, as far as a reload
+// applies them.
+func changedNames(old, current Config) []string {
+	names := changedSettings(old.Settings, current.Settings)
+	names = append(names, changedClasses(old.Settings.Classes, current.Settings.Classes)...)
+	if old.ConnIdle != current.ConnIdle || old.ConnectTimeout != current.ConnectTimeout {
 		names = append(names, "upstream time-outs")
 	}
-	if old.Discovery != cfg.Discovery {
+	if old.Discovery != current.Discovery {
 		names = append(names, "discovery")
 	}
 	return names
 }
 
-// changedSettings names the fields that differ, but for the classes.
-func changedSettings(old, set balancer.Settings) (names []string) {
-	before, after := reflect.ValueOf(old), reflect.ValueOf(set)
+// changedSettings returns the names of the fields that differ, except Classes.
+func changedSettings(old, current balancer.Settings) (names []string) {
+	before, after := reflect.ValueOf(old), reflect.ValueOf(current)
 	for i := range before.NumField() {
 		name := before.Type().Field(i).Name
 		if name != "Classes" && !reflect.DeepEqual(before.Field(i).Interface(), after.Field(i).Interface()) {
@@ -95,13 +98,13 @@
 	return names
 }
 
-// changedClasses names the classes that were added, changed or removed.
-func changedClasses(old, classes []balancer.Class) (names []string) {
+// changedClasses returns the names of the classes that were added, changed or removed.
+func changedClasses(old, current []balancer.Class) (names []string) {
 	removed := map[string]balancer.Class{}
 	for _, class := range old {
 		removed[class.Name] = class
 	}
-	for _, class := range classes {
+	for _, class := range current {
 		if before, existed := removed[class.Name]; !existed {
 			names = append(names, "class "+class.Name+" added")
 		} else if before != class {
--- a/internal/node/requestvalidation.go
+++ b/internal/node/requestvalidation.go
@@ -12,22 +12,21 @@
 )
 
 const (
-	// maxRequestIDBytes is the longest X-Request-Id, in bytes.
+	// maxRequestIDBytes is the maximum length of X-Request-Id, in bytes.
 	maxRequestIDBytes = 128
 
-	// maxDeadline is the longest time that X-Deadline or X-Cost-Hint may name.
+	// maxDeadline is the maximum value of X-Deadline and X-Cost-Hint.
 	maxDeadline = time.Hour
 
-	// maxDeadlineFactor is how many times its class's deadline a request's X-Deadline may be.
+	// maxDeadlineFactor limits X-Deadline to this multiple of the deadline of the request's class.
 	maxDeadlineFactor = 2
 )
 
-// requestError says why a request is invalid. It is answered with status and reason before any server is
-// involved.
+// requestError reports why a request is invalid. The request is answered with status and reason and never forwarded.
 type requestError struct {
-	status int // of HTTP
+	status int // HTTP status of the response
 	reason string
-	inBody bool // the body is in error: the connection is closed, whatever was read behind it
+	inBody bool // the error is in the body: the connection is closed, even with a pipelined request read after it
 }
 
 func newHeadError(status int, reason string) *requestError {
@@ -40,102 +39,105 @@
 
 func (e *requestError) Error() string { return e.reason }
 
-// Errors of requests whose framing is sound (see http1.FramingError) and which are invalid nevertheless.
+// Errors of invalid requests whose framing is valid (see http1.FramingError for the others).
 var (
-	errMethodUnsupported   = newHeadError(http.StatusMethodNotAllowed, "only GET and POST are served")
-	errMethodMismatchesClass     = newHeadError(http.StatusMethodNotAllowed, "the class is not asked for by this method")
-	errUnknownClass      = newHeadError(http.StatusNotFound, "the path names no class")
-	errMalformedKey      = newHeadError(http.StatusBadRequest, "Idempotency-Key is empty or comes twice")
-	errKeyMismatchesClass        = newHeadError(http.StatusBadRequest, "Idempotency-Key does not fit the class")
-	errInvalidRequestID         = newHeadError(http.StatusBadRequest, "X-Request-Id is missing, too long, or comes twice")
-	errDeadlineMissing   = newHeadError(http.StatusBadRequest, "X-Deadline is missing or comes twice")
-	errDeadlineMalformed = newHeadError(http.StatusBadRequest, "X-Deadline is no plain number")
-	errDeadlineOutOfRange     = newHeadError(http.StatusBadRequest, "X-Deadline is no number or out of range")
-	errDeadlineExceedsClass   = newHeadError(http.StatusBadRequest, "X-Deadline is far beyond the class's")
-	errBodyTooLong       = newBodyError(http.StatusRequestEntityTooLarge, "the body is too long")
-	errBodyIncomplete    = newBodyError(http.StatusBadRequest, "the body is not complete")
-	errGetWithBody         = newBodyError(http.StatusBadRequest, "GET has no body")
+	errMethodUnsupported     = newHeadError(http.StatusMethodNotAllowed, "only GET and POST are served")
+	errMethodMismatchesClass = newHeadError(http.StatusMethodNotAllowed, "the class is not asked for by this method")
+	errUnknownClass          = newHeadError(http.StatusNotFound, "the path names no class")
+	errMalformedKey          = newHeadError(http.StatusBadRequest, "Idempotency-Key is empty or comes twice")
+	errKeyMismatchesClass    = newHeadError(http.StatusBadRequest, "Idempotency-Key does not fit the class")
+	errInvalidRequestID      = newHeadError(http.StatusBadRequest, "X-Request-Id is missing, too long, or comes twice")
+	errDeadlineMissing       = newHeadError(http.StatusBadRequest, "X-Deadline is missing or comes twice")
+	errDeadlineMalformed     = newHeadError(http.StatusBadRequest, "X-Deadline is no plain number")
+	errDeadlineOutOfRange    = newHeadError(http.StatusBadRequest, "X-Deadline is no number or out of range")
+	errDeadlineExceedsClass  = newHeadError(http.StatusBadRequest, "X-Deadline is far beyond the class's")
+	errBodyTooLong           = newBodyError(http.StatusRequestEntityTooLarge, "the body is too long")
+	errBodyIncomplete        = newBodyError(http.StatusBadRequest, "the body is not complete")
+	errGetWithBody           = newBodyError(http.StatusBadRequest, "GET has no body")
 )
 
-// requestRules are the part of one revision of the settings that requests are checked against.
+// requestRules holds the part of the settings that requests are validated against, in one revision.
 type requestRules struct {
-	revision   int // of the configuration; the node starts with revision 1
-	classes    map[string]balancer.Class
-	retryAfter time.Duration // Retry-After of rejections for want of descriptors; 0: clients take none
+	revision int // of the configuration; starts at initialRevision
+	classes  map[string]balancer.Class
+	// retryAfter is the Retry-After of rejections that the module does not decide, as for lack of descriptors; 0: none
+	// is sent.
+	retryAfter time.Duration
 }
 
-func newRequestRules(revision int, set balancer.Settings) *requestRules {
+func newRequestRules(revision int, settings balancer.Settings) *requestRules {
 	r := &requestRules{
 		revision: revision, classes: map[string]balancer.Class{},
-		retryAfter: min(set.MaxRetryAfter, max(set.Tick, time.Millisecond)),
+		retryAfter: min(settings.MaxRetryAfter, max(settings.Tick, time.Millisecond)),
 	}
-	for _, class := range set.Classes {
+	for _, class := range settings.Classes {
 		r.classes[class.Name] = class
 	}
 	return r
 }
 
-// validateClass checks a request against the class that it names, and notes the revision that it was checked by.
-func (r *requestRules) validateClass(c *request) *requestError {
-	class, known := r.classes[c.class]
+// validateClass checks a request against the class that it names, and records the revision of the rules in it.
+func (r *requestRules) validateClass(req *request) *requestError {
+	class, known := r.classes[req.class]
 	switch {
 	case !known:
 		return errUnknownClass
-	case (class.Effect == balancer.Idempotent) != (c.Method == http.MethodGet):
+	case (class.Effect == balancer.Idempotent) != (req.Method == http.MethodGet):
 		return errMethodMismatchesClass
-	case (c.IdempotencyKey != "") != (class.Effect == balancer.IdempotentByKey):
+	case (req.IdempotencyKey != "") != (class.Effect == balancer.IdempotentByKey):
 		return errKeyMismatchesClass
 	}
-	c.revision = r.revision
+	req.revision = r.revision
 	return nil
 }
 
-// validateHead checks a request's head against the rules, and sets its class, deadline and expected work. It has to
-// reject an unknown class: a server would answer such a request with an error, and the decision module would take
-// that as a sign of the server's ill health.
-func (r *requestRules) validateHead(c *request, httpRequest *http.Request) error {
-	if err := c.readClass(httpRequest); err != nil {
+// validateHead checks the head of a request against the rules, and sets the request's class, deadline and expected
+// work. It has to reject an unknown class: an endpoint would answer such a request with an error, which the decision
+// module would count as a failure of the endpoint.
+func (r *requestRules) validateHead(req *request, httpRequest *http.Request) error {
+	if err := req.readClass(httpRequest); err != nil {
 		return err
 	}
-	if err := r.validateClass(c); err != nil {
+	if err := r.validateClass(req); err != nil {
 		return err
 	}
-	if c.ID == "" || len(c.ID) > maxRequestIDBytes || len(httpRequest.Header["X-Request-Id"]) > 1 {
+	if req.ID == "" || len(req.ID) > maxRequestIDBytes || len(httpRequest.Header["X-Request-Id"]) > 1 {
 		return errInvalidRequestID
 	}
 	wait, err := parseDeadline(httpRequest.Header["X-Deadline"])
 	switch {
 	case err != nil:
 		return err
-	case wait > maxDeadlineFactor*r.classes[c.class].Deadline:
+	case wait > maxDeadlineFactor*r.classes[req.class].Deadline:
 		return errDeadlineExceedsClass
 	case httpRequest.ContentLength > http1.MaxBodyBytes:
 		return errBodyTooLong
-	case httpRequest.ContentLength > 0 && c.Method == http.MethodGet:
+	case httpRequest.ContentLength > 0 && req.Method == http.MethodGet:
 		return errGetWithBody
 	}
-	c.deadline, c.expectedWork = wait, parseWorkHint(httpRequest.Header.Get("X-Cost-Hint"))
+	req.deadline, req.expectedWork = wait, parseWorkHint(httpRequest.Header.Get("X-Cost-Hint"))
 	return nil
 }
 
-// readClass sets a request's class, which is the first part of its path, and checks the form of what depends on it.
-func (c *request) readClass(r *http.Request) error {
-	path, _, _ := strings.Cut(c.Target, "?")
-	c.class, _, _ = strings.Cut(strings.TrimPrefix(path, "/"), "/")
+// readClass sets the class of a request, which is the first segment of its path, and checks the method, the form of the
+// path and the number of idempotency keys.
+func (req *request) readClass(r *http.Request) error {
+	path, _, _ := strings.Cut(req.Target, "?")
+	req.class, _, _ = strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	keys := len(r.Header["Idempotency-Key"])
 	switch {
-	case c.Method != http.MethodGet && c.Method != http.MethodPost:
+	case req.Method != http.MethodGet && req.Method != http.MethodPost:
 		return errMethodUnsupported
 	case !strings.HasPrefix(path, "/"):
 		return errUnknownClass
-	case keys > 1 || keys == 1 && c.IdempotencyKey == "":
+	case keys > 1 || keys == 1 && req.IdempotencyKey == "":
 		return errMalformedKey
 	}
 	return nil
 }
 
-// parseDeadline parses X-Deadline: seconds in decimal digits with an optional fraction. The other forms that
-// strconv takes (signs, exponents, hexadecimals, underscores) are rejected.
+// parseDeadline parses the values of X-Deadline: a single one, in seconds, in decimal digits with an optional fraction.
+// The other forms that strconv accepts (signs, exponents, hexadecimal, underscores) are rejected.
 func parseDeadline(values []string) (time.Duration, error) {
 	if len(values) != 1 {
 		return 0, errDeadlineMissing
@@ -150,8 +152,8 @@
 	return time.Duration(math.Round(seconds * 1e9)), nil
 }
 
-// parseWorkHint parses X-Cost-Hint, in microseconds. The hint is only advice, so that a malformed one counts
-// as none (0) and is no reason to reject the request.
+// parseWorkHint parses X-Cost-Hint, in microseconds. The hint is optional: a malformed one counts as none (0) and does
+// not make the request invalid.
 func parseWorkHint(text string) time.Duration {
 	us, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(us > 0 && us <= float64(maxDeadline.Microseconds())) {
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -10,28 +10,28 @@
 	"basaltdrum/internal/downstream"
 )
 
-// Response is the one final answer to a request.
+// Response is the final response to a request. Each request gets exactly one.
 type Response struct {
 	Kind        ResponseKind
-	body        []byte        // if served
-	contentType string        // if served; empty: the endpoint sent none
-	retryAfter  time.Duration // if rejected; 0: none
-	reason      *requestError // if invalid
+	body        []byte        // for ResponseServed
+	contentType string        // for ResponseServed; empty: the endpoint sent none
+	retryAfter  time.Duration // for ResponseRejected; 0: no Retry-After
+	reason      *requestError // for ResponseInvalid
 }
 
-// ResponseKind says how a request ended, which decides the status of its response.
+// ResponseKind is the way in which a request ended. It determines the status of the response.
 type ResponseKind int
 
-// The kinds of responses.
+// Kinds of responses.
 const (
-	ResponseServed      ResponseKind = iota // by an endpoint
-	ResponseRejected                        // not forwarded: the client may retry elsewhere
-	ResponseFailed                          // forwarded, and no answer came back
-	ResponseDuplicateID                     // a request with this id is pending
-	ResponseInvalid                         // new settings came into force between its check and the module
+	ResponseServed      ResponseKind = iota // an endpoint has served the request
+	ResponseRejected                        // not forwarded: the client may retry at another node
+	ResponseFailed                          // forwarded, but no endpoint has served it
+	ResponseDuplicateID                     // another request with the same ID is pending
+	ResponseInvalid                         // invalid by settings that came into force after it was validated
 )
 
-// String names the kind for logs.
+// String returns the name of the kind for logs.
 func (k ResponseKind) String() string {
 	switch k {
 	case ResponseServed:
@@ -48,7 +48,7 @@
 	return fmt.Sprintf("responseKind(%d)", int(k))
 }
 
-// write writes the response with the status that its kind stands for.
+// write writes the response with the status for its kind.
 func (r Response) write(w http.ResponseWriter) {
 	switch r.Kind {
 	case ResponseServed:
@@ -67,11 +67,11 @@
 	}
 }
 
-// writeServed forwards the response of a server.
+// writeServed forwards the response of an endpoint.
 func (r Response) writeServed(w http.ResponseWriter) {
 	h := w.Header()
 	if r.contentType == "" {
-		h["Content-Type"] = nil // keeps net/http from guessing one
+		h["Content-Type"] = nil // prevents net/http from detecting one
 	} else {
 		h.Set("Content-Type", r.contentType)
 	}
@@ -79,20 +79,19 @@
 	w.Write(r.body)
 }
 
-// writeInvalidRequest answers a request that is invalid and closes its connection, unless its body is sound and
-// pipelined requests were read behind it, which would then get no response.
+// writeInvalidRequest answers an invalid request and closes its connection. It keeps the connection open if the error
+// is not in the body and a pipelined request was read after it, which would get no response otherwise.
 func writeInvalidRequest(w http.ResponseWriter, conn *downstream.Conn, err error) {
 	var invalid *requestError
-	sound := errors.As(err, &invalid) && !invalid.inBody
-	if sound && conn.HasPipelinedRequest() {
+	bodyValid := errors.As(err, &invalid) && !invalid.inBody
+	if bodyValid && conn.HasPipelinedRequest() {
 		http.NewResponseController(w).SetReadDeadline(time.Time{}) // the deadline was for reading the request
 		w.Header().Del("Connection")
 	}
 	writeInvalid(w, err)
 }
 
-// writeInvalid answers a request that is invalid: with the status of a requestError, or with 400 for an error
-// in its framing.
+// writeInvalid answers an invalid request with the status of a requestError, or with 400 for an error in its framing.
 func writeInvalid(w http.ResponseWriter, err error) {
 	status := http.StatusBadRequest
 	var invalid *requestError
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// timer is a timer that the module has set.
+// timer is a timer set by the decision module.
 type timer struct {
 	at    time.Duration // clock time when it fires
-	token string        // the module's name for it
+	token string        // identifies the timer to the module
 }
 
-// timerQueue holds the timers that have not fired. It belongs to the goroutine of the loop.
+// timerQueue holds the timers that have not fired. Only the loop's goroutine uses it.
 type timerQueue struct{ pending timerHeap }
 
 // set adds a timer that fires at a clock time.
@@ -35,22 +35,22 @@
 	return heap.Pop(&q.pending).(timer).token, true
 }
 
-// timerHeap is a binary heap of timers (container/heap), the earliest first.
+// timerHeap implements heap.Interface with the earliest timer first.
 type timerHeap []timer
 
-// Len is part of heap.Interface.
+// Len implements heap.Interface.
 func (h *timerHeap) Len() int { return len(*h) }
 
-// Less is part of heap.Interface.
+// Less implements heap.Interface.
 func (h *timerHeap) Less(i, j int) bool { return (*h)[i].at < (*h)[j].at }
 
-// Swap is part of heap.Interface.
+// Swap implements heap.Interface.
 func (h *timerHeap) Swap(i, j int) { (*h)[i], (*h)[j] = (*h)[j], (*h)[i] }
 
-// Push is part of heap.Interface; it takes a timer.
+// Push implements heap.Interface. x must be a timer.
 func (h *timerHeap) Push(x any) { *h = append(*h, x.(timer)) }
 
-// Pop is part of heap.Interface.
+// Pop implements heap.Interface. It returns a timer.
 func (h *timerHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
--- a/internal/node/trafficlog.go
+++ b/internal/node/trafficlog.go
@@ -7,34 +7,34 @@
 	"basaltdrum/balancer"
 )
 
-// trafficLogInterval is the time between two traffic lines in the log.
+// trafficLogInterval is the interval between two traffic lines in the log.
 const trafficLogInterval = 10 * time.Second
 
-// attemptResultCount is how many values balancer.AttemptResult has.
+// attemptResultCount is the number of values of balancer.AttemptResult.
 const attemptResultCount = 8
 
-// trafficCounts are the figures of the traffic line, counted since the line before.
+// trafficCounts holds the counters of the traffic line. They count what happened since the previous line.
 type trafficCounts struct {
-	Requests int // received and passed to the module
-	Served   int // answered with an endpoint's answer
-	Rejected int // answered 503
-	Failed   int // answered 502
-	Departed int // whose client has closed its connection, or may have
-	AttemptsStarted    int // attempts started
+	Requests        int // requests passed to the decision module
+	Served          int // requests answered with the response of an endpoint
+	Rejected        int // requests answered with status 503
+	Failed          int // requests answered with status 502
+	Departed        int // requests whose client has closed its connection or may have closed it
+	AttemptsStarted int
 	AttemptResults  [attemptResultCount]int
-	MaxLag   time.Duration // longest time from an event to its handling
-	TotalLag   time.Duration // over all events
-	LagSamples   int           // that the lag was measured of
+	MaxLag          time.Duration // longest time from an event to its handling
+	TotalLag        time.Duration // sum of these times over all events
+	LagSamples      int           // number of events whose lag was measured
 }
 
-// recordLag counts the time from an event to its handling.
+// recordLag records the time from an event to its handling.
 func (c *trafficCounts) recordLag(lag time.Duration) {
 	c.MaxLag = max(c.MaxLag, lag)
 	c.TotalLag += lag
 	c.LagSamples++
 }
 
-// countUnserved counts a request that was answered without an endpoint's answer.
+// countUnserved counts a request that was answered without the response of an endpoint.
 func (c *trafficCounts) countUnserved(kind ResponseKind) {
 	if kind == ResponseRejected {
 		c.Rejected++
@@ -43,14 +43,15 @@
 	}
 }
 
-// trafficLog counts what the loop does and writes it to the log. It belongs to the goroutine of the loop.
+// trafficLog counts requests, attempts and lag of the loop, and logs the counters. Only the loop's goroutine uses it.
 type trafficLog struct {
 	trafficCounts
 	log             *slog.Logger
-	connectionStats func() []any // further attributes for the line
+	connectionStats func() []any // returns further attributes for the line
 }
 
-// write logs what happened since the last traffic line, if anything did.
+// write logs and resets the counters. Without any event since the last line it logs nothing. pending is the number of
+// pending requests.
 func (t *trafficLog) write(pending int) {
 	counts := t.trafficCounts
 	t.trafficCounts = trafficCounts{}
