--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -91,8 +91,8 @@
 // allow. Retry-After is sent only if clients accept it.
 func TestShutdownDeadlineResponsesDependOnClass(t *testing.T) {
 	t.Parallel()
-	for _, maxRetryAfter := range []time.Duration{0, time.Second} {
-		t.Run(fmt.Sprint("Retry-After up to ", maxRetryAfter), func(t *testing.T) {
+	for _, maxWait := range []time.Duration{0, time.Second} {
+		t.Run(fmt.Sprint("Retry-After up to ", maxWait), func(t *testing.T) {
 			received := make(chan struct{}, 10)
 			server := testutil.NewServer(t, func(conn net.Conn, r *http.Request, body string) bool {
 				received <- struct{}{}
@@ -100,7 +100,7 @@
 				return false
 			})
 			cfg := configWithServers(server)
-			cfg.Settings.MaxRetryAfter = maxRetryAfter
+			cfg.Settings.MaxRetryAfter = maxWait
 			n, stop := startNode(t, cfg, func(n *Node) {
 				n.drainSchedule = drainSchedule{answerAll: testutil.Timeout}
 				n.drainLimit = 2 * testutil.Timeout
@@ -127,11 +127,10 @@
 				{"held", held, 503},
 				{"held and idempotent", after, 503},
 			} {
-				response, _ := c.from.Response(t)
-				if response.StatusCode != c.status ||
-					(response.Header.Get("Retry-After") != "") != (maxRetryAfter > 0 && c.status == 503) {
-					t.Errorf("%s: got %d, Retry-After %q; want the row's status, Retry-After if rejected and accepted",
-						c.name, response.StatusCode, response.Header.Get("Retry-After"))
+				r, _ := c.from.Response(t)
+				if r.StatusCode != c.status || (r.Header.Get("Retry-After") != "") != (maxWait > 0 && c.status == 503) {
+					t.Errorf("%s: got %d, Retry-After %q; want the status of the row, Retry-After if 503",
+						c.name, r.StatusCode, r.Header.Get("Retry-After"))
 				}
 			}
 			after.Send("POST", "/note/k", "after", "x", "60")
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -162,8 +162,7 @@
 				client.name, read, client.responses)
 		}
 		if client.worstLateness > late {
-			t.Errorf("%s: got a response %v later than half a second after its deadline",
-				client.name, client.worstLateness)
+			t.Errorf("%s: got a response %v later than 500 ms after its deadline", client.name, client.worstLateness)
 		}
 	}
 }
