--- a/internal/node/brokenconn_test.go
+++ b/internal/node/brokenconn_test.go
@@ -12,7 +12,7 @@
 	"basaltdrum/internal/testutil"
 )
 
-// A client whose connection breaks with any error has departed: no attempt starts for it any more, and an attempt in
+// A client whose connection breaks with any error has departed: nothing is forwarded for it any more, and an attempt in
 // flight is cancelled. Only an error from the node's own read deadline is no departure.
 func TestBrokenConnectionCountsAsDeparture(t *testing.T) {
 	t.Parallel()
@@ -79,7 +79,7 @@
 		close(dials.Release)
 	} else {
 		testutil.Wait(t, aborted, "the end of the attempt")
-		wantReceived["leaving"] = 1 // started before the connection broke
+		wantReceived["leaving"] = 1 // forwarded before the connection broke
 	}
 	checkNothingForwarded(t, n, server, wantReceived)
 }
--- a/internal/node/chunked_test.go
+++ b/internal/node/chunked_test.go
@@ -89,7 +89,7 @@
 	hiddenRequest = testutil.RequestText("hidden")
 )
 
-// malformedRequest is a request whose framing is broken, and the status of its response.
+// malformedRequest is a request whose framing is invalid, and the status of its response.
 type malformedRequest struct {
 	name, text string
 	status     int
@@ -97,7 +97,7 @@
 
 var malformedRequests = []malformedRequest{
 	{"a length before the coding", badHead + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
-	{"a length behind the coding", badHead + "transfer-encoding: Chunked\r\ncontent-length: 5\r\n\r\n0\r\n\r\n", 400},
+	{"a length after the coding", badHead + "transfer-encoding: Chunked\r\ncontent-length: 5\r\n\r\n0\r\n\r\n", 400},
 	{
 		"a length of 0 and the coding",
 		badHead + "Content-Length: 0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400,
@@ -133,8 +133,8 @@
 	{"a size with 0x", badChunks + "0x2\r\nok\r\n0\r\n\r\n", 400},
 	{"a size that is no number", badChunks + "g\r\nok\r\n0\r\n\r\n", 400},
 	{"a blank before a size", badChunks + " 2\r\nok\r\n0\r\n\r\n", 400},
-	{"a blank behind a size", badChunks + "2 \r\nok\r\n0\r\n\r\n", 400},
-	{"a tab behind the last size", badChunks + "2\r\nok\r\n0\t\r\n\r\n", 400},
+	{"a blank after a size", badChunks + "2 \r\nok\r\n0\r\n\r\n", 400},
+	{"a tab after the last size", badChunks + "2\r\nok\r\n0\t\r\n\r\n", 400},
 	{"a blank before an extension", badChunks + "2 ;a\r\nok\r\n0\r\n\r\n", 400},
 	{"an empty size", badChunks + "\r\nok\r\n0\r\n\r\n", 400},
 	{"an extension without a size", badChunks + ";a\r\nok\r\n0\r\n\r\n", 400},
@@ -172,12 +172,12 @@
 			alone := dial(t, n)
 			go io.WriteString(alone, c.text+hiddenRequest)
 			alone.Expect(t, c.status, "")
-			testutil.ExpectClosed(t, alone.Reader, "a connection whose framing is broken")
-			behind := dial(t, n)
-			go io.WriteString(behind, testutil.RequestText("good-"+c.name)+c.text+hiddenRequest)
-			behind.Expect(t, 200, describeFraming("GET", 0, "", nil, nil))
-			behind.Expect(t, c.status, "")
-			testutil.ExpectClosed(t, behind.Reader, "a connection whose framing is broken")
+			testutil.ExpectClosed(t, alone.Reader, "a connection whose framing is invalid")
+			pipelined := dial(t, n)
+			go io.WriteString(pipelined, testutil.RequestText("good-"+c.name)+c.text+hiddenRequest)
+			pipelined.Expect(t, 200, describeFraming("GET", 0, "", nil, nil))
+			pipelined.Expect(t, c.status, "")
+			testutil.ExpectClosed(t, pipelined.Reader, "a connection whose framing is invalid")
 		})
 	}
 	t.Run("endless chunks", func(t *testing.T) {
--- a/internal/node/clienttimeouts_test.go
+++ b/internal/node/clienttimeouts_test.go
@@ -47,7 +47,7 @@
 		post + "Transfer-Encoding: chunked\r\n\r\n", post + "Transfer-Encoding: chunked\r\n\r\n2",
 		post + "Transfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n",
 	} {
-		for _, when := range []string{"first", "after a response", "behind a request"} {
+		for _, when := range []string{"first", "after a response", "pipelined after a request"} {
 			t.Run(fmt.Sprintf("%s %.20q %d", when, half, len(half)), func(t *testing.T) {
 				t.Parallel()
 				client := dial(t, n)
@@ -58,7 +58,7 @@
 					io.WriteString(client, good)
 					client.Expect(t, http.StatusOK, "")
 					io.WriteString(client, half)
-				case "behind a request":
+				case "pipelined after a request":
 					io.WriteString(client, good+half)
 					client.Expect(t, http.StatusOK, "")
 				default:
--- a/internal/node/departure_test.go
+++ b/internal/node/departure_test.go
@@ -110,9 +110,9 @@
 	checkNothingForwarded(t, n, server, map[string]int{"other": 1})
 }
 
-// Once a client has closed or reset its connection, or the connection has broken, no attempt starts for its request or
-// for the requests that it has pipelined, no matter how many bytes it pipelined and how far its request has come.
-func TestNoAttemptStartsForAClientThatPipelinedAndDeparted(t *testing.T) {
+// Once a client has closed or reset its connection, or the connection has broken, neither its request nor the requests
+// that it has pipelined are forwarded, no matter how many bytes it pipelined and how far its request has come.
+func TestNothingIsForwardedForAClientThatPipelinedAndDeparted(t *testing.T) {
 	t.Parallel()
 	for _, stage := range []string{"held", "dial", "retry", "busy loop", "in flight"} {
 		for _, bytes := range []int{0, 100, 3000, 8192, 20000, 60000, 2 * readAheadPerConn} {
@@ -180,7 +180,7 @@
 	d.releaseRequest(t)
 	wantReceived := map[string]int{"other": 1}
 	if d.stage == "retry" || d.stage == "in flight" {
-		wantReceived["leaving"] = 1 // started before the client departed
+		wantReceived["leaving"] = 1 // forwarded before the client departed
 	}
 	checkNothingForwarded(t, d.node, d.server, wantReceived)
 }
@@ -321,8 +321,8 @@
 	}
 }
 
-// Fifty simultaneous departures are all noticed before an attempt starts.
-func TestNoAttemptStartsForABurstOfDepartures(t *testing.T) {
+// Fifty simultaneous departures are all noticed, and nothing is forwarded for these clients.
+func TestNothingIsForwardedForABurstOfDepartures(t *testing.T) {
 	t.Parallel()
 	server := testutil.NewServer(t, testutil.Echo)
 	releaseDials := make(chan struct{})
@@ -356,7 +356,7 @@
 
 // A request whose client closed the connection before the request was read does not reach the module before the close
 // is noticed, no matter how late the departure watch peeks at the connection.
-func TestNoAttemptStartsBeforeTheDepartureWatchHasCaughtUp(t *testing.T) {
+func TestNothingIsForwardedBeforeTheDepartureWatchHasCaughtUp(t *testing.T) {
 	t.Parallel()
 	server := testutil.NewServer(t, testutil.Echo)
 	reads, peeks := newGate(2), newGate(2)
--- a/internal/node/discoveryfaults_test.go
+++ b/internal/node/discoveryfaults_test.go
@@ -115,7 +115,7 @@
 	a.version++
 }
 
-// answer answers a call or makes it fail. It returns whether the connection stays open.
+// answer answers a call or makes it fail. It reports whether the connection stays open.
 func (a *faultyAgent) answer(conn net.Conn, r *http.Request) bool {
 	a.mu.Lock()
 	fails, fault, version := a.failures > 0, a.fault, fmt.Sprint(a.version)
@@ -136,7 +136,7 @@
 	return err == nil
 }
 
-// respond makes a call fail whose response would be list. It returns whether the connection stays open.
+// respond makes a call fail whose response would be list. It reports whether the connection stays open.
 func (f callFault) respond(conn net.Conn, list string) bool {
 	const missing = 9 // bytes that a truncated response lacks
 	response := httpOK(list)
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -195,7 +195,7 @@
 	received := make(chan struct{}, 1)
 	server := testutil.NewServer(t, func(conn net.Conn, r *http.Request, body string) bool {
 		received <- struct{}{}
-		io.Copy(io.Discard, conn) // never answers
+		io.Copy(io.Discard, conn) // never responds
 		return false
 	})
 	n, stop := startNode(t, configWithServers(server), func(n *Node) {
--- a/internal/node/halfclose_test.go
+++ b/internal/node/halfclose_test.go
@@ -21,24 +21,24 @@
 }
 
 var halfCloseCases = []halfCloseCase{
-	{"in flight", testutil.RequestText("r"), "200", "begun", []int{102, 200}, 1},
+	{"in flight", testutil.RequestText("r"), "200", "in flight", []int{102, 200}, 1},
 	{
 		"in flight, and one pipelined",
-		testutil.RequestText("r") + testutil.RequestText("next"), "200", "begun",
+		testutil.RequestText("r") + testutil.RequestText("next"), "200", "in flight",
 		[]int{102, 200, 503},
 		1,
 	},
-	{"in flight, and fails", testutil.RequestText("r"), "500", "begun", []int{102, 502}, 1},
-	{"in flight, and breaks", testutil.RequestText("r"), "reset", "begun", []int{102, 502}, 1},
-	{"in flight, and did not run", testutil.RequestText("r"), "503", "begun", []int{102, 503}, 1},
+	{"in flight, and fails", testutil.RequestText("r"), "500", "in flight", []int{102, 502}, 1},
+	{"in flight, and breaks", testutil.RequestText("r"), "reset", "in flight", []int{102, 502}, 1},
+	{"in flight, and did not run", testutil.RequestText("r"), "503", "in flight", []int{102, 503}, 1},
 	{
 		"in flight for HTTP/1.0",
-		strings.Replace(testutil.RequestText("r"), "HTTP/1.1", "HTTP/1.0", 1), "200", "begun",
+		strings.Replace(testutil.RequestText("r"), "HTTP/1.1", "HTTP/1.0", 1), "200", "in flight",
 		[]int{200},
 		1,
 	},
 	{"in flight, with an expected body", "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: r\r\nX-Deadline: 60\r\n" +
-		"Expect: 100-continue\r\nContent-Length: 4\r\n\r\nbody", "200", "begun", []int{100, 102, 200}, 1},
+		"Expect: 100-continue\r\nContent-Length: 4\r\n\r\nbody", "200", "in flight", []int{100, 102, 200}, 1},
 	{"held", testutil.RequestText("r"), "", "held", []int{503}, 0},
 	{
 		"held, and one pipelined",
@@ -50,8 +50,9 @@
 	{"in flight at the shutdown deadline", testutil.RequestText("r"), "", "shutdown deadline", []int{102, 502}, 1},
 }
 
-// A client that has half-closed its connection may still read. It gets the response of the attempt that was started,
-// even a failure. If none was started, its request is rejected at once, and so are the requests that it has pipelined.
+// A client that has half-closed its connection may still read. It gets the response of the attempt that was written to
+// the server, even if that is a failure. If none was written, its request is rejected at once. Requests that it has
+// pipelined are rejected.
 func TestHalfClosedClientGetsItsResponse(t *testing.T) {
 	t.Parallel()
 	for _, c := range halfCloseCases {
@@ -65,10 +66,10 @@
 }
 
 func (c halfCloseCase) run(t *testing.T, mayCancel bool) {
-	received, answer := make(chan struct{}, 10), make(chan struct{})
+	received, respond := make(chan struct{}, 10), make(chan struct{})
 	server := testutil.NewServer(t, func(conn net.Conn, r *http.Request, body string) bool {
 		received <- struct{}{}
-		<-answer
+		<-respond
 		return c.serve(conn, r, body)
 	})
 	state := "in_service"
@@ -96,15 +97,15 @@
 	half.Conn.(*net.TCPConn).CloseWrite()
 	if c.wantStatuses[0] == 200 { // no interim response comes first
 		untilHalfClosed(t, n)
-		close(answer)
+		close(respond)
 	}
-	c.checkResponses(t, n, half, answer)
+	c.checkResponses(t, n, half, respond)
 	testutil.ExpectClosed(t, half.Reader, "the connection after the last response")
 	switch c.stage {
 	case "dial":
 		close(dials.Release)
 	case "shutdown deadline": // the server cannot respond any more
-		close(answer)
+		close(respond)
 		return
 	}
 	if server.RequestCount() != c.wantReceived {
@@ -136,7 +137,7 @@
 
 // checkResponses reads and checks the responses. After the interim response, it makes the server respond or posts the
 // shutdown deadline.
-func (c halfCloseCase) checkResponses(t *testing.T, n *Node, half *testutil.Client, answer chan struct{}) {
+func (c halfCloseCase) checkResponses(t *testing.T, n *Node, half *testutil.Client, respond chan struct{}) {
 	t.Helper()
 	for i, status := range c.wantStatuses {
 		response, body := half.Response(t)
@@ -152,7 +153,7 @@
 		if c.stage == "shutdown deadline" {
 			n.loop.post(shutdownDeadline{})
 		} else {
-			close(answer)
+			close(respond)
 		}
 	}
 }
--- a/internal/node/heldupdrain_test.go
+++ b/internal/node/heldupdrain_test.go
@@ -86,7 +86,7 @@
 			t.Parallel()
 			n, client := startNodeWithOpenRequest(t)
 			answered := false
-			answer := func() {
+			answerAll := func() {
 				answered = true
 				n.loop.post(shutdownDeadline{})
 				client.Expect(t, http.StatusBadGateway, "")
@@ -96,12 +96,12 @@
 			d := &stalledDrain{}
 			d.onAnswerAll = func() {
 				if limitChecks == 0 {
-					answer()
+					answerAll()
 				}
 			}
 			d.onLimitCheck = func() {
 				if d.limitChecks == limitChecks {
-					answer()
+					answerAll()
 				}
 			}
 			if err := d.run(t, n); err != nil || !answered {
