--- a/internal/node/faultyconns_test.go
+++ b/internal/node/faultyconns_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// breakableConns are downstream connections that a test breaks while the node waits on them.
-type breakableConns struct {
+// breakableListener accepts downstream connections that a test can break while the node waits for them.
+type breakableListener struct {
 	*net.TCPListener
-	cause    error
+	cause    error // the error of reads from a broken connection
 	accepted chan *breakableConn
 }
 
-func (l breakableConns) Accept() (net.Conn, error) {
+func (l breakableListener) Accept() (net.Conn, error) {
 	nc, err := l.AcceptTCP()
 	if err != nil {
 		return nil, err
@@ -24,21 +24,22 @@
 	c := &breakableConn{nc, l.cause, make(chan struct{}), make(chan struct{}, 1)}
 	select {
 	case l.accepted <- c:
-	default: // the test breaks the first ones only
+	default: // the test only breaks the first ones
 	}
 	return c, nil
 }
 
-// breakableConn fails its reads with cause once it is broken; a deadline that passes is a cause of its own.
+// breakableConn is a connection whose reads fail with cause once it is broken. If cause is os.ErrDeadlineExceeded, its
+// read deadline passes instead.
 type breakableConn struct {
 	*net.TCPConn
 	cause      error
 	broken     chan struct{}
-	watchEnded chan struct{} // gets one when a wait for something to read has ended
+	watchEnded chan struct{} // receives a value when a wait for readability has ended
 }
 
-// breakNow ends the wait for readability as the kernel does when the connection breaks.
-func (c *breakableConn) breakNow() {
+// breakConn ends the wait for readability as the kernel does when a connection breaks.
+func (c *breakableConn) breakConn() {
 	if !errors.Is(c.cause, os.ErrDeadlineExceeded) {
 		close(c.broken)
 	}
@@ -49,7 +50,8 @@
 	if !isClosed(c.broken) {
 		n, err = c.TCPConn.Read(p)
 	}
-	if n == 0 && isClosed(c.broken) { // maybe while it read: breakNow's deadline is not the node's
+	// The connection may have broken during the read. The deadline that ended the read is then that of breakConn.
+	if n == 0 && isClosed(c.broken) {
 		err = &net.OpError{Op: "read", Net: "tcp", Addr: c.RemoteAddr(), Err: os.NewSyscallError("read", c.cause)}
 	}
 	return n, err
@@ -57,34 +59,34 @@
 
 func (c *breakableConn) SyscallConn() (syscall.RawConn, error) {
 	raw, err := c.TCPConn.SyscallConn()
-	return breakableRaw{raw, c}, err
+	return breakableRawConn{raw, c}, err
 }
 
-type breakableRaw struct {
+type breakableRawConn struct {
 	syscall.RawConn
-	of *breakableConn
+	conn *breakableConn
 }
 
-// Read ends without an error once the connection is broken: it is readable, and the read returns the error.
-func (r breakableRaw) Read(ready func(uintptr) bool) error {
+// Read returns nil once the connection is broken: a broken connection is readable, and the read returns its error.
+func (r breakableRawConn) Read(ready func(uintptr) bool) error {
 	err := r.RawConn.Read(ready)
 	select {
-	case r.of.watchEnded <- struct{}{}:
+	case r.conn.watchEnded <- struct{}{}:
 	default:
 	}
-	if isClosed(r.of.broken) {
+	if isClosed(r.conn.broken) {
 		return nil
 	}
 	return err
 }
 
-// gatedConns delays the node's reads of downstream connections and its peeks at them.
-type gatedConns struct {
+// gatedConnListener accepts downstream connections on which a test delays the reads and peeks of the node.
+type gatedConnListener struct {
 	*net.TCPListener
 	reads, peeks *gate
 }
 
-func (l gatedConns) Accept() (net.Conn, error) {
+func (l gatedConnListener) Accept() (net.Conn, error) {
 	c, err := l.AcceptTCP()
 	if err != nil {
 		return nil, err
@@ -92,36 +94,38 @@
 	return gatedConn{c, l}, nil
 }
 
-// gate delays the first that pass, until it is opened.
+// gate blocks the first calls of pass until release is closed. Each call that blocks is reported on arrived.
 type gate struct {
-	first            atomic.Int32
+	remaining        atomic.Int32 // number of calls of pass that are still to block
 	arrived, release chan struct{}
 }
 
+// pass blocks until the gate is released, if it is one of the first calls.
 func (g *gate) pass() {
-	if g.first.Add(-1) >= 0 {
+	if g.remaining.Add(-1) >= 0 {
 		g.arrived <- struct{}{}
 		<-g.release
 	}
 }
 
-func newGate(first int32) *gate {
-	g := &gate{arrived: make(chan struct{}, first), release: make(chan struct{})}
-	g.first.Store(first)
+// newGate returns a gate that blocks a number of calls.
+func newGate(blocked int32) *gate {
+	g := &gate{arrived: make(chan struct{}, blocked), release: make(chan struct{})}
+	g.remaining.Store(blocked)
 	return g
 }
 
 type gatedConn struct {
 	*net.TCPConn
-	of gatedConns
+	listener gatedConnListener
 }
 
 func (c gatedConn) Read(p []byte) (int, error) {
-	c.of.reads.pass()
+	c.listener.reads.pass()
 	return c.TCPConn.Read(p)
 }
 
 func (c gatedConn) SyscallConn() (syscall.RawConn, error) {
-	c.of.peeks.pass()
+	c.listener.peeks.pass()
 	return c.TCPConn.SyscallConn()
 }
--- a/internal/node/trafficlog.go
+++ b/internal/node/trafficlog.go
@@ -7,35 +7,35 @@
 	"basaltdrum/balancer"
 )
 
-// statsInterval is the time between two traffic lines in the log.
-const statsInterval = 10 * time.Second
+// trafficLogInterval is the interval between two traffic lines in the log.
+const trafficLogInterval = 10 * time.Second
 
-// resultCount is how many values balancer.AttemptResult has.
-const resultCount = 8
+// attemptResultCount is the number of values of balancer.AttemptResult.
+const attemptResultCount = 8
 
-// trafficCounts are the figures of the traffic line, counted since the line before.
+// trafficCounts holds the counters of the traffic line. They count what happened since the previous line.
 type trafficCounts struct {
-	Requests int // received and passed to the module
-	Served   int // answered with an endpoint's answer
-	Rejected int // answered 503
-	Failed   int // answered 502
-	Departed int // whose client has closed its connection, or may have
-	Sends    int // attempts started
-	Results  [resultCount]int
-	LagMax   time.Duration // longest time from an event to its handling
-	LagSum   time.Duration // over all events
-	Events   int           // that the lag was measured of
+	Requests        int // requests passed to the decision module
+	Served          int // requests answered with the response of an endpoint
+	Rejected        int // requests answered with status 503
+	Failed          int // requests answered with status 502
+	Departed        int // requests whose client has closed its connection or may have closed it
+	AttemptsStarted int
+	AttemptResults  [attemptResultCount]int
+	MaxLag          time.Duration // longest time from an event to its handling
+	TotalLag        time.Duration // sum of these times over all events
+	LagSamples      int           // number of events whose lag was measured
 }
 
-// noteLag counts the time from an event to its handling.
-func (c *trafficCounts) noteLag(lag time.Duration) {
-	c.LagMax = max(c.LagMax, lag)
-	c.LagSum += lag
-	c.Events++
+// recordLag records the time from an event to its handling.
+func (c *trafficCounts) recordLag(lag time.Duration) {
+	c.MaxLag = max(c.MaxLag, lag)
+	c.TotalLag += lag
+	c.LagSamples++
 }
 
-// noteUnserved counts a request that was answered without an endpoint's answer.
-func (c *trafficCounts) noteUnserved(kind ResponseKind) {
+// countUnserved counts a request that was answered without the response of an endpoint.
+func (c *trafficCounts) countUnserved(kind ResponseKind) {
 	if kind == ResponseRejected {
 		c.Rejected++
 	} else {
@@ -43,28 +43,29 @@
 	}
 }
 
-// trafficLog counts what the loop does and writes it to the log. It belongs to the goroutine of the loop.
+// trafficLog counts requests, attempts and lag of the loop, and logs the counters. Only the loop's goroutine uses it.
 type trafficLog struct {
 	trafficCounts
 	log             *slog.Logger
-	connectionStats func() []any // further attributes for the line
+	connectionStats func() []any // returns further attributes for the line
 }
 
-// write logs what happened since the last traffic line, if anything did.
+// write logs and resets the counters. Without any event since the last line it logs nothing. pending is the number of
+// pending requests.
 func (t *trafficLog) write(pending int) {
 	counts := t.trafficCounts
 	t.trafficCounts = trafficCounts{}
-	if counts.Events == 0 {
+	if counts.LagSamples == 0 {
 		return
 	}
-	results := counts.Results
+	results := counts.AttemptResults
 	t.log.With(t.connectionStats()...).Info("traffic",
 		slog.Group("requests", "received", counts.Requests, "served", counts.Served, "rejected", counts.Rejected,
 			"failed", counts.Failed, "departed", counts.Departed, "pending", pending),
-		slog.Group("attempts", "started", counts.Sends, "success", results[balancer.Success],
+		slog.Group("attempts", "started", counts.AttemptsStarted, "success", results[balancer.Success],
 			"server_error", results[balancer.ServerError], "rejected", results[balancer.Rejected],
 			"timed_out", results[balancer.TimedOut], "connect_failed", results[balancer.ConnectFailed],
 			"connection_lost", results[balancer.ConnectionLost], "cancelled", results[balancer.Cancelled],
 			"not_sent", results[balancer.NotSent]),
-		slog.Group("lag", "max", counts.LagMax, "mean", counts.LagSum/time.Duration(counts.Events)))
+		slog.Group("lag", "max", counts.MaxLag, "mean", counts.TotalLag/time.Duration(counts.LagSamples)))
 }
