--- a/internal/fleet/chain.go
+++ b/internal/fleet/chain.go
@@ -65,10 +65,10 @@
 	if err != nil {
 		return nil, err
 	}
-	g.AddCores(process.Cores(after.busy-before.busy, before.at, after.at))
+	g.AddCores(process.CoresInUse(after.busy-before.busy, before.at, after.at))
 	nodeCores := make([]float64, len(r.real))
 	for i := range nodeCores {
-		nodeCores[i] = process.Cores(after.real[i].CPU-before.real[i].CPU, before.at, after.at)
+		nodeCores[i] = process.CoresInUse(after.real[i].CPU-before.real[i].CPU, before.at, after.at)
 	}
 	return nodeCores, nil
 }
--- a/internal/fleet/growth.go
+++ b/internal/fleet/growth.go
@@ -26,7 +26,7 @@
 	if err := args.Check(); err != nil {
 		return result, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, args.Bound()-2*process.StopTimeout)
+	ctx, cancel := context.WithTimeout(ctx, args.MaxDuration()-2*process.StopTimeout)
 	defer cancel()
 	dir, err := os.MkdirTemp(r.TempDir, "fleetscale")
 	if err != nil {
@@ -151,7 +151,7 @@
 // play makes the calls and the events of the day, and measures. The first error ends all of it.
 func (d *growthDay) play(ctx context.Context) (f report.GrowthFigures, err error) {
 	f = report.GrowthFigures{Servers: d.size.Servers, FleetNodes: d.size.Nodes, Capacity: d.size.Capacity}
-	busy, err := process.MachineBusy()
+	busy, err := process.MachineCPUTime()
 	if err != nil {
 		return f, err
 	}
@@ -171,11 +171,11 @@
 	if err := activities.wait(); err != nil {
 		return f, err
 	}
-	after, err := process.MachineBusy()
+	after, err := process.MachineCPUTime()
 	if err != nil {
 		return f, err
 	}
-	f.Busy = process.Cores(after-busy, begun, time.Now())
+	f.Busy = process.CoresInUse(after-busy, begun, time.Now())
 	for _, n := range descriptors {
 		f.Descriptors += float64(n) / float64(len(d.nodes))
 	}
@@ -236,14 +236,14 @@
 	if err := d.servers.Call(ctx, "Accepted", struct{}{}, &connections); err != nil {
 		return err
 	}
-	var counted stats.Counted
+	var counted stats.Snapshot
 	if err := d.registry.Call(ctx, "Traffic", struct{}{}, &counted); err != nil {
 		return err
 	}
 	f.Connections = float64(connections) / nodeCount
 	for _, bucket := range counted.Buckets {
-		f.ListBytes += float64(bucket.Lists) / nodeCount
-		f.ListPayload += float64(bucket.Out) / nodeCount
+		f.ListBytes += float64(bucket.ListBytes) / nodeCount
+		f.ListPayload += float64(bucket.BytesOut) / nodeCount
 		f.ListCalls += float64(bucket.Calls) / nodeCount
 	}
 	return nil
--- a/internal/fleet/growthevents.go
+++ b/internal/fleet/growthevents.go
@@ -16,7 +16,7 @@
 func (d *growthDay) playEvents(ctx context.Context, f *report.GrowthFigures) error {
 	begun := time.Now()
 	var latest time.Duration
-	for events := plan.Day(d.size.Servers, d.args.For, d.args.Seed); len(events) > 0; {
+	for events := plan.DayEvents(d.size.Servers, d.args.For, d.args.Seed); len(events) > 0; {
 		monotime.Sleep(ctx, time.Until(begun.Add(events[0].At)))
 		if ctx.Err() != nil {
 			return nil //nolint:nilerr // who waits for the activities reports why their context has ended
--- a/internal/fleet/plan/argchecks.go
+++ b/internal/fleet/plan/argchecks.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// OutOfRangeError says that an argument is not within its range.
+// OutOfRangeError reports an argument whose value is outside its range.
 type OutOfRangeError struct {
-	Argument           string // without its dashes
-	Value, Least, Most any
+	Argument        string // without its dashes
+	Value, Min, Max any
 }
 
 func (e *OutOfRangeError) Error() string {
-	return fmt.Sprintf("--%s must be from %v to %v, not %v", e.Argument, e.Least, e.Most, e.Value)
+	return fmt.Sprintf("--%s must be from %v to %v, not %v", e.Argument, e.Min, e.Max, e.Value)
 }
 
-// ConflictError says that arguments can't be used together.
+// ConflictError reports arguments that can't be used together.
 type ConflictError struct{ Reason string }
 
 func (e *ConflictError) Error() string { return e.Reason }
 
-// checkRange returns an OutOfRangeError unless a value is within its range. NaN is not.
+// checkRange returns an OutOfRangeError if value is less than least, greater than most, or NaN.
 func checkRange[T float64 | time.Duration](argument string, value, least, most T) error {
 	if value >= least && value <= most {
 		return nil
 	}
-	return &OutOfRangeError{Argument: argument, Value: value, Least: least, Most: most}
+	return &OutOfRangeError{Argument: argument, Value: value, Min: least, Max: most}
 }
 
-// firstError returns the first error that is not nil, or nil.
+// firstError returns the first non-nil error, or nil if there is none.
 func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
@@ -38,13 +38,13 @@
 	return nil
 }
 
-// conflict is a rule that arguments keep together.
+// conflict is a combination of arguments that can't be used together.
 type conflict struct {
 	violated bool
-	reason   string // what the error says then
+	reason   string // text of the error if violated
 }
 
-// firstConflict returns a ConflictError for the first rule that is violated, or nil.
+// firstConflict returns a ConflictError for the first violated rule, or nil if there is none.
 func firstConflict(rules []conflict) error {
 	for _, rule := range rules {
 		if rule.violated {
--- a/internal/fleet/plan/args.go
+++ b/internal/fleet/plan/args.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// Bounds of a run.
+// Upper limits of a run.
 const (
 	maxHollowNodes      = 1100
 	maxRealNodes        = 1100
 	maxRunLength        = 10 * time.Minute
 	maxCallsPerSecond   = 400000 // over all nodes
-	maxServersListed    = 5000   // to one node
+	maxServersListed    = 5000   // in the list of one node
 	maxServices         = 1000
 	maxEntries          = 200000      // of all lists together
 	maxChangesPerMinute = 6000        // of one list
 	maxConfigsPerMinute = 600         // of one node
 	maxNodeRate         = 10000       // calls a second at one node
-	maxServiceTime      = time.Second // of a server, in the mean
-	// Margin is how much longer than its length a run may take in all: to build the program and start the nodes, to
-	// wait for the last updates and answers, and to end its children.
-	Margin = 2 * time.Minute
+	maxServiceTime      = time.Second // mean of a server
+	// StartStopMargin is the extra time that a run may take beyond its length: to build the program, start the nodes,
+	// wait for the last updates and responses, and stop the child processes.
+	StartStopMargin = 2 * time.Minute
 )
 
-// ModePolled is the value of --mode with which lists are polled; with the other they are pushed.
+// ModePolled is the value of --mode for lists that are polled. With the other value they are pushed.
 const ModePolled = "asked"
 
-// The values of --storm that are compared with.
+// Values of --storm. The remaining one, "registry", needs no constant.
 const (
 	StormNone = "none"
 	StormZone = "zone"
@@ -52,7 +52,7 @@
 	Program  string        `help:"The real nodes' program; built by go build where none is named." type:"path" json:"program,omitempty"`
 }
 
-// Check returns an error that names the first argument that can't be used: an OutOfRangeError or a ConflictError.
+// Check returns an error for the first invalid argument: an OutOfRangeError or a ConflictError.
 func (a Args) Check() error {
 	err := firstError(
 		checkRange("nodes", float64(a.Nodes), 0, maxHollowNodes),
@@ -72,7 +72,7 @@
 	return firstConflict(a.conflicts())
 }
 
-// conflicts lists the combinations of arguments, each within its range, that can't be used together.
+// conflicts returns the rules for arguments that are each within their range but can't be used together.
 func (a Args) conflicts() []conflict {
 	nodes := a.Nodes + a.Real
 	return []conflict{
@@ -83,7 +83,7 @@
 		},
 		{
 			a.Real%a.Depth != 0 || a.Real == 0 && a.Depth > 1,
-			fmt.Sprintf("--real %d makes no whole chains of --depth %d", a.Real, a.Depth),
+			fmt.Sprintf("--real %d is not a positive multiple of --depth %d", a.Real, a.Depth),
 		},
 		{a.Configs > 0 && a.Real == 0, "--configs needs --real nodes"},
 		{
@@ -92,10 +92,10 @@
 		},
 		{
 			a.Services*a.Servers > maxEntries,
-			fmt.Sprintf("--services %d of --servers %d are more than %d entries", a.Services, a.Servers, maxEntries),
+			fmt.Sprintf("--services %d times --servers %d is more than %d entries", a.Services, a.Servers, maxEntries),
 		},
 	}
 }
 
-// Bound returns how long the run may take in all.
-func (a Args) Bound() time.Duration { return a.For + Margin }
+// MaxDuration returns how long the run may take, including start and stop.
+func (a Args) MaxDuration() time.Duration { return a.For + StartStopMargin }
--- a/internal/fleet/plan/args_test.go
+++ b/internal/fleet/plan/args_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// validArgs are arguments that pass their check.
+// validArgs returns arguments that pass Check.
 func validArgs() Args {
 	return Args{
 		Nodes: 10, Real: 4, Servers: 10, Services: 2, Changes: 60, Configs: 6, Mode: "pushed", Storm: StormNone,
@@ -40,23 +40,23 @@
 			test.set(&args)
 			var outOfRange *OutOfRangeError
 			if err := args.Check(); !errors.As(err, &outOfRange) || outOfRange.Argument != test.argument {
-				t.Errorf("error %v, want one of --%s", err, test.argument)
+				t.Errorf("Check() = %v, want an OutOfRangeError for --%s", err, test.argument)
 			}
 		})
 	}
 }
 
 // Arguments that are each within their range may not fit together.
-func TestCheckTellsConflicts(t *testing.T) {
+func TestCheckReportsConflicts(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		set  func(*Args)
 	}{
 		{"no nodes", func(a *Args) { a.Nodes, a.Real, a.Configs, a.Depth = 0, 0, 0, 1 }},
 		{"more services than nodes", func(a *Args) { a.Services = a.Nodes + 1 }},
-		{"part of a chain", func(a *Args) { a.Real = 5 }},
-		{"a chain of no nodes", func(a *Args) { a.Real, a.Configs = 0, 0 }},
-		{"configurations of no real nodes", func(a *Args) { a.Real, a.Depth = 0, 1 }},
+		{"an incomplete chain", func(a *Args) { a.Real = 5 }},
+		{"a chain without real nodes", func(a *Args) { a.Real, a.Configs = 0, 0 }},
+		{"configuration changes without real nodes", func(a *Args) { a.Real, a.Depth = 0, 1 }},
 		{"too many calls", func(a *Args) { a.Nodes, a.Rate = 1000, 1000 }},
 		{"too many entries", func(a *Args) { a.Nodes, a.Services, a.Servers = 1000, 1000, 201 }},
 	} {
@@ -65,13 +65,13 @@
 			test.set(&args)
 			var conflict *ConflictError
 			if err := args.Check(); !errors.As(err, &conflict) {
-				t.Errorf("error %v, want a conflict", err)
+				t.Errorf("Check() = %v, want a ConflictError", err)
 			}
 		})
 	}
 }
 
-// A sweep has one run for each value, and refuses values that an argument can't have.
+// A sweep has one run for each value, and rejects invalid values.
 func TestSweepPlan(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -91,7 +91,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			runs, err := SweepPlan(validArgs(), test.over, test.values)
 			if (err != nil) != test.fails || err == nil && len(runs) != len(test.values) {
-				t.Errorf("%v: %+v", err, runs)
+				t.Errorf("SweepPlan() = %+v, error %v; want error: %v, otherwise %d runs",
+					runs, err, test.fails, len(test.values))
 			}
 		})
 	}
--- a/internal/fleet/plan/day_test.go
+++ b/internal/fleet/plan/day_test.go
@@ -7,33 +7,34 @@
 	"time"
 )
 
-// The capacity of all servers together, counted for each node, stays the same.
+// The total capacity of the servers per node is the same at both sizes.
 func TestGrowthSizes(t *testing.T) {
 	for _, test := range []struct {
 		name                   string
 		servers, factor, fleet int
 		largeNodes             int
 	}{
-		{"the largest fleet is reached", 200, 16, 300, 900},
+		{"large size is limited to the largest fleet", 200, 16, 300, 900},
 		{"small fleet", 200, 16, 20, 320},
-		{"the largest fleet exactly", 100, 4, 225, 900},
-		{"the largest fleet from the start", 100, 16, 900, 900},
+		{"large size is exactly the largest fleet", 100, 4, 225, 900},
+		{"usual size is the largest fleet", 100, 16, 900, 900},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			args := GrowthArgs{Servers: test.servers, Factor: test.factor, Fleet: test.fleet}
 			usual, large := args.Usual(), args.Large()
 			if large.Nodes != test.largeNodes || large.Servers != test.servers*test.factor {
-				t.Errorf("large %+v", large)
+				t.Errorf("large size %+v, want %d nodes and %d servers", large, test.largeNodes, test.servers*test.factor)
 			}
-			if ratio := capacityForNode(large) / capacityForNode(usual); math.Abs(ratio-1) > 1e-9 {
-				t.Errorf("a node has %v times the capacity: usual %+v, large %+v", ratio, usual, large)
+			if ratio := capacityPerNode(large) / capacityPerNode(usual); math.Abs(ratio-1) > 1e-9 {
+				t.Errorf("capacity per node at the large size is %v times the usual, want 1: usual %+v, large %+v",
+					ratio, usual, large)
 			}
 		})
 	}
 }
 
-// capacityForNode is the capacity of all servers, counted for each node.
-func capacityForNode(size GrowthSize) float64 {
+// capacityPerNode returns the total capacity of the servers per node.
+func capacityPerNode(size GrowthSize) float64 {
 	return size.Capacity * float64(size.Servers) / float64(size.Nodes)
 }
 
@@ -44,10 +45,10 @@
 	dayLength   = 20 * time.Second
 )
 
-// Each server that is replaced drains, leaves the list and ends, in this order; another is listed in its place.
+// Each replaced server drains, is removed from the list and stops, in this order; another is listed in its place.
 func TestDayReplacesServers(t *testing.T) {
 	steps := map[int][]EventKind{}
-	for _, e := range Day(dayServers, dayLength, 1) {
+	for _, e := range DayEvents(dayServers, dayLength, 1) {
 		if e.Kind != BreakWatches {
 			steps[e.Server] = append(steps[e.Server], e.Kind)
 		}
@@ -66,14 +67,14 @@
 	}
 }
 
-// A day has all events in the order of their times, within its length.
+// All events of a day are in the order of their times and within its length.
 func TestDayIsInOrder(t *testing.T) {
 	counts := map[EventKind]int{}
 	var last time.Duration
-	for i, e := range Day(dayServers, dayLength, 1) {
+	for i, e := range DayEvents(dayServers, dayLength, 1) {
 		counts[e.Kind]++
 		if e.At < last || e.At > dayLength {
-			t.Errorf("event %d at %v, after one at %v", i, e.At, last)
+			t.Errorf("event %d is at %v, want a time from %v to %v", i, e.At, last, dayLength)
 		}
 		last = e.At
 	}
@@ -89,22 +90,22 @@
 // All servers are replaced within 6 to 7 s of a day of 20 s.
 func TestDayReplacesWithinSevenSeconds(t *testing.T) {
 	var listed []time.Duration
-	for _, e := range Day(dayServers, dayLength, 1) {
+	for _, e := range DayEvents(dayServers, dayLength, 1) {
 		if e.Kind == ListServer {
 			listed = append(listed, e.At)
 		}
 	}
 	if took := slices.Max(listed) - slices.Min(listed); took < 6*time.Second || took > 7*time.Second {
-		t.Errorf("replaced within %v", took)
+		t.Errorf("the servers are replaced within %v, want 6 s to 7 s", took)
 	}
 }
 
 func TestDayDependsOnItsSeedAlone(t *testing.T) {
-	day := Day(dayServers, dayLength, 1)
-	if !slices.Equal(day, Day(dayServers, dayLength, 1)) {
+	day := DayEvents(dayServers, dayLength, 1)
+	if !slices.Equal(day, DayEvents(dayServers, dayLength, 1)) {
 		t.Error("the same seed gives another day")
 	}
-	if slices.Equal(day, Day(dayServers, dayLength, 2)) {
+	if slices.Equal(day, DayEvents(dayServers, dayLength, 2)) {
 		t.Error("another seed gives the same day")
 	}
 }
--- a/internal/fleet/plan/growthargs.go
+++ b/internal/fleet/plan/growthargs.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Bounds of a growth run.
+// Upper limits of a growth run.
 const (
-	maxListedServers = 3200 // servers
-	maxFleetNodes    = 900  // nodes, as the settings have them
-	maxGrowthNodes   = 50   // real nodes
-	maxGrowthRate    = 300  // calls a second at a node
+	maxListedServers = 3200
+	maxFleetNodes    = 900 // nodes of the fleet according to the settings
+	maxGrowthNodes   = 50  // real nodes
+	maxGrowthRate    = 300 // calls per second at a node
 	maxGrowthLength  = time.Minute
 )
 
@@ -30,7 +30,7 @@
 	Program string        `help:"The nodes' program; built by go build where none is named." type:"path" json:"program,omitempty"`
 }
 
-// Check returns an error that names the first argument that can't be used: an OutOfRangeError or a ConflictError.
+// Check returns an error for the first invalid argument: an OutOfRangeError or a ConflictError.
 func (a GrowthArgs) Check() error {
 	err := firstError(
 		checkRange("servers", float64(a.Servers), 10, maxListedServers),
@@ -55,13 +55,13 @@
 	)
 }
 
-// Bound returns how long both days may take in all.
-func (a GrowthArgs) Bound() time.Duration { return 2*a.For + Margin }
+// MaxDuration returns how long both days may take together, including start and stop.
+func (a GrowthArgs) MaxDuration() time.Duration { return 2*a.For + StartStopMargin }
 
 // GrowthSize is the size of the fleet on one day.
 type GrowthSize struct {
 	Servers  int
-	Nodes    int     // of the fleet, as the settings have them
+	Nodes    int     // of the fleet according to the settings
 	Capacity float64 // of each server; 1 at the usual size
 }
 
@@ -70,7 +70,7 @@
 	return GrowthSize{Servers: a.Servers, Nodes: a.Fleet, Capacity: 1}
 }
 
-// Large returns the large size. All servers together have the same capacity for each node as at the usual size.
+// Large returns the large size. The total capacity of the servers per node is the same as at the usual size.
 func (a GrowthArgs) Large() GrowthSize {
 	size := GrowthSize{Servers: a.Servers * a.Factor, Nodes: min(a.Fleet*a.Factor, maxFleetNodes)}
 	size.Capacity = float64(size.Nodes) / float64(a.Fleet) / float64(a.Factor)
--- a/internal/fleet/plan/plan.go
+++ b/internal/fleet/plan/plan.go
@@ -4,23 +4,23 @@
 	"time"
 )
 
-// Zones are two regions of three zones each.
+// Zones are the zones of servers and nodes: three in each of two regions.
 var Zones = []string{"north-1", "north-2", "north-3", "south-1", "south-2", "south-3"}
 
-// The kinds of list changes, whose times are reported apart.
+// Groups of list changes, whose times are reported separately. The values are keys of the JSON report.
 const (
-	GroupServerState = "a server's state" // one server of the list drains, goes, or comes back
-	GroupAfterOutage = "told at the return"
-	GroupZoneLost    = "a zone lost"
-	GroupZoneBack    = "a zone back"
+	GroupServerState = "a server's state"   // one server drains, is removed, or is listed again
+	GroupAfterOutage = "told at the return" // the last change made during an outage of the registry
+	GroupZoneLost    = "a zone lost"        // all servers of a zone are removed
+	GroupZoneBack    = "a zone back"        // all servers of the zone are listed again
 )
 
-// Groups are all kinds, in the order of the tables.
-var Groups = []string{GroupServerState, GroupAfterOutage, GroupZoneLost, GroupZoneBack}
+// ListChangeGroups are all groups of list changes, in the order of the tables.
+var ListChangeGroups = []string{GroupServerState, GroupAfterOutage, GroupZoneLost, GroupZoneBack}
 
-// When an outage begins and ends, as shares of a run's length, and how long its end is watched.
+// Schedule of an outage.
 const (
-	StormBegins = 0.25
-	StormEnds   = 0.6
-	StormWatch  = 10 * time.Second
+	StormStart     = 0.25             // fraction of the run's length
+	StormEnd       = 0.6              // fraction of the run's length
+	StormWatchTime = 10 * time.Second // measured after the end of the outage
 )
--- a/internal/fleet/plan/sweep.go
+++ b/internal/fleet/plan/sweep.go
@@ -4,29 +4,29 @@
 	"fmt"
 )
 
-// SweepPlan returns the runs of a sweep: the arguments with one of them varied.
+// SweepPlan returns the arguments of each run of a sweep: args with the argument over set to each of the values.
 func SweepPlan(args Args, over string, values []int) ([]Args, error) {
-	set, ok := map[string]func(a *Args, v int){
-		"nodes":   func(a *Args, v int) { a.Nodes = v },
-		"servers": func(a *Args, v int) { a.Servers = v },
-		"changes": func(a *Args, v int) { a.Changes = float64(v) },
+	set, ok := map[string]func(a *Args, value int){
+		"nodes":   func(a *Args, value int) { a.Nodes = value },
+		"servers": func(a *Args, value int) { a.Servers = value },
+		"changes": func(a *Args, value int) { a.Changes = float64(value) },
 	}[over]
 	if !ok {
-		return nil, fmt.Errorf("--over %q is none of nodes, servers, changes", over)
+		return nil, fmt.Errorf("--over must be nodes, servers or changes, not %q", over)
 	}
-	var plan []Args
+	var runs []Args
 	differ := false
-	for _, v := range values {
-		one := args
-		set(&one, v)
-		if err := one.Check(); err != nil {
-			return nil, fmt.Errorf("at %s %d: %w", over, v, err)
+	for _, value := range values {
+		run := args
+		set(&run, value)
+		if err := run.Check(); err != nil {
+			return nil, fmt.Errorf("at %s %d: %w", over, value, err)
 		}
-		plan = append(plan, one)
-		differ = differ || v != values[0]
+		runs = append(runs, run)
+		differ = differ || value != values[0]
 	}
 	if !differ {
-		return nil, fmt.Errorf("--values must hold two different ones, not %v", values)
+		return nil, fmt.Errorf("--values must contain two different values, not %v", values)
 	}
-	return plan, nil
+	return runs, nil
 }
--- a/internal/fleet/process/child_test.go
+++ b/internal/fleet/process/child_test.go
@@ -11,10 +11,10 @@
 	"basaltdrum/internal/testutil"
 )
 
-// childRole is the role of the children of these tests, which the tests' own program plays.
+// childRole is the role of the children of these tests, which run the test binary.
 const childRole = "process-test-child"
 
-// TestMain lets the tests' own program play the children.
+// TestMain lets the test binary act as the child processes.
 func TestMain(m *testing.M) {
 	if os.Args[len(os.Args)-1] == childRole {
 		if err := ServeParent(&testService{}); err != nil {
@@ -26,13 +26,13 @@
 	testutil.VerifyTestMain(m)
 }
 
-// testService is what a child of these tests serves.
+// testService is the RPC service of the children of these tests.
 type testService struct{}
 
-// Double returns twice a number, or an error for one that is negative.
+// Double returns twice n, or an error if n is negative.
 func (*testService) Double(n int, twice *int) error {
 	if n < 0 {
-		return errors.New("negative")
+		return errors.New("the number is negative")
 	}
 	*twice = 2 * n
 	return nil
@@ -55,69 +55,69 @@
 	return child
 }
 
-func TestCallOfAChild(t *testing.T) {
+func TestChildCall(t *testing.T) {
 	t.Parallel()
 	child := startTestChild(t)
 	var twice int
 	if err := child.Call(t.Context(), "Double", 21, &twice); err != nil || twice != 42 {
-		t.Errorf("%d, %v", twice, err)
+		t.Errorf("Double(21) = %d, %v, want 42", twice, err)
 	}
 	if err := child.Call(t.Context(), "Double", -1, &twice); err == nil {
-		t.Error("the child's error is lost")
+		t.Error("Double(-1) succeeded, want the child's error")
 	}
 	if err := child.Call(t.Context(), "Halve", 21, &twice); err == nil {
-		t.Error("a method that the child does not have is called")
+		t.Error("a call of an unknown method succeeded, want an error")
 	}
 }
 
-// A call ends with its context, though the child goes on with it; such a child is killed once the time in which it
-// might have ended by itself is over, which is real time.
-func TestCallEndsWithItsContext(t *testing.T) {
+// A call returns when its context ends, though the child is still working on it. Stop kills such a child after
+// StopTimeout, which is real time.
+func TestCallReturnsWhenContextEnds(t *testing.T) {
 	t.Parallel()
 	child := startTestChild(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if err := child.Call(ctx, "Hang", struct{}{}, &struct{}{}); !errors.Is(err, context.Canceled) {
-		t.Errorf("error %v, want %v", err, context.Canceled)
+		t.Errorf("call with a cancelled context: error %v, want %v", err, context.Canceled)
 	}
 	child.Stop()
 	if status, ok := child.cmd.ProcessState.Sys().(syscall.WaitStatus); !ok || status.Signal() != syscall.SIGKILL {
-		t.Errorf("the child ended by itself: %v", child.cmd.ProcessState)
+		t.Errorf("the child exited with %v, want SIGKILL", child.cmd.ProcessState)
 	}
 }
 
-// A call of a child that dies is an error, and no call waits for ever.
-func TestCallOfAChildThatDies(t *testing.T) {
+// A call of a killed child returns an error and does not block.
+func TestCallOfKilledChild(t *testing.T) {
 	t.Parallel()
 	child := startTestChild(t)
 	if err := syscall.Kill(child.PID(), syscall.SIGKILL); err != nil {
 		t.Fatal(err)
 	}
 	if err := child.Call(t.Context(), "Hang", struct{}{}, &struct{}{}); err == nil {
-		t.Error("a child that was killed answers")
+		t.Error("a call of a killed child succeeded, want an error")
 	}
-	testutil.Wait(t, child.exited, "the end of the child")
+	testutil.Wait(t, child.exited, "the child's exit")
 }
 
-// Stop ends a child whose calls are open, waits until it has ended, and may be called again.
-func TestStopWaitsForTheEnd(t *testing.T) {
+// Stop waits until the child has exited, and may be called again.
+func TestStopWaitsForExit(t *testing.T) {
 	t.Parallel()
 	child := startTestChild(t)
 	child.Stop()
 	select {
 	case <-child.exited:
 	default:
-		t.Error("the child has not ended")
+		t.Error("the child is still running after Stop")
 	}
 	child.Stop()
 }
 
-// Terminals send signals to all their processes; a child leaves its end to its parent.
+// A child ignores the signals that a terminal sends to all of its processes, since the parent stops it.
 func TestChildIgnoresSignals(t *testing.T) {
 	t.Parallel()
 	child := startTestChild(t)
 	var twice int
-	if err := child.Call(t.Context(), "Double", 1, &twice); err != nil { // so that it serves
+	if err := child.Call(t.Context(), "Double", 1, &twice); err != nil { // wait until the child serves
 		t.Fatal(err)
 	}
 	for _, signal := range []syscall.Signal{syscall.SIGINT, syscall.SIGTERM} {
@@ -126,6 +126,6 @@
 		}
 	}
 	if err := child.Call(t.Context(), "Double", 1, &twice); err != nil {
-		t.Errorf("after signals: %v", err)
+		t.Errorf("call after SIGINT and SIGTERM: %v", err)
 	}
 }
--- a/internal/fleet/process/doc.go
+++ b/internal/fleet/process/doc.go
@@ -1,8 +1,9 @@
-// Package process runs the child processes of a scale run, and reads what processes and the machine have used.
+// Package process runs the child processes of a scale run, and reads the resource usage of processes and the machine.
 //
-// A child is this program once more, started with its role as the last argument. Parent and child speak JSON-RPC on
-// the child's standard input and output; the child ends when its input is closed, and the kernel kills it if the
-// parent dies. StartChild starts one goroutine for each child, which waits for the end of the process, and another
-// reads its replies; Stop waits until the process has ended. Package fleet starts and stops all children. Use of
-// processor and memory is read from /proc.
+// A child runs the same program as its parent, with its role as the last argument. Parent and child communicate by
+// JSON-RPC over the child's standard input and output. The child exits when its input is closed, and the kernel kills
+// it if the parent dies. StartChild starts two goroutines for each child: one waits for the process to exit, the other
+// reads its replies. Stop waits until the process has exited. Package fleet starts and stops all children.
+//
+// CPU and memory usage is read from /proc.
 package process
--- a/internal/fleet/process/machine.go
+++ b/internal/fleet/process/machine.go
@@ -8,33 +8,33 @@
 	"time"
 )
 
-// MachineBusy returns the processor time that all programs on the machine have used since its start.
-func MachineBusy() (time.Duration, error) {
+// MachineCPUTime returns the CPU time that all processes on the machine have used since boot.
+func MachineCPUTime() (time.Duration, error) {
 	text, err := os.ReadFile("/proc/stat")
 	if err != nil {
-		return 0, fmt.Errorf("machine: %w", err)
+		return 0, fmt.Errorf("machine CPU time: %w", err)
 	}
 	line, _, _ := strings.Cut(string(text), "\n")
 	var busy time.Duration
 	for i, field := range strings.Fields(line) {
-		if i == 0 || i == 4 || i == 5 || i > 8 { // the name, idle, waiting for I/O, guests (in user already)
+		if i == 0 || i == 4 || i == 5 || i > 8 { // the label, idle, iowait, and guest times (included in user)
 			continue
 		}
-		n, err := strconv.ParseInt(field, 10, 64)
+		ticks, err := strconv.ParseInt(field, 10, 64)
 		if err != nil {
-			return 0, fmt.Errorf("machine: %w", err)
+			return 0, fmt.Errorf("machine CPU time: %w", err)
 		}
-		busy += time.Duration(n) * clockTick
+		busy += time.Duration(ticks) * clockTick
 	}
 	return busy, nil
 }
 
-// LoadAverage returns the machine's load average over the last minute, or "" if that can't be read.
+// LoadAverage returns the machine's load average over the last minute, or "" if it can't be read.
 func LoadAverage() string {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
 		return ""
 	}
-	one, _, _ := strings.Cut(string(text), " ")
-	return one
+	lastMinute, _, _ := strings.Cut(string(text), " ")
+	return lastMinute
 }
--- a/internal/fleet/process/usage.go
+++ b/internal/fleet/process/usage.go
@@ -10,25 +10,25 @@
 	"time"
 )
 
-// clockTick is the unit of the processor times in /proc/PID/stat.
+// clockTick is the unit of CPU times in /proc/stat and /proc/PID/stat.
 const clockTick = 10 * time.Millisecond
 
-// Usage is what a process has used.
+// Usage holds the resource usage of a process.
 type Usage struct {
-	CPU time.Duration
-	RSS int64 // bytes in memory now
+	CPU time.Duration // since the start of the process
+	RSS int64         // current resident set size in bytes
 }
 
-// UsageOf reads what a process has used. The processor time comes from schedstat of its threads, which counts
-// nanoseconds, unless stat has more by at least a clock tick: threads that have ended count only there.
+// UsageOf reads the resource usage of a process. The CPU time comes from schedstat of its threads, which counts
+// nanoseconds, unless stat reports at least one clock tick more: only stat includes threads that have exited.
 func UsageOf(pid int) (Usage, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return Usage{}, fmt.Errorf("usage: %w", err)
 	}
-	fields := bytes.Fields(text[bytes.LastIndexByte(text, ')')+1:]) // from the state, field 3, on
+	fields := bytes.Fields(text[bytes.LastIndexByte(text, ')')+1:]) // starts with the state, which is field 3
 	if len(fields) < 22 {
-		return Usage{}, fmt.Errorf("usage: /proc/%d/stat has %d fields", pid, len(fields))
+		return Usage{}, fmt.Errorf("usage: /proc/%d/stat has only %d fields from the state on", pid, len(fields))
 	}
 	number := func(field int) int64 {
 		n, parseErr := strconv.ParseInt(string(fields[field-3]), 10, 64)
@@ -49,7 +49,7 @@
 	for _, path := range threads {
 		text, err := os.ReadFile(path)
 		if err != nil {
-			continue // the thread has ended since
+			continue // the thread has exited since
 		}
 		var ns int64
 		if _, err := fmt.Sscan(string(text), &ns); err == nil {
@@ -60,7 +60,7 @@
 	return u, nil
 }
 
-// PeakMemory returns the most memory that a process has held so far, in bytes.
+// PeakMemory returns the peak resident set size of a process in bytes.
 func PeakMemory(pid int) (int64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -75,10 +75,10 @@
 			return n << 10, nil
 		}
 	}
-	return 0, fmt.Errorf("peak memory: /proc/%d/status has none", pid)
+	return 0, fmt.Errorf("peak memory: /proc/%d/status has no VmHWM line", pid)
 }
 
-// Descriptors returns how many file descriptors a process has open.
+// Descriptors returns the number of open file descriptors of a process.
 func Descriptors(pid int) (int, error) {
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
@@ -87,7 +87,7 @@
 	return len(entries), nil
 }
 
-// Cores is how many processor cores were in use between two readings.
-func Cores(used time.Duration, from, to time.Time) float64 {
+// CoresInUse returns the mean number of CPU cores in use between two readings, given the CPU time used.
+func CoresInUse(used time.Duration, from, to time.Time) float64 {
 	return used.Seconds() / to.Sub(from).Seconds()
 }
--- a/internal/fleet/process/usage_test.go
+++ b/internal/fleet/process/usage_test.go
@@ -8,47 +8,48 @@
 	"basaltdrum/internal/testutil"
 )
 
-// minimalUse is more processor time than reading it costs.
-const minimalUse = 50 * time.Millisecond
+// minCPUTime is more CPU time than one reading takes.
+const minCPUTime = 50 * time.Millisecond
 
-// What a process computes and holds shows in its use, which the test polls: each look costs processor time itself.
+// The usage of a process includes its CPU time and memory. The test polls until the CPU time has grown, since each
+// reading uses CPU time itself.
 func TestUsageOf(t *testing.T) {
 	before, err := UsageOf(os.Getpid())
 	if err != nil {
 		t.Fatal(err)
 	}
-	testutil.Until(t, "50 ms more of processor time, and a megabyte of memory", func() bool {
+	testutil.Until(t, "50 ms more of CPU time, and a megabyte of memory", func() bool {
 		after, err := UsageOf(os.Getpid())
 		if err != nil {
 			t.Fatal(err)
 		}
-		return after.CPU >= before.CPU+minimalUse && after.RSS > 1<<20
+		return after.CPU >= before.CPU+minCPUTime && after.RSS > 1<<20
 	})
 }
 
-func TestUseOfThisProcess(t *testing.T) {
+func TestUsageOfThisProcess(t *testing.T) {
 	if peak, err := PeakMemory(os.Getpid()); err != nil || peak < 1<<20 {
-		t.Errorf("%v: peak memory %d", err, peak)
+		t.Errorf("peak memory %d bytes, error %v, want at least 1 MiB", peak, err)
 	}
 	if open, err := Descriptors(os.Getpid()); err != nil || open < 3 {
-		t.Errorf("%v: %d descriptors", err, open)
+		t.Errorf("%d open descriptors, error %v, want at least 3", open, err)
 	}
-	if busy, err := MachineBusy(); err != nil || busy <= 0 {
-		t.Errorf("%v: the machine was busy for %v", err, busy)
+	if busy, err := MachineCPUTime(); err != nil || busy <= 0 {
+		t.Errorf("machine CPU time %v, error %v, want more than 0", busy, err)
 	}
 }
 
-// noProcess is larger than any process id of the kernel.
-const noProcess = 1 << 30
+// unusedPID is larger than any process id that the kernel assigns.
+const unusedPID = 1 << 30
 
-func TestUseOfNoProcess(t *testing.T) {
-	if used, err := UsageOf(noProcess); err == nil {
-		t.Errorf("usage %+v", used)
+func TestUsageOfUnknownProcess(t *testing.T) {
+	if used, err := UsageOf(unusedPID); err == nil {
+		t.Errorf("usage %+v of an unknown process, want an error", used)
 	}
-	if peak, err := PeakMemory(noProcess); err == nil {
-		t.Errorf("peak memory %d", peak)
+	if peak, err := PeakMemory(unusedPID); err == nil {
+		t.Errorf("peak memory %d of an unknown process, want an error", peak)
 	}
-	if open, err := Descriptors(noProcess); err == nil {
-		t.Errorf("%d descriptors", open)
+	if open, err := Descriptors(unusedPID); err == nil {
+		t.Errorf("%d open descriptors of an unknown process, want an error", open)
 	}
 }
--- a/internal/fleet/report/table.go
+++ b/internal/fleet/report/table.go
@@ -79,7 +79,7 @@
 			h.Calls.Offered, h.Calls.Served, h.Calls.Rejected, h.Calls.Failed,
 			h.Latency.P50, h.Latency.P99, h.Latency.P999, scheduleText(h.ScheduleKept, h.Lateness))
 	}
-	for _, group := range plan.Groups {
+	for _, group := range plan.ListChangeGroups {
 		if f, ok := h.InForce[group]; ok {
 			t.row("in force: "+group, "%d changes; at 50/99/100 in 100 nodes: median %.1f/%.1f/%.1f ms, "+
 				"worst %.1f/%.1f/%.1f ms; %d heard, %d missed",
@@ -143,7 +143,7 @@
 	t.row("against "+r.Over, "at 0\tfor one more\tfor 1,000 more\tR2")
 	for _, name := range slices.Sorted(maps.Keys(r.Slopes)) {
 		l := r.Slopes[name]
-		t.row(name, "%.5g\t%.5g\t%.5g\t%.3f", l.Base, l.Slope, 1000*l.Slope, l.R2)
+		t.row(name, "%.5g\t%.5g\t%.5g\t%.3f", l.Intercept, l.Slope, 1000*l.Slope, l.R2)
 	}
 	return t.flush()
 }
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -50,7 +50,7 @@
 	if err := args.Check(); err != nil {
 		return report.Point{}, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, args.Bound()-2*process.StopTimeout)
+	ctx, cancel := context.WithTimeout(ctx, args.MaxDuration()-2*process.StopTimeout)
 	defer cancel()
 	one := &run{Runner: r, args: args, client: load.NewClient()}
 	defer one.stop()
--- a/internal/fleet/runfigures.go
+++ b/internal/fleet/runfigures.go
@@ -22,7 +22,7 @@
 }
 
 func (r *run) usage() (u usage, err error) {
-	if u.busy, err = process.MachineBusy(); err != nil {
+	if u.busy, err = process.MachineCPUTime(); err != nil {
 		return u, err
 	}
 	if u.registry, err = process.UsageOf(r.registry.PID()); err != nil {
@@ -46,19 +46,19 @@
 
 // fill notes what the processes used and what passed at the registry. realCores is what the real nodes used
 // while calls went through them; nil: there were none.
-func (r *run) fill(p *report.Point, before, after usage, realCores []float64, counted stats.Counted) {
+func (r *run) fill(p *report.Point, before, after usage, realCores []float64, counted stats.Snapshot) {
 	sum, peak, seconds := counted.Between(before.at, after.at)
 	p.Seconds = after.at.Sub(before.at).Seconds()
-	p.Busy = process.Cores(after.busy-before.busy, before.at, after.at)
+	p.Busy = process.CoresInUse(after.busy-before.busy, before.at, after.at)
 	per := func(n int64) float64 { return float64(n) / seconds }
 	p.Registry = report.RegistryFigures{
-		Open: counted.Open, Conns: per(sum.Conns), Calls: per(sum.Calls), BytesIn: per(sum.In),
-		BytesOut: per(sum.Out), Peak: float64(peak) / stats.BucketWidth.Seconds(),
-		Cores: process.Cores(after.registry.CPU-before.registry.CPU, before.at, after.at), RSS: after.registry.RSS,
+		Open: counted.OpenConnections, Conns: per(sum.Conns), Calls: per(sum.Calls), BytesIn: per(sum.BytesIn),
+		BytesOut: per(sum.BytesOut), Peak: float64(peak) / stats.BucketWidth.Seconds(),
+		Cores: process.CoresInUse(after.registry.CPU-before.registry.CPU, before.at, after.at), RSS: after.registry.RSS,
 	}
 	nodeCount := r.args.Nodes + r.args.Real
 	p.PerNode = report.PerNode{
-		Nodes: nodeCount, BytesIn: per(sum.Out) / float64(nodeCount), BytesOut: per(sum.In) / float64(nodeCount),
+		Nodes: nodeCount, BytesIn: per(sum.BytesOut) / float64(nodeCount), BytesOut: per(sum.BytesIn) / float64(nodeCount),
 	}
 	if len(r.real) == 0 {
 		return
@@ -68,7 +68,7 @@
 		if n.Alive() {
 			f.Alive++
 		}
-		used := process.Cores(after.real[i].CPU-before.real[i].CPU, before.at, after.at)
+		used := process.CoresInUse(after.real[i].CPU-before.real[i].CPU, before.at, after.at)
 		if realCores != nil {
 			used = realCores[i]
 		}
@@ -94,7 +94,7 @@
 	n := float64(r.args.Nodes)
 	h := &report.HollowFigures{
 		Nodes: r.args.Nodes, ReadyMS: stats.Milliseconds(started.Took),
-		CoresNode: process.Cores(after.hollows.CPU-before.hollows.CPU, before.at, after.at) / n,
+		CoresNode: process.CoresInUse(after.hollows.CPU-before.hollows.CPU, before.at, after.at) / n,
 		HeapNode:  float64(started.HeapBytes) / n, HeapAfter: float64(reported.HeapBytes) / n,
 		StackNode: float64(started.StackMem) / n, RSS: after.hollows.RSS,
 		Lateness: reported.Lateness, Latency: reported.Latency, ScheduleKept: load.ScheduleKept(reported.Lateness),
--- a/internal/fleet/runmeasure.go
+++ b/internal/fleet/runmeasure.go
@@ -36,7 +36,7 @@
 	if err := activities.wait(); err != nil {
 		return fmt.Errorf("run: %w", err)
 	}
-	var counted stats.Counted
+	var counted stats.Snapshot
 	if err := r.registry.Call(ctx, "Traffic", struct{}{}, &counted); err != nil {
 		return err
 	}
--- a/internal/fleet/standin/helpers_test.go
+++ b/internal/fleet/standin/helpers_test.go
@@ -104,7 +104,7 @@
 
 // calls returns how many calls the registry has got.
 func (r testRegistry) calls() (n int64) {
-	for _, b := range r.Traffic.Counted().Buckets {
+	for _, b := range r.Traffic.Snapshot().Buckets {
 		n += b.Calls
 	}
 	return n
--- a/internal/fleet/standin/registry.go
+++ b/internal/fleet/standin/registry.go
@@ -146,7 +146,7 @@
 	case err == nil:
 		w.Header().Set("Content-Type", "application/json")
 		n, _ := w.Write(body) // a caller whose connection is broken calls again
-		r.Traffic.Add(stats.Traffic{Lists: int64(n)})
+		r.Traffic.Add(stats.Traffic{ListBytes: int64(n)})
 	case errors.Is(err, errUnresponsive):
 		<-q.Context().Done()
 	case errors.Is(context.Cause(ctx), errBroken):
@@ -184,7 +184,7 @@
 		return nil, err
 	}
 	l.traffic.Add(stats.Traffic{Conns: 1})
-	l.traffic.CountOpen(1)
+	l.traffic.AddOpenConnections(1)
 	return &meteredConn{Conn: c, traffic: l.traffic}, nil
 }
 
@@ -197,17 +197,17 @@
 
 func (c *meteredConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.traffic.Add(stats.Traffic{In: int64(n)})
+	c.traffic.Add(stats.Traffic{BytesIn: int64(n)})
 	return n, err
 }
 
 func (c *meteredConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.traffic.Add(stats.Traffic{Out: int64(n)})
+	c.traffic.Add(stats.Traffic{BytesOut: int64(n)})
 	return n, err
 }
 
 func (c *meteredConn) Close() error {
-	c.closed.Do(func() { c.traffic.CountOpen(-1) })
+	c.closed.Do(func() { c.traffic.AddOpenConnections(-1) })
 	return c.Conn.Close()
 }
--- a/internal/fleet/standin/registry_test.go
+++ b/internal/fleet/standin/registry_test.go
@@ -86,13 +86,13 @@
 			t.Error("a bad call is answered")
 		}
 	}
-	counted := r.Traffic.Counted()
+	counted := r.Traffic.Snapshot()
 	const all = goodCalls + badCalls
 	sum, peak, _ := counted.Between(time.Unix(0, counted.StartNS), time.Now().Add(stats.BucketWidth))
 	if sum.Calls != all || sum.Conns < 1 || peak < 1 || peak > all {
 		t.Errorf("counted %+v, peak %d", sum, peak)
 	}
-	if sum.In < all*50 || sum.Out < all*50 { // bytes of the shortest request and response
+	if sum.BytesIn < all*50 || sum.BytesOut < all*50 { // bytes of the shortest request and response
 		t.Errorf("bytes %+v", sum)
 	}
 }
--- a/internal/fleet/standin/registryhost.go
+++ b/internal/fleet/standin/registryhost.go
@@ -75,7 +75,7 @@
 }
 
 // Traffic returns what was counted since the start.
-func (h *RegistryHost) Traffic(_ struct{}, counted *stats.Counted) error {
-	*counted = h.registry.Traffic.Counted()
+func (h *RegistryHost) Traffic(_ struct{}, counted *stats.Snapshot) error {
+	*counted = h.registry.Traffic.Snapshot()
 	return nil
 }
--- a/internal/fleet/stats/latencies.go
+++ b/internal/fleet/stats/latencies.go
@@ -7,7 +7,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Quantiles are the quantiles of some times, in milliseconds.
+// Quantiles holds the quantiles of a set of times, in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -16,10 +16,10 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// longestLatency is the longest time that a histogram tells apart; longer ones count as this long.
+// longestLatency is the longest time that a histogram records; longer ones are recorded as this one.
 const longestLatency = 2 * time.Minute
 
-// Latencies is an HdrHistogram of times in microseconds, to three digits. Many goroutines may add to it.
+// Latencies is an HdrHistogram of times in microseconds, with three significant digits. It is safe for concurrent use.
 type Latencies struct {
 	mu   sync.Mutex
 	hist *hdrhistogram.Histogram
@@ -30,23 +30,23 @@
 	return &Latencies{hist: hdrhistogram.New(1, longestLatency.Microseconds(), 3)}
 }
 
-// Add adds a time.
+// Add records a time.
 func (l *Latencies) Add(d time.Duration) {
-	us := min(max(d.Microseconds(), 0), longestLatency.Microseconds())
+	microseconds := min(max(d.Microseconds(), 0), longestLatency.Microseconds())
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_ = l.hist.RecordValue(us) // it fails only out of the histogram's range
+	_ = l.hist.RecordValue(microseconds) // fails only outside the histogram's range
 }
 
-// Quantiles returns the quantiles of the times added so far.
+// Quantiles returns the quantiles of the times recorded so far.
 func (l *Latencies) Quantiles() Quantiles {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	at := func(q float64) float64 { return float64(l.hist.ValueAtQuantile(q)) / 1000 }
+	at := func(percent float64) float64 { return float64(l.hist.ValueAtQuantile(percent)) / 1000 }
 	return Quantiles{
 		Count: l.hist.TotalCount(), P50: at(50), P99: at(99), P999: at(99.9), Max: float64(l.hist.Max()) / 1000,
 	}
 }
 
-// Milliseconds returns a time in milliseconds.
+// Milliseconds converts a duration to milliseconds.
 func Milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/fleet/stats/line_test.go
+++ b/internal/fleet/stats/line_test.go
@@ -15,25 +15,25 @@
 			"points on a line",
 			[]float64{10, 100, 300, 1100},
 			[]float64{5 + 2.5, 5 + 25, 5 + 75, 5 + 275},
-			Line{Slope: 0.25, Base: 5, R2: 1},
+			Line{Slope: 0.25, Intercept: 5, R2: 1},
 		},
-		{"level", []float64{1, 2, 3}, []float64{4, 4, 4}, Line{Slope: 0, Base: 4, R2: 1}},
-		{"no trend", []float64{0, 1, 2}, []float64{0, 1, 0}, Line{Slope: 0, Base: 1.0 / 3, R2: 0}},
+		{"horizontal line", []float64{1, 2, 3}, []float64{4, 4, 4}, Line{Slope: 0, Intercept: 4, R2: 1}},
+		{"no trend", []float64{0, 1, 2}, []float64{0, 1, 0}, Line{Slope: 0, Intercept: 1.0 / 3, R2: 0}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			got, err := Fit(test.x, test.y)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if math.Abs(got.Slope-test.want.Slope) > 1e-12 || math.Abs(got.Base-test.want.Base) > 1e-9 ||
+			if math.Abs(got.Slope-test.want.Slope) > 1e-12 || math.Abs(got.Intercept-test.want.Intercept) > 1e-9 ||
 				math.Abs(got.R2-test.want.R2) > 1e-12 {
-				t.Errorf("%+v, want %+v", got, test.want)
+				t.Errorf("Fit() = %+v, want %+v", got, test.want)
 			}
 		})
 	}
 }
 
-func TestFitRefuses(t *testing.T) {
+func TestFitRejectsBadPoints(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		x, y []float64
@@ -44,7 +44,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if line, err := Fit(test.x, test.y); err == nil {
-				t.Errorf("%+v", line)
+				t.Errorf("Fit() = %+v, want an error", line)
 			}
 		})
 	}
--- a/internal/fleet/stats/series_test.go
+++ b/internal/fleet/stats/series_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// Only complete buckets count, and those after the last one that was counted have no traffic.
+// Only complete buckets are summed. Buckets after the last recorded one have no traffic.
 func TestSeriesBetween(t *testing.T) {
 	start := time.Unix(100, 0)
-	counted := Counted{
+	snapshot := Snapshot{
 		StartNS: start.UnixNano(),
-		Buckets: []Traffic{{Calls: 1}, {Calls: 5, In: 7}, {Calls: 2, Out: 9}},
+		Buckets: []Traffic{{Calls: 1}, {Calls: 5, BytesIn: 7}, {Calls: 2, BytesOut: 9}},
 	}
 	at := func(buckets float64) time.Time { return start.Add(time.Duration(buckets * float64(BucketWidth))) }
 	for _, test := range []struct {
@@ -27,12 +27,12 @@
 		{"before the first", -1, 1, 1, 1, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			sum, peak, seconds := counted.Between(at(test.from), at(test.to))
+			sum, peak, seconds := snapshot.Between(at(test.from), at(test.to))
 			if sum.Calls != test.calls || peak != test.peak {
-				t.Errorf("%+v, peak %d", sum, peak)
+				t.Errorf("sum %+v, peak %d, want %d calls, peak %d", sum, peak, test.calls, test.peak)
 			}
 			if want := test.buckets * BucketWidth.Seconds(); math.Abs(seconds-want) > 1e-9 {
-				t.Errorf("%v s, want %v", seconds, want)
+				t.Errorf("the buckets cover %v s, want %v", seconds, want)
 			}
 		})
 	}
--- a/internal/fleet/stats/tally.go
+++ b/internal/fleet/stats/tally.go
@@ -1,6 +1,6 @@
 package stats
 
-// Tally counts calls and their answers.
+// Tally counts calls by outcome.
 type Tally struct {
 	Offered  int64 `json:"offered"`
 	Served   int64 `json:"served"`
@@ -8,7 +8,7 @@
 	Failed   int64 `json:"failed"`
 }
 
-// Answered returns how many calls were answered, in whatever way.
+// Answered returns how many calls were answered, whatever their outcome.
 func (t Tally) Answered() int64 { return t.Served + t.Rejected + t.Failed }
 
 // Plus returns the sum of two tallies.
--- a/internal/fleet/stats/traffic.go
+++ b/internal/fleet/stats/traffic.go
@@ -1,19 +1,19 @@
 package stats
 
-// Traffic is the traffic at a stand-in: new connections, calls, and bytes of TCP payload each way. Lists are the bytes
-// of the lists in it, without the headers of HTTP.
+// Traffic is the traffic at a stand-in: new connections, calls, and bytes of TCP payload in each direction. ListBytes
+// counts the bytes of lists in it, without the HTTP headers.
 type Traffic struct {
-	Conns int64 `json:"conns"`
-	Calls int64 `json:"calls"`
-	In    int64 `json:"bytes_in"`
-	Out   int64 `json:"bytes_out"`
-	Lists int64 `json:"bytes_of_lists"`
+	Conns     int64 `json:"conns"`
+	Calls     int64 `json:"calls"`
+	BytesIn   int64 `json:"bytes_in"`
+	BytesOut  int64 `json:"bytes_out"`
+	ListBytes int64 `json:"bytes_of_lists"`
 }
 
 func (t *Traffic) add(u Traffic) {
 	t.Conns += u.Conns
 	t.Calls += u.Calls
-	t.In += u.In
-	t.Out += u.Out
-	t.Lists += u.Lists
+	t.BytesIn += u.BytesIn
+	t.BytesOut += u.BytesOut
+	t.ListBytes += u.ListBytes
 }
--- a/internal/fleet/storm.go
+++ b/internal/fleet/storm.go
@@ -20,7 +20,7 @@
 func (r *run) storm(ctx context.Context) (*stormTimes, error) {
 	start := time.Now()
 	share := func(s float64) time.Time { return start.Add(time.Duration(s * float64(r.args.For))) }
-	monotime.Sleep(ctx, time.Until(share(plan.StormBegins)))
+	monotime.Sleep(ctx, time.Until(share(plan.StormStart)))
 	s := &stormTimes{}
 	if err := r.phase(ctx, nodes.InStorm); err != nil {
 		return nil, err
@@ -29,7 +29,7 @@
 		return nil, err
 	}
 	r.Log.Info("lost", "what", r.args.Storm)
-	monotime.Sleep(ctx, time.Until(share(plan.StormEnds)))
+	monotime.Sleep(ctx, time.Until(share(plan.StormEnd)))
 	if err := r.restore(ctx, s); err != nil {
 		return nil, err
 	}
@@ -107,10 +107,10 @@
 
 // figures compares the registry's load after the outage with the mean before it.
 func (s *stormTimes) figures(
-	kind string, counted stats.Counted, begin, end time.Time, h *report.HollowFigures,
+	kind string, counted stats.Snapshot, begin, end time.Time, h *report.HollowFigures,
 ) *report.StormFigures {
 	f := &report.StormFigures{Kind: kind, LostSec: s.back.Sub(s.lost).Seconds()}
-	watched := s.back.Add(plan.StormWatch)
+	watched := s.back.Add(plan.StormWatchTime)
 	if watched.After(end) {
 		watched = end
 	}
@@ -119,7 +119,7 @@
 	// The bucket in which the outage ends counts as after it.
 	after, peak, afterSec := counted.Between(s.back.Add(-stats.BucketWidth), watched)
 	f.Before, f.During = float64(before.Calls)/beforeSec, float64(during.Calls)/duringSec
-	f.After, f.AfterSec, f.PeakBytes = float64(after.Calls)/afterSec, afterSec, float64(after.Out)/afterSec
+	f.After, f.AfterSec, f.PeakBytes = float64(after.Calls)/afterSec, afterSec, float64(after.BytesOut)/afterSec
 	f.PeakAfter = float64(peak) / stats.BucketWidth.Seconds()
 	if f.Before > 0 {
 		f.PeakToMean = f.PeakAfter / f.Before
