--- a/internal/fleet/chain.go
+++ b/internal/fleet/chain.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g.Play(ctx, length)
+	g.RunRound(ctx, length)
 	after, err := r.usage()
 	if err != nil {
 		return nil, err
--- a/internal/fleet/growth.go
+++ b/internal/fleet/growth.go
@@ -189,7 +189,7 @@
 		calls.Addresses = append(calls.Addresses, n.Address())
 	}
 	generator := load.NewGenerator(d.client, calls)
-	generator.Play(ctx, d.args.For)
+	generator.RunRound(ctx, d.args.For)
 	return generator.Figures().Tally
 }
 
--- a/internal/fleet/load/arrivals_test.go
+++ b/internal/fleet/load/arrivals_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Arrivals are a Poisson process: their gaps have the mean that the rate gives, and as large a standard deviation.
-func TestArrivalsArePoisson(t *testing.T) {
+// Arrivals are a Poisson process: the standard deviation of the intervals between them equals their mean, 1/rate.
+func TestArrivalsAreAPoissonProcess(t *testing.T) {
 	const count, rate = 100000, 282
 	arrivals := NewArrivals(rate, 7, 1)
 	var last, squares float64
@@ -19,10 +19,10 @@
 	}
 	mean := last / count
 	if math.Abs(mean*rate-1) > 0.02 {
-		t.Errorf("mean %v s, want %v", mean, 1.0/rate)
+		t.Errorf("mean interval %v s, want %v", mean, 1.0/rate)
 	}
 	if deviation := math.Sqrt(squares/count-mean*mean) / mean; math.Abs(deviation-1) > 0.02 {
-		t.Errorf("gaps have a standard deviation of %v means, want 1", deviation)
+		t.Errorf("the standard deviation of the intervals is %v times their mean, want 1", deviation)
 	}
 }
 
@@ -33,37 +33,38 @@
 	for range count {
 		at := arrivals.Next()
 		if at != same.Next() {
-			t.Fatal("the same seed gives other times")
+			t.Fatal("the same seed and stream give different times")
 		}
 		differ = differ || at != other.Next()
 	}
 	if !differ {
-		t.Error("streams do not differ")
+		t.Error("different streams give the same times")
 	}
 }
 
-// What is drawn is sent, each at its time or later, and never waits for an answer. The times are the subject.
-func TestPlaySendsAllThatIsDrawn(t *testing.T) {
+// Run calls send for each arrival, and no earlier than the timers' resolution before its scheduled time. The test needs
+// real time, since it checks times.
+func TestRunSendsAllArrivals(t *testing.T) {
 	t.Parallel()
 	const rate, length = 1000, 200 * time.Millisecond
 	want := 0
-	for drawn := NewArrivals(rate, 3, 0); drawn.Next() < length; {
+	for arrivals := NewArrivals(rate, 3, 0); arrivals.Next() < length; {
 		want++
 	}
 	sent := 0
-	NewArrivals(rate, 3, 0).Play(t.Context(), length, func(drawn time.Time) {
+	NewArrivals(rate, 3, 0).Run(t.Context(), length, func(scheduled time.Time) {
 		sent++
-		if early := time.Until(drawn); early > timerResolution {
-			t.Errorf("sent %v early", early)
+		if early := time.Until(scheduled); early > timerResolution {
+			t.Errorf("sent %v before the scheduled time, want %v at most", early, timerResolution)
 		}
 	})
 	if sent != want || want < 100 {
-		t.Errorf("sent %d of %d", sent, want)
+		t.Errorf("sent %d calls, want %d and at least 100", sent, want)
 	}
 }
 
-func TestPlayEndsWithItsContext(t *testing.T) {
+func TestRunStopsWhenContextEnds(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	NewArrivals(1000, 3, 0).Play(ctx, time.Hour, func(time.Time) { t.Error("sent after the end") })
+	NewArrivals(1000, 3, 0).Run(ctx, time.Hour, func(time.Time) { t.Error("send is called after the context has ended") })
 }
--- a/internal/fleet/load/client.go
+++ b/internal/fleet/load/client.go
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// The class of all calls, and how long a client waits.
+// Parameters of all generated calls.
 const (
-	Class    = "view"
-	Deadline = 3 * time.Second
+	Class    = "view"          // request class
+	Deadline = 3 * time.Second // how long a client waits for a response
 )
 
-// Outcome is how a call ended, as its client sees it.
+// Outcome is the result of a call as seen by its client.
 type Outcome int
 
 // The outcomes of a call.
 const (
 	Served       Outcome = iota
-	Rejected             // a retry is harmless
-	Failed               // it may have run, or was not answered
+	Rejected             // not executed, so it is safe to retry
+	Failed               // it may have been executed, or got no response
 	UnknownClass         // the node does not know the class
 )
 
-// Client makes calls as PROTOCOL has them, one at a time on each connection.
+// Client makes calls in the format that PROTOCOL specifies, one at a time on each connection.
 type Client struct{ http *http.Client }
 
-// NewClient returns a client that has no connection yet.
+// NewClient returns a client. It opens connections on demand.
 func NewClient() *Client {
 	return &Client{&http.Client{Transport: &http.Transport{
 		DisableCompression: true, MaxIdleConnsPerHost: 1000,
@@ -37,10 +37,10 @@
 	}}}
 }
 
-// maxAnswer is how much of an answer's body is read, in bytes.
-const maxAnswer = 64 << 10
+// maxResponseBytes is how many bytes of a response body are read.
+const maxResponseBytes = 64 << 10
 
-// Call makes a call to a node or a server, which has until deadline, and reads the answer to its end.
+// Call makes a call to a node or a server, which must respond by deadline, and reads the complete response.
 func (c *Client) Call(ctx context.Context, address, class, id string, deadline time.Time) (Outcome, error) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
@@ -55,7 +55,7 @@
 		return Failed, fmt.Errorf("call: %w", err)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	switch {
 	case err != nil:
 		return Failed, fmt.Errorf("call: %w", err)
@@ -64,9 +64,9 @@
 	case resp.StatusCode == http.StatusTooManyRequests || resp.StatusCode == http.StatusServiceUnavailable:
 		return Rejected, nil
 	case resp.StatusCode != http.StatusOK:
-		return Failed, fmt.Errorf("call: status %d", resp.StatusCode)
+		return Failed, fmt.Errorf("call: unexpected status %d", resp.StatusCode)
 	case !strings.Contains(string(body), id):
-		return Failed, fmt.Errorf("call: the answer to %s is another's: %q", id, body)
+		return Failed, fmt.Errorf("call: the response to %s does not contain its id: %q", id, body)
 	}
 	return Served, nil
 }
--- a/internal/fleet/load/client_test.go
+++ b/internal/fleet/load/client_test.go
@@ -11,7 +11,8 @@
 	"basaltdrum/internal/testutil"
 )
 
-// startServer starts a server that answers each call with a status and a body, in which ID stands for the call's id.
+// startServer starts a server that responds to each call with a status and a body, in which "ID" is replaced by the
+// call's id.
 func startServer(t *testing.T, status int, body string) (address string) {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -37,8 +38,8 @@
 		want   Outcome
 		fails  bool
 	}{
-		{"its own answer", http.StatusOK, "for ID", Served, false},
-		{"another call's answer", http.StatusOK, "for another", Failed, true},
+		{"its own response", http.StatusOK, "for ID", Served, false},
+		{"the response to another call", http.StatusOK, "for another", Failed, true},
 		{"unknown class", http.StatusNotFound, "", UnknownClass, false},
 		{"rejected by a server", http.StatusTooManyRequests, "", Rejected, false},
 		{"rejected by a node", http.StatusServiceUnavailable, "", Rejected, false},
@@ -48,7 +49,7 @@
 			address := startServer(t, test.status, test.body)
 			got, err := newTestClient(t).Call(t.Context(), address, Class, "id-1", time.Now().Add(testutil.Timeout))
 			if got != test.want || (err != nil) != test.fails {
-				t.Errorf("outcome %d, %v, want %d", got, err, test.want)
+				t.Errorf("Call() = outcome %d, error %v; want outcome %d, error: %v", got, err, test.want, test.fails)
 			}
 		})
 	}
@@ -57,11 +58,11 @@
 func TestCallEndsAtItsDeadline(t *testing.T) {
 	address := startServer(t, http.StatusOK, "for ID")
 	if got, err := newTestClient(t).Call(t.Context(), address, Class, "id-1", time.Now()); got != Failed || err == nil {
-		t.Errorf("outcome %d, %v", got, err)
+		t.Errorf("Call() = outcome %d, error %v; want outcome %d and an error", got, err, Failed)
 	}
 }
 
-// A generator counts every call at every address, and the latency of served ones that come after the warm-up.
+// A generator counts every call at every address, and records the latency of served calls after the warm-up.
 func TestGeneratorCountsCalls(t *testing.T) {
 	t.Parallel()
 	const rounds, length = 2, 100 * time.Millisecond
@@ -75,20 +76,21 @@
 	})
 	var firstRound stats.Tally
 	for i := range rounds {
-		generator.Play(t.Context(), length)
+		generator.RunRound(t.Context(), length)
 		generator.AddCores(3)
 		if i == 0 {
 			firstRound = generator.Figures().Tally
 		}
 	}
-	f := generator.Figures()
-	if f.Served == 0 || f.Rejected == 0 || f.Failed == 0 || f.Answered() != f.Offered || f.Lateness.Count != f.Offered {
-		t.Errorf("figures %+v", f)
+	figures := generator.Figures()
+	if figures.Served == 0 || figures.Rejected == 0 || figures.Failed == 0 ||
+		figures.Answered() != figures.Offered || figures.Lateness.Count != figures.Offered {
+		t.Errorf("figures %+v, want calls of each outcome, all answered and their lateness recorded", figures)
 	}
-	if f.Latency.Count != f.Served-firstRound.Served {
-		t.Errorf("%d latencies, want those of the second round, %d", f.Latency.Count, f.Served-firstRound.Served)
+	if figures.Latency.Count != figures.Served-firstRound.Served {
+		t.Errorf("%d latencies, want those of the second round, %d", figures.Latency.Count, figures.Served-firstRound.Served)
 	}
-	if f.Cores != 3 {
-		t.Errorf("%v cores in the mean, want 3", f.Cores)
+	if figures.Cores != 3 {
+		t.Errorf("mean of %v cores in use, want 3", figures.Cores)
 	}
 }
--- a/internal/fleet/load/generator.go
+++ b/internal/fleet/load/generator.go
@@ -9,36 +9,35 @@
 	"basaltdrum/internal/fleet/stats"
 )
 
-// PathFigures are the figures of calls on one path through a chain: directly from server to server, or through the
+// PathFigures holds the figures of the calls on one path of a chain: directly from server to server, or through the
 // nodes between them.
 type PathFigures struct {
 	stats.Tally
-	// Lateness is of sends, after the times drawn.
+	// Lateness is how long after their scheduled times calls were sent.
 	Lateness stats.Quantiles `json:"late"`
-	// Latency is of served calls, from the time drawn to the answer, without the first second.
+	// Latency is the time from the scheduled time to the response, for served calls scheduled after the warm-up.
 	Latency      stats.Quantiles `json:"latency"`
 	ScheduleKept bool            `json:"schedule_kept"`
-	Cores        float64         `json:"machine_cores"` // processor cores in use over the whole machine meanwhile
+	Cores        float64         `json:"machine_cores"` // mean CPU cores in use on the whole machine meanwhile
 }
 
-// maxSendLateness is how late the 99th percentile of sends may be, in milliseconds, for the schedule to count as
-// kept.
+// maxSendLateness is the largest 99th percentile of the sends' lateness, in milliseconds, with which the schedule
+// counts as kept.
 const maxSendLateness = 1.0
 
-// ScheduleKept says whether calls were sent at the times drawn, by how late the sends were.
+// ScheduleKept reports whether calls were sent close enough to their scheduled times, given their lateness.
 func ScheduleKept(lateness stats.Quantiles) bool { return lateness.P99 <= maxSendLateness }
 
-// Generator makes calls at some addresses, in an open loop at the same rate for each. One round is made
-// at a time.
+// Generator makes open-loop calls to a set of addresses, at the same rate for each. Only one round may run at a time.
 type Generator struct {
 	spec   Spec
 	client *Client
 
-	lateness   *stats.Latencies
-	latency    *stats.Latencies
-	warmUpLeft time.Duration
-	rounds     int
-	cores      float64 // in use over the whole machine, summed over the rounds
+	lateness        *stats.Latencies
+	latency         *stats.Latencies
+	remainingWarmUp time.Duration
+	rounds          int
+	cores           float64 // in use on the whole machine, summed over the rounds
 
 	mu    sync.Mutex
 	tally stats.Tally
@@ -46,66 +45,66 @@
 
 // Spec describes the calls of a Generator.
 type Spec struct {
-	Name      string // starts the ids of the calls
+	Name      string // prefix of the call ids
 	Addresses []string
-	Rate      float64 // calls a second at each address
+	Rate      float64 // calls per second at each address
 	Seed      uint64
-	WarmUp    time.Duration // the latency of calls in it is left out
+	WarmUp    time.Duration // time at the start in which latency is not recorded
 }
 
-// NewGenerator returns a generator of a load. It starts nothing before its first round.
+// NewGenerator returns a generator of the calls that spec describes. It is idle until RunRound is called.
 func NewGenerator(client *Client, spec Spec) *Generator {
 	return &Generator{
-		client: client, spec: spec, warmUpLeft: spec.WarmUp,
+		client: client, spec: spec, remainingWarmUp: spec.WarmUp,
 		lateness: stats.NewLatencies(), latency: stats.NewLatencies(),
 	}
 }
 
-// Play makes one round of calls, and waits for their answers.
-func (g *Generator) Play(ctx context.Context, length time.Duration) {
-	warm := time.Now().Add(g.warmUpLeft)
-	g.warmUpLeft -= min(g.warmUpLeft, length)
+// RunRound makes calls for the given length, and waits for their responses.
+func (g *Generator) RunRound(ctx context.Context, length time.Duration) {
+	warm := time.Now().Add(g.remainingWarmUp)
+	g.remainingWarmUp -= min(g.remainingWarmUp, length)
 	g.rounds++
 	var senders, calls sync.WaitGroup
 	for i := range g.spec.Addresses {
 		senders.Add(1)
 		go func() {
 			defer senders.Done()
-			g.send(ctx, i, length, warm, &calls)
+			g.sendCalls(ctx, i, length, warm, &calls)
 		}()
 	}
 	senders.Wait()
 	calls.Wait()
 }
 
-// send makes one round's calls at the address with an index, and adds each to calls until it is answered.
-func (g *Generator) send(
+// sendCalls makes one round's calls to the address with the given index. Each is counted in calls until it is answered.
+func (g *Generator) sendCalls(
 	ctx context.Context, index int, length time.Duration, warm time.Time, calls *sync.WaitGroup,
 ) {
 	arrivals := NewArrivals(g.spec.Rate, g.spec.Seed, uint64(g.rounds*len(g.spec.Addresses)+index))
 	sent := 0
-	arrivals.Play(ctx, length, func(drawn time.Time) {
-		g.lateness.Add(time.Since(drawn))
+	arrivals.Run(ctx, length, func(scheduled time.Time) {
+		g.lateness.Add(time.Since(scheduled))
 		id := fmt.Sprintf("%s-%d-%d-%d", g.spec.Name, g.rounds, index, sent)
 		sent++
 		calls.Add(1)
 		go func() {
 			defer calls.Done()
-			g.call(ctx, g.spec.Addresses[index], id, drawn, drawn.After(warm))
+			g.call(ctx, g.spec.Addresses[index], id, scheduled, scheduled.After(warm))
 		}()
 	})
 }
 
-// call makes one call, and notes its latency if it is measured.
-func (g *Generator) call(ctx context.Context, address, id string, drawn time.Time, measured bool) {
-	got, _ := g.client.Call(ctx, address, Class, id, drawn.Add(Deadline)) // the outcome says all that counts
-	if got == Served && measured {
-		g.latency.Add(time.Since(drawn))
+// call makes one call and counts its outcome. It records the latency of a served call if measured is set.
+func (g *Generator) call(ctx context.Context, address, id string, scheduled time.Time, measured bool) {
+	outcome, _ := g.client.Call(ctx, address, Class, id, scheduled.Add(Deadline)) // only the outcome is counted
+	if outcome == Served && measured {
+		g.latency.Add(time.Since(scheduled))
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.tally.Offered++
-	switch got {
+	switch outcome {
 	case Served:
 		g.tally.Served++
 	case Rejected:
@@ -115,10 +114,10 @@
 	}
 }
 
-// AddCores notes how many cores of the machine were in use during the last round.
+// AddCores records how many cores of the machine were in use during the last round.
 func (g *Generator) AddCores(used float64) { g.cores += used }
 
-// Figures returns what the calls of all rounds showed.
+// Figures returns the figures of the calls of all rounds.
 func (g *Generator) Figures() PathFigures {
 	lateness := g.lateness.Quantiles()
 	return PathFigures{
--- a/internal/fleet/nodes/hollows.go
+++ b/internal/fleet/nodes/hollows.go
@@ -179,7 +179,7 @@
 func (h *Hollows) send(calls HollowLoad, stream uint64) {
 	draws := rand.New(rand.NewPCG(calls.Seed, loadGoroutines+stream))
 	rate := calls.Rate * float64(len(h.nodes)) / loadGoroutines
-	load.NewArrivals(rate, calls.Seed, stream).Play(context.Background(), calls.For, func(drawn time.Time) {
+	load.NewArrivals(rate, calls.Seed, stream).Run(context.Background(), calls.For, func(drawn time.Time) {
 		h.call(h.nodes[draws.IntN(len(h.nodes))], drawn)
 	})
 }
--- a/internal/fleet/runchanges.go
+++ b/internal/fleet/runchanges.go
@@ -12,7 +12,7 @@
 
 // change makes a new version of a list and notes it.
 func (r *run) change(ctx context.Context, l *standin.Rotation, targets []standin.ListEntry, group string) error {
-	var changed standin.Changed
+	var changed standin.ChangeResult
 	spec := standin.ChangeSpec{Service: l.Service, Entries: targets}
 	if err := r.registry.Call(ctx, "Change", spec, &changed); err != nil {
 		return err
--- a/internal/fleet/standin/list.go
+++ b/internal/fleet/standin/list.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// maxChanges is how many changes a list keeps. Who holds a version that is older gets the complete list.
+// maxChanges is how many changes a list keeps. A caller with an older version gets the complete list.
 const maxChanges = 4096
 
-// noVersion stands for the version of a list where its caller holds none.
+// noVersion is the version of a caller that has no list yet.
 const noVersion = -1
 
-// ListEntry is an entry of an endpoint list, as PROTOCOL has it.
+// ListEntry is an entry of an endpoint list, in the format that PROTOCOL specifies.
 type ListEntry struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -32,115 +32,118 @@
 const (
 	InService   = "in_service"
 	Terminating = "terminating"
-	Terminated  = "terminated" // only among changes
+	Terminated  = "terminated" // only in changes, never in complete lists
 )
 
-// listBody is the body of an answer to a call for a list.
+// listBody is the body of a response to a call for a list.
 type listBody struct {
 	Rev     int64       `json:"rev"`
 	All     bool        `json:"all"`
 	Entries []ListEntry `json:"targets"`
 }
 
-// list is the endpoint list of one service, with its latest changes.
+// list is the endpoint list of one service, with its most recent changes.
 type list struct {
-	mu      sync.Mutex
-	rev     int64
-	uids    []string // in the order in which they were first listed
-	entries map[string]ListEntry
-	changes []change // the oldest first; the last few
-	newer   chan struct{}
-	answers map[int64][]byte // of the present version, by the version that a caller holds
+	mu         sync.Mutex
+	rev        int64
+	uids       []string // in the order in which they were first listed
+	entries    map[string]ListEntry
+	changes    []listChange     // the most recent ones, the oldest first
+	nextChange chan struct{}    // closed by the next change
+	responses  map[int64][]byte // cached responses with the current version, by the version of the caller
 }
 
-// change is one changed entry of a version.
-type change struct {
+// listChange is one changed entry of a version.
+type listChange struct {
 	rev   int64
 	entry ListEntry
 }
 
-func newList(targets []ListEntry) *list {
-	l := &list{rev: 1, entries: map[string]ListEntry{}, newer: make(chan struct{}), answers: map[int64][]byte{}}
-	for _, t := range targets {
-		l.uids = append(l.uids, t.UID)
-		l.entries[t.UID] = t
+func newList(entries []ListEntry) *list {
+	l := &list{rev: 1, entries: map[string]ListEntry{}, nextChange: make(chan struct{}), responses: map[int64][]byte{}}
+	for _, entry := range entries {
+		l.uids = append(l.uids, entry.UID)
+		l.entries[entry.UID] = entry
 	}
 	return l
 }
 
-// change makes a new version in which some entries are changed, and answers the open watches.
-func (l *list) change(targets []ListEntry) int64 {
+// change makes a new version in which some entries are changed, and wakes the open watches.
+func (l *list) change(entries []ListEntry) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.rev++
-	for _, t := range targets {
-		if _, listed := l.entries[t.UID]; t.State == Terminated {
-			delete(l.entries, t.UID)
+	for _, entry := range entries {
+		if _, listed := l.entries[entry.UID]; entry.State == Terminated {
+			delete(l.entries, entry.UID)
 		} else {
 			if !listed {
-				l.addUID(t.UID)
+				l.addUID(entry.UID)
 			}
-			l.entries[t.UID] = t
+			l.entries[entry.UID] = entry
 		}
-		l.changes = append(l.changes, change{l.rev, t})
+		l.changes = append(l.changes, listChange{l.rev, entry})
 	}
 	if extra := len(l.changes) - maxChanges; extra > 0 {
-		l.changes = l.changes[extra:] // append drops them once it needs more memory
+		l.changes = l.changes[extra:] // their memory is released when append next reallocates
 	}
-	clear(l.answers)
-	close(l.newer)
-	l.newer = make(chan struct{})
+	clear(l.responses)
+	close(l.nextChange)
+	l.nextChange = make(chan struct{})
 	return l.rev
 }
 
-// addUID appends a uid, unless it was listed before and so has its place.
+// addUID appends a uid, unless it was listed before and so already has a position.
 func (l *list) addUID(uid string) {
 	if !slices.Contains(l.uids, uid) {
 		l.uids = append(l.uids, uid)
 	}
 }
 
-// answerFor returns the answer to who holds a version, or noVersion: what is newer, and whether anything is. newer
-// is closed by the next change.
-func (l *list) answerFor(from int64) (body []byte, changed bool, newer <-chan struct{}, err error) {
+// responseFor returns the response to a caller that has version from, or noVersion: its body with the changes since
+// then, and whether there are any. nextChange is closed by the next change.
+func (l *list) responseFor(from int64) (body []byte, changed bool, nextChange <-chan struct{}, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	body, ok := l.answers[from]
+	body, ok := l.responses[from]
 	if !ok {
-		if body, err = json.Marshal(l.since(from)); err != nil {
+		if body, err = json.Marshal(l.changesSince(from)); err != nil {
 			return nil, false, nil, fmt.Errorf("list: %w", err)
 		}
-		l.answers[from] = body
+		l.responses[from] = body
 	}
-	return body, from != l.rev, l.newer, nil
+	return body, from != l.rev, l.nextChange, nil
 }
 
-// errUnresponsive says that a call is never answered.
+// errUnresponsive means that a call must not be answered.
 var errUnresponsive = errors.New("the registry is unresponsive")
 
-// wait returns the answer to a watch from a version, or to a call for the complete list (from noVersion). Where
-// nothing is newer it comes after the hold. It fails once down is closed, or ctx ends.
-func (l *list) wait(ctx context.Context, from int64, hold time.Duration, down <-chan struct{}) ([]byte, error) {
-	over := time.NewTimer(hold)
-	defer over.Stop()
-	for waited := hold == 0; ; {
-		body, changed, newer, err := l.answerFor(from)
+// awaitChange returns the response to a watch from a version, or to a call for the complete list (from noVersion). If
+// there are no changes since that version, it waits for one until hold has passed. It returns an error if outage is
+// closed or ctx ends.
+func (l *list) awaitChange(
+	ctx context.Context, from int64, hold time.Duration, outage <-chan struct{},
+) ([]byte, error) {
+	timer := time.NewTimer(hold)
+	defer timer.Stop()
+	for holdOver := hold == 0; ; {
+		body, changed, nextChange, err := l.responseFor(from)
 		if err != nil {
 			return nil, err
 		}
-		if changed || waited {
+		if changed || holdOver {
 			select {
-			case <-down:
+			case <-outage:
 				return nil, errUnresponsive
 			default:
 				return body, nil
 			}
 		}
 		select {
-		case <-newer:
-		case <-over.C:
-			waited = true
-		case <-down:
+		case <-nextChange:
+		case <-timer.C:
+			holdOver = true
+		case <-outage:
 			return nil, errUnresponsive
 		case <-ctx.Done():
 			return nil, ctx.Err()
@@ -148,33 +151,33 @@
 	}
 }
 
-// since returns what changed after a version, each entry once and as it is now. Where the changes are no longer
-// kept, it returns the complete list.
-func (l *list) since(from int64) listBody {
+// changesSince returns the entries that changed after a version, each once and in its current state. If the changes are
+// no longer kept, it returns the complete list.
+func (l *list) changesSince(from int64) listBody {
 	if from == l.rev {
 		return listBody{Rev: l.rev, Entries: []ListEntry{}}
 	}
 	known := from >= 1 && from < l.rev && len(l.changes) > 0 && l.changes[0].rev <= from+1
 	if !known {
-		return l.complete()
+		return l.completeList()
 	}
 	update := listBody{Rev: l.rev, Entries: []ListEntry{}}
 	seen := map[string]bool{}
 	for i := len(l.changes) - 1; i >= 0 && l.changes[i].rev > from; i-- {
-		if t := l.changes[i].entry; !seen[t.UID] {
-			seen[t.UID] = true
-			update.Entries = append(update.Entries, t)
+		if entry := l.changes[i].entry; !seen[entry.UID] {
+			seen[entry.UID] = true
+			update.Entries = append(update.Entries, entry)
 		}
 	}
 	return update
 }
 
-// complete returns the complete list.
-func (l *list) complete() listBody {
+// completeList returns all current entries.
+func (l *list) completeList() listBody {
 	all := listBody{Rev: l.rev, All: true, Entries: []ListEntry{}}
 	for _, uid := range l.uids {
-		if t, ok := l.entries[uid]; ok {
-			all.Entries = append(all.Entries, t)
+		if entry, ok := l.entries[uid]; ok {
+			all.Entries = append(all.Entries, entry)
 		}
 	}
 	return all
--- a/internal/fleet/standin/listedservers_test.go
+++ b/internal/fleet/standin/listedservers_test.go
@@ -10,7 +10,7 @@
 	"basaltdrum/internal/testutil"
 )
 
-// startListedServers starts servers that the test ends.
+// startListedServers starts servers that are closed at the end of the test.
 func startListedServers(t *testing.T, count int) (servers *ListedServers, endpoints []string) {
 	t.Helper()
 	servers = &ListedServers{}
@@ -32,7 +32,7 @@
 	t.Helper()
 	got, err := client.Call(t.Context(), endpoint, load.Class, id, time.Now().Add(testutil.Timeout))
 	if got != load.Served {
-		t.Fatalf("call %s: %v, %v", id, got, err)
+		t.Fatalf("call %s: outcome %v, error %v, want outcome %v", id, got, err, load.Served)
 	}
 }
 
@@ -46,11 +46,11 @@
 	}
 	var accepted int64
 	if err := servers.Accepted(struct{}{}, &accepted); err != nil || accepted != 2 {
-		t.Errorf("%v: %d connections accepted, want 2", err, accepted)
+		t.Errorf("%d connections accepted, error %v, want 2", accepted, err)
 	}
 }
 
-// A server that has ended accepts no connection, and may be ended again with others.
+// A closed server accepts no connection, and may be closed again together with others.
 func TestListedServersClose(t *testing.T) {
 	servers, endpoints := startListedServers(t, 2)
 	client := load.NewClient()
@@ -61,25 +61,25 @@
 	}
 	if conn, err := net.Dial("tcp", endpoints[0]); err == nil {
 		conn.Close()
-		t.Error("a server that has ended accepts")
+		t.Error("a closed server accepts a connection")
 	}
 	if err := servers.Close([]int{0, 1}, nil); err != nil {
-		t.Error(err)
+		t.Errorf("closing a closed server and an open one: %v", err)
 	}
 }
 
-func TestListedServersRefuse(t *testing.T) {
+func TestListedServersRejectBadCalls(t *testing.T) {
 	servers, endpoints := startListedServers(t, 2)
 	for _, test := range []struct {
 		name string
 		err  error
 	}{
-		{"a server past the last", servers.Close([]int{2}, nil)},
-		{"a server before the first", servers.Close([]int{-1}, nil)},
+		{"closing a server past the last", servers.Close([]int{2}, nil)},
+		{"closing a server before the first", servers.Close([]int{-1}, nil)},
 		{"a second start", servers.Start(ListedServersSpec{Count: 1}, &endpoints)},
 	} {
 		if test.err == nil {
-			t.Errorf("%s: no error", test.name)
+			t.Errorf("%s succeeded, want an error", test.name)
 		}
 	}
 }
--- a/internal/fleet/standin/registry.go
+++ b/internal/fleet/standin/registry.go
@@ -13,33 +13,33 @@
 	"basaltdrum/internal/fleet/stats"
 )
 
-// maxHold is the longest wait of a watch.
+// maxHold is how long a watch waits for a change at most.
 const maxHold = time.Minute
 
-// Registry is a stand-in for discovery: it serves the lists of some services, each at addresses of its own. An
-// address stands for the registry itself where lists are polled, and for one node's agent where they are pushed.
-// The agents read changes in memory and at once, and have no answer while the registry is unresponsive.
+// Registry is a stand-in for discovery: it serves the lists of a set of services, each at its own addresses. An address
+// is that of the registry itself if lists are polled, and that of one node's agent if they are pushed. The agents see
+// changes in memory and immediately, and don't respond while the registry is unresponsive.
 type Registry struct {
 	Traffic *stats.Series
 	lists   []*list
 
-	mu           sync.Mutex
-	down         chan struct{} // closed while the registry is unresponsive
-	unresponsive bool
-	broken       chan struct{} // closed, and replaced, when the open watches are broken
-	servers      []*http.Server
+	mu            sync.Mutex
+	outage        chan struct{} // closed while the registry is unresponsive, replaced when it is responsive again
+	unresponsive  bool
+	watchesBroken chan struct{} // closed and replaced by BreakWatches
+	servers       []*http.Server
 }
 
-// NewRegistry holds a list for each service.
+// NewRegistry returns a registry with a list for each service.
 func NewRegistry(services [][]ListEntry) *Registry {
-	r := &Registry{Traffic: stats.NewSeries(), down: make(chan struct{}), broken: make(chan struct{})}
-	for _, targets := range services {
-		r.lists = append(r.lists, newList(targets))
+	r := &Registry{Traffic: stats.NewSeries(), outage: make(chan struct{}), watchesBroken: make(chan struct{})}
+	for _, entries := range services {
+		r.lists = append(r.lists, newList(entries))
 	}
 	return r
 }
 
-// Listen opens an address where the list of a service is served. It stays open until Close.
+// Listen opens and returns an address at which the list of a service is served. It stays open until Close.
 func (r *Registry) Listen(service int) (string, error) {
 	if service < 0 || service >= len(r.lists) {
 		return "", fmt.Errorf("registry: no service %d", service)
@@ -50,73 +50,73 @@
 	}
 	l := r.lists[service]
 	s := &http.Server{
-		Handler:           http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) { r.serveList(w, q, l) }),
+		Handler:           http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) { r.serveList(w, req, l) }),
 		ReadHeaderTimeout: 10 * time.Second,
 	}
 	r.mu.Lock()
 	r.servers = append(r.servers, s)
 	r.mu.Unlock()
-	go func() { _ = s.Serve(&meteredListener{ln, r.Traffic}) }() // it returns when Close ends the server
+	go func() { _ = s.Serve(&meteredListener{ln, r.Traffic}) }() // returns when Close closes the server
 	return ln.Addr().String(), nil
 }
 
-// Change makes one new version of a service's list.
-func (r *Registry) Change(service int, targets []ListEntry) (int64, error) {
+// Change makes a new version of a service's list in which the given entries are changed, and returns the version.
+func (r *Registry) Change(service int, entries []ListEntry) (int64, error) {
 	if service < 0 || service >= len(r.lists) {
 		return 0, fmt.Errorf("registry: no service %d", service)
 	}
-	return r.lists[service].change(targets), nil
+	return r.lists[service].change(entries), nil
 }
 
-// Silence begins or ends an outage in which the registry accepts calls and answers none, including those that wait
-// already. A call that comes during the outage is not answered after it either.
-func (r *Registry) Silence(on bool) {
+// SetUnresponsive starts or ends an outage in which the registry accepts calls but does not respond to any, including
+// calls that are already waiting. Calls received during the outage get no response after it either.
+func (r *Registry) SetUnresponsive(on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
 	case on && !r.unresponsive:
-		close(r.down)
+		close(r.outage)
 	case !on && r.unresponsive:
-		r.down = make(chan struct{})
+		r.outage = make(chan struct{})
 	}
 	r.unresponsive = on
 }
 
-// unresponsiveSignal returns a channel that is closed once a call that comes now can't be answered any more.
-func (r *Registry) unresponsiveSignal() <-chan struct{} {
+// outageSignal returns a channel that is closed once a call received now must not be answered any more.
+func (r *Registry) outageSignal() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.down
+	return r.outage
 }
 
-// errBroken says that the connection of a watch is to be closed without an answer.
-var errBroken = errors.New("the watch is broken")
+// errWatchBroken is the cause of the end of a watch whose connection must be closed without a response.
+var errWatchBroken = errors.New("the watch is broken")
 
-// BreakWatches closes the connections of all open watches without an answer.
+// BreakWatches closes the connections of all open watches without a response.
 func (r *Registry) BreakWatches() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	close(r.broken)
-	r.broken = make(chan struct{})
+	close(r.watchesBroken)
+	r.watchesBroken = make(chan struct{})
 }
 
-// watchContext returns a context that ends with its parent, or with errBroken when the open watches are broken.
+// watchContext returns a context that ends with its parent, or with the cause errWatchBroken on BreakWatches.
 func (r *Registry) watchContext(parent context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
 	r.mu.Lock()
-	broken := r.broken
+	broken := r.watchesBroken
 	r.mu.Unlock()
 	go func() {
 		select {
 		case <-broken:
-			cancel(errBroken)
+			cancel(errWatchBroken)
 		case <-ctx.Done():
 		}
 	}()
 	return ctx, func() { cancel(nil) }
 }
 
-// Close ends all addresses.
+// Close closes all addresses and their connections.
 func (r *Registry) Close() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -127,49 +127,49 @@
 	return errors.Join(errs...)
 }
 
-// serveList answers one call for a list.
-func (r *Registry) serveList(w http.ResponseWriter, q *http.Request, l *list) {
+// serveList handles one call for a list.
+func (r *Registry) serveList(w http.ResponseWriter, req *http.Request, l *list) {
 	r.Traffic.Add(stats.Traffic{Calls: 1})
-	if q.Method != http.MethodGet || q.URL.Path != "/registry/instances" {
-		http.NotFound(w, q)
+	if req.Method != http.MethodGet || req.URL.Path != "/registry/instances" {
+		http.NotFound(w, req)
 		return
 	}
-	from, hold, err := watchOf(q)
+	from, hold, err := parseWatchParameters(req)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	ctx, cancel := r.watchContext(q.Context())
+	ctx, cancel := r.watchContext(req.Context())
 	defer cancel()
-	body, err := l.wait(ctx, from, hold, r.unresponsiveSignal())
+	body, err := l.awaitChange(ctx, from, hold, r.outageSignal())
 	switch {
 	case err == nil:
 		w.Header().Set("Content-Type", "application/json")
-		n, _ := w.Write(body) // a caller whose connection is broken calls again
+		n, _ := w.Write(body) // if the connection is broken, the caller calls again
 		r.Traffic.Add(stats.Traffic{ListBytes: int64(n)})
 	case errors.Is(err, errUnresponsive):
-		<-q.Context().Done()
-	case errors.Is(context.Cause(ctx), errBroken):
+		<-req.Context().Done()
+	case errors.Is(context.Cause(ctx), errWatchBroken):
 		panic(http.ErrAbortHandler) // closes the connection
-	case q.Context().Err() == nil:
+	case req.Context().Err() == nil:
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 	}
 }
 
-// watchOf reads the parameters of a watch: the version that the caller holds, and how long it waits. A call without
-// both is for the complete list.
-func watchOf(q *http.Request) (from int64, hold time.Duration, err error) {
-	if q.URL.RawQuery == "" {
+// parseWatchParameters parses the parameters of a watch: the caller's version, and how long it waits for a change. A
+// call without parameters requests the complete list.
+func parseWatchParameters(req *http.Request) (from int64, hold time.Duration, err error) {
+	if req.URL.RawQuery == "" {
 		return noVersion, 0, nil
 	}
-	if from, err = strconv.ParseInt(q.URL.Query().Get("from"), 10, 64); err != nil {
+	if from, err = strconv.ParseInt(req.URL.Query().Get("from"), 10, 64); err != nil {
 		return 0, 0, fmt.Errorf("from: %w", err)
 	}
-	ms, err := strconv.ParseInt(q.URL.Query().Get("hold_ms"), 10, 64)
+	holdMS, err := strconv.ParseInt(req.URL.Query().Get("hold_ms"), 10, 64)
 	if err != nil {
 		return 0, 0, fmt.Errorf("hold_ms: %w", err)
 	}
-	return from, min(max(time.Duration(ms)*time.Millisecond, 0), maxHold), nil
+	return from, min(max(time.Duration(holdMS)*time.Millisecond, 0), maxHold), nil
 }
 
 // meteredListener counts the traffic of its connections.
--- a/internal/fleet/standin/registry_test.go
+++ b/internal/fleet/standin/registry_test.go
@@ -9,147 +9,149 @@
 	"basaltdrum/internal/testutil"
 )
 
-// A call without a version gets the complete list, in service or not, without what was removed.
+// A call without a version gets the complete list: entries in any state, but none that was removed.
 func TestCompleteList(t *testing.T) {
-	entries := testEntries(3)
+	entries := newTestEntries(3)
 	r := newTestRegistry(t, entries)
-	body := r.get(t, "")
+	body := r.mustGet(t, "")
 	if body.Rev != 1 || !body.All || len(body.Entries) != 3 || body.Entries[0].State != InService {
-		t.Errorf("at first: %+v", body)
+		t.Errorf("first list %+v, want version 1, complete, with 3 entries in service", body)
 	}
-	r.change(t, inState(entries[1], Terminating))
-	r.change(t, inState(entries[1], Terminated))
-	if body := r.get(t, ""); body.Rev != 3 || len(body.Entries) != 2 {
-		t.Errorf("after a removal: %+v", body)
+	r.mustChange(t, withState(entries[1], Terminating))
+	r.mustChange(t, withState(entries[1], Terminated))
+	if body := r.mustGet(t, ""); body.Rev != 3 || len(body.Entries) != 2 {
+		t.Errorf("list after a removal %+v, want version 3 with 2 entries", body)
 	}
 }
 
-// A watch gets each entry that has changed since its version once, as it is now.
-func TestWatchGetsWhatHasChanged(t *testing.T) {
-	entries := testEntries(3)
+// A watch receives each entry that changed since its version once, in its current state.
+func TestWatchReceivesChanges(t *testing.T) {
+	entries := newTestEntries(3)
 	r := newTestRegistry(t, entries)
-	if body := r.get(t, "?from=1&hold_ms=1"); body.Rev != 1 || body.All || len(body.Entries) != 0 {
-		t.Errorf("nothing changes during the hold: %+v", body)
+	if body := r.mustGet(t, "?from=1&hold_ms=1"); body.Rev != 1 || body.All || len(body.Entries) != 0 {
+		t.Errorf("response without a change %+v, want version 1 and no entries", body)
 	}
-	r.change(t, inState(entries[1], Terminating))
-	r.change(t, inState(entries[1], Terminated))
-	body := r.get(t, "?from=1&hold_ms=60000")
+	r.mustChange(t, withState(entries[1], Terminating))
+	r.mustChange(t, withState(entries[1], Terminated))
+	body := r.mustGet(t, "?from=1&hold_ms=60000")
 	if body.Rev != 3 || body.All || len(body.Entries) != 1 || body.Entries[0].State != Terminated {
-		t.Errorf("two changes of one entry: %+v", body)
+		t.Errorf("response after two changes of one entry %+v, want version 3 and the terminated entry", body)
 	}
-	if body := r.get(t, "?from=2&hold_ms=60000"); body.Rev != 3 || len(body.Entries) != 1 {
-		t.Errorf("the last change: %+v", body)
+	if body := r.mustGet(t, "?from=2&hold_ms=60000"); body.Rev != 3 || len(body.Entries) != 1 {
+		t.Errorf("response with the last change %+v, want version 3 and one entry", body)
 	}
 }
 
-// Where the changes since a version are not known, the watch gets the complete list at once.
-func TestWatchFromAnUnknownVersion(t *testing.T) {
-	entries := testEntries(3)
+// If the changes since a version are not known, the watch receives the complete list immediately.
+func TestWatchFromUnknownVersion(t *testing.T) {
+	entries := newTestEntries(3)
 	r := newTestRegistry(t, entries)
-	r.change(t, inState(entries[1], Terminating))
-	r.change(t, inState(entries[1], Terminated))
-	if body := r.get(t, "?from=77&hold_ms=60000"); body.Rev != 3 || !body.All {
-		t.Errorf("a version that never was: %+v", body)
+	r.mustChange(t, withState(entries[1], Terminating))
+	r.mustChange(t, withState(entries[1], Terminated))
+	if body := r.mustGet(t, "?from=77&hold_ms=60000"); body.Rev != 3 || !body.All {
+		t.Errorf("response to a version that never existed %+v, want the complete list of version 3", body)
 	}
 	for range maxChanges {
-		r.change(t, entries[0])
+		r.mustChange(t, entries[0])
 	}
-	if body := r.get(t, "?from=1&hold_ms=60000"); !body.All || len(body.Entries) != 2 {
-		t.Errorf("a version whose changes are dropped: all %v, %d entries", body.All, len(body.Entries))
+	if body := r.mustGet(t, "?from=1&hold_ms=60000"); !body.All || len(body.Entries) != 2 {
+		t.Errorf("response to a version whose changes are dropped: complete %v, %d entries; want a complete list of 2",
+			body.All, len(body.Entries))
 	}
 }
 
 func TestBadWatchParameters(t *testing.T) {
-	r := newTestRegistry(t, testEntries(1))
+	r := newTestRegistry(t, newTestEntries(1))
 	for _, test := range []struct{ name, query string }{
-		{"version is no number", "?from=x&hold_ms=1"},
-		{"no hold", "?from=1"},
-		{"hold is no number", "?from=1&hold_ms=x"},
+		{"version is not a number", "?from=x&hold_ms=1"},
+		{"no hold time", "?from=1"},
+		{"hold time is not a number", "?from=1&hold_ms=x"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if body, err := r.tryGet(t.Context(), test.query); err == nil {
-				t.Errorf("%+v", body)
+			if body, err := r.get(t.Context(), test.query); err == nil {
+				t.Errorf("response %+v to %q, want an error", body, test.query)
 			}
 		})
 	}
 }
 
-// All calls are counted, those that get an error too, with their bytes both ways.
+// All calls are counted, including those that get an error, with their bytes in both directions.
 func TestRegistryCountsTraffic(t *testing.T) {
 	const goodCalls, badCalls = 7, 3
-	r := newTestRegistry(t, testEntries(3))
+	r := newTestRegistry(t, newTestEntries(3))
 	for range goodCalls {
-		r.get(t, "")
+		r.mustGet(t, "")
 	}
 	for range badCalls {
-		if _, err := r.tryGet(t.Context(), "?from=x"); err == nil {
-			t.Error("a bad call is answered")
+		if _, err := r.get(t.Context(), "?from=x"); err == nil {
+			t.Error("a call with a bad version succeeded, want an error")
 		}
 	}
-	counted := r.Traffic.Snapshot()
-	const all = goodCalls + badCalls
-	sum, peak, _ := counted.Between(time.Unix(0, counted.StartNS), time.Now().Add(stats.BucketWidth))
-	if sum.Calls != all || sum.Conns < 1 || peak < 1 || peak > all {
-		t.Errorf("counted %+v, peak %d", sum, peak)
+	snapshot := r.Traffic.Snapshot()
+	const totalCalls = goodCalls + badCalls
+	sum, peak, _ := snapshot.Between(time.Unix(0, snapshot.StartNS), time.Now().Add(stats.BucketWidth))
+	if sum.Calls != totalCalls || sum.Conns < 1 || peak < 1 || peak > totalCalls {
+		t.Errorf("counted %+v, peak %d; want %d calls, at least 1 connection, a peak of 1 to %d calls",
+			sum, peak, totalCalls, totalCalls)
 	}
-	if sum.BytesIn < all*50 || sum.BytesOut < all*50 { // bytes of the shortest request and response
-		t.Errorf("bytes %+v", sum)
+	if sum.BytesIn < totalCalls*50 || sum.BytesOut < totalCalls*50 { // bytes of the shortest request and response
+		t.Errorf("counted %+v, want at least 50 bytes per call in each direction", sum)
 	}
 }
 
-func TestWatchIsAnsweredByAChange(t *testing.T) {
-	entries := testEntries(2)
+func TestChangeAnswersOpenWatch(t *testing.T) {
+	entries := newTestEntries(2)
 	r := newTestRegistry(t, entries)
 	watch := r.watch(t.Context(), t, "?from=1&hold_ms=60000")
-	r.change(t, entries[1])
-	got := testutil.Wait(t, watch, "the answer to the watch")
+	r.mustChange(t, entries[1])
+	got := testutil.Wait(t, watch, "the response to the watch")
 	if got.err != nil || got.body.Rev != 2 || len(got.body.Entries) != 1 {
-		t.Errorf("%v: %+v", got.err, got.body)
+		t.Errorf("response %+v, error %v, want version 2 and one entry", got.body, got.err)
 	}
 }
 
-// lostCallTime is how long it is watched that a call gets no answer. Time is the subject: there is no event to wait
-// for, and an answer that comes later is found when the call is cancelled.
-const lostCallTime = 100 * time.Millisecond
+// noResponseTime is how long the test checks that a call gets no response. It needs real time, since there is no event
+// to wait for; a later response is detected when the call is cancelled.
+const noResponseTime = 100 * time.Millisecond
 
-// A registry that is silent accepts calls and answers none: neither those that waited when the outage began, nor those
-// that come during it, even after its end. A call that comes after the outage is answered.
-func TestSilence(t *testing.T) {
-	entries := testEntries(2)
+// An unresponsive registry accepts calls but answers neither those that waited when the outage started nor those that
+// arrive during it, even after the outage. A call that arrives after the outage is answered.
+func TestUnresponsiveRegistry(t *testing.T) {
+	entries := newTestEntries(2)
 	r := newTestRegistry(t, entries)
 	ctx, cancel := context.WithCancel(t.Context())
 	before := r.watch(ctx, t, "?from=1&hold_ms=50")
-	r.Silence(true)
+	r.SetUnresponsive(true)
 	during := r.watch(ctx, t, "")
-	r.change(t, entries[0])
-	r.Silence(false)
-	r.change(t, entries[0])
-	if body := r.get(t, "?from=1&hold_ms=60000"); body.Rev != 3 {
-		t.Errorf("after the outage: %+v", body)
+	r.mustChange(t, entries[0])
+	r.SetUnresponsive(false)
+	r.mustChange(t, entries[0])
+	if body := r.mustGet(t, "?from=1&hold_ms=60000"); body.Rev != 3 {
+		t.Errorf("response after the outage %+v, want version 3", body)
 	}
 	select {
 	case result := <-before:
-		t.Errorf("the call from before the outage ended: %+v", result)
+		t.Errorf("the call from before the outage ended with %+v, want no response", result)
 	case result := <-during:
-		t.Errorf("the call from the outage ended: %+v", result)
-	case <-time.After(lostCallTime):
+		t.Errorf("the call from during the outage ended with %+v, want no response", result)
+	case <-time.After(noResponseTime):
 	}
 	cancel()
-	for _, lost := range []<-chan watchResult{before, during} {
-		if result := testutil.Wait(t, lost, "the end of a lost call"); result.err == nil {
-			t.Errorf("a lost call was answered: %+v", result.body)
+	for _, unanswered := range []<-chan watchResult{before, during} {
+		if result := testutil.Wait(t, unanswered, "the end of a cancelled call"); result.err == nil {
+			t.Errorf("a call that must get no response got %+v", result.body)
 		}
 	}
 }
 
-// A broken watch ends without an answer; the next one is answered.
+// A broken watch ends without a response; the next one is answered.
 func TestBreakWatches(t *testing.T) {
-	entries := testEntries(2)
+	entries := newTestEntries(2)
 	r := newTestRegistry(t, entries)
 	watch := r.watch(t.Context(), t, "?from=1&hold_ms=60000")
 	var result watchResult
 	testutil.Until(t, "the end of the watch", func() bool {
-		r.BreakWatches() // the call is counted just before its watch is open, so the first may break none
+		r.BreakWatches() // the call is counted just before its watch opens, so the first one may break none
 		select {
 		case result = <-watch:
 			return true
@@ -158,10 +160,10 @@
 		}
 	})
 	if result.err == nil {
-		t.Errorf("a broken watch was answered: %+v", result.body)
+		t.Errorf("a broken watch got the response %+v, want an error", result.body)
 	}
-	r.change(t, entries[0])
-	if body := r.get(t, "?from=1&hold_ms=60000"); body.Rev != 2 || len(body.Entries) != 1 {
-		t.Errorf("after the break: %+v", body)
+	r.mustChange(t, entries[0])
+	if body := r.mustGet(t, "?from=1&hold_ms=60000"); body.Rev != 2 || len(body.Entries) != 1 {
+		t.Errorf("response to the next watch %+v, want version 2 and one entry", body)
 	}
 }
--- a/internal/fleet/standin/registryhost.go
+++ b/internal/fleet/standin/registryhost.go
@@ -7,28 +7,28 @@
 	"basaltdrum/internal/fleet/stats"
 )
 
-// RegistrySpec are the lists of a registry, one for each service, and its addresses.
+// RegistrySpec describes the lists of a registry, one for each service, and its addresses.
 type RegistrySpec struct {
 	Services  [][]ListEntry
-	Addresses []int // the service whose list each address serves
+	Addresses []int // for each address, the index of the service whose list it serves
 }
 
-// ChangeSpec is a change that makes a new version of a list.
+// ChangeSpec describes a change that makes a new version of a list.
 type ChangeSpec struct {
 	Service int
 	Entries []ListEntry
 }
 
-// Changed is the version that a change has made.
-type Changed struct {
+// ChangeResult describes the version that a change has made.
+type ChangeResult struct {
 	Rev  int64
-	AtNS int64 // Unix time just before
+	AtNS int64 // Unix time just before the change
 }
 
-// RegistryHost is the RPC service of the registry and the agents, for a parent process.
+// RegistryHost is the RPC service of the registry and the agents, called by the parent process.
 type RegistryHost struct{ registry *Registry }
 
-// Start opens the addresses, and returns them.
+// Start starts the registry, opens its addresses and returns them.
 func (h *RegistryHost) Start(spec RegistrySpec, addresses *[]string) error {
 	if h.registry != nil {
 		return errors.New("registry: started twice")
@@ -45,13 +45,13 @@
 }
 
 // Change makes a new version of a list.
-func (h *RegistryHost) Change(spec ChangeSpec, changed *Changed) (err error) {
+func (h *RegistryHost) Change(spec ChangeSpec, changed *ChangeResult) (err error) {
 	changed.AtNS = time.Now().UnixNano()
 	changed.Rev, err = h.registry.Change(spec.Service, spec.Entries)
 	return err
 }
 
-// ChangeInTurn makes new versions one after another, in the order given.
+// ChangeInTurn makes the new versions one after another, in the given order.
 func (h *RegistryHost) ChangeInTurn(specs []ChangeSpec, _ *struct{}) error {
 	for _, spec := range specs {
 		if _, err := h.registry.Change(spec.Service, spec.Entries); err != nil {
@@ -61,21 +61,21 @@
 	return nil
 }
 
-// Silence begins or ends an outage of the registry, and returns when that was.
-func (h *RegistryHost) Silence(on bool, atNS *int64) error {
+// Silence starts or ends an outage of the registry, and returns the time of that.
+func (h *RegistryHost) Silence(unresponsive bool, atNS *int64) error {
 	*atNS = time.Now().UnixNano()
-	h.registry.Silence(on)
+	h.registry.SetUnresponsive(unresponsive)
 	return nil
 }
 
-// BreakWatches closes the connections of all open watches without an answer.
+// BreakWatches closes the connections of all open watches without a response.
 func (h *RegistryHost) BreakWatches(struct{}, *struct{}) error {
 	h.registry.BreakWatches()
 	return nil
 }
 
-// Traffic returns what was counted since the start.
-func (h *RegistryHost) Traffic(_ struct{}, counted *stats.Snapshot) error {
-	*counted = h.registry.Traffic.Snapshot()
+// Traffic returns the traffic since the start.
+func (h *RegistryHost) Traffic(_ struct{}, snapshot *stats.Snapshot) error {
+	*snapshot = h.registry.Traffic.Snapshot()
 	return nil
 }
--- a/internal/fleet/standin/rotation.go
+++ b/internal/fleet/standin/rotation.go
@@ -9,16 +9,16 @@
 	"basaltdrum/internal/fleet/plan"
 )
 
-// Rotation changes one list: one server after the other drains, is removed and is listed again. At most one server
-// is missing at a time, except in the outage of a zone.
+// Rotation generates the changes of one list: one server after another drains, is removed and is listed again. At most
+// one server is missing at a time, except during the outage of a zone. It is safe for concurrent use.
 type Rotation struct {
 	Service int // the index of the list at the registry
 
-	mu      sync.Mutex
-	entries []ListEntry // as they are while in service
-	at      int         // the server whose turn it is
-	step    int
-	lost    bool // the first zone is in an outage
+	mu       sync.Mutex
+	entries  []ListEntry // in the state InService
+	current  int         // index of the server to change next
+	step     int         // number of changes of this server so far
+	zoneLost bool        // the first zone is in an outage
 }
 
 // NewRotation returns the rotation of the list of a service, whose servers all have the same endpoint.
@@ -33,64 +33,65 @@
 	return r
 }
 
-// Entries returns all entries, as they are while in service.
+// Entries returns all entries in the state InService.
 func (r *Rotation) Entries() []ListEntry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.entries)
 }
 
-// Next returns the next change of one server, or none if all that could change are in the outage.
+// Next returns the next change of one server, or nil if all servers are in the zone that has an outage.
 func (r *Rotation) Next() []ListEntry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for range r.entries {
-		if !r.lost || r.entries[r.at].Zone != plan.Zones[0] {
+		if !r.zoneLost || r.entries[r.current].Zone != plan.Zones[0] {
 			break
 		}
-		r.at, r.step = (r.at+1)%len(r.entries), 0
+		r.current, r.step = (r.current+1)%len(r.entries), 0
 	}
-	t := &r.entries[r.at]
-	if r.lost && t.Zone == plan.Zones[0] {
+	entry := &r.entries[r.current]
+	if r.zoneLost && entry.Zone == plan.Zones[0] {
 		return nil
 	}
-	changed := *t
+	changed := *entry
 	changed.State = []string{Terminating, Terminated, InService}[r.step]
 	if r.step++; r.step == 3 {
-		t.BootMS = time.Now().UnixMilli()
-		changed.BootMS = t.BootMS
-		r.step, r.at = 0, (r.at+1)%len(r.entries)
+		entry.BootMS = time.Now().UnixMilli()
+		changed.BootMS = entry.BootMS
+		r.step, r.current = 0, (r.current+1)%len(r.entries)
 	}
 	return []ListEntry{changed}
 }
 
-// Restart returns the change in which the last server has restarted.
-func (r *Rotation) Restart() []ListEntry {
+// RestartLast returns the change in which the last server of the list has restarted.
+func (r *Rotation) RestartLast() []ListEntry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := &r.entries[len(r.entries)-1]
-	t.BootMS = time.Now().UnixMilli()
-	return []ListEntry{*t}
+	entry := &r.entries[len(r.entries)-1]
+	entry.BootMS = time.Now().UnixMilli()
+	return []ListEntry{*entry}
 }
 
-// ChangeZone returns the change in which all servers of the first zone are removed, or are back after a restart.
-func (r *Rotation) ChangeZone(back bool) []ListEntry {
+// ChangeZone returns the change in which all servers of the first zone are removed, or listed again after a restart if
+// restored is set.
+func (r *Rotation) ChangeZone(restored bool) []ListEntry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lost = !back
+	r.zoneLost = !restored
 	var changed []ListEntry
 	for i := range r.entries {
-		t := &r.entries[i]
-		if t.Zone != plan.Zones[0] {
+		entry := &r.entries[i]
+		if entry.Zone != plan.Zones[0] {
 			continue
 		}
-		n := *t
-		n.State = Terminated
-		if back {
-			t.BootMS = time.Now().UnixMilli()
-			n = *t
+		change := *entry
+		change.State = Terminated
+		if restored {
+			entry.BootMS = time.Now().UnixMilli()
+			change = *entry
 		}
-		changed = append(changed, n)
+		changed = append(changed, change)
 	}
 	return changed
 }
--- a/internal/fleet/standin/rotation_test.go
+++ b/internal/fleet/standin/rotation_test.go
@@ -4,55 +4,55 @@
 	"testing"
 )
 
-// Twelve servers, of which two are in the first zone.
+// Sizes of the rotations in these tests.
 const (
-	rotationServers = 12
-	zoneServers     = 2
-	changesOfServer = 3 // it drains, is removed, and is listed again
+	rotationServers  = 12
+	firstZoneServers = 2 // of rotationServers
+	changesPerServer = 3 // it drains, is removed, and is listed again
 )
 
-// listedServers returns how many servers a list has.
-func listedServers(l *list) int { return len(l.since(noVersion).Entries) }
+// listedCount returns how many servers a list contains.
+func listedCount(l *list) int { return len(l.changesSince(noVersion).Entries) }
 
 // At most one server is missing from the list at a time, and none after the last change of each.
-func TestRotationMissesOneServerAtMost(t *testing.T) {
+func TestRotationRemovesAtMostOneServer(t *testing.T) {
 	rotation := NewRotation(0, rotationServers, testEndpoint)
 	l := newList(rotation.Entries())
-	for i := range changesOfServer * rotationServers {
+	for i := range changesPerServer * rotationServers {
 		l.change(rotation.Next())
-		listed := listedServers(l)
+		listed := listedCount(l)
 		if listed < rotationServers-1 || listed > rotationServers {
-			t.Fatalf("after %d changes %d servers are listed", i+1, listed)
+			t.Fatalf("after %d changes %d servers are listed, want %d or one fewer", i+1, listed, rotationServers)
 		}
-		if i%changesOfServer == changesOfServer-1 && listed != rotationServers {
-			t.Fatalf("after all changes of a server %d servers are listed", listed)
+		if i%changesPerServer == changesPerServer-1 && listed != rotationServers {
+			t.Fatalf("after all changes of a server %d servers are listed, want %d", listed, rotationServers)
 		}
 	}
 }
 
-// While the first zone is lost the others go on in turn; after its return all servers are listed, and have started
-// anew.
-func TestRotationWithoutAZone(t *testing.T) {
-	const others = rotationServers - zoneServers
+// During an outage of the first zone the servers of the other zones are still changed in turn. After the outage all
+// servers are listed and have restarted.
+func TestRotationDuringZoneOutage(t *testing.T) {
+	const others = rotationServers - firstZoneServers
 	rotation := NewRotation(0, rotationServers, testEndpoint)
 	l := newList(rotation.Entries())
-	for range changesOfServer * rotationServers {
+	for range changesPerServer * rotationServers {
 		l.change(rotation.Next())
 	}
 	l.change(rotation.ChangeZone(false))
-	for range changesOfServer * rotationServers {
+	for range changesPerServer * rotationServers {
 		l.change(rotation.Next())
-		if listed := listedServers(l); listed < others-1 || listed > others {
-			t.Fatalf("%d servers are listed without a zone of %d", listed, zoneServers)
+		if listed := listedCount(l); listed < others-1 || listed > others {
+			t.Fatalf("%d servers are listed during the outage of the zone, want %d or one fewer", listed, others)
 		}
 	}
 	l.change(rotation.ChangeZone(true))
-	if listed := listedServers(l); listed != rotationServers {
-		t.Fatalf("%d servers are listed after the return", listed)
+	if listed := listedCount(l); listed != rotationServers {
+		t.Fatalf("%d servers are listed after the outage, want %d", listed, rotationServers)
 	}
-	for _, entry := range l.since(noVersion).Entries {
+	for _, entry := range l.changesSince(noVersion).Entries {
 		if entry.BootMS == 0 {
-			t.Errorf("%s has not started anew", entry.UID)
+			t.Errorf("the entry of %s has no boot time, want the time of its restart", entry.UID)
 		}
 	}
 }
--- a/internal/fleet/storm.go
+++ b/internal/fleet/storm.go
@@ -69,8 +69,8 @@
 	// The newest version of each list is made last; all other changes of the outage are sent along with it.
 	var last []nodes.ListChange
 	for _, l := range r.lists {
-		var changed standin.Changed
-		spec := standin.ChangeSpec{Service: l.Service, Entries: l.Restart()}
+		var changed standin.ChangeResult
+		spec := standin.ChangeSpec{Service: l.Service, Entries: l.RestartLast()}
 		if err := r.registry.Call(ctx, "Change", spec, &changed); err != nil {
 			return err
 		}
