--- a/internal/fleet/growth.go
+++ b/internal/fleet/growth.go
@@ -175,7 +175,7 @@
 	if err != nil {
 		return f, err
 	}
-	f.Busy = process.CoresInUse(after-busy, begun, time.Now())
+	f.MachineCores = process.CoresInUse(after-busy, begun, time.Now())
 	for _, n := range descriptors {
 		f.Descriptors += float64(n) / float64(len(d.nodes))
 	}
--- a/internal/fleet/nodes/hollow.go
+++ b/internal/fleet/nodes/hollow.go
@@ -19,42 +19,42 @@
 )
 
 // hollow is a node without sockets to clients and endpoints: the real module, the real event loop and the real
-// discovery client. The scale run makes its calls, and its attempts end in memory. Many fit into one process, so that
-// the cost of a fleet's control plane can be measured on one machine, as Kubernetes does with the hollow nodes of
+// discovery client. The scale run makes its calls, and its attempts are simulated in memory. Many fit into one process,
+// so that the cost of a fleet's control plane can be measured on one machine, like the hollow nodes of Kubernetes'
 // kubemark.
 type hollow struct {
 	clock     monotime.Clock
 	loop      *node.Loop
 	discovery *discovery.Client
-	serve     serveFunc
-	ended     chan struct{} // closed once the loop has ended
+	simulate  attemptSimulator
+	stopped   chan struct{} // closed once the loop has stopped
 
-	mu      sync.Mutex
-	lists   []postedList     // posted to the loop and not yet applied, the oldest first
-	applied []appliedVersion // the oldest first
-	calls   int64            // how many were made; the last one's id
+	mu           sync.Mutex
+	pendingLists []postedList     // posted to the loop and not yet applied, the oldest first
+	applied      []appliedVersion // the oldest first
+	callCount    int64            // calls made so far; also the id of the last one
 }
 
-// serveFunc draws the outcome of an attempt at an endpoint, and the time that it takes. It must not block.
-type serveFunc func(endpoint string) (time.Duration, balancer.AttemptResult)
+// attemptSimulator chooses the duration and the result of an attempt at an endpoint. It must not block.
+type attemptSimulator func(endpoint string) (time.Duration, balancer.AttemptResult)
 
-// postedList remembers the version of a list that was posted. The loop passes on the entries alone, so the list is
-// recognised by the address of its first entry.
+// postedList records the version of a list that was posted to the loop. The loop's hook gets only the entries, so the
+// list is identified by the address of its first entry.
 type postedList struct {
-	first   *endpointlist.Entry
-	version int64
+	firstEntry *endpointlist.Entry
+	version    int64
 }
 
-// appliedVersion is a version of a list, and when the node has applied it.
+// appliedVersion is a version of a list and the time when the node applied it.
 type appliedVersion struct {
 	rev int64
 	at  time.Time
 }
 
-// newHollow sets up a hollow node; cfg.Listen and cfg.Known are not used. The loop's goroutine calls serve for each
-// attempt.
-func newHollow(cfg node.Config, serve serveFunc, log *slog.Logger) (*hollow, error) {
-	h := &hollow{clock: monotime.New(), serve: serve, ended: make(chan struct{})}
+// newHollow returns a hollow node that is not running yet; cfg.Listen and cfg.Known are not used. The loop's goroutine
+// calls simulate for each attempt.
+func newHollow(cfg node.Config, simulate attemptSimulator, log *slog.Logger) (*hollow, error) {
+	h := &hollow{clock: monotime.New(), simulate: simulate, stopped: make(chan struct{})}
 	var err error
 	if h.loop, err = node.NewLoop(cfg, h.clock, log); err != nil {
 		return nil, fmt.Errorf("hollow node: %w", err)
@@ -64,15 +64,15 @@
 		listObserver{node.DiscoveryHandler{Post: h.post}, h}, log,
 	)
 	h.loop.SetHooks(node.LoopHooks{
-		StartAttempt: h.startAttempt, UpdateEndpoints: h.listApplied, Subscribe: h.discovery.Subscribe,
+		StartAttempt: h.startAttempt, UpdateEndpoints: h.recordAppliedList, Subscribe: h.discovery.Subscribe,
 	})
 	h.loop.SetCachedList(endpointlist.List{Complete: true})
 	return h, nil
 }
 
-// newSpecifiedHollow sets up a hollow node by its specification. Its attempts all succeed, after times that are drawn
-// with the mean given.
-func newSpecifiedHollow(spec NodeSpec, mean time.Duration, draws *rand.Rand, log *slog.Logger) (*hollow, error) {
+// newHollowFromSpec returns a hollow node with the configuration of a NodeSpec. All its attempts succeed, after
+// exponentially distributed times with the given mean.
+func newHollowFromSpec(spec NodeSpec, mean time.Duration, rng *rand.Rand, log *slog.Logger) (*hollow, error) {
 	text, err := spec.Configuration()
 	if err != nil {
 		return nil, err
@@ -81,33 +81,33 @@
 	if err != nil {
 		return nil, err
 	}
-	// The loop's goroutine alone calls it, as draws needs.
-	serve := func(string) (time.Duration, balancer.AttemptResult) {
-		return time.Duration(draws.ExpFloat64() * float64(mean)), balancer.Success
+	// Only the loop's goroutine calls this function, since rng is not safe for concurrent use.
+	simulate := func(string) (time.Duration, balancer.AttemptResult) {
+		return time.Duration(rng.ExpFloat64() * float64(mean)), balancer.Success
 	}
-	return newHollow(cfg, serve, log)
+	return newHollow(cfg, simulate, log)
 }
 
-// run follows discovery and answers calls until ctx ends. Calls that are pending then are never answered.
+// run runs the discovery client and the loop until ctx ends. Calls that are pending then get no response.
 func (h *hollow) run(ctx context.Context) {
 	go func() {
-		defer close(h.ended)
+		defer close(h.stopped)
 		h.loop.Run(ctx)
 	}()
 	h.discovery.Run(ctx)
-	<-h.ended
+	<-h.stopped
 	h.discovery.CloseIdleConnections()
 }
 
-// ready reports whether a listed endpoint is ready.
+// ready reports whether the node is ready.
 func (h *hollow) ready() bool { return h.loop.Ready() }
 
-// call makes a call whose client waits until the deadline, counted from now. It blocks only while the loop's queue
-// is full. done is called once, from another goroutine, unless the node ends first.
+// call makes a call whose client waits for the response until the deadline, relative to now. It blocks only while the
+// loop's queue is full. done is called once, from another goroutine, unless the node stops first.
 func (h *hollow) call(class string, deadline time.Duration, done func(node.ResponseKind)) {
 	h.mu.Lock()
-	h.calls++
-	id := strconv.FormatInt(h.calls, 10)
+	h.callCount++
+	id := strconv.FormatInt(h.callCount, 10)
 	h.mu.Unlock()
 	now := h.clock.Now()
 	event, answered := node.NewRequestEvent(id, class, now, now+deadline)
@@ -116,25 +116,24 @@
 		select {
 		case response := <-answered:
 			done(response.Kind)
-		case <-h.ended:
+		case <-h.stopped:
 		}
 	}()
 }
 
-// post queues an event for the loop, unless the loop has ended.
+// post queues an event for the loop, unless the loop has stopped.
 func (h *hollow) post(e node.Event) {
 	select {
 	case h.loop.Queue() <- e:
-	case <-h.ended:
+	case <-h.stopped:
 	}
 }
 
-// startAttempt runs an attempt in memory: it ends after the time drawn for it, at its deadline, or when it is
-// cancelled.
+// startAttempt simulates an attempt: it ends after the simulated time, at its deadline, or when it is cancelled.
 func (h *hollow) startAttempt(a *node.Attempt) {
-	delay, result := h.serve(a.Instance.UID)
-	if left := h.clock.Until(a.Deadline); delay > left {
-		delay, result = left, balancer.TimedOut
+	delay, result := h.simulate(a.Instance.UID)
+	if remaining := h.clock.Until(a.Deadline); delay > remaining {
+		delay, result = remaining, balancer.TimedOut
 	}
 	go func() {
 		timer := time.NewTimer(delay)
@@ -143,47 +142,47 @@
 		case <-timer.C:
 		case <-a.Done():
 			result = balancer.Cancelled
-		case <-h.ended:
+		case <-h.stopped:
 		}
 		h.post(a.EndedEvent(upstream.Outcome{Result: result, EndedAt: h.clock.Now()}))
 	}()
 }
 
-// listObserver is the discovery.Handler of a hollow node. It records the versions of lists on their way to the loop.
+// listObserver is the discovery.Handler of a hollow node. It records the version of each list posted to the loop.
 type listObserver struct {
 	node.DiscoveryHandler
 	node *hollow
 }
 
-// ListReceived records the version of a list, and posts it.
+// ListReceived records the version of a list, and posts the list to the loop.
 func (o listObserver) ListReceived(list endpointlist.List) {
 	if len(list.Entries) > 0 {
 		o.node.mu.Lock()
-		o.node.lists = append(o.node.lists, postedList{&list.Entries[0], list.Version})
+		o.node.pendingLists = append(o.node.pendingLists, postedList{&list.Entries[0], list.Version})
 		o.node.mu.Unlock()
 	}
 	o.DiscoveryHandler.ListReceived(list)
 }
 
-// listApplied records that the loop applies a list that changes something. Lists that were posted before it and
-// changed nothing are dropped.
-func (h *hollow) listApplied(entries []endpointlist.Entry, _ bool) {
+// recordAppliedList records the time at which the loop applies a list that changes something. It drops the records of
+// earlier lists, which changed nothing.
+func (h *hollow) recordAppliedList(entries []endpointlist.Entry, _ bool) {
 	if len(entries) == 0 {
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for len(h.lists) > 0 {
-		posted := h.lists[0]
-		h.lists = h.lists[1:]
-		if posted.first == &entries[0] {
+	for len(h.pendingLists) > 0 {
+		posted := h.pendingLists[0]
+		h.pendingLists = h.pendingLists[1:]
+		if posted.firstEntry == &entries[0] {
 			h.applied = append(h.applied, appliedVersion{posted.version, time.Now()})
 			return
 		}
 	}
 }
 
-// appliedAt returns when the node has applied a version or a newer one, if it has.
+// appliedAt returns when the node first applied a version or a newer one, and whether it has.
 func (h *hollow) appliedAt(rev int64) (time.Time, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/fleet/nodes/hollow_test.go
+++ b/internal/fleet/nodes/hollow_test.go
@@ -13,18 +13,18 @@
 	"basaltdrum/internal/testutil"
 )
 
-// hollowTest is a hollow node that runs until it is stopped, with a registry agent that lists the server s1.
-type hollowTest struct {
+// testHollow is a running hollow node with a registry agent that lists the server s1.
+type testHollow struct {
 	*hollow
-	agent   *testutil.RegistryAgent
-	delay   atomic.Int64 // of each attempt, in nanoseconds
-	answers chan node.ResponseKind
-	stop    context.CancelFunc
-	ended   chan struct{}
+	agent       *testutil.RegistryAgent
+	attemptTime atomic.Int64 // in nanoseconds
+	responses   chan node.ResponseKind
+	stop        context.CancelFunc
+	exited      chan struct{}
 }
 
-// startHollow starts a hollow node whose attempts are served after a millisecond.
-func startHollow(t *testing.T, polled bool) *hollowTest {
+// startHollow starts a hollow node whose attempts succeed after a millisecond.
+func startHollow(t *testing.T, polled bool) *testHollow {
 	t.Helper()
 	agent := testutil.NewRegistryAgent(t)
 	agent.Set(false, testutil.CompleteList(testutil.ListEntry("s1", "127.0.0.1:1", "in_service")))
@@ -38,13 +38,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &hollowTest{agent: agent, answers: make(chan node.ResponseKind, 10), ended: make(chan struct{})}
-	h.delay.Store(int64(time.Millisecond))
+	h := &testHollow{agent: agent, responses: make(chan node.ResponseKind, 10), exited: make(chan struct{})}
+	h.attemptTime.Store(int64(time.Millisecond))
 	h.hollow, err = newHollow(cfg, func(server string) (time.Duration, balancer.AttemptResult) {
 		if server != "s1" {
-			t.Errorf("sent to %q", server)
+			t.Errorf("attempt at %q, want s1", server)
 		}
-		return time.Duration(h.delay.Load()), balancer.Success
+		return time.Duration(h.attemptTime.Load()), balancer.Success
 	}, testutil.DiscardLog())
 	if err != nil {
 		t.Fatal(err)
@@ -52,48 +52,48 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	h.stop = cancel
 	go func() {
-		defer close(h.ended)
+		defer close(h.exited)
 		h.run(ctx)
 	}()
 	t.Cleanup(func() {
 		cancel()
-		testutil.Wait(t, h.ended, "the end")
+		testutil.Wait(t, h.exited, "the hollow node to stop")
 	})
 	return h
 }
 
-// callUntil makes a call whose answer goes to answers.
-func (h *hollowTest) callUntil(deadline time.Duration) {
-	h.call(load.Class, deadline, func(kind node.ResponseKind) { h.answers <- kind })
+// callWithDeadline makes a call whose response is sent to the channel responses.
+func (h *testHollow) callWithDeadline(deadline time.Duration) {
+	h.call(load.Class, deadline, func(kind node.ResponseKind) { h.responses <- kind })
 }
 
-// A hollow node receives lists from discovery, records each that changes something, and answers calls from
-// attempts that end in memory; a call without an answer in time is not served.
+// A hollow node receives lists from discovery, records each that changes something, and answers calls by simulated
+// attempts. A call whose attempts take longer than its deadline is not served.
 func TestHollowNode(t *testing.T) {
 	for _, polled := range []bool{false, true} {
 		t.Run(fmt.Sprint("polled=", polled), func(t *testing.T) {
 			h := startHollow(t, polled)
-			testutil.Until(t, "the list", func() bool {
+			testutil.Until(t, "the list to be applied", func() bool {
 				_, applied := h.appliedAt(int64(h.agent.Version()))
 				return applied
 			})
 			testutil.Until(t, "readiness", h.ready)
 			for range 5 {
-				h.callUntil(testutil.Timeout)
+				h.callWithDeadline(testutil.Timeout)
 			}
 			for range 5 {
-				if kind := testutil.Wait(t, h.answers, "an answer"); kind != node.ResponseServed {
-					t.Errorf("answer %v, want served", kind)
+				if kind := testutil.Wait(t, h.responses, "a response"); kind != node.ResponseServed {
+					t.Errorf("response %v, want served", kind)
 				}
 			}
-			h.delay.Store(int64(time.Hour))
-			h.callUntil(50 * time.Millisecond)
-			if kind := testutil.Wait(t, h.answers, "an answer"); kind == node.ResponseServed {
-				t.Error("a call that no attempt answers in time is served")
+			h.attemptTime.Store(int64(time.Hour))
+			h.callWithDeadline(50 * time.Millisecond)
+			if kind := testutil.Wait(t, h.responses, "a response"); kind == node.ResponseServed {
+				t.Error("a call whose attempt takes longer than its deadline is served")
 			}
 			h.stop()
-			testutil.Wait(t, h.ended, "the end")
-			h.call(load.Class, testutil.Timeout, func(node.ResponseKind) { t.Error("answered after the end") })
+			testutil.Wait(t, h.exited, "the hollow node to stop")
+			h.call(load.Class, testutil.Timeout, func(node.ResponseKind) { t.Error("answered after the node has stopped") })
 		})
 	}
 }
--- a/internal/fleet/nodes/listchange.go
+++ b/internal/fleet/nodes/listchange.go
@@ -7,18 +7,18 @@
 	"basaltdrum/internal/fleet/stats"
 )
 
-// ListChange is a change of a service's list, as the nodes should apply it.
+// ListChange is a change of a service's list that all nodes of the service should apply.
 type ListChange struct {
-	Group   string
+	Group   string // one of plan.ListChangeGroups
 	Service int
 	Rev     int64
-	AtNS    int64 // Unix time from which the registry could send it
+	AtNS    int64 // Unix time from which the registry could send the change
 }
 
-// inForce returns, for each group of changes, how long they took to be in force.
-func (h *Hollows) inForce(changes []ListChange) map[string]stats.InForce {
+// inForceByGroup returns for each group of changes how long they took to be in force.
+func (h *Hollows) inForceByGroup(changes []ListChange) map[string]stats.InForce {
 	figures := map[string]stats.InForce{}
-	times := map[string]*[3][]float64{}
+	times := map[string]*[3][]float64{} // for each change, the times to be in force at 50%, 99% and 100% of the nodes
 	for _, c := range changes {
 		f := figures[c.Group]
 		if times[c.Group] == nil {
@@ -37,8 +37,8 @@
 		}
 		if len(took) > 0 {
 			sort.Float64s(took)
-			for k, share := range []float64{0.5, 0.99, 1} {
-				times[c.Group][k] = append(times[c.Group][k], stats.Quantile(took, share))
+			for k, fraction := range []float64{0.5, 0.99, 1} {
+				times[c.Group][k] = append(times[c.Group][k], stats.Quantile(took, fraction))
 			}
 		}
 		figures[c.Group] = f
--- a/internal/fleet/nodes/listchange_test.go
+++ b/internal/fleet/nodes/listchange_test.go
@@ -16,39 +16,39 @@
 	}{
 		{"older than the first", 2, first},
 		{"the first", 3, first},
-		{"covered by a newer one", 4, second},
+		{"superseded by a newer one", 4, second},
 		{"the last", 5, second},
 		{"not applied yet", 6, time.Time{}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if at, applied := h.appliedAt(test.rev); applied == test.want.IsZero() || !at.Equal(test.want) {
-				t.Errorf("at %v, %v; want %v", at, applied, test.want)
+				t.Errorf("appliedAt() = %v, %v; want %v", at, applied, test.want)
 			}
 		})
 	}
 }
 
-// The times of a change are those of the nodes of its service, and each group of changes has its own.
+// The times of a change are those of the nodes of its service. Each group of changes has separate figures.
 func TestInForceByGroup(t *testing.T) {
-	begun := time.Unix(100, 0)
+	changedAt := time.Unix(100, 0)
 	after := func(delay time.Duration) *hollow {
-		return &hollow{applied: []appliedVersion{{2, begun.Add(delay)}}}
+		return &hollow{applied: []appliedVersion{{2, changedAt.Add(delay)}}}
 	}
 	hollows := &Hollows{services: 2, nodes: []*hollow{
 		after(10 * time.Millisecond), after(50 * time.Millisecond), after(30 * time.Millisecond), {},
 	}}
-	figures := hollows.inForce([]ListChange{
-		{Group: "first", Service: 0, Rev: 2, AtNS: begun.UnixNano()},
-		{Group: "second", Service: 1, Rev: 2, AtNS: begun.UnixNano()},
+	figures := hollows.inForceByGroup([]ListChange{
+		{Group: "first", Service: 0, Rev: 2, AtNS: changedAt.UnixNano()},
+		{Group: "second", Service: 1, Rev: 2, AtNS: changedAt.UnixNano()},
 	})
 	first, second := figures["first"], figures["second"]
 	if first.Changes != 1 || first.Applied != 2 || first.Missed != 0 {
-		t.Errorf("applied by both nodes: %+v", first)
+		t.Errorf("first group %+v, want one change that 2 nodes applied and none missed", first)
 	}
 	if first.Half.Worst != 10 || first.All.Worst != 30 {
-		t.Errorf("times at both nodes: %+v", first)
+		t.Errorf("first group %+v, want 10 ms at half of the nodes and 30 ms at all", first)
 	}
 	if second.Changes != 1 || second.Applied != 1 || second.Missed != 1 || second.All.Worst != 50 {
-		t.Errorf("applied by one node: %+v", second)
+		t.Errorf("second group %+v, want one change that one node applied after 50 ms and one missed", second)
 	}
 }
--- a/internal/fleet/nodes/realnode.go
+++ b/internal/fleet/nodes/realnode.go
@@ -16,23 +16,24 @@
 
 // RealNode is a process of the real program.
 type RealNode struct {
-	spec    NodeSpec
-	path    string // of its configuration
-	address string
-	cmd     *exec.Cmd
-	exited  chan struct{} // closed once it has ended
+	spec       NodeSpec
+	configPath string
+	address    string
+	cmd        *exec.Cmd
+	exited     chan struct{} // closed once the process has exited
 }
 
-var servingAt = regexp.MustCompile(`msg=serving .*address=(\S+)`)
+// servingLine matches the log line that tells the node's address.
+var servingLine = regexp.MustCompile(`msg=serving .*address=(\S+)`)
 
-// StartRealNode starts a node, with a limit of 1,024 descriptors, and waits until it listens.
+// StartRealNode starts a node with a limit of 1,024 file descriptors, and waits until it listens.
 func StartRealNode(ctx context.Context, program, dir string, spec NodeSpec) (*RealNode, error) {
-	n := &RealNode{spec: spec, path: filepath.Join(dir, spec.Name+".json"), exited: make(chan struct{})}
-	if err := n.write(); err != nil {
+	n := &RealNode{spec: spec, configPath: filepath.Join(dir, spec.Name+".json"), exited: make(chan struct{})}
+	if err := n.writeConfig(); err != nil {
 		return nil, err
 	}
 	n.cmd = exec.Command("/bin/sh", "-c", `ulimit -n 1024 && exec "$0"`, program)
-	n.cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+n.path)
+	n.cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+n.configPath)
 	n.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	log, err := n.cmd.StderrPipe()
 	if err != nil {
@@ -41,41 +42,41 @@
 	if err := n.cmd.Start(); err != nil {
 		return nil, fmt.Errorf("%s: %w", spec.Name, err)
 	}
-	serving, last := make(chan string, 1), ""
+	serving, lastLine := make(chan string, 1), ""
 	go func() {
 		defer close(n.exited)
 		for lines := bufio.NewScanner(log); lines.Scan(); {
-			last = lines.Text()
-			if m := servingAt.FindStringSubmatch(last); m != nil {
-				serving <- m[1]
+			lastLine = lines.Text()
+			if match := servingLine.FindStringSubmatch(lastLine); match != nil {
+				serving <- match[1]
 				break
 			}
 		}
-		_, _ = io.Copy(io.Discard, log) // so that the node never waits for a reader of its log
-		_ = n.cmd.Wait()                // one that is killed ends with an error; only that it has ended counts
+		_, _ = io.Copy(io.Discard, log) // drain the log so that the node never blocks on it
+		_ = n.cmd.Wait()                // a killed process returns an error; only its exit matters here
 	}()
 	select {
 	case n.address = <-serving:
 		return n, nil
 	case <-n.exited:
-		return nil, fmt.Errorf("%s: it ended before it served: %s", spec.Name, last)
+		return nil, fmt.Errorf("%s: the process exited before it was serving; last log line: %s", spec.Name, lastLine)
 	case <-ctx.Done():
 		n.Stop()
-		return nil, fmt.Errorf("%s: %w", spec.Name, ctx.Err())
+		return nil, fmt.Errorf("%s: waiting for it to serve: %w", spec.Name, ctx.Err())
 	}
 }
 
-// write writes the node's configuration file.
-func (n *RealNode) write() error {
+// writeConfig writes the node's configuration file.
+func (n *RealNode) writeConfig() error {
 	text, err := n.spec.Configuration()
 	if err != nil {
 		return err
 	}
 	// The rename replaces the file in one step, since the node may be reading it.
-	if err := os.WriteFile(n.path+".new", text, 0o600); err != nil {
+	if err := os.WriteFile(n.configPath+".new", text, 0o600); err != nil {
 		return fmt.Errorf("%s: %w", n.spec.Name, err)
 	}
-	if err := os.Rename(n.path+".new", n.path); err != nil {
+	if err := os.Rename(n.configPath+".new", n.configPath); err != nil {
 		return fmt.Errorf("%s: %w", n.spec.Name, err)
 	}
 	return nil
@@ -97,38 +98,38 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("%s is not ready: %w", n.spec.Name, ctx.Err())
+			return fmt.Errorf("%s: waiting for it to be ready: %w", n.spec.Name, ctx.Err())
 		case <-n.exited:
-			return fmt.Errorf("%s has ended", n.spec.Name)
+			return fmt.Errorf("%s: the process exited before it was ready", n.spec.Name)
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
 }
 
-// Address is where the node serves.
+// Address returns the address at which the node serves.
 func (n *RealNode) Address() string { return n.address }
 
-// Name is the node's name in its configuration.
+// Name returns the node's name in its configuration.
 func (n *RealNode) Name() string { return n.spec.Name }
 
-// PID is the id of the node's process.
+// PID returns the id of the node's process.
 func (n *RealNode) PID() int { return n.cmd.Process.Pid }
 
-// AddClass adds a class to the node's configuration file, which the node reads at its next reload.
+// AddClass adds a request class to the node's configuration file, which the node reads at its next reload.
 func (n *RealNode) AddClass(class string) error {
 	n.spec.Classes = append(n.spec.Classes, class)
-	return n.write()
+	return n.writeConfig()
 }
 
-// Reload has the node read its configuration.
+// Reload makes the node read its configuration file.
 func (n *RealNode) Reload() error {
 	if err := n.cmd.Process.Signal(syscall.SIGHUP); err != nil {
-		return fmt.Errorf("%s: %w", n.spec.Name, err)
+		return fmt.Errorf("%s: reload: %w", n.spec.Name, err)
 	}
 	return nil
 }
 
-// Alive says that the process has not ended.
+// Alive reports whether the process is running.
 func (n *RealNode) Alive() bool {
 	select {
 	case <-n.exited:
@@ -138,8 +139,8 @@
 	}
 }
 
-// Stop kills the node and waits until it has ended. Draining would only lengthen the run.
+// Stop kills the node and waits until it has exited. A graceful shutdown would only lengthen the run.
 func (n *RealNode) Stop() {
-	_ = n.cmd.Process.Kill() // it fails only if the node has just ended
+	_ = n.cmd.Process.Kill() // fails only if the node has just exited
 	<-n.exited
 }
--- a/internal/fleet/nodes/spec.go
+++ b/internal/fleet/nodes/spec.go
@@ -8,20 +8,21 @@
 	"basaltdrum/internal/fleet/plan"
 )
 
-// NodeSpec is what the configuration of one node is made from.
+// NodeSpec holds the parameters of the configuration of one node.
 type NodeSpec struct {
 	Name          string
 	Index         int // among the replicas of its service
 	Replicas      int
 	Tier          int
-	Listen        string // 127.0.0.1:0 for a port of the system's choice
+	Listen        string // 127.0.0.1:0 for a port chosen by the system
 	Discovery     string
 	PollDiscovery bool     // lists are polled, not pushed
-	Classes       []string // beside the class of the calls
+	Classes       []string // in addition to the class of the calls
 	Seed          uint64
 }
 
-// Configuration returns the file that the node reads, with the limits of the target: 128 MB, 1,024 descriptors.
+// Configuration returns the node's configuration file, with the limits of the target: 128 MB of memory, 1,024 file
+// descriptors.
 func (s NodeSpec) Configuration() ([]byte, error) {
 	type object = map[string]any
 	var classes []object
--- a/internal/fleet/nodes/spec_test.go
+++ b/internal/fleet/nodes/spec_test.go
@@ -8,7 +8,7 @@
 	"basaltdrum/internal/node"
 )
 
-// The configuration is one that the node accepts, and says what the spec does.
+// The node accepts the configuration and reads from it what the spec contains.
 func TestConfigurationIsAccepted(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -37,7 +37,7 @@
 				t.Errorf("classes %v, want %v", classes, want)
 			}
 			if config.Settings.PollDiscovery != test.spec.PollDiscovery || config.Discovery != test.spec.Discovery {
-				t.Errorf("configuration %+v", config)
+				t.Errorf("configuration %+v differs from the spec in how or where lists are fetched", config)
 			}
 		})
 	}
--- a/internal/fleet/report/growth.go
+++ b/internal/fleet/report/growth.go
@@ -12,21 +12,21 @@
 
 // GrowthFigures are what a node needed on one day, as the mean over the nodes, from the start of its process on.
 type GrowthFigures struct {
-	Servers     int         `json:"servers"`
-	FleetNodes  int         `json:"fleet_nodes"` // as the settings tell
-	Capacity    float64     `json:"capacity_hint"`
-	CPUSeconds  float64     `json:"cpu_s"`
-	PeakMemory  float64     `json:"peak_memory_bytes"`
-	Descriptors float64     `json:"descriptors"` // the most at once, by samples
-	Connections float64     `json:"connections_made"`
-	ListBytes   float64     `json:"list_bytes"`         // with the first list, without the headers of HTTP
-	ListPayload float64     `json:"list_payload_bytes"` // the same with them
-	ListCalls   float64     `json:"list_calls"`         // at the registry; one may bring many changes
-	Served      float64     `json:"served_share"`
-	Calls       stats.Tally `json:"calls"`
-	Changes     int         `json:"changes"`            // of one entry each
-	LateMS      float64     `json:"latest_event_ms"`    // how far the day's events fell behind its plan at most
-	Busy        float64     `json:"machine_cores_busy"` // by all programs on the machine
+	Servers      int         `json:"servers"`
+	FleetNodes   int         `json:"fleet_nodes"` // as the settings tell
+	Capacity     float64     `json:"capacity_hint"`
+	CPUSeconds   float64     `json:"cpu_s"`
+	PeakMemory   float64     `json:"peak_memory_bytes"`
+	Descriptors  float64     `json:"descriptors"` // the most at once, by samples
+	Connections  float64     `json:"connections_made"`
+	ListBytes    float64     `json:"list_bytes"`         // with the first list, without the headers of HTTP
+	ListPayload  float64     `json:"list_payload_bytes"` // the same with them
+	ListCalls    float64     `json:"list_calls"`         // at the registry; one may bring many changes
+	Served       float64     `json:"served_share"`
+	Calls        stats.Tally `json:"calls"`
+	Changes      int         `json:"changes"`            // of one entry each
+	LateMS       float64     `json:"latest_event_ms"`    // how far the day's events fell behind its plan at most
+	MachineCores float64     `json:"machine_cores_busy"` // by all programs on the machine
 }
 
 // GrowthReport is what a growth run writes as JSON.
@@ -67,7 +67,7 @@
 			"in %.0f calls for lists a node (%.4g KB with the heads of HTTP), "+
 			"%d calls: %d served, %d refused, %d failed; %.1f cores of the machine in use\n",
 			f.Servers, f.FleetNodes, f.Capacity, f.Changes, f.LateMS, f.ListCalls, f.ListPayload/kilobyte,
-			f.Calls.Offered, f.Calls.Served, f.Calls.Rejected, f.Calls.Failed, f.Busy)
+			f.Calls.Offered, f.Calls.Served, f.Calls.Rejected, f.Calls.Failed, f.MachineCores)
 	}
 	if err := w.Flush(); err != nil {
 		return fmt.Errorf("table: %w", err)
--- a/internal/fleet/report/growthlimits.go
+++ b/internal/fleet/report/growthlimits.go
@@ -6,8 +6,8 @@
 	what                      string
 	unit                      float64 // what the row is counted in
 	factor, base, perThousand float64
-	least                     bool // the figure must not fall under the limit
-	of                        func(GrowthFigures) float64
+	isMinimum                 bool // the figure must not fall under the limit
+	figure                    func(GrowthFigures) float64
 }
 
 // Units of the rows.
@@ -20,27 +20,27 @@
 var growthLimits = []growthLimit{
 	{
 		what: "CPU seconds", unit: 1, factor: 1.4, base: 0.02, perThousand: 0.03,
-		of: func(f GrowthFigures) float64 { return f.CPUSeconds },
+		figure: func(f GrowthFigures) float64 { return f.CPUSeconds },
 	},
 	{
 		what: "peak memory, MB", unit: megabyte, factor: 1.5, base: 8, perThousand: 4,
-		of: func(f GrowthFigures) float64 { return f.PeakMemory },
+		figure: func(f GrowthFigures) float64 { return f.PeakMemory },
 	},
 	{
 		what: "descriptors", unit: 1, factor: 2, base: 40,
-		of: func(f GrowthFigures) float64 { return f.Descriptors },
+		figure: func(f GrowthFigures) float64 { return f.Descriptors },
 	},
 	{
 		what: "connections made to servers", unit: 1, factor: 2.5, base: 40,
-		of: func(f GrowthFigures) float64 { return f.Connections },
+		figure: func(f GrowthFigures) float64 { return f.Connections },
 	},
 	{
 		what: "bytes of lists, KB", unit: kilobyte, factor: 2, base: 64, perThousand: 500,
-		of: func(f GrowthFigures) float64 { return f.ListBytes },
+		figure: func(f GrowthFigures) float64 { return f.ListBytes },
 	},
 	{
-		what: "share served", unit: 1, factor: 0.85, least: true,
-		of: func(f GrowthFigures) float64 { return f.Served },
+		what: "share served", unit: 1, factor: 0.85, isMinimum: true,
+		figure: func(f GrowthFigures) float64 { return f.Served },
 	},
 }
 
@@ -63,9 +63,9 @@
 
 // row compares a figure with its limit.
 func (l growthLimit) row(usual, large GrowthFigures) GrowthRow {
-	r := GrowthRow{What: l.what, Usual: l.of(usual) / l.unit, Large: l.of(large) / l.unit}
+	r := GrowthRow{What: l.what, Usual: l.figure(usual) / l.unit, Large: l.figure(large) / l.unit}
 	r.Limit = l.factor*r.Usual + l.base + l.perThousand*float64(large.Servers)/1000
-	if l.least {
+	if l.isMinimum {
 		r.Within = r.Large >= r.Limit
 	} else {
 		r.Within = r.Large <= r.Limit
--- a/internal/fleet/report/growthlimits_test.go
+++ b/internal/fleet/report/growthlimits_test.go
@@ -44,7 +44,7 @@
 	for _, test := range []struct {
 		share  float64 // of the limit
 		within bool
-	}{{0.999, !limit.least}, {1.001, limit.least}} {
+	}{{0.999, !limit.isMinimum}, {1.001, limit.isMinimum}} {
 		figure := test.share * want
 		row := limit.row(usualFigures(), figuresAt(limit.what, figure, servers))
 		if math.Abs(row.Limit-want) > 1e-9*want || row.Within != test.within || math.Abs(row.Large-figure) > 1e-9*want {
@@ -70,7 +70,7 @@
 }
 
 // The error names each row that is over its limit, and only those.
-func TestGrowthReportNamesRowsOverTheirLimit(t *testing.T) {
+func TestGrowthReportNamesRowsOverLimit(t *testing.T) {
 	within := GrowthReport{Rows: []GrowthRow{{What: "a", Within: true}}}
 	if err := within.Err(); err != nil {
 		t.Errorf("all rows are within: %v", err)
--- a/internal/fleet/report/report.go
+++ b/internal/fleet/report/report.go
@@ -25,20 +25,20 @@
 // HollowFigures are the figures of the hollow nodes' process. Its processor time holds all that the process does: the
 // modules, loops and discovery clients, the load generator, and the answers in memory.
 type HollowFigures struct {
-	Nodes        int                      `json:"nodes"`
-	ReadyMS      float64                  `json:"all_ready_after_ms"`
-	CoresNode    float64                  `json:"cores_per_node"`
-	HeapNode     float64                  `json:"heap_bytes_per_node"`
-	HeapAfter    float64                  `json:"heap_bytes_per_node_at_end"` // with what the run notes of each change
-	StackNode    float64                  `json:"stack_bytes_per_node"`
-	RSS          int64                    `json:"rss_bytes"`
-	Calls        stats.Tally              `json:"calls"`
-	Lateness     stats.Quantiles          `json:"late"`
-	Latency      stats.Quantiles          `json:"latency"`
-	ScheduleKept bool                     `json:"schedule_kept"`
-	InForce      map[string]stats.InForce `json:"in_force"` // by the kind of change
-	Warnings     int64                    `json:"log_warnings"`
-	StormCalls   *stats.Tally             `json:"calls_in_storm,omitempty"`
+	Nodes            int                      `json:"nodes"`
+	ReadyMS          float64                  `json:"all_ready_after_ms"`
+	CoresPerNode     float64                  `json:"cores_per_node"`
+	HeapPerNode      float64                  `json:"heap_bytes_per_node"`
+	HeapPerNodeAtEnd float64                  `json:"heap_bytes_per_node_at_end"` // with what the run notes of each change
+	StackPerNode     float64                  `json:"stack_bytes_per_node"`
+	RSS              int64                    `json:"rss_bytes"`
+	Calls            stats.Tally              `json:"calls"`
+	Lateness         stats.Quantiles          `json:"late"`
+	Latency          stats.Quantiles          `json:"latency"`
+	ScheduleKept     bool                     `json:"schedule_kept"`
+	InForce          map[string]stats.InForce `json:"in_force"` // by the kind of change
+	Warnings         int64                    `json:"log_warnings"`
+	StormCalls       *stats.Tally             `json:"calls_in_storm,omitempty"`
 }
 
 // RealFigures are the figures of the real nodes' processes, over the rounds in which calls went through them (with no
@@ -54,45 +54,45 @@
 
 // RegistryFigures are the figures of the process of the registry and the agents.
 type RegistryFigures struct {
-	Open     int64   `json:"connections_open"`
-	Conns    float64 `json:"connections_per_s"`
-	Calls    float64 `json:"calls_per_s"`
-	BytesIn  float64 `json:"bytes_in_per_s"`
-	BytesOut float64 `json:"bytes_out_per_s"`
-	Peak     float64 `json:"peak_calls_per_s"` // in the busiest 100 ms
-	Cores    float64 `json:"cores"`
-	RSS      int64   `json:"rss_bytes"`
+	OpenConnections int64   `json:"connections_open"`
+	Conns           float64 `json:"connections_per_s"`
+	Calls           float64 `json:"calls_per_s"`
+	BytesIn         float64 `json:"bytes_in_per_s"`
+	BytesOut        float64 `json:"bytes_out_per_s"`
+	Peak            float64 `json:"peak_calls_per_s"` // in the busiest 100 ms
+	Cores           float64 `json:"cores"`
+	RSS             int64   `json:"rss_bytes"`
 }
 
 // StormFigures compare the registry's load after an outage with the mean before it. All calls that the registry gets
 // are counted, also those that it does not answer.
 type StormFigures struct {
-	Kind        string  `json:"kind"`
-	LostSec     float64 `json:"lost_s"`
-	Before      float64 `json:"calls_per_s_before"`
-	During      float64 `json:"calls_per_s_while_lost"`
-	After       float64 `json:"calls_per_s_after"` // over the watched time after the return
-	PeakAfter   float64 `json:"peak_calls_per_s_after"`
-	PeakToMean  float64 `json:"peak_to_mean_before"`
-	PeakBytes   float64 `json:"bytes_out_per_s_after"`
-	AfterSec    float64 `json:"watched_after_s"`
-	NewestAllMS float64 `json:"newest_list_at_all_nodes_after_ms"`
-	Missed      int     `json:"nodes_without_newest_list"`
+	Kind            string  `json:"kind"`
+	LostSec         float64 `json:"lost_s"`
+	Before          float64 `json:"calls_per_s_before"`
+	During          float64 `json:"calls_per_s_while_lost"`
+	After           float64 `json:"calls_per_s_after"` // over the watched time after the return
+	PeakAfter       float64 `json:"peak_calls_per_s_after"`
+	PeakToMean      float64 `json:"peak_to_mean_before"`
+	BytesOutAfter   float64 `json:"bytes_out_per_s_after"`
+	WatchedAfterSec float64 `json:"watched_after_s"`
+	NewestAllMS     float64 `json:"newest_list_at_all_nodes_after_ms"`
+	Missed          int     `json:"nodes_without_newest_list"`
 }
 
 // Point is the report of one run.
 type Point struct {
-	Args     plan.Args       `json:"args"`
-	Machine  Machine         `json:"machine"`
-	Seconds  float64         `json:"measured_s"`
-	PerNode  PerNode         `json:"per_node"`
-	Registry RegistryFigures `json:"registry"`
-	Hollow   *HollowFigures  `json:"hollow,omitempty"`
-	Real     *RealFigures    `json:"real,omitempty"`
-	Chain    *Chain          `json:"chain,omitempty"`
-	Configs  *Configs        `json:"configs,omitempty"`
-	Storm    *StormFigures   `json:"storm,omitempty"`
-	Busy     float64         `json:"machine_cores_in_use"`
+	Args         plan.Args       `json:"args"`
+	Machine      Machine         `json:"machine"`
+	Seconds      float64         `json:"measured_s"`
+	PerNode      PerNode         `json:"per_node"`
+	Registry     RegistryFigures `json:"registry"`
+	Hollow       *HollowFigures  `json:"hollow,omitempty"`
+	Real         *RealFigures    `json:"real,omitempty"`
+	Chain        *Chain          `json:"chain,omitempty"`
+	Configs      *Configs        `json:"configs,omitempty"`
+	Storm        *StormFigures   `json:"storm,omitempty"`
+	MachineCores float64         `json:"machine_cores_in_use"`
 }
 
 // Report is what a command writes as JSON.
--- a/internal/fleet/report/sweep.go
+++ b/internal/fleet/report/sweep.go
@@ -4,14 +4,14 @@
 func (p Point) Figures() map[string]float64 {
 	f := map[string]float64{
 		"node bytes in/s": p.PerNode.BytesIn, "node bytes out/s": p.PerNode.BytesOut,
-		"registry connections": float64(p.Registry.Open), "registry calls/s": p.Registry.Calls,
+		"registry connections": float64(p.Registry.OpenConnections), "registry calls/s": p.Registry.Calls,
 		"registry bytes out/s": p.Registry.BytesOut, "registry bytes in/s": p.Registry.BytesIn,
 		"registry cores": p.Registry.Cores,
 	}
 	if p.Hollow != nil {
-		f["hollow cores a node"] = p.Hollow.CoresNode
-		f["hollow heap bytes a node"] = p.Hollow.HeapNode
-		f["hollow heap bytes a node at the end"] = p.Hollow.HeapAfter
+		f["hollow cores a node"] = p.Hollow.CoresPerNode
+		f["hollow heap bytes a node"] = p.Hollow.HeapPerNode
+		f["hollow heap bytes a node at the end"] = p.Hollow.HeapPerNodeAtEnd
 	}
 	if p.Real != nil {
 		f["real cores a node"] = p.Real.CoresMean
--- a/internal/fleet/report/table.go
+++ b/internal/fleet/report/table.go
@@ -38,11 +38,11 @@
 		"%s, storm %s, %v calls/s a node, seed %d",
 		a.Nodes, a.Real, a.Services, a.Servers, a.Changes, a.Mode, a.Storm, a.Rate, a.Seed)
 	t.row("machine", "%d cores, %s, load before %s, %.1f cores in use over %.1f s",
-		p.Machine.Cores, p.Machine.Go, p.Machine.Load, p.Busy, p.Seconds)
+		p.Machine.Cores, p.Machine.Go, p.Machine.Load, p.MachineCores, p.Seconds)
 	t.row("a node and its agent or registry", "in %.0f B/s, out %.0f B/s", p.PerNode.BytesIn, p.PerNode.BytesOut)
 	t.row("registry and agents",
 		"%d connections, %.1f calls/s, peak %.0f, in %.0f B/s, out %.0f B/s, %.3f cores, %.1f MB",
-		r.Open, r.Calls, r.Peak, r.BytesIn, r.BytesOut, r.Cores, megabytes(r.RSS))
+		r.OpenConnections, r.Calls, r.Peak, r.BytesIn, r.BytesOut, r.Cores, megabytes(r.RSS))
 	if p.Hollow != nil {
 		p.Hollow.rows(t)
 	}
@@ -73,7 +73,7 @@
 func (h *HollowFigures) rows(t table) {
 	t.row("a hollow node",
 		"%.3f%% of a core, heap %.0f KB (at the end %.0f KB), stacks %.0f KB; all ready after %.0f ms",
-		100*h.CoresNode, h.HeapNode/1e3, h.HeapAfter/1e3, h.StackNode/1e3, h.ReadyMS)
+		100*h.CoresPerNode, h.HeapPerNode/1e3, h.HeapPerNodeAtEnd/1e3, h.StackPerNode/1e3, h.ReadyMS)
 	if h.Calls.Offered > 0 {
 		t.row("hollow calls", "%d offered, %d served, %d refused, %d failed; 50/99/99.9 in 100: %.2f/%.2f/%.2f ms; %s",
 			h.Calls.Offered, h.Calls.Served, h.Calls.Rejected, h.Calls.Failed,
@@ -112,7 +112,7 @@
 func (s *StormFigures) rows(t table) {
 	t.row("storm: "+s.Kind, "lost for %.1f s; calls/s before %.1f, meanwhile %.1f, in the %.1f s after %.1f, "+
 		"peak %.0f, which is %.1f of the mean before; out after %.0f B/s",
-		s.LostSec, s.Before, s.During, s.AfterSec, s.After, s.PeakAfter, s.PeakToMean, s.PeakBytes)
+		s.LostSec, s.Before, s.During, s.WatchedAfterSec, s.After, s.PeakAfter, s.PeakToMean, s.BytesOutAfter)
 	t.row("newest list", "at all hollow nodes %.0f ms after the return; %d without it", s.NewestAllMS, s.Missed)
 }
 
--- a/internal/fleet/run_test.go
+++ b/internal/fleet/run_test.go
@@ -82,9 +82,9 @@
 func checkHollowUse(t *testing.T, hollow *report.HollowFigures) {
 	t.Helper()
 	expect(t, hollow,
-		expectation{"cores", hollow.CoresNode > 0},
-		expectation{"heap at the start", hollow.HeapNode > 0},
-		expectation{"heap at the end", hollow.HeapAfter > 0},
+		expectation{"cores", hollow.CoresPerNode > 0},
+		expectation{"heap at the start", hollow.HeapPerNode > 0},
+		expectation{"heap at the end", hollow.HeapPerNodeAtEnd > 0},
 		expectation{"memory", hollow.RSS > 0},
 		expectation{"a time until all are ready", hollow.ReadyMS > 0},
 	)
@@ -95,7 +95,7 @@
 	t.Helper()
 	registry := point.Registry
 	expect(t, registry,
-		expectation{"a connection of each node", registry.Open >= int64(nodes)},
+		expectation{"a connection of each node", registry.OpenConnections >= int64(nodes)},
 		expectation{"calls", registry.Calls > 0},
 		expectation{"bytes in", registry.BytesIn > 0},
 		expectation{"bytes out", registry.BytesOut > 0},
@@ -114,7 +114,7 @@
 	expect(t, point.Machine,
 		expectation{"cores", point.Machine.Cores >= 1},
 		expectation{"the version of Go", point.Machine.Go != ""},
-		expectation{"cores in use", point.Busy > 0},
+		expectation{"cores in use", point.MachineCores > 0},
 	)
 }
 
@@ -153,7 +153,7 @@
 		expectation{"a length", storm.LostSec > 0},
 		expectation{"calls before", storm.Before > 0},
 		expectation{"a peak after", storm.PeakAfter > 0},
-		expectation{"time watched after", storm.AfterSec > 0},
+		expectation{"time watched after", storm.WatchedAfterSec > 0},
 		expectation{"the newest list at all nodes", storm.Missed == 0},
 		expectation{"the time that it took", storm.NewestAllMS > 0},
 	)
--- a/internal/fleet/runfigures.go
+++ b/internal/fleet/runfigures.go
@@ -49,10 +49,10 @@
 func (r *run) fill(p *report.Point, before, after usage, realCores []float64, counted stats.Snapshot) {
 	sum, peak, seconds := counted.Between(before.at, after.at)
 	p.Seconds = after.at.Sub(before.at).Seconds()
-	p.Busy = process.CoresInUse(after.busy-before.busy, before.at, after.at)
+	p.MachineCores = process.CoresInUse(after.busy-before.busy, before.at, after.at)
 	per := func(n int64) float64 { return float64(n) / seconds }
 	p.Registry = report.RegistryFigures{
-		Open: counted.OpenConnections, Conns: per(sum.Conns), Calls: per(sum.Calls), BytesIn: per(sum.ReceivedBytes),
+		OpenConnections: counted.OpenConnections, Conns: per(sum.Conns), Calls: per(sum.Calls), BytesIn: per(sum.ReceivedBytes),
 		BytesOut: per(sum.SentBytes), Peak: float64(peak) / stats.BucketWidth.Seconds(),
 		Cores: process.CoresInUse(after.registry.CPU-before.registry.CPU, before.at, after.at), RSS: after.registry.RSS,
 	}
@@ -82,7 +82,7 @@
 
 // hollowFigures notes what the hollow nodes used, and how calls and changes of lists fared there.
 func (r *run) hollowFigures(
-	ctx context.Context, p *report.Point, before, after usage, started nodes.HollowStart,
+	ctx context.Context, p *report.Point, before, after usage, started nodes.HollowStartReport,
 ) error {
 	r.mu.Lock()
 	changes := r.changes
@@ -94,9 +94,9 @@
 	n := float64(r.args.Nodes)
 	h := &report.HollowFigures{
 		Nodes: r.args.Nodes, ReadyMS: stats.Milliseconds(started.Took),
-		CoresNode: process.CoresInUse(after.hollows.CPU-before.hollows.CPU, before.at, after.at) / n,
-		HeapNode:  float64(started.HeapBytes) / n, HeapAfter: float64(reported.HeapBytes) / n,
-		StackNode: float64(started.StackMem) / n, RSS: after.hollows.RSS,
+		CoresPerNode: process.CoresInUse(after.hollows.CPU-before.hollows.CPU, before.at, after.at) / n,
+		HeapPerNode:  float64(started.HeapBytes) / n, HeapPerNodeAtEnd: float64(reported.HeapBytes) / n,
+		StackPerNode: float64(started.StackMem) / n, RSS: after.hollows.RSS,
 		Lateness: reported.Lateness, Latency: reported.Latency, ScheduleKept: load.ScheduleKept(reported.Lateness),
 		InForce: reported.InForce, Warnings: reported.Warnings,
 	}
--- a/internal/fleet/runmeasure.go
+++ b/internal/fleet/runmeasure.go
@@ -13,7 +13,7 @@
 )
 
 // measure waits for the length of the run, and fills the point.
-func (r *run) measure(ctx context.Context, p *report.Point, started nodes.HollowStart) error {
+func (r *run) measure(ctx context.Context, p *report.Point, started nodes.HollowStartReport) error {
 	before, err := r.usage()
 	if err != nil {
 		return err
--- a/internal/fleet/runstart.go
+++ b/internal/fleet/runstart.go
@@ -11,7 +11,7 @@
 )
 
 // start starts the registry, the servers and the nodes, and waits until all nodes are ready.
-func (r *run) start(ctx context.Context) (started nodes.HollowStart, err error) {
+func (r *run) start(ctx context.Context) (started nodes.HollowStartReport, err error) {
 	if r.registry, err = process.StartChild(r.ChildCommand, roleRegistry); err != nil {
 		return started, err
 	}
@@ -90,7 +90,7 @@
 // startHollow starts the hollow nodes.
 func (r *run) startHollow(
 	ctx context.Context, discovery func(node, list int) string, polled bool,
-) (started nodes.HollowStart, err error) {
+) (started nodes.HollowStartReport, err error) {
 	spec := nodes.HollowSpec{
 		Services: r.args.Services, PollDiscovery: polled, Service: r.args.Service,
 		Seed: r.args.Seed, Wait: startTimeout,
--- a/internal/fleet/storm.go
+++ b/internal/fleet/storm.go
@@ -119,7 +119,7 @@
 	// The bucket in which the outage ends counts as after it.
 	after, peak, afterSec := counted.Between(s.back.Add(-stats.BucketWidth), watched)
 	f.Before, f.During = float64(before.Calls)/beforeSec, float64(during.Calls)/duringSec
-	f.After, f.AfterSec, f.PeakBytes = float64(after.Calls)/afterSec, afterSec, float64(after.SentBytes)/afterSec
+	f.After, f.WatchedAfterSec, f.BytesOutAfter = float64(after.Calls)/afterSec, afterSec, float64(after.SentBytes)/afterSec
 	f.PeakAfter = float64(peak) / stats.BucketWidth.Seconds()
 	if f.Before > 0 {
 		f.PeakToMean = f.PeakAfter / f.Before
