--- a/internal/fleet/nodes/warnings.go
+++ b/internal/fleet/nodes/warnings.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 )
 
-// warningCounter is a log handler that counts warningCounter and errors, and writes nothing.
+// warningCounter is a log handler that counts warnings and errors and discards all records.
 type warningCounter struct {
 	slog.Handler
 	count atomic.Int64
--- a/internal/fleet/report/growthlimits.go
+++ b/internal/fleet/report/growthlimits.go
@@ -1,12 +1,12 @@
 package report
 
-// growthLimit says how far a figure may grow. The limit at the large size is factor times the figure at the
-// usual size, plus base, plus perThousand for each thousand servers.
+// growthLimit is the limit of a figure at the large size: factor times the figure at the usual size, plus base, plus
+// perThousand for each thousand servers.
 type growthLimit struct {
 	what                      string
-	unit                      float64 // what the row is counted in
+	unit                      float64 // divisor of the figure in the row
 	factor, base, perThousand float64
-	isMinimum                 bool // the figure must not fall under the limit
+	isMinimum                 bool // the limit is a lower bound
 	figure                    func(GrowthFigures) float64
 }
 
@@ -16,7 +16,7 @@
 	megabyte = 1e6
 )
 
-// growthLimits are the rows of the standing test, section "More than these days".
+// growthLimits are the limits of the standing test, section "More than these days".
 var growthLimits = []growthLimit{
 	{
 		what: "CPU seconds", unit: 1, factor: 1.4, base: 0.02, perThousand: 0.03,
@@ -44,7 +44,7 @@
 	},
 }
 
-// GrowthRows compares the figures of both sizes with all limits.
+// GrowthRows compares the figures of both sizes with all limits, one row for each.
 func GrowthRows(usual, large GrowthFigures) (rows []GrowthRow) {
 	for _, limit := range growthLimits {
 		rows = append(rows, limit.row(usual, large))
@@ -63,12 +63,12 @@
 
 // row compares a figure with its limit.
 func (l growthLimit) row(usual, large GrowthFigures) GrowthRow {
-	r := GrowthRow{What: l.what, Usual: l.figure(usual) / l.unit, Large: l.figure(large) / l.unit}
-	r.Limit = l.factor*r.Usual + l.base + l.perThousand*float64(large.Servers)/1000
+	result := GrowthRow{What: l.what, Usual: l.figure(usual) / l.unit, Large: l.figure(large) / l.unit}
+	result.Limit = l.factor*result.Usual + l.base + l.perThousand*float64(large.Servers)/1000
 	if l.isMinimum {
-		r.Within = r.Large >= r.Limit
+		result.Within = result.Large >= result.Limit
 	} else {
-		r.Within = r.Large <= r.Limit
+		result.Within = result.Large <= result.Limit
 	}
-	return r
+	return result
 }
--- a/internal/fleet/report/growthlimits_test.go
+++ b/internal/fleet/report/growthlimits_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// usualFigures are round ones, to work out limits from.
+// usualFigures returns round figures at the usual size, for which limits are easy to calculate.
 func usualFigures() GrowthFigures {
 	return GrowthFigures{
 		Servers: 200, CPUSeconds: 1, PeakMemory: 10e6, Descriptors: 30, Connections: 100,
@@ -16,9 +16,9 @@
 	}
 }
 
-// The limits are those of the standing test, and a figure just at its limit is within.
+// The limits are those of the standing test.
 func TestGrowthLimits(t *testing.T) {
-	limits := map[string]struct{ at1000, at3200 float64 }{ // by the number of servers at the large size
+	limits := map[string]struct{ at1000, at3200 float64 }{ // at 1000 and at 3200 servers at the large size
 		"CPU seconds":                 {1.4 + 0.02 + 0.03, 1.4 + 0.02 + 0.096},
 		"peak memory, MB":             {15 + 8 + 4, 15 + 8 + 12.8},
 		"descriptors":                 {60 + 40, 60 + 40},
@@ -38,11 +38,12 @@
 	}
 }
 
-// checkLimit wants a limit at a number of servers: a figure just under it and one just over it are judged.
+// checkLimit checks the value of a limit at a number of servers, and the verdicts on a figure just under it and on one
+// just over it.
 func checkLimit(t *testing.T, limit growthLimit, servers int, want float64) {
 	t.Helper()
 	for _, test := range []struct {
-		share  float64 // of the limit
+		share  float64 // figure as a fraction of the limit
 		within bool
 	}{{0.999, !limit.isMinimum}, {1.001, limit.isMinimum}} {
 		figure := test.share * want
@@ -53,7 +54,7 @@
 	}
 }
 
-// figuresAt has one figure at a value, in the unit of its row.
+// figuresAt returns figures of which one has a value, given in the unit of its row.
 func figuresAt(what string, value float64, servers int) GrowthFigures {
 	f := GrowthFigures{Servers: servers}
 	*map[string]*float64{
@@ -69,16 +70,16 @@
 	return f
 }
 
-// The error names each row that is over its limit, and only those.
+// The error names exactly the rows that are over their limit.
 func TestGrowthReportNamesRowsOverLimit(t *testing.T) {
 	within := GrowthReport{Rows: []GrowthRow{{What: "a", Within: true}}}
 	if err := within.Err(); err != nil {
-		t.Errorf("all rows are within: %v", err)
+		t.Errorf("Err() = %v with all rows within their limits, want nil", err)
 	}
 	both := GrowthReport{Rows: []GrowthRow{{What: "a", Within: true}, {What: "b"}, {What: "c"}}}
 	var over *OverLimitError
 	if err := both.Err(); !errors.As(err, &over) || !slices.Equal(over.Rows, []string{"b", "c"}) {
-		t.Errorf("error %v", err)
+		t.Errorf("Err() = %v, want an OverLimitError with the rows b and c", err)
 	}
 	var table strings.Builder
 	if err := both.Table(&table); err != nil {
@@ -86,6 +87,6 @@
 	}
 	text := table.String()
 	if strings.Count(text, "over\n") != 2 || strings.Count(text, "within\n") != 1 {
-		t.Errorf("table %s", text)
+		t.Errorf("table %s, want two rows over and one within", text)
 	}
 }
--- a/internal/fleet/report/report.go
+++ b/internal/fleet/report/report.go
@@ -10,39 +10,39 @@
 // Machine describes the machine of a run.
 type Machine struct {
 	Cores int    `json:"cores"`
-	Go    string `json:"go"`
-	Load  string `json:"load_before"` // average over the minute before the run
+	Go    string `json:"go"`          // version
+	Load  string `json:"load_before"` // load average over the minute before the run
 }
 
-// PerNode is the traffic of each node for discovery. Bytes are of TCP payload between the node and its agent, or the
-// registry where lists are polled.
+// PerNode holds the discovery traffic of each node. Bytes are TCP payload between the node and its agent, or the
+// registry if lists are polled.
 type PerNode struct {
 	Nodes    int     `json:"nodes"`
 	BytesIn  float64 `json:"bytes_in_per_s"`
 	BytesOut float64 `json:"bytes_out_per_s"`
 }
 
-// HollowFigures are the figures of the hollow nodes' process. Its processor time holds all that the process does: the
-// modules, loops and discovery clients, the load generator, and the answers in memory.
+// HollowFigures holds the figures of the hollow nodes' process. Its CPU time includes everything that the process does:
+// the modules, loops and discovery clients, the load generator, and the simulated attempts.
 type HollowFigures struct {
 	Nodes            int                      `json:"nodes"`
 	ReadyMS          float64                  `json:"all_ready_after_ms"`
 	CoresPerNode     float64                  `json:"cores_per_node"`
 	HeapPerNode      float64                  `json:"heap_bytes_per_node"`
-	HeapPerNodeAtEnd float64                  `json:"heap_bytes_per_node_at_end"` // with what the run notes of each change
+	HeapPerNodeAtEnd float64                  `json:"heap_bytes_per_node_at_end"` // with the run's records of changes
 	StackPerNode     float64                  `json:"stack_bytes_per_node"`
 	RSS              int64                    `json:"rss_bytes"`
 	Calls            stats.Tally              `json:"calls"`
 	Lateness         stats.Quantiles          `json:"late"`
 	Latency          stats.Quantiles          `json:"latency"`
 	ScheduleKept     bool                     `json:"schedule_kept"`
-	InForce          map[string]stats.InForce `json:"in_force"` // by the kind of change
+	InForce          map[string]stats.InForce `json:"in_force"` // by group of list changes
 	Warnings         int64                    `json:"log_warnings"`
 	StormCalls       *stats.Tally             `json:"calls_in_storm,omitempty"`
 }
 
-// RealFigures are the figures of the real nodes' processes, over the rounds in which calls went through them (with no
-// calls, over the run).
+// RealFigures holds the figures of the real nodes' processes. Cores are measured in the rounds in which calls went
+// through the nodes, or over the whole run if there are no calls.
 type RealFigures struct {
 	Nodes     int     `json:"nodes"`
 	Alive     int     `json:"alive_at_end"`
@@ -52,7 +52,7 @@
 	RSSMax    int64   `json:"rss_bytes_max"`
 }
 
-// RegistryFigures are the figures of the process of the registry and the agents.
+// RegistryFigures holds the figures of the process of the registry and the agents.
 type RegistryFigures struct {
 	OpenConnections int64   `json:"connections_open"`
 	Conns           float64 `json:"connections_per_s"`
@@ -64,14 +64,14 @@
 	RSS             int64   `json:"rss_bytes"`
 }
 
-// StormFigures compare the registry's load after an outage with the mean before it. All calls that the registry gets
-// are counted, also those that it does not answer.
+// StormFigures compares the registry's load after an outage with the mean before it. All calls that the registry
+// receives are counted, including those that it does not answer.
 type StormFigures struct {
 	Kind            string  `json:"kind"`
 	LostSec         float64 `json:"lost_s"`
 	Before          float64 `json:"calls_per_s_before"`
 	During          float64 `json:"calls_per_s_while_lost"`
-	After           float64 `json:"calls_per_s_after"` // over the watched time after the return
+	After           float64 `json:"calls_per_s_after"` // over WatchedAfterSec
 	PeakAfter       float64 `json:"peak_calls_per_s_after"`
 	PeakToMean      float64 `json:"peak_to_mean_before"`
 	BytesOutAfter   float64 `json:"bytes_out_per_s_after"`
@@ -99,19 +99,19 @@
 type Report struct {
 	Command string                `json:"command"`
 	Points  []Point               `json:"points"`
-	Over    string                `json:"over,omitempty"`   // for a sweep: what was varied
-	Slopes  map[string]stats.Line `json:"slopes,omitempty"` // of each figure against it
+	Over    string                `json:"over,omitempty"`   // argument that a sweep varied
+	Slopes  map[string]stats.Line `json:"slopes,omitempty"` // fit of each figure against that argument
 }
 
-// Command returns the command line of a run, for its report.
+// Command returns the command line of a run for its report.
 func Command(args []string) string { return "fleetscale " + strings.Join(args, " ") }
 
-// Configs are the figures of how changes of the configuration came into force at the real nodes.
+// Configs holds figures of how quickly configuration changes were in force at the real nodes.
 type Configs struct {
 	Changes    int             `json:"changes"`
 	Sent       int             `json:"sent"`         // pairs of a change and a node
-	InForce    int             `json:"in_force"`     // of these, in force within the limit
-	NotInForce int             `json:"not_in_force"` // not by then
+	InForce    int             `json:"in_force"`     // pairs in force within LimitSec
+	NotInForce int             `json:"not_in_force"` // pairs not in force by then
 	LimitSec   float64         `json:"limit_s"`
-	Took       stats.Quantiles `json:"took"` // of those in force
+	Took       stats.Quantiles `json:"took"` // times of the pairs in force
 }
--- a/internal/fleet/report/table.go
+++ b/internal/fleet/report/table.go
@@ -12,17 +12,17 @@
 	"basaltdrum/internal/fleet/stats"
 )
 
-// table writes rows of a name and a text in two columns.
+// table writes rows with a name and a text as aligned columns.
 type table struct{ w *tabwriter.Writer }
 
 func newTable(out io.Writer) table { return table{tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)} }
 
-// row writes one row. The writer keeps its first error for flush.
+// row writes one row. The writer keeps an error until flush.
 func (t table) row(name, format string, values ...any) {
 	fmt.Fprintf(t.w, "%s\t"+format+"\n", append([]any{name}, values...)...)
 }
 
-// flush aligns the columns and writes them out.
+// flush aligns the columns and writes them to the output.
 func (t table) flush() error {
 	if err := t.w.Flush(); err != nil {
 		return fmt.Errorf("table: %w", err)
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// Table writes the figures of one run as text.
+// Table writes the figures of the run as text.
 func (p Point) Table(out io.Writer) error {
 	t := newTable(out)
 	a, r := p.Args, p.Registry
@@ -69,7 +69,7 @@
 	return t.flush()
 }
 
-// rows writes the figures of the hollow nodes.
+// rows writes the rows of the hollow nodes' figures.
 func (h *HollowFigures) rows(t table) {
 	t.row("a hollow node",
 		"%.3f%% of a core, heap %.0f KB (at the end %.0f KB), stacks %.0f KB; all ready after %.0f ms",
@@ -89,7 +89,7 @@
 	}
 }
 
-// rows writes the figures of both paths, and their difference.
+// rows writes the rows of both paths and their difference.
 func (c *Chain) rows(t table) {
 	for _, path := range []struct {
 		name    string
@@ -108,7 +108,7 @@
 		c.AddedP50, c.AddedP99, c.AddedP999)
 }
 
-// rows writes the figures of an outage.
+// rows writes the rows of an outage's figures.
 func (s *StormFigures) rows(t table) {
 	t.row("storm: "+s.Kind, "lost for %.1f s; calls/s before %.1f, meanwhile %.1f, in the %.1f s after %.1f, "+
 		"peak %.0f, which is %.1f of the mean before; out after %.0f B/s",
@@ -116,19 +116,19 @@
 	t.row("newest list", "at all hollow nodes %.0f ms after the return; %d without it", s.NewestAllMS, s.Missed)
 }
 
-// megabytes returns a number of bytes in megabytes.
+// megabytes converts a number of bytes to megabytes.
 func megabytes(bytes int64) float64 { return float64(bytes) / megabyte }
 
-// scheduleText says whether calls were sent at the times that were drawn.
-func scheduleText(kept bool, late stats.Quantiles) string {
+// scheduleText describes whether calls were sent close enough to their scheduled times.
+func scheduleText(kept bool, lateness stats.Quantiles) string {
 	text := "schedule kept"
 	if !kept {
 		text = "SCHEDULE NOT KEPT"
 	}
-	return fmt.Sprintf("%s (99 in 100 sends within %.2f ms, latest %.1f ms)", text, late.P99, late.Max)
+	return fmt.Sprintf("%s (99 in 100 sends within %.2f ms, latest %.1f ms)", text, lateness.P99, lateness.Max)
 }
 
-// Table writes the points, and for a sweep its slopes.
+// Table writes the points, and the slopes of a sweep, as text.
 func (r Report) Table(out io.Writer) error {
 	for _, p := range r.Points {
 		if err := p.Table(out); err != nil {
@@ -142,8 +142,8 @@
 	t := newTable(out)
 	t.row("against "+r.Over, "at 0\tfor one more\tfor 1,000 more\tR2")
 	for _, name := range slices.Sorted(maps.Keys(r.Slopes)) {
-		l := r.Slopes[name]
-		t.row(name, "%.5g\t%.5g\t%.5g\t%.3f", l.Intercept, l.Slope, 1000*l.Slope, l.R2)
+		line := r.Slopes[name]
+		t.row(name, "%.5g\t%.5g\t%.5g\t%.3f", line.Intercept, line.Slope, 1000*line.Slope, line.R2)
 	}
 	return t.flush()
 }
