--- a/internal/fleet/activities.go
+++ b/internal/fleet/activities.go
@@ -5,20 +5,20 @@
 	"sync"
 )
 
-// activities are goroutines that end together: the first error of one of them ends the context of all.
+// activities is a group of goroutines with a common context, which the first error of one of them cancels.
 type activities struct {
-	cancel context.CancelCauseFunc
-	cause  func() error // why their context has ended; nil while it has not
-	wg     sync.WaitGroup
+	cancel     context.CancelCauseFunc
+	firstError func() error // cause of the end of their context, or nil
+	wg         sync.WaitGroup
 }
 
-// newActivities returns no activities yet, and the context that they are to run in.
+// newActivities returns an empty group, and the context in which its activities must run.
 func newActivities(parent context.Context) (*activities, context.Context) {
 	ctx, cancel := context.WithCancelCause(parent)
-	return &activities{cancel: cancel, cause: func() error { return context.Cause(ctx) }}, ctx
+	return &activities{cancel: cancel, firstError: func() error { return context.Cause(ctx) }}, ctx
 }
 
-// start runs one activity in a goroutine of its own. It must return once the context ends.
+// start runs an activity in a new goroutine. The activity must return once the context ends.
 func (a *activities) start(activity func() error) {
 	a.wg.Add(1)
 	go func() {
@@ -29,8 +29,8 @@
 	}()
 }
 
-// wait waits until all activities have ended, and returns the first error or that of the parent context.
+// wait waits until all activities have returned, and returns the first error, or that of the parent context.
 func (a *activities) wait() error {
 	a.wg.Wait()
-	return a.cause()
+	return a.firstError()
 }
--- a/internal/fleet/growth.go
+++ b/internal/fleet/growth.go
@@ -17,11 +17,11 @@
 	"basaltdrum/internal/monotime"
 )
 
-// descriptorsEvery is how often the nodes' descriptors are counted.
-const descriptorsEvery = 50 * time.Millisecond
+// descriptorInterval is how often the open file descriptors of the nodes are sampled.
+const descriptorInterval = 50 * time.Millisecond
 
-// Growth plays the same day with real nodes at the usual size and at the large one, and compares the growth of what a
-// node needs with the limits. It ends within its bound, and its children with it.
+// Growth runs the same day with real nodes at the usual size and at the large one, and compares the growth of a node's
+// resource usage with the limits. It returns, and all its child processes have exited, within args.MaxDuration.
 func (r Runner) Growth(ctx context.Context, args plan.GrowthArgs) (result report.GrowthReport, err error) {
 	if err := args.Check(); err != nil {
 		return result, err
@@ -32,25 +32,25 @@
 	if err != nil {
 		return result, fmt.Errorf("growth: %w", err)
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // what is left of it stays in the folder for temporary files
+	defer func() { _ = os.RemoveAll(dir) }() // on error the rest stays in the directory for temporary files
 	result.Args, result.Machine = args, thisMachine()
 	if args.Program == "" {
 		if args.Program, err = nodes.BuildProgram(ctx, dir); err != nil {
 			return result, err
 		}
 	}
-	if result.Usual, err = r.playDay(ctx, dir, args, args.Usual()); err != nil {
+	if result.Usual, err = r.runDay(ctx, dir, args, args.Usual()); err != nil {
 		return result, err
 	}
-	if result.Large, err = r.playDay(ctx, dir, args, args.Large()); err != nil {
+	if result.Large, err = r.runDay(ctx, dir, args, args.Large()); err != nil {
 		return result, err
 	}
 	result.Rows = report.GrowthRows(result.Usual, result.Large)
 	return result, nil
 }
 
-// playDay plays one day and ends all that it started.
-func (r Runner) playDay(
+// runDay runs one day and stops all processes that it started.
+func (r Runner) runDay(
 	ctx context.Context, dir string, args plan.GrowthArgs, size plan.GrowthSize,
 ) (report.GrowthFigures, error) {
 	d := &growthDay{Runner: r, args: args, size: size, dir: dir, client: load.NewClient()}
@@ -58,15 +58,15 @@
 	if err := d.start(ctx); err != nil {
 		return report.GrowthFigures{}, err
 	}
-	r.Log.Info("playing a day", "servers", size.Servers, "for", args.For)
-	figures, err := d.play(ctx)
+	r.Log.Info("running a growth day", "servers", size.Servers, "for", args.For)
+	figures, err := d.run(ctx)
 	if err != nil {
 		return report.GrowthFigures{}, fmt.Errorf("day of %d servers: %w", size.Servers, err)
 	}
 	return figures, nil
 }
 
-// growthDay is one day while it is played.
+// growthDay is the state of one running day.
 type growthDay struct {
 	Runner
 	args      plan.GrowthArgs
@@ -74,12 +74,12 @@
 	dir       string
 	registry  *process.ChildProcess
 	servers   *process.ChildProcess
-	endpoints []string // of all servers of the day
+	endpoints []string // of all servers of the day, by index
 	nodes     []*nodes.RealNode
 	client    *load.Client
 }
 
-// start brings up the servers, the registry and the nodes, until all nodes are ready.
+// start starts the servers, the registry and the nodes, and waits until all nodes are ready.
 func (d *growthDay) start(ctx context.Context) (err error) {
 	if d.servers, err = process.StartChild(d.ChildCommand, roleListed); err != nil {
 		return err
@@ -95,7 +95,7 @@
 	}
 	list := standin.RegistrySpec{Services: [][]standin.ListEntry{nil}, Addresses: make([]int, d.args.Real)}
 	for i := range d.size.Servers {
-		list.Services[0] = append(list.Services[0], d.target(i))
+		list.Services[0] = append(list.Services[0], d.serverEntry(i))
 	}
 	var addresses []string
 	if err := d.registry.Call(ctx, "Start", list, &addresses); err != nil {
@@ -104,7 +104,7 @@
 	return d.startNodes(ctx, addresses)
 }
 
-// startNodes starts the nodes, each with a registry address of its own.
+// startNodes starts the nodes, each with its own registry address.
 func (d *growthDay) startNodes(ctx context.Context, addresses []string) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -127,8 +127,9 @@
 	return nil
 }
 
-// target returns a server's entry while it is in service. The servers listed first started long ago.
-func (d *growthDay) target(i int) standin.ListEntry {
+// serverEntry returns the list entry of server i in service. It has no boot time, which means that the server started
+// long ago.
+func (d *growthDay) serverEntry(i int) standin.ListEntry {
 	return standin.ListEntry{
 		UID: fmt.Sprintf("s-%d", i), Endpoint: d.endpoints[i], Zone: plan.Zones[i%len(plan.Zones)], Model: "m1",
 		Cell: i % 10, State: standin.InService, Capacity: d.size.Capacity,
@@ -148,26 +149,26 @@
 	d.client.Close()
 }
 
-// play makes the calls and the events of the day, and measures. The first error ends all of it.
-func (d *growthDay) play(ctx context.Context) (f report.GrowthFigures, err error) {
+// run makes the calls and the events of the day, and measures. The first error cancels all activities.
+func (d *growthDay) run(ctx context.Context) (f report.GrowthFigures, err error) {
 	f = report.GrowthFigures{Servers: d.size.Servers, FleetNodes: d.size.Nodes, Capacity: d.size.Capacity}
-	busy, err := process.MachineCPUTime()
+	before, err := process.MachineCPUTime()
 	if err != nil {
 		return f, err
 	}
-	begun := time.Now()
-	activities, playing := newActivities(ctx)
+	startTime := time.Now()
+	activities, activityCtx := newActivities(ctx)
 	defer activities.cancel(nil)
-	activities.start(func() error { return d.playEvents(playing, &f) })
-	watching, stopWatching := context.WithCancel(playing)
-	defer stopWatching()
+	activities.start(func() error { return d.runEvents(activityCtx, &f) })
+	samplingCtx, stopSampling := context.WithCancel(activityCtx)
+	defer stopSampling()
 	var descriptors []int
 	activities.start(func() error {
-		descriptors = d.watchDescriptors(watching)
+		descriptors = d.sampleDescriptors(samplingCtx)
 		return nil
 	})
-	f.Calls = d.makeCalls(playing)
-	stopWatching()
+	f.Calls = d.runCalls(activityCtx)
+	stopSampling()
 	if err := activities.wait(); err != nil {
 		return f, err
 	}
@@ -175,15 +176,15 @@
 	if err != nil {
 		return f, err
 	}
-	f.MachineCores = process.CoresInUse(after-busy, begun, time.Now())
+	f.MachineCores = process.CoresInUse(after-before, startTime, time.Now())
 	for _, n := range descriptors {
 		f.Descriptors += float64(n) / float64(len(d.nodes))
 	}
 	return f, d.readFigures(ctx, &f)
 }
 
-// makeCalls calls each node for the length of the day, and waits for the answers.
-func (d *growthDay) makeCalls(ctx context.Context) stats.Tally {
+// runCalls makes calls to each node for the length of the day, and waits for the responses.
+func (d *growthDay) runCalls(ctx context.Context) stats.Tally {
 	calls := load.Spec{Name: "day", Rate: d.args.Rate, Seed: d.args.Seed}
 	for _, n := range d.nodes {
 		calls.Addresses = append(calls.Addresses, n.Address())
@@ -193,24 +194,24 @@
 	return generator.Figures().Tally
 }
 
-// watchDescriptors samples the nodes' open descriptors until ctx ends, and returns the most of each.
-func (d *growthDay) watchDescriptors(ctx context.Context) []int {
-	most := make([]int, len(d.nodes))
+// sampleDescriptors samples the number of open file descriptors of each node until ctx ends, and returns the maxima.
+func (d *growthDay) sampleDescriptors(ctx context.Context) []int {
+	maxima := make([]int, len(d.nodes))
 	for ctx.Err() == nil {
 		for i, n := range d.nodes {
-			if open, err := process.Descriptors(n.PID()); err == nil { // a node that ended is found at the end
-				most[i] = max(most[i], open)
+			if open, err := process.Descriptors(n.PID()); err == nil { // readFigures reports a node that has exited
+				maxima[i] = max(maxima[i], open)
 			}
 		}
-		monotime.Sleep(ctx, descriptorsEvery)
+		monotime.Sleep(ctx, descriptorInterval)
 	}
-	return most
+	return maxima
 }
 
-// errNoCallServed says that a day has nothing to compare.
+// errNoCallServed means that the figures of a day can't be compared.
 var errNoCallServed = errors.New("no call was served")
 
-// readFigures reads what the nodes used and what the stand-ins counted.
+// readFigures reads the resource usage of the nodes and the counts of the stand-ins.
 func (d *growthDay) readFigures(ctx context.Context, f *report.GrowthFigures) error {
 	if f.Calls.Served == 0 {
 		return errNoCallServed
@@ -219,7 +220,7 @@
 	nodeCount := float64(len(d.nodes))
 	for _, n := range d.nodes {
 		if !n.Alive() {
-			return fmt.Errorf("%s has ended", n.Name())
+			return fmt.Errorf("node %s exited during the day", n.Name())
 		}
 		used, err := process.UsageOf(n.PID())
 		if err != nil {
@@ -236,12 +237,12 @@
 	if err := d.servers.Call(ctx, "Accepted", struct{}{}, &connections); err != nil {
 		return err
 	}
-	var counted stats.Snapshot
-	if err := d.registry.Call(ctx, "Traffic", struct{}{}, &counted); err != nil {
+	var traffic stats.Snapshot
+	if err := d.registry.Call(ctx, "Traffic", struct{}{}, &traffic); err != nil {
 		return err
 	}
 	f.Connections = float64(connections) / nodeCount
-	for _, bucket := range counted.Buckets {
+	for _, bucket := range traffic.Buckets {
 		f.ListBytes += float64(bucket.BytesOfLists) / nodeCount
 		f.ListPayload += float64(bucket.SentBytes) / nodeCount
 		f.ListCalls += float64(bucket.Calls) / nodeCount
--- a/internal/fleet/growth_test.go
+++ b/internal/fleet/growth_test.go
@@ -10,10 +10,11 @@
 	"basaltdrum/internal/fleet/report"
 )
 
-// growthRowCount is how many rows a growth report has: those of the standing test.
+// growthRowCount is the number of rows in a growth report: those of the standing test.
 const growthRowCount = 6
 
-// A growth run at a small size gives all rows, and leaves no child. Whether a row is within its limit is the machine's.
+// A growth run at a small size reports all rows and leaves no child process. Whether a row is within its limit depends
+// on the machine and is not checked.
 func TestGrowthRun(t *testing.T) {
 	t.Parallel()
 	for _, test := range []struct{ name, mode string }{
@@ -30,9 +31,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			runner.started.checkEnded(t)
+			runner.processes.checkEnded(t)
 			if len(result.Rows) != growthRowCount {
-				t.Errorf("rows %+v", result.Rows)
+				t.Errorf("rows %+v, want 6 of them", result.Rows)
 			}
 			checkGrowthFigures(t, result.Usual, 20)
 			checkGrowthFigures(t, result.Large, 40)
@@ -40,7 +41,7 @@
 	}
 }
 
-// checkGrowthFigures wants all figures of a day with so many servers.
+// checkGrowthFigures checks the figures of a day with the given number of servers.
 func checkGrowthFigures(t *testing.T, f report.GrowthFigures, servers int) {
 	t.Helper()
 	expect(t, f,
@@ -49,9 +50,9 @@
 		expectation{"all calls answered", f.Calls.Answered() == f.Calls.Offered},
 		expectation{"at least 10 calls", f.Calls.Offered >= 10},
 		expectation{"a call served", f.Calls.Served >= 1},
-		expectation{"processor time", f.CPUSeconds > 0},
+		expectation{"CPU time", f.CPUSeconds > 0},
 		expectation{"a megabyte of memory", f.PeakMemory >= 1e6},
-		expectation{"standard descriptors", f.Descriptors >= 3},
+		expectation{"the three standard file descriptors", f.Descriptors >= 3},
 		expectation{"connections to servers", f.Connections >= 1},
 		expectation{"100 bytes for each server listed", f.ListBytes >= float64(servers)*100},
 		expectation{"more bytes with the headers", f.ListPayload > f.ListBytes},
@@ -59,18 +60,18 @@
 	)
 }
 
-// A growth run that is ended early leaves no child, and says why it has ended.
-func TestGrowthRunEndsWithItsContext(t *testing.T) {
+// A cancelled growth run leaves no child process and returns the cause.
+func TestGrowthRunStopsWhenContextEnds(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	runner := newTestRunner(t)
-	runner.cancelAt("playing a day", cancel)
+	runner.cancelAt("running a growth day", cancel)
 	_, err := runner.Growth(ctx, plan.GrowthArgs{
 		Servers: 20, Factor: 2, Real: 1, Fleet: 10, Mode: "pushed", Rate: 40, For: time.Minute,
 	})
 	if !errors.Is(err, context.Canceled) {
-		t.Errorf("error %v, want %v", err, context.Canceled)
+		t.Errorf("Growth() returned error %v, want %v", err, context.Canceled)
 	}
-	runner.started.checkEnded(t)
+	runner.processes.checkEnded(t)
 }
--- a/internal/fleet/growthevents.go
+++ b/internal/fleet/growthevents.go
@@ -11,44 +11,44 @@
 	"basaltdrum/internal/monotime"
 )
 
-// playEvents makes the day's events at their times, those that are due at once together, and notes how many
-// changes they were and how late they came.
-func (d *growthDay) playEvents(ctx context.Context, f *report.GrowthFigures) error {
-	begun := time.Now()
-	var latest time.Duration
+// runEvents applies the day's events at their times, and all that are due at the same time together. It records the
+// number of list changes and the largest delay of an event.
+func (d *growthDay) runEvents(ctx context.Context, f *report.GrowthFigures) error {
+	startTime := time.Now()
+	var maxDelay time.Duration
 	for events := plan.DayEvents(d.size.Servers, d.args.For, d.args.Seed); len(events) > 0; {
-		monotime.Sleep(ctx, time.Until(begun.Add(events[0].At)))
+		monotime.Sleep(ctx, time.Until(startTime.Add(events[0].At)))
 		if ctx.Err() != nil {
-			return nil //nolint:nilerr // who waits for the activities reports why their context has ended
+			return nil //nolint:nilerr // activities.wait returns the cause of the context's end
 		}
-		now := time.Since(begun)
-		latest = max(latest, now-events[0].At)
-		due := plan.DueEvents(events, now)
-		changes, err := d.playTogether(ctx, events[:due])
+		elapsed := time.Since(startTime)
+		maxDelay = max(maxDelay, elapsed-events[0].At)
+		due := plan.DueEvents(events, elapsed)
+		changes, err := d.applyEvents(ctx, events[:due])
 		if err != nil {
 			return err
 		}
 		f.Changes += changes
 		events = events[due:]
 	}
-	f.LateMS = stats.Milliseconds(latest)
+	f.LateMS = stats.Milliseconds(maxDelay)
 	return nil
 }
 
-// playTogether makes events: the changes of the list, one after another, then what else there is. It returns how
-// many changes there were.
-func (d *growthDay) playTogether(ctx context.Context, events []plan.Event) (int, error) {
+// applyEvents applies events: first the changes of the list, one after another, then the others. It returns the number
+// of list changes.
+func (d *growthDay) applyEvents(ctx context.Context, events []plan.Event) (int, error) {
 	var changes []standin.ChangeSpec
-	var ended []int
-	broken := false
+	var closed []int
+	breakWatches := false
 	for _, e := range events {
 		switch e.Kind {
 		case plan.CloseServer:
-			ended = append(ended, e.Server)
+			closed = append(closed, e.Server)
 		case plan.BreakWatches:
-			broken = true
+			breakWatches = true
 		default:
-			changes = append(changes, standin.ChangeSpec{Entries: []standin.ListEntry{d.changed(e)}})
+			changes = append(changes, standin.ChangeSpec{Entries: []standin.ListEntry{d.entryAfter(e)}})
 		}
 	}
 	if len(changes) > 0 {
@@ -56,22 +56,22 @@
 			return 0, err
 		}
 	}
-	if broken {
+	if breakWatches {
 		if err := d.registry.Call(ctx, "BreakWatches", struct{}{}, &struct{}{}); err != nil {
 			return 0, err
 		}
 	}
-	if len(ended) > 0 {
-		if err := d.servers.Call(ctx, "Close", ended, &struct{}{}); err != nil {
+	if len(closed) > 0 {
+		if err := d.servers.Call(ctx, "Close", closed, &struct{}{}); err != nil {
 			return 0, err
 		}
 	}
 	return len(changes), nil
 }
 
-// changed is the entry of a server after an event that changes the list.
-func (d *growthDay) changed(e plan.Event) standin.ListEntry {
-	entry := d.target(e.Server)
+// entryAfter returns the entry of a server after an event that changes the list.
+func (d *growthDay) entryAfter(e plan.Event) standin.ListEntry {
+	entry := d.serverEntry(e.Server)
 	switch e.Kind {
 	case plan.ListServer:
 		entry.BootMS = time.Now().UnixMilli()
@@ -79,7 +79,7 @@
 		entry.State = standin.Terminating
 	case plan.RemoveServer:
 		entry.State = standin.Terminated
-	default: // the other events change no entry
+	default: // other events don't change the list
 	}
 	return entry
 }
--- a/internal/fleet/helpers_test.go
+++ b/internal/fleet/helpers_test.go
@@ -18,14 +18,14 @@
 	"basaltdrum/internal/fleet/report"
 )
 
-// childArgument makes the tests' own program a child: it is followed by the folder of the test that started it and by
-// the role.
+// childArgument makes the test binary act as a child process. The arguments after it are the directory of the test that
+// started the child, and the role.
 const childArgument = "child"
 
-// TestMain lets the tests' own program play the children, and fails the tests if a goroutine or a process outlives
-// them.
+// TestMain lets the test binary act as the child processes, and fails the tests if a goroutine or a process is left at
+// their end.
 func TestMain(m *testing.M) {
-	if len(os.Args) > 3 && os.Args[1] == childArgument { // a child never runs the tests, which start children
+	if len(os.Args) > 3 && os.Args[1] == childArgument { // a child must not run the tests, which would start more children
 		if err := Child(os.Args[3]); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
@@ -38,7 +38,7 @@
 // processCheck runs the tests, and fails them if a process is left at their end.
 type processCheck struct{ tests *testing.M }
 
-// Run is part of goleak.TestingM.
+// Run implements goleak.TestingM.
 func (c processCheck) Run() int {
 	code := c.tests.Run()
 	if left := children(); code == 0 && len(left) > 0 {
@@ -48,10 +48,10 @@
 	return code
 }
 
-// testRunner makes runs, and follows the processes that they start.
+// testRunner makes runs, and tracks the processes that they start.
 type testRunner struct {
 	Runner
-	started *processWatch
+	processes *processTracker
 }
 
 func newTestRunner(t *testing.T) *testRunner {
@@ -61,21 +61,21 @@
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	started := &processWatch{dir: dir, seen: map[int]bool{}}
+	processes := &processTracker{dir: dir, seen: map[int]bool{}}
 	return &testRunner{
 		Runner: Runner{
 			ChildCommand: []string{self, childArgument, dir}, TempDir: dir,
-			Log: slog.New(messageHandler{slog.DiscardHandler, func(string) { started.look() }}),
+			Log: slog.New(messageHandler{slog.DiscardHandler, func(string) { processes.find() }}),
 		},
-		started: started,
+		processes: processes,
 	}
 }
 
-// cancelAt has a run note its processes and then cancelled, once it logs a message.
+// cancelAt records the processes of a run and then cancels it, when it logs the given message.
 func (r *testRunner) cancelAt(message string, cancel context.CancelFunc) {
 	r.Log = slog.New(messageHandler{slog.DiscardHandler, func(logged string) {
 		if logged == message {
-			r.started.look()
+			r.processes.find()
 			cancel()
 		}
 	}})
@@ -88,7 +88,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.started.checkEnded(t)
+	r.processes.checkEnded(t)
 	var table strings.Builder
 	if err := point.Table(&table); err != nil {
 		t.Fatal(err)
@@ -97,46 +97,47 @@
 	return point
 }
 
-// processWatch notes the processes that the runs of one test have started. It looks for them whenever a run logs a
-// message, which it does once all of them are there. All have the test's folder in their command line or their
-// environment, so that tests that run at the same time tell theirs apart.
-type processWatch struct {
+// processTracker records the processes that the runs of one test have started. It looks for them whenever a run logs a
+// message, which it does after it has started all of them. The command line or the environment of each contains the
+// test's directory, so that tests that run at the same time can distinguish their processes.
+type processTracker struct {
 	dir string
 
 	mu   sync.Mutex
 	seen map[int]bool // by process id
 }
 
-// look notes the processes that are there, and returns those of the test, zombies included.
-func (w *processWatch) look() (there []int) {
+// find records and returns the existing processes of the test, including zombies.
+func (w *processTracker) find() (found []int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, pid := range children() {
-		if !w.seen[pid] && mentions(pid, w.dir) {
+		if !w.seen[pid] && processMentions(pid, w.dir) {
 			w.seen[pid] = true
 		}
 		if w.seen[pid] {
-			there = append(there, pid)
+			found = append(found, pid)
 		}
 	}
-	return there
+	return found
 }
 
-// checkEnded fails the test if it saw no process, or if one is left, be it as a zombie.
-func (w *processWatch) checkEnded(t *testing.T) {
+// checkEnded fails the test if no process was recorded, or if one still exists, even as a zombie.
+func (w *processTracker) checkEnded(t *testing.T) {
 	t.Helper()
-	if left := w.look(); len(left) > 0 {
+	if left := w.find(); len(left) > 0 {
 		t.Errorf("processes are left: %v", left)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.seen) == 0 {
-		t.Error("no process was seen")
+		t.Error("the run started no process of its own that the test could find")
 	}
 }
 
-// mentions says that a text is in the command line or the environment of a process. A zombie has neither.
-func mentions(pid int, text string) bool {
+// processMentions reports whether the command line or the environment of a process contains a text. Both are empty for
+// a zombie.
+func processMentions(pid int, text string) bool {
 	for _, name := range []string{"cmdline", "environ"} {
 		content, err := os.ReadFile(fmt.Sprintf("/proc/%d/%s", pid, name))
 		if err == nil && bytes.Contains(content, []byte(text)) {
@@ -146,50 +147,50 @@
 	return false
 }
 
-// children returns the processes that this one has started and that are still there, zombies included.
+// children returns the existing child processes of this process, including zombies.
 func children() (found []int) {
-	stats, _ := filepath.Glob("/proc/[0-9]*/stat") // the pattern is a good one
+	stats, _ := filepath.Glob("/proc/[0-9]*/stat") // fails only for a malformed pattern
 	for _, name := range stats {
 		content, err := os.ReadFile(name)
 		if err != nil {
-			continue // it has ended since
+			continue // the process has exited since
 		}
 		fields := strings.Fields(string(content[bytes.LastIndexByte(content, ')')+1:]))
 		if len(fields) > 1 && fields[1] == strconv.Itoa(os.Getpid()) {
-			pid, _ := strconv.Atoi(filepath.Base(filepath.Dir(name))) // it is digits
+			pid, _ := strconv.Atoi(filepath.Base(filepath.Dir(name))) // the pattern matches only digits
 			found = append(found, pid)
 		}
 	}
 	return found
 }
 
-// messageHandler is a log handler that calls a function with each message, and writes nothing.
+// messageHandler is a log handler that calls a function with each message and discards the record.
 type messageHandler struct {
 	slog.Handler
 	call func(message string)
 }
 
-// Enabled is part of slog.Handler.
+// Enabled implements slog.Handler.
 func (h messageHandler) Enabled(context.Context, slog.Level) bool { return true }
 
-// Handle is part of slog.Handler.
+// Handle implements slog.Handler.
 func (h messageHandler) Handle(_ context.Context, record slog.Record) error {
 	h.call(record.Message)
 	return nil
 }
 
-// expectation is what figures must show.
+// expectation is a condition that figures must meet.
 type expectation struct {
 	what string
 	met  bool
 }
 
-// expect fails the test for each expectation that figures do not meet.
+// expect fails the test for each expectation that the figures do not meet.
 func expect(t *testing.T, figures any, expectations ...expectation) {
 	t.Helper()
 	for _, e := range expectations {
 		if !e.met {
-			t.Errorf("want %s: %+v", e.what, figures)
+			t.Errorf("want %s, got %+v", e.what, figures)
 		}
 	}
 }
--- a/internal/fleet/report/report.go
+++ b/internal/fleet/report/report.go
@@ -60,7 +60,7 @@
 	BytesIn         float64 `json:"bytes_in_per_s"`
 	BytesOut        float64 `json:"bytes_out_per_s"`
 	Peak            float64 `json:"peak_calls_per_s"` // in the busiest 100 ms
-	Cores           float64 `json:"cores"`
+	CoresInUse      float64 `json:"cores"`
 	RSS             int64   `json:"rss_bytes"`
 }
 
--- a/internal/fleet/report/sweep.go
+++ b/internal/fleet/report/sweep.go
@@ -6,7 +6,7 @@
 		"node bytes in/s": p.PerNode.BytesIn, "node bytes out/s": p.PerNode.BytesOut,
 		"registry connections": float64(p.Registry.OpenConnections), "registry calls/s": p.Registry.Calls,
 		"registry bytes out/s": p.Registry.BytesOut, "registry bytes in/s": p.Registry.BytesIn,
-		"registry cores": p.Registry.Cores,
+		"registry cores": p.Registry.CoresInUse,
 	}
 	if p.Hollow != nil {
 		figures["hollow cores a node"] = p.Hollow.CoresPerNode
--- a/internal/fleet/report/table.go
+++ b/internal/fleet/report/table.go
@@ -42,7 +42,7 @@
 	t.row("a node and its agent or registry", "in %.0f B/s, out %.0f B/s", p.PerNode.BytesIn, p.PerNode.BytesOut)
 	t.row("registry and agents",
 		"%d connections, %.1f calls/s, peak %.0f, in %.0f B/s, out %.0f B/s, %.3f cores, %.1f MB",
-		r.OpenConnections, r.Calls, r.Peak, r.BytesIn, r.BytesOut, r.Cores, megabytes(r.RSS))
+		r.OpenConnections, r.Calls, r.Peak, r.BytesIn, r.BytesOut, r.CoresInUse, megabytes(r.RSS))
 	if p.Hollow != nil {
 		p.Hollow.rows(t)
 	}
--- a/internal/fleet/roles.go
+++ b/internal/fleet/roles.go
@@ -16,8 +16,8 @@
 	roleListed   = "listed-servers"
 )
 
-// Child is the main function of a child process: it serves the requests of its parent in one of the roles, until its
-// input is closed.
+// Child is the main function of a child process. It serves the requests of its parent in the given role until its
+// standard input is closed.
 func Child(role string) error {
 	services := map[string]any{
 		roleRegistry: &standin.RegistryHost{},
@@ -27,7 +27,7 @@
 	}
 	service, ok := services[role]
 	if !ok {
-		return fmt.Errorf("child: no role %q", role)
+		return fmt.Errorf("child: unknown role %q", role)
 	}
 	return process.ServeParent(service)
 }
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -17,17 +17,17 @@
 	"basaltdrum/internal/fleet/standin"
 )
 
-// startTimeout is how long the nodes may take to be ready.
+// startTimeout is how long the nodes may take to become ready.
 const startTimeout = time.Minute
 
-// Runner makes runs.
+// Runner makes measurement runs.
 type Runner struct {
-	ChildCommand []string // the command that calls Child with one more argument, the role
-	TempDir      string   // where runs keep their temporary files; empty: the system's folder for them
+	ChildCommand []string // command that calls Child with the role, which is added as the last argument
+	TempDir      string   // directory for temporary files; if empty, that of the system
 	Log          *slog.Logger
 }
 
-// run is one run while it is made. Its children are stopped at its end, also after an error.
+// run is the state of one measurement run. Its processes are stopped at its end, also after an error.
 type run struct {
 	Runner
 	args            plan.Args
@@ -38,39 +38,39 @@
 	serverAddresses standin.ServerAddresses
 	real            []*nodes.RealNode // chain by chain, tier by tier
 	client          *load.Client
-	lists           []*standin.Rotation // of the services, then of the real nodes' tiers
+	lists           []*standin.Rotation // first those of the services, then one for each real node
 
 	mu                   sync.Mutex
 	changes              []nodes.ListChange
 	registryUnresponsive bool
 }
 
-// Run makes one run. It ends within its bound, and its children with it.
+// Run makes one run. It returns, and all its child processes have exited, within args.MaxDuration.
 func (r Runner) Run(ctx context.Context, args plan.Args) (p report.Point, err error) {
 	if err := args.Check(); err != nil {
 		return report.Point{}, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, args.MaxDuration()-2*process.StopTimeout)
 	defer cancel()
-	one := &run{Runner: r, args: args, client: load.NewClient()}
-	defer one.stop()
-	if one.dir, err = os.MkdirTemp(r.TempDir, "fleetscale"); err != nil {
+	current := &run{Runner: r, args: args, client: load.NewClient()}
+	defer current.stop()
+	if current.dir, err = os.MkdirTemp(r.TempDir, "fleetscale"); err != nil {
 		return report.Point{}, fmt.Errorf("run: %w", err)
 	}
 	p = report.Point{Args: args, Machine: thisMachine()}
-	started, err := one.start(ctx)
+	started, err := current.start(ctx)
 	if err != nil {
 		return report.Point{}, err
 	}
-	return p, one.measure(ctx, &p, started)
+	return p, current.measure(ctx, &p, started)
 }
 
-// thisMachine describes the machine before a run.
+// thisMachine describes this machine and its current load.
 func thisMachine() report.Machine {
 	return report.Machine{Cores: runtime.NumCPU(), Go: runtime.Version(), Load: process.LoadAverage()}
 }
 
-// stop ends all processes of the run.
+// stop stops all processes of the run and removes its files.
 func (r *run) stop() {
 	var wg sync.WaitGroup
 	for _, n := range r.real {
@@ -91,5 +91,5 @@
 	}
 	wg.Wait()
 	r.client.Close()
-	_ = os.RemoveAll(r.dir) // what is left of it stays in the folder for temporary files
+	_ = os.RemoveAll(r.dir) // on error the rest stays in the directory for temporary files
 }
--- a/internal/fleet/run_test.go
+++ b/internal/fleet/run_test.go
@@ -11,8 +11,8 @@
 	"basaltdrum/internal/fleet/report"
 )
 
-// testArgs are the arguments that all runs of these tests share. The length of a run is real time, which its processes
-// spend waiting for the most part.
+// testArgs returns the arguments that all runs of these tests share. The length of a run is real time, in which its
+// processes mostly wait.
 func testArgs() plan.Args {
 	return plan.Args{
 		Servers: 12, Services: 1, Mode: "pushed", Storm: plan.StormNone, Depth: 1, Seed: 1,
@@ -20,7 +20,7 @@
 	}
 }
 
-// Every hollow node applies every change, and every call is answered.
+// Each hollow node applies each change of its list, and all calls are answered.
 func TestHollowRun(t *testing.T) {
 	t.Parallel()
 	for _, test := range []struct{ name, mode string }{
@@ -41,7 +41,7 @@
 				expectation{"no chain", point.Chain == nil},
 				expectation{"no changes of configuration", point.Configs == nil},
 				expectation{"no storm", point.Storm == nil},
-				expectation{"its length measured", point.Seconds >= args.For.Seconds()},
+				expectation{"measurements over the whole length", point.Seconds >= args.For.Seconds()},
 			)
 			checkInForce(t, point.Hollow, args.Nodes/args.Services)
 			checkHollowCalls(t, point.Hollow)
@@ -52,7 +52,7 @@
 	}
 }
 
-// checkInForce wants each change applied by all nodes of its service.
+// checkInForce checks that all nodes of a service have applied each change of its list.
 func checkInForce(t *testing.T, hollow *report.HollowFigures, nodesOfService int) {
 	t.Helper()
 	f := hollow.InForce[plan.GroupServerState]
@@ -65,7 +65,7 @@
 	)
 }
 
-// checkHollowCalls wants all calls answered and measured.
+// checkHollowCalls checks that all calls are answered and measured.
 func checkHollowCalls(t *testing.T, hollow *report.HollowFigures) {
 	t.Helper()
 	expect(t, hollow,
@@ -78,7 +78,7 @@
 	)
 }
 
-// checkHollowUse wants figures of what hollow nodes use.
+// checkHollowUse checks the figures of the hollow nodes' resource usage.
 func checkHollowUse(t *testing.T, hollow *report.HollowFigures) {
 	t.Helper()
 	expect(t, hollow,
@@ -90,7 +90,7 @@
 	)
 }
 
-// checkRegistry wants the traffic of all nodes at the registry.
+// checkRegistry checks the figures of the traffic of all nodes at the registry.
 func checkRegistry(t *testing.T, point report.Point, nodes int) {
 	t.Helper()
 	registry := point.Registry
@@ -108,7 +108,7 @@
 	)
 }
 
-// checkMachine wants a description of the machine.
+// checkMachine checks the description of the machine.
 func checkMachine(t *testing.T, point report.Point) {
 	t.Helper()
 	expect(t, point.Machine,
@@ -118,12 +118,13 @@
 	)
 }
 
-// After an outage all nodes get the newest list; most calls are served meanwhile, and all are answered.
-func TestStorms(t *testing.T) {
+// After an outage all nodes get the newest list. During the outage at least half of the calls are served, and all are
+// answered.
+func TestOutages(t *testing.T) {
 	t.Parallel()
 	for _, test := range []struct{ name, storm string }{
 		{"a zone is lost", plan.StormZone},
-		{"the registry is silent", "registry"},
+		{"the registry is unresponsive", "registry"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
@@ -134,18 +135,18 @@
 				t.Fatalf("no figures of the storm: %+v", point)
 			}
 			checkStorm(t, point.Storm, test.storm)
-			meanwhile, all := point.Hollow.StormCalls, point.Hollow.Calls
-			expect(t, meanwhile,
-				expectation{"at least 100 calls", meanwhile.Offered >= 100},
-				expectation{"all calls answered", meanwhile.Answered() == meanwhile.Offered},
-				expectation{"half of the calls served", meanwhile.Served >= meanwhile.Offered/2},
-				expectation{"fewer calls than in all of the run", meanwhile.Offered < all.Offered},
+			duringOutage, all := point.Hollow.StormCalls, point.Hollow.Calls
+			expect(t, duringOutage,
+				expectation{"at least 100 calls", duringOutage.Offered >= 100},
+				expectation{"all calls answered", duringOutage.Answered() == duringOutage.Offered},
+				expectation{"half of the calls served", duringOutage.Served >= duringOutage.Offered/2},
+				expectation{"fewer calls than in the whole run", duringOutage.Offered < all.Offered},
 			)
 		})
 	}
 }
 
-// checkStorm wants the newest list at all nodes after an outage.
+// checkStorm checks the figures of an outage, after which all nodes must have the newest list.
 func checkStorm(t *testing.T, storm *report.StormFigures, kind string) {
 	t.Helper()
 	expect(t, storm,
@@ -153,13 +154,13 @@
 		expectation{"a length", storm.LostSec > 0},
 		expectation{"calls before", storm.Before > 0},
 		expectation{"a peak after", storm.PeakAfter > 0},
-		expectation{"time watched after", storm.WatchedAfterSec > 0},
+		expectation{"a time measured after", storm.WatchedAfterSec > 0},
 		expectation{"the newest list at all nodes", storm.Missed == 0},
-		expectation{"the time that it took", storm.NewestAllMS > 0},
+		expectation{"the time until all have it", storm.NewestAllMS > 0},
 	)
 }
 
-// Calls take a chain of two real nodes, whose program the run builds, and the direct path beside it.
+// Calls go through a chain of two real nodes, whose program the run builds, and along the direct path.
 func TestRealNodes(t *testing.T) {
 	t.Parallel()
 	args := testArgs()
@@ -186,7 +187,7 @@
 	)
 }
 
-// checkPath wants the calls of one path answered and measured.
+// checkPath checks that the calls of one path are answered and measured.
 func checkPath(t *testing.T, path load.PathFigures) {
 	t.Helper()
 	expect(t, path,
@@ -200,8 +201,8 @@
 	)
 }
 
-// A run that is ended early leaves no child, and says why it has ended.
-func TestRunEndsWithItsContext(t *testing.T) {
+// A cancelled run leaves no child process and returns the cause.
+func TestRunStopsWhenContextEnds(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -210,7 +211,7 @@
 	args := testArgs()
 	args.Nodes, args.For = 3, time.Minute
 	if _, err := runner.Run(ctx, args); !errors.Is(err, context.Canceled) {
-		t.Errorf("error %v, want %v", err, context.Canceled)
+		t.Errorf("Run() returned error %v, want %v", err, context.Canceled)
 	}
-	runner.started.checkEnded(t)
+	runner.processes.checkEnded(t)
 }
--- a/internal/fleet/runfigures.go
+++ b/internal/fleet/runfigures.go
@@ -12,17 +12,18 @@
 	"basaltdrum/internal/fleet/stats"
 )
 
-// usage reads what processes have used.
+// usage holds the resource usage of the run's processes at one time.
 type usage struct {
 	at       time.Time
-	busy     time.Duration
+	machine  time.Duration // CPU time of all processes on the machine
 	hollows  process.Usage
 	registry process.Usage
 	real     []process.Usage
 }
 
-func (r *run) usage() (u usage, err error) {
-	if u.busy, err = process.MachineCPUTime(); err != nil {
+// readUsage reads the current usage. That of a real node that has exited is zero.
+func (r *run) readUsage() (u usage, err error) {
+	if u.machine, err = process.MachineCPUTime(); err != nil {
 		return u, err
 	}
 	if u.registry, err = process.UsageOf(r.registry.PID()); err != nil {
@@ -34,31 +35,38 @@
 		}
 	}
 	for _, n := range r.real {
-		one, err := process.UsageOf(n.PID())
+		nodeUsage, err := process.UsageOf(n.PID())
 		if err != nil && n.Alive() {
 			return u, err
 		}
-		u.real = append(u.real, one)
+		u.real = append(u.real, nodeUsage)
 	}
 	u.at = time.Now()
 	return u, nil
 }
 
-// fill notes what the processes used and what passed at the registry. realCores is what the real nodes used
-// while calls went through them; nil: there were none.
-func (r *run) fill(p *report.Point, before, after usage, realCores []float64, counted stats.Snapshot) {
-	sum, peak, seconds := counted.Between(before.at, after.at)
+// fillFigures sets the figures of the registry, the real nodes and the machine. realCores holds the mean number of
+// cores that each real node used while calls went through it; it is nil if there were no such calls.
+func (r *run) fillFigures(p *report.Point, before, after usage, realCores []float64, traffic stats.Snapshot) {
+	sum, peak, seconds := traffic.Between(before.at, after.at)
 	p.Seconds = after.at.Sub(before.at).Seconds()
-	p.MachineCores = process.CoresInUse(after.busy-before.busy, before.at, after.at)
-	per := func(n int64) float64 { return float64(n) / seconds }
+	p.MachineCores = process.CoresInUse(after.machine-before.machine, before.at, after.at)
+	perSecond := func(n int64) float64 { return float64(n) / seconds }
 	p.Registry = report.RegistryFigures{
-		OpenConnections: counted.OpenConnections, Conns: per(sum.Conns), Calls: per(sum.Calls), BytesIn: per(sum.ReceivedBytes),
-		BytesOut: per(sum.SentBytes), Peak: float64(peak) / stats.BucketWidth.Seconds(),
-		Cores: process.CoresInUse(after.registry.CPU-before.registry.CPU, before.at, after.at), RSS: after.registry.RSS,
+		OpenConnections: traffic.OpenConnections,
+		Conns:           perSecond(sum.Conns),
+		Calls:           perSecond(sum.Calls),
+		BytesIn:         perSecond(sum.ReceivedBytes),
+		BytesOut:        perSecond(sum.SentBytes),
+		Peak:            float64(peak) / stats.BucketWidth.Seconds(),
+		CoresInUse:      process.CoresInUse(after.registry.CPU-before.registry.CPU, before.at, after.at),
+		RSS:             after.registry.RSS,
 	}
 	nodeCount := r.args.Nodes + r.args.Real
 	p.PerNode = report.PerNode{
-		Nodes: nodeCount, BytesIn: per(sum.SentBytes) / float64(nodeCount), BytesOut: per(sum.ReceivedBytes) / float64(nodeCount),
+		Nodes:    nodeCount,
+		BytesIn:  perSecond(sum.SentBytes) / float64(nodeCount),
+		BytesOut: perSecond(sum.ReceivedBytes) / float64(nodeCount),
 	}
 	if len(r.real) == 0 {
 		return
@@ -80,8 +88,8 @@
 	p.Real = f
 }
 
-// hollowFigures notes what the hollow nodes used, and how calls and changes of lists fared there.
-func (r *run) hollowFigures(
+// fillHollowFigures sets the figures of the hollow nodes: their resource usage, calls and list changes.
+func (r *run) fillHollowFigures(
 	ctx context.Context, p *report.Point, before, after usage, started nodes.HollowStartReport,
 ) error {
 	r.mu.Lock()
@@ -91,17 +99,17 @@
 	if err := r.hollows.Call(ctx, "Report", changes, &reported); err != nil {
 		return err
 	}
-	n := float64(r.args.Nodes)
+	nodeCount := float64(r.args.Nodes)
 	h := &report.HollowFigures{
 		Nodes: r.args.Nodes, ReadyMS: stats.Milliseconds(started.Took),
-		CoresPerNode: process.CoresInUse(after.hollows.CPU-before.hollows.CPU, before.at, after.at) / n,
-		HeapPerNode:  float64(started.HeapBytes) / n, HeapPerNodeAtEnd: float64(reported.HeapBytes) / n,
-		StackPerNode: float64(started.StackMem) / n, RSS: after.hollows.RSS,
+		CoresPerNode: process.CoresInUse(after.hollows.CPU-before.hollows.CPU, before.at, after.at) / nodeCount,
+		HeapPerNode:  float64(started.HeapBytes) / nodeCount, HeapPerNodeAtEnd: float64(reported.HeapBytes) / nodeCount,
+		StackPerNode: float64(started.StackMem) / nodeCount, RSS: after.hollows.RSS,
 		Lateness: reported.Lateness, Latency: reported.Latency, ScheduleKept: load.ScheduleKept(reported.Lateness),
 		InForce: reported.InForce, Warnings: reported.Warnings,
 	}
-	for _, t := range reported.Phases {
-		h.Calls = h.Calls.Plus(t)
+	for _, tally := range reported.Phases {
+		h.Calls = h.Calls.Plus(tally)
 	}
 	if r.args.Storm != plan.StormNone {
 		h.StormCalls = &reported.Phases[nodes.InStorm]
--- a/internal/fleet/runmeasure.go
+++ b/internal/fleet/runmeasure.go
@@ -12,9 +12,9 @@
 	"basaltdrum/internal/monotime"
 )
 
-// measure waits for the length of the run, and fills the point.
+// measure runs the activities for the length of the run, and sets the figures of the point.
 func (r *run) measure(ctx context.Context, p *report.Point, started nodes.HollowStartReport) error {
-	before, err := r.usage()
+	before, err := r.readUsage()
 	if err != nil {
 		return err
 	}
@@ -24,61 +24,61 @@
 			return err
 		}
 	}
-	activities, running := newActivities(ctx)
+	activities, activityCtx := newActivities(ctx)
 	defer activities.cancel(nil)
-	outcome := r.startActivities(running, activities, p)
+	results := r.startActivities(activityCtx, activities, p)
 	r.Log.Info("measuring", "for", r.args.For)
-	monotime.Sleep(running, time.Until(before.at.Add(r.args.For)))
-	after, err := r.usage() // before the nodes' last answers and updates, which are left out
+	monotime.Sleep(activityCtx, time.Until(before.at.Add(r.args.For)))
+	after, err := r.readUsage() // excludes the wait for the last responses and updates
 	if err != nil {
 		activities.cancel(err)
 	}
 	if err := activities.wait(); err != nil {
 		return fmt.Errorf("run: %w", err)
 	}
-	var counted stats.Snapshot
-	if err := r.registry.Call(ctx, "Traffic", struct{}{}, &counted); err != nil {
+	var traffic stats.Snapshot
+	if err := r.registry.Call(ctx, "Traffic", struct{}{}, &traffic); err != nil {
 		return err
 	}
-	r.fill(p, before, after, outcome.realCores, counted)
+	r.fillFigures(p, before, after, results.realCores, traffic)
 	if r.hollows != nil {
-		if err := r.hollowFigures(ctx, p, before, after, started); err != nil {
+		if err := r.fillHollowFigures(ctx, p, before, after, started); err != nil {
 			return err
 		}
 	}
-	if outcome.storm != nil {
-		p.Storm = outcome.storm.figures(r.args.Storm, counted, before.at, after.at, p.Hollow)
+	if results.storm != nil {
+		p.Storm = results.storm.figures(r.args.Storm, traffic, before.at, after.at, p.Hollow)
 	}
 	return nil
 }
 
-// activityOutcome is what the activities of a run leave for its figures. It is complete once they have ended.
-type activityOutcome struct {
+// activityResults holds the results of a run's activities. They are complete once all activities have returned.
+type activityResults struct {
 	storm     *stormTimes
-	realCores []float64 // of each real node while calls went through it
+	realCores []float64 // mean cores that each real node used while calls went through it
 }
 
-// startActivities starts all that happens in a run besides the calls at hollow nodes.
-func (r *run) startActivities(ctx context.Context, a *activities, p *report.Point) *activityOutcome {
-	outcome := &activityOutcome{}
+// startActivities starts all activities of a run except the calls at hollow nodes.
+func (r *run) startActivities(ctx context.Context, a *activities, p *report.Point) *activityResults {
+	results := &activityResults{}
 	if r.args.Changes > 0 {
-		a.start(func() error { return r.rotate(ctx, r.args.For) })
+		a.start(func() error { return r.rotateLists(ctx, r.args.For) })
 	}
 	if r.args.Storm != plan.StormNone {
 		a.start(func() (err error) {
-			outcome.storm, err = r.storm(ctx)
+			results.storm, err = r.runStorm(ctx)
 			return err
 		})
 	}
 	if r.args.Configs > 0 {
-		p.Configs = &report.Configs{LimitSec: configLimit.Seconds()}
-		a.start(func() error { return r.reconfigure(ctx, p.Configs) })
+		p.Configs = &report.Configs{LimitSec: configInForceLimit.Seconds()}
+		a.start(func() error { return r.makeConfigChanges(ctx, p.Configs) })
 	}
 	if len(r.real) > 0 && r.args.Rate > 0 {
 		a.start(func() (err error) {
-			p.Chain, outcome.realCores, err = r.chain(ctx)
+			p.Chain, results.realCores, err = r.measureChain(ctx)
 			return err
 		})
 	}
-	return outcome
+	return results
 }
--- a/internal/fleet/runstart.go
+++ b/internal/fleet/runstart.go
@@ -31,14 +31,14 @@
 		return addresses[node]
 	}
 	if r.args.Nodes > 0 {
-		if started, err = r.startHollow(ctx, discovery, polled); err != nil {
+		if started, err = r.startHollowNodes(ctx, discovery, polled); err != nil {
 			return started, err
 		}
 	}
-	return started, r.startReal(ctx, func(i int) string { return discovery(r.args.Nodes+i, hollowLists+i) }, polled)
+	return started, r.startRealNodes(ctx, func(i int) string { return discovery(r.args.Nodes+i, hollowLists+i) }, polled)
 }
 
-// startServers starts the servers of the chains, if there are any.
+// startServers starts the servers of the chains if there are any chains.
 func (r *run) startServers(ctx context.Context) (err error) {
 	chains := r.args.Real / r.args.Depth
 	if chains == 0 {
@@ -53,12 +53,12 @@
 	return r.servers.Call(ctx, "Start", spec, &r.serverAddresses)
 }
 
-// hollowEndpoint is the endpoint of all servers that hollow nodes are listed, which never connect to it.
+// hollowEndpoint is the endpoint of all servers in the lists of hollow nodes, which never connect to it.
 const hollowEndpoint = "127.0.0.1:1"
 
-// makeLists makes the lists: those of the services, which the hollow nodes get, and then one for each real node. It
-// returns what the registry is started with, and how many lists are the hollow nodes'. Where lists are pushed, each
-// node has an address of its own, its agent's; where they are polled, each list has one.
+// makeLists creates the lists: first one for each service of the hollow nodes, then one for each real node. It returns
+// the specification of the registry, and how many lists are for hollow nodes. If lists are pushed, each node has its
+// own address, that of its agent; if they are polled, each list has one address.
 func (r *run) makeLists(polled bool) (spec standin.RegistrySpec, hollowLists int) {
 	if r.args.Nodes > 0 {
 		for s := range r.args.Services {
@@ -78,8 +78,8 @@
 	if polled {
 		spec.Addresses = nil
 	}
-	for i, l := range r.lists {
-		spec.Services = append(spec.Services, l.Entries())
+	for i, list := range r.lists {
+		spec.Services = append(spec.Services, list.Entries())
 		if polled {
 			spec.Addresses = append(spec.Addresses, i)
 		}
@@ -87,8 +87,8 @@
 	return spec, hollowLists
 }
 
-// startHollow starts the hollow nodes.
-func (r *run) startHollow(
+// startHollowNodes starts the hollow nodes and waits until they are ready.
+func (r *run) startHollowNodes(
 	ctx context.Context, discovery func(node, list int) string, polled bool,
 ) (started nodes.HollowStartReport, err error) {
 	spec := nodes.HollowSpec{
@@ -108,8 +108,9 @@
 	return started, nil
 }
 
-// StartRealNode starts the real nodes, and gives the servers of the chains their addresses.
-func (r *run) startReal(ctx context.Context, discovery func(i int) string, polled bool) (err error) {
+// startRealNodes starts the real nodes, waits until they are ready, and tells the servers of the chains their
+// addresses.
+func (r *run) startRealNodes(ctx context.Context, discovery func(i int) string, polled bool) (err error) {
 	if r.args.Real == 0 {
 		return nil
 	}
--- a/internal/fleet/sweep_test.go
+++ b/internal/fleet/sweep_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A sweep has a point for each value, and a slope of each figure.
+// A sweep reports a point for each value, and a slope for each figure.
 func TestSweepFitsItsPoints(t *testing.T) {
 	t.Parallel()
 	args := testArgs()
@@ -16,10 +16,10 @@
 		t.Fatal(err)
 	}
 	if len(result.Points) != 2 || result.Points[1].Args.Servers != 300 {
-		t.Fatalf("points %+v", result.Points)
+		t.Fatalf("points %+v, want 2, the second with 300 servers", result.Points)
 	}
-	if line := result.Slopes["hollow heap bytes a node"]; line.Slope < 100 { // bytes for each server
-		t.Errorf("heap against servers: %+v", line)
+	if line := result.Slopes["hollow heap bytes a node"]; line.Slope < 100 { // bytes per server
+		t.Errorf("fit of the heap against servers %+v, want a slope of at least 100 bytes per server", line)
 	}
 	for name := range result.Points[0].Figures() {
 		if _, ok := result.Slopes[name]; !ok {
@@ -28,19 +28,19 @@
 	}
 	var table strings.Builder
 	if err := result.Table(&table); err != nil || !strings.Contains(table.String(), "against servers") {
-		t.Errorf("%v: %s", err, table.String())
+		t.Errorf("error %v, table %s; want the slopes against servers", err, table.String())
 	}
 }
 
-// Values that an argument can't have, and arguments that can't be varied, are refused before the first run.
-func TestSweepRefusesBadValues(t *testing.T) {
+// Invalid values, and arguments that can't be varied, are rejected before the first run.
+func TestSweepRejectsBadValues(t *testing.T) {
 	t.Parallel()
 	args := testArgs()
 	args.Nodes = 3
 	for _, over := range []string{"nodes", "servers", "changes", "seeds"} {
 		t.Run(over, func(t *testing.T) {
 			if result, err := newTestRunner(t).Sweep(t.Context(), args, over, []int{-1, 1}); err == nil {
-				t.Errorf("from -1 on: %+v", result)
+				t.Errorf("a sweep with the value -1 returned %+v, want an error", result)
 			}
 		})
 	}
