--- a/cmd/fleetscale/reportfile.go
+++ b/cmd/fleetscale/reportfile.go
@@ -9,69 +9,69 @@
 	"path/filepath"
 )
 
-// reportMode is the permission of a report's file.
+// reportMode is the file mode of a report.
 const reportMode = 0o644
 
-// newFile is the part of *os.File that a report is written through.
-type newFile interface {
+// tempFile is the part of *os.File that reportWriter uses.
+type tempFile interface {
 	io.WriteCloser
 	Name() string
 	Chmod(fs.FileMode) error
 	Sync() error
 }
 
-// reportFolder writes reports by the calls of a file system, each of which may fail.
-type reportFolder struct {
-	create func(folder, pattern string) (newFile, error) // a file with a name of its own
-	rename func(from, to string) error
-	remove func(name string) error
-	sync   func(folder string) error
+// reportWriter writes report files. Its fields are the file system calls that it uses, so that tests can replace them.
+type reportWriter struct {
+	createTemp func(dir, pattern string) (tempFile, error) // creates a file with a unique name
+	rename     func(from, to string) error
+	remove     func(name string) error
+	syncDir    func(dir string) error
 }
 
-// reportFiles is the file system.
-var reportFiles = reportFolder{
-	create: func(folder, pattern string) (newFile, error) { return os.CreateTemp(folder, pattern) },
-	rename: os.Rename,
-	remove: os.Remove,
-	sync:   syncFolder,
+// osReportWriter writes to the file system of the operating system.
+var osReportWriter = reportWriter{
+	createTemp: func(dir, pattern string) (tempFile, error) { return os.CreateTemp(dir, pattern) },
+	rename:     os.Rename,
+	remove:     os.Remove,
+	syncDir:    syncDirectory,
 }
 
-// syncFolder has a folder's entries stored.
-func syncFolder(folder string) error {
-	f, err := os.Open(folder)
+// syncDirectory flushes the entries of a directory to storage.
+func syncDirectory(dir string) error {
+	f, err := os.Open(dir)
 	if err != nil {
 		return err
 	}
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// write replaces the report at path in one step: a new file in the same folder is written, synced and renamed.
-// After an error before the rename, what was at path is as it was and the new file is removed. What is no regular
-// file, as /dev/stdout, is written to in place.
-func (r reportFolder) write(path string, text []byte) error {
+// write replaces the report at path atomically: it writes and syncs a temporary file in the same directory and renames
+// it. On an error before the rename, it removes the temporary file and leaves the file at path unchanged. If path is
+// not a regular file, like /dev/stdout, it is written to in place.
+func (r reportWriter) write(path string, text []byte) error {
 	if info, err := os.Lstat(path); err == nil && !info.Mode().IsRegular() {
 		return os.WriteFile(path, text, reportMode)
 	}
-	folder := filepath.Dir(path)
-	f, err := r.create(folder, "."+filepath.Base(path)+".new-*")
+	dir := filepath.Dir(path)
+	f, err := r.createTemp(dir, "."+filepath.Base(path)+".new-*")
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	err = fill(f, text)
+	err = writeAndSync(f, text)
 	if err == nil {
 		err = r.rename(f.Name(), path)
 	}
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, errors.Join(err, r.remove(f.Name())))
 	}
-	if err := r.sync(folder); err != nil {
-		return fmt.Errorf("%s: the folder was not synced: %w", path, err)
+	if err := r.syncDir(dir); err != nil {
+		return fmt.Errorf("%s: sync of its directory failed: %w", path, err)
 	}
 	return nil
 }
 
-// fill writes and closes a new file. Once it returns without an error, the text is stored.
-func fill(f newFile, text []byte) error {
+// writeAndSync writes, syncs and closes a new file. If it returns nil, the text is on storage.
+func writeAndSync(f tempFile, text []byte) error {
 	n, err := f.Write(text)
 	if err == nil && n < len(text) {
 		err = io.ErrShortWrite
--- a/cmd/fleetscale/reportfile_test.go
+++ b/cmd/fleetscale/reportfile_test.go
@@ -11,41 +11,41 @@
 	"testing"
 )
 
-// failingFile stores as many bytes as its disk has space for, then fails to write, or fails at another call.
+// failingFile is a temporary file whose calls fail with the given errors. Write fails after space bytes.
 type failingFile struct {
-	newFile
+	tempFile
 	space                    int
 	write, sync, mode, close error
 }
 
 func (f *failingFile) Write(p []byte) (int, error) {
 	if len(p) <= f.space {
-		return f.newFile.Write(p)
+		return f.tempFile.Write(p)
 	}
-	n, err := f.newFile.Write(p[:f.space])
-	return n, errors.Join(err, f.write) // without an error: a short write
+	n, err := f.tempFile.Write(p[:f.space])
+	return n, errors.Join(err, f.write) // a short write if f.write is nil
 }
 
 func (f *failingFile) Chmod(mode fs.FileMode) error {
-	return errors.Join(f.newFile.Chmod(mode), f.mode)
+	return errors.Join(f.tempFile.Chmod(mode), f.mode)
 }
-func (f *failingFile) Sync() error  { return errors.Join(f.newFile.Sync(), f.sync) }
-func (f *failingFile) Close() error { return errors.Join(f.newFile.Close(), f.close) }
+func (f *failingFile) Sync() error  { return errors.Join(f.tempFile.Sync(), f.sync) }
+func (f *failingFile) Close() error { return errors.Join(f.tempFile.Close(), f.close) }
 
 const (
 	oldReport = "the report of an earlier run\n"
 	newReport = "{\"a\": \"new report\"}\n"
 )
 
-// failedWrite is a write of a report that fails with an error.
+// failedWrite describes a write of a report that must fail with the error want.
 type failedWrite struct {
 	file   failingFile
 	rename error
 	want   error
 }
 
-// A report that can't be written completely leaves the one before, and no new file; the error names the file.
-func TestFailedReportLeavesTheOldOne(t *testing.T) {
+// If a report can't be written completely, the old one is kept and no new file is left. The error names the report.
+func TestFailedWriteKeepsOldReport(t *testing.T) {
 	all := len(newReport)
 	for name, test := range map[string]failedWrite{
 		"no space at the first byte": {file: failingFile{space: 0, write: syscall.ENOSPC}, want: syscall.ENOSPC},
@@ -65,7 +65,7 @@
 	}
 }
 
-// checkFailedWrite writes a report in a way that fails, and wants the old one untouched.
+// checkFailedWrite writes a report in a way that fails, and checks that the old one is unchanged.
 func checkFailedWrite(t *testing.T, test failedWrite, old string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "report.json")
@@ -74,25 +74,26 @@
 			t.Fatal(err)
 		}
 	}
-	folder := reportFiles
-	folder.create = func(in, pattern string) (newFile, error) {
-		f, err := os.CreateTemp(in, pattern)
+	writer := osReportWriter
+	writer.createTemp = func(dir, pattern string) (tempFile, error) {
+		f, err := os.CreateTemp(dir, pattern)
 		file := test.file
-		file.newFile = f
+		file.tempFile = f
 		return &file, err
 	}
 	if test.rename != nil {
-		folder.rename = func(string, string) error { return test.rename }
+		writer.rename = func(string, string) error { return test.rename }
 	}
-	err := folder.write(path, []byte(newReport))
+	err := writer.write(path, []byte(newReport))
 	if !errors.Is(err, test.want) || !strings.Contains(err.Error(), path) {
-		t.Errorf("error %v, want %v at %s", err, test.want, path)
+		t.Errorf("write() = %v, want the error %v with the path %s", err, test.want, path)
 	}
-	checkFolder(t, path, old)
+	checkDirectory(t, path, old)
 }
 
-// checkFolder wants the text at path, or nothing if it is empty, and no other file in the folder.
-func checkFolder(t *testing.T, path, want string) {
+// checkDirectory checks that the file at path contains the text want, or doesn't exist if want is empty, and that its
+// directory contains no other file.
+func checkDirectory(t *testing.T, path, want string) {
 	t.Helper()
 	entries, err := os.ReadDir(filepath.Dir(path))
 	if err != nil {
@@ -101,16 +102,16 @@
 	text, err := os.ReadFile(path)
 	if want == "" {
 		if len(entries) != 0 || !errors.Is(err, fs.ErrNotExist) {
-			t.Errorf("%v are there", entries)
+			t.Errorf("the directory contains %v, want no file", entries)
 		}
 		return
 	}
 	if err != nil || string(text) != want || len(entries) != 1 {
-		t.Errorf("%v, %q among %v, want %q", err, text, entries, want)
+		t.Errorf("error %v, text %q, directory %v; want only a file with %q", err, text, entries, want)
 	}
 }
 
-// The file is synced before it is renamed, and its folder after.
+// The file is synced before it is renamed, and its directory afterwards.
 func TestReportIsSyncedThenRenamed(t *testing.T) {
 	for _, old := range []string{"", oldReport} {
 		path := filepath.Join(t.TempDir(), "report.json")
@@ -120,70 +121,74 @@
 			}
 		}
 		var steps []string
-		folder := reportFiles
-		folder.create = func(in, pattern string) (newFile, error) {
-			f, err := os.CreateTemp(in, pattern)
-			return &orderedFile{f, &steps}, err
+		writer := osReportWriter
+		writer.createTemp = func(dir, pattern string) (tempFile, error) {
+			f, err := os.CreateTemp(dir, pattern)
+			return &recordingFile{f, &steps}, err
 		}
-		folder.rename = func(from, to string) error { steps = append(steps, "rename"); return os.Rename(from, to) }
-		folder.sync = func(name string) error {
+		writer.rename = func(from, to string) error { steps = append(steps, "rename"); return os.Rename(from, to) }
+		writer.syncDir = func(name string) error {
 			steps = append(steps, "sync folder")
 			if name != filepath.Dir(path) {
-				t.Errorf("%s is synced", name)
+				t.Errorf("directory %s is synced, want that of the report", name)
 			}
-			return syncFolder(name)
+			return syncDirectory(name)
 		}
-		if err := folder.write(path, []byte(newReport)); err != nil {
+		if err := writer.write(path, []byte(newReport)); err != nil {
 			t.Fatal(err)
 		}
-		checkFolder(t, path, newReport)
+		checkDirectory(t, path, newReport)
 		if got := strings.Join(steps, ", "); got != "sync, close, rename, sync folder" {
-			t.Errorf("steps %s", got)
+			t.Errorf("steps %s, want sync, close, rename, sync folder", got)
 		}
 		if info, err := os.Stat(path); err != nil || info.Mode() != reportMode {
-			t.Errorf("%v: mode %v", err, info.Mode())
+			t.Errorf("error %v, mode %v, want 0644", err, info.Mode())
 		}
 	}
 }
 
-type orderedFile struct {
-	newFile
+// recordingFile is a temporary file that records its calls of Sync and Close.
+type recordingFile struct {
+	tempFile
 	steps *[]string
 }
 
-func (f *orderedFile) Sync() error  { *f.steps = append(*f.steps, "sync"); return f.newFile.Sync() }
-func (f *orderedFile) Close() error { *f.steps = append(*f.steps, "close"); return f.newFile.Close() }
+func (f *recordingFile) Sync() error { *f.steps = append(*f.steps, "sync"); return f.tempFile.Sync() }
+func (f *recordingFile) Close() error {
+	*f.steps = append(*f.steps, "close")
+	return f.tempFile.Close()
+}
 
-// A folder that can't be synced, or has no such file, is an error that names the report.
-func TestReportFolderErrors(t *testing.T) {
+// A directory that can't be synced or doesn't exist causes an error that names the report.
+func TestReportDirectoryErrors(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "report.json")
-	folder := reportFiles
-	folder.sync = func(string) error { return syscall.EIO }
-	err := folder.write(path, []byte(newReport))
+	writer := osReportWriter
+	writer.syncDir = func(string) error { return syscall.EIO }
+	err := writer.write(path, []byte(newReport))
 	if !errors.Is(err, syscall.EIO) || !strings.Contains(err.Error(), path) {
-		t.Errorf("sync: %v", err)
+		t.Errorf("failed sync of the directory: error %v, want EIO with the path", err)
 	}
-	checkFolder(t, path, newReport)
+	checkDirectory(t, path, newReport)
 	missing := filepath.Join(t.TempDir(), "none", "report.json")
-	err = reportFiles.write(missing, []byte(newReport))
+	err = osReportWriter.write(missing, []byte(newReport))
 	if !errors.Is(err, fs.ErrNotExist) || !strings.Contains(err.Error(), missing) {
-		t.Errorf("no folder: %v", err)
+		t.Errorf("missing directory: error %v, want ErrNotExist with the path", err)
 	}
 }
 
-// What is no regular file is written to, not replaced.
+// A file that is not regular is written to in place, not replaced.
 func TestReportToDeviceOrLink(t *testing.T) {
 	dir := t.TempDir()
 	path, link := filepath.Join(dir, "report.json"), filepath.Join(dir, "link")
 	if err := os.Symlink(path, link); err != nil {
 		t.Fatal(err)
 	}
-	if err := reportFiles.write(link, []byte(newReport)); err != nil {
+	if err := osReportWriter.write(link, []byte(newReport)); err != nil {
 		t.Fatal(err)
 	}
 	text, err := os.ReadFile(path)
 	info, linkErr := os.Lstat(link)
 	if err != nil || string(text) != newReport || linkErr != nil || info.Mode()&fs.ModeSymlink == 0 {
-		t.Errorf("%v, %v: %q, %v", err, linkErr, text, info.Mode())
+		t.Errorf("errors %v, %v; text %q, mode %v; want the new report behind a link", err, linkErr, text, info.Mode())
 	}
 }
