--- a/internal/fleet/load/client.go
+++ b/internal/fleet/load/client.go
@@ -21,7 +21,7 @@
 // The outcomes of a call.
 const (
 	Served       Outcome = iota
-	Rejected             // not executed, so it is safe to retry
+	Rejected             // safe to retry
 	Failed               // it may have been executed, or got no response
 	UnknownClass         // the node does not know the class
 )
--- a/internal/fleet/nodes/hollow.go
+++ b/internal/fleet/nodes/hollow.go
@@ -99,7 +99,7 @@
 	h.discovery.CloseIdleConnections()
 }
 
-// ready reports whether the node is ready.
+// ready reports whether the node is ready, which means that one of its listed endpoints is.
 func (h *hollow) ready() bool { return h.loop.Ready() }
 
 // call makes a call whose client waits for the response until the deadline, relative to now. It blocks only while the
--- a/internal/fleet/nodes/hollows.go
+++ b/internal/fleet/nodes/hollows.go
@@ -175,7 +175,7 @@
 }
 
 // sendCalls makes one goroutine's share of the calls. The combined arrivals at many nodes are a Poisson process too, so
-// it rng a random node for each arrival.
+// it picks a random node for each arrival.
 func (h *Hollows) sendCalls(calls HollowLoad, stream uint64) {
 	rng := rand.New(rand.NewPCG(calls.Seed, loadGoroutines+stream))
 	rate := calls.Rate * float64(len(h.nodes)) / loadGoroutines
--- a/internal/fleet/plan/args.go
+++ b/internal/fleet/plan/args.go
@@ -16,7 +16,7 @@
 	maxEntries          = 200000      // of all lists together
 	maxChangesPerMinute = 6000        // of one list
 	maxConfigsPerMinute = 600         // of one node
-	maxNodeRate         = 10000       // calls a second at one node
+	maxNodeRate         = 10000       // calls per second at one node
 	maxServiceTime      = time.Second // mean of a server
 	// StartStopMargin is the extra time that a run may take beyond its length: to build the program, start the nodes,
 	// wait for the last updates and responses, and stop the child processes.
--- a/internal/fleet/plan/sweep.go
+++ b/internal/fleet/plan/sweep.go
@@ -20,7 +20,7 @@
 		run := args
 		set(&run, value)
 		if err := run.Check(); err != nil {
-			return nil, fmt.Errorf("at %s %d: %w", over, value, err)
+			return nil, fmt.Errorf("with --%s %d: %w", over, value, err)
 		}
 		runs = append(runs, run)
 		differ = differ || value != values[0]
--- a/internal/fleet/process/child.go
+++ b/internal/fleet/process/child.go
@@ -83,13 +83,13 @@
 	select {
 	case <-call.Done:
 		if call.Error != nil {
-			return fmt.Errorf("child: %s: %w", method, call.Error)
+			return fmt.Errorf("child: call of %s: %w", method, call.Error)
 		}
 		return nil
 	case <-ctx.Done():
-		return fmt.Errorf("child: %s: %w", method, ctx.Err())
+		return fmt.Errorf("child: call of %s: %w", method, ctx.Err())
 	case <-c.exited:
-		return fmt.Errorf("child: %s: %w", method, ErrExited)
+		return fmt.Errorf("child: call of %s: %w", method, ErrExited)
 	}
 }
 
--- a/internal/fleet/sweep.go
+++ b/internal/fleet/sweep.go
@@ -20,7 +20,7 @@
 		r.Log.Info("point", "number", i+1, "of", len(runs), over, values[i])
 		point, err := r.Run(ctx, runArgs)
 		if err != nil {
-			return result, fmt.Errorf("at %s %d: %w", over, values[i], err)
+			return result, fmt.Errorf("with --%s %d: %w", over, values[i], err)
 		}
 		result.Points = append(result.Points, point)
 	}
