--- a/cmd/fleetscale/reportfile_test.go
+++ b/cmd/fleetscale/reportfile_test.go
@@ -153,7 +153,11 @@
 	steps *[]string
 }
 
-func (f *recordingFile) Sync() error { *f.steps = append(*f.steps, "sync"); return f.tempFile.Sync() }
+func (f *recordingFile) Sync() error {
+	*f.steps = append(*f.steps, "sync")
+	return f.tempFile.Sync()
+}
+
 func (f *recordingFile) Close() error {
 	*f.steps = append(*f.steps, "close")
 	return f.tempFile.Close()
--- a/internal/fleet/helpers_test.go
+++ b/internal/fleet/helpers_test.go
@@ -25,7 +25,7 @@
 // TestMain lets the test binary act as the child processes, and fails the tests if a goroutine or a process is left at
 // their end.
 func TestMain(m *testing.M) {
-	if len(os.Args) > 3 && os.Args[1] == childArgument { // a child must not run the tests, which would start more children
+	if len(os.Args) > 3 && os.Args[1] == childArgument { // a child must not run the tests
 		if err := Child(os.Args[3]); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
--- a/internal/fleet/load/arrivals_test.go
+++ b/internal/fleet/load/arrivals_test.go
@@ -66,5 +66,5 @@
 func TestRunStopsWhenContextEnds(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	NewArrivals(1000, 3, 0).Run(ctx, time.Hour, func(time.Time) { t.Error("send is called after the context has ended") })
+	NewArrivals(1000, 3, 0).Run(ctx, time.Hour, func(time.Time) { t.Error("sent after the context has ended") })
 }
--- a/internal/fleet/load/client_test.go
+++ b/internal/fleet/load/client_test.go
@@ -49,7 +49,7 @@
 			address := startServer(t, test.status, test.body)
 			got, err := newTestClient(t).Call(t.Context(), address, Class, "id-1", time.Now().Add(testutil.Timeout))
 			if got != test.want || (err != nil) != test.fails {
-				t.Errorf("Call() = outcome %d, error %v; want outcome %d, with an error only for Failed", got, err, test.want)
+				t.Errorf("outcome %d, error %v; want outcome %d, an error only for Failed", got, err, test.want)
 			}
 		})
 	}
@@ -88,7 +88,8 @@
 		t.Errorf("figures %+v, want calls of each outcome, all answered and their lateness recorded", figures)
 	}
 	if figures.Latency.Count != figures.Served-firstRound.Served {
-		t.Errorf("%d latencies, want those of the second round, %d", figures.Latency.Count, figures.Served-firstRound.Served)
+		t.Errorf("%d latencies, want %d, one for each served call of the second round",
+			figures.Latency.Count, figures.Served-firstRound.Served)
 	}
 	if figures.Cores != 3 {
 		t.Errorf("mean of %v cores in use, want 3", figures.Cores)
--- a/internal/fleet/nodes/hollow_test.go
+++ b/internal/fleet/nodes/hollow_test.go
@@ -93,7 +93,7 @@
 			}
 			h.stop()
 			testutil.Wait(t, h.exited, "the hollow node to stop")
-			h.call(load.Class, testutil.Timeout, func(node.ResponseKind) { t.Error("answered after the node has stopped") })
+			h.call(load.Class, testutil.Timeout, func(node.ResponseKind) { t.Error("answered after the stop") })
 		})
 	}
 }
--- a/internal/fleet/runstart.go
+++ b/internal/fleet/runstart.go
@@ -35,7 +35,9 @@
 			return started, err
 		}
 	}
-	return started, r.startRealNodes(ctx, func(i int) string { return discovery(r.args.Nodes+i, hollowLists+i) }, polled)
+	return started, r.startRealNodes(
+		ctx, func(i int) string { return discovery(r.args.Nodes+i, hollowLists+i) }, polled,
+	)
 }
 
 // startServers starts the servers of the chains if there are any chains.
--- a/internal/fleet/standin/registry_test.go
+++ b/internal/fleet/standin/registry_test.go
@@ -91,9 +91,9 @@
 	const totalCalls = goodCalls + badCalls
 	sum, peak, _ := snapshot.Between(time.Unix(0, snapshot.StartNS), time.Now().Add(stats.BucketWidth))
 	if sum.Calls != totalCalls || sum.Conns < 1 || peak < 1 || peak > totalCalls {
-		t.Errorf("counted %+v, peak %d calls; want 10 calls, at least 1 connection, a peak of 1 to 10 calls", sum, peak)
+		t.Errorf("counted %+v, peak %d; want 10 calls, at least 1 connection, a peak from 1 to 10", sum, peak)
 	}
-	if sum.ReceivedBytes < totalCalls*50 || sum.SentBytes < totalCalls*50 { // bytes of the shortest request and response
+	if sum.ReceivedBytes < totalCalls*50 || sum.SentBytes < totalCalls*50 { // less than any request and response
 		t.Errorf("counted %+v, want at least 50 bytes per call in each direction", sum)
 	}
 }
