--- a/internal/fleet/load/arrivals_test.go
+++ b/internal/fleet/load/arrivals_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestRunStopsWhenContextEnds(t *testing.T) {
+func TestArrivalsStopWhenContextEnds(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	NewArrivals(1000, 3, 0).Run(ctx, time.Hour, func(time.Time) { t.Error("sent after the context has ended") })
