--- a/internal/fleet/nodes/hollows.go
+++ b/internal/fleet/nodes/hollows.go
@@ -132,12 +132,12 @@
 			Name: fmt.Sprintf("h%d", i), Index: i / spec.Services, Replicas: replicas, Tier: 1,
 			Listen: "127.0.0.1:0", Discovery: address, PollDiscovery: spec.PollDiscovery, Seed: spec.Seed + uint64(i),
 		}
-		one, err := newHollowFromSpec(nodeSpec, spec.Service, rand.New(rand.NewPCG(spec.Seed, uint64(i))), log)
+		newNode, err := newHollowFromSpec(nodeSpec, spec.Service, rand.New(rand.NewPCG(spec.Seed, uint64(i))), log)
 		if err != nil {
 			return err
 		}
-		h.nodes = append(h.nodes, one)
-		go one.run(context.Background())
+		h.nodes = append(h.nodes, newNode)
+		go newNode.run(context.Background())
 	}
 	return nil
 }
--- a/internal/fleet/runchanges.go
+++ b/internal/fleet/runchanges.go
@@ -11,9 +11,9 @@
 )
 
 // changeList makes a new version of a list, and records the change unless the registry is unresponsive.
-func (r *run) changeList(ctx context.Context, l *standin.Rotation, entries []standin.ListEntry, group string) error {
+func (r *run) changeList(ctx context.Context, list *standin.Rotation, entries []standin.ListEntry, group string) error {
 	var result standin.ChangeResult
-	spec := standin.ChangeSpec{Service: l.Service, Entries: entries}
+	spec := standin.ChangeSpec{Service: list.Service, Entries: entries}
 	if err := r.registry.Call(ctx, "Change", spec, &result); err != nil {
 		return err
 	}
@@ -22,9 +22,9 @@
 	if r.registryUnresponsive { // the change is sent only after the outage
 		return nil
 	}
-	if l.Service < r.args.Services && r.args.Nodes > 0 {
+	if list.Service < r.args.Services && r.args.Nodes > 0 {
 		r.changes = append(r.changes, nodes.ListChange{
-			Group: group, Service: l.Service, Rev: result.Rev, AtNS: result.AtNS,
+			Group: group, Service: list.Service, Rev: result.Rev, AtNS: result.AtNS,
 		})
 	}
 	return nil
@@ -43,9 +43,9 @@
 		if ctx.Err() != nil {
 			return nil //nolint:nilerr // activities.wait returns the cause of the context's end
 		}
-		l := r.lists[i%len(r.lists)]
-		if changed := l.Next(); changed != nil {
-			if err := r.changeList(ctx, l, changed, plan.GroupServerState); err != nil {
+		list := r.lists[i%len(r.lists)]
+		if changed := list.Next(); changed != nil {
+			if err := r.changeList(ctx, list, changed, plan.GroupServerState); err != nil {
 				return err
 			}
 		}
--- a/internal/fleet/standin/servers.go
+++ b/internal/fleet/standin/servers.go
@@ -61,15 +61,15 @@
 		var through, direct []*server
 		var throughAt, directAt []string
 		for tier := range spec.Depth {
-			one, address, err := start(fmt.Sprintf("t%d-%d", chain, tier), 2*(chain*spec.Depth+tier))
+			srv, address, err := start(fmt.Sprintf("t%d-%d", chain, tier), 2*(chain*spec.Depth+tier))
 			if err != nil {
 				return err
 			}
-			through, throughAt = append(through, one), append(throughAt, address)
-			if one, address, err = start(fmt.Sprintf("d%d-%d", chain, tier), 2*(chain*spec.Depth+tier)+1); err != nil {
+			through, throughAt = append(through, srv), append(throughAt, address)
+			if srv, address, err = start(fmt.Sprintf("d%d-%d", chain, tier), 2*(chain*spec.Depth+tier)+1); err != nil {
 				return err
 			}
-			direct, directAt = append(direct, one), append(directAt, address)
+			direct, directAt = append(direct, srv), append(directAt, address)
 		}
 		for tier := range spec.Depth - 1 {
 			direct[tier].nextTier.Store(&directAt[tier+1])
