--- a/internal/fleet/report/table.go
+++ b/internal/fleet/report/table.go
@@ -12,17 +12,17 @@
 	"basaltdrum/internal/fleet/stats"
 )
 
-// table writes rows of a name and a text in two columns.
+// table writes rows with a name and a text as aligned columns.
 type table struct{ w *tabwriter.Writer }
 
 func newTable(out io.Writer) table { return table{tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)} }
 
-// row writes one row. The writer keeps its first error for flush.
+// row writes one row. The writer keeps an error until flush.
 func (t table) row(name, format string, values ...any) {
 	fmt.Fprintf(t.w, "%s\t"+format+"\n", append([]any{name}, values...)...)
 }
 
-// flush aligns the columns and writes them out.
+// flush aligns the columns and writes them to the output.
 func (t table) flush() error {
 	if err := t.w.Flush(); err != nil {
 		return fmt.Errorf("table: %w", err)
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// Table writes the figures of one run as text.
+// Table writes the figures of the run as text.
 func (p Point) Table(out io.Writer) error {
 	t := newTable(out)
 	a, r := p.Args, p.Registry
@@ -38,11 +38,11 @@
 		"%s, storm %s, %v calls/s a node, seed %d",
 		a.Nodes, a.Real, a.Services, a.Servers, a.Changes, a.Mode, a.Storm, a.Rate, a.Seed)
 	t.row("machine", "%d cores, %s, load before %s, %.1f cores in use over %.1f s",
-		p.Machine.Cores, p.Machine.Go, p.Machine.Load, p.Busy, p.Seconds)
+		p.Machine.Cores, p.Machine.Go, p.Machine.Load, p.MachineCores, p.Seconds)
 	t.row("a node and its agent or registry", "in %.0f B/s, out %.0f B/s", p.PerNode.BytesIn, p.PerNode.BytesOut)
 	t.row("registry and agents",
 		"%d connections, %.1f calls/s, peak %.0f, in %.0f B/s, out %.0f B/s, %.3f cores, %.1f MB",
-		r.Open, r.Calls, r.Peak, r.BytesIn, r.BytesOut, r.Cores, megabytes(r.RSS))
+		r.OpenConnections, r.Calls, r.Peak, r.BytesIn, r.BytesOut, r.CoresInUse, megabytes(r.RSS))
 	if p.Hollow != nil {
 		p.Hollow.rows(t)
 	}
@@ -69,17 +69,17 @@
 	return t.flush()
 }
 
-// rows writes the figures of the hollow nodes.
+// rows writes the rows of the hollow nodes' figures.
 func (h *HollowFigures) rows(t table) {
 	t.row("a hollow node",
 		"%.3f%% of a core, heap %.0f KB (at the end %.0f KB), stacks %.0f KB; all ready after %.0f ms",
-		100*h.CoresNode, h.HeapNode/1e3, h.HeapAfter/1e3, h.StackNode/1e3, h.ReadyMS)
+		100*h.CoresPerNode, h.HeapPerNode/1e3, h.HeapPerNodeAtEnd/1e3, h.StackPerNode/1e3, h.ReadyMS)
 	if h.Calls.Offered > 0 {
 		t.row("hollow calls", "%d offered, %d served, %d refused, %d failed; 50/99/99.9 in 100: %.2f/%.2f/%.2f ms; %s",
 			h.Calls.Offered, h.Calls.Served, h.Calls.Rejected, h.Calls.Failed,
 			h.Latency.P50, h.Latency.P99, h.Latency.P999, scheduleText(h.ScheduleKept, h.Lateness))
 	}
-	for _, group := range plan.Groups {
+	for _, group := range plan.ListChangeGroups {
 		if f, ok := h.InForce[group]; ok {
 			t.row("in force: "+group, "%d changes; at 50/99/100 in 100 nodes: median %.1f/%.1f/%.1f ms, "+
 				"worst %.1f/%.1f/%.1f ms; %d heard, %d missed",
@@ -89,7 +89,7 @@
 	}
 }
 
-// rows writes the figures of both paths, and their difference.
+// rows writes the rows of both paths and their difference.
 func (c *Chain) rows(t table) {
 	for _, path := range []struct {
 		name    string
@@ -108,27 +108,27 @@
 		c.AddedP50, c.AddedP99, c.AddedP999)
 }
 
-// rows writes the figures of an outage.
+// rows writes the rows of an outage's figures.
 func (s *StormFigures) rows(t table) {
 	t.row("storm: "+s.Kind, "lost for %.1f s; calls/s before %.1f, meanwhile %.1f, in the %.1f s after %.1f, "+
 		"peak %.0f, which is %.1f of the mean before; out after %.0f B/s",
-		s.LostSec, s.Before, s.During, s.AfterSec, s.After, s.PeakAfter, s.PeakToMean, s.PeakBytes)
+		s.LostSec, s.Before, s.During, s.WatchedAfterSec, s.After, s.PeakAfter, s.PeakToMean, s.BytesOutAfter)
 	t.row("newest list", "at all hollow nodes %.0f ms after the return; %d without it", s.NewestAllMS, s.Missed)
 }
 
-// megabytes returns a number of bytes in megabytes.
+// megabytes converts a number of bytes to megabytes.
 func megabytes(bytes int64) float64 { return float64(bytes) / megabyte }
 
-// scheduleText says whether calls were sent at the times that were drawn.
-func scheduleText(kept bool, late stats.Quantiles) string {
+// scheduleText describes whether calls were sent close enough to their scheduled times.
+func scheduleText(kept bool, lateness stats.Quantiles) string {
 	text := "schedule kept"
 	if !kept {
 		text = "SCHEDULE NOT KEPT"
 	}
-	return fmt.Sprintf("%s (99 in 100 sends within %.2f ms, latest %.1f ms)", text, late.P99, late.Max)
+	return fmt.Sprintf("%s (99 in 100 sends within %.2f ms, latest %.1f ms)", text, lateness.P99, lateness.Max)
 }
 
-// Table writes the points, and for a sweep its slopes.
+// Table writes the points, and the slopes of a sweep, as text.
 func (r Report) Table(out io.Writer) error {
 	for _, p := range r.Points {
 		if err := p.Table(out); err != nil {
@@ -142,8 +142,8 @@
 	t := newTable(out)
 	t.row("against "+r.Over, "at 0\tfor one more\tfor 1,000 more\tR2")
 	for _, name := range slices.Sorted(maps.Keys(r.Slopes)) {
-		l := r.Slopes[name]
-		t.row(name, "%.5g\t%.5g\t%.5g\t%.3f", l.Base, l.Slope, 1000*l.Slope, l.R2)
+		line := r.Slopes[name]
+		t.row(name, "%.5g\t%.5g\t%.5g\t%.3f", line.Intercept, line.Slope, 1000*line.Slope, line.R2)
 	}
 	return t.flush()
 }
