--- a/docs/configuration_test.go
+++ b/docs/configuration_test.go
@@ -18,53 +18,55 @@
 	exampleFile       = "examples/config.json"
 )
 
-// How the page says that a key has no default.
+// Entries of the default column for a key without a default value.
 const (
-	defaultRequired = "required" // it must be there
-	defaultNone     = "none"     // it may be missing, and no value stands for that
+	defaultRequired = "required" // the key must be present
+	defaultNone     = "none"     // the key may be missing, and no value is equivalent to that
 )
 
-// documentedKey is a row of the page's tables of keys.
+// documentedKey is a row of the configuration page's tables of keys.
 type documentedKey struct {
 	key, defaultValue, bounds, inForce string
-	fields                             []string // that the code calls it
+	fields                             []string // the Go fields that hold the value, as Type.Field
 }
 
-// Columns of the tables of keys, between the bars of a row. The row begins and ends with a bar.
+// Indexes of the cells in a row of the tables of keys. The row starts and ends with a bar, so its first and last cells
+// are empty.
 const (
 	columnKey     = 1
 	columnDefault = 4
 	columnBounds  = 5
 	columnInForce = 6
 	columnFields  = 7
-	keyColumns    = 9
+	keyTableCells = 9 // the number of cells, with the two empty ones
 )
 
-// documentedKeys reads the tables of keys.
+// documentedKeys returns the rows of the configuration page's tables of keys.
 func documentedKeys(t *testing.T) (keys []documentedKey) {
 	t.Helper()
-	for _, cells := range tableRows(t, configurationPage, keyColumns) {
-		names := quoted(cells[columnKey])
+	for _, cells := range tableRows(t, configurationPage, keyTableCells) {
+		names := codeSpans(cells[columnKey])
 		if len(names) != 1 {
-			continue // the head of a table
+			continue // the header of a table
 		}
 		key := documentedKey{
 			key: names[0], defaultValue: strings.Trim(cells[columnDefault], " `"), bounds: cells[columnBounds],
-			inForce: strings.TrimSpace(cells[columnInForce]), fields: quoted(cells[columnFields]),
+			inForce: strings.TrimSpace(cells[columnInForce]), fields: codeSpans(cells[columnFields]),
 		}
-		if slices.ContainsFunc(keys, func(k documentedKey) bool { return k.key == key.key }) {
-			t.Errorf("%s is on the page twice", key.key)
+		if slices.ContainsFunc(keys, func(other documentedKey) bool { return other.key == key.key }) {
+			t.Errorf("the configuration page lists %s twice", key.key)
 		}
 		keys = append(keys, key)
 	}
 	return keys
 }
 
-// tableRows returns the cells of a page's table rows that have so many, counting the empty ones at both ends.
-func tableRows(t *testing.T, page string, columns int) (rows [][]string) {
+// tableRows returns the cells of each table row of a page that has cellCount cells. The count includes the empty cells
+// before the first and after the last bar.
+func tableRows(t *testing.T, page string, cellCount int) (rows [][]string) {
 	t.Helper()
-	for _, line := range docLines(t, page) {
-		if cells := strings.Split(line, "|"); strings.HasPrefix(line, "|") && len(cells) == columns {
+	for _, line := range readLines(t, page) {
+		if cells := strings.Split(line, "|"); strings.HasPrefix(line, "|") && len(cells) == cellCount {
 			rows = append(rows, cells)
 		}
 	}
@@ -73,49 +75,49 @@
 
 func sortedKeys(set map[string]bool) []string { return slices.Sorted(maps.Keys(set)) }
 
-// missing lists what is in one list and not in the other.
-func missing(from, list []string) (names []string) {
-	for _, name := range list {
-		if !slices.Contains(from, name) {
+// missing returns the names in want that are not in got.
+func missing(got, want []string) (names []string) {
+	for _, name := range want {
+		if !slices.Contains(got, name) {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// TestConfigurationHasTheKeysOfTheCode holds the page, the code and the example together: each key that the code reads
-// is on the page, each key on the page is read, and the example has them all, and no others.
-func TestConfigurationHasTheKeysOfTheCode(t *testing.T) {
-	inRoot(t)
-	var page []string
+// TestConfigurationKeysMatchCodeAndExample checks that the configuration page, the code and the example configuration
+// have the same keys.
+func TestConfigurationKeysMatchCodeAndExample(t *testing.T) {
+	chdirToRoot(t)
+	var documented []string
 	for _, key := range documentedKeys(t) {
-		page = append(page, key.key)
+		documented = append(documented, key.key)
 	}
-	code := keysOfCode(t)
+	code := codeKeys(t)
 	example := map[string]bool{}
 	collectKeys(readExample(t), "", example)
-	for _, c := range []struct {
-		complaint string
-		keys      []string
+	for _, difference := range []struct {
+		description string
+		keys        []string
 	}{
-		{"read by the code, and not on the page", missing(page, code)},
-		{"on the page, and not read by the code", missing(code, page)},
-		{"on the page, and not in the example", missing(sortedKeys(example), page)},
-		{"in the example, and not on the page", missing(page, sortedKeys(example))},
+		{"keys that the code reads but the page lacks", missing(documented, code)},
+		{"keys on the page that the code does not read", missing(code, documented)},
+		{"keys on the page that the example lacks", missing(sortedKeys(example), documented)},
+		{"keys in the example that the page lacks", missing(documented, sortedKeys(example))},
 	} {
-		if len(c.keys) > 0 {
-			t.Errorf("%s: %v", c.complaint, c.keys)
+		if len(difference.keys) > 0 {
+			t.Errorf("%s: %v", difference.description, difference.keys)
 		}
 	}
-	if len(page) < 40 {
-		t.Errorf("found %d keys, want at least 40", len(page))
+	if len(documented) < 40 {
+		t.Errorf("found %d documented keys, want at least 40", len(documented))
 	}
 }
 
-// commentKey is the key of comments in the example.
+// commentKey is the key that holds comments in the example configuration.
 const commentKey = "//"
 
-// collectKeys adds the paths of all keys of an object, and of the objects in it.
+// collectKeys adds the paths of all keys of a JSON object, and of the objects nested in it, to keys.
 func collectKeys(object map[string]any, path string, keys map[string]bool) {
 	for key, value := range object {
 		if key == commentKey {
@@ -135,39 +137,41 @@
 	}
 }
 
-// TestConfigurationNamesTheFields changes one value of the example after the other, and compares what changes in the
-// configuration as the code has it with the fields that the page names.
-func TestConfigurationNamesTheFields(t *testing.T) {
-	inRoot(t)
-	before := parseExample(t, func(map[string]any) {})
+// TestConfigurationFieldsMatchCode changes one value of the example at a time and checks that the fields of the parsed
+// configuration that change are those that the page names.
+func TestConfigurationFieldsMatchCode(t *testing.T) {
+	chdirToRoot(t)
+	original := parseExample(t, func(map[string]any) {})
 	for _, key := range documentedKeys(t) {
 		if strings.HasPrefix(key.key, listPath) {
 			checkEndpointFields(t, key)
 			continue
 		}
 		changed := parseExample(t, func(example map[string]any) {
-			object, name := at(t, example, key.key)
-			object[name] = otherValue(t, key.key, object[name])
+			object, name := parentObject(t, example, key.key)
+			object[name] = alternativeValue(t, key.key, object[name])
 		})
-		if got := changedFields(before, changed); len(key.fields) > 0 && !slices.Equal(got, key.fields) {
-			t.Errorf("%s changes %v, the page has %v", key.key, got, key.fields)
+		if got := changedFields(original, changed); len(key.fields) > 0 && !slices.Equal(got, key.fields) {
+			t.Errorf("a change of %s changes the fields %v, the page names %v", key.key, got, key.fields)
 		}
 	}
 }
 
-// checkEndpointFields checks that the fields of an entry of the list exist.
+// checkEndpointFields checks that the fields that the page names for a key of the endpoint list exist in
+// balancer.Endpoint.
 func checkEndpointFields(t *testing.T, key documentedKey) {
 	t.Helper()
 	for _, field := range key.fields {
-		name, ofEndpoint := strings.CutPrefix(field, "Endpoint.")
-		if _, exists := reflect.TypeFor[balancer.Endpoint]().FieldByName(name); !ofEndpoint || !exists {
-			t.Errorf("%s: no field %s", key.key, field)
+		name, isEndpointField := strings.CutPrefix(field, "Endpoint.")
+		if _, exists := reflect.TypeFor[balancer.Endpoint]().FieldByName(name); !isEndpointField || !exists {
+			t.Errorf("%s: the page names %s, which is no field of balancer.Endpoint", key.key, field)
 		}
 	}
 }
 
-// otherValues are further good values for keys where a larger number or a longer string is none, or means the same.
-var otherValues = map[string]string{
+// alternativeValues holds a second valid value, in JSON, for each key where the value that alternativeValue would
+// otherwise derive from the first one is invalid or means the same.
+var alternativeValues = map[string]string{
 	"listen":                     `"127.0.0.1:1"`,
 	"discovery":                  `"127.0.0.1:1"`,
 	"seed":                       `"1"`,
@@ -180,11 +184,12 @@
 	"settings.rules.cold-from":   `0.5`,
 }
 
-// otherValue returns another good value for a key. Objects stay.
-func otherValue(t *testing.T, key string, value any) any {
+// alternativeValue returns a valid value for a key, other than the given one. It returns objects and arrays without an
+// entry in alternativeValues unchanged.
+func alternativeValue(t *testing.T, key string, value any) any {
 	t.Helper()
-	if text := otherValues[key]; text != "" {
-		return decode(t, text)
+	if text := alternativeValues[key]; text != "" {
+		return decodeJSON(t, text)
 	}
 	switch value := value.(type) {
 	case bool:
@@ -200,52 +205,53 @@
 	return value
 }
 
-// changedFields names the fields that differ between two configurations, in the order in which they are declared. It
-// compares class by class if there are as many of them.
+// changedFields returns the names of the fields that differ between two configurations, in the order of declaration. It
+// compares the classes one by one if both configurations have the same number of them.
 func changedFields(before, after node.Config) []string {
-	fields := differing("Config", before, after, "Settings")
-	fields = append(fields, differing("Settings", before.Settings, after.Settings, "Classes")...)
+	fields := differingFields("Config", before, after, "Settings")
+	fields = append(fields, differingFields("Settings", before.Settings, after.Settings, "Classes")...)
 	if len(before.Settings.Classes) != len(after.Settings.Classes) {
 		return append(fields, "Settings.Classes")
 	}
 	for i := range before.Settings.Classes {
-		fields = append(fields, differing("Class", before.Settings.Classes[i], after.Settings.Classes[i], "")...)
+		fields = append(fields, differingFields("Class", before.Settings.Classes[i], after.Settings.Classes[i], "")...)
 	}
 	return fields
 }
 
-// differing names the fields that differ between two structs of one type, but for one.
-func differing(name string, before, after any, except string) (fields []string) {
-	a, b := reflect.ValueOf(before), reflect.ValueOf(after)
-	for i := range a.NumField() {
-		field := a.Type().Field(i).Name
-		if field != except && !reflect.DeepEqual(a.Field(i).Interface(), b.Field(i).Interface()) {
-			fields = append(fields, name+"."+field)
+// differingFields returns the fields, as typeName.Field, that differ between two structs of one type. It skips the
+// field named excluded.
+func differingFields(typeName string, before, after any, excluded string) (fields []string) {
+	beforeValue, afterValue := reflect.ValueOf(before), reflect.ValueOf(after)
+	for i := range beforeValue.NumField() {
+		field := beforeValue.Type().Field(i).Name
+		if field != excluded && !reflect.DeepEqual(beforeValue.Field(i).Interface(), afterValue.Field(i).Interface()) {
+			fields = append(fields, typeName+"."+field)
 		}
 	}
 	return fields
 }
 
-// readExample returns the example as maps.
+// readExample returns the example configuration as a decoded JSON object.
 func readExample(t *testing.T) map[string]any {
 	t.Helper()
-	object, isObject := decode(t, strings.Join(docLines(t, exampleFile), "\n")).(map[string]any)
+	object, isObject := decodeJSON(t, strings.Join(readLines(t, exampleFile), "\n")).(map[string]any)
 	if !isObject {
-		t.Fatalf("%s is no object", exampleFile)
+		t.Fatalf("%s is not a JSON object", exampleFile)
 	}
 	return object
 }
 
-// decode reads a value in JSON.
-func decode(t *testing.T, text string) (value any) {
+// decodeJSON decodes a JSON value.
+func decodeJSON(t *testing.T, text string) (value any) {
 	t.Helper()
 	if err := json.Unmarshal([]byte(text), &value); err != nil {
-		t.Fatalf("%s: %v", text, err)
+		t.Fatalf("decode %s: %v", text, err)
 	}
 	return value
 }
 
-// exampleWith returns the text of the example after a change.
+// exampleWith returns the example configuration in JSON after a change.
 func exampleWith(t *testing.T, change func(map[string]any)) []byte {
 	t.Helper()
 	example := readExample(t)
@@ -257,7 +263,7 @@
 	return text
 }
 
-// parseExample parses the example after a change that keeps it good.
+// parseExample parses the example configuration after a change that keeps it valid.
 func parseExample(t *testing.T, change func(map[string]any)) node.Config {
 	t.Helper()
 	config, err := node.ParseConfig(exampleWith(t, change))
@@ -267,8 +273,9 @@
 	return config
 }
 
-// at returns the object that a path leads into, and the key in it. An array on the way stands for its first entry.
-func at(t *testing.T, object map[string]any, path string) (parent map[string]any, key string) {
+// parentObject returns the object that contains the key at the end of a path, and that key. In the path, name[] stands
+// for the first entry of the array name.
+func parentObject(t *testing.T, object map[string]any, path string) (parent map[string]any, key string) {
 	t.Helper()
 	steps := strings.Split(path, ".")
 	for _, step := range steps[:len(steps)-1] {
@@ -282,17 +289,18 @@
 	return object, steps[len(steps)-1]
 }
 
-// TestConfigurationNamesTheVariables holds the page's table of the environment to the code, both ways.
-func TestConfigurationNamesTheVariables(t *testing.T) {
-	inRoot(t)
-	variable := regexp.MustCompile(`^[A-Z][A-Z_]+$`)
-	var page []string
+// TestConfigurationListsEnvironmentVariables checks that the configuration page lists exactly the environment variables
+// that the code reads.
+func TestConfigurationListsEnvironmentVariables(t *testing.T) {
+	chdirToRoot(t)
+	variableName := regexp.MustCompile(`^[A-Z][A-Z_]+$`)
+	var documented []string
 	for _, cells := range tableRows(t, configurationPage, 6) {
-		if names := quoted(cells[columnKey]); len(names) == 1 && variable.MatchString(names[0]) {
-			page = append(page, names[0])
+		if names := codeSpans(cells[columnKey]); len(names) == 1 && variableName.MatchString(names[0]) {
+			documented = append(documented, names[0])
 		}
 	}
-	if code := environmentVariables(t); !slices.Equal(page, code) {
-		t.Errorf("the page has %v, the code reads %v", page, code)
+	if code := environmentVariables(t); !slices.Equal(documented, code) {
+		t.Errorf("the page lists the environment variables %v, the code reads %v", documented, code)
 	}
 }
--- a/docs/configurationreload_test.go
+++ b/docs/configurationreload_test.go
@@ -14,60 +14,60 @@
 	"basaltdrum/internal/node"
 )
 
-// TestMain fails the package's tests if a goroutine outlives them.
+// TestMain fails the package's tests if a goroutine is still running after them.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// How the page says when a change is in force.
+// Entries of the page's column that states when a change takes effect.
 const (
 	inForceReload = "reload"
-	inForceStart  = "start"                   // a reload does not report it
-	inForceWarned = "start (a reload warns)"  // a reload says that a restart is needed
-	inForceNone   = "nothing, not even a log" // not on the page: a reload that was not logged
+	inForceStart  = "start"                  // a reload does not report the change
+	inForceWarned = "start (a reload warns)" // a reload logs that a restart is needed
+	inForceNone   = "never: nothing logged"  // not on the page: the reload was not logged
 )
 
-// TestConfigurationSaysWhatAReloadChanges reloads the example with one other value after the other, and compares what
-// the node logs with the page.
-func TestConfigurationSaysWhatAReloadChanges(t *testing.T) {
-	inRoot(t)
+// TestConfigurationStatesWhenChangesTakeEffect reloads the example with one changed value at a time. It checks that the
+// node's log agrees with the page on when the change takes effect.
+func TestConfigurationStatesWhenChangesTakeEffect(t *testing.T) {
+	chdirToRoot(t)
 	reloader := newReloader(t)
 	for _, key := range documentedKeys(t) {
 		if strings.HasPrefix(key.key, listPath) {
-			continue // known, and with it the list, is used at the start
+			continue // the endpoint list (known) is used at the start only
 		}
 		changed := parseExample(t, func(example map[string]any) {
-			object, name := at(t, example, key.key)
-			object[name] = otherValue(t, key.key, object[name])
+			object, name := parentObject(t, example, key.key)
+			object[name] = alternativeValue(t, key.key, object[name])
 		})
 		if reflect.DeepEqual(changed, reloader.example) {
-			continue // an object, whose keys have rows of their own
+			continue // an object: its keys have rows of their own
 		}
 		documented, _, _ := strings.Cut(key.inForce, ";")
-		if got := reloader.inForce(t, changed); got != documented {
-			t.Errorf("%s is in force from %q, the page has %q", key.key, got, documented)
+		if got := reloader.takesEffect(t, changed); got != documented {
+			t.Errorf("a change of %s takes effect at %q, the page has %q", key.key, got, documented)
 		}
 	}
 }
 
-// reloader is a node that gets one configuration after the other and has no traffic.
+// reloader is a node without traffic that reloads one configuration after another.
 type reloader struct {
 	node    *node.Node
 	example node.Config
 	log     bytes.Buffer
 }
 
-// newReloader sets up a node with the example, which ends with the test.
+// newReloader creates a node with the example configuration. The test's cleanup shuts it down.
 func newReloader(t *testing.T) *reloader {
 	t.Helper()
 	r := &reloader{}
-	toStart := parseExample(t, setValue(t, "listen", `"127.0.0.1:0"`))
+	startConfig := parseExample(t, setValue(t, "listen", `"127.0.0.1:0"`))
 	var err error
-	if r.node, err = node.New(toStart, slog.New(slog.NewJSONHandler(&r.log, nil))); err != nil {
+	if r.node, err = node.New(startConfig, slog.New(slog.NewJSONHandler(&r.log, nil))); err != nil {
 		t.Fatal(err)
 	}
-	ended, end := context.WithCancel(t.Context())
-	end()
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
 	t.Cleanup(func() {
-		if err := r.node.Run(ended); err != nil { // it handles the reloads, and drains
+		if err := r.node.Run(ctx); err != nil { // handles the reloads, then drains
 			t.Error(err)
 		}
 	})
@@ -75,38 +75,39 @@
 	return r
 }
 
-// inForce reloads a configuration, and says by the log when the change is in force. Then it reloads the example.
-func (r *reloader) inForce(t *testing.T, changed node.Config) string {
+// takesEffect reloads a changed configuration and returns when the change takes effect according to the log, as one of
+// the inForce constants. Before it returns, it reloads the example.
+func (r *reloader) takesEffect(t *testing.T, changed node.Config) string {
 	t.Helper()
-	defer r.node.Reload(r.withOwnAddress(r.example))
+	defer r.node.Reload(r.withStartAddress(r.example))
 	r.log.Reset()
 	if changed.Listen == r.example.Listen {
-		changed = r.withOwnAddress(changed)
+		changed = r.withStartAddress(changed)
 	}
 	r.node.Reload(changed)
-	found := inForceNone
-	for text := range strings.Lines(r.log.String()) {
-		var line struct {
+	effect := inForceNone
+	for line := range strings.Lines(r.log.String()) {
+		var entry struct {
 			Message string   `json:"msg"`
 			Changed []string `json:"changed"`
 		}
-		if err := json.Unmarshal([]byte(text), &line); err != nil {
+		if err := json.Unmarshal([]byte(line), &entry); err != nil {
 			t.Fatal(err)
 		}
 		switch {
-		case line.Message == "configuration change needs a restart":
+		case entry.Message == "configuration change needs a restart":
 			return inForceWarned
-		case line.Message == "configuration reloaded" && len(line.Changed) > 0:
-			found = inForceReload
-		case line.Message == "configuration reloaded":
-			found = inForceStart
+		case entry.Message == "configuration reloaded" && len(entry.Changed) > 0:
+			effect = inForceReload
+		case entry.Message == "configuration reloaded":
+			effect = inForceStart
 		}
 	}
-	return found
+	return effect
 }
 
-// withOwnAddress returns a configuration with the address that the node was started with.
-func (r *reloader) withOwnAddress(config node.Config) node.Config {
+// withStartAddress returns a configuration with the listen address that the node was created with.
+func (r *reloader) withStartAddress(config node.Config) node.Config {
 	config.Listen = "127.0.0.1:0"
 	return config
 }
--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -1,4 +1,4 @@
-// Package docs has no code: its tests hold the pages for engineers to the code.
+// Package docs has only tests. They check that the pages for engineers agree with the code.
 package docs
 
 import (
@@ -16,32 +16,33 @@
 	"testing"
 )
 
-// inRoot runs a test in the root of the repository. It has to be called in the test and not in TestMain: go test notes
-// which files a test reads, to tell whether its cached result still holds, and it follows a change of the directory
-// only while tests run.
-func inRoot(t *testing.T) {
+// chdirToRoot changes the working directory to the root of the repository for the duration of a test. The tests call it
+// and not TestMain, because go test records which files a test reads, to decide whether its cached result is still
+// valid, and it tracks changes of the directory only while tests run.
+func chdirToRoot(t *testing.T) {
 	t.Helper()
 	t.Chdir("..")
 }
 
-var backticked = regexp.MustCompile("`([^`]+)`")
+// codeSpanPattern matches a Markdown code span in single backquotes.
+var codeSpanPattern = regexp.MustCompile("`([^`]+)`")
 
-// TestArchitectureNamesWhatIsThere holds the tables of steps to the code: each function stands in one of the
-// files that its row names.
-func TestArchitectureNamesWhatIsThere(t *testing.T) {
-	inRoot(t)
+// TestArchitectureNamesDeclaredFunctions checks the tables of steps on the architecture page: each function in a row is
+// declared in one of the files that the row names.
+func TestArchitectureNamesDeclaredFunctions(t *testing.T) {
+	chdirToRoot(t)
 	steps := 0
-	for _, line := range docLines(t, "docs/ARCHITECTURE.md") {
+	for _, line := range readLines(t, "docs/ARCHITECTURE.md") {
 		cells := strings.Split(line, "|")
 		if len(cells) != 5 || !strings.Contains(cells[3], ".go`") {
 			continue
 		}
 		steps++
 		var declared []string
-		for _, file := range quoted(cells[3]) {
+		for _, file := range codeSpans(cells[3]) {
 			declared = append(declared, declarations(t, file)...)
 		}
-		for _, name := range quoted(cells[2]) {
+		for _, name := range codeSpans(cells[2]) {
 			if !slices.Contains(declared, name) {
 				t.Errorf("%s does not declare %s", strings.TrimSpace(cells[3]), name)
 			}
@@ -52,10 +53,10 @@
 	}
 }
 
-// TestDocsNameFilesThatExist checks every Go file that the pages for engineers name, from the root or by its
-// bare name.
+// TestDocsNameFilesThatExist checks that each Go file that the pages for engineers name exists. They name a file by its
+// path from the root of the repository or by its base name.
 func TestDocsNameFilesThatExist(t *testing.T) {
-	inRoot(t)
+	chdirToRoot(t)
 	known := map[string]bool{}
 	for _, file := range goFiles(t, ".") {
 		known[file], known[path.Base(file)] = true, true
@@ -63,23 +64,23 @@
 	for _, page := range []string{
 		"README.md", "CONTRIBUTING.md", "docs/ARCHITECTURE.md", "docs/OPERATIONS.md", configurationPage,
 	} {
-		for _, line := range docLines(t, page) {
-			for _, name := range quoted(line) {
+		for _, line := range readLines(t, page) {
+			for _, name := range codeSpans(line) {
 				if strings.HasSuffix(name, ".go") && !strings.Contains(name, "*") && !known[name] {
-					t.Errorf("%s: no file %s", page, name)
+					t.Errorf("%s names the file %s, which does not exist", page, name)
 				}
 			}
 		}
 	}
 }
 
-// TestDocsLinkToFilesThatExist follows the links of the pages to files of the repository.
+// TestDocsLinkToFilesThatExist checks that the files of the repository that the pages link to exist.
 func TestDocsLinkToFilesThatExist(t *testing.T) {
-	inRoot(t)
+	chdirToRoot(t)
 	link := regexp.MustCompile(`\]\(([^)#]+)(#[^)]*)?\)`)
 	links := 0
 	for _, page := range allPages(t) {
-		for _, match := range link.FindAllStringSubmatch(strings.Join(docLines(t, page), "\n"), -1) {
+		for _, match := range link.FindAllStringSubmatch(strings.Join(readLines(t, page), "\n"), -1) {
 			if strings.Contains(match[1], "://") {
 				continue
 			}
@@ -94,7 +95,7 @@
 	}
 }
 
-// allPages lists the pages of the root and of docs.
+// allPages returns the Markdown pages of the docs directory, README.md and CONTRIBUTING.md.
 func allPages(t *testing.T) []string {
 	t.Helper()
 	pages, err := filepath.Glob("docs/*.md")
@@ -104,10 +105,10 @@
 	return append(pages, "README.md", "CONTRIBUTING.md")
 }
 
-// TestOperationsExplainsEveryLogLine holds the on-call page to the log: each message of the node is on it.
+// TestOperationsExplainsEveryLogLine checks that the operations page has each log message of the node.
 func TestOperationsExplainsEveryLogLine(t *testing.T) {
-	inRoot(t)
-	page := strings.Join(docLines(t, "docs/OPERATIONS.md"), "\n")
+	chdirToRoot(t)
+	page := strings.Join(readLines(t, "docs/OPERATIONS.md"), "\n")
 	messages := 0
 	for _, dir := range []string{"internal/node", "internal/discovery", "internal/downstream", "cmd/balancer"} {
 		for _, file := range goFiles(t, dir) {
@@ -117,7 +118,7 @@
 			for _, message := range logMessages(t, file) {
 				messages++
 				if !strings.Contains(page, "`"+message+"`") {
-					t.Errorf("docs/OPERATIONS.md does not explain %q of %s", message, file)
+					t.Errorf("docs/OPERATIONS.md does not explain the log message %q of %s", message, file)
 				}
 			}
 		}
@@ -127,9 +128,10 @@
 	}
 }
 
-// TestDocsNameTestsThatExist checks every test that the pages name: what they claim to be shown is shown by it.
+// TestDocsNameTestsThatExist checks that each test that the pages name exists, so that no page cites a test that was
+// renamed or removed as proof.
 func TestDocsNameTestsThatExist(t *testing.T) {
-	inRoot(t)
+	chdirToRoot(t)
 	known := map[string]bool{}
 	for _, file := range goFiles(t, ".") {
 		if !strings.HasSuffix(file, "_test.go") {
@@ -139,19 +141,19 @@
 			known[name] = true
 		}
 	}
-	named := regexp.MustCompile(`^(Test|Fuzz|Benchmark)[A-Z]\w*$`)
+	testName := regexp.MustCompile(`^(Test|Fuzz|Benchmark)[A-Z]\w*$`)
 	for _, page := range allPages(t) {
-		for _, line := range docLines(t, page) {
-			for _, name := range quoted(line) {
-				if named.MatchString(name) && !known[name] {
-					t.Errorf("%s: no test %s", page, name)
+		for _, line := range readLines(t, page) {
+			for _, name := range codeSpans(line) {
+				if testName.MatchString(name) && !known[name] {
+					t.Errorf("%s names the test %s, which does not exist", page, name)
 				}
 			}
 		}
 	}
 }
 
-// goFiles lists the Go files below a folder.
+// goFiles returns the Go files in a directory and its subdirectories.
 func goFiles(t *testing.T, dir string) (files []string) {
 	t.Helper()
 	err := filepath.WalkDir(dir, func(path string, entry fs.DirEntry, err error) error {
@@ -166,24 +168,25 @@
 	return files
 }
 
-func docLines(t *testing.T, page string) []string {
+// readLines returns the lines of a file.
+func readLines(t *testing.T, file string) []string {
 	t.Helper()
-	text, err := os.ReadFile(page)
+	text, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return strings.Split(string(text), "\n")
 }
 
-// quoted lists what a line has in backticks.
-func quoted(line string) (names []string) {
-	for _, match := range backticked.FindAllStringSubmatch(line, -1) {
-		names = append(names, match[1])
+// codeSpans returns the contents of the Markdown code spans in a line.
+func codeSpans(line string) (spans []string) {
+	for _, match := range codeSpanPattern.FindAllStringSubmatch(line, -1) {
+		spans = append(spans, match[1])
 	}
-	return names
+	return spans
 }
 
-func parse(t *testing.T, file string) *ast.File {
+func parseGoFile(t *testing.T, file string) *ast.File {
 	t.Helper()
 	parsed, err := parser.ParseFile(token.NewFileSet(), file, nil, 0)
 	if err != nil {
@@ -192,9 +195,9 @@
 	return parsed
 }
 
-// declarations lists the functions, methods and types of a file.
+// declarations returns the names of the functions, methods and types that a Go file declares.
 func declarations(t *testing.T, file string) (names []string) {
-	ast.Inspect(parse(t, file), func(n ast.Node) bool {
+	ast.Inspect(parseGoFile(t, file), func(n ast.Node) bool {
 		switch n := n.(type) {
 		case *ast.FuncDecl:
 			names = append(names, n.Name.Name)
@@ -206,9 +209,10 @@
 	return names
 }
 
-// logMessages lists the messages of the calls to a logger in a file.
+// logMessages returns the messages of the logger calls in a Go file: the first arguments of calls of Info, Warn and
+// Error that are string literals.
 func logMessages(t *testing.T, file string) (messages []string) {
-	ast.Inspect(parse(t, file), func(n ast.Node) bool {
+	ast.Inspect(parseGoFile(t, file), func(n ast.Node) bool {
 		call, isCall := n.(*ast.CallExpr)
 		if !isCall || len(call.Args) == 0 {
 			return true
--- a/docs/glossary_test.go
+++ b/docs/glossary_test.go
@@ -6,17 +6,17 @@
 	"testing"
 )
 
-// TestGlossaryNamesWhatTheCodeHas checks the last column of the glossary: each name is declared in the module or in the
-// node's packages.
-func TestGlossaryNamesWhatTheCodeHas(t *testing.T) {
-	inRoot(t)
+// TestGlossaryNamesDeclaredIdentifiers checks that each name in the last column of the glossary is declared in the
+// decision module or in the node's packages.
+func TestGlossaryNamesDeclaredIdentifiers(t *testing.T) {
+	chdirToRoot(t)
 	declared := declaredNames(t)
 	names := 0
 	for _, cells := range tableRows(t, "docs/GLOSSARY.md", 5) {
-		for _, name := range quoted(cells[3]) {
+		for _, name := range codeSpans(cells[3]) {
 			names++
 			if !declared[name] {
-				t.Errorf("the code declares no %s", name)
+				t.Errorf("docs/GLOSSARY.md names %s, which the code does not declare", name)
 			}
 		}
 	}
@@ -25,14 +25,14 @@
 	}
 }
 
-// declaredNames returns the types, functions, fields, constants and variables of the module and the node's packages,
-// each by its name alone and by that of its package and its own.
+// declaredNames returns the names of the types, functions, fields, constants and variables of the decision module and
+// the node's packages, each with and without the package name as qualifier.
 func declaredNames(t *testing.T) map[string]bool {
 	t.Helper()
 	files := nodeSources(t)
 	for _, file := range goFiles(t, "balancer") {
 		if !strings.HasSuffix(file, "_test.go") {
-			files = append(files, parse(t, file))
+			files = append(files, parseGoFile(t, file))
 		}
 	}
 	declared := map[string]bool{}
--- a/docs/jsonkeys_test.go
+++ b/docs/jsonkeys_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// configRoots are the structs that the configuration is read into, with the path of each in the file.
+// configRoots maps the structs that the configuration is decoded into to their paths in the configuration file.
 var configRoots = map[string]string{
 	"configFile":   "",
 	"settingsFile": "settings.",
@@ -18,40 +18,40 @@
 	"wireEntry":    "known.targets[].",
 }
 
-// listPath is the path of the endpoint list in the file. Its own keys are not in a struct: the parser compares them one
-// by one.
+// listPath is the path of the endpoint list in the configuration file. The top-level keys of the list are not in a
+// struct: the parser compares them one by one, see comparedKeys.
 const listPath = "known."
 
-// unrelatedFolders hold packages that are not part of the node.
-var unrelatedFolders = []string{"internal/fleet/", "internal/servermodel/", "internal/wire/"}
+// unrelatedDirs are the directories below internal whose packages are not part of the node.
+var unrelatedDirs = []string{"internal/fleet/", "internal/servermodel/", "internal/wire/"}
 
-// nodeSources parses all files of the node's internal packages.
+// nodeSources returns the syntax trees of the node's internal packages, without their tests.
 func nodeSources(t *testing.T) (files []*ast.File) {
 	t.Helper()
 	for _, file := range goFiles(t, "internal") {
-		isBelow := func(dir string) bool { return strings.HasPrefix(file, dir) }
-		if !slices.ContainsFunc(unrelatedFolders, isBelow) && !strings.HasSuffix(file, "_test.go") {
-			files = append(files, parse(t, file))
+		isInDir := func(dir string) bool { return strings.HasPrefix(file, dir) }
+		if !slices.ContainsFunc(unrelatedDirs, isInDir) && !strings.HasSuffix(file, "_test.go") {
+			files = append(files, parseGoFile(t, file))
 		}
 	}
 	return files
 }
 
-// keysOfCode lists the keys that the code reads, by their paths in the file.
-func keysOfCode(t *testing.T) []string {
+// codeKeys returns the paths of the keys that the code reads from the configuration file.
+func codeKeys(t *testing.T) []string {
 	t.Helper()
 	files := nodeSources(t)
 	structs := jsonStructs(t, files)
 	walker := structWalker{structs: structs, keys: map[string]bool{}, reached: map[string]bool{}}
 	for root, path := range configRoots {
 		if structs[root] == nil {
-			t.Fatalf("no struct %s has keys of JSON", root)
+			t.Fatalf("found no struct %s with JSON keys", root)
 		}
 		walker.walkNamed(t, root, path)
 	}
 	for name := range structs {
 		if !walker.reached[name] {
-			t.Errorf("struct %s has keys of JSON, and is not known to be a part of the configuration", name)
+			t.Errorf("struct %s has JSON keys, but is not reachable from the structs in configRoots", name)
 		}
 	}
 	for _, key := range comparedKeys(t, files) {
@@ -60,7 +60,7 @@
 	return sortedKeys(walker.keys)
 }
 
-// jsonStructs returns the named structs that have a field with a key of JSON.
+// jsonStructs returns the named struct types that have a field with a JSON key in its tag.
 func jsonStructs(t *testing.T, files []*ast.File) map[string]*ast.StructType {
 	t.Helper()
 	structs := map[string]*ast.StructType{}
@@ -76,7 +76,7 @@
 				return true
 			}
 			if structs[spec.Name.Name] != nil {
-				t.Fatalf("two structs with keys of JSON have the name %s", spec.Name.Name)
+				t.Fatalf("two structs with JSON keys have the name %s", spec.Name.Name)
 			}
 			structs[spec.Name.Name] = fields
 			return true
@@ -85,7 +85,7 @@
 	return structs
 }
 
-// jsonKey returns the key in a field's tag, or "".
+// jsonKey returns the JSON key in a field's tag, or "" if there is none.
 func jsonKey(t *testing.T, field *ast.Field) string {
 	t.Helper()
 	if field.Tag == nil {
@@ -99,53 +99,56 @@
 	return key
 }
 
-// structWalker collects the keys of structs, and of the structs in them.
+// structWalker collects the paths of the JSON keys of structs and of the structs nested in them.
 type structWalker struct {
 	structs map[string]*ast.StructType
 	keys    map[string]bool
-	reached map[string]bool // the named structs
+	reached map[string]bool // the names of the structs visited
 }
 
+// walkNamed adds the keys of a named struct that is at a path, and records that the struct was visited.
 func (w *structWalker) walkNamed(t *testing.T, name, path string) {
 	t.Helper()
 	w.reached[name] = true
 	w.walk(t, w.structs[name], path)
 }
 
+// walk adds the keys of a struct that is at a path.
 func (w *structWalker) walk(t *testing.T, fields *ast.StructType, path string) {
 	t.Helper()
 	for _, field := range fields.Fields.List {
 		key := jsonKey(t, field)
 		if key == "" {
-			t.Fatalf("a field of %q has no key", path)
+			t.Fatalf("a struct field at the path %q has no JSON key", path)
 		}
 		w.keys[path+key] = true
-		below, fieldType := path+key+".", field.Type
+		nestedPath, fieldType := path+key+".", field.Type
 		if array, isArray := fieldType.(*ast.ArrayType); isArray {
-			below, fieldType = path+key+"[].", array.Elt
+			nestedPath, fieldType = path+key+"[].", array.Elt
 		}
 		switch fieldType := fieldType.(type) {
 		case *ast.StructType:
-			w.walk(t, fieldType, below)
+			w.walk(t, fieldType, nestedPath)
 		case *ast.Ident:
 			if w.structs[fieldType.Name] != nil {
-				w.walkNamed(t, fieldType.Name, below)
+				w.walkNamed(t, fieldType.Name, nestedPath)
 			}
 		}
 	}
 }
 
-// comparedKeys lists the literals that a key of a list is compared with: strings.EqualFold(key, "rev").
+// comparedKeys returns the string literals that the parser of the endpoint list compares a key with, as in
+// strings.EqualFold(key, "rev").
 func comparedKeys(t *testing.T, files []*ast.File) (keys []string) {
 	t.Helper()
 	for _, file := range files {
 		ast.Inspect(file, func(n ast.Node) bool {
 			call, isCall := n.(*ast.CallExpr)
-			if !isCall || !calls(call, "strings", "EqualFold") {
+			if !isCall || !isCallOf(call, "strings", "EqualFold") {
 				return true
 			}
 			if name, isName := call.Args[0].(*ast.Ident); isName && name.Name == "key" {
-				keys = append(keys, literal(t, call.Args[1]))
+				keys = append(keys, stringLiteral(t, call.Args[1]))
 			}
 			return true
 		})
@@ -153,22 +156,22 @@
 	return keys
 }
 
-// calls reports whether a call is one of a function of a package.
-func calls(call *ast.CallExpr, pkg string, functions ...string) bool {
+// isCallOf reports whether a call is of one of the given functions of a package.
+func isCallOf(call *ast.CallExpr, pkg string, functions ...string) bool {
 	function, isSelector := call.Fun.(*ast.SelectorExpr)
 	if !isSelector {
 		return false
 	}
-	from, isName := function.X.(*ast.Ident)
-	return isName && from.Name == pkg && slices.Contains(functions, function.Sel.Name)
+	qualifier, isName := function.X.(*ast.Ident)
+	return isName && qualifier.Name == pkg && slices.Contains(functions, function.Sel.Name)
 }
 
-// literal returns the value of a literal string.
-func literal(t *testing.T, expression ast.Expr) string {
+// stringLiteral returns the value of a string literal. It fails the test for any other expression.
+func stringLiteral(t *testing.T, expression ast.Expr) string {
 	t.Helper()
 	text, isLiteral := expression.(*ast.BasicLit)
 	if !isLiteral || text.Kind != token.STRING {
-		t.Fatalf("got %T, want a literal string", expression)
+		t.Fatalf("got an expression of type %T, want a string literal", expression)
 	}
 	value, err := strconv.Unquote(text.Value)
 	if err != nil {
@@ -177,25 +180,26 @@
 	return value
 }
 
-// environmentVariables lists the variables that the node reads. Each is named by a constant.
+// environmentVariables returns the names of the environment variables that the node reads. It fails the test if a call
+// gives the name by anything but a constant.
 func environmentVariables(t *testing.T) (names []string) {
 	t.Helper()
 	files := nodeSources(t)
 	for _, file := range goFiles(t, "cmd/balancer") {
 		if !strings.HasSuffix(file, "_test.go") {
-			files = append(files, parse(t, file))
+			files = append(files, parseGoFile(t, file))
 		}
 	}
 	constants := stringConstants(t, files)
 	for _, file := range files {
 		ast.Inspect(file, func(n ast.Node) bool {
 			call, isCall := n.(*ast.CallExpr)
-			if !isCall || !calls(call, "os", "Getenv", "LookupEnv", "ExpandEnv", "Environ") {
+			if !isCall || !isCallOf(call, "os", "Getenv", "LookupEnv", "ExpandEnv", "Environ") {
 				return true
 			}
 			name, isName := call.Args[0].(*ast.Ident)
 			if !isName || constants[name.Name] == "" {
-				t.Fatal("a variable of the environment is not named by a constant")
+				t.Fatal("a call that reads the environment has an argument that is not a string constant")
 			}
 			names = append(names, constants[name.Name])
 			return true
@@ -204,7 +208,7 @@
 	return names
 }
 
-// stringConstants returns the values of constants that are literal strings.
+// stringConstants returns the values of the constants and variables that are initialized with string literals, by name.
 func stringConstants(t *testing.T, files []*ast.File) map[string]string {
 	t.Helper()
 	constants := map[string]string{}
@@ -216,7 +220,7 @@
 			}
 			for i, value := range spec.Values {
 				if text, isLiteral := value.(*ast.BasicLit); isLiteral && text.Kind == token.STRING {
-					constants[spec.Names[i].Name] = literal(t, text)
+					constants[spec.Names[i].Name] = stringLiteral(t, text)
 				}
 			}
 			return true
--- a/docs/readme_test.go
+++ b/docs/readme_test.go
@@ -6,44 +6,44 @@
 	"testing"
 )
 
-// TestTryCommandNamesAProgram holds the command that the README gives a newcomer to the code: it runs a program of the
-// repository, and CI runs the same.
+// TestTryCommandNamesAProgram checks the command that README.md gives for a first try: it must run a program of the
+// repository, and the test command, which CI runs, must include it.
 func TestTryCommandNamesAProgram(t *testing.T) {
-	inRoot(t)
-	try := fencedBlock(t, "README.md", "<!-- try -->")
-	dir, isRun := strings.CutPrefix(try, "go run ./")
+	chdirToRoot(t)
+	tryCommand := fencedBlock(t, "README.md", "<!-- try -->")
+	dir, isRun := strings.CutPrefix(tryCommand, "go run ./")
 	if !isRun || strings.ContainsAny(dir, " \n") {
-		t.Fatalf("the block is %q, want go run and one folder", try)
+		t.Fatalf("the block after <!-- try --> in README.md is %q, want go run and one directory", tryCommand)
 	}
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var programs int
+	var mainFiles int
 	for _, entry := range entries {
-		if strings.HasSuffix(entry.Name(), ".go") && parse(t, dir+"/"+entry.Name()).Name.Name == "main" {
-			programs++
+		if strings.HasSuffix(entry.Name(), ".go") && parseGoFile(t, dir+"/"+entry.Name()).Name.Name == "main" {
+			mainFiles++
 		}
 	}
-	if programs == 0 {
-		t.Errorf("%s has no file of a program", dir)
+	if mainFiles == 0 {
+		t.Errorf("%s has no file of package main", dir)
 	}
-	if test := fencedBlock(t, "README.md", "<!-- test -->"); !strings.Contains(test, try+" && ") {
-		t.Errorf("the test command does not run %q before the tests", try)
+	if testCommand := fencedBlock(t, "README.md", "<!-- test -->"); !strings.Contains(testCommand, tryCommand+" && ") {
+		t.Errorf("the test command of README.md does not run %q before the tests", tryCommand)
 	}
 }
 
-// fencedBlock returns the code of the one fenced block of a page that follows a mark.
-func fencedBlock(t *testing.T, page, mark string) string {
+// fencedBlock returns the contents of the fenced code block that follows a marker, which must occur once on the page.
+func fencedBlock(t *testing.T, page, marker string) string {
 	t.Helper()
-	text := strings.Join(docLines(t, page), "\n")
-	_, marked, found := strings.Cut(text, mark+"\n```sh\n")
-	if !found || strings.Count(text, mark) != 1 {
-		t.Fatalf("%s should have one block behind %s", page, mark)
+	text := strings.Join(readLines(t, page), "\n")
+	_, block, found := strings.Cut(text, marker+"\n```sh\n")
+	if !found || strings.Count(text, marker) != 1 {
+		t.Fatalf("%s does not have exactly one sh block after %s", page, marker)
 	}
-	code, _, closed := strings.Cut(marked, "\n```\n")
+	code, _, closed := strings.Cut(block, "\n```\n")
 	if !closed {
-		t.Fatalf("the block behind %s of %s has no end", mark, page)
+		t.Fatalf("the block after %s in %s has no closing fence", marker, page)
 	}
 	return code
 }
--- a/docs/review_test.go
+++ b/docs/review_test.go
@@ -8,40 +8,40 @@
 	"testing"
 )
 
-// TestReviewNamesThePackageOfEachTest holds the table at the end of the review to the code: each test that the page
-// names is in the row of the package that declares it.
+// TestReviewNamesThePackageOfEachTest checks the table of tests by package on the review page: each test that the page
+// names before the table has an entry in it, in the row of the package that declares the test.
 func TestReviewNamesThePackageOfEachTest(t *testing.T) {
-	inRoot(t)
+	chdirToRoot(t)
 	const page, heading = "docs/review.md", "## Tests by package"
-	text := strings.Join(docLines(t, page), "\n")
-	paths, table, found := strings.Cut(text, heading)
+	text := strings.Join(readLines(t, page), "\n")
+	reviewText, table, found := strings.Cut(text, heading)
 	if !found {
-		t.Fatalf("%s has no %q", page, heading)
+		t.Fatalf("%s has no heading %q", page, heading)
 	}
 	table, _, _ = strings.Cut(table, "\n## ")
 	var listed []string
 	for row := range strings.Lines(table) {
-		names := quoted(row)
+		names := codeSpans(row)
 		if len(names) < 2 {
 			continue
 		}
-		declared := testsOf(t, names[0])
+		declared := testDeclarations(t, names[0])
 		for _, name := range names[1:] {
 			listed = append(listed, name)
 			if !slices.Contains(declared, name) {
-				t.Errorf("%s does not declare %s", names[0], name)
+				t.Errorf("docs/review.md has %[2]s in the row of %[1]s, which does not declare it", names[0], name)
 			}
 		}
 	}
-	for _, name := range regexp.MustCompile("`(?:Test|Fuzz|Benchmark)[A-Z]\\w*`").FindAllString(paths, -1) {
+	for _, name := range regexp.MustCompile("`(?:Test|Fuzz|Benchmark)[A-Z]\\w*`").FindAllString(reviewText, -1) {
 		if !slices.Contains(listed, strings.Trim(name, "`")) {
-			t.Errorf("the table has no %s", name)
+			t.Errorf("the table of tests by package has no entry for %s", name)
 		}
 	}
 }
 
-// testsOf lists what the test files of a folder declare.
-func testsOf(t *testing.T, dir string) (names []string) {
+// testDeclarations returns the names of the functions, methods and types that the test files of a directory declare.
+func testDeclarations(t *testing.T, dir string) (names []string) {
 	t.Helper()
 	for _, file := range goFiles(t, dir) {
 		if path.Dir(file) == dir && strings.HasSuffix(file, "_test.go") {
