--- a/balancer/classes_test.go
+++ b/balancer/classes_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A class of the same name keeps its statistics under new settings, with its new settings.
+// A class that is kept under new settings keeps its statistics and gets its new settings.
 func TestClassesKeepTheirStatistics(t *testing.T) {
 	settings := testSettings()
 	old := newClassTable(settings.Classes, classTable{})
@@ -15,33 +15,33 @@
 		kept bool
 	}{{"get", true}, {"renamed", false}, {"pay", true}, {"", true}} {
 		t.Run("class "+c.name, func(t *testing.T) {
-			was, is := old.get(c.name), table.get(c.name)
-			if kept := is.classStats == was.classStats; kept != c.kept {
+			before, after := old.get(c.name), table.get(c.name)
+			if kept := after.classStats == before.classStats; kept != c.kept {
 				t.Errorf("statistics kept: %v, want %v", kept, c.kept)
 			}
-			if is.admission.Traffic != &is.traffic || is.admission.PriorityWeight != is.PriorityWeight {
-				t.Error("admission has other counts or settings than the class")
+			if after.admission.Traffic != &after.traffic || after.admission.PriorityWeight != after.PriorityWeight {
+				t.Error("admission control uses other counters or settings than those of the class")
 			}
-			if is.failureRates[0] != &is.failureRate || is.failureRates[1] != &table.unknown().failureRate {
-				t.Error("results count for other rates than those of the class and of all classes")
+			if after.failureRates[0] != &after.failureRate || after.failureRates[1] != &table.unknown().failureRate {
+				t.Error("failure rates are not those of the class and of all classes together")
 			}
 		})
 	}
 	if table.get("get").PriorityWeight != 7 {
-		t.Errorf("a weight of %v, want the new one", table.get("get").PriorityWeight)
+		t.Errorf("PriorityWeight is %v, want the new value 7", table.get("get").PriorityWeight)
 	}
 	if table.hasFailureRate(&old.get("post").failureRate) || !table.hasFailureRate(&old.get("pay").failureRate) {
-		t.Error("the rate of a removed class is known, or that of a kept one is not")
+		t.Error("the failure rate of a removed class is found in the table, or that of a kept class is not")
 	}
 }
 
-// A class that is not in the settings is not idempotent.
-func TestUnknownClassPermitsLeast(t *testing.T) {
+// Requests of a class that is not in the settings are treated as not idempotent, with the longest deadline.
+func TestUnknownClassIsNotIdempotent(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[1].Deadline *= 2
 	table := newClassTable(settings.Classes, classTable{})
 	unknown := table.get("no such class")
 	if unknown.Effect != NonIdempotent || unknown.Deadline != settings.Classes[1].Deadline {
-		t.Errorf("%+v, want the longest deadline and no repeats", unknown.Class)
+		t.Errorf("unknown class is %+v, want the longest deadline and NonIdempotent", unknown.Class)
 	}
 }
--- a/balancer/endpoints_bench_test.go
+++ b/balancer/endpoints_bench_test.go
@@ -8,10 +8,10 @@
 	"basaltdrum/balancer"
 )
 
-// benchmarkSizes are lengths of an endpoint list: the usual one, sixteen times that, and the longest.
+// benchmarkSizes are lengths of the endpoint list: the usual one, 16 times that, and the longest supported.
 var benchmarkSizes = []int{100, 1600, 3200}
 
-// benchmarkBalancer returns a node of a later tier whose complete list names n servers of three zones.
+// benchmarkBalancer returns a replica that sends to the second tier, with a list of n endpoints in three zones.
 func benchmarkBalancer(bench *testing.B, n int) *balancer.Balancer {
 	bench.Helper()
 	b, err := balancer.New(balancer.Settings{
@@ -28,28 +28,30 @@
 	}
 	var list []balancer.Endpoint
 	for i := range n {
-		list = append(list, benchmarkServer("old", i, 0))
+		list = append(list, benchmarkEndpoint("old", i, 0))
 	}
 	b.Handle(0, balancer.EndpointUpdate{Complete: true, Endpoints: list})
 	return b
 }
 
-func benchmarkServer(kind string, i int, boot time.Duration) balancer.Endpoint {
+// benchmarkEndpoint returns the endpoint with index i. kind distinguishes the original endpoints from their
+// replacements.
+func benchmarkEndpoint(kind string, i int, startedAt time.Duration) balancer.Endpoint {
 	return balancer.Endpoint{
 		ID: fmt.Sprintf("%04d-%s", i, kind), Zone: fmt.Sprint("z", i%3), Capacity: 1,
-		StartedAt: boot,
+		StartedAt: startedAt,
 	}
 }
 
-// replaceServer notifies the node that a server was removed and that another has joined: two changes of one
-// entry.
-func replaceServer(b *balancer.Balancer, now time.Duration, left, joined balancer.Endpoint) {
-	left.State = balancer.Removed
-	b.Handle(now, balancer.EndpointUpdate{Endpoints: []balancer.Endpoint{left}})
-	b.Handle(now, balancer.EndpointUpdate{Endpoints: []balancer.Endpoint{joined}})
+// replaceEndpoint notifies the Balancer that an endpoint was removed and that another was added, in two updates
+// of one entry each.
+func replaceEndpoint(b *balancer.Balancer, now time.Duration, removed, added balancer.Endpoint) {
+	removed.State = balancer.Removed
+	b.Handle(now, balancer.EndpointUpdate{Endpoints: []balancer.Endpoint{removed}})
+	b.Handle(now, balancer.EndpointUpdate{Endpoints: []balancer.Endpoint{added}})
 }
 
-// serveRequest plays a request, and its response a tenth of a second later.
+// serveRequest sends a request, which is answered 100 ms later.
 func serveRequest(b *balancer.Balancer, now time.Duration, id string) {
 	for _, a := range b.Handle(now, balancer.Request{ID: id, Class: "read", Deadline: now + 2*time.Second}) {
 		if s, ok := a.(balancer.Send); ok {
@@ -59,8 +61,8 @@
 	}
 }
 
-// BenchmarkListChange plays changes of one entry of the list, a server that leaves or one that joins, with a
-// request after each, whose subset is built anew.
+// BenchmarkListChange changes one entry of the list at a time: an endpoint is removed or added. With requests,
+// a request follows each change, and the subset is rebuilt for it.
 func BenchmarkListChange(bench *testing.B) {
 	for _, n := range benchmarkSizes {
 		for _, requests := range []bool{false, true} {
@@ -69,7 +71,7 @@
 				bench.ReportAllocs()
 				for i := 0; bench.Loop(); i++ {
 					now := time.Duration(i+1) * 200 * time.Millisecond
-					s := benchmarkServer("old", i/2%n, 0)
+					s := benchmarkEndpoint("old", i/2%n, 0)
 					if i%2 == 0 {
 						s.State = balancer.Removed
 					}
@@ -83,14 +85,14 @@
 	}
 }
 
-// BenchmarkCompleteList plays complete lists, all alike.
+// BenchmarkCompleteList delivers complete lists that equal the current one.
 func BenchmarkCompleteList(bench *testing.B) {
 	for _, n := range benchmarkSizes {
 		bench.Run(fmt.Sprintf("servers=%d", n), func(bench *testing.B) {
 			b := benchmarkBalancer(bench, n)
 			var list []balancer.Endpoint
 			for i := range n {
-				list = append(list, benchmarkServer("old", i, 0))
+				list = append(list, benchmarkEndpoint("old", i, 0))
 			}
 			bench.ReportAllocs()
 			for i := 0; bench.Loop(); i++ {
@@ -102,8 +104,8 @@
 	}
 }
 
-// BenchmarkRollingReplacement replaces six in ten servers within 7 s, one entry a change, while 30 requests a
-// second come, as many at each length of the list. An operation is all of that.
+// BenchmarkRollingReplacement replaces 60 % of the endpoints within 7 s, one entry per update, while 30 requests
+// per second arrive, whatever the length of the list. One operation is the whole replacement.
 func BenchmarkRollingReplacement(bench *testing.B) {
 	for _, n := range benchmarkSizes {
 		bench.Run(fmt.Sprintf("servers=%d", n), func(bench *testing.B) {
@@ -112,20 +114,21 @@
 				bench.StopTimer()
 				b := benchmarkBalancer(bench, n)
 				bench.StartTimer()
-				playReplacement(b, n)
+				playRollingReplacement(b, n)
 			}
 		})
 	}
 }
 
-func playReplacement(b *balancer.Balancer, n int) {
-	const first, span, every = time.Second, 7 * time.Second, time.Second / 30
+// playRollingReplacement plays the replacement of 60 % of the n endpoints.
+func playRollingReplacement(b *balancer.Balancer, n int) {
+	const start, duration, interval = time.Second, 7 * time.Second, time.Second / 30
 	replaced := n * 6 / 10
 	next := 0
-	for i := range int(span / every) {
-		now := first + time.Duration(i)*every
-		for ; next < replaced && first+span*time.Duration(next)/time.Duration(replaced) <= now; next++ {
-			replaceServer(b, now, benchmarkServer("old", next, 0), benchmarkServer("new", next, now))
+	for i := range int(duration / interval) {
+		now := start + time.Duration(i)*interval
+		for ; next < replaced && start+duration*time.Duration(next)/time.Duration(replaced) <= now; next++ {
+			replaceEndpoint(b, now, benchmarkEndpoint("old", next, 0), benchmarkEndpoint("new", next, now))
 		}
 		serveRequest(b, now, fmt.Sprint(i))
 	}
--- a/balancer/example_test.go
+++ b/balancer/example_test.go
@@ -8,7 +8,8 @@
 	"basaltdrum/balancer"
 )
 
-// One Balancer driven by hand: a list, a request, an attempt that never ran, and its response.
+// A host passes events to a Balancer and carries out its actions: an endpoint list arrives, then a request,
+// whose first attempt fails to connect and whose second attempt succeeds.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
 		Classes: []balancer.Class{{
@@ -25,28 +26,28 @@
 	b.Handle(0, balancer.EndpointUpdate{Complete: true, Endpoints: []balancer.Endpoint{{ID: "a:80"}, {ID: "b:80"}}})
 
 	now := 5 * time.Millisecond
-	acts := b.Handle(now, balancer.Request{ID: "r1", Class: "read", Deadline: now + time.Second})
-	first := acts[0].(balancer.Send)
-	fmt.Println("sent", first.ID, "with a time-out of", first.Timeout)
+	actions := b.Handle(now, balancer.Request{ID: "r1", Class: "read", Deadline: now + time.Second})
+	first := actions[0].(balancer.Send)
+	fmt.Println("sent", first.ID, "with a timeout of", first.Timeout)
 
 	now += 3 * time.Millisecond
-	acts = b.Handle(now, balancer.AttemptEnded{
+	actions = b.Handle(now, balancer.AttemptEnded{
 		ID: "r1", Attempt: 0, Endpoint: first.Endpoint,
 		Result: balancer.ConnectFailed, Latency: 3 * time.Millisecond,
 	})
-	second := acts[0].(balancer.Send)
-	fmt.Println("sent again to another server:", second.Endpoint != first.Endpoint)
+	second := actions[0].(balancer.Send)
+	fmt.Println("retried at another endpoint:", second.Endpoint != first.Endpoint)
 
 	now += 20 * time.Millisecond
-	acts = b.Handle(now, balancer.AttemptEnded{
+	actions = b.Handle(now, balancer.AttemptEnded{
 		ID: "r1", Attempt: 1, Endpoint: second.Endpoint,
 		Result: balancer.Success, Latency: 20 * time.Millisecond, Answered: true,
 	})
-	fmt.Println("left to do:", len(acts))
+	fmt.Println("remaining actions:", len(actions))
 	// Output:
-	// sent r1 with a time-out of 198ms
-	// sent again to another server: true
-	// left to do: 0
+	// sent r1 with a timeout of 198ms
+	// retried at another endpoint: true
+	// remaining actions: 0
 }
 
 func BenchmarkHandle(bench *testing.B) {
@@ -55,7 +56,7 @@
 	}
 }
 
-// benchmarkHandle plays a request and its answer at one of 100 copies.
+// benchmarkHandle measures a request and its response at one of 100 replicas, with n endpoints.
 func benchmarkHandle(bench *testing.B, n int) {
 	b, err := balancer.New(balancer.Settings{
 		Classes: []balancer.Class{{
--- a/balancer/heldup_test.go
+++ b/balancer/heldup_test.go
@@ -9,33 +9,33 @@
 	"basaltdrum/balancer/internal/endpoints"
 )
 
-// An attempt that the host itself held up says nothing about its server, nor about the load of all of them,
-// however it ended and however long that took.
+// An attempt that the host itself delayed tells nothing about its endpoint or about the load of all endpoints,
+// whatever its result and latency.
 func TestHeldUpAttemptsAreNotCounted(t *testing.T) {
-	limiter := playHeldUpAttempts(t, Cancelled)
+	want := playHeldUpAttempts(t, Cancelled)
 	for result := range attemptResultCount {
 		t.Run(result.String(), func(t *testing.T) {
-			// The limiter counts the same sends after any result, so that all of it must be equal.
-			if got := playHeldUpAttempts(t, result); got != limiter {
-				t.Errorf("the concurrency limit is %s, after cancelled attempts %s", got, limiter)
+			// The limiter counts the same sends whatever the result, so its whole state must be equal.
+			if got := playHeldUpAttempts(t, result); got != want {
+				t.Errorf("concurrency limiter is %s, want %s as after cancelled attempts", got, want)
 			}
 		})
 	}
 }
 
-// playHeldUpAttempts ends fifty attempts, held up by the host, in one way, and checks that nothing is learned
-// from them. It returns the concurrency limit.
+// playHeldUpAttempts ends 50 attempts that the host delayed, all with the same result, and checks that they
+// change neither the concurrency limit nor any statistics. It returns the state of the concurrency limiter.
 func playHeldUpAttempts(t *testing.T, result AttemptResult) string {
 	t.Helper()
 	b := newBalancer(t, nil)
-	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(10)})
+	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: testEndpoints(10)})
 	sendTraffic(b, 200, "get", func(string) AttemptResult { return Success })
-	now, limit, before := b.now, b.admission.Limit(), observationsOf(b)
+	now, limit, before := b.now, b.admission.Limit(), observations(b)
 	for i := range 50 {
 		id := fmt.Sprint("held-", i)
 		sent := sends(b.Handle(now, Request{ID: id, Class: "pay", Deadline: now + time.Second}))
 		if len(sent) != 1 {
-			t.Fatalf("%v: %d sends", result, len(sent))
+			t.Fatalf("%v: request %s led to %d sends, want 1", result, id, len(sent))
 		}
 		now += 400 * msec
 		b.Handle(now, AttemptEnded{
@@ -43,33 +43,33 @@
 		})
 	}
 	if b.admission.Limit() != limit {
-		t.Errorf("%v: the concurrency limit went from %v to %v", result, limit, b.admission.Limit())
+		t.Errorf("%v: concurrency limit is %v, want %v as before", result, b.admission.Limit(), limit)
 	}
-	after := observationsOf(b)
-	for what, was := range before {
-		if after[what] != was {
-			t.Errorf("%v: %s is %s, was %s", result, what, after[what], was)
+	after := observations(b)
+	for name, want := range before {
+		if after[name] != want {
+			t.Errorf("%v: %s is %s, want %s as before", result, name, after[name], want)
 		}
 	}
 	limiter := b.admission
-	limiter.Configure(admission.Priorities{}) // whose classes are others in each run
+	limiter.Configure(admission.Priorities{}) // removes the pointers to classes, which differ from run to run
 	return fmt.Sprintf("%+v", limiter)
 }
 
-// observationsOf prints what was observed of all endpoints, of each and of the class of the traffic.
-func observationsOf(b *Balancer) map[string]string {
+// observations formats the statistics of all endpoints together, of the class get and of each endpoint.
+func observations(b *Balancer) map[string]string {
 	class := b.classes.byName["get"]
-	observations := map[string]string{
+	formatted := map[string]string{
 		"health":        fmt.Sprintf("%+v %+v", b.endpoints.outliers, b.endpoints.unresponsive),
 		"class latency": fmt.Sprintf("%+v %+v", class.latency, class.failureRate),
 	}
 	for ep := range b.endpoints.Known() {
-		observations[ep.ID] = withoutSends(*ep)
+		formatted[ep.ID] = formatObservations(*ep)
 	}
-	return observations
+	return formatted
 }
 
-// withoutSends prints an endpoint without what a send alone changes.
-func withoutSends(ep endpoints.Endpoint) string {
+// formatObservations formats the state of an endpoint without the parts that sending alone changes.
+func formatObservations(ep endpoints.Endpoint) string {
 	return fmt.Sprintf("%+v %+v %+v %+v %+v", ep.Entry, ep.Attempts, ep.Latency, ep.Health, ep.Rejections)
 }
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -12,7 +12,7 @@
 
 const msec = time.Millisecond
 
-// testSettings has one class of each effect.
+// testSettings returns settings of the first tier with one class of each effect.
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
@@ -36,6 +36,7 @@
 	}
 }
 
+// newBalancer returns a Balancer with the test settings, changed by change unless it is nil.
 func newBalancer(t testing.TB, change func(*Settings)) *Balancer {
 	t.Helper()
 	s := testSettings()
@@ -49,79 +50,83 @@
 	return b
 }
 
-func servers(n int) []Endpoint {
-	var l []Endpoint
+// testEndpoints returns a list of n ready endpoints of one zone, in two cells.
+func testEndpoints(n int) []Endpoint {
+	var list []Endpoint
 	for i := range n {
-		l = append(l, Endpoint{ID: fmt.Sprintf("s%02d", i), Zone: "z", Cell: i % 2})
+		list = append(list, Endpoint{ID: fmt.Sprintf("s%02d", i), Zone: "z", Cell: i % 2})
 	}
-	return l
+	return list
 }
 
-// sends returns the Send actions among acts.
-func sends(acts []Action) []Send {
-	var l []Send
-	for _, a := range acts {
+// sends returns the Send actions among the actions.
+func sends(actions []Action) []Send {
+	var sent []Send
+	for _, a := range actions {
 		if s, ok := a.(Send); ok {
-			l = append(l, s)
+			sent = append(sent, s)
 		}
 	}
-	return l
+	return sent
 }
 
-// succeed ends the only attempt of a request with its answer.
+// succeed ends the first attempt of a request with a response.
 func succeed(b *Balancer, now time.Duration, id string, s Send) []Action {
 	return b.Handle(now, AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: Success, Answered: true})
 }
 
-// sendTraffic sends n requests one after another; fate decides how attempts at a server end. It returns how
-// many first attempts each server got in the second half.
-func sendTraffic(b *Balancer, n int, class string, fate func(server string) AttemptResult) map[string]int {
-	got := map[string]int{}
+// sendTraffic sends n requests one after another, whose attempts end with the result that resultAt gives for the
+// endpoint. It returns the number of first attempts that each endpoint got in the second half.
+func sendTraffic(
+	b *Balancer, n int, class string, resultAt func(endpoint string) AttemptResult,
+) map[string]int {
+	firstAttempts := map[string]int{}
 	for i := range n {
 		id, now := fmt.Sprint(class, i), b.now+20*msec
 		for _, s := range sends(b.Handle(now, Request{ID: id, Class: class, Deadline: now + time.Second})) {
 			if i >= n/2 {
-				got[s.Endpoint]++
+				firstAttempts[s.Endpoint]++
 			}
-			for k := range 5 {
-				e := fate(s.Endpoint)
+			for attempt := range 5 {
+				result := resultAt(s.Endpoint)
 				now += 10 * msec
-				again := sends(b.Handle(now, AttemptEnded{
-					ID: id, Attempt: k, Endpoint: s.Endpoint, Result: e, Answered: e == Success,
+				retries := sends(b.Handle(now, AttemptEnded{
+					ID: id, Attempt: attempt, Endpoint: s.Endpoint, Result: result, Answered: result == Success,
 				}))
-				if len(again) == 0 {
+				if len(retries) == 0 {
 					break
 				}
-				s = again[0]
+				s = retries[0]
 			}
 		}
 	}
-	return got
+	return firstAttempts
 }
 
-// observeLatency makes so many answers of a class known, all with the same latency.
-func observeLatency(c *class, latency time.Duration, samples int) {
-	for range samples {
+// observeLatency observes responses of a class, all with the same latency.
+func observeLatency(c *class, latency time.Duration, responses int) {
+	for range responses {
 		c.latency.Observe(float64(latency))
 	}
 }
 
-// zonedServers lists servers of two zones, each in both groups.
-func zonedServers(n int) []Endpoint {
-	l := servers(n)
-	for i := range l {
-		l[i].Zone = []string{"north", "north", "east", "east"}[i%4]
+// zonedEndpoints returns a list of endpoints in two zones, with endpoints of each zone in both groups of the
+// list.
+func zonedEndpoints(n int) []Endpoint {
+	list := testEndpoints(n)
+	for i := range list {
+		list[i].Zone = []string{"north", "north", "east", "east"}[i%4]
 	}
-	return l
+	return list
 }
 
-// setZone sets a replica's zone, by its index: the replicas of a zone are numbered in a row.
-func setZone(s *Settings, index, replicas int) {
-	s.Replicas, s.ReplicaIndex, s.ZoneCount = replicas, index, 2
-	s.Zone = []string{"north", "east"}[2*index/replicas]
+// setZone sets a replica's index and zone. The replicas of a zone have consecutive indexes.
+func setZone(settings *Settings, index, replicas int) {
+	settings.Replicas, settings.ReplicaIndex, settings.ZoneCount = replicas, index, 2
+	settings.Zone = []string{"north", "east"}[2*index/replicas]
 }
 
-// knownEndpoint returns the endpoint with this id.
+// knownEndpoint returns the endpoint with this ID, which must be known.
 func knownEndpoint(t testing.TB, b *Balancer, id string) *endpoints.Endpoint {
 	t.Helper()
 	for ep := range b.endpoints.Known() {
@@ -129,24 +134,24 @@
 			return ep
 		}
 	}
-	t.Fatalf("no endpoint %s is known", id)
+	t.Fatalf("endpoint %s is not known", id)
 	return nil
 }
 
-// allReady returns the ready endpoints in order.
+// allReady returns the ready endpoints of the left group, then those of the right group.
 func allReady(b *Balancer) []*endpoints.Endpoint {
 	groups := b.endpoints.Groups()
 	return slices.Concat(groups.Left, groups.Right)
 }
 
-// holdAttempts has so many attempts in flight, besides those that a test sends.
-func holdAttempts(b *Balancer, attempts int) {
+// startAttempts adds attempts in flight to the load of the replica, besides those that a test sends.
+func startAttempts(b *Balancer, attempts int) {
 	for range attempts {
 		b.admission.StartAttempt()
 	}
 }
 
-// shedUpTo sheds requests until a share of them is shed, within two hundredths and not over it.
+// shedUpTo sheds requests until their share of all requests is at most 0.02 below the given share.
 func shedUpTo(b *Balancer, share float64) {
 	for b.admission.ShedShare() < share {
 		b.admission.ObserveShed()
@@ -154,21 +159,21 @@
 	b.admission.ObserveAdmitted()
 }
 
-// eject ejects an endpoint for so long, whatever the others do.
-func eject(ep *endpoints.Endpoint, now, length time.Duration) {
+// eject ejects an endpoint for the given time, whatever the results at the others.
+func eject(ep *endpoints.Endpoint, now, duration time.Duration) {
 	detector := outlier.NewDetector()
-	const baseEjection = 12 // mean latencies that a first ejection lasts
-	detector.ObserveFailure(&ep.Health, now, float64(length)/baseEjection)
+	const baseEjection = 12 // duration of a first ejection, in mean latencies
+	detector.ObserveFailure(&ep.Health, now, float64(duration)/baseEjection)
 }
 
-// failAttempts makes so many failures of a class known, at an endpoint that is not listed.
-func failAttempts(b *Balancer, name string, failures int) {
+// observeFailures observes failures of a class at an endpoint that is not in the list.
+func observeFailures(b *Balancer, name string, failures int) {
 	for range failures {
 		(&outlier.Record{}).UpdateFailureRates(b.classes.byName[name].failureRates, true, b.now, float64(msec))
 	}
 }
 
-// countKnown returns how many endpoints are known.
+// countKnown returns the number of known endpoints.
 func countKnown(b *Balancer) (known int) {
 	for range b.endpoints.Known() {
 		known++
@@ -176,8 +181,8 @@
 	return known
 }
 
-// countRates counts the failure rates that an endpoint's record holds.
-func countRates(ep *endpoints.Endpoint) (rates int) {
+// countFailureRates returns the number of classes whose failure rates an endpoint's health record holds.
+func countFailureRates(ep *endpoints.Endpoint) (rates int) {
 	ep.Health.RetainClasses(func(*outlier.ClassRate) bool {
 		rates++
 		return true
@@ -185,7 +190,7 @@
 	return rates
 }
 
-// endpointsWith returns a group of endpoints with so many attempts in flight each.
+// endpointsWith returns a group of endpoints with the given numbers of attempts in flight.
 func endpointsWith(inFlight ...int) (group []*endpoints.Endpoint) {
 	for i, attempts := range inFlight {
 		ep := &endpoints.Endpoint{Entry: Endpoint{ID: fmt.Sprint(i)}}
--- a/balancer/layout_test.go
+++ b/balancer/layout_test.go
@@ -14,11 +14,11 @@
 	"unicode/utf8"
 )
 
-// maxColumns is the longest line of the module, narrower than the linter's, so that two files fit side by side. A tab
-// counts as four.
+// maxColumns is the longest line allowed in the module, in columns, with tabs of four columns. It is lower than the
+// linter's limit, so that two files fit side by side.
 const maxColumns = 110
 
-// policyFiles are those that the deploy file names as the module's decisions.
+// policyFiles returns the files that the deploy file lists as the ones that make the module's decisions.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	text, err := os.ReadFile("../deploy/balancer.toml")
@@ -27,7 +27,7 @@
 	}
 	line := regexp.MustCompile(`(?m)^policy = \[(.*)\]$`).FindSubmatch(text)
 	if line == nil {
-		t.Fatal("the deploy file names no policy files")
+		t.Fatal("the deploy file has no line with the policy files")
 	}
 	var files []string
 	for f := range strings.SplitSeq(string(line[1]), ",") {
@@ -36,7 +36,7 @@
 	return files
 }
 
-// sourceFiles are the Go files of the module and its packages without their tests.
+// sourceFiles returns the Go files of the module and its packages, without their tests.
 func sourceFiles(t *testing.T) (files []string) {
 	t.Helper()
 	err := filepath.WalkDir(".", func(path string, entry fs.DirEntry, err error) error {
@@ -52,20 +52,20 @@
 }
 
 func TestDeployFileNamesAllSourceFiles(t *testing.T) {
-	named := policyFiles(t)
-	slices.Sort(named)
+	listed := policyFiles(t)
+	slices.Sort(listed)
 	var files []string
 	for _, file := range sourceFiles(t) {
 		files = append(files, "balancer/"+file)
 	}
 	slices.Sort(files)
-	if !slices.Equal(named, files) {
-		t.Errorf("the deploy file names %v, the module has %v", named, files)
+	if !slices.Equal(listed, files) {
+		t.Errorf("the deploy file lists the policy files %v, want the module's source files %v", listed, files)
 	}
 }
 
-// On-call engineers read the whole module at night: its lines stay narrow, and each file says at its top, or on a type
-// of its own, what it is for. The linter limits the length of files and functions.
+// On-call engineers read the whole module under time pressure, so its lines are short, and each file has a comment at
+// its top or on one of its types that states its purpose. The linter limits the length of files and functions.
 func TestModuleStaysReadable(t *testing.T) {
 	for _, file := range sourceFiles(t) {
 		text, err := os.ReadFile(file)
@@ -77,28 +77,30 @@
 	}
 }
 
+// checkLines checks the length of the lines of a file.
 func checkLines(t *testing.T, file, text string) {
 	t.Helper()
 	lines := strings.Split(strings.TrimSuffix(text, "\n"), "\n")
 	for i, line := range lines {
 		if n := utf8.RuneCountInString(strings.ReplaceAll(line, "\t", "    ")); n > maxColumns {
-			t.Errorf("%s:%d has %d columns, at most %d are allowed", file, i+1, n, maxColumns)
+			t.Errorf("%s:%d has %d columns, want at most %d", file, i+1, n, maxColumns)
 		}
 	}
 }
 
+// checkDeclarations checks that a file has a comment before its package clause or on a type.
 func checkDeclarations(t *testing.T, file string, text []byte) {
 	t.Helper()
 	parsed, err := parser.ParseFile(token.NewFileSet(), file, text, parser.ParseComments)
 	if err != nil {
 		t.Fatal(err)
 	}
-	described := len(parsed.Comments) > 0 && parsed.Comments[0].Pos() < parsed.Package
+	documented := len(parsed.Comments) > 0 && parsed.Comments[0].Pos() < parsed.Package
 	for _, declaration := range parsed.Decls {
 		general, ok := declaration.(*ast.GenDecl)
-		described = described || ok && general.Tok == token.TYPE && general.Doc != nil
+		documented = documented || ok && general.Tok == token.TYPE && general.Doc != nil
 	}
-	if !described {
-		t.Errorf("%s has neither a comment before its package clause nor one on a type", file)
+	if !documented {
+		t.Errorf("%s has no comment before its package clause or on a type, want one", file)
 	}
 }
--- a/balancer/queue_test.go
+++ b/balancer/queue_test.go
@@ -2,6 +2,7 @@
 
 import "testing"
 
+// A queue holds each request at most once, in order of arrival.
 func TestQueueHoldsEachRequestOnce(t *testing.T) {
 	var queue requestQueue
 	first, second := &request{id: "first"}, &request{id: "second"}
@@ -10,24 +11,24 @@
 		change func()
 		want   int
 	}{
-		{"a request", func() { queue.add(first) }, 1},
-		{"another", func() { queue.add(second) }, 2},
-		{"the first again", func() { queue.add(first) }, 2},
-		{"the first leaves", func() { queue.remove(first) }, 1},
-		{"it leaves again", func() { queue.remove(first) }, 1},
-		{"it is back", func() { queue.add(first) }, 2},
+		{"add the first", func() { queue.add(first) }, 1},
+		{"add the second", func() { queue.add(second) }, 2},
+		{"add the first again", func() { queue.add(first) }, 2},
+		{"remove the first", func() { queue.remove(first) }, 1},
+		{"remove the first again", func() { queue.remove(first) }, 1},
+		{"add the first after its removal", func() { queue.add(first) }, 2},
 	} {
 		if step.change(); queue.len() != step.want {
-			t.Errorf("%s: %d requests wait, want %d", step.name, queue.len(), step.want)
+			t.Errorf("%s: %d requests are queued, want %d", step.name, queue.len(), step.want)
 		}
 	}
 	if waiting := queue.all(); waiting[0] != second || waiting[1] != first {
-		t.Errorf("%s is before %s, want the order of arrival", waiting[0].id, waiting[1].id)
+		t.Errorf("the queue holds %s before %s, want second before first", waiting[0].id, waiting[1].id)
 	}
 }
 
-// Of requests with equal priority the youngest has most time left.
-func TestQueueGivesTheHighestPriority(t *testing.T) {
+// Among requests of equal priority, the queue returns the one that arrived last: it has the most time left.
+func TestQueueReturnsTheHighestPriority(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		priorities map[string]float64
@@ -44,7 +45,7 @@
 			}
 			best := queue.highestPriority(func(req *request) float64 { return c.priorities[req.id] })
 			if best.id != c.want {
-				t.Errorf("%s goes first, want %s", best.id, c.want)
+				t.Errorf("the request with the highest priority is %s, want %s", best.id, c.want)
 			}
 		})
 	}
--- a/balancer/request_test.go
+++ b/balancer/request_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// A host rounds times; a timer that fires a fraction early must still lead to an answer in time.
+// A host may round times down, so that a timer fires slightly early. The request must still be answered in time.
 func TestQueuedRequestIsAnsweredThoughTimersFireEarly(t *testing.T) {
 	b := newBalancer(t, nil)
-	acts := b.Handle(0, Request{ID: "a", Class: "get", Deadline: 1000 * msec})
+	actions := b.Handle(0, Request{ID: "a", Class: "get", Deadline: 1000 * msec})
 	for now := time.Duration(0); now < 1000*msec; {
 		var next SetTimer
-		for _, a := range acts {
+		for _, a := range actions {
 			switch a := a.(type) {
 			case SetTimer:
 				next = a
@@ -21,31 +21,32 @@
 			}
 		}
 		if next.Token == "" {
-			t.Fatalf("at %v neither an answer nor a timer", now)
+			t.Fatalf("at %v the request has neither a final response nor a timer", now)
 		}
-		now = max(now+2*msec, next.At-500) // half a microsecond early
-		acts = b.Handle(now, Timer{Token: next.Token})
+		now = max(now+2*msec, next.At-500) // 500 ns early
+		actions = b.Handle(now, Timer{Token: next.Token})
 	}
-	t.Fatal("no final answer in time")
+	t.Fatal("the request has no final response by its deadline")
 }
 
-// Work on a response that comes too late to have any value takes the capacity of responses in time.
+// An attempt times out when its response would have no value: further work on it would take capacity from
+// responses in time.
 func TestAttemptTimesOutWhenItsResponseHasNoValue(t *testing.T) {
 	for _, c := range []struct {
-		tier int
-		late float64
-		want time.Duration
+		tier      int
+		lateValue float64
+		want      time.Duration // timeout of the attempt
 	}{{0, 0, 500*msec - 4*msec}, {0, 0.5, 1500 * msec}, {1, 0, 1500 * msec}} {
-		t.Run(fmt.Sprint("tier ", c.tier, ", late value ", c.late), func(t *testing.T) {
-			b := newBalancer(t, func(s *Settings) { s.Tier, s.Classes[0].LateValue = c.tier, c.late })
-			b.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(4)})
+		t.Run(fmt.Sprint("tier ", c.tier, ", late value ", c.lateValue), func(t *testing.T) {
+			b := newBalancer(t, func(s *Settings) { s.Tier, s.Classes[0].LateValue = c.tier, c.lateValue })
+			b.Handle(0, EndpointUpdate{Complete: true, Endpoints: testEndpoints(4)})
 			s := sends(b.Handle(0, Request{ID: "a", Class: "get", Deadline: 1500 * msec}))[0]
 			if s.Timeout != c.want {
-				t.Errorf("tier %d, late share %v: time-out %v, want %v", c.tier, c.late, s.Timeout, c.want)
+				t.Errorf("timeout is %v, want %v", s.Timeout, c.want)
 			}
-			acts := b.Handle(c.want, AttemptEnded{ID: "a", Result: TimedOut})
-			if _, refused := acts[0].(Reject); len(acts) != 1 || !refused {
-				t.Errorf("tier %d, late share %v: after the time-out %v", c.tier, c.late, acts)
+			actions := b.Handle(c.want, AttemptEnded{ID: "a", Result: TimedOut})
+			if _, rejected := actions[0].(Reject); len(actions) != 1 || !rejected {
+				t.Errorf("actions after the timeout are %v, want one Reject", actions)
 			}
 		})
 	}
--- a/balancer/requestrules_test.go
+++ b/balancer/requestrules_test.go
@@ -8,8 +8,8 @@
 	"basaltdrum/balancer/internal/retrybudget"
 )
 
-// requestAfter returns a request of a class whose attempts ended with these results, one each 10 ms, all at
-// an endpoint in zone z and cell 0.
+// requestAfter returns a request whose attempts ended with the given results. They were sent every 10 ms, all to one
+// endpoint in zone z and cell 0.
 func requestAfter(effect Effect, scope Scope, results ...AttemptResult) *request {
 	settings := Class{
 		Name: "test", Effect: effect, Scope: scope, DedupWindow: 100 * msec, LatencyObjective: 500 * msec,
@@ -24,45 +24,45 @@
 	return req
 }
 
-// What may follow an attempt depends on the effect of the class and on whether the attempt may have run.
+// Whether a retry is allowed depends on the effect of the class and on whether an attempt may have run.
 func TestRetriesFollowTheEffectOfTheClass(t *testing.T) {
 	settings := Settings{MaxAttempts: 3, Tick: 2 * msec}
 	for _, c := range []struct {
 		name            string
 		req             *request
 		now             time.Duration
-		retry, harmless bool
+		retry, harmless bool // whether a retry by the Balancer is allowed, and one by the client is harmless
 	}{
 		{"idempotent, may have run", requestAfter(Idempotent, ScopeAll, TimedOut), 50 * msec, true, true},
 		{"not idempotent, may have run", requestAfter(NonIdempotent, ScopeAll, TimedOut), 50 * msec, false, false},
 		{"not idempotent, never ran", requestAfter(NonIdempotent, ScopeAll, Rejected, NotSent), 50 * msec, true, true},
-		{"by key, in the window", requestAfter(IdempotentByKey, ScopeCell, TimedOut), 50 * msec, true, false},
-		{"by key, everywhere", requestAfter(IdempotentByKey, ScopeAll, TimedOut), 50 * msec, true, true},
+		{"by key, within the window", requestAfter(IdempotentByKey, ScopeCell, TimedOut), 50 * msec, true, false},
+		{"by key, any endpoint", requestAfter(IdempotentByKey, ScopeAll, TimedOut), 50 * msec, true, true},
 		{"by key, at the end of the window", requestAfter(IdempotentByKey, ScopeAll, TimedOut), 96 * msec, false, true},
-		{"by key, later, never ran", requestAfter(IdempotentByKey, ScopeCell, Rejected), 200 * msec, true, true},
-		{"none is left", requestAfter(Idempotent, ScopeAll, TimedOut, TimedOut, TimedOut), 50 * msec, false, true},
+		{"by key, after the window, never ran", requestAfter(IdempotentByKey, ScopeCell, Rejected), 200 * msec, true, true},
+		{"no attempt is left", requestAfter(Idempotent, ScopeAll, TimedOut, TimedOut, TimedOut), 50 * msec, false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := c.req.mayRetry(c.now, &settings); got != c.retry {
-				t.Errorf("a retry is allowed: %v, want %v", got, c.retry)
+				t.Errorf("mayRetry is %v, want %v", got, c.retry)
 			}
 			if got := c.req.harmlessToRetry(); got != c.harmless {
-				t.Errorf("a retry by the client is harmless: %v, want %v", got, c.harmless)
+				t.Errorf("harmlessToRetry is %v, want %v", got, c.harmless)
 			}
 		})
 	}
-	for _, end := range []func(*request){
+	for _, startResponse := range []func(*request){
 		func(req *request) { req.answered = true },
 		func(req *request) { req.streaming = true },
 	} {
 		req := requestAfter(Idempotent, ScopeAll, TimedOut)
-		if end(req); req.mayRetry(50*msec, &settings) {
-			t.Error("a request is sent again whose answer has begun")
+		if startResponse(req); req.mayRetry(50*msec, &settings) {
+			t.Error("mayRetry is true for a request whose response has started, want false")
 		}
 	}
 }
 
-// The less an attempt can have asked of an endpoint, the cheaper is the retry.
+// A retry costs less budget the less load the last attempt can have put on an endpoint.
 func TestRetryCostFollowsTheLastAttempt(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -73,19 +73,20 @@
 		{"rejected", []AttemptResult{Rejected}, retrybudget.NeverRanCost},
 		{"connection refused", []AttemptResult{ConnectFailed}, retrybudget.NeverRanCost},
 		{"not sent", []AttemptResult{NotSent}, retrybudget.NotSentCost},
-		{"not sent after a time-out", []AttemptResult{TimedOut, NotSent}, retrybudget.NotSentCost},
+		{"not sent after a timeout", []AttemptResult{TimedOut, NotSent}, retrybudget.NotSentCost},
 		{"an error after a rejection", []AttemptResult{Rejected, ServerError}, retrybudget.FullCost},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := requestAfter(Idempotent, ScopeAll, c.results...).retryCost(); got != c.want {
-				t.Errorf("costs %v, want %v", got, c.want)
+				t.Errorf("retry cost is %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// A repeat goes only to endpoints that discard it, unless no attempt may have run.
-func TestRepeatsStayInTheScopeOfTheirKey(t *testing.T) {
+// A request with an idempotency key is retried only at endpoints that discard repeats, unless no attempt may have
+// run.
+func TestRetriesStayInTheDeduplicationScope(t *testing.T) {
 	same, otherCell, otherZone := Endpoint{Zone: "z"}, Endpoint{Zone: "z", Cell: 1}, Endpoint{Zone: "y"}
 	for _, c := range []struct {
 		name   string
@@ -106,35 +107,35 @@
 		t.Run(c.name, func(t *testing.T) {
 			req := requestAfter(c.effect, c.scope, c.result)
 			if got := req.inDedupScope(&endpoints.Endpoint{Entry: c.entry}); got != c.want {
-				t.Errorf("in scope: %v, want %v", got, c.want)
+				t.Errorf("inDedupScope is %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// How long an answer is worth sending, and how long a request may wait in the queue.
+// A response has a value until the response deadline, and a request may wait until the queue deadline.
 func TestDeadlinesOfRequests(t *testing.T) {
 	const tick = 2 * msec
 	for _, c := range []struct {
-		name          string
-		tier, ready   int
-		retry         bool
-		answer, queue time.Duration
+		name            string
+		tier, ready     int
+		retry           bool
+		response, queue time.Duration // deadlines
 	}{
 		{"first tier", 0, 3, false, 500*msec - 2*tick, 250 * msec},
 		{"a retry by the client", 0, 3, true, 1500 * msec, 250 * msec},
 		{"a later tier", 1, 3, false, 1500 * msec, 250 * msec},
-		{"no endpoint", 0, 0, false, 500*msec - 2*tick, 1500*msec - 2*tick},
+		{"no endpoint is ready", 0, 0, false, 500*msec - 2*tick, 1500*msec - 2*tick},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			settings := Settings{Tier: c.tier, Tick: tick}
 			req := requestAfter(Idempotent, ScopeAll)
 			req.isRetry = c.retry
-			if got := req.responseDeadline(&settings); got != c.answer {
-				t.Errorf("an answer has a value until %v, want %v", got, c.answer)
+			if got := req.responseDeadline(&settings); got != c.response {
+				t.Errorf("response deadline is %v, want %v", got, c.response)
 			}
 			if got := req.queueDeadline(&settings, c.ready); got != c.queue {
-				t.Errorf("waits until %v, want %v", got, c.queue)
+				t.Errorf("queue deadline is %v, want %v", got, c.queue)
 			}
 		})
 	}
--- a/balancer/rulechecker_test.go
+++ b/balancer/rulechecker_test.go
@@ -92,8 +92,8 @@
 }
 
 // actions checks the actions of the Balancer.
-func (c *ruleChecker) actions(now time.Duration, acts []Action) {
-	for _, a := range acts {
+func (c *ruleChecker) actions(now time.Duration, actions []Action) {
+	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
 			c.send(now, a)
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -62,7 +62,7 @@
 func runRandomly(t testing.TB, set Settings, seed uint64, steps int, c *ruleChecker) (log []string, b *Balancer) {
 	r := &randomRun{
 		t: t, set: set, seed: seed, steps: steps, checker: c, rng: rand.New(rand.NewPCG(seed, 1)),
-		fleet: servers(8), ended: map[string]bool{},
+		fleet: testEndpoints(8), ended: map[string]bool{},
 	}
 	r.restart(seed)
 	r.give(EndpointUpdate{Complete: true, Cached: true, Endpoints: r.fleet})
@@ -86,11 +86,11 @@
 	if r.checker != nil {
 		r.checker.event(r.now, e)
 	}
-	acts := r.balancer.Handle(r.now, e)
+	actions := r.balancer.Handle(r.now, e)
 	if r.checker != nil {
-		r.checker.actions(r.now, acts)
+		r.checker.actions(r.now, actions)
 	}
-	for _, a := range acts {
+	for _, a := range actions {
 		r.log = append(r.log, fmt.Sprintf("%v %T%v", r.now, a, a))
 		switch a := a.(type) {
 		case Send:
@@ -288,7 +288,7 @@
 func TestSameEventsGiveSameActions(t *testing.T) {
 	a, _ := runRandomly(t, testSettings(), 5, 3000, nil)
 	other, _ := New(testSettings(), 99) // a neighbour in the process changes nothing
-	other.Handle(0, EndpointUpdate{Complete: true, Endpoints: servers(3)})
+	other.Handle(0, EndpointUpdate{Complete: true, Endpoints: testEndpoints(3)})
 	b, _ := runRandomly(t, testSettings(), 5, 3000, nil)
 	if len(a) < 500 {
 		t.Fatalf("only %d actions", len(a))
@@ -307,7 +307,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		now, fleet := time.Duration(0), servers(4)
+		now, fleet := time.Duration(0), testEndpoints(4)
 		for i, x := range data {
 			id := fmt.Sprint("r", x%5)
 			switch x % 7 {
--- a/balancer/settings_test.go
+++ b/balancer/settings_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// The error for an invalid setting contains the name of the field.
 func TestSettingsErrorsNameTheField(t *testing.T) {
 	for want, change := range map[string]func(*Settings){
 		"Classes is missing":        func(s *Settings) { s.Classes = nil },
@@ -24,7 +25,7 @@
 			s := testSettings()
 			change(&s)
 			if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), want) {
-				t.Errorf("got %v, want %q", err, want)
+				t.Errorf("New returned the error %v, want one that contains %q", err, want)
 			}
 		})
 	}
--- a/balancer/simulation_test.go
+++ b/balancer/simulation_test.go
@@ -5,42 +5,43 @@
 	"time"
 )
 
-// simulation runs planned steps in the order of their times, in simulated time. Steps of the same time run in
-// the order in which they were planned.
+// simulation runs scheduled functions in the order of their times, in simulated time. Functions scheduled for the
+// same time run in the order in which they were scheduled.
 type simulation struct {
-	now     time.Duration
-	queue   simEvents
-	planned int
+	now       time.Duration
+	queue     simEvents
+	scheduled int // number of functions scheduled so far
 }
 
-// in plans a step for some time from now.
-func (s *simulation) in(d time.Duration, do func()) {
-	s.planned++
-	heap.Push(&s.queue, simEvent{s.now + max(0, d), s.planned, do})
+// after schedules a function to run after a delay.
+func (s *simulation) after(delay time.Duration, run func()) {
+	s.scheduled++
+	heap.Push(&s.queue, simEvent{s.now + max(0, delay), s.scheduled, run})
 }
 
-// runUntil runs the steps planned for a time and all before, with those that they plan.
+// runUntil runs the functions scheduled for times up to end, including those that they schedule.
 func (s *simulation) runUntil(end time.Duration) {
 	for len(s.queue) > 0 && s.queue[0].at <= end {
 		e := heap.Pop(&s.queue).(simEvent)
 		s.now = e.at
-		e.do()
+		e.run()
 	}
 }
 
+// simEvent is a scheduled function.
 type simEvent struct {
-	at time.Duration
-	n  int
-	do func()
+	at       time.Duration
+	sequence int // position in the order of scheduling
+	run      func()
 }
 
-// simEvents is a heap of planned steps.
+// simEvents is a heap of scheduled functions.
 type simEvents []simEvent
 
 func (q *simEvents) Len() int { return len(*q) }
 func (q *simEvents) Less(i, j int) bool {
 	first, second := (*q)[i], (*q)[j]
-	return first.at < second.at || first.at == second.at && first.n < second.n
+	return first.at < second.at || first.at == second.at && first.sequence < second.sequence
 }
 func (q *simEvents) Swap(i, j int) { (*q)[i], (*q)[j] = (*q)[j], (*q)[i] }
 func (q *simEvents) Push(x any)    { *q = append(*q, x.(simEvent)) }
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -10,9 +10,9 @@
 
 // After an outage a node's whole subset may come back warming. That must not suspend slow start while the
 // rest of the list is warm: many such nodes would overload the warming servers.
-func TestWarmingSubsetKeepsSlowStartInForce(t *testing.T) {
+func TestSlowStartAppliesToASubsetThatIsWarmingUp(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier, s.Replicas = 1, 50 })
-	list := servers(40)
+	list := testEndpoints(40)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: list})
 	b.chooseEndpoint(&request{class: b.classes.byName["get"]})
 	subset, _ := b.endpoints.Subset()
@@ -36,9 +36,9 @@
 }
 
 // A warming server takes much longer for a heavy request than a warm one; a light request is well within its objective.
-func TestWarmingServerGetsNoHeavyRequests(t *testing.T) {
+func TestWarmingEndpointGetsNoHeavyRequests(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
-	list := servers(4)
+	list := testEndpoints(4)
 	list[1].StartedAt = time.Second
 	b.Handle(2*time.Second, EndpointUpdate{Complete: true, Endpoints: list}) // warmth 0.28
 	got := map[time.Duration]int{}
@@ -114,7 +114,7 @@
 // warmingReplicas returns replicas whose list names six servers, of which s02 starts at second 1.
 func warmingReplicas(t *testing.T, set Settings, replicas int) (fleet []*Balancer) {
 	t.Helper()
-	list := servers(6)
+	list := testEndpoints(6)
 	list[2].StartedAt = time.Second
 	for i := range replicas {
 		set.ReplicaIndex = i
@@ -132,7 +132,7 @@
 func sameWork(*rand.Rand) float64 { return 1 }
 
 // No window of a warming server gets more requests from all replicas together than its limit.
-func TestWarmingServerStaysWithinItsLimit(t *testing.T) {
+func TestWarmingEndpointStaysWithinItsLimit(t *testing.T) {
 	set := testSettings()
 	for _, replicas := range []int{12, 200} {
 		t.Run(fmt.Sprint(replicas, " replicas"), func(t *testing.T) {
@@ -161,7 +161,7 @@
 // Where the expected work is hinted, a warming server's quota consists of light requests. All replicas
 // together stay within its limit of work, and yet give it more than half of its capacity while the rest is
 // busy.
-func TestWarmingServerIsUsedWithinItsLimit(t *testing.T) {
+func TestWarmingEndpointIsUsedWithinItsLimit(t *testing.T) {
 	set := testSettings()
 	for _, replicas := range []int{12, 100} {
 		t.Run(fmt.Sprint(replicas, " replicas"), func(t *testing.T) {
--- a/balancer/slowstartsim_test.go
+++ b/balancer/slowstartsim_test.go
@@ -120,7 +120,7 @@
 	r.start()
 	r.nextArrival()
 	if !r.fresh {
-		r.in(replacedAt-r.now, func() { r.deliverList(true) })
+		r.after(replacedAt-r.now, func() { r.deliverList(true) })
 	}
 	r.runUntil(r.end + r.set.Classes[0].Deadline)
 	r.result.share = r.warmingWork / max(1e-9, r.due)
@@ -173,7 +173,7 @@
 // nextArrival plans the next request, which plans the one after it.
 func (r *warmingRun) nextArrival() {
 	rate := r.load * float64(r.servers*r.cores) / r.work.Seconds()
-	r.in(time.Duration(r.rng.ExpFloat64()/rate*float64(time.Second)), func() {
+	r.after(time.Duration(r.rng.ExpFloat64()/rate*float64(time.Second)), func() {
 		if r.now < r.end {
 			r.arrive()
 			r.nextArrival()
@@ -215,12 +215,12 @@
 		case Cancel:
 			if attempts := r.requests[a.ID].attempts; a.Attempt < len(attempts) {
 				attempts[a.Attempt].cancelled = true
-				r.in(0, func() {
+				r.after(0, func() {
 					r.deliver(b, AttemptEnded{ID: a.ID, Attempt: a.Attempt, Result: Cancelled, Answered: true})
 				})
 			}
 		case SetTimer:
-			r.in(a.At-r.now, func() { r.deliver(b, Timer{Token: a.Token}) })
+			r.after(a.At-r.now, func() { r.deliver(b, Timer{Token: a.Token}) })
 		}
 	}
 }
@@ -236,18 +236,18 @@
 	r.countReceived(s, request.work)
 	switch {
 	case s.down:
-		r.in(time.Millisecond, func() { r.endAttempt(a, ConnectFailed) })
+		r.after(time.Millisecond, func() { r.endAttempt(a, ConnectFailed) })
 	case r.now >= replacedAt && s.StartedAt == 0 && r.fails(s.ID):
-		r.in(2*time.Millisecond, func() { r.endAttempt(a, ServerError) })
+		r.after(2*time.Millisecond, func() { r.endAttempt(a, ServerError) })
 	case s.busy+len(s.queue) >= r.capacity:
-		r.in(2*time.Millisecond, func() { r.endAttempt(a, Rejected) })
+		r.after(2*time.Millisecond, func() { r.endAttempt(a, Rejected) })
 	default:
 		if s.busy < r.cores {
 			r.serve(a)
 		} else {
 			s.queue = append(s.queue, func() { r.serveQueued(a) })
 		}
-		r.in(deadline-r.now, func() { r.endAttempt(a, TimedOut) })
+		r.after(deadline-r.now, func() { r.endAttempt(a, TimedOut) })
 	}
 }
 
@@ -295,7 +295,7 @@
 	s := a.server
 	took := time.Duration(a.request.work * float64(r.work) / warmthAt(r.set, s.StartedAt, r.now))
 	s.busy++
-	r.in(took, func() {
+	r.after(took, func() {
 		s.busy--
 		r.serveNext(s)
 		r.endAttempt(a, Success)
--- a/balancer/subsetting_test.go
+++ b/balancer/subsetting_test.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// Lists of 1,024 servers and as many replicas are used completely: all subsets together contain each server,
-// each about as often as the others, and a replica whose subset rejects it finds the rest.
-func TestSubsetsOfAThousandReplicasCoverAThousandServers(t *testing.T) {
-	const many, replicasPerServer = 1024, 2
+// With 1,024 endpoints and as many replicas, the subsets together contain every endpoint, all about equally often,
+// and each replica can send a request.
+func TestSubsetsOfAThousandReplicasCoverAThousandEndpoints(t *testing.T) {
+	const size, minSubsets = 1024, 2 // length of the list and number of replicas; subsets per endpoint
 	var list []Endpoint
-	for i := range many {
+	for i := range size {
 		list = append(list, Endpoint{ID: fmt.Sprintf("s%04d", i), Zone: "z", Capacity: 1})
 	}
-	pooled := map[string]int{}
-	for i := range many {
+	subsets := map[string]int{} // number of subsets by endpoint
+	for i := range size {
 		b := newBalancer(t, func(s *Settings) {
-			s.Replicas, s.ReplicaIndex, s.Zone, s.ZoneCount, s.Tier = many, i, "z", 1, 1
+			s.Replicas, s.ReplicaIndex, s.Zone, s.ZoneCount, s.Tier = size, i, "z", 1, 1
 		})
 		b.Handle(0, EndpointUpdate{Complete: true, Endpoints: list})
-		acts := b.Handle(0, Request{ID: "r", Class: "get", Deadline: time.Second})
-		if len(sends(acts)) != 1 {
-			t.Fatalf("replica %d: a request led to %v", i, acts)
+		actions := b.Handle(0, Request{ID: "r", Class: "get", Deadline: time.Second})
+		if len(sends(actions)) != 1 {
+			t.Fatalf("replica %d: a request led to the actions %v, want one Send", i, actions)
 		}
-		for s := range b.endpoints.Known() {
-			if s.InSubset() {
-				pooled[s.ID]++
+		for ep := range b.endpoints.Known() {
+			if ep.InSubset() {
+				subsets[ep.ID]++
 			}
 		}
 	}
-	if len(pooled) != many {
-		t.Errorf("%d of %d servers are in a subset", len(pooled), many)
+	if len(subsets) != size {
+		t.Errorf("%d of %d endpoints are in a subset, want all", len(subsets), size)
 	}
-	least, most := many, 0
-	for _, n := range pooled {
-		least, most = min(least, n), max(most, n)
+	fewest, most := size, 0
+	for _, n := range subsets {
+		fewest, most = min(fewest, n), max(most, n)
 	}
-	if least < replicasPerServer || most > 2*least {
-		t.Errorf("servers are in %d to %d subsets, want alike and at least %d", least, most, replicasPerServer)
+	if fewest < minSubsets || most > 2*fewest {
+		t.Errorf("endpoints are in %d to %d subsets, want at least %d and a ratio of at most 2", fewest, most, minSubsets)
 	}
 }
