--- a/balancer/rulechecker_test.go
+++ b/balancer/rulechecker_test.go
@@ -7,29 +7,36 @@
 	"time"
 )
 
-// ruleChecker follows the events given to one Balancer and its actions, and records every violated rule. It
-// shares no code with the module.
+// ruleChecker observes the events passed to one Balancer and its actions, and records every violation of a rule:
+//
+//   - Rule 1: each request gets exactly one final response, by its deadline, and no attempt after it.
+//   - Rule 2: no request runs more often than its class allows, and no rejection is returned for a request that
+//     may have run unless a retry is harmless.
+//   - Rule 3: attempts are sent to ready endpoints only.
+//
+// It shares no code with the module.
 type ruleChecker struct {
-	set    Settings
-	slack  time.Duration
-	state  map[string]EndpointState
-	cells  map[string]int
-	zones  map[string]string
-	reqs   map[string]*trackedRequest
-	broken []string
+	settings   Settings
+	slack      time.Duration            // time after a deadline in which a final response is still accepted
+	states     map[string]EndpointState // by endpoint ID, as the next two
+	cells      map[string]int
+	zones      map[string]string
+	requests   map[string]*trackedRequest
+	violations []string
 }
 
-// killed forgets what a killed replica held: its clients have to send it again.
-func (c *ruleChecker) killed() {
-	c.reqs, c.state = map[string]*trackedRequest{}, map[string]EndpointState{}
+// reset discards the requests and endpoints of a replica that was killed: a new instance has no state.
+func (c *ruleChecker) reset() {
+	c.requests, c.states = map[string]*trackedRequest{}, map[string]EndpointState{}
 }
 
-func (c *ruleChecker) fault(format string, args ...any) {
-	c.broken = append(c.broken, fmt.Sprintf(format, args...))
+// report records a violation.
+func (c *ruleChecker) report(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// event follows an event that is given to the Balancer.
-func (c *ruleChecker) event(now time.Duration, e Event) {
+// observeEvent records an event that is passed to the Balancer.
+func (c *ruleChecker) observeEvent(now time.Duration, e Event) {
 	switch e := e.(type) {
 	case EndpointUpdate:
 		c.updateEndpoints(e)
@@ -38,12 +45,12 @@
 	case AttemptEnded:
 		c.endAttempt(e)
 	case ClientGone:
-		if r := c.reqs[e.ID]; r != nil {
+		if r := c.requests[e.ID]; r != nil {
 			r.ended = true
 		}
 	case Reconfigure:
 		if e.Settings.Validate() == nil {
-			c.set = e.Settings
+			c.settings = e.Settings
 		}
 	}
 	c.checkDeadlines(now)
@@ -51,30 +58,31 @@
 
 func (c *ruleChecker) updateEndpoints(e EndpointUpdate) {
 	if e.Complete {
-		for id := range c.state {
-			c.state[id] = Removed
+		for id := range c.states {
+			c.states[id] = Removed
 		}
 	}
 	for _, s := range e.Endpoints {
-		c.state[s.ID], c.cells[s.ID], c.zones[s.ID] = s.State, s.Cell, s.Zone
+		c.states[s.ID], c.cells[s.ID], c.zones[s.ID] = s.State, s.Cell, s.Zone
 	}
 }
 
+// accept records a new request. A request of an unknown class is not idempotent.
 func (c *ruleChecker) accept(e Request) {
-	if c.reqs[e.ID] != nil {
+	if c.requests[e.ID] != nil {
 		return
 	}
 	class := Class{Effect: NonIdempotent}
-	for _, known := range c.set.Classes {
+	for _, known := range c.settings.Classes {
 		if known.Name == e.Class {
 			class = known
 		}
 	}
-	c.reqs[e.ID] = &trackedRequest{class: class, deadline: e.Deadline}
+	c.requests[e.ID] = &trackedRequest{class: class, deadline: e.Deadline}
 }
 
 func (c *ruleChecker) endAttempt(e AttemptEnded) {
-	r := c.reqs[e.ID]
+	r := c.requests[e.ID]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
 		return
 	}
@@ -82,169 +90,175 @@
 	r.ended = r.ended || e.Answered
 }
 
+// checkDeadlines checks that no request is past its deadline without a final response.
 func (c *ruleChecker) checkDeadlines(now time.Duration) {
-	for id, r := range c.reqs {
+	for id, r := range c.requests {
 		if !r.ended && now > r.deadline+c.slack {
-			c.fault("rule 1: %s has no answer %v after its deadline", id, now-r.deadline)
+			c.report("rule 1: %s has no final response %v after its deadline", id, now-r.deadline)
 			r.ended = true
 		}
 	}
 }
 
-// actions checks the actions of the Balancer.
-func (c *ruleChecker) actions(now time.Duration, actions []Action) {
+// checkActions checks and records the actions of the Balancer.
+func (c *ruleChecker) checkActions(now time.Duration, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
-			c.send(now, a)
+			c.checkSend(now, a)
 		case Reject:
-			c.reject(a)
+			c.checkReject(a)
 		case Fail:
-			c.final(a.ID)
+			c.checkFinal(a.ID)
 		case Cancel:
-			c.cancel(a)
+			c.checkCancel(a)
 		}
 	}
 }
 
-// reject checks that a retry does no harm.
-func (c *ruleChecker) reject(a Reject) {
-	r := c.final(a.ID)
+// checkReject checks that a retry of the rejected request is harmless.
+func (c *ruleChecker) checkReject(a Reject) {
+	r := c.checkFinal(a.ID)
 	if r == nil {
 		return
 	}
 	harmless := r.class.Effect == Idempotent || r.class.Effect == IdempotentByKey && r.class.Scope == ScopeAll
 	for _, t := range r.attempts {
 		if t.mayHaveRun() && !harmless {
-			c.fault("rule 2: %s refused though it may have run", a.ID)
+			c.report("rule 2: %s is rejected although it may have run", a.ID)
 		}
 	}
 }
 
-func (c *ruleChecker) cancel(a Cancel) {
-	if r := c.reqs[a.ID]; r == nil || a.Attempt < 0 || a.Attempt >= len(r.attempts) {
-		c.fault("cancel of an attempt never made")
+// checkCancel checks that the attempt exists and that attempts can be cancelled.
+func (c *ruleChecker) checkCancel(a Cancel) {
+	if r := c.requests[a.ID]; r == nil || a.Attempt < 0 || a.Attempt >= len(r.attempts) {
+		c.report("cancel of attempt %d of %s, which does not exist", a.Attempt, a.ID)
 	}
-	if !c.set.AllowCancel {
-		c.fault("cancel is not allowed")
+	if !c.settings.AllowCancel {
+		c.report("cancel of attempt %d of %s, although AllowCancel is false", a.Attempt, a.ID)
 	}
 }
 
-func (c *ruleChecker) final(id string) *trackedRequest {
-	r := c.reqs[id]
+// checkFinal checks and records a final response. It returns nil if the request needs none.
+func (c *ruleChecker) checkFinal(id string) *trackedRequest {
+	r := c.requests[id]
 	if r == nil || r.ended {
-		c.fault("rule 1: final answer for %s, which is over or unknown", id)
+		c.report("rule 1: final response for %s, which is answered or unknown", id)
 		return nil
 	}
 	r.ended = true
 	return r
 }
 
-func (c *ruleChecker) send(now time.Duration, a Send) {
-	r := c.reqs[a.ID]
+// checkSend checks and records a new attempt.
+func (c *ruleChecker) checkSend(now time.Duration, a Send) {
+	r := c.requests[a.ID]
 	if r == nil || r.ended {
-		c.fault("rule 1: sent %s, which is over or unknown", a.ID)
+		c.report("rule 1: attempt of %s, which is answered or unknown", a.ID)
 		return
 	}
-	state, known := c.state[a.Endpoint]
+	state, known := c.states[a.Endpoint]
 	if !known || state != Ready {
-		c.fault("rule 3: sent to %s, which drains, is removed or unknown", a.Endpoint)
+		c.report("rule 3: attempt at %s, which is draining, removed or unknown", a.Endpoint)
 	}
-	if len(r.attempts) >= c.set.MaxAttempts {
-		c.fault("more than %d attempts", c.set.MaxAttempts)
+	if len(r.attempts) >= c.settings.MaxAttempts {
+		c.report("more than %d attempts of %s", c.settings.MaxAttempts, a.ID)
 	}
 	for _, t := range r.attempts {
 		if !t.ended {
-			c.fault("second copy of %s", a.ID)
+			c.report("attempt of %s while another is in flight", a.ID)
 		}
 		if t.mayHaveRun() {
-			c.repeat(now, a, r, t)
+			c.checkRetry(now, a, r, t)
 		}
 	}
-	r.attempts = append(r.attempts, &trackedAttempt{server: a.Endpoint, at: now})
+	r.attempts = append(r.attempts, &trackedAttempt{endpoint: a.Endpoint, sentAt: now})
 }
 
-// repeat checks that a request may be sent again after an attempt that may have run.
-func (c *ruleChecker) repeat(now time.Duration, a Send, r *trackedRequest, t *trackedAttempt) {
+// checkRetry checks that a request may be retried after an attempt that may have run.
+func (c *ruleChecker) checkRetry(now time.Duration, a Send, r *trackedRequest, t *trackedAttempt) {
 	switch r.class.Effect {
 	case Idempotent: // may run any number of times
 	case NonIdempotent:
-		c.fault("rule 2: unsafe %s sent again", a.ID)
+		c.report("rule 2: %s is retried although it is not idempotent", a.ID)
 	case IdempotentByKey:
-		if now > t.at+r.class.DedupWindow {
-			c.fault("rule 2: %s sent again outside its window", a.ID)
+		if now > t.sentAt+r.class.DedupWindow {
+			c.report("rule 2: %s is retried after its deduplication window", a.ID)
 		}
-		if !c.inScope(r.class.Scope, t.server, a.Endpoint) {
-			c.fault("rule 2: %s sent again outside its scope", a.ID)
+		if !c.inScope(r.class.Scope, t.endpoint, a.Endpoint) {
+			c.report("rule 2: %s is retried outside its deduplication scope", a.ID)
 		}
 	}
 }
 
-// inScope says that two servers discard each other's repeats.
-func (c *ruleChecker) inScope(scope Scope, server, other string) bool {
+// inScope reports whether two endpoints discard repeats of each other's requests.
+func (c *ruleChecker) inScope(scope Scope, endpoint, other string) bool {
 	switch scope {
 	case ScopeCell:
-		return c.zones[server] == c.zones[other] && c.cells[server] == c.cells[other]
+		return c.zones[endpoint] == c.zones[other] && c.cells[endpoint] == c.cells[other]
 	case ScopeZone:
-		return c.zones[server] == c.zones[other]
+		return c.zones[endpoint] == c.zones[other]
 	default:
 		return true
 	}
 }
 
+// trackedRequest is a request of which the Balancer knows.
 type trackedRequest struct {
 	class    Class
 	deadline time.Duration
-	ended    bool
+	ended    bool // it has its final response or needs none
 	attempts []*trackedAttempt
 }
 
+// trackedAttempt is an attempt of a request.
 type trackedAttempt struct {
-	server string
-	at     time.Duration
-	ended  bool
-	result AttemptResult
+	endpoint string
+	sentAt   time.Duration
+	ended    bool
+	result   AttemptResult
 }
 
 func (t *trackedAttempt) mayHaveRun() bool {
 	return !t.ended || (t.result != Rejected && t.result != ConnectFailed && t.result != NotSent)
 }
 
-func newRuleChecker(set Settings) *ruleChecker {
+func newRuleChecker(settings Settings) *ruleChecker {
 	return &ruleChecker{
-		set: set, slack: 20 * msec, state: map[string]EndpointState{}, cells: map[string]int{},
-		zones: map[string]string{}, reqs: map[string]*trackedRequest{},
+		settings: settings, slack: 20 * msec, states: map[string]EndpointState{}, cells: map[string]int{},
+		zones: map[string]string{}, requests: map[string]*trackedRequest{},
 	}
 }
 
-// TestRuleCheckerDetectsViolations gives the checker a trace that violates each rule.
+// The checker detects violations of each rule.
 func TestRuleCheckerDetectsViolations(t *testing.T) {
 	list := EndpointUpdate{Complete: true, Endpoints: []Endpoint{
 		{ID: "a", Cell: 0},
 		{ID: "b", Cell: 1},
 		{ID: "c", State: Draining},
 	}}
-	req := func(class string) Request { return Request{ID: "r", Class: class, Deadline: 1000 * msec} }
+	request := func(class string) Request { return Request{ID: "r", Class: class, Deadline: 1000 * msec} }
 	timedOut := AttemptEnded{ID: "r", Attempt: 0, Result: TimedOut}
 	sendToA, sendToB := Send{ID: "r", Endpoint: "a"}, Send{ID: "r", Endpoint: "b"}
 	for _, tc := range []struct {
 		want  string
 		steps []any
 	}{
-		{"rule 1: r has no answer", []any{list, req("get"), 2 * time.Second, Timer{}}},
-		{"rule 1: final answer", []any{list, req("get"), Reject{ID: "r"}, Fail{ID: "r"}}},
-		{"rule 1: sent r, which is over", []any{list, req("get"), Fail{ID: "r"}, sendToA}},
-		{"rule 2: unsafe", []any{list, req("pay"), sendToA, timedOut, sendToA}},
-		{"rule 2: r refused", []any{list, req("pay"), sendToA, timedOut, Reject{ID: "r"}}},
-		{"outside its window", []any{
-			list, req("post"),
+		{"rule 1: r has no final response", []any{list, request("get"), 2 * time.Second, Timer{}}},
+		{"rule 1: final response", []any{list, request("get"), Reject{ID: "r"}, Fail{ID: "r"}}},
+		{"rule 1: attempt of r, which is answered", []any{list, request("get"), Fail{ID: "r"}, sendToA}},
+		{"rule 2: r is retried although it is not idempotent", []any{list, request("pay"), sendToA, timedOut, sendToA}},
+		{"rule 2: r is rejected", []any{list, request("pay"), sendToA, timedOut, Reject{ID: "r"}}},
+		{"after its deduplication window", []any{
+			list, request("post"),
 			sendToA,
 			950 * msec, timedOut,
 			sendToA,
 		}},
-		{"outside its scope", []any{list, req("post"), sendToA, timedOut, sendToB}},
-		{"rule 3", []any{list, req("get"), Send{ID: "r", Endpoint: "c"}}},
-		{"never made", []any{list, req("get"), Cancel{ID: "r", Attempt: 0}}},
+		{"outside its deduplication scope", []any{list, request("post"), sendToA, timedOut, sendToB}},
+		{"rule 3", []any{list, request("get"), Send{ID: "r", Endpoint: "c"}}},
+		{"which does not exist", []any{list, request("get"), Cancel{ID: "r", Attempt: 0}}},
 	} {
 		t.Run(tc.want, func(t *testing.T) {
 			c := newRuleChecker(testSettings())
@@ -254,13 +268,13 @@
 				case time.Duration:
 					now = s
 				case Event:
-					c.event(now, s)
+					c.observeEvent(now, s)
 				case Action:
-					c.actions(now, []Action{s})
+					c.checkActions(now, []Action{s})
 				}
 			}
-			if !strings.Contains(strings.Join(c.broken, "\n"), tc.want) {
-				t.Errorf("want %q among %q", tc.want, c.broken)
+			if !strings.Contains(strings.Join(c.violations, "\n"), tc.want) {
+				t.Errorf("the violations are %q, want one that contains %q", c.violations, tc.want)
 			}
 		})
 	}
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// changedSettings draws other settings: classes that come, go, or have another effect, scope, window or
-// deadline, and other limits. Now and then they are invalid.
-func changedSettings(set Settings, rng *rand.Rand) Settings {
-	set.Classes = nil
+// changedSettings draws new settings: classes are added, removed or get another effect, scope, deduplication window
+// or deadline, and limits change. Some are invalid.
+func changedSettings(settings Settings, rng *rand.Rand) Settings {
+	settings.Classes = nil
 	for _, c := range testSettings().Classes {
 		if rng.IntN(4) == 0 {
 			continue
@@ -21,88 +21,89 @@
 			c.DedupWindow = time.Duration(1+rng.IntN(900)) * msec
 			c.LatencyObjective, c.Deadline = time.Duration(1+rng.IntN(500))*msec, time.Duration(1+rng.IntN(1500))*msec
 		}
-		set.Classes = append(set.Classes, c)
+		settings.Classes = append(settings.Classes, c)
 	}
-	set.MaxAttempts, set.AllowCancel = 1+rng.IntN(5), rng.IntN(2) == 0
-	set.Replicas, set.ReplicaIndex = 1+rng.IntN(20), rng.IntN(20)
-	set.OverloadMultiple, set.OverloadWindow = float64(rng.IntN(5)), time.Duration(rng.IntN(2000))*msec
+	settings.MaxAttempts, settings.AllowCancel = 1+rng.IntN(5), rng.IntN(2) == 0
+	settings.Replicas, settings.ReplicaIndex = 1+rng.IntN(20), rng.IntN(20)
+	settings.OverloadMultiple, settings.OverloadWindow = float64(rng.IntN(5)), time.Duration(rng.IntN(2000))*msec
 	if rng.IntN(5) == 0 {
-		set.SlowStartFloor = -1
+		settings.SlowStartFloor = -1
 	}
-	return set
+	return settings
 }
 
-// randomRun drives a Balancer with random legal events and odd ones.
+// randomRun drives a Balancer with random events. Some are repeated or refer to unknown requests and attempts.
 type randomRun struct {
-	t        testing.TB
-	set      Settings
-	seed     uint64
-	steps    int
-	checker  *ruleChecker // nil: none
-	rng      *rand.Rand
-	now      time.Duration
-	balancer *Balancer
-	fleet    []Endpoint
-	attempts []runningAttempt
-	timers   []SetTimer
-	ids      []string
-	ended    map[string]bool // requests that have their final answer
-	log      []string        // all actions
+	t         testing.TB
+	settings  Settings
+	seed      uint64
+	steps     int
+	checker   *ruleChecker // nil: rules are not checked
+	rng       *rand.Rand
+	now       time.Duration
+	balancer  *Balancer
+	endpoints []Endpoint // all endpoints, including removed ones
+	attempts  []runningAttempt
+	timers    []SetTimer
+	ids       []string
+	ended     map[string]bool // requests that have their final response
+	log       []string        // all actions, formatted
 }
 
+// runningAttempt is an attempt in flight and how it will end.
 type runningAttempt struct {
-	id      string
-	number  int
-	server  string
-	due     time.Duration
-	timeout bool
+	id       string
+	number   int
+	endpoint string
+	due      time.Duration // end of the attempt
+	timesOut bool
 }
 
-// runRandomly drives a Balancer, and returns all its actions.
-func runRandomly(t testing.TB, set Settings, seed uint64, steps int, c *ruleChecker) (log []string, b *Balancer) {
+// runRandomly drives a Balancer with random events and returns the log of its actions.
+func runRandomly(t testing.TB, settings Settings, seed uint64, steps int, c *ruleChecker) (log []string, b *Balancer) {
 	r := &randomRun{
-		t: t, set: set, seed: seed, steps: steps, checker: c, rng: rand.New(rand.NewPCG(seed, 1)),
-		fleet: testEndpoints(8), ended: map[string]bool{},
+		t: t, settings: settings, seed: seed, steps: steps, checker: c, rng: rand.New(rand.NewPCG(seed, 1)),
+		endpoints: testEndpoints(8), ended: map[string]bool{},
 	}
 	r.restart(seed)
-	r.give(EndpointUpdate{Complete: true, Cached: true, Endpoints: r.fleet})
+	r.handle(EndpointUpdate{Complete: true, Cached: true, Endpoints: r.endpoints})
 	for i := range steps {
 		r.step(i)
 	}
 	return r.log, r.balancer
 }
 
-// restart begins with a fresh Balancer.
+// restart starts a new Balancer.
 func (r *randomRun) restart(seed uint64) {
-	b, err := New(r.set, seed)
+	b, err := New(r.settings, seed)
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	r.balancer = b
 }
 
-// give hands an event to the Balancer, and notes its actions.
-func (r *randomRun) give(e Event) {
+// handle passes an event to the Balancer and logs its actions.
+func (r *randomRun) handle(e Event) {
 	if r.checker != nil {
-		r.checker.event(r.now, e)
+		r.checker.observeEvent(r.now, e)
 	}
 	actions := r.balancer.Handle(r.now, e)
 	if r.checker != nil {
-		r.checker.actions(r.now, actions)
+		r.checker.checkActions(r.now, actions)
 	}
 	for _, a := range actions {
 		r.log = append(r.log, fmt.Sprintf("%v %T%v", r.now, a, a))
 		switch a := a.(type) {
 		case Send:
-			r.begin(a)
+			r.startAttempt(a)
 		case SetTimer:
 			r.timers = append(r.timers, a)
 		}
 	}
 }
 
-// begin draws how an attempt goes.
-func (r *randomRun) begin(a Send) {
+// startAttempt draws when an attempt ends and whether it times out.
+func (r *randomRun) startAttempt(a Send) {
 	number := 0
 	for _, p := range r.attempts {
 		if p.id == a.ID && p.number >= number {
@@ -115,14 +116,14 @@
 	took := time.Duration(r.rng.ExpFloat64() * float64(120*msec))
 	p := runningAttempt{a.ID, number, a.Endpoint, r.now + took, false}
 	if r.rng.IntN(8) == 0 || took > a.Timeout {
-		p.due, p.timeout = r.now+a.Timeout, true
+		p.due, p.timesOut = r.now+a.Timeout, true
 	}
 	r.attempts = append(r.attempts, p)
 }
 
-// step lets a tick pass.
+// step advances the clock by one tick and plays the random events of that tick.
 func (r *randomRun) step(i int) {
-	r.now += r.set.Tick
+	r.now += r.settings.Tick
 	if r.rng.IntN(700) == 0 {
 		r.kill(r.seed + uint64(i))
 	}
@@ -132,53 +133,53 @@
 		id := fmt.Sprint("r", i)
 		class := []string{"get", "post", "pay", "odd"}[r.rng.IntN(4)]
 		r.ids = append(r.ids, id)
-		r.give(Request{ID: id, Class: class, Deadline: r.now + time.Duration(1+r.rng.IntN(1500))*msec})
+		r.handle(Request{ID: id, Class: class, Deadline: r.now + time.Duration(1+r.rng.IntN(1500))*msec})
 	}
 	if r.rng.IntN(60) == 0 {
 		r.changeList()
 	}
 	if r.rng.IntN(100) == 0 {
-		next := changedSettings(r.set, r.rng)
-		r.give(Reconfigure{next})
+		next := changedSettings(r.settings, r.rng)
+		r.handle(Reconfigure{next})
 		if next.Validate() == nil {
-			r.set = next
+			r.settings = next
 		}
 	}
-	if r.rng.IntN(40) == 0 { // events of nothing that is known
-		r.give(AttemptEnded{ID: "nobody", Attempt: 3, Result: Success})
-		r.give(Timer{Token: "r:nobody"})
-		r.give(Timer{Token: "x"})
-		r.give(ClientGone{ID: "nobody"})
+	if r.rng.IntN(40) == 0 { // events that refer to nothing known
+		r.handle(AttemptEnded{ID: "nobody", Attempt: 3, Result: Success})
+		r.handle(Timer{Token: "r:nobody"})
+		r.handle(Timer{Token: "x"})
+		r.handle(ClientGone{ID: "nobody"})
 	}
 	if r.rng.IntN(50) == 0 && len(r.ids) > 0 {
 		id := r.ids[r.rng.IntN(len(r.ids))]
-		r.give(ClientGone{ID: id})
+		r.handle(ClientGone{ID: id})
 		r.ended[id] = true
 	}
 }
 
-// kill ends the Balancer with all that it holds, now and then as a planned restart does, and a new instance
-// takes over.
+// kill replaces the Balancer by a new instance without state. Half of the time it is shut down first, as on a planned
+// restart.
 func (r *randomRun) kill(seed uint64) {
 	if r.rng.IntN(2) == 0 {
-		r.give(Shutdown{})
+		r.handle(Shutdown{})
 		for id, request := range r.balancer.requests {
 			if !request.answered {
-				r.t.Errorf("%s has no answer at the end", id)
+				r.t.Errorf("%s has no final response after Shutdown", id)
 			}
 		}
 	}
 	r.attempts, r.timers = nil, nil
 	r.restart(seed)
 	if r.checker != nil {
-		r.checker.killed()
+		r.checker.reset()
 	}
-	r.give(EndpointUpdate{Complete: true, Cached: true, Endpoints: r.listed()})
+	r.handle(EndpointUpdate{Complete: true, Cached: true, Endpoints: r.listed()})
 }
 
-// listed are the servers that are not removed.
+// listed returns the endpoints that are not removed.
 func (r *randomRun) listed() (list []Endpoint) {
-	for _, s := range r.fleet {
+	for _, s := range r.endpoints {
 		if s.State != Removed {
 			list = append(list, s)
 		}
@@ -186,7 +187,7 @@
 	return list
 }
 
-// fireTimers fires those that are due, some of them twice.
+// fireTimers fires the timers that are due, some of them twice.
 func (r *randomRun) fireTimers() {
 	for k := 0; k < len(r.timers); k++ {
 		timer := r.timers[k]
@@ -195,14 +196,14 @@
 		}
 		r.timers = append(r.timers[:k], r.timers[k+1:]...)
 		k--
-		r.give(Timer{Token: timer.Token})
+		r.handle(Timer{Token: timer.Token})
 		if r.rng.IntN(20) == 0 {
-			r.give(Timer{Token: timer.Token})
+			r.handle(Timer{Token: timer.Token})
 		}
 	}
 }
 
-// endAttempts ends those that are due, some of them twice, and some with their client departed.
+// endAttempts ends the attempts that are due, some of them twice, and disconnects the clients of some.
 func (r *randomRun) endAttempts() {
 	for k := 0; k < len(r.attempts); k++ {
 		p := r.attempts[k]
@@ -211,9 +212,9 @@
 		}
 		r.attempts = append(r.attempts[:k], r.attempts[k+1:]...)
 		k--
-		e := AttemptEnded{ID: p.id, Attempt: p.number, Endpoint: p.server, Result: Success}
+		e := AttemptEnded{ID: p.id, Attempt: p.number, Endpoint: p.endpoint, Result: Success}
 		switch {
-		case p.timeout:
+		case p.timesOut:
 			e.Result = TimedOut
 		case r.rng.IntN(3) == 0:
 			e.Result = AttemptResult(1 + r.rng.IntN(int(NotSent)))
@@ -222,100 +223,103 @@
 			r.ended[p.id] = true
 		}
 		e.Answered = r.ended[p.id]
-		r.give(e)
+		r.handle(e)
 		if r.rng.IntN(10) == 0 {
-			r.give(e)
+			r.handle(e)
 		}
 		if r.rng.IntN(30) == 0 {
-			r.give(ClientGone{ID: p.id})
+			r.handle(ClientGone{ID: p.id})
 			r.ended[p.id] = true
 		}
 	}
 }
 
-// changeList changes a server, and notifies the Balancer by a complete list, by a change, or by one after a
-// failed watch.
+// changeList changes an endpoint and notifies the Balancer by a complete list, by an update of the entry, or by such
+// an update after a failed subscription.
 func (r *randomRun) changeList() {
-	s := &r.fleet[r.rng.IntN(len(r.fleet))]
+	s := &r.endpoints[r.rng.IntN(len(r.endpoints))]
 	s.State = EndpointState(r.rng.IntN(3))
 	if r.rng.IntN(2) == 0 {
 		s.State, s.StartedAt = Ready, r.now
 	}
 	switch r.rng.IntN(4) {
 	case 0:
-		r.give(EndpointUpdate{Complete: true, Endpoints: r.listed()})
+		r.handle(EndpointUpdate{Complete: true, Endpoints: r.listed()})
 	case 1:
-		r.give(SubscriptionFailed{})
-		r.give(EndpointUpdate{Endpoints: []Endpoint{*s}})
+		r.handle(SubscriptionFailed{})
+		r.handle(EndpointUpdate{Endpoints: []Endpoint{*s}})
 	default:
-		r.give(EndpointUpdate{Endpoints: []Endpoint{*s}})
+		r.handle(EndpointUpdate{Endpoints: []Endpoint{*s}})
 	}
 }
 
+// The rules of ruleChecker hold on random events, and no state is left over at the end.
 func TestRulesHoldOnRandomSequences(t *testing.T) {
 	for seed := uint64(1); seed <= 12; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			set := testSettings()
-			set.Tier = int(seed % 2)
-			set.PollDiscovery = seed%4 == 0
+			settings := testSettings()
+			settings.Tier = int(seed % 2)
+			settings.PollDiscovery = seed%4 == 0
 			if seed%3 == 0 {
-				set.Tick = 10 * msec // coarse: half of the slack after a deadline
+				settings.Tick = 10 * msec // half of the checker's slack
 			}
-			c := newRuleChecker(set)
-			log, b := runRandomly(t, set, seed, 6000, c)
-			for i, s := range c.broken {
+			c := newRuleChecker(settings)
+			log, b := runRandomly(t, settings, seed, 6000, c)
+			for i, s := range c.violations {
 				if i < 5 {
 					t.Errorf("seed %d: %s", seed, s)
 				}
 			}
 			if len(log) < 1000 {
-				t.Errorf("seed %d: only %d actions", seed, len(log))
+				t.Errorf("seed %d: %d actions, want at least 1000", seed, len(log))
 			}
 			if len(b.requests) > 0 || b.queue.len() > 0 || b.admission.InFlight() != 0 {
-				t.Errorf("seed %d: %d requests, %d held and %d calls are left over", seed, len(b.requests),
+				t.Errorf("seed %d: %d requests, %d queued and %d attempts are left over, want none", seed, len(b.requests),
 					b.queue.len(), b.admission.InFlight())
 			}
 			for ep := range b.endpoints.Known() {
 				known := countKnown(b)
 				if b.endpoints.RemoveIfUnused(ep); countKnown(b) != known || ep.Attempts.InFlight() != 0 {
-					t.Errorf("seed %d: endpoint %s is left over", seed, ep.ID)
+					t.Errorf("seed %d: endpoint %s is unused but still known, or has attempts in flight", seed, ep.ID)
 				}
 			}
 		})
 	}
 }
 
+// The same events and seed give the same actions, whatever other Balancers do.
 func TestSameEventsGiveSameActions(t *testing.T) {
-	a, _ := runRandomly(t, testSettings(), 5, 3000, nil)
-	other, _ := New(testSettings(), 99) // a neighbour in the process changes nothing
+	first, _ := runRandomly(t, testSettings(), 5, 3000, nil)
+	other, _ := New(testSettings(), 99) // Balancers share no state
 	other.Handle(0, EndpointUpdate{Complete: true, Endpoints: testEndpoints(3)})
-	b, _ := runRandomly(t, testSettings(), 5, 3000, nil)
-	if len(a) < 500 {
-		t.Fatalf("only %d actions", len(a))
+	second, _ := runRandomly(t, testSettings(), 5, 3000, nil)
+	if len(first) < 500 {
+		t.Fatalf("the run gave %d actions, want at least 500", len(first))
 	}
-	if strings.Join(a, "\n") != strings.Join(b, "\n") {
-		t.Fatal("the same events and seed gave other actions")
+	if strings.Join(first, "\n") != strings.Join(second, "\n") {
+		t.Fatal("a second run with the same events and seed gave other actions")
 	}
 }
 
+// FuzzHandle passes arbitrary events to a Balancer, which must not panic.
 func FuzzHandle(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3, 4, 5, 6, 7, 8, 9})
 	f.Add([]byte{1, 1, 1, 0, 2, 2, 2, 250, 3, 17, 5, 5})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		set := testSettings()
-		b, err := New(set, 1)
+		settings := testSettings()
+		b, err := New(settings, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		now, fleet := time.Duration(0), testEndpoints(4)
+		now, list := time.Duration(0), testEndpoints(4)
 		for i, x := range data {
 			id := fmt.Sprint("r", x%5)
 			switch x % 7 {
 			case 0:
-				fleet[int(x/7)%4].State = EndpointState(x % 3)
-				b.Handle(now, EndpointUpdate{Complete: x%2 == 0, Endpoints: fleet[:int(x)%5]})
+				list[int(x/7)%4].State = EndpointState(x % 3)
+				b.Handle(now, EndpointUpdate{Complete: x%2 == 0, Endpoints: list[:int(x)%5]})
 			case 1, 2:
-				b.Handle(now, Request{ID: id, Class: set.Classes[x%3].Name, Deadline: now + time.Duration(x)*msec})
+				b.Handle(now, Request{ID: id, Class: settings.Classes[x%3].Name, Deadline: now + time.Duration(x)*msec})
 			case 3:
 				b.Handle(now, AttemptEnded{
 					ID: id, Attempt: int(x%4) - 1, Result: AttemptResult(x % 9), Answered: x%2 == 0,
