--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -42,9 +42,9 @@
 func TestLimitFollowsLatency(t *testing.T) {
 	const minLimit = 10.0 // five for each of this replica's two endpoints
 	for _, c := range []struct {
-		name     string
-		slow     bool // whether slow responses follow the fast ones
-		min, max float64
+		name            string
+		slow            bool // whether slow responses follow the fast ones
+		atLeast, atMost float64
 	}{
 		{"fast responses", false, 1.5 * minLimit, math.MaxFloat64},
 		{"fast responses, then slow ones", true, minLimit, minLimit + 1},
@@ -58,8 +58,8 @@
 			if c.slow {
 				load.play(3000, 4*msec, 450*msec)
 			}
-			if limit := b.admission.Limit(); limit < c.min || limit > c.max {
-				t.Errorf("limit is %.1f, want %v to %v", limit, c.min, c.max)
+			if limit := b.admission.Limit(); limit < c.atLeast || limit > c.atMost {
+				t.Errorf("limit is %.1f, want %v to %v", limit, c.atLeast, c.atMost)
 			}
 		})
 	}
@@ -96,7 +96,7 @@
 				}
 				after := b.admission.Limit()
 				if (after > before) != (c.grows && tier == 0) || (after < before) != (c.shrinks && tier == 0) {
-					t.Errorf("limit went from %.1f to %.1f, want growth %v and shrinkage %v in the first tier",
+					t.Errorf("limit went from %.1f to %.1f, want growth %v, shrinkage %v in the first tier",
 						before, after, c.grows, c.shrinks)
 				}
 			})
@@ -104,9 +104,9 @@
 	}
 }
 
-// With hundreds of replicas, one replica's share of the endpoints' capacity is one attempt in flight or less. A
-// limit that starts or stays that low rejects requests that the endpoints could serve, so it must grow within
-// seconds of good responses.
+// With hundreds of replicas, one replica's share of the endpoints' capacity is one attempt in flight or less.
+// A limit that starts or stays that low rejects requests that the endpoints could serve, so it must grow
+// within seconds of good responses.
 func TestLimitGrowsOnOneOfManyReplicas(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Replicas = 300 })
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: testEndpoints(60)})
@@ -129,8 +129,8 @@
 	}
 }
 
-// A request marked as a retry has mostly missed its latency objective already, so first attempts have priority
-// while capacity is short.
+// A request marked as a retry has mostly missed its latency objective already, so first attempts have
+// priority while capacity is short.
 func TestFirstAttemptsGoBeforeRetries(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: testEndpoints(1)})
@@ -145,8 +145,8 @@
 	}
 }
 
-// The Retry-After of a rejection is short: a client that waits long returns when most of its latency objective
-// is used up.
+// The Retry-After of a rejection is short: a client that waits long returns when most of its latency
+// objective is used up.
 func TestRetryAfterOfARejectionIsShort(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: testEndpoints(2)})
--- a/balancer/classes_test.go
+++ b/balancer/classes_test.go
@@ -19,10 +19,12 @@
 			if kept := after.classStats == before.classStats; kept != c.kept {
 				t.Errorf("statistics kept: %v, want %v", kept, c.kept)
 			}
-			if after.admission.Traffic != &after.traffic || after.admission.PriorityWeight != after.PriorityWeight {
+			if after.admission.Traffic != &after.traffic ||
+				after.admission.PriorityWeight != after.PriorityWeight {
 				t.Error("admission control uses other counters or settings than those of the class")
 			}
-			if after.failureRates[0] != &after.failureRate || after.failureRates[1] != &table.unknown().failureRate {
+			if after.failureRates[0] != &after.failureRate ||
+				after.failureRates[1] != &table.unknown().failureRate {
 				t.Error("failure rates are not those of the class and of all classes together")
 			}
 		})
--- a/balancer/endpoints_bench_test.go
+++ b/balancer/endpoints_bench_test.go
@@ -8,10 +8,11 @@
 	"basaltdrum/balancer"
 )
 
-// benchmarkSizes are lengths of the endpoint list: the usual one, 16 times that, and the longest supported.
+// benchmarkSizes are lengths of the endpoint list: the usual one, 16 times that, and the longest one.
 var benchmarkSizes = []int{100, 1600, 3200}
 
-// benchmarkBalancer returns a replica that sends to the second tier, with a list of n endpoints in three zones.
+// benchmarkBalancer returns a replica that sends to the second tier, with a list of n endpoints in three
+// zones.
 func benchmarkBalancer(bench *testing.B, n int) *balancer.Balancer {
 	bench.Helper()
 	b, err := balancer.New(balancer.Settings{
@@ -43,8 +44,8 @@
 	}
 }
 
-// replaceEndpoint notifies the Balancer that an endpoint was removed and that another was added, in two updates
-// of one entry each.
+// replaceEndpoint notifies the Balancer that an endpoint was removed and that another was added, in two
+// updates of one entry each.
 func replaceEndpoint(b *balancer.Balancer, now time.Duration, removed, added balancer.Endpoint) {
 	removed.State = balancer.Removed
 	b.Handle(now, balancer.EndpointUpdate{Endpoints: []balancer.Endpoint{removed}})
@@ -61,8 +62,8 @@
 	}
 }
 
-// BenchmarkListChange changes one entry of the list at a time: an endpoint is removed or added. With requests,
-// a request follows each change, and the subset is rebuilt for it.
+// BenchmarkListChange changes one entry of the list at a time: an endpoint is removed or added. With
+// requests, a request follows each change, and the subset is rebuilt for it.
 func BenchmarkListChange(bench *testing.B) {
 	for _, n := range benchmarkSizes {
 		for _, requests := range []bool{false, true} {
@@ -104,8 +105,8 @@
 	}
 }
 
-// BenchmarkRollingReplacement replaces 60 % of the endpoints within 7 s, one entry per update, while 30 requests
-// per second arrive, whatever the length of the list. One operation is the whole replacement.
+// BenchmarkRollingReplacement replaces 60 % of the endpoints within 7 s, one entry per update, while 30
+// requests per second arrive, whatever the length of the list. One operation is the whole replacement.
 func BenchmarkRollingReplacement(bench *testing.B) {
 	for _, n := range benchmarkSizes {
 		bench.Run(fmt.Sprintf("servers=%d", n), func(bench *testing.B) {
--- a/balancer/heldup_test.go
+++ b/balancer/heldup_test.go
@@ -9,8 +9,8 @@
 	"basaltdrum/balancer/internal/endpoints"
 )
 
-// An attempt that the host itself delayed tells nothing about its endpoint or about the load of all endpoints,
-// whatever its result and latency.
+// An attempt that the host itself delayed tells nothing about its endpoint or about the load of all
+// endpoints, whatever its result and latency.
 func TestHeldUpAttemptsAreNotCounted(t *testing.T) {
 	want := playHeldUpAttempts(t, Cancelled)
 	for result := range attemptResultCount {
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -75,8 +75,8 @@
 	return b.Handle(now, AttemptEnded{ID: id, Endpoint: s.Endpoint, Result: Success, Answered: true})
 }
 
-// sendTraffic sends n requests one after another, whose attempts end with the result that resultAt gives for the
-// endpoint. It returns the number of first attempts that each endpoint got in the second half.
+// sendTraffic sends n requests one after another, whose attempts end with the result that resultAt gives for
+// the endpoint. It returns the number of first attempts that each endpoint got in the second half.
 func sendTraffic(
 	b *Balancer, n int, class string, resultAt func(endpoint string) AttemptResult,
 ) map[string]int {
--- a/balancer/layout_test.go
+++ b/balancer/layout_test.go
@@ -14,8 +14,8 @@
 	"unicode/utf8"
 )
 
-// maxColumns is the longest line allowed in the module, in columns, with tabs of four columns. It is lower than the
-// linter's limit, so that two files fit side by side.
+// maxColumns is the longest line allowed in the module, in columns, with tabs of four columns. It is lower
+// than the linter's limit, so that two files fit side by side.
 const maxColumns = 110
 
 // policyFiles returns the files that the deploy file lists as the ones that make the module's decisions.
@@ -60,12 +60,13 @@
 	}
 	slices.Sort(files)
 	if !slices.Equal(listed, files) {
-		t.Errorf("the deploy file lists the policy files %v, want the module's source files %v", listed, files)
+		t.Errorf("the deploy file lists %v, want the source files of the module, %v", listed, files)
 	}
 }
 
-// On-call engineers read the whole module under time pressure, so its lines are short, and each file has a comment at
-// its top or on one of its types that states its purpose. The linter limits the length of files and functions.
+// On-call engineers read the whole module under time pressure, so its lines are short, and each file has a
+// comment at its top or on one of its types that states its purpose. The linter limits the length of files
+// and functions.
 func TestModuleStaysReadable(t *testing.T) {
 	for _, file := range sourceFiles(t) {
 		text, err := os.ReadFile(file)
--- a/balancer/listcost_test.go
+++ b/balancer/listcost_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A change of one entry costs about as much in a long list as in a short one. The test compares the minimum of
-// many short samples, which hardly depends on the other load of the machine.
+// A change of one entry costs about as much in a long list as in a short one. The test compares the minimum
+// of many short samples, which hardly depends on the other load of the machine.
 func TestListChangeCostsLittleInALongList(t *testing.T) {
 	const short, long, maxRatio = 100, 3200, 10
 	costs := map[int]time.Duration{short: math.MaxInt64, long: math.MaxInt64}
@@ -23,9 +23,10 @@
 			costs[n] = min(costs[n], measureListChange(b, lists[n][sample*7%n]))
 		}
 	}
-	t.Logf("a change takes %v in a list of %d endpoints, %v in one of %d", costs[short], short, costs[long], long)
+	t.Logf("a change takes %v in a list of %d endpoints and %v in one of %d",
+		costs[short], short, costs[long], long)
 	if costs[long] > maxRatio*costs[short] {
-		t.Errorf("a change takes %v in a list of %d endpoints and %v in one of %d, want at most %d times as long",
+		t.Errorf("a change takes %v in a list of %d endpoints, %v in one of %d, want at most %d times as long",
 			costs[short], short, costs[long], long, maxRatio)
 	}
 }
--- a/balancer/outagesim_test.go
+++ b/balancer/outagesim_test.go
@@ -10,9 +10,9 @@
 	"basaltdrum/internal/servermodel"
 )
 
-// outage describes a fleet of replicas in the first tier, simulated in virtual time. Some of its servers become
-// slow, some are replaced by ones that are warming up, and then most replicas are killed at once and restart
-// without state, while the servers still work on the requests sent before.
+// outage describes a fleet of replicas in the first tier, simulated in virtual time. Some of its servers
+// become slow, some are replaced by ones that are warming up, and then most replicas are killed at once and
+// restart without state, while the servers still work on the requests sent before.
 type outage struct {
 	replicas, servers int
 	model             servermodel.Settings
@@ -80,8 +80,8 @@
 	speedSpread       = 0.15 // standard deviation of the logarithm of the servers' speeds
 )
 
-// outageResult holds the priority weight offered and the priority weight earned by responses, for each second of
-// arrival.
+// outageResult holds the priority weight offered and the priority weight earned by responses, for each second
+// of arrival.
 type outageResult struct{ offered, served []float64 }
 
 // servedShare returns the share of the offered priority weight that was served, for the requests that arrived
@@ -171,8 +171,8 @@
 			return
 		}
 		class := r.settings.Classes[r.rng.IntN(len(r.settings.Classes))]
-		// Lognormal with a coefficient of variation of 1.3, and a mean proportional to the latency objective of
-		// the class.
+		// Lognormal with a coefficient of variation of 1.3, and a mean proportional to the latency objective
+		// of the class.
 		mean := r.work.Seconds() * float64(class.LatencyObjective) / float64(meanObjective)
 		work := time.Duration(mean * math.Exp(r.rng.NormFloat64()-0.5) * float64(time.Second))
 		draw, index := r.rng.Float64()*totalWeight, 0
@@ -190,7 +190,9 @@
 	if !replica.running {
 		return // its client can't connect
 	}
-	r.requests[id] = &outageRequest{class: class, at: r.now, work: work, replica: replica, instance: replica.instance}
+	r.requests[id] = &outageRequest{
+		class: class, at: r.now, work: work, replica: replica, instance: replica.instance,
+	}
 	r.deliver(replica, Request{ID: id, Class: class.Name, Deadline: r.now + class.Deadline})
 }
 
@@ -231,7 +233,9 @@
 	r.lastCallID++
 	id := r.lastCallID
 	r.complete(s)
-	offered := servermodel.Call{ID: id, Work: time.Duration(work), OffCPU: time.Duration(float64(request.work) * wait)}
+	offered := servermodel.Call{
+		ID: id, Work: time.Duration(work), OffCPU: time.Duration(float64(request.work) * wait),
+	}
 	if !s.model.Offer(r.now, offered) {
 		r.after(msec, func() { r.end(attempt, Rejected) })
 		return
@@ -267,7 +271,8 @@
 // end ends an attempt, unless the instance of the replica that sent it has been killed.
 func (r *outageRun) end(attempt outageAttempt, result AttemptResult) {
 	request := r.requests[attempt.request]
-	if request.ended[attempt.number] || !request.replica.running || request.replica.instance != request.instance {
+	if request.ended[attempt.number] || !request.replica.running ||
+		request.replica.instance != request.instance {
 		return
 	}
 	request.ended[attempt.number] = true
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -142,9 +142,9 @@
 	}
 }
 
-// An overloaded endpoint responds, but late. One slow response must be enough to eject it for a while, because
-// one of many replicas sends it too few requests to average over several responses. Where slow responses are
-// common, the endpoint is not ejected.
+// An overloaded endpoint responds, but late. One slow response must be enough to eject it for a while,
+// because one of many replicas sends it too few requests to average over several responses. Where slow
+// responses are common, the endpoint is not ejected.
 func TestSlowResponseEjectsEndpoint(t *testing.T) {
 	for _, c := range []struct {
 		otherFailures int // among the latest results at all endpoints; with 11, half of them are failures
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -10,7 +10,8 @@
 	"basaltdrum/balancer/internal/latency"
 )
 
-// measurePickShares picks many times from two groups and returns the share of the picks that each endpoint got.
+// measurePickShares picks many times from two groups and returns the share of the picks that each endpoint
+// got.
 func measurePickShares(b *Balancer, left, right []*endpoints.Endpoint) map[*endpoints.Endpoint]float64 {
 	const picks = 20000
 	shares := map[*endpoints.Endpoint]float64{}
@@ -20,8 +21,9 @@
 	return shares
 }
 
-// The pick draws a candidate from each group and returns the one with fewer attempts in flight. A tie goes to the
-// left group or, if neither has any attempt in flight, to a group drawn in proportion to the groups' sizes.
+// The pick draws a candidate from each group and returns the one with fewer attempts in flight. A tie goes to
+// the left group or, if neither has any attempt in flight, to a group drawn in proportion to the groups'
+// sizes.
 func TestPickComparesTwoCandidatesByAttempts(t *testing.T) {
 	b := newBalancer(t, nil)
 	for _, c := range []struct {
@@ -63,12 +65,12 @@
 	}
 }
 
-// Below the first tier, an endpoint with several attempts of this replica in flight is avoided while others are
-// idle.
+// Below the first tier, an endpoint with several attempts of this replica in flight is avoided while others
+// are idle.
 func TestLoadedEndpointIsAvoidedWhileOthersAreIdle(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: testEndpoints(6)})
-	slowClass := latency.NewEstimator(time.Hour) // its attempts are too slow to indicate an unresponsive endpoint
+	slowClass := latency.NewEstimator(time.Hour) // old attempts of this class are not suspicious
 	for range 2 {
 		knownEndpoint(t, b, "s00").Attempts.StartAttempt(0, &slowClass)
 		b.admission.StartAttempt()
@@ -95,7 +97,8 @@
 	for range 9000 {
 		picks[b.chooseEndpoint(&request{class: b.classes.byName["get"]}).ID]++
 	}
-	// Both groups are drawn by weight, and so is the tie at zero, so each endpoint gets its share of all weights.
+	// Both groups are drawn by weight, and so is the tie at zero, so each endpoint gets its share of all
+	// weights.
 	total := 2 + 0.25
 	for id, weight := range map[string]float64{"s00": 1, "s01": 0.5, "s02": 0.25, "s03": 0.5} {
 		if share := float64(picks[id]) / 9000; math.Abs(share-weight/total) > 0.02 {
@@ -131,21 +134,21 @@
 	}
 }
 
-// The first endpoint to respond must not appear fast relative to the initial latency estimate: it would win every
-// pick.
+// The first endpoint to respond must not appear fast relative to the initial latency estimate: it would win
+// every pick.
 func TestFirstResponseDoesNotSkewLatency(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: testEndpoints(8)})
 	s := sends(b.Handle(msec, Request{ID: "a", Class: "get", Deadline: time.Second}))[0]
 	succeed(b, 3*msec, "a", s)
 	if got := math.Log(knownEndpoint(t, b, s.Endpoint).Latency.Speed()); got > 0.1 {
-		t.Errorf("the logarithm of the endpoint's speed is %.1f after the first response, want at most 0.1", got)
+		t.Errorf("the logarithm of the speed is %.1f after the first response, want at most 0.1", got)
 	}
 }
 
-// The endpoints of a failed zone stay in the list for seconds. Replicas that send to their own zone lose nothing
-// by that. With subsets of both zones, each replica of each tier would detect each failed endpoint only by an
-// attempt that gets no response.
+// The endpoints of a failed zone stay in the list for seconds. Replicas that send to their own zone lose
+// nothing by that. With subsets of both zones, each replica of each tier would detect each failed endpoint
+// only by an attempt that gets no response.
 func TestReplicasServeWhileAnotherZoneIsUnresponsive(t *testing.T) {
 	const replicas, rounds = 16, 40
 	unanswered, sent := 0, 0
--- a/balancer/reconfigure_test.go
+++ b/balancer/reconfigure_test.go
@@ -9,9 +9,9 @@
 	"basaltdrum/balancer/internal/outlier"
 )
 
-// A request keeps the class settings that it was accepted with, whose guarantees its client relies on. Requests
-// accepted later follow the new settings. In each case an attempt that may have run fails before and after the
-// settings of its class change.
+// A request keeps the class settings that it was accepted with, whose guarantees its client relies on.
+// Requests accepted later follow the new settings. In each case an attempt that may have run fails before and
+// after the settings of its class change.
 func TestRequestsKeepTheClassTheyArrivedWith(t *testing.T) {
 	class := func(effect Effect) Class {
 		return Class{
@@ -58,8 +58,8 @@
 	}
 }
 
-// isRetriedAfterReset sends a request, calls whileInFlight, resets the attempt's connection 30 ms after the request
-// arrived, and reports whether the request is retried.
+// isRetriedAfterReset sends a request, calls whileInFlight, resets the attempt's connection 30 ms after the
+// request arrived, and reports whether the request is retried.
 func isRetriedAfterReset(t *testing.T, b *Balancer, at time.Duration, id string, whileInFlight func()) bool {
 	t.Helper()
 	s := sends(b.Handle(at, Request{ID: id, Class: "get", Deadline: at + time.Second}))
@@ -71,8 +71,8 @@
 	return len(sends(actions)) == 1
 }
 
-// Learned state is kept under new settings: the latency of a class, the health of an endpoint and the attempts in
-// flight.
+// Learned state is kept under new settings: the latency of a class, the health of an endpoint and the
+// attempts in flight.
 func TestReconfigureKeepsLearnedState(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: testEndpoints(6)})
@@ -92,7 +92,9 @@
 	settings := testSettings()
 	settings.Classes = slices.Clone(settings.Classes)
 	settings.Classes[0].LatencyObjective *= 2
-	settings.Classes = append(settings.Classes, Class{Name: "new", LatencyObjective: time.Second, Deadline: 2 * time.Second})
+	settings.Classes = append(settings.Classes, Class{
+		Name: "new", LatencyObjective: time.Second, Deadline: 2 * time.Second,
+	})
 	b.Handle(b.now, Reconfigure{settings})
 	if got := b.classes.byName["get"].latency.Mean(); got != mean {
 		t.Errorf("mean latency is %v, want %v", got, mean)
@@ -103,13 +105,14 @@
 	if got := fmt.Sprint(knownEndpoint(t, b, "s02").Health); got != health {
 		t.Errorf("health is %v, want %v", got, health)
 	}
-	if b.classes.byName["get"].LatencyObjective != settings.Classes[0].LatencyObjective || b.classes.byName["new"] == nil {
+	if b.classes.byName["get"].LatencyObjective != settings.Classes[0].LatencyObjective ||
+		b.classes.byName["new"] == nil {
 		t.Error("the new settings are not in force")
 	}
 }
 
-// No state accumulates, however often the settings change, even if classes are added and removed while attempts
-// are in flight.
+// No state accumulates, however often the settings change, even if classes are added and removed while
+// attempts are in flight.
 func TestReconfigureLeaksNoState(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: testEndpoints(3)})
--- a/balancer/recovery_test.go
+++ b/balancer/recovery_test.go
@@ -7,8 +7,8 @@
 	"basaltdrum/internal/servermodel"
 )
 
-// shopsOutage returns the outage of a deployment whose servers have a low concurrency limit and a short queue,
-// and stay slow after an overload.
+// shopsOutage returns the outage of a deployment whose servers have a low concurrency limit and a short
+// queue, and stay slow after an overload.
 func shopsOutage() outage {
 	return outage{
 		replicas: 46, servers: 84, work: 75 * msec, lowerTierWait: 3.2, load: 0.55,
@@ -74,7 +74,9 @@
 		cases = append(cases, recoveryCase{name, o, before, after})
 	}
 	add("shops", shopsOutage(), 0.9, 0.6, func(*outage) {})
-	add("shops, long waits in the tiers below", shopsOutage(), 0.8, 0.45, func(o *outage) { o.load, o.lowerTierWait = 0.6, 4 })
+	add("shops, long waits in the tiers below", shopsOutage(), 0.8, 0.45, func(o *outage) {
+		o.load, o.lowerTierWait = 0.6, 4
+	})
 	add("shops, low load", shopsOutage(), 0.95, 0.9, func(o *outage) { o.load = 0.45 })
 	add("servers do not degrade", shopsOutage(), 0.9, 0.75, func(o *outage) { o.model.DegradeAt = 0 })
 	add("many replicas, few servers", shopsOutage(), 0.9, 0.4, func(o *outage) {
@@ -87,9 +89,9 @@
 }
 
 // After an outage the fleet serves about as much as before, although overloaded servers stay slow until their
-// load has been low for a while, and although most replicas have lost their state: the overload must not sustain
-// itself. Nor may overly cautious replicas reject requests that the servers can serve, before the outage or
-// after it.
+// load has been low for a while, and although most replicas have lost their state: the overload must not
+// sustain itself. Nor may overly cautious replicas reject requests that the servers can serve, before the
+// outage or after it.
 func TestFleetRecoversFromAnOutage(t *testing.T) {
 	for _, c := range recoveryCases() {
 		t.Run(c.name, func(t *testing.T) {
@@ -101,8 +103,8 @@
 				t.Logf("seed %d: served shares %.2f before, %.2f during, %.2f after", c.outage.seed, before,
 					result.servedShare(faultStart, recoveryDeadline), after)
 				if before < c.before || after < c.after {
-					t.Errorf("seed %d: served shares %.2f before and %.2f after, want at least %.2f and %.2f", c.outage.seed, before,
-						after, c.before, c.after)
+					t.Errorf("seed %d: served shares %.2f before and %.2f after, want at least %.2f and %.2f",
+						c.outage.seed, before, after, c.before, c.after)
 				}
 			}
 		})
--- a/balancer/request_test.go
+++ b/balancer/request_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// A host may round times down, so that a timer fires slightly early. The request must still be answered in time.
+// A host may round times down, so that a timer fires slightly early. The request must still be answered in
+// time.
 func TestQueuedRequestIsAnsweredThoughTimersFireEarly(t *testing.T) {
 	b := newBalancer(t, nil)
 	actions := b.Handle(0, Request{ID: "a", Class: "get", Deadline: 1000 * msec})
--- a/balancer/requestrules_test.go
+++ b/balancer/requestrules_test.go
@@ -8,8 +8,8 @@
 	"basaltdrum/balancer/internal/retrybudget"
 )
 
-// requestAfter returns a request whose attempts ended with the given results. They were sent every 10 ms, all to one
-// endpoint in zone z and cell 0.
+// requestAfter returns a request whose attempts ended with the given results. They were sent every 10 ms, all
+// to one endpoint in zone z and cell 0.
 func requestAfter(effect Effect, scope Scope, results ...AttemptResult) *request {
 	settings := Class{
 		Name: "test", Effect: effect, Scope: scope, DedupWindow: 100 * msec, LatencyObjective: 500 * msec,
@@ -39,8 +39,8 @@
 		{"by key, within the window", requestAfter(IdempotentByKey, ScopeCell, TimedOut), 50 * msec, true, false},
 		{"by key, any endpoint", requestAfter(IdempotentByKey, ScopeAll, TimedOut), 50 * msec, true, true},
 		{"by key, at the end of the window", requestAfter(IdempotentByKey, ScopeAll, TimedOut), 96 * msec, false, true},
-		{"by key, after the window, never ran", requestAfter(IdempotentByKey, ScopeCell, Rejected), 200 * msec, true, true},
-		{"no attempt is left", requestAfter(Idempotent, ScopeAll, TimedOut, TimedOut, TimedOut), 50 * msec, false, true},
+		{"by key, window over, never ran", requestAfter(IdempotentByKey, ScopeCell, Rejected), 200 * msec, true, true},
+		{"no attempt left", requestAfter(Idempotent, ScopeAll, TimedOut, TimedOut, TimedOut), 50 * msec, false, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := c.req.mayRetry(c.now, &settings); got != c.retry {
@@ -84,8 +84,8 @@
 	}
 }
 
-// A request with an idempotency key is retried only at endpoints that discard repeats, unless no attempt may have
-// run.
+// A request with an idempotency key is retried only at endpoints that discard repeats, unless no attempt may
+// have run.
 func TestRetriesStayInTheDeduplicationScope(t *testing.T) {
 	same, otherCell, otherZone := Endpoint{Zone: "z"}, Endpoint{Zone: "z", Cell: 1}, Endpoint{Zone: "y"}
 	for _, c := range []struct {
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -8,8 +8,8 @@
 // initialRetryBudget is the number of retries at full cost that a new retry budget allows.
 const initialRetryBudget = 5.0
 
-// An attempt gets only half of the remaining time if attempts of its class fail, the request may be retried, and a
-// retry has enough time and budget.
+// An attempt gets only half of the remaining time if attempts of its class fail, the request may be retried,
+// and a retry has enough time and budget.
 func TestAttemptTimeoutIsHalvedOnlyIfARetryMayFollow(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -39,8 +39,8 @@
 	}
 }
 
-// An attempt that the host did not start puts no load on any endpoint, so its retry costs no budget, but it counts
-// towards the maximum number of attempts of a request.
+// An attempt that the host did not start puts no load on any endpoint, so its retry costs no budget, but it
+// counts towards the maximum number of attempts of a request.
 func TestNotSentCostsNoRetryBudget(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.MaxAttempts = 4 })
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: testEndpoints(10)})
@@ -72,7 +72,8 @@
 	if r := b.requests["first"]; r == nil || r.isRetry || r.arrived != 0 {
 		t.Errorf("first attempt is %+v, want an arrival at 0 and no retry", r)
 	}
-	// The retry arrives 100 ms after its latency objective of 500 ms. It is still queued, as no endpoint is ready.
+	// The retry arrives 100 ms after its latency objective of 500 ms. It is still queued, as no endpoint is
+	// ready.
 	r := b.requests["again"]
 	if r == nil || !r.isRetry || r.arrived != 5*time.Second-600*msec {
 		t.Errorf("retry is %+v, want a retry whose first attempt arrived at 4.4s", r)
--- a/balancer/rulechecker_test.go
+++ b/balancer/rulechecker_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// ruleChecker observes the events passed to one Balancer and its actions, and records every violation of a rule:
+// ruleChecker observes the events and actions of one Balancer, and records every violation of a rule:
 //
 //   - Rule 1: each request gets exactly one final response, by its deadline, and no attempt after it.
-//   - Rule 2: no request runs more often than its class allows, and no rejection is returned for a request that
-//     may have run unless a retry is harmless.
+//   - Rule 2: no request runs more often than its class allows, and no request that may have run is rejected
+//     unless a retry is harmless.
 //   - Rule 3: attempts are sent to ready endpoints only.
 //
 // It shares no code with the module.
@@ -248,7 +248,7 @@
 		{"rule 1: r has no final response", []any{list, request("get"), 2 * time.Second, Timer{}}},
 		{"rule 1: final response", []any{list, request("get"), Reject{ID: "r"}, Fail{ID: "r"}}},
 		{"rule 1: attempt of r, which is answered", []any{list, request("get"), Fail{ID: "r"}, sendToA}},
-		{"rule 2: r is retried although it is not idempotent", []any{list, request("pay"), sendToA, timedOut, sendToA}},
+		{"rule 2: r is retried although", []any{list, request("pay"), sendToA, timedOut, sendToA}},
 		{"rule 2: r is rejected", []any{list, request("pay"), sendToA, timedOut, Reject{ID: "r"}}},
 		{"after its deduplication window", []any{
 			list, request("post"),
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// changedSettings draws new settings: classes are added, removed or get another effect, scope, deduplication window
-// or deadline, and limits change. Some are invalid.
+// changedSettings draws new settings: classes are added, removed or get another effect, scope, deduplication
+// window or deadline, and limits change. Some are invalid.
 func changedSettings(settings Settings, rng *rand.Rand) Settings {
 	settings.Classes = nil
 	for _, c := range testSettings().Classes {
@@ -32,7 +32,8 @@
 	return settings
 }
 
-// randomRun drives a Balancer with random events. Some are repeated or refer to unknown requests and attempts.
+// randomRun drives a Balancer with random events. Some are repeated or refer to unknown requests and
+// attempts.
 type randomRun struct {
 	t         testing.TB
 	settings  Settings
@@ -158,8 +159,8 @@
 	}
 }
 
-// kill replaces the Balancer by a new instance without state. Half of the time it is shut down first, as on a planned
-// restart.
+// kill replaces the Balancer by a new instance without state. Half of the time it is shut down first, as on a
+// planned restart.
 func (r *randomRun) kill(seed uint64) {
 	if r.rng.IntN(2) == 0 {
 		r.handle(Shutdown{})
@@ -234,8 +235,8 @@
 	}
 }
 
-// changeList changes an endpoint and notifies the Balancer by a complete list, by an update of the entry, or by such
-// an update after a failed subscription.
+// changeList changes an endpoint and notifies the Balancer by a complete list, by an update of the entry, or
+// by such an update after a failed subscription.
 func (r *randomRun) changeList() {
 	s := &r.endpoints[r.rng.IntN(len(r.endpoints))]
 	s.State = EndpointState(r.rng.IntN(3))
@@ -274,13 +275,13 @@
 				t.Errorf("seed %d: %d actions, want at least 1000", seed, len(log))
 			}
 			if len(b.requests) > 0 || b.queue.len() > 0 || b.admission.InFlight() != 0 {
-				t.Errorf("seed %d: %d requests, %d queued and %d attempts are left over, want none", seed, len(b.requests),
-					b.queue.len(), b.admission.InFlight())
+				t.Errorf("seed %d: %d requests, %d queued and %d attempts are left over, want none",
+					seed, len(b.requests), b.queue.len(), b.admission.InFlight())
 			}
 			for ep := range b.endpoints.Known() {
 				known := countKnown(b)
 				if b.endpoints.RemoveIfUnused(ep); countKnown(b) != known || ep.Attempts.InFlight() != 0 {
-					t.Errorf("seed %d: endpoint %s is unused but still known, or has attempts in flight", seed, ep.ID)
+					t.Errorf("seed %d: endpoint %s is unused or has attempts in flight, want neither", seed, ep.ID)
 				}
 			}
 		})
--- a/balancer/simulation_test.go
+++ b/balancer/simulation_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// simulation runs scheduled functions in the order of their times, in simulated time. Functions scheduled for the
-// same time run in the order in which they were scheduled.
+// simulation runs scheduled functions in the order of their times, in simulated time. Functions scheduled for
+// the same time run in the order in which they were scheduled.
 type simulation struct {
 	now       time.Duration
 	queue     simEvents
--- a/balancer/subsetting_test.go
+++ b/balancer/subsetting_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// With 1,024 endpoints and as many replicas, the subsets together contain every endpoint, all about equally often,
-// and each replica can send a request.
+// With 1,024 endpoints and as many replicas, the subsets together contain every endpoint, all about equally
+// often, and each replica can send a request.
 func TestSubsetsOfAThousandReplicasCoverAThousandEndpoints(t *testing.T) {
 	const size, minSubsets = 1024, 2 // length of the list and number of replicas; subsets per endpoint
 	var list []Endpoint
@@ -38,6 +38,7 @@
 		fewest, most = min(fewest, n), max(most, n)
 	}
 	if fewest < minSubsets || most > 2*fewest {
-		t.Errorf("endpoints are in %d to %d subsets, want at least %d and a ratio of at most 2", fewest, most, minSubsets)
+		t.Errorf("endpoints are in %d to %d subsets, want at least %d and a ratio of at most 2",
+			fewest, most, minSubsets)
 	}
 }
--- a/balancer/trace_test.go
+++ b/balancer/trace_test.go
@@ -13,54 +13,56 @@
 	"basaltdrum/balancer"
 )
 
-// The same events give the same actions from one version to the next: what is restructured must not change
-// a single decision. The hashes hold on amd64; other processors may round the averages differently.
+// The same events give the same actions in each version: restructured code must not change any decision. The
+// hashes hold on amd64; other processors may round the averages differently.
 func TestActionsOfSeededRunsStayTheSame(t *testing.T) {
 	for _, scenario := range traceScenarios {
 		t.Run(scenario.name, func(t *testing.T) {
 			t.Parallel()
 			driver := newTraceDriver(t, scenario)
 			driver.play()
-			if driver.sends < traceSteps/4 || driver.answers == 0 {
-				t.Errorf("only %d sends and %d refusals and failures", driver.sends, driver.answers)
+			if driver.sends < traceSteps/4 || driver.finalResponses == 0 {
+				t.Errorf("%d sends, want at least %d; %d rejections and failures, want at least one",
+					driver.sends, traceSteps/4, driver.finalResponses)
 			}
-			if got := driver.sum(); got != scenario.hash {
+			if got := driver.hashSum(); got != scenario.hash {
 				t.Errorf("the actions hash to %s, want %s", got, scenario.hash)
 			}
 		})
 	}
 }
 
-// traceAttempt is an attempt in flight.
+// traceAttempt is an attempt in flight and how it will end.
 type traceAttempt struct {
-	id     string
-	number int
-	server string
-	sentAt time.Duration
-	endsAt time.Duration
-	ending balancer.AttemptResult
+	id       string
+	number   int
+	endpoint string
+	sentAt   time.Duration
+	endsAt   time.Duration
+	result   balancer.AttemptResult
 }
 
-// traceDriver plays a host: it gives a Balancer seeded events and hashes what it decides.
+// traceDriver takes the part of a host: it passes seeded random events to a Balancer and hashes the actions.
 type traceDriver struct {
-	t         *testing.T
-	scenario  traceScenario
-	settings  balancer.Settings
-	balancer  *balancer.Balancer
-	rng       *rand.Rand
-	hash      hash.Hash
-	now       time.Duration
-	endpoints []balancer.Endpoint
-	attempts  []traceAttempt
-	timers    []balancer.SetTimer
-	sent      map[string]int  // attempts of each request
-	ended     map[string]bool // requests with a final answer
-	down      time.Duration   // all attempts fail until then
-	requests  int
-	sends     int
-	answers   int
+	t              *testing.T
+	scenario       traceScenario
+	settings       balancer.Settings
+	balancer       *balancer.Balancer
+	rng            *rand.Rand
+	hash           hash.Hash
+	now            time.Duration
+	endpoints      []balancer.Endpoint // all endpoints, including removed ones
+	attempts       []traceAttempt
+	timers         []balancer.SetTimer
+	sent           map[string]int  // number of attempts by request
+	ended          map[string]bool // requests with a final response
+	outageEnd      time.Duration   // all attempts fail until then
+	requests       int
+	sends          int
+	finalResponses int // Reject and Fail actions
 }
 
+// newTraceDriver returns a driver with the endpoints of the scenario, before the first event.
 func newTraceDriver(t *testing.T, scenario traceScenario) *traceDriver {
 	t.Helper()
 	settings := traceSettings()
@@ -73,13 +75,13 @@
 	}
 	d := &traceDriver{
 		t: t, scenario: scenario, settings: settings, balancer: b, hash: sha256.New(),
-		rng: rand.New(rand.NewPCG(5, uint64(scenario.servers))), sent: map[string]int{}, ended: map[string]bool{},
+		rng: rand.New(rand.NewPCG(5, uint64(scenario.endpoints))), sent: map[string]int{}, ended: map[string]bool{},
 	}
-	for i := range scenario.servers {
+	for i := range scenario.endpoints {
 		endpoint := balancer.Endpoint{
 			ID: fmt.Sprintf("s%04d", i*7919%10000), Zone: fmt.Sprintf("z%d", i%3), Cell: i % 5,
 		}
-		if scenario.sized {
+		if scenario.withCapacities {
 			endpoint.Capacity = 0.5 + d.rng.Float64()
 		}
 		d.endpoints = append(d.endpoints, endpoint)
@@ -87,30 +89,33 @@
 	return d
 }
 
+// play plays the scenario.
 func (d *traceDriver) play() {
-	d.give(balancer.EndpointUpdate{Complete: true, Cached: true, Endpoints: d.listed()})
-	d.give(balancer.EndpointUpdate{Complete: true, Endpoints: d.listed()})
+	d.handle(balancer.EndpointUpdate{Complete: true, Cached: true, Endpoints: d.listed()})
+	d.handle(balancer.EndpointUpdate{Complete: true, Endpoints: d.listed()})
 	for range traceSteps {
 		d.now += d.settings.Tick
 		d.endAttempts()
-		d.ringTimers()
+		d.fireTimers()
 		for range 1 + d.rng.IntN(3) {
 			d.request()
 		}
 		d.changeList()
-		d.leave()
-		d.strike()
+		d.disconnectClient()
+		d.startOutage()
 		if d.scenario.reconfigs && d.rng.IntN(400) == 0 {
 			d.reconfigure()
 		}
 	}
-	d.give(balancer.Shutdown{})
+	d.handle(balancer.Shutdown{})
 }
 
-func (d *traceDriver) sum() string { return hex.EncodeToString(d.hash.Sum(nil)[:12]) }
+// hashSum returns the hash of the actions.
+func (d *traceDriver) hashSum() string { return hex.EncodeToString(d.hash.Sum(nil)[:12]) }
 
-// give hands the balancer an event and hashes the actions, by their meaning rather than by their Go names.
-func (d *traceDriver) give(e balancer.Event) {
+// handle passes an event to the Balancer and hashes the actions in a format that doesn't depend on their Go
+// names.
+func (d *traceDriver) handle(e balancer.Event) {
 	for _, action := range d.balancer.Handle(d.now, e) {
 		switch a := action.(type) {
 		case balancer.Send:
@@ -121,11 +126,11 @@
 			fmt.Fprintf(d.hash, "%d cancel %s %d\n", d.now, a.ID, a.Attempt)
 			d.cancel(a)
 		case balancer.Reject:
-			d.answers++
+			d.finalResponses++
 			fmt.Fprintf(d.hash, "%d reject %s %d\n", d.now, a.ID, a.RetryAfter)
 			d.ended[a.ID] = true
 		case balancer.Fail:
-			d.answers++
+			d.finalResponses++
 			fmt.Fprintf(d.hash, "%d fail %s\n", d.now, a.ID)
 			d.ended[a.ID] = true
 		case balancer.SetTimer:
@@ -139,10 +144,10 @@
 	}
 }
 
-// send draws how an attempt ends. One endpoint in eight is slow, one in nine fails often.
+// send draws how an attempt ends. One in eight endpoints is slow, and one in nine fails often.
 func (d *traceDriver) send(a balancer.Send) {
 	attempt := traceAttempt{
-		id: a.ID, number: d.sent[a.ID], server: a.Endpoint, sentAt: d.now, ending: balancer.Success,
+		id: a.ID, number: d.sent[a.ID], endpoint: a.Endpoint, sentAt: d.now, result: balancer.Success,
 	}
 	d.sent[a.ID]++
 	number := int(a.Endpoint[len(a.Endpoint)-1] + a.Endpoint[len(a.Endpoint)-2]*3)
@@ -150,35 +155,37 @@
 	if number%8 == 0 {
 		mean *= 4
 	}
-	took := time.Duration(d.rng.ExpFloat64() * float64(mean))
-	fails := 40
+	latency := time.Duration(d.rng.ExpFloat64() * float64(mean))
+	attemptsPerFailure := 40
 	if number%9 == 0 {
-		fails = 3
+		attemptsPerFailure = 3
 	}
 	switch {
-	case d.now < d.down:
-		attempt.ending = []balancer.AttemptResult{
+	case d.now < d.outageEnd:
+		attempt.result = []balancer.AttemptResult{
 			balancer.ConnectFailed, balancer.TimedOut, balancer.Rejected,
 		}[d.rng.IntN(3)]
-	case d.rng.IntN(fails) == 0:
-		attempt.ending = balancer.AttemptResult(1 + d.rng.IntN(int(balancer.NotSent)))
+	case d.rng.IntN(attemptsPerFailure) == 0:
+		attempt.result = balancer.AttemptResult(1 + d.rng.IntN(int(balancer.NotSent)))
 	}
-	if took > a.Timeout || attempt.ending == balancer.TimedOut {
-		took, attempt.ending = a.Timeout, balancer.TimedOut
+	if latency > a.Timeout || attempt.result == balancer.TimedOut {
+		latency, attempt.result = a.Timeout, balancer.TimedOut
 	}
-	attempt.endsAt = d.now + took
+	attempt.endsAt = d.now + latency
 	d.attempts = append(d.attempts, attempt)
 }
 
+// cancel ends an attempt as cancelled.
 func (d *traceDriver) cancel(a balancer.Cancel) {
 	for i := range d.attempts {
 		attempt := &d.attempts[i]
 		if attempt.id == a.ID && attempt.number == a.Attempt {
-			attempt.endsAt, attempt.ending = d.now, balancer.Cancelled
+			attempt.endsAt, attempt.result = d.now, balancer.Cancelled
 		}
 	}
 }
 
+// endAttempts ends the attempts that are due.
 func (d *traceDriver) endAttempts() {
 	var due []traceAttempt
 	d.attempts = slices.DeleteFunc(d.attempts, func(a traceAttempt) bool {
@@ -188,29 +195,31 @@
 		return a.endsAt <= d.now
 	})
 	for _, a := range due {
-		if a.ending == balancer.Success {
+		if a.result == balancer.Success {
 			d.ended[a.id] = true
 		}
-		d.give(balancer.AttemptEnded{
-			ID: a.id, Attempt: a.number, Endpoint: a.server, Result: a.ending,
+		d.handle(balancer.AttemptEnded{
+			ID: a.id, Attempt: a.number, Endpoint: a.endpoint, Result: a.result,
 			Latency: d.now - a.sentAt, Answered: d.ended[a.id],
 		})
 	}
 }
 
-func (d *traceDriver) ringTimers() {
+// fireTimers fires the timers that are due.
+func (d *traceDriver) fireTimers() {
 	var due []balancer.SetTimer
-	d.timers = slices.DeleteFunc(d.timers, func(w balancer.SetTimer) bool {
-		if w.At <= d.now {
-			due = append(due, w)
+	d.timers = slices.DeleteFunc(d.timers, func(timer balancer.SetTimer) bool {
+		if timer.At <= d.now {
+			due = append(due, timer)
 		}
-		return w.At <= d.now
+		return timer.At <= d.now
 	})
-	for _, w := range due {
-		d.give(balancer.Timer{Token: w.Token})
+	for _, timer := range due {
+		d.handle(balancer.Timer{Token: timer.Token})
 	}
 }
 
+// request sends a request of a random class.
 func (d *traceDriver) request() {
 	d.requests++
 	class := d.settings.Classes[d.rng.IntN(len(d.settings.Classes))]
@@ -218,22 +227,22 @@
 		ID: fmt.Sprint("r", d.requests), Class: class.Name, Deadline: d.now + class.Deadline,
 		Retry: d.rng.IntN(20) == 0,
 	}
-	if d.rng.IntN(10) == 0 { // what an earlier attempt of the client's has left
+	if d.rng.IntN(10) == 0 { // a retry by the client, with the time that its earlier attempts left
 		e.Deadline = d.now + time.Duration(d.rng.Float64()*float64(class.Deadline))
 	}
 	if d.rng.IntN(100) == 0 {
 		e.Class = "unknown"
 	}
-	if d.scenario.hinted {
+	if d.scenario.withWorkHints {
 		e.ExpectedWork = time.Duration(d.rng.ExpFloat64() * float64(20*time.Millisecond))
 	}
-	d.give(e)
+	d.handle(e)
 	if d.rng.IntN(200) == 0 {
-		d.give(balancer.StreamStarted{ID: e.ID, Attempt: 0})
+		d.handle(balancer.StreamStarted{ID: e.ID, Attempt: 0})
 	}
 }
 
-// listed is the complete list as discovery tells it.
+// listed returns the complete list as discovery reports it.
 func (d *traceDriver) listed() (list []balancer.Endpoint) {
 	for _, endpoint := range d.endpoints {
 		if endpoint.State != balancer.Removed {
@@ -243,8 +252,8 @@
 	return list
 }
 
-// changeList has one endpoint drain, leave, come back or restart, and tells of it by a change or by a
-// complete list; a polled discovery may fail instead.
+// changeList changes the state of one endpoint and notifies the Balancer by a complete list, by an update of
+// the entry, or by such an update after a failed subscription.
 func (d *traceDriver) changeList() {
 	if d.rng.IntN(30) != 0 {
 		return
@@ -253,48 +262,49 @@
 	endpoint.State = balancer.EndpointState(d.rng.IntN(3))
 	if d.rng.IntN(3) > 0 {
 		endpoint.State = balancer.Ready
-		if d.scenario.warming {
+		if d.scenario.withStartTimes {
 			endpoint.StartedAt = d.now - time.Duration(d.rng.IntN(500))*time.Millisecond
 		}
 	}
 	switch d.rng.IntN(8) {
 	case 0:
-		d.give(balancer.EndpointUpdate{Complete: true, Endpoints: d.listed()})
+		d.handle(balancer.EndpointUpdate{Complete: true, Endpoints: d.listed()})
 	case 1:
-		d.give(balancer.SubscriptionFailed{})
-		d.give(balancer.EndpointUpdate{Endpoints: []balancer.Endpoint{*endpoint}})
+		d.handle(balancer.SubscriptionFailed{})
+		d.handle(balancer.EndpointUpdate{Endpoints: []balancer.Endpoint{*endpoint}})
 	default:
-		d.give(balancer.EndpointUpdate{Endpoints: []balancer.Endpoint{*endpoint}})
+		d.handle(balancer.EndpointUpdate{Endpoints: []balancer.Endpoint{*endpoint}})
 	}
 }
 
-// leave has a client depart before the response to one of the last requests.
-func (d *traceDriver) leave() {
+// disconnectClient disconnects the client of one of the last requests.
+func (d *traceDriver) disconnectClient() {
 	if d.rng.IntN(25) != 0 {
 		return
 	}
 	id := fmt.Sprint("r", max(1, d.requests-d.rng.IntN(60)))
 	d.ended[id] = true
-	d.give(balancer.ClientGone{ID: id})
+	d.handle(balancer.ClientGone{ID: id})
 }
 
-// strike begins an outage: attempts fail for a while, or no endpoint is listed until the next change.
-func (d *traceDriver) strike() {
+// startOutage starts an outage: all attempts fail for a while, or the list is empty for 200 ms.
+func (d *traceDriver) startOutage() {
 	if !d.scenario.outages || d.rng.IntN(1500) != 0 {
 		return
 	}
 	if d.rng.IntN(3) > 0 {
-		d.down = d.now + time.Duration(d.rng.IntN(3000))*time.Millisecond
+		d.outageEnd = d.now + time.Duration(d.rng.IntN(3000))*time.Millisecond
 		return
 	}
-	d.give(balancer.EndpointUpdate{Complete: true})
+	d.handle(balancer.EndpointUpdate{Complete: true})
 	d.now += 200 * time.Millisecond
 	d.endAttempts()
-	d.ringTimers()
-	d.give(balancer.EndpointUpdate{Complete: true, Endpoints: d.listed()})
+	d.fireTimers()
+	d.handle(balancer.EndpointUpdate{Complete: true, Endpoints: d.listed()})
 }
 
-// reconfigure puts other settings in force: other classes, limits, another place among the copies.
+// reconfigure applies changed settings: other classes, another limit on attempts and another placement of the
+// replica.
 func (d *traceDriver) reconfigure() {
 	next := traceSettings()
 	if d.scenario.change != nil {
@@ -310,5 +320,5 @@
 	next.ReplicaIndex = d.rng.IntN(next.Replicas)
 	next.Zone = fmt.Sprintf("z%d", d.rng.IntN(4))
 	d.settings = next
-	d.give(balancer.Reconfigure{Settings: next})
+	d.handle(balancer.Reconfigure{Settings: next})
 }
