--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -122,7 +122,7 @@
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: testEndpoints(4)})
 	startAttempts(b, 6) // the limit is 10
-	retry := sends(b.Handle(msec, Request{ID: "again", Class: "get", Deadline: time.Second, Retry: true}))
+	retry := sends(b.Handle(msec, Request{ID: "retry", Class: "get", Deadline: time.Second, Retry: true}))
 	first := sends(b.Handle(msec, Request{ID: "first", Class: "get", Deadline: time.Second}))
 	if len(retry) != 0 || len(first) != 1 {
 		t.Errorf("sent %v for a retry and %v for a first attempt, want none and one", retry, first)
@@ -137,7 +137,7 @@
 	first := sends(b.Handle(0, Request{ID: "a", Class: "get", Deadline: time.Second}))
 	startAttempts(b, 2) // with the first one, the limit is reached
 	b.Handle(msec, Request{ID: "new", Class: "get", Deadline: time.Second})
-	b.Handle(2*msec, Request{ID: "repeat", Class: "get", Deadline: time.Second, Retry: true})
+	b.Handle(2*msec, Request{ID: "retry", Class: "get", Deadline: time.Second, Retry: true})
 	b.classes.byName["get"].admission.LateValue = 0.5
 	next := sends(succeed(b, 10*msec, "a", first[0]))
 	if len(next) == 0 || next[0].ID != "new" {
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -68,13 +68,13 @@
 func TestShortDeadlineIdentifiesARetry(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, Request{ID: "first", Class: "get", Deadline: 1500 * msec})
-	b.Handle(5*time.Second, Request{ID: "again", Class: "get", Deadline: 5*time.Second + 900*msec})
+	b.Handle(5*time.Second, Request{ID: "retry", Class: "get", Deadline: 5*time.Second + 900*msec})
 	if r := b.requests["first"]; r == nil || r.isRetry || r.arrived != 0 {
 		t.Errorf("first attempt is %+v, want an arrival at 0 and no retry", r)
 	}
 	// The retry arrives 100 ms after its latency objective of 500 ms. It is still queued, as no endpoint is
 	// ready.
-	r := b.requests["again"]
+	r := b.requests["retry"]
 	if r == nil || !r.isRetry || r.arrived != 5*time.Second-600*msec {
 		t.Errorf("retry is %+v, want a retry whose first attempt arrived at 4.4s", r)
 	}
@@ -92,8 +92,8 @@
 		arrived                 time.Duration
 	}{
 		{"slow", 5 * time.Second, 4400 * msec, 1500 * msec, false, 5 * time.Second},
-		{"slow and odd", 6 * time.Second, 5500 * msec, 1300 * msec, false, 5300 * msec},
-		{"slow repeat", 7 * time.Second, 6950 * msec, 900 * msec, true, 6350 * msec},
+		{"slow with another timeout", 6 * time.Second, 5500 * msec, 1300 * msec, false, 5300 * msec},
+		{"slow retry", 7 * time.Second, 6950 * msec, 900 * msec, true, 6350 * msec},
 		{"first byte after now", 8 * time.Second, 9 * time.Second, 500 * msec, false, 8 * time.Second},
 	} {
 		t.Run(c.id, func(t *testing.T) {
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -114,9 +114,9 @@
 	if request := r.balancer.requests[a.ID]; request != nil {
 		number = len(request.attempts) - 1
 	}
-	took := time.Duration(r.rng.ExpFloat64() * float64(120*msec))
-	p := runningAttempt{a.ID, number, a.Endpoint, r.now + took, false}
-	if r.rng.IntN(8) == 0 || took > a.Timeout {
+	latency := time.Duration(r.rng.ExpFloat64() * float64(120*msec))
+	p := runningAttempt{a.ID, number, a.Endpoint, r.now + latency, false}
+	if r.rng.IntN(8) == 0 || latency > a.Timeout {
 		p.due, p.timesOut = r.now+a.Timeout, true
 	}
 	r.attempts = append(r.attempts, p)
@@ -132,7 +132,7 @@
 	r.endAttempts()
 	if i < r.steps*3/4 && r.rng.IntN(3) == 0 {
 		id := fmt.Sprint("r", i)
-		class := []string{"get", "post", "pay", "odd"}[r.rng.IntN(4)]
+		class := []string{"get", "post", "pay", "unknown"}[r.rng.IntN(4)]
 		r.ids = append(r.ids, id)
 		r.handle(Request{ID: id, Class: class, Deadline: r.now + time.Duration(1+r.rng.IntN(1500))*msec})
 	}
--- a/balancer/slowstartfleet_test.go
+++ b/balancer/slowstartfleet_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// warmingCase is a variant of a simulated fleet. An unset servers stands for 20 servers with 2 cores each.
+// warmingCase is a variant of a simulated fleet. If servers is 0, there are 20 servers with 2 cores each.
 type warmingCase struct {
 	replicas, warming, failing int           // number of replicas, and of servers that are warming up or fail
 	servers, cores             int           // number of servers, and of cores of each
@@ -97,7 +97,7 @@
 	replicas, servers, cores int
 	multiple                 float64
 	window                   time.Duration
-	minShare                 float64 // minimum share of their work that warming servers get
+	minShare                 float64 // minimum workShare, averaged over the runs
 }
 
 // The limit holds in fleets of 1 to 900 replicas, with N below 30, above 30, or growing beyond 30 while the
@@ -129,9 +129,9 @@
 	}
 }
 
-// play simulates the fleet with a tenth, half and nine tenths of the servers warming up, each with and
-// without work hints. Of the largest fleets, those with half of the servers are only
-// simulated with hints, and the others only without.
+// play simulates the fleet with a tenth, half and nine tenths of the servers warming up, each with and without
+// work hints. The largest fleets are simulated with hints if half of the servers are warming up, and without
+// hints otherwise.
 func (size warmingSize) play(t *testing.T) {
 	sum, maxLimitShare, runs := 0.0, 0.0, 0
 	for i, tenths := range []int{1, 5, 9} {
--- a/balancer/slowstartsim_test.go
+++ b/balancer/slowstartsim_test.go
@@ -28,7 +28,7 @@
 // replacedAt is the time at which servers of a warmingFleet are replaced.
 const replacedAt = 8 * time.Second
 
-// warmingResult holds the measurements of a simulated warmingFleet. Server here means a server that is
+// warmingResult holds the measurements of a simulated warmingFleet. "Server" means one of those that are
 // warming up.
 type warmingResult struct {
 	overloaded      int     // servers that exceeded their limit
