--- a/balancer/heldup_test.go
+++ b/balancer/delayedbyhost_test.go
@@ -11,21 +11,21 @@
 
 // An attempt that the host itself delayed tells nothing about its endpoint or about the load of all
 // endpoints, whatever its result and latency.
-func TestHeldUpAttemptsAreNotCounted(t *testing.T) {
-	want := playHeldUpAttempts(t, Cancelled)
+func TestAttemptsDelayedByHostAreNotCounted(t *testing.T) {
+	want := playDelayedAttempts(t, Cancelled)
 	for result := range attemptResultCount {
 		t.Run(result.String(), func(t *testing.T) {
 			// The limiter counts the same sends whatever the result, so its whole state must be equal.
-			if got := playHeldUpAttempts(t, result); got != want {
+			if got := playDelayedAttempts(t, result); got != want {
 				t.Errorf("concurrency limiter is %s, want %s as after cancelled attempts", got, want)
 			}
 		})
 	}
 }
 
-// playHeldUpAttempts ends 50 attempts that the host delayed, all with the same result, and checks that they
+// playDelayedAttempts ends 50 attempts that the host delayed, all with the same result, and checks that they
 // change neither the concurrency limit nor any statistics. It returns the state of the concurrency limiter.
-func playHeldUpAttempts(t *testing.T, result AttemptResult) string {
+func playDelayedAttempts(t *testing.T, result AttemptResult) string {
 	t.Helper()
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: testEndpoints(10)})
@@ -39,7 +39,8 @@
 		}
 		now += 400 * msec
 		b.Handle(now, AttemptEnded{
-			ID: id, Endpoint: sent[0].Endpoint, Result: result, Latency: 400 * msec, Answered: true, HeldUp: true,
+			ID: id, Endpoint: sent[0].Endpoint, Result: result, Latency: 400 * msec, Answered: true,
+			DelayedByHost: true,
 		})
 	}
 	if b.admission.Limit() != limit {
--- a/balancer/endpointselector.go
+++ b/balancer/endpointselector.go
@@ -70,9 +70,9 @@
 }
 
 // endAttempt records that an attempt has ended, and its result unless the host itself delayed the attempt.
-func (s *endpointSelector) endAttempt(now time.Duration, a *attempt, result AttemptResult, heldUp bool) {
+func (s *endpointSelector) endAttempt(now time.Duration, a *attempt, result AttemptResult, delayed bool) {
 	a.endpoint.Attempts.EndAttempt(a.sent, &a.request.class.latency)
-	if !heldUp {
+	if !delayed {
 		s.observeResult(now, a, result)
 	}
 	s.RemoveIfUnused(a.endpoint)
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -84,14 +84,14 @@
 	}
 	// AttemptEnded reports the result of one attempt.
 	AttemptEnded struct {
-		ID       string
-		Attempt  int
-		Endpoint string
-		Result   AttemptResult
-		Latency  time.Duration
-		Answered bool // the request has its final response
-		HeldUp   bool // delayed by a fault of the host: Result and Latency tell nothing about the endpoint
-		Load     *LoadReport
+		ID            string
+		Attempt       int
+		Endpoint      string
+		Result        AttemptResult
+		Latency       time.Duration
+		Answered      bool // the request has its final response
+		DelayedByHost bool // by a fault of the host: Result and Latency tell nothing about the endpoint
+		Load          *LoadReport
 	}
 	// StreamStarted reports that a streamed response has started. From then on the attempt is not replaced.
 	StreamStarted struct {
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -157,13 +157,13 @@
 	a.end(e.Result)
 	b.admission.EndAttempt()
 	// Waiting for an unresponsive endpoint tells nothing about the load of the others.
-	if !e.HeldUp && !b.endpoints.suspects(b.now, a.endpoint) {
+	if !e.DelayedByHost && !b.endpoints.suspects(b.now, a.endpoint) {
 		b.adjustLimit(a, e.Result)
 	}
-	if !e.HeldUp && e.Result == Success {
+	if !e.DelayedByHost && e.Result == Success {
 		b.retryBudget.Deposit()
 	}
-	b.endpoints.endAttempt(b.now, a, e.Result, e.HeldUp)
+	b.endpoints.endAttempt(b.now, a, e.Result, e.DelayedByHost)
 }
 
 // adjustLimit adjusts the concurrency limit of the first tier by the result of an attempt.
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -271,7 +271,7 @@
 	}
 	l.passToModule(outcome.EndedAt, balancer.AttemptEnded{
 		ID: a.request.ID, Attempt: a.number, Endpoint: a.Instance.UID, Result: outcome.Result,
-		Latency: outcome.EndedAt - a.sentAt, Answered: p.answered, HeldUp: outcome.HeldUp,
+		Latency: outcome.EndedAt - a.sentAt, Answered: p.answered, DelayedByHost: outcome.LocalFault,
 	})
 	if p.hasDeparted() {
 		l.answerDeparted(p)
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -33,7 +33,7 @@
 	NotAfter time.Duration         // clock time after which endpoints no longer discard duplicates; 0: no limit
 
 	writeStarted bool // a byte of it may have been written; guarded by Request.mu
-	heldUp       bool // a local fault delayed its connection; used only by the goroutine of Pool.Do
+	localFault   bool // a local fault delayed its connection; used only by the goroutine of Pool.Do
 }
 
 // WriteStarted reports whether a byte of the attempt may have been written.
@@ -68,14 +68,14 @@
 	EndedAt     time.Duration // clock time; for a response, when its last byte was read
 	Body        []byte        // body of a successful response
 	ContentType string        // Content-Type of a successful response; empty if the endpoint sent none
-	HeldUp      bool          // a fault of this machine delayed or prevented the connection
+	LocalFault  bool          // a fault of this machine delayed or prevented the connection
 }
 
 // Do makes an attempt and returns its outcome. When it returns, the connection of the attempt is closed or idle again.
 // The end of ctx cancels the attempt.
 func (p *Pool) Do(ctx context.Context, a *Attempt) Outcome {
 	outcome := p.roundTrip(ctx, a)
-	outcome.HeldUp = a.heldUp
+	outcome.LocalFault = a.localFault
 	if outcome.EndedAt == 0 {
 		outcome.EndedAt = p.clock.Now()
 	}
--- a/internal/upstream/connect.go
+++ b/internal/upstream/connect.go
@@ -15,11 +15,11 @@
 	ctx context.Context, a *Attempt, waiter chan exchangeResult,
 ) (c *conn, fresh bool, err error) {
 	mayWait := func(wait time.Duration) bool { return p.mayStartAfter(a, wait) }
-	heldUp, err := netdial.WithBackoff(ctx, mayWait, func() error {
+	localFault, err := netdial.WithBackoff(ctx, mayWait, func() error {
 		c, fresh, err = p.connectOnce(ctx, a.Instance, waiter)
 		return err
 	})
-	a.heldUp = a.heldUp || heldUp
+	a.localFault = a.localFault || localFault
 	return c, fresh, err
 }
 
--- a/internal/upstream/connect_test.go
+++ b/internal/upstream/connect_test.go
@@ -22,33 +22,33 @@
 	failedDials int32                          // number of dials that fail
 	during      func(*testing.T, *testAttempt) // called after the first failure, unless nil
 	want        balancer.AttemptResult
-	heldUp      bool
+	localFault  bool
 }
 
 // localDialFailures returns the failures that are faults of this machine.
 func localDialFailures() []dialFailure {
 	local := testutil.DialError("socket", syscall.EMFILE)
 	return []dialFailure{
-		{name: "for two dials", err: local, failedDials: 2, want: balancer.Success, heldUp: true},
+		{name: "for two dials", err: local, failedDials: 2, want: balancer.Success, localFault: true},
 		{
 			name: "until the deadline", err: local, failedDials: alwaysFail,
 			during: func(_ *testing.T, a *testAttempt) { a.Deadline = a.pool.clock.Now() + 150*time.Millisecond },
-			want:   balancer.NotSent, heldUp: true,
+			want:   balancer.NotSent, localFault: true,
 		},
 		{
 			name: "until duplicates are no longer discarded", err: local, failedDials: alwaysFail,
 			during: func(_ *testing.T, a *testAttempt) { a.NotAfter = a.pool.clock.Now() + 150*time.Millisecond },
-			want:   balancer.NotSent, heldUp: true,
+			want:   balancer.NotSent, localFault: true,
 		},
 		{
 			name: "until the endpoint is removed", err: local, failedDials: alwaysFail,
 			during: func(_ *testing.T, a *testAttempt) { a.pool.UpdateEndpoints(nil, true) },
-			want:   balancer.NotSent, heldUp: true,
+			want:   balancer.NotSent, localFault: true,
 		},
 		{
 			name: "until the attempt is cancelled", err: local, failedDials: alwaysFail,
 			during: func(_ *testing.T, a *testAttempt) { a.cancel() },
-			want:   balancer.NotSent, heldUp: true,
+			want:   balancer.NotSent, localFault: true,
 		},
 		{
 			name: "until a connection is idle", err: local, failedDials: alwaysFail,
@@ -60,7 +60,7 @@
 				}
 				a.pool.adopt(nc, a.Instance)
 			},
-			want: balancer.Success, heldUp: true,
+			want: balancer.Success, localFault: true,
 		},
 	}
 }
@@ -110,8 +110,8 @@
 		wantRequests = 1
 	}
 	checkOutcome(t, pool, outcome, test.want, wantRequests)
-	if outcome.HeldUp != test.heldUp {
-		t.Errorf("held up: %v, want %v", outcome.HeldUp, test.heldUp)
+	if outcome.LocalFault != test.localFault {
+		t.Errorf("local fault: %v, want %v", outcome.LocalFault, test.localFault)
 	}
 	if n := server.RequestCount(); n != wantRequests {
 		t.Errorf("the server received %d requests, want %d", n, wantRequests)
--- a/internal/wire/corpus_test.go
+++ b/internal/wire/corpus_test.go
@@ -158,7 +158,7 @@
 	case balancer.Timer:
 		return "timer", []any{e.Token}
 	case balancer.AttemptEnded:
-		values = []any{e.ID, e.Attempt, e.Endpoint, int(e.Result), e.Latency, e.Answered, e.HeldUp}
+		values = []any{e.ID, e.Attempt, e.Endpoint, int(e.Result), e.Latency, e.Answered, e.DelayedByHost}
 		if e.Load != nil {
 			values = append(values, []any{e.Load.InFlight, e.Load.ServiceTime})
 		}
