--- a/balancer/endpoints_bench_test.go
+++ b/balancer/endpoints_bench_test.go
@@ -72,11 +72,11 @@
 				bench.ReportAllocs()
 				for i := 0; bench.Loop(); i++ {
 					now := time.Duration(i+1) * 200 * time.Millisecond
-					s := benchmarkEndpoint("old", i/2%n, 0)
+					ep := benchmarkEndpoint("old", i/2%n, 0)
 					if i%2 == 0 {
-						s.State = balancer.Removed
+						ep.State = balancer.Removed
 					}
-					b.Handle(now, balancer.EndpointUpdate{Endpoints: []balancer.Endpoint{s}})
+					b.Handle(now, balancer.EndpointUpdate{Endpoints: []balancer.Endpoint{ep}})
 					if requests {
 						serveRequest(b, now, fmt.Sprint(i))
 					}
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -151,7 +151,7 @@
 	}
 }
 
-// shedUpTo sheds requests until their share of all requests is at most 0.02 below the given share.
+// shedUpTo sheds requests until the shed share is within 0.02 of the given share.
 func shedUpTo(b *Balancer, share float64) {
 	for b.admission.ShedShare() < share {
 		b.admission.ObserveShed()
--- a/balancer/internal/admission/admission.go
+++ b/balancer/internal/admission/admission.go
@@ -15,12 +15,12 @@
 // Constants of the limit: numbers of requests, or ratios.
 const (
 	averageWeight        = 0.06 // weight of a new sample in averages (about 16 samples)
-	minLimitPerEndpoint  = 5.0  // always admitted, for each endpoint of this replica's share
+	minLimitPerEndpoint  = 5.0  // minimum of the limit for each endpoint of this replica's share
 	limitGain            = 0.25 // requests per response, multiplied by 1 - latency/target
 	maxLimitRatio        = 2    // of the limit to the mean requests in flight, up to which the limit grows
 	overloadRatio        = 1.33 // mean ratio of latencies to targets from which endpoints are overloaded
-	maxLatencyRatio      = 2.0  // cap on the ratio of a slow response, and the ratio of any failure
-	minRejectionDecrease = 0.2  // share of the limit that a rejection takes, at least
+	maxLatencyRatio      = 2.0  // cap on the ratio of a slow response; a failure counts as this ratio
+	minRejectionDecrease = 0.2  // minimum share by which a decrease after a rejection lowers the limit
 )
 
 // shedShareWeight is the weight of one request in the average share of load that is shed.
@@ -29,7 +29,7 @@
 // Constants of the latency target: ratios.
 const (
 	targetToGeometricMean = 0.75 // of the target to the geometric mean of base latency and latency objective
-	minTargetToBase       = 1.35 // of the target to the base latency, at least
+	minTargetToBase       = 1.35 // minimum ratio of the target to the base latency
 	maxTargetReduction    = 0.3  // share by which the target is lowered when all load is shed
 )
 
@@ -128,8 +128,8 @@
 }
 
 // observeLatencyRatio records the ratio of a latency to its target. Once responses are slow on average, the
-// limit loses its unused part at once. If it were lowered by steps, it would stay open until the endpoints
-// are full, because the responses that show the overload arrive late by then.
+// limit loses its unused part at once. If it were lowered by steps, it would stay too high until the
+// endpoints are full, because the responses that show the overload arrive late by then.
 func (l *Limiter) observeLatencyRatio(latencyRatio float64) {
 	l.meanLatencyRatio += averageWeight * (latencyRatio - l.meanLatencyRatio)
 	if l.meanLatencyRatio > overloadRatio {
@@ -153,12 +153,12 @@
 	l.limit = max(l.limit+l.step(latencyRatio), 1, minLimit(endpointsPerReplica))
 }
 
-// step returns by how much a response moves the limit. A small limit moves by up to one request per round of
-// responses; with smaller steps, one replica among many would take a day to open it. The limit grows up to a
-// multiple of the mean requests in flight. If it grew only while nearly used up, it would sink by chance at a
-// replica with little traffic, which seldom uses it up.
+// step returns the change of the limit for one response. A small limit changes by up to one request per round
+// of responses; with smaller steps, one replica among many would take a day to raise it. The limit grows up
+// to a multiple of the mean requests in flight. If it grew only while nearly used up, it would fall by chance
+// at a replica with little traffic, which seldom uses it up.
 //
-// A new replica starts with the minimum, and each fast response opens its limit by a whole request until
+// A new replica starts with the minimum, and each fast response raises its limit by a whole request until
 // endpoints are overloaded (slow start). It can't know how many requests endpoints still hold for other
 // replicas, or for replicas that have crashed: many replicas that start together with a higher limit would
 // fill all endpoints at once.
--- a/balancer/internal/admission/priority.go
+++ b/balancer/internal/admission/priority.go
@@ -34,8 +34,8 @@
 
 // Priorities holds the classes and weights of the current settings, from which priorities are computed.
 type Priorities struct {
-	TotalWeight      float64  // weight of the sum over all classes in load shedding
-	WorstClassWeight float64  // weight of the worst-served class in load shedding
+	TotalWeight      float64  // weight of the served share of all priority weight
+	WorstClassWeight float64  // weight of the on-time share of the worst-served class
 	Classes          []*Class // all classes
 }
 
@@ -84,7 +84,8 @@
 	return value / c.Latency.Mean()
 }
 
-// hasLowerOnTimeShare reports whether a smaller share of the class's requests is answered in time.
+// hasLowerOnTimeShare reports whether a smaller share of the class's requests than of the other's is answered
+// in time.
 func (c *Class) hasLowerOnTimeShare(other *Class) bool {
 	return c.Traffic.onTime*other.Traffic.arrivals < other.Traffic.onTime*c.Traffic.arrivals
 }
--- a/balancer/internal/admission/priority_test.go
+++ b/balancer/internal/admission/priority_test.go
@@ -52,7 +52,7 @@
 	for _, c := range []struct {
 		name          string
 		higher, lower *Class
-		retryOfTheLow bool
+		lowerIsRetry  bool
 	}{
 		{"a response that takes less time", usual, slow, false},
 		{"the worst-served class", worst, usual, false},
@@ -60,7 +60,7 @@
 		{"a retry without any value", usual, usual, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			high, low := priorities.priority(c.higher, false), priorities.priority(c.lower, c.retryOfTheLow)
+			high, low := priorities.priority(c.higher, false), priorities.priority(c.lower, c.lowerIsRetry)
 			if high <= low {
 				t.Errorf("priority: got %v, want more than %v", high, low)
 			}
--- a/balancer/internal/endpoints/endpoints.go
+++ b/balancer/internal/endpoints/endpoints.go
@@ -86,7 +86,7 @@
 	return l.placement.endpointsPerReplica(l.ready.len())
 }
 
-// Groups returns all ready endpoints.
+// Groups returns all ready endpoints, divided into the two groups.
 func (l *List) Groups() Groups { return l.subset.all }
 
 // Subset returns the endpoints that this replica prefers, and the size that the subset was built for.
--- a/balancer/internal/endpoints/endpoints_test.go
+++ b/balancer/internal/endpoints/endpoints_test.go
@@ -64,6 +64,8 @@
 	return groups, subsets
 }
 
+// rotated returns the IDs of a group's endpoints, either those of the replica's own zone or the others, starting
+// at the replica's position.
 func (l *listReference) rotated(group []Entry, own bool) []string {
 	var ids []string
 	for _, entry := range group {
@@ -94,7 +96,8 @@
 	history   []string
 }
 
-func (r *randomListRun) randomListed() Entry {
+// listedOrNewEntry returns a listed entry or, one time in four, an entry with a random ID.
+func (r *randomListRun) listedOrNewEntry() Entry {
 	if len(r.reference.listed) > 0 && r.rng.IntN(4) > 0 {
 		known := slices.Sorted(maps.Keys(r.reference.listed))
 		return r.reference.listed[known[r.rng.IntN(len(known))]]
@@ -107,7 +110,7 @@
 
 // randomEntry returns an entry that changes an endpoint in one way, or not at all.
 func (r *randomListRun) randomEntry() Entry {
-	entry := r.randomListed()
+	entry := r.listedOrNewEntry()
 	switch r.rng.IntN(8) {
 	case 0, 1:
 		entry.State = Removed
--- a/balancer/internal/endpoints/subset.go
+++ b/balancer/internal/endpoints/subset.go
@@ -54,7 +54,7 @@
 // resize rebuilds the subset if its size no longer fits, and reports whether it did. From each group it takes
 // consecutive endpoints in the order that all replicas share, starting at this replica's position, so that
 // the subsets of all replicas cover the groups evenly. If each replica used the whole list, one of many
-// replicas would meet each endpoint too seldom to detect slow and unresponsive ones, and the number of
+// replicas would send to each endpoint too seldom to detect slow and unresponsive ones, and the number of
 // connections would grow with replicas times endpoints. A replica with many requests in flight uses a larger
 // subset: its counts carry more information, and its traffic would be too much for a few endpoints.
 //
--- a/balancer/internal/latency/latency.go
+++ b/balancer/internal/latency/latency.go
@@ -15,7 +15,7 @@
 	averageWeight     = 0.06   // minimum weight in the mean and the deviation (about 16 samples)
 	baseRiseWeight    = 0.0005 // weight in the base latency when the mean lies above it
 	baseFallWeight    = 0.02   // and when it lies below; small, as the noisy mean may be too low
-	minSamples        = 8      // from which the base latency is kept separately and responses can be slow
+	minSamples        = 8      // from which the base latency may differ from the mean, and responses be slow
 	typicalDeviations = 2.0    // above the mean, up to which a latency is typical
 	slowDeviations    = 3.0    // above the mean, from which a latency is slow
 )
--- a/balancer/internal/latency/latency_test.go
+++ b/balancer/internal/latency/latency_test.go
@@ -28,7 +28,7 @@
 		leastMean, mostMean float64
 	}{
 		{"no sample: a quarter of the objective", 0, false, float64(objective) / 4, float64(objective) / 4},
-		{"the first sample replaces the guess", 1, false, meanLatency, meanLatency},
+		{"the first sample replaces the initial estimate", 1, false, meanLatency, meanLatency},
 		{"seven samples are too few", minSamples - 1, false, meanLatency, meanLatency},
 		{"eight samples are enough", minSamples, true, meanLatency, meanLatency},
 	} {
--- a/balancer/internal/outlier/outlier.go
+++ b/balancer/internal/outlier/outlier.go
@@ -15,7 +15,7 @@
 // Constants of ejection.
 const (
 	failureShareWeight   = 0.06 // weight of a new result in the share of failures (about 16 results)
-	minChanceProbability = 0.08 // probability from which a run of failures is taken for chance
+	minChanceProbability = 0.08 // probability of a run of failures from which it is attributed to chance
 	baseEjection         = 12   // length of a first ejection, in mean latencies
 	maxEjectionDoublings = 5    // limit on the doublings of the length
 	recoverySuccesses    = 3    // consecutive successes that undo one doubling
--- a/balancer/internal/outlier/outlier_test.go
+++ b/balancer/internal/outlier/outlier_test.go
@@ -64,9 +64,9 @@
 		{"the second", 1, 0, 2 * firstEjection},
 		{"the third", 2, 0, 4 * firstEjection},
 		{"the tenth", 9, 0, firstEjection << maxEjectionDoublings},
-		{"two successes take nothing back", 1, recoverySuccesses - 1, 2 * firstEjection},
-		{"three successes take one doubling back", 1, recoverySuccesses, firstEjection},
-		{"five successes take two doublings back", 2, recoverySuccesses + 2, firstEjection},
+		{"two successes undo no doubling", 1, recoverySuccesses - 1, 2 * firstEjection},
+		{"three successes undo one doubling", 1, recoverySuccesses, firstEjection},
+		{"five successes undo two doublings", 2, recoverySuccesses + 2, firstEjection},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			detector := NewDetector()
@@ -113,11 +113,11 @@
 // An endpoint is fully eligible as long as its success rate is close to that of all endpoints.
 func TestEligibilityFollowsTheSuccessRate(t *testing.T) {
 	for _, c := range []struct {
-		name        string
-		here        int // failures of the endpoint, each followed by successes of another one
-		elsewhere   int // failures of another endpoint
-		after       time.Duration
-		least, most float64
+		name          string
+		ownFailures   int // of the endpoint, each followed by results of another one
+		otherFailures int // of another endpoint at the end; if any, all its earlier results are failures, too
+		after         time.Duration
+		least, most   float64
 	}{
 		{"nothing known", 0, 0, 0, 1, 1},
 		{"one failure", 1, 0, 0, 1, 1},
@@ -130,13 +130,13 @@
 			var class, total ClassRate
 			classes := ClassRates{&class, &total}
 			var endpoint, other Record
-			for i := range c.here {
+			for i := range c.ownFailures {
 				endpoint.UpdateFailureRates(classes, true, 0, meanLatency)
 				for range 20 { // meanwhile, another endpoint serves requests
-					other.UpdateFailureRates(classes, c.elsewhere > i, 0, meanLatency)
+					other.UpdateFailureRates(classes, c.otherFailures > i, 0, meanLatency)
 				}
 			}
-			for range c.elsewhere {
+			for range c.otherFailures {
 				other.UpdateFailureRates(classes, true, 0, meanLatency)
 			}
 			if got := endpoint.Eligibility(classes, c.after, meanLatency); got < c.least || got > c.most {
--- a/balancer/internal/outlier/successrate.go
+++ b/balancer/internal/outlier/successrate.go
@@ -11,7 +11,7 @@
 	failureWeight         = 0.15 // weight of a new result in an endpoint's failure rate for a class
 	failureDecayLatencies = 36   // mean latencies in which a rate falls by a factor of e without new results
 	minSuccessRatio       = 0.8  // ratio of success rates from which an endpoint is not an outlier
-	eligibilityExponent   = 3.0  // exponent applied to that ratio, below the minimum, for the eligibility
+	eligibilityExponent   = 3.0  // below that ratio, the eligibility is ratio/minSuccessRatio to this power
 )
 
 // ClassRate is the failure rate of a class over all endpoints. Its address identifies the class in the
@@ -57,8 +57,8 @@
 // success rate relative to that of all endpoints. The other mechanisms miss such endpoints: one that fails
 // fast, for some requests or one class only, has few attempts in flight and so attracts requests, while its
 // successes end each run of failures; one that lets most attempts time out keeps its part of the concurrency
-// limit. If all endpoints fail alike, none is an outlier, so this exclusion needs no cap. It is a
-// disadvantage if all that is known of an endpoint is a few chance failures.
+// limit. If all endpoints fail alike, none is an outlier, so this exclusion needs no cap. Its disadvantage is
+// that it also excludes endpoints of which only a few chance failures are known.
 func (f failureRates) eligibility(classes ClassRates, now time.Duration, meanLatency float64) float64 {
 	if len(f) == 0 { // no results yet, as for most endpoints of a long list
 		return 1
--- a/balancer/internal/rejection/rejection.go
+++ b/balancer/internal/rejection/rejection.go
@@ -1,9 +1,9 @@
 // Package rejection limits the requests in flight to an endpoint that has rejected a request.
 //
 // A rejection shows the capacity of an endpoint: it is sent no more than that until a randomized exponential
-// backoff is over. Its queue is full, or other replicas hold all its connections, if only idle ones. As
-// rejections return at once, the endpoint has few requests in flight, and a choice by that number would favor
-// it.
+// backoff is over. Either its queue is full or other replicas hold all its connections, even if some are
+// idle. As rejections return at once, the endpoint has few requests in flight, and a choice by that number
+// would favor it.
 package rejection
 
 import (
@@ -13,16 +13,16 @@
 
 // Constants of the backoff.
 const (
-	baseBackoff  = 12 // mean length of the first backoff, in mean latencies of the class
-	maxDoublings = 5  // limit on the doublings of the backoff
-	minJitter    = 0.5
+	baseBackoff  = 12  // mean length of the first backoff, in mean latencies of the class
+	maxDoublings = 5   // limit on the doublings of the backoff
+	minJitter    = 0.5 // smallest random factor of the backoff; the largest is greater by 1
 )
 
 // Record holds the capacity of an endpoint as shown by its rejections.
 type Record struct {
 	limit        int           // requests in flight when the endpoint rejected one more
 	limitedUntil time.Duration // end of the backoff, until which limit applies
-	consecutive  int
+	consecutive  int           // rejections since the last success, up to maxDoublings
 }
 
 // Observe records a rejection by an endpoint with inFlight other requests in flight. meanLatency is in
--- a/balancer/internal/retrybudget/retrybudget.go
+++ b/balancer/internal/retrybudget/retrybudget.go
@@ -1,7 +1,8 @@
 // Package retrybudget limits retries to a small share of the traffic when many requests fail.
 //
 // The budget is a token bucket, as in gRPC's retry throttling (proposal A6) and Finagle's RetryBudget:
-// successes fill it and each retry takes tokens from it. Without it, the retries of the tiers would multiply.
+// successes fill it and each retry takes tokens from it. Without it, the retries of successive tiers would
+// multiply.
 package retrybudget
 
 // Costs of a retry, by the load that the previous attempt can have put on an endpoint.
--- a/balancer/internal/slowstart/overload_test.go
+++ b/balancer/internal/slowstart/overload_test.go
@@ -28,7 +28,7 @@
 	memory := limiter.capacityMemory()
 	// A warm endpoint answers n requests per second.
 	limiter.warm = capacityEstimate{responses: n * memory, observedSeconds: memory, updatedAt: startedAt}
-	// It has half of its capacity, and the settings allow twice its current capacity.
+	// The endpoint in slow start has half of its capacity, and the settings allow twice its current capacity.
 	record := NewRecord(startedAt)
 	limiter.UpdateRates(startedAt, countsOf(limiter, startedAt, record, NewRecord(0)))
 	limiter.HasTokens(&record, startedAt, true, newRand())
--- a/balancer/internal/slowstart/slowstart.go
+++ b/balancer/internal/slowstart/slowstart.go
@@ -28,7 +28,7 @@
 
 // Settings configures a Limiter.
 type Settings struct {
-	Floor    float64       // share of its capacity that an endpoint has when it starts, at least
+	Floor    float64       // minimum share of its capacity that an endpoint has when it starts
 	Duration time.Duration // time from an endpoint's start to its full capacity
 	Replicas int           // number of replicas that send to the same endpoints
 
@@ -98,7 +98,7 @@
 	l.arrivals.observe(now, l.settings.Duration)
 }
 
-// CapacityShare returns the share of its full capacity that an endpoint has at least.
+// CapacityShare returns the minimum share of its full capacity that an endpoint has now.
 func (l *Limiter) CapacityShare(r *Record, now time.Duration) float64 {
 	age := now - r.startedAt
 	if r.startedAt <= 0 || age >= l.settings.Duration {
--- a/balancer/internal/slowstart/tokenbucket_test.go
+++ b/balancer/internal/slowstart/tokenbucket_test.go
@@ -119,7 +119,7 @@
 	}{
 		{"a warm endpoint", []Record{NewRecord(0)}, 9, 10.5},
 		{"two warm endpoints", []Record{NewRecord(0), NewRecord(0)}, 4.5, 5.25},
-		{"one of half of the capacity", []Record{NewRecord(startedAt)}, 14, 20.1},
+		{"one with half of its capacity", []Record{NewRecord(startedAt)}, 14, 20.1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			limiter := newLimiter()
--- a/balancer/internal/subscription/subscription.go
+++ b/balancer/internal/subscription/subscription.go
@@ -8,7 +8,7 @@
 
 // Constants of the backoff.
 const (
-	backoffDivisor = 4 // divisor of the allowed time that gives the longest backoff, so that two attempts fit
+	backoffDivisor = 4 // ratio of the allowed time to the longest backoff, so that two attempts fit
 	maxDoublings   = 4 // of the backoff, from its initial to its longest value
 )
 
@@ -27,7 +27,7 @@
 // Schedule schedules the next subscription and returns its time. within is the longest time allowed without a
 // subscription. jitter, a random number in [0, 1), keeps replicas that start or lose their subscription at
 // the same time from overloading discovery. The wait doubles with each failure, but leaves time for two
-// attempts before the replica is considered notified of a change that it has not received.
+// attempts within the time allowed, after which the replica is expected to know of each change of the list.
 func (b *Backoff) Schedule(now, within time.Duration, jitter float64) time.Duration {
 	longest := within / backoffDivisor
 	wait := min(longest, longest>>maxDoublings<<min(b.failures, maxDoublings))
--- a/balancer/internal/unresponsive/unresponsive.go
+++ b/balancer/internal/unresponsive/unresponsive.go
@@ -51,8 +51,9 @@
 // AfterRestart returns the record after a restart of the endpoint, which keeps only the attempts in flight.
 func (r *Record) AfterRestart() Record { return Record{attempts: r.attempts} }
 
-// Suspects reports whether the endpoint appears unresponsive: its oldest attempt takes longer than usual for
-// its class, and in the meantime another endpoint has responded but this one has not.
+// Suspects reports whether the endpoint appears unresponsive: its oldest attempt has taken longer than the
+// slow threshold of its class, and since half of that threshold another endpoint has responded but this one
+// has not.
 func (d *Detector) Suspects(r *Record, now time.Duration) bool {
 	if len(r.attempts) == 0 {
 		return false
--- a/balancer/internal/unresponsive/unresponsive_test.go
+++ b/balancer/internal/unresponsive/unresponsive_test.go
@@ -17,16 +17,16 @@
 func TestSuspicionNeedsAResponseOfAnotherEndpoint(t *testing.T) {
 	const sent, now = time.Second, 1200 * time.Millisecond
 	for _, c := range []struct {
-		name        string
-		sent        time.Duration
-		otherAnswer time.Duration // time of the last response of another endpoint
-		ownAnswer   time.Duration // time of the last response of this endpoint; 0: none
-		want        bool
+		name          string
+		sent          time.Duration
+		otherResponse time.Duration // time of the last response of another endpoint
+		ownResponse   time.Duration // time of the last response of this endpoint; 0: none
+		want          bool
 	}{
-		{"another has answered since", sent, now, 0, true},
-		{"none has answered since", sent, sent, 0, false},
-		{"this one has answered since", sent, now, now - 1, false},
-		{"this one has answered before", sent, now, sent, true},
+		{"another has responded since", sent, now, 0, true},
+		{"none has responded since", sent, sent, 0, false},
+		{"this one has responded since", sent, now, now - 1, false},
+		{"this one has responded before", sent, now, sent, true},
 		{"the attempt is young", now - 99*time.Millisecond, now, 0, false},
 		{"the attempt is old", now - 101*time.Millisecond, now, 0, true},
 	} {
@@ -34,10 +34,10 @@
 			var detector Detector
 			var record, other Record
 			record.StartAttempt(c.sent, newClass())
-			if c.ownAnswer > 0 {
-				detector.ObserveSuccess(&record, c.ownAnswer)
+			if c.ownResponse > 0 {
+				detector.ObserveSuccess(&record, c.ownResponse)
 			}
-			detector.ObserveSuccess(&other, c.otherAnswer)
+			detector.ObserveSuccess(&other, c.otherResponse)
 			if got := detector.Suspects(&record, now); got != c.want {
 				t.Errorf("suspected: got %v, want %v", got, c.want)
 			}
--- a/balancer/listcost_test.go
+++ b/balancer/listcost_test.go
@@ -41,12 +41,12 @@
 
 // measureListChange returns the mean duration of a change, over a few changes in which an endpoint is removed
 // and added again.
-func measureListChange(b *Balancer, s Endpoint) time.Duration {
+func measureListChange(b *Balancer, ep Endpoint) time.Duration {
 	const changes = 6
 	start := time.Now()
 	for i := range changes {
-		s.State = []EndpointState{Removed, Ready}[i%2]
-		b.Handle(0, EndpointUpdate{Endpoints: []Endpoint{s}})
+		ep.State = []EndpointState{Removed, Ready}[i%2]
+		b.Handle(0, EndpointUpdate{Endpoints: []Endpoint{ep}})
 	}
 	return time.Since(start) / changes
 }
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -63,8 +63,8 @@
 func TestEndpointOnTrialGetsNoNonIdempotentRequest(t *testing.T) {
 	b := newBalancer(t, nil)
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: testEndpoints(10)})
-	s := knownEndpoint(t, b, "s03")
-	eject(s, 0, 0)
+	ep := knownEndpoint(t, b, "s03")
+	eject(ep, 0, 0)
 	if got := sendTraffic(b, 400, "pay", func(string) AttemptResult { return Success }); got["s03"] != 0 {
 		t.Errorf("an endpoint on trial got %d non-idempotent requests, want none", got["s03"])
 	}
@@ -82,8 +82,8 @@
 		t.Run(fmt.Sprint("shed share ", c.shed), func(t *testing.T) {
 			b := newBalancer(t, nil)
 			b.Handle(msec, EndpointUpdate{Complete: true, Endpoints: testEndpoints(20)})
-			for _, s := range allReady(b)[:10] {
-				eject(s, msec, time.Minute)
+			for _, ep := range allReady(b)[:10] {
+				eject(ep, msec, time.Minute)
 			}
 			shedUpTo(b, c.shed)
 			excluded := 0
@@ -92,8 +92,8 @@
 				load: replicaLoad{shedShare: b.admission.ShedShare()},
 			}
 			choice.excludeUnhealthy(candidates{groups: b.endpoints.Groups(), excludeOutliers: true})
-			for _, s := range allReady(b) {
-				if s.Excluded {
+			for _, ep := range allReady(b) {
+				if ep.Excluded {
 					excluded++
 				}
 			}
--- a/balancer/pick_test.go
+++ b/balancer/pick_test.go
@@ -70,7 +70,7 @@
 func TestLoadedEndpointIsAvoidedWhileOthersAreIdle(t *testing.T) {
 	b := newBalancer(t, func(s *Settings) { s.Tier = 1 })
 	b.Handle(0, EndpointUpdate{Complete: true, Endpoints: testEndpoints(6)})
-	slowClass := latency.NewEstimator(time.Hour) // old attempts of this class are not suspicious
+	slowClass := latency.NewEstimator(time.Hour) // attempts of this class are never suspected
 	for range 2 {
 		knownEndpoint(t, b, "s00").Attempts.StartAttempt(0, &slowClass)
 		b.admission.StartAttempt()
@@ -146,8 +146,8 @@
 	}
 }
 
-// The endpoints of a failed zone stay in the list for seconds. Replicas that send to their own zone lose
-// nothing by that. With subsets of both zones, each replica of each tier would detect each failed endpoint
+// The endpoints of a failed zone stay in the list for seconds. Replicas that send to their own zone are not
+// affected. With subsets of both zones, each replica of each tier would detect each failed endpoint
 // only by an attempt that gets no response.
 func TestReplicasServeWhileAnotherZoneIsUnresponsive(t *testing.T) {
 	const replicas, rounds = 16, 40
--- a/balancer/request.go
+++ b/balancer/request.go
@@ -153,9 +153,9 @@
 	})
 }
 
-// dedupDeadline returns the time at which endpoints stop discarding repeats of an attempt that may have run.
-// 0: no attempt may have run, or the class has no idempotency keys. It is checked here before the send and,
-// as a connection may take time to establish, once more by the host.
+// dedupDeadline returns the earliest time at which endpoints stop discarding repeats of an attempt that may
+// have run, less two ticks. 0: no attempt may have run, or the class has no idempotency keys. The Balancer
+// checks this time before the send and, as a connection may take time to establish, the host checks it again.
 func (req *request) dedupDeadline(tick time.Duration) (until time.Duration) {
 	for _, a := range req.attempts {
 		windowEnd := a.sent + req.class.DedupWindow - 2*tick
@@ -166,11 +166,11 @@
 	return until
 }
 
-// attemptTimeout returns the timeout of the next attempt. An endpoint that hangs uses up all the remaining
-// time. When such failures occur, an idempotent request that may be retried therefore gets half of the
-// remaining time per attempt, if nearly all responses arrive within that. This is a disadvantage for requests
-// that are slow by nature; in the first tier, the work already done by the tiers below would be lost with the
-// attempt.
+// attemptTimeout returns the timeout of the attempt that has just been added. An endpoint that hangs uses up
+// all the remaining time. While many attempts of its class fail, an idempotent request that may be retried
+// therefore gets half of the remaining time per attempt, if nearly all responses arrive within that. This is
+// a disadvantage for requests that are slow by nature. It does not apply in the first tier, where the work
+// already done by the tiers below would be lost with the attempt.
 func (req *request) attemptTimeout(now time.Duration, settings *Settings, retryInBudget bool) time.Duration {
 	c, left := req.class, req.responseDeadline(settings)-now
 	retryLikely := c.Effect == Idempotent && len(req.attempts) < settings.MaxAttempts && retryInBudget
@@ -213,7 +213,7 @@
 	return true
 }
 
-// clearTimer records that the request's timer has fired.
+// clearTimer records that a timer of the request has fired, unless the pending one is due later.
 func (req *request) clearTimer(now, tick time.Duration) {
 	if now+tick >= req.timerDue {
 		req.timerDue = 0
--- a/balancer/requestrules_test.go
+++ b/balancer/requestrules_test.go
@@ -57,7 +57,7 @@
 	} {
 		req := requestAfter(Idempotent, ScopeAll, TimedOut)
 		if startResponse(req); req.mayRetry(50*msec, &settings) {
-			t.Error("mayRetry is true for a request whose response has started, want false")
+			t.Error("mayRetry is true for a request that is answered or streaming, want false")
 		}
 	}
 }
--- a/balancer/requests.go
+++ b/balancer/requests.go
@@ -34,7 +34,7 @@
 	b.dispatch(req)
 }
 
-// dispatch sends a request, or queues it if no endpoint may receive it now.
+// dispatch sends a request, or queues it if it can't be sent now.
 func (b *Balancer) dispatch(req *request) {
 	if !b.atCapacity(req) {
 		if ep := b.chooseEndpoint(req); ep != nil {
@@ -128,7 +128,7 @@
 	}
 }
 
-// endAttempt handles the end of an attempt. Nothing is learned from an attempt that the host itself delayed.
+// endAttempt handles the end of an attempt.
 func (b *Balancer) endAttempt(e AttemptEnded) {
 	req := b.requests[e.ID]
 	if req == nil {
@@ -152,7 +152,9 @@
 	b.dispatchQueued()
 }
 
-// recordAttemptEnd updates the counters and reports the result of the attempt to the mechanisms.
+// recordAttemptEnd updates the counters and reports the result of the attempt to the mechanisms. The result
+// of an attempt that the host itself delayed affects neither the concurrency limit, the retry budget nor the
+// statistics of endpoints and classes.
 func (b *Balancer) recordAttemptEnd(a *attempt, e AttemptEnded) {
 	a.end(e.Result)
 	b.admission.EndAttempt()
@@ -249,7 +251,7 @@
 	}
 }
 
-// finish marks a request as answered and cancels its attempts in flight.
+// finish marks a request as answered and cancels its attempts in flight if the host can do so.
 func (b *Balancer) finish(req *request) {
 	if req.answered {
 		return
--- a/balancer/rulechecker_test.go
+++ b/balancer/rulechecker_test.go
@@ -62,8 +62,8 @@
 			c.states[id] = Removed
 		}
 	}
-	for _, s := range e.Endpoints {
-		c.states[s.ID], c.cells[s.ID], c.zones[s.ID] = s.State, s.Cell, s.Zone
+	for _, ep := range e.Endpoints {
+		c.states[ep.ID], c.cells[ep.ID], c.zones[ep.ID] = ep.State, ep.Cell, ep.Zone
 	}
 }
 
@@ -123,8 +123,8 @@
 		return
 	}
 	harmless := r.class.Effect == Idempotent || r.class.Effect == IdempotentByKey && r.class.Scope == ScopeAll
-	for _, t := range r.attempts {
-		if t.mayHaveRun() && !harmless {
+	for _, attempt := range r.attempts {
+		if attempt.mayHaveRun() && !harmless {
 			c.report("rule 2: %s is rejected although it may have run", a.ID)
 		}
 	}
@@ -165,28 +165,28 @@
 	if len(r.attempts) >= c.settings.MaxAttempts {
 		c.report("more than %d attempts of %s", c.settings.MaxAttempts, a.ID)
 	}
-	for _, t := range r.attempts {
-		if !t.ended {
+	for _, attempt := range r.attempts {
+		if !attempt.ended {
 			c.report("attempt of %s while another is in flight", a.ID)
 		}
-		if t.mayHaveRun() {
-			c.checkRetry(now, a, r, t)
+		if attempt.mayHaveRun() {
+			c.checkRetry(now, a, r, attempt)
 		}
 	}
 	r.attempts = append(r.attempts, &trackedAttempt{endpoint: a.Endpoint, sentAt: now})
 }
 
 // checkRetry checks that a request may be retried after an attempt that may have run.
-func (c *ruleChecker) checkRetry(now time.Duration, a Send, r *trackedRequest, t *trackedAttempt) {
+func (c *ruleChecker) checkRetry(now time.Duration, a Send, r *trackedRequest, earlier *trackedAttempt) {
 	switch r.class.Effect {
 	case Idempotent: // may run any number of times
 	case NonIdempotent:
 		c.report("rule 2: %s is retried although it is not idempotent", a.ID)
 	case IdempotentByKey:
-		if now > t.sentAt+r.class.DedupWindow {
+		if now > earlier.sentAt+r.class.DedupWindow {
 			c.report("rule 2: %s is retried after its deduplication window", a.ID)
 		}
-		if !c.inScope(r.class.Scope, t.endpoint, a.Endpoint) {
+		if !c.inScope(r.class.Scope, earlier.endpoint, a.Endpoint) {
 			c.report("rule 2: %s is retried outside its deduplication scope", a.ID)
 		}
 	}
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -106,20 +106,20 @@
 // startAttempt draws when an attempt ends and whether it times out.
 func (r *randomRun) startAttempt(a Send) {
 	number := 0
-	for _, p := range r.attempts {
-		if p.id == a.ID && p.number >= number {
-			number = p.number + 1
+	for _, attempt := range r.attempts {
+		if attempt.id == a.ID && attempt.number >= number {
+			number = attempt.number + 1
 		}
 	}
 	if request := r.balancer.requests[a.ID]; request != nil {
 		number = len(request.attempts) - 1
 	}
 	latency := time.Duration(r.rng.ExpFloat64() * float64(120*msec))
-	p := runningAttempt{a.ID, number, a.Endpoint, r.now + latency, false}
+	attempt := runningAttempt{a.ID, number, a.Endpoint, r.now + latency, false}
 	if r.rng.IntN(8) == 0 || latency > a.Timeout {
-		p.due, p.timesOut = r.now+a.Timeout, true
+		attempt.due, attempt.timesOut = r.now+a.Timeout, true
 	}
-	r.attempts = append(r.attempts, p)
+	r.attempts = append(r.attempts, attempt)
 }
 
 // step advances the clock by one tick and plays the random events of that tick.
@@ -180,9 +180,9 @@
 
 // listed returns the endpoints that are not removed.
 func (r *randomRun) listed() (list []Endpoint) {
-	for _, s := range r.endpoints {
-		if s.State != Removed {
-			list = append(list, s)
+	for _, ep := range r.endpoints {
+		if ep.State != Removed {
+			list = append(list, ep)
 		}
 	}
 	return list
@@ -207,30 +207,30 @@
 // endAttempts ends the attempts that are due, some of them twice, and disconnects the clients of some.
 func (r *randomRun) endAttempts() {
 	for k := 0; k < len(r.attempts); k++ {
-		p := r.attempts[k]
-		if p.due > r.now {
+		attempt := r.attempts[k]
+		if attempt.due > r.now {
 			continue
 		}
 		r.attempts = append(r.attempts[:k], r.attempts[k+1:]...)
 		k--
-		e := AttemptEnded{ID: p.id, Attempt: p.number, Endpoint: p.endpoint, Result: Success}
+		e := AttemptEnded{ID: attempt.id, Attempt: attempt.number, Endpoint: attempt.endpoint, Result: Success}
 		switch {
-		case p.timesOut:
+		case attempt.timesOut:
 			e.Result = TimedOut
 		case r.rng.IntN(3) == 0:
 			e.Result = AttemptResult(1 + r.rng.IntN(int(NotSent)))
 		}
-		if request := r.balancer.requests[p.id]; e.Result == Success || request == nil || request.answered {
-			r.ended[p.id] = true
+		if request := r.balancer.requests[attempt.id]; e.Result == Success || request == nil || request.answered {
+			r.ended[attempt.id] = true
 		}
-		e.Answered = r.ended[p.id]
+		e.Answered = r.ended[attempt.id]
 		r.handle(e)
 		if r.rng.IntN(10) == 0 {
 			r.handle(e)
 		}
 		if r.rng.IntN(30) == 0 {
-			r.handle(ClientGone{ID: p.id})
-			r.ended[p.id] = true
+			r.handle(ClientGone{ID: attempt.id})
+			r.ended[attempt.id] = true
 		}
 	}
 }
@@ -238,19 +238,19 @@
 // changeList changes an endpoint and notifies the Balancer by a complete list, by an update of the entry, or
 // by such an update after a failed subscription.
 func (r *randomRun) changeList() {
-	s := &r.endpoints[r.rng.IntN(len(r.endpoints))]
-	s.State = EndpointState(r.rng.IntN(3))
+	ep := &r.endpoints[r.rng.IntN(len(r.endpoints))]
+	ep.State = EndpointState(r.rng.IntN(3))
 	if r.rng.IntN(2) == 0 {
-		s.State, s.StartedAt = Ready, r.now
+		ep.State, ep.StartedAt = Ready, r.now
 	}
 	switch r.rng.IntN(4) {
 	case 0:
 		r.handle(EndpointUpdate{Complete: true, Endpoints: r.listed()})
 	case 1:
 		r.handle(SubscriptionFailed{})
-		r.handle(EndpointUpdate{Endpoints: []Endpoint{*s}})
+		r.handle(EndpointUpdate{Endpoints: []Endpoint{*ep}})
 	default:
-		r.handle(EndpointUpdate{Endpoints: []Endpoint{*s}})
+		r.handle(EndpointUpdate{Endpoints: []Endpoint{*ep}})
 	}
 }
 
--- a/balancer/selection.go
+++ b/balancer/selection.go
@@ -222,8 +222,8 @@
 
 // weightOf returns the relative capacity of an endpoint: its listed capacity, corrected by its relative
 // latency. Equal draws among unequal endpoints would overload the slow ones at a total load that all together
-// could serve, and the attempts in flight of a single replica are too few to show it. A single replica's
-// latency samples are few, too, but the errors of many replicas cancel out.
+// could serve, and a single replica has too few attempts in flight to tell which ones are slow. Its latency
+// samples are few, too, but the errors of many replicas cancel out.
 func weightOf(ep *endpoints.Endpoint) float64 {
 	weight := ep.Latency.Speed()
 	if ep.Capacity > 0 {
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -47,8 +47,8 @@
 	Tier             int     // tier that requests are sent to; 0 is the one that clients call
 	Zone             string  // this replica's zone
 	ZoneCount        int     // number of zones
-	TotalWeight      float64 // weight of the sum over all classes in load shedding
-	WorstClassWeight float64 // weight of the worst-served class in load shedding
+	TotalWeight      float64 // weight, in load shedding, of the served share of all priority weight
+	WorstClassWeight float64 // weight, in load shedding, of the on-time share of the worst-served class
 
 	MaxAttempts   int           // per request
 	AllowCancel   bool          // whether the host can cancel attempts
@@ -57,7 +57,7 @@
 	Tick          time.Duration // resolution of the host's timers
 	MaxRetryAfter time.Duration // longest Retry-After that clients honor; 0: they ignore it
 
-	SlowStartFloor    float64       // share of its capacity that an endpoint has when it starts, at least
+	SlowStartFloor    float64       // minimum share of its capacity that an endpoint has when it starts
 	SlowStartDuration time.Duration // time from an endpoint's start to its full capacity
 
 	// An endpoint in slow start fails permanently when all replicas together send it more than
@@ -144,6 +144,7 @@
 // maxZones bounds ZoneCount, which multiplies replica indexes when subsets are positioned.
 const maxZones = 1000
 
+// ranges returns the numeric settings other than those of classes, with the upper bounds of their ranges.
 func (s Settings) ranges() []settingRange {
 	return []settingRange{
 		{"Tier", float64(s.Tier), math.MaxInt32},
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -42,7 +42,7 @@
 	list := testEndpoints(4)
 	list[1].StartedAt = time.Second
 	b.Handle(2*time.Second, EndpointUpdate{Complete: true, Endpoints: list}) // capacity share 0.28
-	// Requests of the endpoint that is warming up, by expected work
+	// Number of requests sent to the endpoint that is warming up, by expected work.
 	requests := map[time.Duration]int{}
 	for i := range 400 {
 		work := []time.Duration{10 * msec, 100 * msec}[i%2]
@@ -58,7 +58,7 @@
 	}
 }
 
-// overloadMultiple and overloadWindow are the overload limit of the endpoints. testSettings doesn't state it.
+// overloadMultiple and overloadWindow are the overload limit of the endpoints. testSettings does not set it.
 const overloadMultiple, overloadWindow = 3.0, 2 * time.Second
 
 // warmCapacity is the number of requests per second that a warm endpoint can serve. They take meanWork on
--- a/balancer/slowstartsim_test.go
+++ b/balancer/slowstartsim_test.go
@@ -245,8 +245,8 @@
 		balancer: b, request: request, number: len(request.attempts), server: s, sent: r.now, deadline: deadline,
 	}
 	request.attempts = append(request.attempts, a)
-	r.countShare(s, request.work)
-	r.countReceived(s, request.work)
+	r.recordWarmingWork(s, request.work)
+	r.recordReceivedWork(s, request.work)
 	switch {
 	case s.down:
 		r.after(time.Millisecond, func() { r.endAttempt(a, ConnectFailed) })
@@ -264,9 +264,9 @@
 	}
 }
 
-// countShare adds an attempt in the first half of the warm-up to the work of the servers that are warming up,
-// and to the work in proportion to their capacity.
-func (r *warmingRun) countShare(s *warmingServer, work float64) {
+// recordWarmingWork adds an attempt in the first half of the warm-up to the work of the servers that are
+// warming up, and to the work in proportion to their capacity.
+func (r *warmingRun) recordWarmingWork(s *warmingServer, work float64) {
 	if r.now < replacedAt || r.now >= replacedAt+r.settings.SlowStartDuration/2 {
 		return
 	}
@@ -285,9 +285,9 @@
 	}
 }
 
-// countReceived records the work that a server receives while it is warming up. The server goes down if that
-// exceeds its limit.
-func (r *warmingRun) countReceived(s *warmingServer, work float64) {
+// recordReceivedWork records the work that a server receives while it is warming up. The server goes down if
+// that exceeds its limit.
+func (r *warmingRun) recordReceivedWork(s *warmingServer, work float64) {
 	if s.StartedAt == 0 || r.now >= s.StartedAt+r.settings.SlowStartDuration || s.down {
 		return
 	}
--- a/balancer/trace_test.go
+++ b/balancer/trace_test.go
@@ -42,7 +42,7 @@
 	result   balancer.AttemptResult
 }
 
-// traceDriver takes the part of a host: it passes seeded random events to a Balancer and hashes the actions.
+// traceDriver acts as the host: it passes seeded random events to a Balancer and hashes the actions.
 type traceDriver struct {
 	t              *testing.T
 	scenario       traceScenario
