--- a/balancer/classes_test.go
+++ b/balancer/classes_test.go
@@ -21,11 +21,11 @@
 			}
 			if after.admission.Traffic != &after.traffic ||
 				after.admission.PriorityWeight != after.PriorityWeight {
-				t.Error("admission control uses other counters or settings than those of the class")
+				t.Error("admission control uses other counters or settings than those of the class, want those")
 			}
 			if after.failureRates[0] != &after.failureRate ||
 				after.failureRates[1] != &table.unknown().failureRate {
-				t.Error("failure rates are not those of the class and of all classes together")
+				t.Error("failure rates are others, want those of the class and of all classes together")
 			}
 		})
 	}
@@ -33,7 +33,7 @@
 		t.Errorf("PriorityWeight is %v, want the new value 7", table.get("get").PriorityWeight)
 	}
 	if table.hasFailureRate(&old.get("post").failureRate) || !table.hasFailureRate(&old.get("pay").failureRate) {
-		t.Error("the failure rate of a removed class is found in the table, or that of a kept class is not")
+		t.Error("hasFailureRate is true for a removed class or false for a kept one, want the opposite")
 	}
 }
 
--- a/balancer/delayedbyhost_test.go
+++ b/balancer/delayedbyhost_test.go
@@ -32,7 +32,7 @@
 	sendTraffic(b, 200, "get", func(string) AttemptResult { return Success })
 	now, limit, before := b.now, b.admission.Limit(), observations(b)
 	for i := range 50 {
-		id := fmt.Sprint("delayed-", i)
+		id := fmt.Sprint("held-", i)
 		sent := sends(b.Handle(now, Request{ID: id, Class: "pay", Deadline: now + time.Second}))
 		if len(sent) != 1 {
 			t.Fatalf("%v: request %s led to %d sends, want 1", result, id, len(sent))
