--- a/internal/downstream/budget.go
+++ b/internal/downstream/budget.go
@@ -34,14 +34,15 @@
 	}
 }
 
-// upstreamShare returns how many descriptors are kept for upstream connections, given their number.
+// upstreamShare returns how many descriptors are kept for upstream connections: UpstreamReserve, or the present number
+// of these connections if that is greater.
 func (b *descriptorBudget) upstreamShare(upstream int) int {
 	return max(b.limits.UpstreamReserve, upstream)
 }
 
-// excess returns by how many the downstream connections exceed their limit, which is what upstream connections leave
-// of Descriptors, but at least half of it. Connections that are being evicted do not count. The result is negative
-// below the limit.
+// excess returns by how many the downstream connections exceed their limit: Descriptors less the share of upstream
+// connections, but at least half of Descriptors. Connections that are being evicted do not count. The result is
+// negative below the limit.
 func (b *descriptorBudget) excess(downstream, upstream int) int {
 	limit := max(b.limits.Descriptors/2, b.limits.Descriptors-b.upstreamShare(upstream))
 	return downstream - b.evicting - limit
--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -47,8 +47,8 @@
 // move it into the future.
 var pastDeadline = time.Now().Add(-time.Hour)
 
-// newConn returns a connection of a set. readTimeout limits the time for reading the rest of a request that has
-// started; 0 means no limit.
+// newConn wraps the socket nc of a connection that belongs to conns. readTimeout limits the time for reading the rest
+// of a request that has started; 0 means no limit.
 func newConn(nc net.Conn, conns *Conns, readTimeout time.Duration) *Conn {
 	return &Conn{
 		Conn: nc, conns: conns, readTimeout: readTimeout, readAhead: readAheadBuffer{budget: &conns.readAheadBudget},
@@ -92,8 +92,8 @@
 	c.requests.Feed(p, at)
 }
 
-// TakeHead returns the head, as the scanner has read it, of the request whose head net/http has just read, or the
-// error in its framing.
+// TakeHead returns what the scanner has recorded about the head of r, which net/http has just read, or the error in the
+// framing of the request.
 func (c *Conn) TakeHead(r *http.Request) (http1.RequestHead, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -130,8 +130,8 @@
 }
 
 // startRequestTimeout sets the read timeout for the rest of a request once it has started. The timeouts of net/http
-// do not serve for this: it waits for a request's first four bytes as long as for an idle connection, and counts the
-// time of a connection's first request from the connection's start.
+// are not suitable: it waits for a request's first four bytes as long as for an idle connection, and counts the time of
+// a connection's first request from the start of the connection.
 func (c *Conn) startRequestTimeout() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -150,10 +150,10 @@
 	c.watch.start()
 }
 
-// startDepartureWatch reports whether a request is open, in which case the read that net/http starts now is its watch
-// for the client's departure. net/http starts that watch only once the body has been read to its end, so the request
-// is complete. There is no longer a wait for a request to interrupt, so an earlier eviction or abort of this
-// connection is revoked.
+// startDepartureWatch reports whether a request is open. If so, the read that net/http starts now is its watch for the
+// client's departure, which it starts only once the body has been read to its end: the request is complete. net/http no
+// longer waits for a request on this connection, so an earlier eviction or abort, which would have ended that wait, is
+// revoked.
 func (c *Conn) startDepartureWatch() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/downstream/conns.go
+++ b/internal/downstream/conns.go
@@ -23,7 +23,8 @@
 	counts Counts
 }
 
-// Counts holds the numbers of connections that were accepted, evicted and so on, for the log.
+// Counts holds the counters for the log: connections accepted, failed accepts, connections evicted, requests rejected
+// for lack of descriptors, and connections closed unread at the hard limit.
 type Counts struct{ Accepted, AcceptFailed, Evicted, Rejected, ClosedUnread int }
 
 // NewConns returns an empty set. upstreamCount returns the number of upstream connections; it is called
@@ -98,9 +99,9 @@
 	return s.budget.upstreamAllowance(len(s.conns))
 }
 
-// atHardLimit reports whether one more connection would take a descriptor that is reserved for others, and counts the
-// connection if so. The caller closes such a connection before it reaches net/http, so ConnStateChanged is not called
-// for it. Other connections are evicted here instead, to make room for the next one.
+// atHardLimit reports whether one more connection would take a descriptor that is reserved for others. If so, the
+// caller closes the connection before it reaches net/http, and it is counted as closed unread. As ConnStateChanged is
+// not called for it, other connections are evicted here, to make room for the next one.
 func (s *Conns) atHardLimit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -132,7 +133,8 @@
 // excess returns by how many the connections exceed the limit, not counting those being evicted. The caller holds s.mu.
 func (s *Conns) excess() int { return s.budget.excess(len(s.conns), s.upstreamCount()) }
 
-// startLingering records that net/http has written its last response and waits for the client to receive it.
+// startLingering records that net/http has written the last response on a connection and waits for the client to
+// receive it.
 func (s *Conns) startLingering(c *Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/downstream/departure.go
+++ b/internal/downstream/departure.go
@@ -10,7 +10,7 @@
 	"basaltdrum/internal/socketpeek"
 )
 
-// Departure is how far a client is known to have departed while its request is open. It never decreases during a
+// Departure is what has been observed about a client's departure while its request is open. It never decreases during a
 // request: of two observations, the greater one holds.
 type Departure int
 
--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -41,7 +41,7 @@
 	beingEvicted bool          // counted in descriptorBudget.evicting
 }
 
-// markedEvicting returns the activity with the connection marked as being evicted.
+// markedEvicting returns a copy of the activity in which the connection is marked as being evicted.
 func (a activity) markedEvicting() activity {
 	a.beingEvicted = true
 	return a
@@ -153,8 +153,9 @@
 	}
 }
 
-// EvictIdle evicts idle connections, and new ones on which nothing has arrived during their grace period: the request
-// of a client that has just connected is in transit. It returns the number of all connections that are left.
+// EvictIdle evicts idle connections, and new ones on which nothing has arrived during their grace period. New ones have
+// a grace period because the request of a client that has just connected may be in transit. EvictIdle returns the number
+// of connections that are not closed yet.
 func (s *Conns) EvictIdle() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/downstream/phase.go
+++ b/internal/downstream/phase.go
@@ -8,7 +8,7 @@
 // The phases of a connection.
 const (
 	PhaseNew       Phase = iota // no request has been read yet
-	PhaseReading                // a request's head has been read, and its body may not have been
+	PhaseReading                // a request's head has been read; its body may be incomplete
 	PhaseActive                 // a request is open: it waits for its response
 	PhaseIdle                   // the response is written, and the head of the next request has not been read
 	PhaseLingering              // the last response is written; bytes that still arrive are discarded
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -14,12 +14,12 @@
 	"settings":{"lanes":[{"name":"view","effect":"read_like","target-ms":500,"deadline-ms":900}],
 	"limits":{"conn-idle-ms":60000.0,"connect-timeout-ms":250.0,"max-attempts":4},"zone":"chavara","tick-ms":5}}`
 
-// validConfigWith is goodConfig with a part replaced, which must be there.
+// validConfigWith returns validConfig with old replaced by replacement. It fails the test if that changes nothing.
 func validConfigWith(t *testing.T, old, replacement string) []byte {
 	t.Helper()
 	text := strings.Replace(validConfig, old, replacement, 1)
 	if text == validConfig {
-		t.Fatalf("%s is not in the configuration, or replaced by itself", old)
+		t.Fatalf("%s is not in validConfig, or is replaced by itself", old)
 	}
 	return []byte(text)
 }
--- a/internal/node/deadlineheader_test.go
+++ b/internal/node/deadlineheader_test.go
@@ -140,7 +140,7 @@
 
 func testDeadlineAfterADelayBeforeTheWrite(t *testing.T) {
 	server, deadlines := newDeadlineServer(t)
-	peeks := newGate(2) // one by the reader of the connection, one for bytes that arrived before the request
+	peeks := newGate(2) // one by the reader of the connection, one by the check for unsolicited bytes
 	n, _ := startNode(t, fullValueConfig(server), func(n *Node) {
 		n.upstream.Dial = func(_ context.Context, network, address string) (net.Conn, error) {
 			conn, err := net.Dial(network, address)
--- a/internal/node/departure_test.go
+++ b/internal/node/departure_test.go
@@ -68,6 +68,9 @@
 	}
 }
 
+// departWhileQueued sends a request, makes its client depart, and checks that nothing is forwarded. If held is true, the
+// module has queued the request because the only server drains; otherwise the connection to the server is being
+// established. extra is what the client sends after its request.
 func departWhileQueued(t *testing.T, held bool, method string, reset bool, extra string, mayCancel bool) {
 	server := testutil.NewServer(t, testutil.Echo)
 	state := "in_service"
@@ -128,7 +131,13 @@
 	}
 }
 
-// pipelinedDeparture is a client that pipelines requests and departs while its first request is at a certain stage.
+// pipelinedDeparture is a client that pipelines requests and departs while its first request is at a certain stage:
+//
+//   - held: the module has queued the request because all servers drain;
+//   - dial: the connection to the server is being established;
+//   - retry: the first attempt has failed, and the connection for the retry is being established;
+//   - busy loop: the request waits in the queue of the event loop, which has stopped;
+//   - in flight: an attempt has arrived at the server.
 type pipelinedDeparture struct {
 	stage, departure string
 	pipelinedBytes   int // number of bytes that the client pipelines after its request
@@ -216,7 +225,7 @@
 // configure makes the node stop at the stage at which the client departs.
 func (d *pipelinedDeparture) configure(n *Node) {
 	n.drainSchedule = drainSchedule{closeConns: time.Millisecond, answerAll: testutil.Timeout}
-	n.drainLimit = 2 * testutil.Timeout // as short as possible
+	n.drainLimit = 2 * testutil.Timeout
 	// If the machine stalls the process for the usual read timeout of 2.5 s, the node closes connections whose request
 	// it has not read.
 	n.frontend.server.ReadTimeout = 2 * testutil.Timeout
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -125,7 +125,8 @@
 	})
 	const body = "POST /note/k HTTP/1.1\r\nHost: h\r\nX-Request-Id: half\r\nX-Deadline: 60\r\n" +
 		"Content-Length: 9\r\n\r\nhal"
-	// served expects a response, and returns the connection for the next request: a new one if the response closes it.
+	// served sends a request, checks that it is served, and returns the connection for the next request, which is a new
+	// one if the response closes the connection.
 	served := func(client *testutil.Client, id string) *testutil.Client {
 		client.SendGet(id)
 		response, got := client.Response(t)
@@ -212,8 +213,8 @@
 // request.
 const fullNodeConns = 5
 
-// startFullNode starts a node that has no capacity for another connection. At the given moment of a request it evicts
-// connections, those with a partial request first.
+// startFullNode starts a node that has no capacity for another connection. At the given moment of a request ("head read"
+// or "watched") it evicts connections, those with a partial request first.
 func startFullNode(t *testing.T, server *testutil.Server, moment string) *Node {
 	t.Helper()
 	cfg := withLongObjectives(configWithServers(server))
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// The cached list of a new node may be outdated, while the agent's list is binding from the start. So the node is ready
-// once it has received the complete list, or has waited for an unresponsive agent for the startup wait.
+// The cached list of a new node may be outdated, and the agent's list takes precedence from the start. So the node is
+// ready once it has received the complete list, or has waited for an unresponsive agent for the startup wait.
 func TestNewNodeIsReadyOnceItHasTheList(t *testing.T) {
 	t.Parallel()
 	server := testutil.NewServer(t, testutil.Echo)
--- a/internal/node/discoveryfaults_test.go
+++ b/internal/node/discoveryfaults_test.go
@@ -162,7 +162,7 @@
 			time.Sleep(10 * time.Millisecond) // the slow response is the fault
 		}
 		io.Copy(io.Discard, conn)
-	default: // callSilent
+	default: // callUnanswered; calls that are refused do not reach the agent
 		io.Copy(io.Discard, conn)
 	}
 	return false
@@ -250,7 +250,7 @@
 	}
 }
 
-// start starts the node. If the row says so, calls fail from the first one on.
+// start starts the node, and makes calls fail from the first one on unless the moment is whileWatching.
 func (f *failedCallsTest) start(t *testing.T) {
 	cfg := testConfig(f.before)
 	cfg.Settings.PollDiscovery, cfg.Settings.PollWithin = f.polled, 400*time.Millisecond
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -129,8 +129,8 @@
 			} {
 				r, _ := c.from.Response(t)
 				if r.StatusCode != c.status || (r.Header.Get("Retry-After") != "") != (maxWait > 0 && c.status == 503) {
-					t.Errorf("%s: got %d, Retry-After %q; want the status of the row, Retry-After if 503",
-						c.name, r.StatusCode, r.Header.Get("Retry-After"))
+					t.Errorf("%s: got %d, Retry-After %q; want %d, and Retry-After only with 503 and a maximum above 0",
+						c.name, r.StatusCode, r.Header.Get("Retry-After"), c.status)
 				}
 			}
 			after.Send("POST", "/note/k", "after", "x", "60")
--- a/internal/node/frontend_test.go
+++ b/internal/node/frontend_test.go
@@ -212,9 +212,9 @@
 	}
 }
 
-// A client may give its last attempt all the time that it has left, which is more than usual. Because of that, the node
-// must not take the first attempts of other clients, which have shorter deadlines, for retries past their latency
-// objective, which are rejected at once.
+// A client may give its last attempt all the time that it has left, so that its deadline is longer than usual. The node
+// must not conclude from this that the first attempts of other clients, which have shorter deadlines, are retries past
+// their latency objective, which are rejected at once.
 func TestLongLastAttemptDoesNotMakeFirstAttemptsCountAsRetries(t *testing.T) {
 	t.Parallel()
 	server, received, release := testutil.NewHoldingServer(t, "held")
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -136,7 +136,7 @@
 // logTraffic writes the traffic line.
 func (l *Loop) logTraffic() { l.traffic.write(len(l.pending)) }
 
-// recordLag records the time from an event, which happened at a clock time, to its handling.
+// recordLag records the lag of an event, which is the time from at, when it happened, until now, when it is handled.
 func (l *Loop) recordLag(at time.Duration) { l.traffic.recordLag(-l.clock.Until(at)) }
 
 // handleEvent handles one event.
@@ -168,9 +168,9 @@
 	}
 }
 
-// useCachedList applies the cached list, unless a list has been applied already. The list of the agent is binding from
-// the start of the process: where lists are pushed, the cached list is not used until the agent's list has arrived or
-// discovery is considered unresponsive, and the module queues requests until then.
+// useCachedList applies the cached list, unless a list has been applied already. Where lists are pushed, the list of the
+// agent takes precedence from the start of the process: the cached list is used only when changes arrive from the agent,
+// which are relative to it, or once discovery is considered unresponsive. The module queues requests until it has a list.
 func (l *Loop) useCachedList() {
 	if !l.listApplied {
 		l.applyList(l.cachedList, true)
@@ -205,7 +205,7 @@
 		req.response <- Response{Kind: ResponseDuplicateID}
 		return
 	}
-	// The front end validated the request against the rules at that time; the module knows only the current settings.
+	// The front end validated the request against rules that may be outdated; the module knows only the current ones.
 	if rules := l.rules.Load(); req.revision != rules.revision {
 		if invalid := rules.validateClass(req); invalid != nil {
 			req.response <- Response{Kind: ResponseInvalid, reason: invalid}
--- a/internal/node/pendingrequest_test.go
+++ b/internal/node/pendingrequest_test.go
@@ -65,7 +65,7 @@
 	p := newPendingRequest(1)
 	if !p.recordDeparture(downstream.HalfClosed, time.Second) ||
 		p.recordDeparture(downstream.Disconnected, 2*time.Second) {
-		t.Error("got the wrong departure reported as first, want the first of two")
+		t.Error("got the first departure not reported as first, or the second one, want only the first reported")
 	}
 	if p.canBeServed() {
 		t.Error("got canBeServed without a written attempt, want false")
--- a/internal/node/polling_test.go
+++ b/internal/node/polling_test.go
@@ -13,8 +13,7 @@
 )
 
 // With any polling interval and after any number of failed polls, the module delays the next poll by at most a quarter
-// of the time after which a watch event counts as notified. TestLostPollIsReplacedInTime, of
-// internal/discovery, adds up the other delays.
+// of discovery.NotificationDeadline. TestLostPollIsReplacedInTime, of internal/discovery, adds up the other delays.
 func TestPollBackoffIsBoundedByTheNotificationTime(t *testing.T) {
 	for _, pollWithin := range []time.Duration{
 		0, 100 * time.Millisecond, 400 * time.Millisecond, time.Second,
@@ -33,8 +32,8 @@
 				n.loop.handleEvent(subscriptionFailed{})
 				for _, timer := range n.loop.timers.pending {
 					if delay := timer.at - before; delay > discovery.NotificationDeadline/4 {
-						t.Fatalf("polled within %v, seed %d: got delay %v, want at most NotificationDeadline/4",
-							pollWithin, seed, delay)
+						t.Fatalf("polled within %v, seed %d: got delay %v, want at most %v",
+							pollWithin, seed, delay, discovery.NotificationDeadline/4)
 					}
 				}
 			}
--- a/internal/node/readahead_test.go
+++ b/internal/node/readahead_test.go
@@ -17,7 +17,7 @@
 	client := dial(t, n)
 	client.SendGet("r0")
 	testutil.Wait(t, received, "the first request")
-	const pipelined = 800 // many times what is read at once
+	const pipelined = 800 // many more than fit into one read
 	sent := 0
 	for i := 1; i <= pipelined; i++ {
 		client.SendGet(fmt.Sprint("r", i))
--- a/internal/node/stalleddrain_test.go
+++ b/internal/node/stalleddrain_test.go
@@ -27,8 +27,8 @@
 
 // stalledDrain drains a node whose process was stalled until drainSchedule.answerAll and the drain limit had both
 // passed. The drain runs in the goroutine of the test. It calls onAnswerAll when it tells the loop to answer all
-// requests, and onLimitCheck for each later check of its limit, of which there is at least one for each check of the
-// connections.
+// requests, and onLimitCheck each time that it checks the drain limit afterwards, which it does at least once for each
+// check of the connections.
 type stalledDrain struct {
 	onAnswerAll, onLimitCheck   func()
 	answerAllCount, limitChecks int
--- a/internal/node/starttimes_test.go
+++ b/internal/node/starttimes_test.go
@@ -72,14 +72,14 @@
 	loop.machine.Advance(reportDelay)
 	loop.receive(row.complete, entries...)
 	if got := loop.endpoints.StartedAt("s"); got != started {
-		t.Errorf("the server started at %v, got %v", started, got)
+		t.Errorf("got start time %v, want %v", got, started)
 	}
 	for range 3 {
 		row.stepClock(loop, afterTheList)
 		loop.machine.Advance(time.Second)
 		loop.receive(row.complete, entries...)
 		if got := loop.endpoints.StartedAt("s"); got != started {
-			t.Errorf("the server started at %v, got %v after it was listed again", started, got)
+			t.Errorf("after the server was listed again: got start time %v, want %v", got, started)
 		}
 	}
 }
@@ -180,7 +180,8 @@
 	}
 }
 
-// Two starts of a server have different times for the module, even if both times can only be taken as the current time.
+// Two starts of a server have different times for the module, even if the node takes both of them as the current time
+// because it cannot determine them.
 // Otherwise the module would keep what it has learned about the first instance.
 func TestEachStartHasADistinctTime(t *testing.T) {
 	loop := newSimulatedLoop(t, true)
@@ -268,10 +269,10 @@
 		time.Second, -time.Second, time.Minute, -time.Minute, time.Hour, -time.Hour,
 	} {
 		if got := sentToARestartedServer(t, step, 0); !slices.Equal(got, want) {
-			t.Errorf("clock stepped by %v before the start: got %v, want the requests without steps", step, got)
+			t.Errorf("clock stepped by %v before the start: got %v, want %v as without steps", step, got, want)
 		}
 		if got := sentToARestartedServer(t, 0, step); !slices.Equal(got, want) {
-			t.Errorf("clock stepped by %v after the start: got %v, want the requests without steps", step, got)
+			t.Errorf("clock stepped by %v after the start: got %v, want %v as without steps", step, got, want)
 		}
 	}
 }
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -189,7 +189,8 @@
 		response, body := client.Response(t)
 		want := "for " + id + "\r\n\x00"
 		if response.StatusCode != http.StatusOK || body != want || response.Header.Get("Content-Type") != "a/b" {
-			t.Errorf("got %d %q, %v; want 200 %q", response.StatusCode, body, response.Header, want)
+			t.Errorf("got %d %q, header %v; want 200 %q with Content-Type a/b",
+				response.StatusCode, body, response.Header, want)
 		}
 	}
 	client.Send("POST", "/note/k", "reset", "x", "60")
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -18,7 +18,7 @@
 	errConnUnusable = errors.New("connection is unusable")
 )
 
-// Bounds of the remaining time of an attempt.
+// Constants for the remaining time of an attempt, which is forwarded to its endpoint.
 const (
 	minRemainingTime = time.Millisecond     // an attempt with less time left is not started
 	transitAllowance = 5 * time.Millisecond // subtracted for the transit from the client and to the endpoint
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -19,14 +19,15 @@
 // A goroutine reads it for as long as it is open, so that an idle connection is removed from the pool as soon as the
 // endpoint closes it.
 //
-// An exchange is a sequence of calls of reserve, markWriting, markWritten and release; a response may arrive, and
-// end the exchange, before the request is written. The caller of its methods holds Pool.mu, except for readResponse,
-// which only the goroutine that reads the connection calls.
+// An exchange is a request and its response. It is a sequence of calls of reserve (for a new connection: newConn),
+// markWriting, markWritten and release; a response may arrive, and end the exchange, before the request is written. The
+// caller of the methods holds Pool.mu, except for readResponse, which only the goroutine that reads the connection
+// calls.
 type conn struct {
 	net.Conn
 	instance endpointlist.Instance
-	limited  *http1.LimitedReader
-	reader   *bufio.Reader // reads from limited; empty between responses
+	limited  *http1.LimitedReader // reads from Conn, and limits the length of a response
+	reader   *bufio.Reader        // reads from limited; empty between responses
 
 	waiter     chan exchangeResult // receives one result for the attempt in progress; nil if there is none
 	idleSince  time.Duration       // clock time
--- a/internal/upstream/encode.go
+++ b/internal/upstream/encode.go
@@ -19,7 +19,7 @@
 const headSizeHint = 512
 
 // deadlineValueWidth is the length of the value of X-Deadline in a request to an endpoint, in bytes. The value is the
-// time that the node will wait, in seconds with milliseconds; the maximum is one hour.
+// time that the node will wait, in seconds with at least three decimals; the maximum is one hour.
 const deadlineValueWidth = len("3600.000")
 
 // encodedRequest is a request in its HTTP/1.1 form, ready to be written to an endpoint.
@@ -55,7 +55,7 @@
 		return encodedRequest{}, fmt.Errorf("encode request %s: %w", r.ID, err)
 	}
 	text := buf.Bytes()
-	const field = "\r\nX-Deadline: " // is not part of an earlier value, as no value contains a line end
+	const field = "\r\nX-Deadline: " // cannot be part of an earlier value, as no value contains a line end
 	start := bytes.Index(text, []byte(field)) + len(field)
 	return encodedRequest{text: text, deadlineValue: text[start : start+deadlineValueWidth]}, nil
 }
--- a/internal/upstream/encode_test.go
+++ b/internal/upstream/encode_test.go
@@ -16,7 +16,7 @@
 		t.Run(remaining.String(), func(t *testing.T) {
 			value := []byte(strings.Repeat("0", deadlineValueWidth))
 			if !writeDeadlineValue(value, remaining) {
-				t.Error("the deadline is not forwarded")
+				t.Error("writeDeadlineValue returned false, want true")
 			}
 			seconds, err := strconv.ParseFloat(string(value), 64)
 			if lost := remaining.Seconds() - seconds; err != nil || lost < 0 || lost > 0.0010001 {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -32,7 +32,7 @@
 // The exported fields must not be changed after the first attempt has started.
 type Pool struct {
 	Dial       netdial.Func  // opens connections; NewPool sets a dialer with the connect timeout
-	Allowance  func() int    // a current limit that applies together with maxConns; it may call Connections
+	Allowance  func() int    // returns a limit that applies in addition to maxConns; may call Connections
 	ReuseDelay time.Duration // see DefaultReuseDelay; limited to a fraction of the idle timeout
 
 	clock    monotime.Clock
--- a/internal/upstream/response.go
+++ b/internal/upstream/response.go
@@ -58,9 +58,9 @@
 // readResponse reads one response, records the clock time of its end, and reports whether the connection is reusable.
 //
 // Only a complete 200 is a success, and only a complete response proves that a request never ran. A response
-// without a length ends with the connection; its body is read to that end only for a 200, because no other response
-// becomes conclusive by it. Bytes that follow a response do not invalidate it, but make the connection not reusable,
-// as they could not be distinguished from the next response.
+// without a length ends with the connection. Its body is read only for a 200: any other status without a length counts
+// as a server error, whether its body is complete or not. Bytes that follow a response do not invalidate it, but make
+// the connection not reusable, as they could not be distinguished from the next response.
 func (c *conn) readResponse(clock monotime.Clock) (response exchangeResult, reusable bool) {
 	c.limited.Remaining = maxResponseOverhead
 	resp, err := readHead(c.reader)
