--- a/internal/downstream/conn.go
+++ b/internal/downstream/conn.go
@@ -40,7 +40,7 @@
 	deadline        time.Time // the read deadline that net/http has set, or requestDeadline in its place
 	requestDeadline time.Time // when readTimeout expires; zero while no request is being read
 	readInterrupted bool      // the read deadline is in the past, to evict the connection
-	readAborted     bool      // bytes that arrive do not revoke readInterrupted
+	readAborted     bool      // set by abortRead: bytes that arrive do not revoke readInterrupted
 }
 
 // pastDeadline is a deadline that ends a wait at once. It is an hour back, so that a step of the wall clock can't
--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -154,8 +154,8 @@
 }
 
 // EvictIdle evicts idle connections, and new ones on which nothing has arrived during their grace period. New ones have
-// a grace period because the request of a client that has just connected may be in transit. EvictIdle returns the number
-// of connections that are not closed yet.
+// a grace period because the request of a client that has just connected may be in transit. EvictIdle returns the
+// number of connections that are not closed yet.
 func (s *Conns) EvictIdle() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -133,22 +133,23 @@
 // parseSettings decodes the settings object twice: into the settings of the node, which the caller validates, and into
 // those of the decision module, which are validated here.
 func parseSettings(text json.RawMessage) (settingsFile, balancer.Settings, error) {
-	var own settingsFile
+	var nodeSettings settingsFile
 	if len(text) == 0 {
-		return own, balancer.Settings{}, &ConfigError{Field: "settings", Err: errors.New("settings are missing")}
+		return nodeSettings, balancer.Settings{},
+			&ConfigError{Field: "settings", Err: errors.New("settings are missing")}
 	}
-	if err := json.Unmarshal(text, &own); err != nil {
-		return own, balancer.Settings{}, newFieldError("settings", err)
+	if err := json.Unmarshal(text, &nodeSettings); err != nil {
+		return nodeSettings, balancer.Settings{}, newFieldError("settings", err)
 	}
 	balancerSettings, err := settings.Parse(text)
 	if err != nil {
 		// The message of err starts with "settings".
-		return own, balancerSettings, &ConfigError{Field: "settings", Err: err}
+		return nodeSettings, balancerSettings, &ConfigError{Field: "settings", Err: err}
 	}
 	if err := balancerSettings.Validate(); err != nil {
-		return own, balancerSettings, newFieldError("settings", err)
+		return nodeSettings, balancerSettings, newFieldError("settings", err)
 	}
-	return own, balancerSettings, nil
+	return nodeSettings, balancerSettings, nil
 }
 
 // validate checks the fields outside the settings, and returns the parsed seed.
--- a/internal/node/departure_test.go
+++ b/internal/node/departure_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// departWhileQueued sends a request, makes its client depart, and checks that nothing is forwarded. If held is true, the
-// module has queued the request because the only server drains; otherwise the connection to the server is being
+// departWhileQueued sends a request, makes its client depart, and checks that nothing is forwarded. If held is true,
+// the module has queued the request because the only server drains; otherwise the connection to the server is being
 // established. extra is what the client sends after its request.
 func departWhileQueued(t *testing.T, held bool, method string, reset bool, extra string, mayCancel bool) {
 	server := testutil.NewServer(t, testutil.Echo)
--- a/internal/node/descriptors_test.go
+++ b/internal/node/descriptors_test.go
@@ -213,8 +213,8 @@
 // request.
 const fullNodeConns = 5
 
-// startFullNode starts a node that has no capacity for another connection. At the given moment of a request ("head read"
-// or "watched") it evicts connections, those with a partial request first.
+// startFullNode starts a node that has no capacity for another connection. At the given moment of a request ("head
+// read" or "watched") it evicts connections, those with a partial request first.
 func startFullNode(t *testing.T, server *testutil.Server, moment string) *Node {
 	t.Helper()
 	cfg := withLongObjectives(configWithServers(server))
--- a/internal/node/drain_test.go
+++ b/internal/node/drain_test.go
@@ -59,11 +59,11 @@
 func TestQueuedConnectionsAreServedBeforeTheListenerCloses(t *testing.T) {
 	t.Parallel()
 	server := testutil.NewServer(t, testutil.Echo)
-	gate, shut := make(chan struct{}), make(chan struct{}, 1)
+	gate, deadlineSet := make(chan struct{}), make(chan struct{}, 1)
 	n, stop := startNode(t, configWithServers(server), func(n *Node) {
 		n.drainSchedule = drainSchedule{closeConns: time.Millisecond, answerAll: testutil.Timeout}
 		n.drainLimit = 2 * testutil.Timeout
-		n.listener = gatedListener{n.listener.(*net.TCPListener), gate, shut}
+		n.listener = gatedListener{n.listener.(*net.TCPListener), gate, deadlineSet}
 	})
 	var queued []*testutil.Client
 	for i := range 5 {
@@ -73,7 +73,7 @@
 	}
 	stopped := make(chan error, 1)
 	go func() { stopped <- stop() }()
-	testutil.Wait(t, shut, "the deadline of the listener")
+	testutil.Wait(t, deadlineSet, "the deadline of the listener")
 	close(gate)
 	for i, client := range queued {
 		client.Expect(t, 200, fmt.Sprint("for queued-", i))
--- a/internal/node/lists_test.go
+++ b/internal/node/lists_test.go
@@ -44,7 +44,7 @@
 
 // A malformed list is discarded as a whole, and the complete list is requested.
 func TestMalformedListIsDiscarded(t *testing.T) {
-	s1, bad := testutil.ListEntry("s1", "127.0.0.1:1", "in_service"), func(entries ...string) string {
+	s1, listText := testutil.ListEntry("s1", "127.0.0.1:1", "in_service"), func(entries ...string) string {
 		return strings.Replace(testutil.CompleteList(entries...), "%d", "2", 1)
 	}
 	for name, text := range map[string]string{
@@ -53,11 +53,11 @@
 		"not an object":      "[]",
 		"no all":             `{"rev":2,"targets":[]}`,
 		"no rev":             `{"all":true,"targets":[]}`,
-		"a name for address": bad(s1, testutil.ListEntry("s2", "name:80", "in_service")),
-		"an unknown state":   bad(testutil.ListEntry("s1", "127.0.0.1:1", "asleep")),
-		"no uid":             bad(testutil.ListEntry("", "127.0.0.1:1", "in_service")),
-		"a uid twice":        bad(s1, testutil.ListEntry("s1", "127.0.0.1:2", "in_service")),
-		"a negative start":   bad(`{"uid":"s1","endpoint":"127.0.0.1:1","state":"in_service","boot_ms":-1}`),
+		"a name for address": listText(s1, testutil.ListEntry("s2", "name:80", "in_service")),
+		"an unknown state":   listText(testutil.ListEntry("s1", "127.0.0.1:1", "asleep")),
+		"no uid":             listText(testutil.ListEntry("", "127.0.0.1:1", "in_service")),
+		"a uid twice":        listText(s1, testutil.ListEntry("s1", "127.0.0.1:2", "in_service")),
+		"a negative start":   listText(`{"uid":"s1","endpoint":"127.0.0.1:1","state":"in_service","boot_ms":-1}`),
 	} {
 		if list, err := endpointlist.Parse([]byte(text)); err == nil || list.Entries != nil {
 			t.Errorf("%s: got list %v, error %v; want an empty list and an error", name, list, err)
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -168,9 +168,10 @@
 	}
 }
 
-// useCachedList applies the cached list, unless a list has been applied already. Where lists are pushed, the list of the
-// agent takes precedence from the start of the process: the cached list is used only when changes arrive from the agent,
-// which are relative to it, or once discovery is considered unresponsive. The module queues requests until it has a list.
+// useCachedList applies the cached list, unless a list has been applied already. Where lists are pushed, the list of
+// the agent takes precedence from the start of the process: the cached list is used only when changes arrive from the
+// agent, which are relative to it, or once discovery is considered unresponsive. The module queues requests until it
+// has a list.
 func (l *Loop) useCachedList() {
 	if !l.listApplied {
 		l.applyList(l.cachedList, true)
--- a/internal/node/polling_test.go
+++ b/internal/node/polling_test.go
@@ -32,8 +32,8 @@
 				n.loop.handleEvent(subscriptionFailed{})
 				for _, timer := range n.loop.timers.pending {
 					if delay := timer.at - before; delay > discovery.NotificationDeadline/4 {
-						t.Fatalf("polled within %v, seed %d: got delay %v, want at most %v",
-							pollWithin, seed, delay, discovery.NotificationDeadline/4)
+						t.Fatalf("polled within %v, seed %d: got delay %v, want at most NotificationDeadline/4",
+							pollWithin, seed, delay)
 					}
 				}
 			}
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -12,8 +12,8 @@
 )
 
 // moduleSettings returns the settings as passed to the module. The module derives its polling intervals from
-// PollWithin. A change of the endpoint list counts as known to the node after discovery.NotificationDeadline, so no poll
-// may be delayed longer than that.
+// PollWithin. A change of the endpoint list counts as known to the node after discovery.NotificationDeadline, so no
+// poll may be delayed longer than that.
 func moduleSettings(cfg Config) balancer.Settings {
 	settings := cfg.Settings
 	settings.PollWithin = min(settings.PollWithin, discovery.NotificationDeadline)
--- a/internal/node/requestvalidation.go
+++ b/internal/node/requestvalidation.go
@@ -92,8 +92,8 @@
 }
 
 // validateHead checks the head of a request against the rules, and sets the request's class, deadline and expected
-// work. The deadline is relative to the first byte of the request; readRequest converts it to a clock time. validateHead
-// has to reject an unknown class: an endpoint would answer such a request with an error, which the decision module would
+// work. The deadline is relative to the first byte of the request; readRequest converts it to a clock time. An unknown
+// class has to be rejected here: an endpoint would answer such a request with an error, which the decision module would
 // count as a failure of the endpoint.
 func (r *requestRules) validateHead(req *request, httpRequest *http.Request) error {
 	if err := req.readClass(httpRequest); err != nil {
--- a/internal/node/starttimes_test.go
+++ b/internal/node/starttimes_test.go
@@ -72,14 +72,14 @@
 	loop.machine.Advance(reportDelay)
 	loop.receive(row.complete, entries...)
 	if got := loop.endpoints.StartedAt("s"); got != started {
-		t.Errorf("got start time %v, want %v", got, started)
+		t.Errorf("the server started at %v, got %v", started, got)
 	}
 	for range 3 {
 		row.stepClock(loop, afterTheList)
 		loop.machine.Advance(time.Second)
 		loop.receive(row.complete, entries...)
 		if got := loop.endpoints.StartedAt("s"); got != started {
-			t.Errorf("after the server was listed again: got start time %v, want %v", got, started)
+			t.Errorf("the server started at %v, got %v after it was listed again", started, got)
 		}
 	}
 }
@@ -269,10 +269,10 @@
 		time.Second, -time.Second, time.Minute, -time.Minute, time.Hour, -time.Hour,
 	} {
 		if got := sentToARestartedServer(t, step, 0); !slices.Equal(got, want) {
-			t.Errorf("clock stepped by %v before the start: got %v, want %v as without steps", step, got, want)
+			t.Errorf("clock stepped by %v before the start: got %v, want the requests without steps", step, got)
 		}
 		if got := sentToARestartedServer(t, 0, step); !slices.Equal(got, want) {
-			t.Errorf("clock stepped by %v after the start: got %v, want %v as without steps", step, got, want)
+			t.Errorf("clock stepped by %v after the start: got %v, want the requests without steps", step, got)
 		}
 	}
 }
