--- a/internal/node/starttimes_test.go
+++ b/internal/node/starttimes_test.go
@@ -180,7 +180,8 @@
 	}
 }
 
-// Two starts of a server have different times for the module, even if both times can only be taken as the current time.
+// Two starts of a server have different times for the module, even if the node takes both of them as the current time
+// because it cannot determine them.
 // Otherwise the module would keep what it has learned about the first instance.
 func TestEachStartHasADistinctTime(t *testing.T) {
 	loop := newSimulatedLoop(t, true)
