--- a/cmd/balancer/helpers_test.go
+++ b/cmd/balancer/helpers_test.go
@@ -37,7 +37,7 @@
 	os.Exit(code)
 }
 
-// build builds the commands that deploy/balancer.toml runs. Tests must not write to the build's folder.
+// build builds the commands that deploy/balancer.toml runs. Tests must not write to the build's directory.
 func build(t *testing.T) {
 	t.Helper()
 	readSources(t) // the result of each test depends on the sources
@@ -54,7 +54,7 @@
 			return string(m[1])
 		}
 		run, sim := command("run"), command("sim")
-		//nolint:usetesting // The folder is shared by all tests of the package.
+		//nolint:usetesting // The directory is shared by all tests of the package.
 		if program.dir, err = os.MkdirTemp("", "balancer"); err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/balancer/main_test.go
+++ b/cmd/balancer/main_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// TestSimStarts checks that the sim command of deploy/balancer.toml starts and completes an empty input block.
+// TestSimStarts checks that the sim command of deploy/balancer.toml starts and replies to an empty batch.
 func TestSimStarts(t *testing.T) {
 	build(t)
 	cmd := exec.Command("/bin/sh", "-c", program.sim)
@@ -58,7 +58,7 @@
 	}
 	if c, err := net.Dial("tcp", address); err == nil {
 		c.Close()
-		t.Fatal("the address still accepts connections after the process has ended")
+		t.Fatal("the address still accepts connections after the process has ended, want them refused")
 	}
 }
 
--- a/cmd/balancer/registry_test.go
+++ b/cmd/balancer/registry_test.go
@@ -40,11 +40,11 @@
 }
 
 // set changes the list, its version and the state.
-func (reg *registry) set(t *testing.T, rev int, list string, newState registryState) {
+func (reg *registry) set(t *testing.T, newVersion int, list string, newState registryState) {
 	t.Helper()
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
-	reg.version, reg.list, reg.state = rev, list, newState
+	reg.version, reg.list, reg.state = newVersion, list, newState
 	switch {
 	case newState == refusing && reg.server != nil:
 		syscall.Shutdown(reg.fd, syscall.SHUT_RDWR) // stops listening but stays bound
@@ -71,13 +71,13 @@
 
 // fetched returns a channel that is closed once a node has received the list of a version, that is, polls for changes
 // since that version.
-func (reg *registry) fetched(rev int) chan struct{} {
+func (reg *registry) fetched(version int) chan struct{} {
 	reg.mu.Lock()
 	defer reg.mu.Unlock()
-	if reg.polledFrom[rev] == nil {
-		reg.polledFrom[rev] = make(chan struct{})
+	if reg.polledFrom[version] == nil {
+		reg.polledFrom[version] = make(chan struct{})
 	}
-	return reg.polledFrom[rev]
+	return reg.polledFrom[version]
 }
 
 func (reg *registry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -90,11 +90,11 @@
 	if !isClosed(fetched) {
 		close(fetched)
 	}
-	currentState, rev, list := reg.state, reg.version, reg.list
+	currentState, currentVersion, list := reg.state, reg.version, reg.list
 	reg.mu.Unlock()
 	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
-	if currentState == available && from != rev {
-		fmt.Fprintf(w, `{"rev":%d,"all":true,"targets":[%s]}`, rev, list)
+	if currentState == available && from != currentVersion {
+		fmt.Fprintf(w, `{"rev":%d,"all":true,"targets":[%s]}`, currentVersion, list)
 		return
 	}
 	if currentState == available {
@@ -107,7 +107,7 @@
 			currentState = reg.state
 			reg.mu.Unlock()
 			if currentState == available {
-				fmt.Fprintf(w, `{"rev":%d,"all":false,"targets":[]}`, rev)
+				fmt.Fprintf(w, `{"rev":%d,"all":false,"targets":[]}`, currentVersion)
 				return
 			}
 		}
@@ -116,7 +116,7 @@
 }
 
 // newRegistry starts a registry on a port of its own.
-func newRegistry(t *testing.T, rev int, list string, state registryState) *registry {
+func newRegistry(t *testing.T, version int, list string, state registryState) *registry {
 	t.Helper()
 	// The kernel keeps the port of a socket that stops listening only if the socket was bound to that port by number.
 	bindSocket := func(port int) (int, int, error) {
@@ -148,9 +148,9 @@
 		return err == nil
 	})
 	reg := &registry{fd: fd, addr: fmt.Sprintf("127.0.0.1:%d", port), polledFrom: map[int]chan struct{}{}}
-	reg.set(t, rev, list, state)
+	reg.set(t, version, list, state)
 	t.Cleanup(func() {
-		reg.set(t, rev, list, refusing)
+		reg.set(t, version, list, refusing)
 		syscall.Close(fd)
 	})
 	return reg
--- a/cmd/balancer/reload_test.go
+++ b/cmd/balancer/reload_test.go
@@ -51,7 +51,7 @@
 	if state := p.cmd.ProcessState; !state.Success() {
 		t.Errorf("the process ended with %v, want exit status 0; log:\n%s", state, p.logText())
 	}
-	t.Logf("%d responses, %d times new settings", l.responses.Load(), strings.Count(p.logText(), "are in force"))
+	t.Logf("%d responses, settings in force %d times", l.responses.Load(), strings.Count(p.logText(), "are in force"))
 }
 
 // checkClassesOfLastFile waits until the class that only the last file has is served, and checks that the class of
--- a/cmd/balancer/restart_test.go
+++ b/cmd/balancer/restart_test.go
@@ -33,16 +33,16 @@
 	}
 	for _, cmd := range commands {
 		if cmd.Wait() == nil {
-			t.Error("the program exited with status 0 without a configuration")
+			t.Error("the program exited with status 0 without a configuration, want an error")
 		}
 	}
 	return time.Since(started)
 }
 
 // TestRestartedFleetIsReadyInTime ends twenty nodes, once by SIGKILL and once by SIGTERM, and restarts them at their
-// addresses in each state of discovery. Nine of ten must be ready within 10 s. Five times what this machine takes to
-// start as many processes is added, so that the time that the program itself waits decides. That is 1 s at most
-// (startupWait), so that the test passes on a machine several times slower.
+// addresses in each state of discovery. Nine of ten must be ready within 10 s plus five times what this machine takes
+// to start as many processes, so that a slow machine does not fail the test. The program itself waits for 1 s at most
+// (startupWait).
 func TestRestartedFleetIsReadyInTime(t *testing.T) {
 	build(t)
 	for row, mode := range []string{"pushed", "on_request"} {
--- a/cmd/fleetscale/reportfile_test.go
+++ b/cmd/fleetscale/reportfile_test.go
@@ -128,7 +128,7 @@
 		}
 		writer.rename = func(from, to string) error { steps = append(steps, "rename"); return os.Rename(from, to) }
 		writer.syncDir = func(name string) error {
-			steps = append(steps, "sync folder")
+			steps = append(steps, "sync directory")
 			if name != filepath.Dir(path) {
 				t.Errorf("directory %s is synced, want that of the report", name)
 			}
@@ -138,8 +138,8 @@
 			t.Fatal(err)
 		}
 		checkDirectory(t, path, newReport)
-		if got := strings.Join(steps, ", "); got != "sync, close, rename, sync folder" {
-			t.Errorf("steps %s, want sync, close, rename, sync folder", got)
+		if got := strings.Join(steps, ", "); got != "sync, close, rename, sync directory" {
+			t.Errorf("steps %s, want sync, close, rename, sync directory", got)
 		}
 		if info, err := os.Stat(path); err != nil || info.Mode() != reportMode {
 			t.Errorf("error %v, mode %v, want 0644", err, info.Mode())
--- a/examples/quickstart/report.go
+++ b/examples/quickstart/report.go
@@ -28,6 +28,6 @@
 		}
 		fmt.Fprintf(table, "\t%d\n", served[""])
 	}
-	_ = table.Flush() // out keeps its first error
+	_ = table.Flush() // like fmt.Fprint, ignores a failed write to out
 	fmt.Fprintf(out, "\nthe node's traffic line (docs/OPERATIONS.md explains it):\n%s\n", trafficLine)
 }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -26,7 +26,7 @@
 type Client struct {
 	// Hold is the long-poll timeout: how long the server may withhold its response while nothing changes.
 	Hold time.Duration
-	// Grace is how long after Hold a response may arrive before the poll is canceled.
+	// Grace is how long after Hold a response may arrive before the poll is cancelled.
 	Grace time.Duration
 	// StartupWait is the time from the start of Run to the call of Handler.AgentUnresponsive.
 	StartupWait time.Duration
@@ -37,7 +37,7 @@
 
 	handler         Handler
 	log             *slog.Logger
-	polled          bool
+	polled          bool          // the registry is polled; otherwise an agent pushes lists
 	subscribeSignal chan struct{} // buffers one subscription that runPolled has not served yet
 
 	mu      sync.Mutex
@@ -79,7 +79,7 @@
 
 // SetAddress moves the watch to another address. Versions are specific to an address, so the first poll there
 // requests the complete list; the node's current list remains in use until that arrives. The poll of the old address
-// is canceled, and the first poll of the new address needs no Subscribe.
+// is cancelled, and the first poll of the new address needs no Subscribe.
 func (c *Client) SetAddress(addr string) {
 	c.mu.Lock()
 	old := c.current
--- a/internal/discovery/listbody_test.go
+++ b/internal/discovery/listbody_test.go
@@ -60,7 +60,7 @@
 		{"broken", fmt.Sprintf(withLength, 90, `{"rev":8,"all":true,"targets":[`), 7},
 		{"broken after the list", fmt.Sprintf(withLength, 90, `{"rev":8,"all":true,"targets":[]}`), 7},
 		{"broken in a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20\r\n" + `{"rev":8,"all"`, 7},
-		{"cut", fmt.Sprintf(withLength, 31, `{"rev":8,"all":true,"targets":[`), NoVersion},
+		{"complete but malformed", fmt.Sprintf(withLength, 31, `{"rev":8,"all":true,"targets":[`), NoVersion},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/discovery/polled_test.go
+++ b/internal/discovery/polled_test.go
@@ -25,13 +25,13 @@
 	}
 	select {
 	case query := <-agent.Queries:
-		t.Errorf("polled with query %q without a Subscribe", query)
+		t.Errorf("polled with query %q, want no poll without a Subscribe", query)
 	default:
 	}
 }
 
 // Where lists are polled, a change of address starts a watch even if none is in progress: the changes at the new
-// address count as notified whether it was polled or not.
+// address count as known to the node whether it has polled for them or not.
 func TestAddressChangeStartsAWatch(t *testing.T) {
 	agent := testutil.NewRegistryAgent(t)
 	agent.Set(false, testutil.CompleteList(testutil.ListEntry("s1", "127.0.0.1:1", "in_service")))
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -15,12 +15,12 @@
 // Durations of a watch.
 //
 // A lost poll must be replaced within NotificationDeadline. The worst case is shorter: once discovery has stopped
-// responding, the poll is canceled after hold and grace; where lists are pushed, a dial and response headers that
+// responding, the poll is cancelled after hold and grace; where lists are pushed, a dial and response headers that
 // never arrive cost agentCheckTimeout and retryInterval once more; where the registry is polled, the next poll follows
 // after retryInterval or a quarter of the poll interval from the settings (which is 6 s at most), whichever is longer.
 // TestLostPollIsReplacedInTime adds these up.
 //
-// An agent that became unresponsive during a poll does not respond to it even after it recovers, so a poll is canceled
+// An agent that became unresponsive during a poll does not respond to it even after it recovers, so a poll is cancelled
 // shortly after its hold. Where lists are pushed, the list that the agent receives when discovery recovers counts as
 // known to the node at once, and draining endpoints must be avoided 250 ms later. So the hold is shorter than an
 // outage: the outage is detected before it ends, and from then on the agent, which is local and cheap to poll, is
@@ -77,9 +77,9 @@
 }
 
 // runPolled serves subscriptions until ctx ends. A subscription is a series of polls that ends with the first failure,
-// which is reported; the policy then subscribes again after a delay of its own. That delay is a fraction of the
-// configured poll interval and may be close to 0, and a refused connection fails at once. So the next poll also waits
-// for retryInterval, or until the watch moves to another address.
+// which is reported; the balancer module then subscribes again after a delay of its own. That delay is a fraction of
+// the configured poll interval and may be close to 0, and a refused connection fails at once. So the next poll also
+// waits for retryInterval, or until the watch moves to another address.
 func (c *Client) runPolled(ctx context.Context) {
 	for {
 		select {
@@ -93,7 +93,7 @@
 }
 
 // pollSubscribed makes one poll of a subscription, and reports whether another one follows without a new subscription.
-// A poll that failed because of a local fault never reached the registry: the policy need not delay the next one, and
+// A poll that failed because of a local fault never reached the registry: the module need not delay the next one, and
 // is not notified.
 func (c *Client) pollSubscribed(ctx context.Context) (again bool) {
 	address := c.currentAddress()
@@ -120,7 +120,7 @@
 }
 
 // poll sends one poll request and passes the result to the handler. During the poll, a suspect agent is also
-// health-checked: if it responds to the check, the poll is known to be lost and is canceled, and responds is true.
+// health-checked: if it responds to the check, the poll is known to be lost and is cancelled, and responds is true.
 //
 // A successful poll returns after minPollInterval at the earliest, which paces consecutive polls.
 func (c *Client) poll(
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -12,8 +12,8 @@
 	"basaltdrum/internal/testutil"
 )
 
-// startChangingAgent starts an agent that responds to each poll at once with a list of one more server, up to a number
-// of polls, and withholds its response from then on. It reports the versions that it has sent.
+// startChangingAgent starts an agent that responds to each of its first polls at once with the entry of another server,
+// and to none after them. It reports the versions that it has sent.
 func startChangingAgent(t *testing.T, polls int) (address string, sent <-chan int) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -149,11 +149,11 @@
 	}
 }
 
-// However a poll is lost, the next one is sent early enough that its list arrives before it counts as notified. Where
-// lists are polled, the policy delays each poll by a quarter of NotificationDeadline at most
+// However a poll is lost, the next one is sent early enough that its list arrives before it counts as known to the
+// node. Where lists are polled, the module delays each poll by a quarter of NotificationDeadline at most
 // (TestPollBackoffIsBoundedByTheNotificationTime).
 func TestLostPollIsReplacedInTime(t *testing.T) {
-	const longestPolicyDelay = NotificationDeadline / 4
+	const maxSubscribeDelay = NotificationDeadline / 4
 	for _, row := range []struct {
 		name   string
 		polled bool
@@ -161,7 +161,7 @@
 	}{
 		{"pushed", false, retryInterval},
 		{"polled, retried at once", true, retryInterval},
-		{"polled, retried after the policy's longest delay", true, max(retryInterval, longestPolicyDelay)},
+		{"polled, retried after the module's longest delay", true, max(retryInterval, maxSubscribeDelay)},
 	} {
 		c, _ := newClient(t, Config{Address: "127.0.0.1:1", Polled: row.polled, Version: NoVersion})
 		// The interval, the lost poll, a wait, a dial that is never established, another wait, and the next poll.
--- a/internal/endpointlist/boottime.go
+++ b/internal/endpointlist/boottime.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// offsetTolerance is the difference between two offsets of the wall clock from the monotonic one that does not
-	// count as a step: the two clocks are read one after the other, and the wall clock is slewed continuously.
+	// offsetTolerance is the largest difference at which two offsets between the wall clock and the monotonic one
+	// count as the same: the clocks are read one after the other, and the wall clock is slewed continuously.
 	offsetTolerance = 10 * time.Millisecond
 	// futureTolerance is how far in the future a start may lie and still count as now: boot_ms is rounded, and the
 	// clocks of machines differ slightly.
@@ -25,15 +25,15 @@
 // bootClock converts boot_ms, which is Unix time, to times of the node's clock, which is monotonic.
 //
 // The wall clock may be set at any moment, also between the start of an endpoint and the list that announces it,
-// and boot_ms does not show which setting of the clock it was read under. So the offsets between the two clocks
+// and boot_ms does not tell at which setting of the clock it was read. So the offsets between the two clocks
 // that this process has observed are stored, a start is converted by each of them, and the latest result that is
 // not in the future is used. An endpoint that is assumed to be younger than it is receives less traffic for a while;
 // one that is assumed to be older may be overloaded during its slow start.
 //
-// Two facts bound the result. No start lies in the future. And an endpoint whose boot_ms changes had not restarted
-// when the list was last known to be current (if lists are late, the endpoint counts as younger by that delay). The
-// second bound does not apply to an entry that the previous list does not have: the endpoint may have been running
-// already, and may have been registered late or omitted while it was unreachable.
+// Two facts bound the result. No start lies in the future. And an endpoint whose boot_ms changes has restarted since
+// the list was last known to be current (if lists are late, the endpoint counts as younger by that delay). The second
+// bound does not apply to an entry that the previous list does not have: the endpoint may have been running already,
+// and may have been registered late or omitted while it was unreachable.
 //
 // It is used only by the goroutine of its Table.
 type bootClock struct {
--- a/internal/endpointlist/parser.go
+++ b/internal/endpointlist/parser.go
@@ -23,7 +23,7 @@
 	Entries  []Entry
 }
 
-// Entry is an entry of a list: the endpoint as the policy knows it, with its address and its start.
+// Entry is an entry of a list: the endpoint as package balancer represents it, with its address and its start.
 type Entry struct {
 	balancer.Endpoint // its StartedAt is set by Table.SetStartTimes
 	Address           string
@@ -40,7 +40,7 @@
 	BootMS       float64 // start of the process as listed: Unix time in milliseconds
 }
 
-// endpointStates maps the states of the registry to those of the policy.
+// endpointStates maps the states of the registry to those of package balancer.
 var endpointStates = map[string]balancer.EndpointState{
 	"in_service":  balancer.Ready,
 	"terminating": balancer.Draining,
--- a/internal/fleet/helpers_test.go
+++ b/internal/fleet/helpers_test.go
@@ -108,14 +108,14 @@
 }
 
 // find records and returns the existing processes of the test, including zombies.
-func (w *processTracker) find() (found []int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (p *processTracker) find() (found []int) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	for _, pid := range children() {
-		if !w.seen[pid] && processMentions(pid, w.dir) {
-			w.seen[pid] = true
+		if !p.seen[pid] && processMentions(pid, p.dir) {
+			p.seen[pid] = true
 		}
-		if w.seen[pid] {
+		if p.seen[pid] {
 			found = append(found, pid)
 		}
 	}
@@ -123,14 +123,14 @@
 }
 
 // checkEnded fails the test if no process was recorded, or if one still exists, even as a zombie.
-func (w *processTracker) checkEnded(t *testing.T) {
+func (p *processTracker) checkEnded(t *testing.T) {
 	t.Helper()
-	if left := w.find(); len(left) > 0 {
+	if left := p.find(); len(left) > 0 {
 		t.Errorf("processes are left: %v", left)
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if len(w.seen) == 0 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if len(p.seen) == 0 {
 		t.Error("the run started no process of its own that the test could find")
 	}
 }
--- a/internal/fleet/load/arrivals_test.go
+++ b/internal/fleet/load/arrivals_test.go
@@ -33,12 +33,12 @@
 	for range count {
 		at := arrivals.Next()
 		if at != same.Next() {
-			t.Fatal("the same seed and stream give different times")
+			t.Fatal("the same seed and stream give different times, want the same")
 		}
 		differ = differ || at != other.Next()
 	}
 	if !differ {
-		t.Error("different streams give the same times")
+		t.Error("different streams give the same times, want different ones")
 	}
 }
 
@@ -66,5 +66,5 @@
 func TestArrivalsStopWhenContextEnds(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	NewArrivals(1000, 3, 0).Run(ctx, time.Hour, func(time.Time) { t.Error("sent after the context has ended") })
+	NewArrivals(1000, 3, 0).Run(ctx, time.Hour, func(time.Time) { t.Error("sent after the context ended, want none") })
 }
--- a/internal/fleet/load/generator.go
+++ b/internal/fleet/load/generator.go
@@ -62,7 +62,7 @@
 
 // RunRound makes calls for the given length, and waits for their responses.
 func (g *Generator) RunRound(ctx context.Context, length time.Duration) {
-	warm := time.Now().Add(g.remainingWarmUp)
+	warmUpEnd := time.Now().Add(g.remainingWarmUp)
 	g.remainingWarmUp -= min(g.remainingWarmUp, length)
 	g.rounds++
 	var senders, calls sync.WaitGroup
@@ -70,7 +70,7 @@
 		senders.Add(1)
 		go func() {
 			defer senders.Done()
-			g.sendCalls(ctx, i, length, warm, &calls)
+			g.sendCalls(ctx, i, length, warmUpEnd, &calls)
 		}()
 	}
 	senders.Wait()
@@ -79,7 +79,7 @@
 
 // sendCalls makes one round's calls to the address with the given index. Each is counted in calls until it is answered.
 func (g *Generator) sendCalls(
-	ctx context.Context, index int, length time.Duration, warm time.Time, calls *sync.WaitGroup,
+	ctx context.Context, index int, length time.Duration, warmUpEnd time.Time, calls *sync.WaitGroup,
 ) {
 	arrivals := NewArrivals(g.spec.Rate, g.spec.Seed, uint64(g.rounds*len(g.spec.Addresses)+index))
 	sent := 0
@@ -90,7 +90,7 @@
 		calls.Add(1)
 		go func() {
 			defer calls.Done()
-			g.call(ctx, g.spec.Addresses[index], id, scheduled, scheduled.After(warm))
+			g.call(ctx, g.spec.Addresses[index], id, scheduled, scheduled.After(warmUpEnd))
 		}()
 	})
 }
--- a/internal/fleet/nodes/hollow.go
+++ b/internal/fleet/nodes/hollow.go
@@ -47,8 +47,8 @@
 
 // appliedVersion is a version of a list and the time when the node applied it.
 type appliedVersion struct {
-	rev int64
-	at  time.Time
+	version int64
+	at      time.Time
 }
 
 // newHollow returns a hollow node that is not running yet; cfg.Listen and cfg.Known are not used. The loop's goroutine
@@ -183,10 +183,10 @@
 }
 
 // appliedAt returns when the node first applied a version or a newer one, and whether it has.
-func (h *hollow) appliedAt(rev int64) (time.Time, bool) {
+func (h *hollow) appliedAt(version int64) (time.Time, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	i := sort.Search(len(h.applied), func(i int) bool { return h.applied[i].rev >= rev })
+	i := sort.Search(len(h.applied), func(i int) bool { return h.applied[i].version >= version })
 	if i == len(h.applied) {
 		return time.Time{}, false
 	}
--- a/internal/fleet/nodes/hollow_test.go
+++ b/internal/fleet/nodes/hollow_test.go
@@ -89,11 +89,11 @@
 			h.attemptTime.Store(int64(time.Hour))
 			h.callWithDeadline(50 * time.Millisecond)
 			if kind := testutil.Wait(t, h.responses, "a response"); kind == node.ResponseServed {
-				t.Error("a call whose attempt takes longer than its deadline is served")
+				t.Error("a call whose attempt takes longer than its deadline is served, want it not served")
 			}
 			h.stop()
 			testutil.Wait(t, h.exited, "the hollow node to stop")
-			h.call(load.Class, testutil.Timeout, func(node.ResponseKind) { t.Error("answered after the stop") })
+			h.call(load.Class, testutil.Timeout, func(node.ResponseKind) { t.Error("got a response, want none") })
 		})
 	}
 }
--- a/internal/fleet/plan/argchecks.go
+++ b/internal/fleet/plan/argchecks.go
@@ -38,14 +38,14 @@
 	return nil
 }
 
-// conflict is a combination of arguments that can't be used together.
-type conflict struct {
+// conflictRule is a rule for arguments that are each within their range but can't be used together.
+type conflictRule struct {
 	violated bool
 	reason   string // text of the error if violated
 }
 
 // firstConflict returns a ConflictError for the first violated rule, or nil if there is none.
-func firstConflict(rules []conflict) error {
+func firstConflict(rules []conflictRule) error {
 	for _, rule := range rules {
 		if rule.violated {
 			return &ConflictError{rule.reason}
--- a/internal/fleet/plan/args.go
+++ b/internal/fleet/plan/args.go
@@ -69,13 +69,13 @@
 	if err != nil {
 		return err
 	}
-	return firstConflict(a.conflicts())
+	return firstConflict(a.conflictRules())
 }
 
-// conflicts returns the rules for arguments that are each within their range but can't be used together.
-func (a Args) conflicts() []conflict {
+// conflictRules returns the rules that the arguments of a run must meet together.
+func (a Args) conflictRules() []conflictRule {
 	nodes := a.Nodes + a.Real
-	return []conflict{
+	return []conflictRule{
 		{nodes == 0, "--nodes and --real are both 0: there is nothing to measure"},
 		{
 			a.Nodes > 0 && a.Services > a.Nodes,
--- a/internal/fleet/plan/day_test.go
+++ b/internal/fleet/plan/day_test.go
@@ -103,10 +103,10 @@
 func TestDayDependsOnItsSeedAlone(t *testing.T) {
 	day := DayEvents(dayServers, dayLength, 1)
 	if !slices.Equal(day, DayEvents(dayServers, dayLength, 1)) {
-		t.Error("the same seed gives another day")
+		t.Error("the same seed gives another day, want the same events")
 	}
 	if slices.Equal(day, DayEvents(dayServers, dayLength, 2)) {
-		t.Error("another seed gives the same day")
+		t.Error("another seed gives the same day, want other events")
 	}
 }
 
--- a/internal/fleet/plan/growthargs.go
+++ b/internal/fleet/plan/growthargs.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	err = firstConflict([]conflict{{
+	err = firstConflict([]conflictRule{{
 		a.Servers*a.Factor > maxListedServers,
 		fmt.Sprintf("--servers %d times --factor %d is more than %d", a.Servers, a.Factor, maxListedServers),
 	}})
--- a/internal/fleet/process/child_test.go
+++ b/internal/fleet/process/child_test.go
@@ -107,7 +107,7 @@
 	select {
 	case <-child.exited:
 	default:
-		t.Error("the child is still running after Stop")
+		t.Error("the child is still running after Stop, want it exited")
 	}
 	child.Stop()
 }
--- a/internal/fleet/process/usage.go
+++ b/internal/fleet/process/usage.go
@@ -30,6 +30,7 @@
 	if len(fields) < 22 {
 		return Usage{}, fmt.Errorf("usage: /proc/%d/stat has only %d fields from the state on", pid, len(fields))
 	}
+	// The fields are numbered as in proc(5): 14 and 15 are the user and system CPU time, 24 is the RSS in pages.
 	number := func(field int) int64 {
 		n, parseErr := strconv.ParseInt(string(fields[field-3]), 10, 64)
 		if parseErr != nil {
--- a/internal/fleet/runstart.go
+++ b/internal/fleet/runstart.go
@@ -24,6 +24,7 @@
 	if err = r.registry.Call(ctx, "Start", spec, &addresses); err != nil {
 		return started, err
 	}
+	// discovery returns the address at which a node gets its list, given the indexes of both.
 	discovery := func(node, list int) string {
 		if polled {
 			return addresses[list]
@@ -110,7 +111,7 @@
 	return started, nil
 }
 
-// startRealNodes starts the real nodes, waits until they are ready, and tells the servers of the chains their
+// startRealNodes starts the real nodes, waits until they are ready, and tells the servers of the chains the nodes'
 // addresses.
 func (r *run) startRealNodes(ctx context.Context, discovery func(i int) string, polled bool) (err error) {
 	if r.args.Real == 0 {
--- a/internal/fleet/standin/list.go
+++ b/internal/fleet/standin/list.go
@@ -45,7 +45,7 @@
 // list is the endpoint list of one service, with its most recent changes.
 type list struct {
 	mu         sync.Mutex
-	rev        int64
+	version    int64
 	uids       []string // in the order in which they were first listed
 	entries    map[string]ListEntry
 	changes    []change         // the most recent ones, the oldest first
@@ -55,12 +55,15 @@
 
 // change is one changed entry of a version.
 type change struct {
-	rev   int64
-	entry ListEntry
+	version int64
+	entry   ListEntry
 }
 
 func newList(listed []ListEntry) *list {
-	l := &list{rev: 1, entries: map[string]ListEntry{}, nextChange: make(chan struct{}), responses: map[int64][]byte{}}
+	l := &list{
+		version: 1, entries: map[string]ListEntry{},
+		nextChange: make(chan struct{}), responses: map[int64][]byte{},
+	}
 	for _, entry := range listed {
 		l.uids = append(l.uids, entry.UID)
 		l.entries[entry.UID] = entry
@@ -72,7 +75,7 @@
 func (l *list) change(changed []ListEntry) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.rev++
+	l.version++
 	for _, entry := range changed {
 		if _, listed := l.entries[entry.UID]; entry.State == Terminated {
 			delete(l.entries, entry.UID)
@@ -82,7 +85,7 @@
 			}
 			l.entries[entry.UID] = entry
 		}
-		l.changes = append(l.changes, change{l.rev, entry})
+		l.changes = append(l.changes, change{l.version, entry})
 	}
 	if extra := len(l.changes) - maxChanges; extra > 0 {
 		l.changes = l.changes[extra:] // their memory is released when append next reallocates
@@ -90,7 +93,7 @@
 	clear(l.responses)
 	close(l.nextChange)
 	l.nextChange = make(chan struct{})
-	return l.rev
+	return l.version
 }
 
 // addUID appends a uid, unless it was listed before and so already has a position.
@@ -112,7 +115,7 @@
 		}
 		l.responses[from] = body
 	}
-	return body, from != l.rev, l.nextChange, nil
+	return body, from != l.version, l.nextChange, nil
 }
 
 // errUnresponsive means that a call must not be answered.
@@ -154,16 +157,16 @@
 // changesSince returns the entries that changed after a version, each once and in its current state. If the changes are
 // no longer kept, it returns the complete list.
 func (l *list) changesSince(from int64) listBody {
-	if from == l.rev {
-		return listBody{Rev: l.rev, Entries: []ListEntry{}}
+	if from == l.version {
+		return listBody{Rev: l.version, Entries: []ListEntry{}}
 	}
-	known := from >= 1 && from < l.rev && len(l.changes) > 0 && l.changes[0].rev <= from+1
+	known := from >= 1 && from < l.version && len(l.changes) > 0 && l.changes[0].version <= from+1
 	if !known {
 		return l.completeList()
 	}
-	update := listBody{Rev: l.rev, Entries: []ListEntry{}}
+	update := listBody{Rev: l.version, Entries: []ListEntry{}}
 	seen := map[string]bool{}
-	for i := len(l.changes) - 1; i >= 0 && l.changes[i].rev > from; i-- {
+	for i := len(l.changes) - 1; i >= 0 && l.changes[i].version > from; i-- {
 		if latest := l.changes[i].entry; !seen[latest.UID] {
 			seen[latest.UID] = true
 			update.Entries = append(update.Entries, latest)
@@ -174,7 +177,7 @@
 
 // completeList returns all current entries.
 func (l *list) completeList() listBody {
-	all := listBody{Rev: l.rev, All: true, Entries: []ListEntry{}}
+	all := listBody{Rev: l.version, All: true, Entries: []ListEntry{}}
 	for _, uid := range l.uids {
 		if entry, ok := l.entries[uid]; ok {
 			all.Entries = append(all.Entries, entry)
--- a/internal/fleet/standin/listedservers_test.go
+++ b/internal/fleet/standin/listedservers_test.go
@@ -61,7 +61,7 @@
 	}
 	if conn, err := net.Dial("tcp", endpoints[0]); err == nil {
 		conn.Close()
-		t.Error("a closed server accepts a connection")
+		t.Error("a closed server accepts a connection, want it refused")
 	}
 	if err := servers.Close([]int{0, 1}, nil); err != nil {
 		t.Error(err)
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -12,19 +12,19 @@
 	maxChunkDigits = 16      // hexadecimal digits of a chunk's size, as in net/http
 )
 
-// bodyState is what the next byte of a body belongs to.
+// bodyState is the part of a body that the next byte belongs to.
 type bodyState int
 
 const (
-	bodyOfLength  bodyState = iota // a body with a Content-Length
-	bodyChunkSize                  // the states of a chunked body
+	bodyFixedLength bodyState = iota // a body with a Content-Length
+	bodyChunkSize                    // the states of a chunked body
 	bodyChunk
 	bodyChunkEnd
 	bodyTrailers
 )
 
-// bodyScanner follows the framing of one request's body (RFC 9112, sections 6 and 7). isLine tells its owner what comes
-// next: content, that is, a body of known length or a chunk, is passed to skip, and a line between chunks to parseLine.
+// bodyScanner follows the framing of one request's body (RFC 9112, sections 6 and 7). Its owner passes content (a body
+// of known length, or a chunk) to skip, and the lines around chunks to parseLine. isLine reports which of them is next.
 type bodyScanner struct {
 	state     bodyState
 	remaining uint64 // bytes left of the body or chunk, or allowed for the rest of the trailers
@@ -32,20 +32,20 @@
 
 // startFixedLength starts a body of length bytes, which must not be 0.
 func (b *bodyScanner) startFixedLength(length int64) {
-	b.state, b.remaining = bodyOfLength, uint64(length)
+	b.state, b.remaining = bodyFixedLength, uint64(length)
 }
 
 // startChunked starts a chunked body.
 func (b *bodyScanner) startChunked() { b.state = bodyChunkSize }
 
 // isLine reports whether the next bytes belong to a line, and not to the content.
-func (b *bodyScanner) isLine() bool { return b.state != bodyOfLength && b.state != bodyChunk }
+func (b *bodyScanner) isLine() bool { return b.state != bodyFixedLength && b.state != bodyChunk }
 
 // skip skips the bytes of the body or chunk. It returns the bytes after it, and whether the body is complete.
 func (b *bodyScanner) skip(p []byte) (rest []byte, complete bool) {
 	n := min(b.remaining, uint64(len(p)))
 	if b.remaining -= n; b.remaining == 0 {
-		if b.state == bodyOfLength {
+		if b.state == bodyFixedLength {
 			complete = true
 		} else {
 			b.state = bodyChunkEnd
--- a/internal/http1/body_test.go
+++ b/internal/http1/body_test.go
@@ -20,7 +20,7 @@
 			var b bodyScanner
 			b.startFixedLength(3)
 			if b.isLine() {
-				t.Fatal("isLine is true in a body of known length")
+				t.Fatal("got isLine true in a body of known length, want false")
 			}
 			rest, complete := b.skip([]byte(row.text))
 			if string(rest) != row.rest || complete != row.complete {
--- a/internal/monotime/clock_test.go
+++ b/internal/monotime/clock_test.go
@@ -29,7 +29,7 @@
 	if elapsed := clock.Now() - before; elapsed < time.Millisecond {
 		t.Errorf("slept for %v, want at least 1ms", elapsed)
 	}
-	canceled, cancel := context.WithCancel(t.Context())
+	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
-	monotime.Sleep(canceled, 24*time.Hour) // returns at once, or the test times out
+	monotime.Sleep(cancelled, 24*time.Hour) // returns at once, or the test times out
 }
--- a/internal/netdial/netdial_test.go
+++ b/internal/netdial/netdial_test.go
@@ -39,7 +39,7 @@
 		err        error
 		failures   int32 // number of dials that fail with err
 		mayWait    bool
-		canceled   bool // the context
+		cancelled  bool // the context
 		dials      int
 		localFault bool
 		want       error
@@ -48,7 +48,7 @@
 		{name: "a transient local fault", err: local, failures: 2, mayWait: true, dials: 3, localFault: true},
 		{name: "no time to wait", err: local, failures: 2, dials: 1, localFault: true, want: syscall.EMFILE},
 		{
-			name: "the context is canceled", err: local, failures: 2, mayWait: true, canceled: true,
+			name: "the context is cancelled", err: local, failures: 2, mayWait: true, cancelled: true,
 			dials: 1, localFault: true, want: syscall.EMFILE,
 		},
 		{
@@ -59,7 +59,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			if c.canceled {
+			if c.cancelled {
 				cancel()
 			}
 			dials, fail := 0, testutil.FailTimes(c.err, c.failures)
--- a/internal/servermodel/server_test.go
+++ b/internal/servermodel/server_test.go
@@ -73,7 +73,7 @@
 	}
 	s.Complete(900 * time.Millisecond)
 	if s.Degraded() {
-		t.Error("degraded before it was overloaded for long enough")
+		t.Error("degraded after 0.9 s of overload, want 1 s first")
 	}
 	_, last := completeAll(s)
 	checkNear(t, "the overload ended", last, 2*time.Second)
@@ -81,10 +81,10 @@
 	_, last = completeAll(s)
 	checkNear(t, "a call on the idle server ended", last, 4*time.Second)
 	if s.Complete(4900 * time.Millisecond); !s.Degraded() {
-		t.Error("recovered before it was nearly idle for long enough")
+		t.Error("recovered after 2.9 s of being nearly idle, want 3 s first")
 	}
 	if s.Complete(5100 * time.Millisecond); s.Degraded() {
-		t.Error("not recovered after it was nearly idle")
+		t.Error("still degraded after 3.1 s of being nearly idle, want it recovered after 3 s")
 	}
 }
 
--- a/internal/servermodel/settings.go
+++ b/internal/servermodel/settings.go
@@ -8,8 +8,8 @@
 // was overloaded for a while stays slow until it has been nearly idle for a while. It does not notice that a
 // client has departed: the work continues.
 //
-// Only tests import this package; no program does. Storms with service in the fleetscale program are planned to
-// use it.
+// Only tests import this package; no program does. Storms in the fleetscale program that simulate the service of calls
+// are planned to use it.
 package servermodel
 
 import "time"
--- a/internal/wire/decoder_test.go
+++ b/internal/wire/decoder_test.go
@@ -180,7 +180,7 @@
 		BatchStart: "batch start", BatchEnd: "batch end", -1: "Kind(-1)", BatchEnd + 1: "Kind(6)",
 	} {
 		if got := kind.String(); got != want {
-			t.Errorf("got %q, want %q", got, want)
+			t.Errorf("String() = %q, want %q", got, want)
 		}
 	}
 }
