--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -3,7 +3,7 @@
 //
 // There are two modes. Where lists are pushed, an agent on the node's machine serves the polls, and each poll follows
 // the previous one without a delay. Where the registry itself is polled, the watch ends with the first poll that fails,
-// and the Handler's side decides when it starts again: it calls Subscribe at first and after each failure.
+// and the user of the package decides when it starts again: it calls Subscribe at first and after each failure.
 //
 // The package owns the watched address, the version of the list last received from it and the connections to it. It
 // stores no endpoint list. The node creates one Client, calls Run in a goroutine of its own and waits for it to return;
--- a/internal/fleet/nodes/spec.go
+++ b/internal/fleet/nodes/spec.go
@@ -14,8 +14,8 @@
 	Index         int // among the replicas of its service
 	Replicas      int
 	Tier          int
-	Listen        string // 127.0.0.1:0 for a port chosen by the system
-	Discovery     string
+	Listen        string   // 127.0.0.1:0 for a port chosen by the system
+	Discovery     string   // address of the agent, or of the registry if lists are polled
 	PollDiscovery bool     // lists are polled, not pushed
 	Classes       []string // in addition to the class of the calls
 	Seed          uint64
--- a/internal/fleet/stats/inforce.go
+++ b/internal/fleet/stats/inforce.go
@@ -23,6 +23,7 @@
 // Quantile returns the quantile of sorted values by the nearest-rank method: the smallest value such that the given
 // fraction of all values is no larger.
 func Quantile(sorted []float64, fraction float64) float64 {
+	// The rank is rounded up, except where it exceeds an integer by less than a millionth, as a rounding error does.
 	index := int(fraction*float64(len(sorted))+0.999999) - 1
 	return sorted[min(max(index, 0), len(sorted)-1)]
 }
