--- a/balancer/request.go
+++ b/balancer/request.go
@@ -141,8 +141,8 @@
 	return slices.ContainsFunc(req.attempts, func(a *attempt) bool { return a.endpoint == ep })
 }
 
-// inDedupScope reports whether the endpoint discards repeats of all attempts that may have run, for a request
-// with an idempotency key; it is true for every other request.
+// inDedupScope reports whether the endpoint discards duplicates of all attempts that may have run, for a
+// request with an idempotency key; it is true for every other request.
 func (req *request) inDedupScope(ep *endpoints.Endpoint) bool {
 	if req.class.Effect != IdempotentByKey {
 		return true
@@ -153,9 +153,10 @@
 	})
 }
 
-// dedupDeadline returns the earliest time at which endpoints stop discarding repeats of an attempt that may
-// have run, less two ticks. 0: no attempt may have run, or the class has no idempotency keys. The Balancer
-// checks this time before the send and, as a connection may take time to establish, the host checks it again.
+// dedupDeadline returns the earliest time at which endpoints stop discarding duplicates of an attempt that
+// may have run, less two ticks. 0: no attempt may have run, or the class has no idempotency keys. The
+// Balancer checks this time before the send and, as a connection may take time to establish, the host checks
+// it again.
 func (req *request) dedupDeadline(tick time.Duration) (until time.Duration) {
 	for _, a := range req.attempts {
 		windowEnd := a.sent + req.class.DedupWindow - 2*tick
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -13,11 +13,11 @@
 // Effects. The zero value allows the least.
 const (
 	NonIdempotent   Effect = iota // must never run twice
-	IdempotentByKey               // the endpoints of a Scope discard repeats of a key within DedupWindow
+	IdempotentByKey               // the endpoints of a Scope discard duplicates of a key within DedupWindow
 	Idempotent                    // may run any number of times
 )
 
-// Scope is the set of endpoints that discard repeats of a request with an idempotency key.
+// Scope is the set of endpoints that discard duplicates of a request with an idempotency key.
 type Scope int
 
 // Scopes, from the narrowest to the widest.
@@ -32,7 +32,7 @@
 	Name             string
 	Effect           Effect
 	Scope            Scope         // for IdempotentByKey
-	DedupWindow      time.Duration // for IdempotentByKey: how long repeats are discarded, from the first send
+	DedupWindow      time.Duration // for IdempotentByKey: window for duplicates, from the first attempt
 	LatencyObjective time.Duration // a response within it earns the full PriorityWeight
 	Deadline         time.Duration // how long a client waits in total, over all its attempts
 	LateValue        float64       // share of PriorityWeight earned by a response after LatencyObjective
--- a/internal/fleet/doc.go
+++ b/internal/fleet/doc.go
@@ -2,8 +2,8 @@
 // fleetscale; no program that serves requests imports it or a package below it.
 //
 // Runner.Run measures one point, Runner.Sweep fits slopes over several points, and Runner.Growth runs the same
-// workload, a "day", at two sizes and compares the resource usage of a node with the limits of the standing test. The
-// packages below it are:
+// workload, a "day", at two sizes and compares the resource usage of a node with the limits of the operators' standing
+// test (README.md). The packages below it are:
 //
 //   - plan: arguments and schedules;
 //   - standin: the stand-in registry, which also acts as the agents that lists are pushed to, and stand-in servers;
--- a/internal/fleet/report/growthlimits.go
+++ b/internal/fleet/report/growthlimits.go
@@ -16,7 +16,8 @@
 	megabyte = 1e6
 )
 
-// growthLimits are the limits of the standing test, section "More than these days".
+// growthLimits are the limits of the operators' standing test (README.md), from the section "More than these days" of
+// its terms.
 var growthLimits = []growthLimit{
 	{
 		what: "CPU seconds", unit: 1, factor: 1.4, base: 0.02, perThousand: 0.03,
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -6,7 +6,8 @@
 //
 // The loop's goroutine owns the decision module (a *balancer.Balancer), the pending requests, the timers, the endpoint
 // list and the counters of the traffic log line. Other goroutines reach that state only by posting events (events.go).
-// The loop never waits for I/O. It answers a request by sending the response on the request's buffered channel.
+// The loop does no I/O except for writing the traffic line to the log. It answers a request by sending the response on
+// the request's buffered channel.
 //
 // Package downstream owns the connections of clients and their share of the file descriptors. Package upstream owns
 // the connections to endpoints, the part of the endpoint list that it needs, and the decision whether a request may
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -18,8 +18,8 @@
 
 // Loop is the node's event loop (reactor pattern): a single goroutine passes events to the decision module and carries
 // out the actions that the module returns. Only this goroutine uses the Balancer and the fields whose comment does not
-// name other users. It never blocks on I/O: responses go to buffered channels, and each attempt runs in its own
-// goroutine.
+// name other users. It does no I/O except for writing the traffic line: responses go to buffered channels, and each
+// attempt runs in its own goroutine.
 type Loop struct {
 	clock       monotime.Clock
 	balancer    *balancer.Balancer
