--- a/internal/fleet/load/client.go
+++ b/internal/fleet/load/client.go
@@ -26,7 +26,7 @@
 	UnknownClass         // the node does not know the class
 )
 
-// Client makes calls in the format that PROTOCOL specifies, one at a time on each connection.
+// Client makes calls in the format of the operators' protocol, one at a time on each connection.
 type Client struct{ http *http.Client }
 
 // NewClient returns a client. It opens connections on demand.
--- a/internal/fleet/nodes/hollow.go
+++ b/internal/fleet/nodes/hollow.go
@@ -51,8 +51,8 @@
 	at      time.Time
 }
 
-// newHollow returns a hollow node that is not running yet; cfg.Listen and cfg.Known are not used. The loop's goroutine
-// calls simulate for each attempt.
+// newHollow returns a hollow node that is not running yet; cfg.Listen and cfg.CachedList are not used. The loop's
+// goroutine calls simulate for each attempt.
 func newHollow(cfg node.Config, simulate attemptSimulator, log *slog.Logger) (*hollow, error) {
 	h := &hollow{clock: monotime.New(), simulate: simulate, stopped: make(chan struct{})}
 	var err error
--- a/internal/fleet/standin/doc.go
+++ b/internal/fleet/standin/doc.go
@@ -7,6 +7,6 @@
 // net/http starts one for each connection, and the registry one for each call for a list. Close stops the goroutines of
 // a Registry. Those of the servers run until their process exits, unless ListedServers.Close stops them earlier.
 //
-// Lists have the format that PROTOCOL specifies. The agents read the registry's lists in memory, so the traffic between
-// the registry and its agents is not measured. Bytes are TCP payload unless stated otherwise.
+// Lists have the format of the operators' protocol. The agents read the registry's lists in memory, so the traffic
+// between the registry and its agents is not measured. Bytes are TCP payload unless stated otherwise.
 package standin
--- a/internal/fleet/standin/list.go
+++ b/internal/fleet/standin/list.go
@@ -16,7 +16,7 @@
 // noVersion is the version of a caller that has no list yet.
 const noVersion = -1
 
-// ListEntry is an entry of an endpoint list, in the format that PROTOCOL specifies.
+// ListEntry is an entry of an endpoint list, in the format of the operators' protocol.
 type ListEntry struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
